--- a/crates/chain/src/copy.rs
+++ b/crates/chain/src/copy.rs
@@ -11,6 +11,7 @@
 pub(crate) const RETRY: Duration = Duration::from_millis(500);
 const PATIENCE: Duration = Duration::from_secs(5);
 
+#[derive(Clone)]
 pub struct Source {
     pub number: u64,
     pub joiner: NodeId,
@@ -20,6 +21,7 @@
     pub asked: Duration,
 }
 
+#[derive(Clone)]
 pub struct Copying {
     pub from: NodeId,
     pub copy: u64,
--- a/crates/chain/src/found.rs
+++ b/crates/chain/src/found.rs
@@ -15,6 +15,7 @@
 const FRESH: Duration = Duration::from_millis(1500);
 const SEATS: usize = 3;
 
+#[derive(Clone)]
 pub struct Founding {
     founders: BTreeMap<NodeId, (Seat, Duration, View)>,
     /// How many seats a cluster is founded with; 0 if this member may not found one.
@@ -27,6 +28,12 @@
     }
 }
 
+impl Founding {
+    pub(crate) fn heard(&self) -> impl Iterator<Item = (NodeId, Duration, &View)> {
+        self.founders.iter().map(|(id, (_, heard, bound))| (*id, *heard, bound))
+    }
+}
+
 impl Member {
     /// With how many seats it may found a cluster from empty disks, up to three, or 0 for not at all.
     pub fn founding_with(mut self, seats: usize) -> Self {
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -3,6 +3,7 @@
 //! what it writes in redb. Nothing here reads a clock or a socket.
 
 mod copy;
+mod digest;
 mod disk;
 mod found;
 mod line;
@@ -16,6 +17,7 @@
 mod view;
 mod writes;
 
+pub use digest::{digest_batch, digest_entries, digest_meta, digest_state};
 pub use disk::Disk;
 pub use member::Member;
 pub use store::{Store, StoreFault};
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -12,6 +12,7 @@
 use std::time::Duration;
 use wire::{ChainMsg, EntryLine, NodeId, OpNo, Seat};
 
+#[derive(Clone)]
 pub struct Writing {
     pub ticket: u64,
     pub up_to: u64,
@@ -21,6 +22,7 @@
     pub installs: bool,
 }
 
+#[derive(Clone)]
 pub struct Member {
     pub(crate) meta: Meta,
     pub(crate) timing: Timing,
--- a/crates/chain/src/returns.rs
+++ b/crates/chain/src/returns.rs
@@ -16,6 +16,12 @@
     not_before: Duration,
 }
 
+impl Return {
+    pub(crate) fn times(&self) -> (Duration, Duration, Duration) {
+        (self.added, self.wait, self.not_before)
+    }
+}
+
 impl Member {
     pub(crate) fn note_returns(&mut self, next: &View) {
         let now = self.now;
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use wire::{ChainMsg, EntryLine, NodeId, Seat, View};
 
-#[derive(Default)]
+#[derive(Clone, Default)]
 pub struct Round {
     pub number: u64,
     pub begun: std::time::Duration,
