--- /dev/null
+++ b/crates/explore/src/faults.rs
@@ -0,0 +1,132 @@
+//! Which machines count as lost, and faults planted in the world around the members: a disk that
+//! reports too early, forged votes, forged receipts, a forged view. The members' code is untouched.
+
+use crate::world::{World, machine_of};
+use chain::Input;
+use wire::{ChainMsg, NodeId};
+
+/// A fault planted to see that the explorer finds it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
+pub enum Plant {
+    #[default]
+    None,
+    /// The disk reports each write before it is synced.
+    EarlySync,
+    /// A proposer is told of one vote that nobody cast.
+    ForgedVote,
+    /// A view is spread in which only a learner is left.
+    LoneLearner,
+    /// A member is told that its successor has synced what it was only sent.
+    ForgedCopy,
+}
+
+impl Plant {
+    pub fn from_word(word: &str) -> Option<Plant> {
+        match word {
+            "none" => Some(Plant::None),
+            "early-sync" => Some(Plant::EarlySync),
+            "forged-vote" => Some(Plant::ForgedVote),
+            "lone-learner" => Some(Plant::LoneLearner),
+            "forged-copy" => Some(Plant::ForgedCopy),
+            _ => None,
+        }
+    }
+}
+
+impl World {
+    /// Whether a machine counts as lost now. A machine that is replaced and its successor count once.
+    fn is_lost(&self, index: usize) -> bool {
+        let machine = &self.machines[index];
+        let gone = machine.removed || machine.leaving;
+        match machine.successor {
+            Some(successor) if gone => self.machines[successor].troubled,
+            _ => machine.troubled && !self.is_only_arriving(index),
+        }
+    }
+
+    /// A new machine that was never in the chain is not missed: whom it replaces is.
+    fn is_only_arriving(&self, index: usize) -> bool {
+        !self.machines[index].arrived && !self.machines[index].may_found
+    }
+
+    pub(crate) fn lost_count(&self) -> usize {
+        (0..self.machines.len()).filter(|index| self.is_lost(*index)).count()
+    }
+
+    pub(crate) fn may_lose(&self, index: usize) -> bool {
+        self.is_lost(index) || self.is_only_arriving(index) || self.lost_count() < self.losses
+    }
+
+    /// A machine in the newest view's chain that is no learner there is whole again.
+    pub(crate) fn note_recovered(&mut self) {
+        let Some(newest) = self.newest_view().cloned() else { return };
+        for machine in &mut self.machines {
+            let Some(member) = &machine.member else { continue };
+            let chained = newest.chain.as_slice().contains(&machine.id) && newest.fresh != machine.id;
+            if chained && member.view().number == newest.number && !machine.leaving {
+                machine.troubled = false;
+                machine.arrived = true;
+            }
+        }
+    }
+
+    /// Every set of machines that may still be lost on top of those that are.
+    pub(crate) fn further_losses(&self) -> Vec<Vec<usize>> {
+        let spare = self.losses.saturating_sub(self.lost_count());
+        let whole: Vec<usize> = (0..self.machines.len())
+            .filter(|index| self.machines[*index].member.is_some() && !self.is_lost(*index))
+            .collect();
+        let mut sets = vec![Vec::new()];
+        for _ in 0..spare {
+            sets = sets
+                .iter()
+                .flat_map(|set| {
+                    let after = set.last().copied();
+                    let more = whole.iter().filter(move |index| after.is_none_or(|last| **index > last));
+                    more.map(move |index| [set.as_slice(), &[*index]].concat())
+                })
+                .collect();
+        }
+        if sets.is_empty() { vec![whole] } else { sets }
+    }
+
+    pub(crate) fn report_unkept(&mut self, index: usize, ticket: u64) {
+        if self.plant == Plant::EarlySync {
+            self.feed(index, Input::Written { ticket });
+        }
+    }
+
+    /// Sends the answer to a message that its receiver has not given.
+    pub(crate) fn forge(&mut self, from: NodeId, to: NodeId, message: &ChainMsg) {
+        let forged = match (self.plant, message) {
+            (Plant::ForgedVote, ChainMsg::Accept { slot, ballot, .. }) => {
+                ChainMsg::Accepted { slot: *slot, ballot: *ballot }
+            }
+            (Plant::ForgedCopy, ChainMsg::Append { view, entries, .. }) => {
+                let Some(last) = entries.as_slice().last() else { return };
+                ChainMsg::Synced { view: *view, seq: last.seq, committed: last.seq }
+            }
+            _ => return,
+        };
+        self.frames.entry((to, from)).or_default().push(forged);
+    }
+
+    pub(crate) fn may_forge_view(&self) -> bool {
+        self.plant == Plant::LoneLearner && self.newest_view().is_some_and(|view| view.fresh != 0)
+    }
+
+    pub(crate) fn forge_view(&mut self) {
+        let Some(newest) = self.newest_view().cloned() else { return };
+        let learner = newest.fresh;
+        let mut view = newest;
+        view.number += 1;
+        view.fresh = 0;
+        view.chain = vec![learner].into();
+        for seat in view.voters.clone().iter() {
+            self.feed(
+                machine_of(seat.id),
+                Input::Frame { from: learner, message: ChainMsg::Decided { view: view.clone() } },
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/explore/src/history.rs
@@ -0,0 +1,44 @@
+//! What an outside observer of the run knows: what was committed, decided and asked, and the first
+//! invariant that was broken.
+
+use std::collections::BTreeMap;
+use std::hash::{Hash, Hasher};
+use wire::{NodeId, OpNo, View, to_bytes};
+
+/// What stood when a tail was asked to confirm its reads.
+#[derive(Clone, Hash)]
+pub struct Asked {
+    pub newest_view: u64,
+    pub committed: u64,
+}
+
+#[derive(Clone, Default)]
+pub struct History {
+    /// The operation at each place, and its key, as first committed anywhere.
+    pub committed: BTreeMap<u64, (OpNo, String)>,
+    /// The view of each number, as first learnt to be decided anywhere.
+    pub decided: BTreeMap<u64, View>,
+    pub asked: BTreeMap<(NodeId, u64), Asked>,
+    pub violation: Option<String>,
+}
+
+impl History {
+    pub fn note_asked(&mut self, id: NodeId, round: u64) {
+        let newest_view = self.decided.keys().next_back().copied().unwrap_or(0);
+        let committed = self.committed.keys().next_back().copied().unwrap_or(0);
+        self.asked.entry((id, round)).or_insert(Asked { newest_view, committed });
+    }
+
+    pub fn break_rule(&mut self, told: impl FnOnce() -> String) {
+        if self.violation.is_none() {
+            self.violation = Some(told());
+        }
+    }
+
+    pub fn digest(&self, hasher: &mut impl Hasher) {
+        (&self.committed, &self.asked).hash(hasher);
+        for (number, view) in &self.decided {
+            (number, to_bytes(view)).hash(hasher);
+        }
+    }
+}
--- /dev/null
+++ b/crates/explore/src/scenario.rs
@@ -0,0 +1,79 @@
+//! Where explorations begin: clusters brought without faults to a moment worth exploring from.
+
+use crate::faults::Plant;
+use crate::passing::Silence;
+use crate::world::{Budget, World};
+
+/// Calm steps of half a suspicion time after which every machine has founded or joined.
+const FORMING_STEPS: usize = 60;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Scenario {
+    /// Three machines with one change committed; one may be lost.
+    Three,
+    /// The same, with one machine's disk just lost: it asks to join under a new identity.
+    Wiped,
+    /// The same, with a fourth machine just joined, the successor of the third.
+    Replacing,
+    /// Six machines of which two may be lost.
+    Six,
+    /// Eight machines of which two may be lost.
+    Eight,
+    /// Three machines that start with empty disks.
+    Founding,
+}
+
+impl Scenario {
+    pub fn from_word(word: &str) -> Option<Scenario> {
+        match word {
+            "three" => Some(Scenario::Three),
+            "wiped" => Some(Scenario::Wiped),
+            "replacing" => Some(Scenario::Replacing),
+            "six" => Some(Scenario::Six),
+            "eight" => Some(Scenario::Eight),
+            "founding" => Some(Scenario::Founding),
+            _ => None,
+        }
+    }
+
+    pub fn build(self, budget: Budget, plant: Plant) -> World {
+        let (losses, count) = match self {
+            Scenario::Six => (2, 6),
+            Scenario::Eight => (2, 8),
+            _ => (1, 3),
+        };
+        let mut world = World::new(losses, budget, Plant::None);
+        for index in 0..count {
+            world.add_machine(index < 3);
+        }
+        if self == Scenario::Founding {
+            world.plant = plant;
+            return world;
+        }
+        world.run_calm(FORMING_STEPS);
+        world.enter(0);
+        world.run_calm(2);
+        match self {
+            Scenario::Wiped => world.wipe(2),
+            Scenario::Replacing => {
+                let successor = world.add_machine(false);
+                world.machines[2].successor = Some(successor);
+                world.run_calm(FORMING_STEPS);
+            }
+            _ => {}
+        }
+        world.plant = plant;
+        world.check();
+        world
+    }
+}
+
+impl World {
+    fn run_calm(&mut self, steps: usize) {
+        for _ in 0..steps {
+            self.advance(Silence::None);
+            self.settle(Silence::None);
+            self.note_recovered();
+        }
+    }
+}
--- /dev/null
+++ b/crates/explore/src/search.rs
@@ -0,0 +1,123 @@
+//! The searches: every choice to a depth with visited states skipped, random walks, and replays.
+
+use crate::choice::Choice;
+use crate::world::World;
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use std::collections::HashMap;
+use std::time::Instant;
+
+/// Where a search ends.
+#[derive(Clone, Debug)]
+pub struct Limits {
+    pub depth: usize,
+    pub states: u64,
+    /// Look ahead from every so many-th distinct state; 0 for never.
+    pub probe_every: u64,
+}
+
+/// A broken invariant, and the choices that led to it.
+#[derive(Clone, Debug)]
+pub struct Finding {
+    pub told: String,
+    pub path: Vec<Choice>,
+}
+
+#[derive(Clone, Debug, Default)]
+pub struct Report {
+    /// States reached, with those reached again.
+    pub explored: u64,
+    pub distinct: u64,
+    pub probed: u64,
+    pub deepest: usize,
+    /// Whether every choice to the depth was taken.
+    pub complete: bool,
+    pub seconds: f64,
+    pub finding: Option<Finding>,
+}
+
+struct Search<'a> {
+    limits: &'a Limits,
+    /// The least depth at which each state was reached.
+    visited: HashMap<u64, usize>,
+    path: Vec<Choice>,
+    report: Report,
+}
+
+/// Takes every choice from a state, to the depth of the limits.
+pub fn explore(start: &World, limits: &Limits) -> Report {
+    let begun = Instant::now();
+    let mut search = Search { limits, visited: HashMap::new(), path: Vec::new(), report: Report::default() };
+    search.report.complete = true;
+    search.descend(start);
+    search.report.distinct = search.visited.len() as u64;
+    search.report.seconds = begun.elapsed().as_secs_f64();
+    search.report
+}
+
+impl Search<'_> {
+    fn descend(&mut self, world: &World) {
+        if self.path.len() >= self.limits.depth || self.report.finding.is_some() {
+            return;
+        }
+        for choice in world.choices() {
+            if self.report.explored >= self.limits.states {
+                self.report.complete = false;
+                return;
+            }
+            let mut next = world.clone();
+            next.take(&choice);
+            self.path.push(choice);
+            self.visit(&mut next);
+            self.path.pop();
+            if self.report.finding.is_some() {
+                return;
+            }
+        }
+    }
+
+    fn visit(&mut self, world: &mut World) {
+        let depth = self.path.len();
+        self.report.explored += 1;
+        self.report.deepest = self.report.deepest.max(depth);
+        let known = self.visited.get(&world.digest()).copied();
+        if known.is_some_and(|least| least <= depth) {
+            return;
+        }
+        self.visited.insert(world.digest(), depth);
+        let probes = self.limits.probe_every > 0 && self.visited.len() as u64 % self.limits.probe_every == 0;
+        if known.is_none() && probes {
+            self.report.probed += 1;
+            world.probe();
+        }
+        if let Some(told) = world.history.violation.clone() {
+            self.report.finding = Some(Finding { told, path: self.path.clone() });
+            return;
+        }
+        self.descend(world);
+    }
+}
+
+/// One random walk of so many choices, with a look ahead at its end.
+pub fn walk(start: &World, seed: u64, length: usize) -> Option<Finding> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed);
+    let picks: Vec<u16> = (0..length).map(|_| random.random()).collect();
+    follow(start, &picks)
+}
+
+/// Takes the choice that each number points at, with a look ahead at the end.
+pub fn follow(start: &World, picks: &[u16]) -> Option<Finding> {
+    let mut world = start.clone();
+    let mut path = Vec::new();
+    for pick in picks {
+        let choices = world.choices();
+        let Some(choice) = choices.get(*pick as usize % choices.len().max(1)) else { break };
+        path.push(choice.clone());
+        world.take(choice);
+        if let Some(told) = world.history.violation.take() {
+            return Some(Finding { told, path });
+        }
+    }
+    world.probe();
+    world.history.violation.take().map(|told| Finding { told, path })
+}
--- /dev/null
+++ b/crates/explore/src/world.rs
@@ -0,0 +1,235 @@
+//! The modelled cluster: machines with a process and a disk each, and the messages between them.
+
+use crate::faults::Plant;
+use crate::history::History;
+use chain::{Batch, Effect, Input, Member, Output, State, Stored, Timing, apply_batch};
+use std::collections::BTreeMap;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::time::Duration;
+use wire::{ChainMsg, NodeId, OpNo, Seat, View, to_bytes};
+
+/// How many of each kind of event a run may still have.
+#[derive(Clone, Debug, Hash)]
+pub struct Budget {
+    pub entries: u32,
+    pub confirms: u32,
+    pub crashes: u32,
+    pub wipes: u32,
+    pub drops: u32,
+    pub silences: u32,
+    pub passes: u32,
+    pub leaves: u32,
+    pub joins: u32,
+}
+
+/// A machine: an address, the process that runs there now, and its disk.
+#[derive(Clone)]
+pub struct Machine {
+    pub id: NodeId,
+    pub member: Option<Member>,
+    pub disk: Stored,
+    /// Writes handed to the disk that are not yet synced.
+    pub pending: Vec<(u64, Batch)>,
+    /// How often its disk was lost.
+    pub wipes: u64,
+    /// Had a fault, and has not been back in the chain since.
+    pub troubled: bool,
+    /// Was in the chain at least once.
+    pub arrived: bool,
+    pub leaving: bool,
+    /// Stopped for good, its place taken by the machine started as its successor, if any.
+    pub removed: bool,
+    pub successor: Option<usize>,
+    pub may_found: bool,
+}
+
+#[derive(Clone)]
+pub struct World {
+    pub machines: Vec<Machine>,
+    /// Messages under way, by sender and receiver, in the order sent.
+    pub frames: BTreeMap<(NodeId, NodeId), Vec<ChainMsg>>,
+    pub now: Duration,
+    pub losses: usize,
+    pub budget: Budget,
+    pub history: History,
+    pub plant: Plant,
+    /// Heartbeats arrive at once while time passes.
+    pub(crate) passing: bool,
+    pub(crate) silent: Option<usize>,
+    pub(crate) next_operation: u64,
+}
+
+fn apply(_: &State, seq: u64, body: &[u8]) -> Effect {
+    let key = String::from_utf8_lossy(body).into_owned();
+    Effect { changes: vec![(key, Some(seq.to_le_bytes().to_vec().into()))], receipt: Vec::new() }
+}
+
+fn address(machine: usize) -> wire::Text {
+    format!("10.0.0.{machine}:1").into()
+}
+
+impl World {
+    pub fn new(losses: usize, budget: Budget, plant: Plant) -> World {
+        World {
+            machines: Vec::new(),
+            frames: BTreeMap::new(),
+            now: Duration::from_secs(1),
+            losses,
+            budget,
+            history: History::default(),
+            plant,
+            passing: false,
+            silent: None,
+            next_operation: 0,
+        }
+    }
+
+    pub fn add_machine(&mut self, may_found: bool) -> usize {
+        self.machines.push(Machine {
+            id: 0,
+            member: None,
+            disk: Stored::default(),
+            pending: Vec::new(),
+            wipes: 0,
+            troubled: !may_found,
+            arrived: false,
+            leaving: false,
+            removed: false,
+            successor: None,
+            may_found,
+        });
+        let index = self.machines.len() - 1;
+        self.start(index);
+        index
+    }
+
+    /// Starts the process of a machine on whatever its disk holds.
+    pub fn start(&mut self, index: usize) {
+        let machine = &mut self.machines[index];
+        machine.id = index as NodeId + 1 + machine.wipes * 10;
+        machine.leaving = false;
+        let seat = Seat { id: machine.id, address: address(index) };
+        machine.disk.meta.seat = seat.clone();
+        let seats = if machine.may_found { 3 } else { 0 };
+        let member = Member::new(seat, machine.disk.clone(), Timing::default(), apply, self.now);
+        machine.member = Some(member.founding_with(seats).bearing(self.losses));
+    }
+
+    /// The process ends; what was not synced is gone, and so is what was on its way to it.
+    pub fn stop(&mut self, index: usize) {
+        self.machines[index].member = None;
+        self.machines[index].pending.clear();
+        self.machines[index].troubled = true;
+        let id = self.machines[index].id;
+        self.history.asked.retain(|(asked, _), _| *asked != id);
+        self.frames.retain(|(_, to), _| machine_of(*to) != index);
+    }
+
+    pub fn feed(&mut self, index: usize, input: Input) {
+        let now = self.now;
+        let Some(member) = self.machines[index].member.as_mut() else { return };
+        let outputs = member.step(now, input);
+        self.record(index, &outputs);
+        for output in outputs {
+            self.carry_out(index, output);
+        }
+    }
+
+    fn carry_out(&mut self, index: usize, output: Output) {
+        let from = self.machines[index].id;
+        match output {
+            Output::Send { to, message } => self.send(from, to, message),
+            Output::SendSeeds { message } => {
+                let others = (0..self.machines.len()).filter(|other| *other != index);
+                let ids: Vec<NodeId> = others.map(|other| self.machines[other].id).collect();
+                ids.into_iter().for_each(|to| self.send(from, to, message.clone()));
+            }
+            Output::Write { ticket, batch } => {
+                self.machines[index].pending.push((ticket, batch));
+                self.report_unkept(index, ticket);
+            }
+            _ => {}
+        }
+    }
+
+    fn send(&mut self, from: NodeId, to: NodeId, message: ChainMsg) {
+        let heartbeat = matches!(message, ChainMsg::Beat { .. } | ChainMsg::BeatReceipt { .. });
+        if self.passing && heartbeat {
+            return self.deliver(from, to, message);
+        }
+        self.forge(from, to, &message);
+        let link = self.frames.entry((from, to)).or_default();
+        if !link.contains(&message) {
+            link.push(message);
+        }
+    }
+
+    /// A message goes to an address: whichever process runs there now gets it.
+    pub fn deliver(&mut self, from: NodeId, to: NodeId, message: ChainMsg) {
+        let (sender, receiver) = (machine_of(from), machine_of(to));
+        if self.passing && (self.silent == Some(sender) || self.silent == Some(receiver)) {
+            return;
+        }
+        self.feed(receiver, Input::Frame { from, message });
+    }
+
+    /// The oldest write of a machine is synced and reported.
+    pub fn land(&mut self, index: usize) {
+        if self.machines[index].pending.is_empty() {
+            return;
+        }
+        let (ticket, batch) = self.machines[index].pending.remove(0);
+        apply_batch(&mut self.machines[index].disk, &batch);
+        self.feed(index, Input::Written { ticket });
+    }
+
+    pub fn enter(&mut self, index: usize) {
+        self.next_operation += 1;
+        let op = OpNo { origin: self.machines[index].id, number: self.next_operation };
+        self.feed(index, Input::Enter { op, body: op.number.to_string().into_bytes() });
+    }
+
+    pub fn confirm(&mut self, index: usize) {
+        let Some(member) = self.machines[index].member.as_mut() else { return };
+        let round = member.ask_confirm();
+        let id = self.machines[index].id;
+        self.history.note_asked(id, round);
+        self.feed(index, Input::Confirm);
+    }
+
+    /// The newest view that any member learnt to be decided.
+    pub fn newest_view(&self) -> Option<&View> {
+        self.history.decided.values().next_back()
+    }
+
+    pub fn digest(&self) -> u64 {
+        let mut hasher = DefaultHasher::new();
+        for machine in &self.machines {
+            (machine.id, machine.wipes, machine.troubled, machine.arrived, machine.leaving).hash(&mut hasher);
+            (machine.removed, machine.successor, machine.member.is_some()).hash(&mut hasher);
+            if let Some(member) = &machine.member {
+                member.digest(&mut hasher);
+            }
+            chain::digest_meta(&machine.disk.meta, &mut hasher);
+            chain::digest_state(&machine.disk.state, &mut hasher);
+            chain::digest_entries(machine.disk.entries.iter(), &mut hasher);
+            (machine.disk.last, machine.disk.settled).hash(&mut hasher);
+            for (ticket, batch) in &machine.pending {
+                ticket.hash(&mut hasher);
+                chain::digest_batch(batch, &mut hasher);
+            }
+        }
+        for (link, messages) in self.frames.iter().filter(|(_, messages)| !messages.is_empty()) {
+            link.hash(&mut hasher);
+            messages.iter().for_each(|message| to_bytes(message).hash(&mut hasher));
+        }
+        self.history.digest(&mut hasher);
+        (&self.budget, self.next_operation).hash(&mut hasher);
+        hasher.finish()
+    }
+}
+
+/// Which machine an identity was given to: a wiped one starts with a new identity.
+pub fn machine_of(id: NodeId) -> usize {
+    ((id - 1) % 10) as usize
+}
