--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -20,6 +20,8 @@
     pub cut: Vec<NodeId>,
     pub pairs: Vec<(NodeId, NodeId)>,
     pub stalled: Vec<NodeId>,
+    /// To whom no log entries get through.
+    pub starved: Vec<NodeId>,
     pub done: Vec<(NodeId, OpNo, bool)>,
     pub confirmed: Vec<NodeId>,
     pub installed: Vec<(NodeId, Option<usize>)>,
@@ -46,6 +48,7 @@
             cut: Vec::new(),
             pairs: Vec::new(),
             stalled: Vec::new(),
+            starved: Vec::new(),
             done: Vec::new(),
             confirmed: Vec::new(),
             installed: Vec::new(),
@@ -99,11 +102,23 @@
         }
     }
 
+    /// Whatever a member has handed to its disk is synced and reported.
+    pub fn land(&mut self, id: NodeId) {
+        while let Some(place) = self.writes.iter().position(|(owner, ..)| *owner == id) {
+            let (_, ticket, batch) = self.writes.remove(place);
+            if let Some(disk) = self.disks.get_mut(&id) {
+                apply_batch(disk, &batch);
+            }
+            self.feed(id, Input::Written { ticket });
+        }
+    }
+
     pub fn settle(&mut self) {
         loop {
             if let Some((from, to, message)) = self.frames.pop_front() {
                 let pair = self.pairs.contains(&(from, to)) || self.pairs.contains(&(to, from));
-                if !self.cut.contains(&from) && !self.cut.contains(&to) && !pair {
+                let starved = matches!(message, ChainMsg::Append { .. }) && self.starved.contains(&to);
+                if !self.cut.contains(&from) && !self.cut.contains(&to) && !pair && !starved {
                     self.feed(to, Input::Frame { from, message });
                 }
                 continue;
--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -136,13 +136,12 @@
             if machine.member.is_none() {
                 continue;
             }
-            let successor = machine.successor.map(|successor| &self.machines[successor]);
-            if machine.leaving && (self.may_lose(index) || successor.is_some_and(|successor| !successor.troubled)) {
+            let succeeded = machine.successor.is_some_and(|successor| !self.machines[successor].troubled);
+            let may_go = succeeded || self.may_lose(index);
+            if machine.leaving && may_go {
                 choices.push(Choice::EndLeaving(index));
-            } else if !machine.leaving
-                && self.budget.leaves > 0
-                && (machine.successor.is_some() || self.may_lose(index))
-            {
+            }
+            if !machine.leaving && may_go && self.budget.leaves > 0 {
                 choices.push(Choice::Leave(index));
             }
             if self.budget.joins > 0 && machine.successor.is_none() && self.machines.len() < 10 {
@@ -187,6 +186,7 @@
             }
             Choice::EndLeaving(index) => {
                 self.machines[index].removed = self.machines[index].successor.is_some();
+                self.machines[index].left_in_order = !self.is_chained(index);
                 self.stop(index);
             }
             Choice::Join { replaces } => {
--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -39,11 +39,18 @@
         let machine = &self.machines[index];
         let gone = machine.removed || machine.leaving;
         match machine.successor {
-            Some(successor) if gone => self.machines[successor].troubled,
+            Some(successor) if gone => self.machines[successor].troubled || self.ended_out_of_order(index),
             _ => machine.troubled && !self.is_only_arriving(index),
         }
     }
 
+    /// One that ended before it was out of the chain is missed until it has no seat.
+    fn ended_out_of_order(&self, index: usize) -> bool {
+        let machine = &self.machines[index];
+        let seated = self.newest_view().is_some_and(|view| view.voters.iter().any(|seat| seat.id == machine.id));
+        machine.removed && !machine.left_in_order && seated
+    }
+
     /// A new machine that was never in the chain is not missed: whom it replaces is.
     fn is_only_arriving(&self, index: usize) -> bool {
         !self.machines[index].arrived && !self.machines[index].may_found
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -40,6 +40,8 @@
     /// Stopped for good, its place taken by the machine started as its successor, if any.
     pub removed: bool,
     pub successor: Option<usize>,
+    /// When it ended, it knew a view without it.
+    pub left_in_order: bool,
     pub may_found: bool,
 }
 
@@ -96,6 +98,7 @@
             leaving: false,
             removed: false,
             successor: None,
+            left_in_order: false,
             may_found,
         });
         let index = self.machines.len() - 1;
@@ -108,6 +111,7 @@
         let machine = &mut self.machines[index];
         machine.id = index as NodeId + 1 + machine.wipes * 10;
         machine.leaving = false;
+        machine.left_in_order = false;
         let seat = Seat { id: machine.id, address: address(index) };
         machine.disk.meta.seat = seat.clone();
         let seats = if machine.may_found { 3 } else { 0 };
@@ -197,6 +201,10 @@
         self.feed(index, Input::Confirm);
     }
 
+    pub(crate) fn is_chained(&self, index: usize) -> bool {
+        self.machines[index].member.as_ref().is_some_and(|member| member.is_chained())
+    }
+
     /// The newest view that any member learnt to be decided.
     pub fn newest_view(&self) -> Option<&View> {
         self.history.decided.values().next_back()
@@ -206,7 +214,7 @@
         let mut hasher = DefaultHasher::new();
         for machine in &self.machines {
             (machine.id, machine.wipes, machine.troubled, machine.arrived, machine.leaving).hash(&mut hasher);
-            (machine.removed, machine.successor, machine.member.is_some()).hash(&mut hasher);
+            (machine.removed, machine.left_in_order, machine.successor, machine.member.is_some()).hash(&mut hasher);
             if let Some(member) = &machine.member {
                 member.digest(&mut hasher);
             }
