--- a/crates/chain/src/register.rs
+++ b/crates/chain/src/register.rs
@@ -143,7 +143,9 @@
 
     pub(crate) fn on_refused(&mut self, slot: u64, ballot: u64) {
         self.seen_ballot = self.seen_ballot.max(ballot);
-        if self.proposal.as_ref().is_some_and(|proposal| proposal.slot == slot) {
+        // A voter that has promised this very ballot, and was asked twice, has refused nothing.
+        let outbid = |proposal: &Proposal| proposal.slot == slot && ballot > proposal.ballot;
+        if self.proposal.as_ref().is_some_and(outbid) {
             self.proposal = None;
             let wait = self.timing.beat.as_millis() as u64 * (1 + (self.meta.seat.id ^ ballot) % 5);
             self.propose_after = self.now + Duration::from_millis(wait);
