--- a/crates/chain/src/seats.rs
+++ b/crates/chain/src/seats.rs
@@ -17,7 +17,7 @@
 
 impl Member {
     /// As many voters as it takes to have a majority left after the losses to be borne.
-    fn enough(&self) -> usize {
+    pub(crate) fn enough(&self) -> usize {
         self.losses * 2 + 1
     }
 
@@ -32,13 +32,15 @@
         self.meta.view.fresh != 0 || lately.is_some_and(|source| source.joiner != id && !chain.contains(&source.joiner))
     }
 
-    /// The place among the voters that a joiner takes, which may be one after the last.
+    /// The place among the voters that a joiner takes, which may be one after the last. A member that is out
+    /// of the chain but heard is about to return, and keeps its seat.
     fn place_of(&self, seat: &Seat) -> usize {
         let voters = self.meta.view.voters.as_slice();
         let gone = |voter: &Seat| !self.meta.view.chain.iter().any(|id| *id == voter.id);
         let known = voters.iter().position(|voter| voter.id == seat.id);
         let there = || voters.iter().position(|voter| voter.address == seat.address && gone(voter));
-        let spare = || voters.iter().position(gone).filter(|_| voters.len() >= self.enough());
+        let silent = |voter: &Seat| gone(voter) && self.is_suspect(voter.id);
+        let spare = || voters.iter().position(silent).filter(|_| voters.len() >= self.enough());
         known.or_else(there).or_else(spare).unwrap_or(voters.len())
     }
 
@@ -56,10 +58,12 @@
         let (place, enough) = (self.place_of(seat), self.enough());
         let voters = self.meta.view.voters.as_slice();
         // Its address is another's who is thought to be there: that one is taken out first.
-        let taken = voters.iter().any(|voter| voter.address == seat.address && voter.id != seat.id);
+        let other = |(at, voter): (usize, &Seat)| at != place && voter.address == seat.address;
+        let taken = !self.is_voter(seat.id) && voters.iter().enumerate().any(other);
         match voters.get(place) {
+            _ if taken => false,
             Some(_) => true,
-            None if taken || voters.len() >= MOST => false,
+            None if voters.len() >= MOST => false,
             None if voters.len() < enough => true,
             None => self.newcomers.get(&seat.id).is_some_and(|(first, _)| self.now >= *first + STANDS),
         }
@@ -86,6 +90,9 @@
     /// The view without a seat that has been empty for long, where there are more than enough.
     pub(crate) fn without_empty_seat(&self) -> Option<View> {
         let view = &self.meta.view;
+        if view.fresh != 0 {
+            return None;
+        }
         let voters = view.voters.as_slice();
         let silent = |voter: &Seat| self.heard.get(&voter.id).is_none_or(|(heard, _)| self.now > *heard + EMPTY);
         let empty = |voter: &Seat| !view.chain.iter().any(|id| *id == voter.id) && silent(voter);
