--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -6,6 +6,7 @@
 mod digest;
 mod disk;
 mod found;
+mod leave;
 mod line;
 mod member;
 mod register;
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -221,6 +221,7 @@
             self.beat();
         }
         self.resend();
+        self.finish_leaving();
         self.mend();
         self.seek_to_join();
         self.finish_joining();
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -155,24 +155,6 @@
         next.chain = left.into();
         self.propose(next);
     }
-
-    /// A planned stop: names the view without this member, and with it the optimizer's next host,
-    /// while enough are left to keep the copies it takes. It does not ask to join again.
-    pub(crate) fn leave(&mut self) {
-        self.leaving = true;
-        let me = self.meta.seat.id;
-        let view = &self.meta.view;
-        let left: Vec<NodeId> = view.chain.iter().copied().filter(|id| *id != me).collect();
-        let chained = left.len() < view.chain.as_slice().len();
-        if !chained || left.len() < self.copies().max(2) || view.fresh != 0 || self.proposal.is_some() {
-            return;
-        }
-        let mut next = view.clone();
-        next.number += 1;
-        next.optimizer = optimizer_for(&left, view.optimizer);
-        next.chain = left.into();
-        self.propose(next);
-    }
 }
 
 /// What others may look at.
