--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -142,6 +142,9 @@
         if chosen_mender != Some(me) {
             return;
         }
+        if !self.hears_majority() {
+            return;
+        }
         if left.len() == chain.len() {
             if let Some(next) = self.without_empty_seat() {
                 self.propose(next);
@@ -155,6 +158,15 @@
         next.chain = left.into();
         self.propose(next);
     }
+
+    /// Who hears no majority may be the one that is cut off; it takes nobody out, lest its messages do so
+    /// once they arrive after all.
+    fn hears_majority(&self) -> bool {
+        let voters = self.meta.view.voters.as_slice();
+        let me = self.meta.seat.id;
+        let heard = voters.iter().filter(|seat| seat.id == me || !self.is_suspect(seat.id)).count();
+        is_majority(heard, voters.len())
+    }
 }
 
 /// What others may look at.
