--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -91,11 +91,21 @@
             }
         }
         if self.budget.passes > 0 {
-            choices.push(Choice::Pass(Silence::None));
             choices.push(Choice::Calm(Silence::None));
+            choices.extend(self.may_stall().then_some(Choice::Pass(Silence::None)));
         }
     }
 
+    /// Whose writes are under way: while time passes their disks hang, which counts as a loss.
+    pub(crate) fn stalled(&self) -> impl Iterator<Item = usize> {
+        (0..self.machines.len()).filter(|index| !self.machines[*index].pending.is_empty())
+    }
+
+    fn may_stall(&self) -> bool {
+        let counted = self.stalled().filter(|index| !self.is_missed_already(*index)).count();
+        self.lost_count() + counted <= self.losses
+    }
+
     fn fault_choices(&self, choices: &mut Vec<Choice>) {
         if self.budget.drops > 0 {
             for ((from, to), messages) in &self.frames {
@@ -124,8 +134,10 @@
                 choices.push(Choice::Wipe(index));
             }
             if self.budget.silences > 0 && self.budget.passes > 0 {
-                choices.push(Choice::Pass(Silence::Frozen(index)));
-                choices.push(Choice::Pass(Silence::Cut(index)));
+                if self.stalled().all(|stalled| stalled == index) {
+                    choices.push(Choice::Pass(Silence::Frozen(index)));
+                    choices.push(Choice::Pass(Silence::Cut(index)));
+                }
                 choices.push(Choice::Calm(Silence::Cut(index)));
             }
         }
@@ -138,7 +150,8 @@
             }
             let succeeded = machine.successor.is_some_and(|successor| !self.machines[successor].troubled);
             let may_go = succeeded || self.may_lose(index);
-            if machine.leaving && may_go {
+            let may_end = (succeeded && !self.is_chained(index)) || self.may_lose(index);
+            if machine.leaving && may_end {
                 choices.push(Choice::EndLeaving(index));
             }
             if !machine.leaving && may_go && self.budget.leaves > 0 {
--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -60,8 +60,12 @@
         (0..self.machines.len()).filter(|index| self.is_lost(*index)).count()
     }
 
+    pub(crate) fn is_missed_already(&self, index: usize) -> bool {
+        self.is_lost(index) || self.is_only_arriving(index)
+    }
+
     pub(crate) fn may_lose(&self, index: usize) -> bool {
-        self.is_lost(index) || self.is_only_arriving(index) || self.lost_count() < self.losses
+        self.is_missed_already(index) || self.lost_count() < self.losses
     }
 
     /// A machine in the newest view's chain that is no learner there is whole again.
--- a/crates/explore/src/passing.rs
+++ b/crates/explore/src/passing.rs
@@ -38,6 +38,10 @@
             self.budget.silences -= 1;
             self.machines[index].troubled = true;
         }
+        if !settle {
+            let stalled: Vec<usize> = self.stalled().collect();
+            stalled.into_iter().for_each(|index| self.machines[index].troubled = true);
+        }
         for _ in 0..STEPS {
             self.advance(silence);
             if settle {
