--- a/crates/chain/src/leave.rs
+++ b/crates/chain/src/leave.rs
@@ -15,7 +15,7 @@
     /// other change of the membership is under way.
     pub(crate) fn finish_leaving(&mut self) {
         let held_up = self.meta.view.fresh != 0 || self.proposal.is_some() || self.now < self.propose_after;
-        if !self.leaving || !self.is_chained() || held_up {
+        if !self.leaving || self.may_stop() || held_up {
             return;
         }
         if let Some(next) = self.without_me() {
@@ -23,6 +23,16 @@
         }
     }
 
+    /// Whether nothing that the others rely on is left to this member: it is out of the chain, and has no
+    /// seat that would count against their majority once it is empty.
+    pub fn may_stop(&self) -> bool {
+        !self.is_chained() && !(self.is_voter(self.meta.seat.id) && self.has_spare_seats())
+    }
+
+    fn has_spare_seats(&self) -> bool {
+        self.meta.view.voters.as_slice().len() > self.enough()
+    }
+
     /// Its seat goes with it where the others are enough: an empty one would count against the majority.
     fn without_me(&self) -> Option<View> {
         let me = self.meta.seat.id;
@@ -35,7 +45,7 @@
         next.number += 1;
         next.optimizer = optimizer_for(&left, view.optimizer);
         next.chain = left.into();
-        if view.voters.as_slice().len() > self.enough() {
+        if self.has_spare_seats() {
             let voters: Vec<Seat> = view.voters.iter().filter(|seat| seat.id != me).cloned().collect();
             next.voters = voters.into();
         }
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -60,6 +60,18 @@
     }
 }
 
+#[test]
+fn a_member_that_was_taken_out_before_it_leaves_gives_its_seat_up_too() {
+    let mut net = with_successor();
+    net.cut = vec![3];
+    net.pass(1500);
+    assert_eq!((net.chain(1), voters(&net, 1)), (vec![1, 2, 4], vec![1, 2, 3, 4]));
+    net.cut.clear();
+    net.feed(3, chain::Input::Leave);
+    net.pass(300);
+    assert_eq!((net.chain(1), voters(&net, 1)), (vec![1, 2, 4], vec![1, 2, 4]));
+}
+
 #[test]
 fn a_member_told_to_leave_while_another_joins_leaves_as_soon_as_it_may() {
     let mut net = Net::founded();
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -197,7 +197,7 @@
         let outputs = self.core.step(begun.elapsed(), CoreInput::Leave);
         self.carry_out(outputs);
         let until = Instant::now() + LEAVE;
-        while self.core.member().is_chained() {
+        while !self.core.member().may_stop() {
             let Ok(Some(message)) = tokio::time::timeout_at(until.into(), inbox.next()).await else { return };
             if let Some(input) = self.input(message) {
                 let outputs = self.core.step(begun.elapsed(), input);
