--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::world::{World, machine_of};
 use chain::Input;
-use wire::{ChainMsg, NodeId};
+use wire::{ChainMsg, NodeId, Seat};
 
 /// A fault planted to see that the explorer finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -44,11 +44,12 @@
         }
     }
 
-    /// One that ended before it was out of the chain is missed until it has no seat.
+    /// One that had a fault, or ended too early, while it was leaving is missed until it has no seat.
     fn ended_out_of_order(&self, index: usize) -> bool {
         let machine = &self.machines[index];
-        let seated = self.newest_view().is_some_and(|view| view.voters.iter().any(|seat| seat.id == machine.id));
-        machine.removed && !machine.left_in_order && seated
+        let own = |seat: &Seat| machine_of(seat.id) == index;
+        let seated = self.newest_view().is_some_and(|view| view.voters.iter().any(own));
+        machine.troubled && !machine.left_in_order && seated
     }
 
     /// A new machine that was never in the chain is not missed: whom it replaces is.
@@ -68,7 +69,7 @@
         self.is_missed_already(index) || self.lost_count() < self.losses
     }
 
-    /// A machine in the newest view's chain that is no learner there is whole again.
+    /// After a calm time, a machine in the newest view's chain that is no learner there is whole again.
     pub(crate) fn note_recovered(&mut self) {
         let Some(newest) = self.newest_view().cloned() else { return };
         for machine in &mut self.machines {
--- a/crates/explore/src/invariants.rs
+++ b/crates/explore/src/invariants.rs
@@ -126,7 +126,6 @@
 
     /// What holds of each state as a whole.
     pub fn check(&mut self) {
-        self.note_recovered();
         let Some(newest) = self.newest_view().cloned() else { return };
         for lost in self.further_losses() {
             self.check_majority(&newest, &lost);
--- a/crates/explore/src/passing.rs
+++ b/crates/explore/src/passing.rs
@@ -48,6 +48,9 @@
                 self.settle(silence);
             }
         }
+        if settle && silence == Silence::None {
+            self.note_recovered();
+        }
     }
 
     /// One step of the clocks, with a tick of every process that runs.
--- a/crates/explore/src/search.rs
+++ b/crates/explore/src/search.rs
@@ -80,11 +80,12 @@
         let depth = self.path.len();
         self.report.explored += 1;
         self.report.deepest = self.report.deepest.max(depth);
-        let known = self.visited.get(&world.digest()).copied();
+        let digest = world.digest();
+        let known = self.visited.get(&digest).copied();
         if known.is_some_and(|least| least <= depth) {
             return;
         }
-        self.visited.insert(world.digest(), depth);
+        self.visited.insert(digest, depth);
         let probes = self.limits.probe_every > 0 && self.visited.len() as u64 % self.limits.probe_every == 0;
         if known.is_none() && probes {
             self.report.probed += 1;
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -40,7 +40,7 @@
     /// Stopped for good, its place taken by the machine started as its successor, if any.
     pub removed: bool,
     pub successor: Option<usize>,
-    /// When it ended, it knew a view without it.
+    /// When it ended, its member had no more to do.
     pub left_in_order: bool,
     pub may_found: bool,
 }
@@ -201,8 +201,9 @@
         self.feed(index, Input::Confirm);
     }
 
-    pub(crate) fn is_chained(&self, index: usize) -> bool {
-        self.machines[index].member.as_ref().is_some_and(|member| member.is_chained())
+    /// Whether the member says that a planned stop may end now.
+    pub(crate) fn may_stop(&self, index: usize) -> bool {
+        self.machines[index].member.as_ref().is_some_and(|member| member.may_stop())
     }
 
     /// The newest view that any member learnt to be decided.
