--- a/crates/chain/src/copy.rs
+++ b/crates/chain/src/copy.rs
@@ -200,7 +200,7 @@
         self.snapshots = [(self.synced, self.synced_state.clone())].into();
         if self.is_chained() {
             self.enter_line();
-        } else {
+        } else if !self.leaving {
             let seat = self.meta.seat.clone();
             self.asked_at = self.now;
             self.send(copying.from, ChainMsg::JoinAsk { seat, ready: 1, seq: copying.copy });
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -188,3 +188,19 @@
     net.pass(12_000);
     assert_eq!((net.members[&1].view().fresh, voters(&net, 1).len()), (0, 7));
 }
+
+#[test]
+fn a_member_told_to_leave_while_it_copies_does_not_join() {
+    let mut net = Net::founded();
+    net.enter(1, "kept");
+    net.settle();
+    net.seeds.insert(4, vec![1, 2, 3]);
+    net.start_founding(4, 0);
+    net.stalled = vec![4];
+    net.pass(4000);
+    assert!(net.writes.iter().any(|(id, ..)| *id == 4), "its copy is being written");
+    net.feed(4, chain::Input::Leave);
+    net.stalled.clear();
+    net.pass(3000);
+    assert_eq!((net.chain(1), voters(&net, 1)), (vec![1, 2, 3], vec![1, 2, 3]));
+}
