--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -199,7 +199,8 @@
             }
             Choice::EndLeaving(index) => {
                 self.machines[index].removed = self.machines[index].successor.is_some();
-                self.machines[index].left_in_order = self.may_stop(index);
+                let spare = self.newest_view().is_some_and(|view| view.voters.as_slice().len() > self.losses * 2 + 1);
+                self.machines[index].left_in_order = self.may_stop(index) && !(spare && self.has_seat(index));
                 self.stop(index);
             }
             Choice::Join { replaces } => {
