--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -3,8 +3,10 @@
 //! what it writes in redb. Nothing here reads a clock or a socket.
 
 mod copy;
+mod digest;
 mod disk;
 mod found;
+mod leave;
 mod line;
 mod member;
 mod register;
@@ -16,6 +18,7 @@
 mod view;
 mod writes;
 
+pub use digest::{digest_batch, digest_entries, digest_meta, digest_state};
 pub use disk::Disk;
 pub use member::Member;
 pub use store::{Store, StoreFault};
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use wire::{ChainMsg, EntryLine, NodeId, Seat, View};
 
-#[derive(Default)]
+#[derive(Clone, Default)]
 pub struct Round {
     pub number: u64,
     pub begun: std::time::Duration,
@@ -142,6 +142,9 @@
         if chosen_mender != Some(me) {
             return;
         }
+        if !self.hears_majority() {
+            return;
+        }
         if left.len() == chain.len() {
             if let Some(next) = self.without_empty_seat() {
                 self.propose(next);
@@ -156,22 +159,13 @@
         self.propose(next);
     }
 
-    /// A planned stop: names the view without this member, and with it the optimizer's next host,
-    /// while enough are left to keep the copies it takes. It does not ask to join again.
-    pub(crate) fn leave(&mut self) {
-        self.leaving = true;
+    /// Who hears no majority may be the one that is cut off; it takes nobody out, lest its messages do so
+    /// once they arrive after all.
+    fn hears_majority(&self) -> bool {
+        let voters = self.meta.view.voters.as_slice();
         let me = self.meta.seat.id;
-        let view = &self.meta.view;
-        let left: Vec<NodeId> = view.chain.iter().copied().filter(|id| *id != me).collect();
-        let chained = left.len() < view.chain.as_slice().len();
-        if !chained || left.len() < self.copies().max(2) || view.fresh != 0 || self.proposal.is_some() {
-            return;
-        }
-        let mut next = view.clone();
-        next.number += 1;
-        next.optimizer = optimizer_for(&left, view.optimizer);
-        next.chain = left.into();
-        self.propose(next);
+        let heard = voters.iter().filter(|seat| seat.id == me || !self.is_suspect(seat.id)).count();
+        is_majority(heard, voters.len())
     }
 }
 
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -16,7 +16,8 @@
 use wire::{Message, View};
 
 const TICK: Duration = Duration::from_millis(10);
-const LEAVE: Duration = Duration::from_millis(800);
+/// How long a planned stop may wait until the others have agreed to go on without this member.
+const LEAVE: Duration = Duration::from_secs(2);
 const VIEW_EVERY: Duration = Duration::from_millis(200);
 
 pub struct Control {
@@ -197,7 +198,7 @@
         let outputs = self.core.step(begun.elapsed(), CoreInput::Leave);
         self.carry_out(outputs);
         let until = Instant::now() + LEAVE;
-        while self.core.member().is_chained() {
+        while !self.core.member().may_stop() {
             let Ok(Some(message)) = tokio::time::timeout_at(until.into(), inbox.next()).await else { return };
             if let Some(input) = self.input(message) {
                 let outputs = self.core.step(begun.elapsed(), input);
