--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -47,7 +47,10 @@
     pub(crate) writing: Option<Writing>,
     pub(crate) faulted: bool,
     pub(crate) leaving: bool,
+    /// When each voter last answered a beat, and whether it said that it is unwell.
     pub(crate) heard: BTreeMap<NodeId, (Duration, bool)>,
+    /// Since when a member of the chain has been suspected without a break.
+    pub(crate) suspecting: Option<Duration>,
     pub(crate) proposal: Option<Proposal>,
     pub(crate) propose_after: Duration,
     pub(crate) accepted_at: Duration,
@@ -104,6 +107,7 @@
             faulted: false,
             leaving: false,
             heard: BTreeMap::new(),
+            suspecting: None,
             proposal: None,
             propose_after: Duration::ZERO,
             accepted_at: now,
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -31,6 +31,7 @@
         self.meta.accepted = View::default();
         self.seen_ballot = 0;
         self.proposal = None;
+        self.suspecting = None;
         self.heard_from_all();
         self.keep_meta(Vec::new());
         self.enter_line();
@@ -45,7 +46,9 @@
     }
 
     pub(crate) fn on_beat(&mut self, from: NodeId, view: u64, round: u64, unwell: bool) {
-        self.heard.insert(from, (self.now, unwell));
+        if let Some((_, known)) = self.heard.get_mut(&from) {
+            *known = unwell;
+        }
         if view < self.meta.view.number {
             let view = self.meta.view.clone();
             return self.send(from, ChainMsg::Decided { view });
@@ -54,7 +57,12 @@
         self.send(from, ChainMsg::BeatReceipt { view: self.meta.view.number, round, holds_next });
     }
 
+    /// Only an answer shows that a member is there: one that still sends but receives nothing would hold
+    /// up every entry and every confirmation of the view.
     pub(crate) fn on_beat_receipt(&mut self, from: NodeId, view: u64, round: u64, holds_next: bool) {
+        if let Some((heard, _)) = self.heard.get_mut(&from) {
+            *heard = self.now;
+        }
         if !self.round.running || round != self.round.number || view != self.meta.view.number || holds_next {
             return;
         }
@@ -139,15 +147,22 @@
         }
         let left: Vec<NodeId> = chain.iter().copied().filter(|id| *id == me || !self.is_suspect(*id)).collect();
         let chosen_mender = left.iter().copied().find(|id| *id != view.fresh);
-        if chosen_mender != Some(me) {
-            return;
-        }
         if left.len() == chain.len() {
-            if let Some(next) = self.without_empty_seat() {
+            self.suspecting = None;
+            if chosen_mender == Some(me)
+                && let Some(next) = self.without_empty_seat()
+            {
                 self.propose(next);
             }
             return;
         }
+        // The first of those left may be in touch with all of them while a link between two others is
+        // lost: then whoever misses one proposes, the nearer to the head the sooner.
+        let place = chain.iter().position(|id| *id == me).unwrap_or_default() as u32;
+        let since = *self.suspecting.get_or_insert(self.now);
+        if chosen_mender != Some(me) && self.now < since + self.timing.suspect * place {
+            return;
+        }
         let mut next = view.clone();
         next.number += 1;
         next.fresh = if left.contains(&view.fresh) { view.fresh } else { 0 };
--- /dev/null
+++ b/crates/control/tests/cluster/mod.rs
@@ -0,0 +1,198 @@
+//! Registry cores wired to each other by hand, over disks that keep what was written and links that
+//! can be cut in either direction.
+
+#![allow(dead_code)]
+
+use chain::{Member, Stored, Timing, apply_batch};
+use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::time::Duration;
+use wire::{ChainMsg, HoldMsg, ItemLine, NodeId, Seat};
+
+pub const TICK: Duration = Duration::from_millis(10);
+
+enum Frame {
+    Chain(ChainMsg),
+    Hold(HoldMsg),
+}
+
+struct Envelope {
+    from: NodeId,
+    to: NodeId,
+    frame: Frame,
+}
+
+/// A reply of one registry to one call.
+#[derive(Clone, Debug)]
+pub struct Answered {
+    pub at: NodeId,
+    pub ask: u64,
+    pub reply: ApiReply,
+}
+
+#[derive(Default)]
+pub struct Cluster {
+    cores: BTreeMap<NodeId, Core>,
+    disks: BTreeMap<NodeId, Stored>,
+    frames: VecDeque<Envelope>,
+    cuts: BTreeSet<(NodeId, NodeId)>,
+    now: Duration,
+    asks: u64,
+    starts: u64,
+    pub answered: Vec<Answered>,
+}
+
+fn seat(id: NodeId) -> Seat {
+    Seat { id, address: format!("10.0.0.{id}:1").into() }
+}
+
+impl Cluster {
+    /// Founds a cluster of so many registries, with ids from 1, and lets it settle.
+    pub fn founded(count: u64) -> Cluster {
+        let mut cluster = Cluster { now: Duration::from_secs(1), ..Cluster::default() };
+        (1..=count).for_each(|id| cluster.start_founding(id, count as usize));
+        cluster.run(Duration::from_secs(6));
+        assert_eq!(cluster.chain().len(), count as usize, "the cluster is whole");
+        cluster
+    }
+
+    fn start_founding(&mut self, id: NodeId, seats: usize) {
+        self.starts += 1;
+        let stored = self.disks.entry(id).or_default().clone();
+        let member = Member::new(seat(id), stored, Timing::default(), control::apply, self.now);
+        let core = Core::new(member.founding_with(seats), CoreTiming::default(), self.starts << 20);
+        self.cores.insert(id, core);
+    }
+
+    pub fn start(&mut self, id: NodeId) {
+        self.start_founding(id, 0);
+    }
+
+    /// Ends a process; what it had written stays.
+    pub fn kill(&mut self, id: NodeId) {
+        self.cores.remove(&id);
+        self.frames.retain(|envelope| envelope.to != id);
+    }
+
+    pub fn ids(&self) -> Vec<NodeId> {
+        self.disks.keys().copied().collect()
+    }
+
+    pub fn core(&self, id: NodeId) -> &Core {
+        &self.cores[&id]
+    }
+
+    /// The chain of the newest view.
+    pub fn chain(&self) -> Vec<NodeId> {
+        let views = self.cores.values().map(|core| core.member().view());
+        views.max_by_key(|view| view.number).map(|view| view.chain.as_slice().to_vec()).unwrap_or_default()
+    }
+
+    /// Loses whatever is sent from one to the other.
+    pub fn cut_one_way(&mut self, from: NodeId, to: NodeId) {
+        self.cuts.insert((from, to));
+    }
+
+    pub fn heal(&mut self) {
+        self.cuts.clear();
+    }
+
+    pub fn call(&mut self, at: NodeId, call: ApiCall) -> u64 {
+        self.asks += 1;
+        let ask = self.asks;
+        self.step(at, CoreInput::Call { ask, call });
+        self.deliver();
+        ask
+    }
+
+    pub fn reply(&self, ask: u64) -> Option<&ApiReply> {
+        self.answered.iter().find(|answered| answered.ask == ask).map(|answered| &answered.reply)
+    }
+
+    /// Asks and goes on until the reply is there.
+    pub fn ask(&mut self, at: NodeId, call: ApiCall) -> ApiReply {
+        let ask = self.call(at, call);
+        for _ in 0..2000 {
+            if let Some(reply) = self.reply(ask) {
+                return reply.clone();
+            }
+            self.tick();
+        }
+        panic!("no reply of {at} within twenty seconds");
+    }
+
+    pub fn run(&mut self, time: Duration) {
+        let until = self.now + time;
+        while self.now < until {
+            self.tick();
+        }
+    }
+
+    pub fn tick(&mut self) {
+        self.now += TICK;
+        let ids: Vec<NodeId> = self.cores.keys().copied().collect();
+        for id in ids {
+            self.step(id, CoreInput::Tick);
+            self.deliver();
+        }
+    }
+
+    fn deliver(&mut self) {
+        while let Some(Envelope { from, to, frame }) = self.frames.pop_front() {
+            if self.cuts.contains(&(from, to)) {
+                continue;
+            }
+            match frame {
+                Frame::Chain(message) => self.step(to, CoreInput::Chain { from, message }),
+                Frame::Hold(message) => self.step(to, CoreInput::Router { from, incarnation: 0, message }),
+            }
+        }
+    }
+
+    fn step(&mut self, id: NodeId, input: CoreInput) {
+        let mut inputs = VecDeque::from([input]);
+        while let Some(input) = inputs.pop_front() {
+            let Some(core) = self.cores.get_mut(&id) else { return };
+            for output in core.step(self.now, input) {
+                match output {
+                    CoreOutput::Registry { to, message } => self.send(id, to, Frame::Chain(message)),
+                    CoreOutput::Router { to, message } => self.send(id, to, Frame::Hold(message)),
+                    CoreOutput::Seeds { message } => {
+                        let others: Vec<NodeId> = self.disks.keys().copied().filter(|other| *other != id).collect();
+                        others.into_iter().for_each(|to| self.send(id, to, Frame::Chain(message.clone())));
+                    }
+                    CoreOutput::Write { ticket, batch } => {
+                        apply_batch(self.disks.entry(id).or_default(), &batch);
+                        inputs.push_back(CoreInput::Written { ticket });
+                    }
+                    CoreOutput::Reply { ask, reply } => self.answered.push(Answered { at: id, ask, reply }),
+                    _ => {}
+                }
+            }
+        }
+    }
+
+    fn send(&mut self, from: NodeId, to: NodeId, frame: Frame) {
+        self.frames.push_back(Envelope { from, to, frame });
+    }
+}
+
+/// A change of one headcount plan, under an operation id, on a revision.
+pub fn change(op: &str, base: u64) -> ApiCall {
+    let fixed = op.bytes().fold(7u64, |sum, byte| (sum * 31 + u64::from(byte)) % 997);
+    let value = format!(r#"{{"fixed":{fixed}}}"#).into_bytes();
+    let items = vec![ItemLine { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }];
+    ApiCall::Change {
+        op: op.to_owned(),
+        base: Some(base),
+        revision: None,
+        whole: false,
+        scope: String::new(),
+        items,
+        dry: false,
+    }
+}
+
+pub fn fetch() -> ApiCall {
+    ApiCall::Configuration { scope: String::new() }
+}
--- /dev/null
+++ b/crates/control/tests/cut_off.rs
@@ -0,0 +1,103 @@
+//! Operators' calls at a registry that is cut off from the others: what it answers has to hold
+//! everywhere, and everyone else goes on.
+
+mod cluster;
+
+use cluster::{Cluster, change, fetch};
+use std::time::Duration;
+use test_case::test_case;
+use wire::NodeId;
+
+const CUT: Duration = Duration::from_secs(20);
+
+/// Which links of the registry are cut.
+#[derive(Clone, Copy)]
+enum Cut {
+    Both,
+    FromIt,
+    ToIt,
+}
+
+fn cut_off(cluster: &mut Cluster, id: NodeId, cut: Cut) {
+    for other in cluster.ids().into_iter().filter(|other| *other != id) {
+        if !matches!(cut, Cut::ToIt) {
+            cluster.cut_one_way(id, other);
+        }
+        if !matches!(cut, Cut::FromIt) {
+            cluster.cut_one_way(other, id);
+        }
+    }
+}
+
+/// Orders come to the cut off registry and to another all along; then each is sent again to all.
+#[test_case(0, Cut::Both; "head, both ways")]
+#[test_case(1, Cut::Both; "middle, both ways")]
+#[test_case(2, Cut::Both; "tail, both ways")]
+#[test_case(0, Cut::FromIt; "head, what it sends")]
+#[test_case(1, Cut::FromIt; "middle, what it sends")]
+#[test_case(2, Cut::FromIt; "tail, what it sends")]
+#[test_case(0, Cut::ToIt; "head, what is sent to it")]
+#[test_case(1, Cut::ToIt; "middle, what is sent to it")]
+#[test_case(2, Cut::ToIt; "tail, what is sent to it")]
+fn a_registry_that_is_cut_off_decides_nothing_while_the_others_go_on(place: usize, cut: Cut) {
+    let mut cluster = Cluster::founded(3);
+    let chain = cluster.chain();
+    let (lone, other) = (chain[place], chain[(place + 1) % 3]);
+    assert_eq!(cluster.ask(other, change("first", 0)).status, 200);
+    cut_off(&mut cluster, lone, cut);
+    let (mut revision, mut taken, mut alone) = (1, vec![("first".to_owned(), 0)], Vec::new());
+    for second in 0..CUT.as_secs() {
+        if second % 2 == 0 {
+            alone.push(cluster.call(lone, change(&format!("alone-{second}"), revision)));
+        }
+        alone.push(cluster.call(lone, fetch()));
+        let op = format!("order-{second}");
+        let reply = cluster.ask(other, change(&op, revision));
+        if reply.status == 200 {
+            taken.push((op, revision));
+            revision = reply.revision.expect("an acknowledgement has its revision");
+        } else if reply.status == 412 {
+            // What the registry could still pass on came first.
+            let told: serde_json::Value = serde_json::from_str(&reply.body).expect("a refusal has its reason");
+            revision = told["faults"]["latest"].as_u64().expect("a stale change is told the latest revision");
+        }
+        cluster.run(Duration::from_secs(1));
+    }
+    assert!(taken.len() >= 8, "the others acknowledged {} orders", taken.len());
+    for ask in alone {
+        let status = cluster.reply(ask).map(|reply| reply.status);
+        assert!(status.is_none_or(|status| status >= 500), "alone it answered {status:?}");
+    }
+    cluster.heal();
+    cluster.run(Duration::from_secs(12));
+    for id in cluster.ids() {
+        for (op, base) in &taken {
+            assert_eq!(cluster.ask(id, change(op, *base)).status, 200, "{op} sent again to {id}");
+        }
+    }
+    assert_eq!(cluster.ask(lone, fetch()).revision, Some(revision), "sent again, none was applied again");
+}
+
+/// One link is lost, one way or both, while all else is whole: orders are acknowledged all along.
+#[test_case(true; "both ways")]
+#[test_case(false; "one way")]
+fn a_lost_link_between_two_holds_up_no_orders(both: bool) {
+    for (from, to) in [(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)] {
+        let mut cluster = Cluster::founded(3);
+        let chain = cluster.chain();
+        assert_eq!(cluster.ask(chain[0], change("first", 0)).status, 200);
+        cluster.cut_one_way(chain[from], chain[to]);
+        if both {
+            cluster.cut_one_way(chain[to], chain[from]);
+        }
+        let third = chain[3 - from - to];
+        let (mut revision, mut acknowledged) = (1, 0);
+        for second in 0..CUT.as_secs() {
+            let reply = cluster.ask(third, change(&format!("order-{second}"), revision));
+            revision = reply.revision.unwrap_or(revision);
+            acknowledged += usize::from(reply.status == 200);
+            cluster.run(Duration::from_secs(1));
+        }
+        assert!(acknowledged >= 15, "{acknowledged} acknowledged with the link from {from} to {to} lost");
+    }
+}
