--- a/crates/bindings/src/book.rs
+++ b/crates/bindings/src/book.rs
@@ -10,17 +10,28 @@
 
 const BOOT: Duration = Duration::from_secs(1);
 
+/// A function with everything a router needs to know of it.
 #[derive(Clone, Debug)]
 pub struct Function {
+    /// `tenant/service`.
     pub name: String,
+    /// The tenant it belongs to.
     pub tenant: String,
+    /// Its name at the platform.
     pub service: String,
+    /// The most requests that one instance may have at once.
     pub instance_limit: u32,
+    /// The memory an instance needs.
     pub memory_mb: u32,
+    /// The fewest instances.
     pub min: u32,
+    /// The most instances.
     pub max: u32,
+    /// The operator's own count of instances, if there is one.
     pub fixed: Option<u32>,
+    /// Which functions go first where starts are limited, 0 to 10.
     pub player_weight: f64,
+    /// The weights of its planning.
     pub sheet: WeightSheet,
     /// How long an instance takes to start, on average.
     pub boot: Duration,
@@ -34,9 +45,12 @@
     pub attempts: u32,
 }
 
+/// The configuration of one step, built for look-ups.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
+    /// The configuration's version.
     pub revision: u64,
+    /// The numbered step by which the version became active.
     pub step: u64,
     routes: Routes,
     bindings: Vec<(String, FunctionBinding)>,
@@ -60,6 +74,7 @@
 }
 
 impl Book {
+    /// Builds it from the declared resources, by kind/tenant/name; what cannot be read is left out.
     pub fn build<'a>(step: u64, revision: u64, pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> Book {
         let mut book = Book { revision, step, ..Book::default() };
         let mut read = Read::default();
@@ -123,16 +138,20 @@
         Some((name, binding))
     }
 
+    /// A function binding, by `tenant/name`.
     pub fn binding(&self, name: &str) -> Option<&FunctionBinding> {
         let place = self.bindings.binary_search_by(|(known, _)| known.as_str().cmp(name)).ok()?;
         self.bindings.get(place).map(|(_, binding)| binding)
     }
+    /// A function, by `tenant/name`.
     pub fn function(&self, name: &str) -> Option<&Function> {
         self.functions.get(name)
     }
+    /// All functions, by name.
     pub fn functions(&self) -> impl Iterator<Item = &Function> {
         self.functions.values()
     }
+    /// Whether some binding of the function is of the deferred class.
     pub fn takes_deferred(&self, function: &str) -> bool {
         self.deferred.contains(function)
     }
@@ -144,6 +163,7 @@
     pub fn declared(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.raw.iter().map(|(key, value)| (key.as_str(), value.as_slice()))
     }
+    /// The number of routes.
     pub fn routes(&self) -> usize {
         self.routes.count()
     }
--- a/crates/bindings/src/check.rs
+++ b/crates/bindings/src/check.rs
@@ -9,9 +9,12 @@
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
+/// One thing wrong in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
+    /// Where: kind/tenant/name, and the field if it is one field's.
     pub path: String,
+    /// What is wrong, and what is allowed.
     pub fault: String,
 }
 
@@ -24,6 +27,7 @@
 
 pub(crate) const NAME: &str = "1 to 128 letters, digits, '.', '_' or '-'";
 
+/// Whether a word may name a tenant or a resource.
 pub fn check_name(name: &str) -> bool {
     let plain = |c: char| c.is_ascii_alphanumeric() || "._-".contains(c);
     (1..=128).contains(&name.len()) && name.chars().all(plain)
@@ -40,6 +44,7 @@
     bounds: BTreeMap<&'a str, &'a str>,
 }
 
+/// Checks a configuration whole, by kind/tenant/name; it is in order if nothing is returned.
 pub fn check<'a>(pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> Vec<Fault> {
     let mut check = Check::default();
     pairs.for_each(|(key, value)| check.resource(key, value));
--- a/crates/bindings/src/declarations.rs
+++ b/crates/bindings/src/declarations.rs
@@ -4,9 +4,11 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
+/// A function declared as a resource of its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FunctionDeclaration {
+    /// The memory an instance needs.
     pub memory_mb: u32,
     /// How long an instance takes to start, on average.
     pub boot_ms: Option<u32>,
@@ -14,8 +16,11 @@
     pub instance_limit: u32,
     /// The most connections that one instance takes from all routers together.
     pub connections: Option<u32>,
+    /// The fewest instances.
     pub min: u32,
+    /// The most instances.
     pub max: u32,
+    /// What the operator keeps beside it; given back as declared.
     pub notes: Map<String, Value>,
 }
 
@@ -33,16 +38,19 @@
     }
 }
 
-/// A bound that is left out is none.
+/// Bounds on what callers may send. A bound that is left out is none.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerBounds {
+    /// The largest head of a request.
     pub head_bytes: u32,
+    /// The largest body of a request.
     pub body_bytes: u32,
     /// How long a head may take to arrive.
     pub head_ms: u32,
     /// How long a connection may stay idle.
     pub idle_ms: u32,
+    /// What the operator keeps beside it; given back as declared.
     pub notes: Map<String, Value>,
 }
 
--- a/crates/bindings/src/lib.rs
+++ b/crates/bindings/src/lib.rs
@@ -2,6 +2,8 @@
 //! callers, kept as pairs under `kind/tenant/name`. A configuration is checked whole; every fault is
 //! told with its path.
 
+#![warn(missing_docs)]
+
 mod book;
 mod check;
 mod check_fields;
--- a/crates/bindings/src/resources.rs
+++ b/crates/bindings/src/resources.rs
@@ -5,16 +5,23 @@
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
+/// The kinds of resources that operators declare.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
+    /// A route and what serves it.
     FunctionBinding,
+    /// The costs that a function's planning weighs.
     WeightSheet,
+    /// The operator's bounds on a function's instances.
     HeadcountPlan,
+    /// A function's needs and limits.
     Function,
+    /// Bounds on callers.
     Bounds,
 }
 
 impl Kind {
+    /// Every kind.
     pub const ALL: [Kind; 5] =
         [Kind::FunctionBinding, Kind::WeightSheet, Kind::HeadcountPlan, Kind::Function, Kind::Bounds];
 
@@ -23,6 +30,7 @@
         Kind::ALL.map(Kind::word).join(", ")
     }
 
+    /// The kind's word in paths and documents, such as `weight-sheets`.
     pub fn word(self) -> &'static str {
         match self {
             Kind::FunctionBinding => "function-bindings",
@@ -33,18 +41,23 @@
         }
     }
 
+    /// The kind of a word.
     pub fn from_word(word: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.word() == word)
     }
 }
 
+/// What is promised about running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
+    /// May be tried again on another instance, within its deadline and the retry budget.
     Ordinary,
     /// Sent to one instance at most, and once, without a key or a ledger.
     Single,
+    /// Run once under the caller's key, which is claimed in the ledger before it is sent.
     Once,
+    /// Stored before it is tried, and tried until an instance answers.
     Deferred,
 }
 
@@ -70,29 +83,39 @@
     1
 }
 
+/// A route, and the function or functions its requests go to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FunctionBinding {
     /// The host it is for, in any case and with or without a port; empty for any host.
     #[serde(default)]
     pub host: String,
+    /// The path prefix it is for.
     pub route: String,
+    /// The one function it sends to, as `tenant/service`; empty where there are shares.
     #[serde(default)]
     pub function: String,
     /// Functions and their weights; if there are any, they take the place of the one function.
     #[serde(default)]
     pub shares: BTreeMap<String, f64>,
+    /// What is promised about its requests.
     pub class: Class,
+    /// How long a request may take in all.
     #[serde(default = "deadline")]
     pub deadline_ms: u32,
+    /// The most requests that one instance may have at once.
     #[serde(default = "one")]
     pub instance_limit: u32,
+    /// The memory an instance needs.
     #[serde(default = "memory")]
     pub memory_mb: u32,
+    /// The fewest instances.
     #[serde(default)]
     pub min: u32,
+    /// The most instances.
     #[serde(default = "max")]
     pub max: u32,
+    /// Which functions go first where starts are limited, 0 to 10; at 0 its requests queue behind all others.
     #[serde(default = "player_weight")]
     pub player_weight: f64,
     /// The time within which an answer is worth most.
@@ -140,25 +163,43 @@
     }
 }
 
+/// The weights of a function's planning.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WeightSheet {
+    /// The cost of an instance in a step.
     pub replica_cost: f64,
+    /// The cost of uncovered demand, up to the soft fraction.
     pub sla_soft: f64,
+    /// The cost of uncovered demand beyond it, and of demand that meets no instance at all.
     pub sla_hard: f64,
+    /// The part of the demand to be covered that may be missed at the soft cost, 0 to 1.
     pub soft_fraction: f64,
+    /// The cost of starting an instance.
     pub startup_cost: f64,
+    /// The cost of stopping an instance.
     pub shutdown_cost: f64,
+    /// What uncovered demand costs against the same in the step before, 0 to 1.
     pub time_discount: f64,
+    /// The most instances started in a step.
     pub max_scale_up: u32,
+    /// The most instances stopped in a step.
     pub max_scale_down: u32,
+    /// Steps between an order and a ready instance.
     pub startup_delay_steps: u32,
+    /// What the forecast work weighs in the demand.
     pub work_weight: f64,
+    /// What requests waiting for room weigh in the demand.
     pub waiting_weight: f64,
+    /// What requests waiting for a first instance weigh in the demand.
     pub held_weight: f64,
+    /// Whether the forecast's upper band is covered, rather than its mean.
     pub risk_aware: bool,
+    /// The utilization that capacity is planned at, 0 to 1.
     pub target_usage: f64,
+    /// Demand below this counts as none.
     pub demand_floor: f64,
+    /// Which fields may be tuned, and how far.
     pub tuning: Tuning,
 }
 
@@ -186,10 +227,14 @@
     }
 }
 
+/// The operator's own say on a function's instances.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HeadcountPlan {
+    /// Exactly so many; it goes before any plan.
     pub fixed: Option<u32>,
+    /// The fewest instances.
     pub min: Option<u32>,
+    /// The most instances.
     pub max: Option<u32>,
 }
--- a/crates/bindings/src/tuning.rs
+++ b/crates/bindings/src/tuning.rs
@@ -4,35 +4,47 @@
 use crate::resources::WeightSheet;
 use serde::{Deserialize, Serialize};
 
+/// The tuning of one field.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Span {
+    /// Whether it is tuned; it is if left out.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub on: Option<bool>,
+    /// The least value it may be set to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub least: Option<f64>,
+    /// The greatest value it may be set to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub most: Option<f64>,
 }
 
+/// The tuning of a weight sheet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
+    /// Whether any field is tuned; those that allow it are if left out.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub on: Option<bool>,
+    /// For the startup delay.
     pub startup_delay_steps: Span,
+    /// For the target utilization.
     pub target_usage: Span,
+    /// For the cost of uncovered demand.
     pub sla_hard: Span,
 }
 
 /// The bounds in force for a tuned field, around what was declared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
+    /// The least value.
     pub least: f64,
+    /// The greatest value.
     pub most: f64,
 }
 
 impl Bounds {
+    /// The value, moved into the bounds.
     pub fn keep(&self, value: f64) -> f64 {
         value.clamp(self.least, self.most)
     }
@@ -45,14 +57,17 @@
         (on && least <= most).then_some(Bounds { least, most })
     }
 
+    /// The bounds of the startup delay; none if it is not tuned.
     pub fn delay_bounds(&self) -> Option<Bounds> {
         self.bounds(&self.tuning.startup_delay_steps, f64::from(self.startup_delay_steps), 1.0, 4.0)
     }
 
+    /// The bounds of the target utilization; none if it is not tuned.
     pub fn usage_bounds(&self) -> Option<Bounds> {
         self.bounds(&self.tuning.target_usage, self.target_usage, 0.4, 0.75)
     }
 
+    /// The bounds of the cost of uncovered demand; none if it is not tuned.
     pub fn hard_bounds(&self) -> Option<Bounds> {
         self.bounds(&self.tuning.sla_hard, self.sla_hard, self.sla_hard, self.sla_hard * 4.0)
     }
