--- a/crates/kernel/src/directory.rs
+++ b/crates/kernel/src/directory.rs
@@ -6,12 +6,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// Maps service names to the sending ends of their inboxes. Cheap to clone.
 #[derive(Clone, Default)]
 pub struct Directory {
     posts: BTreeMap<&'static str, Arc<dyn Any + Send + Sync>>,
 }
 
 impl Directory {
+    /// Creates the inbox of a service, holding at most `bound` messages. Panics if the name is taken.
     pub fn announce<M: Send + 'static>(&mut self, name: &'static str, bound: usize) -> Inbox<M> {
         let (post, taken) = inbox::<M>(bound);
         let before = self.posts.insert(name, Arc::new(post));
@@ -19,10 +21,12 @@
         taken
     }
 
+    /// The sending end of a service's inbox, or none if the name is unknown or its messages are of another type.
     pub fn find<M: Send + 'static>(&self, name: &str) -> Option<Post<M>> {
         self.posts.get(name)?.downcast_ref::<Post<M>>().cloned()
     }
 
+    /// The names of all announced services, in order.
     pub fn names(&self) -> Vec<&'static str> {
         self.posts.keys().copied().collect()
     }
--- a/crates/kernel/src/inbox.rs
+++ b/crates/kernel/src/inbox.rs
@@ -4,16 +4,21 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::mpsc;
 
+/// Why a message was not queued; it is handed back to the sender.
 #[derive(Debug, PartialEq, Eq)]
 pub enum SendFault<M> {
+    /// The inbox holds as many messages as it may.
     Full(M),
+    /// The receiving end is gone.
     Closed(M),
 }
 
+/// The receiving end of a bounded queue. It has one owner.
 pub struct Inbox<M> {
     queue: mpsc::Receiver<M>,
 }
 
+/// A sending end of a bounded queue; clones share the queue and its count of refusals.
 pub struct Post<M> {
     queue: mpsc::Sender<M>,
     refused: Arc<AtomicU64>,
@@ -25,12 +30,14 @@
     }
 }
 
+/// A queue of at most `bound` messages, as its sending and its receiving end.
 pub fn inbox<M>(bound: usize) -> (Post<M>, Inbox<M>) {
     let (sender, queue) = mpsc::channel(bound);
     (Post { queue: sender, refused: Arc::default() }, Inbox { queue })
 }
 
 impl<M> Inbox<M> {
+    /// The next message; none once all sending ends are gone and the queue is empty.
     pub async fn next(&mut self) -> Option<M> {
         self.queue.recv().await
     }
@@ -40,16 +47,19 @@
         self.queue.blocking_recv()
     }
 
+    /// The next message if one is queued now.
     pub fn ready(&mut self) -> Option<M> {
         self.queue.try_recv().ok()
     }
 
+    /// The number of messages queued.
     pub fn depth(&self) -> usize {
         self.queue.len()
     }
 }
 
 impl<M> Post<M> {
+    /// Queues a message without waiting. A full queue refuses it and counts the refusal.
     pub fn send(&self, message: M) -> Result<(), SendFault<M>> {
         self.queue.try_send(message).map_err(|fault| match fault {
             mpsc::error::TrySendError::Full(message) => {
@@ -70,10 +80,12 @@
         self.queue.blocking_send(message).is_ok()
     }
 
+    /// The number of messages refused since the queue was made.
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
 
+    /// The number of messages queued.
     pub fn depth(&self) -> usize {
         self.queue.max_capacity() - self.queue.capacity()
     }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,6 +1,8 @@
 //! The micro-kernel: services announce an inbox under a name, others find it by that name.
 //! Every inbox is bounded; a full one refuses at once and counts the refusal.
 
+#![warn(missing_docs)]
+
 mod directory;
 mod inbox;
 mod program;
--- a/crates/kernel/src/program.rs
+++ b/crates/kernel/src/program.rs
@@ -11,12 +11,25 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
 
+/// Why a program could not be put together.
 #[derive(Debug, Display, Error)]
 pub enum StartFault {
+    /// A thread could not be started.
     #[display("thread {name}: {fault}")]
-    Thread { name: String, fault: io::Error },
+    Thread {
+        /// The thread's name.
+        name: String,
+        /// What the system answered.
+        fault: io::Error,
+    },
+    /// An address could not be bound to.
     #[display("cannot listen on {address}: {fault}")]
-    Listen { address: String, fault: io::Error },
+    Listen {
+        /// The address to bind to.
+        address: String,
+        /// What the system answered.
+        fault: io::Error,
+    },
 }
 
 /// Runs work to its end on this thread, on a runtime of its own.
@@ -25,11 +38,13 @@
     LocalSet::new().block_on(&runtime, work);
 }
 
+/// Starts a named thread.
 pub fn thread<F: FnOnce() + Send + 'static>(name: &str, work: F) -> Result<JoinHandle<()>, StartFault> {
     let started = std::thread::Builder::new().name(name.into()).spawn(work);
     started.map_err(|fault| StartFault::Thread { name: name.to_owned(), fault })
 }
 
+/// Binds a TCP listener, ready to be taken into a runtime with [`adopt`].
 pub fn listen(address: &str) -> Result<std::net::TcpListener, StartFault> {
     let bound = std::net::TcpListener::bind(address).and_then(|listener| {
         listener.set_nonblocking(true)?;
@@ -48,10 +63,12 @@
     TcpListener::from_std(listener).expect("a bound listener can be registered")
 }
 
+/// The sending end of a service's inbox. Panics if the service was not announced.
 pub fn find<M: Send + 'static>(directory: &Directory, name: &str) -> Post<M> {
     directory.find(name).expect("every service is announced before any is started")
 }
 
+/// Returns once the process is asked to stop (SIGTERM or SIGINT).
 pub async fn wait_for_signal() {
     let (Ok(mut term), Ok(mut int)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt())) else {
         return std::future::pending().await;
