--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -2,6 +2,8 @@
 //! the addresses it is given and the peers something is sent to, takes in those who dial it, and finds a
 //! peer's connection by its identity. What comes in is handed to the owner named by a function of the message.
 
+#![warn(missing_docs)]
+
 mod demand;
 mod order;
 mod service;
--- a/crates/links/src/service.rs
+++ b/crates/links/src/service.rs
@@ -23,6 +23,7 @@
 const PAUSE_MAX_MS: u64 = 800;
 const CONNECT: Duration = Duration::from_millis(900);
 
+/// Hands an event to its owner; awaiting it slows the connection's reader down.
 pub type Deliver = Rc<dyn Fn(LinkEvent) -> Pin<Box<dyn Future<Output = ()>>>>;
 
 struct Connection {
@@ -115,6 +116,7 @@
     }
 }
 
+/// Runs the service on the current thread until its inbox of orders is closed.
 pub async fn start(me: Me, listener: TcpListener, mut orders: Inbox<LinkOrder>, deliver: Deliver) {
     let inner = Rc::new(Inner {
         me,
