--- a/crates/env/src/lib.rs
+++ b/crates/env/src/lib.rs
@@ -2,6 +2,8 @@
 //! and help line; everything is checked before anything is opened, and a wrong one is reported by
 //! name, with its value and what is allowed.
 
+#![warn(missing_docs)]
+
 mod line;
 mod parse;
 mod rules;
@@ -13,11 +15,15 @@
 
 use derive_more::{Display, Error};
 
+/// A setting that cannot be used.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("setting {name} = {value}: {allowed}")]
 pub struct SettingFault {
+    /// The setting's name.
     pub name: String,
+    /// What it was given as; never a secret.
     pub value: String,
+    /// What is allowed.
     pub allowed: String,
 }
 
@@ -26,12 +32,18 @@
     if name == "tokens" { "(not shown)".into() } else { value }
 }
 
+/// A program's settings, as declared with [`settings!`].
 pub trait Settings: Sized {
+    /// Reads and checks every setting; the first wrong one is the error.
     fn read(source: &Source) -> Result<Self, SettingFault>;
+    /// Name, default and help line of each.
     fn help() -> Vec<(&'static str, String, &'static str)>;
+    /// Name and value of each, as given.
     fn shown(&self) -> Vec<(&'static str, String)>;
 }
 
+/// Declares a struct of settings: `name: type = default, check, "help line";` for each. The help line is the
+/// field's doc comment.
 #[macro_export]
 macro_rules! settings {
     ($(#[$meta:meta])* pub struct $name:ident {
@@ -39,7 +51,7 @@
     }) => {
         $(#[$meta])*
         #[derive(Clone, Debug)]
-        pub struct $name { $( pub $field: $type, )* }
+        pub struct $name { $( #[doc = $help] pub $field: $type, )* }
 
         impl $crate::Settings for $name {
             fn read(source: &$crate::Source) -> Result<Self, $crate::SettingFault> {
--- a/crates/env/src/parse.rs
+++ b/crates/env/src/parse.rs
@@ -6,8 +6,11 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// A type that a setting may have: read from a word or words, and told as such.
 pub trait FromWords: Sized {
+    /// Reads a value; the error says what is allowed.
     fn from_words(words: &str) -> Result<Self, String>;
+    /// The value as it would be given.
     fn to_words(&self) -> String;
 }
 
@@ -90,12 +93,14 @@
     }
 }
 
+/// Settings as given, by name, not yet read.
 #[derive(Debug, Default)]
 pub struct Source {
     words: BTreeMap<String, String>,
 }
 
 impl Source {
+    /// Takes a TOML file's text and the flags, which go before it.
     pub fn new(file: &str, flags: Vec<(String, String)>) -> Result<Source, SettingFault> {
         let table: toml::Table = file.parse().map_err(|fault: toml::de::Error| SettingFault {
             name: "file".into(),
@@ -127,10 +132,12 @@
         self
     }
 
+    /// What a setting was given as.
     pub fn find(&self, name: &str) -> Option<String> {
         self.words.get(name).cloned()
     }
 
+    /// Refuses settings that are not among the known ones.
     pub fn only(&self, known: &[&str]) -> Result<(), SettingFault> {
         match self.words.iter().find(|(name, _)| !known.contains(&name.as_str())) {
             None => Ok(()),
--- a/crates/env/src/rules.rs
+++ b/crates/env/src/rules.rs
@@ -5,8 +5,10 @@
 use crate::FromWords;
 use std::net::SocketAddr;
 
+/// The most seeds that may be given.
 const SEEDS: usize = 16;
 
+/// A check that a value is from `low` to `high`, both included.
 pub fn in_range<T: PartialOrd + FromWords + Copy + 'static>(low: T, high: T) -> impl Fn(&T) -> Result<(), String> {
     move |value| {
         if *value >= low && *value <= high {
@@ -16,10 +18,12 @@
     }
 }
 
+/// Allows every value.
 pub fn any<T>(_: &T) -> Result<(), String> {
     Ok(())
 }
 
+/// Allows 1 to 64 letters, digits, `-`, `_` or `.`.
 pub fn word(value: &String) -> Result<(), String> {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if (1..=64).contains(&value.len()) && value.chars().all(plain) {
@@ -28,10 +32,12 @@
     Err("allowed are 1 to 64 letters, digits, '-', '_' or '.'".into())
 }
 
+/// Allows everything but nothing.
 pub fn non_empty(value: &String) -> Result<(), String> {
     if value.is_empty() { Err("it must be given".into()) } else { Ok(()) }
 }
 
+/// Allows an IP number with a port.
 pub fn address(value: &String) -> Result<(), String> {
     value
         .parse::<SocketAddr>()
@@ -39,14 +45,17 @@
         .map_err(|_| "allowed is an IP number with a port, such as 127.0.0.1:7001".into())
 }
 
+/// Allows an IP number with a port, or nothing.
 pub fn address_or_none(value: &String) -> Result<(), String> {
     if value.is_empty() { Ok(()) } else { address(value) }
 }
 
+/// Allows a list of IP numbers with ports.
 pub fn addresses(value: &Vec<String>) -> Result<(), String> {
     value.iter().try_for_each(address)
 }
 
+/// Allows 1 to 16 different IP numbers with ports.
 pub fn seeds(value: &Vec<String>) -> Result<(), String> {
     addresses(value)?;
     let distinct: std::collections::BTreeSet<&String> = value.iter().collect();
