--- a/crates/judge/src/recovery.rs
+++ b/crates/judge/src/recovery.rs
@@ -5,16 +5,23 @@
 
 const RETURN: Duration = Duration::from_secs(12);
 
+/// A second in which too little was served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Low {
+    /// Seconds since the run's beginning.
     pub second: u64,
+    /// Good answers in this second.
     pub served: u32,
+    /// Mean of good answers a second before the first fault.
     pub level: u32,
 }
 
+/// What the check came to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
+    /// How many seconds were calm enough to be held to the level.
     pub judged: usize,
+    /// Those that fell short of it.
     pub low: Vec<Low>,
 }
 
