--- a/crates/supply/src/caller.rs
+++ b/crates/supply/src/caller.rs
@@ -11,6 +11,7 @@
 const ANSWER_BYTES: usize = 8 * 1024 * 1024;
 const KEPT: usize = 4;
 
+/// An HTTP client towards one address. Clones share its kept connections.
 #[derive(Clone)]
 pub struct Caller {
     base: String,
@@ -18,6 +19,7 @@
 }
 
 impl Caller {
+    /// A client towards `IP:port`; nothing is dialled yet.
     pub fn new(address: &str) -> Caller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -25,6 +27,8 @@
         Caller { base: format!("http://{address}"), http }
     }
 
+    /// Sends a request and reads the answer whole. None if no whole answer came: whether the request took effect is
+    /// then not known.
     pub async fn call(
         &self,
         method: Method,
--- a/crates/supply/src/lib.rs
+++ b/crates/supply/src/lib.rs
@@ -1,6 +1,8 @@
 //! Supply of instances: the port through which the product starts, stops and lists them at whoever
 //! runs them, the service that carries orders to it, and the supplier of the product's own dialect.
 
+#![warn(missing_docs)]
+
 mod caller;
 mod own;
 mod port;
--- a/crates/supply/src/own.rs
+++ b/crates/supply/src/own.rs
@@ -6,6 +6,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
+/// Talks to a platform in heronlink's own dialect: JSON under `/v1/instances` and `/v1/workers`.
 pub struct OwnSupplier {
     caller: Caller,
 }
@@ -22,6 +23,7 @@
 }
 
 impl OwnSupplier {
+    /// A client of the platform at `IP:port`.
     pub fn new(address: &str) -> OwnSupplier {
         OwnSupplier { caller: Caller::new(address) }
     }
--- a/crates/supply/src/service.rs
+++ b/crates/supply/src/service.rs
@@ -11,26 +11,65 @@
 const CALLS: usize = 16;
 const LIMIT: Duration = Duration::from_secs(1);
 
+/// What the service can be asked for.
 #[derive(Clone, Debug)]
 pub enum SupplyOrder {
+    /// Start one instance.
     Start(StartOrder),
-    Stop { id: String, fence: u64 },
+    /// Stop an instance.
+    Stop {
+        /// The platform's id of it.
+        id: String,
+        /// The number of the membership under which it is ordered.
+        fence: u64,
+    },
+    /// Read the list of instances.
     List,
+    /// Read the list of workers.
     Workers,
 }
 
+/// What came of an order.
 #[derive(Clone, Debug)]
 pub enum SupplyReport {
-    Started { nonce: String, receipt: StartReceipt },
-    Stopped { id: String, receipt: StopReceipt },
-    Listed { listing: Listing, asked: Instant },
-    Workers { lines: Vec<WorkerLine>, asked: Instant },
+    /// Of a start.
+    Started {
+        /// The wish it was ordered under.
+        nonce: String,
+        /// The platform's reply.
+        receipt: StartReceipt,
+    },
+    /// Of a stop.
+    Stopped {
+        /// The instance.
+        id: String,
+        /// The platform's reply.
+        receipt: StopReceipt,
+    },
+    /// The list of instances.
+    Listed {
+        /// As the platform told it.
+        listing: Listing,
+        /// When it was asked for: it is not newer than this.
+        asked: Instant,
+    },
+    /// The list of workers.
+    Workers {
+        /// As the platform told it.
+        lines: Vec<WorkerLine>,
+        /// When it was asked for: it is not newer than this.
+        asked: Instant,
+    },
+    /// The list of instances could not be read.
     ListFault,
+    /// The list of workers could not be read.
     WorkersFault,
 }
 
+/// Takes what came of an order.
 pub type Report = Rc<dyn Fn(SupplyReport)>;
 
+/// Runs the service on the current thread until its inbox of orders is closed.
 pub async fn run(supplier: Rc<dyn Supplier>, mut orders: Inbox<SupplyOrder>, report: Report) {
     let room = Rc::new(Semaphore::new(CALLS));
     while let Some(order) = orders.next().await {
