--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -20,14 +20,17 @@
 const PROBE_AGAIN: Duration = Duration::from_millis(25);
 const PROBE_AGAIN_MOST: Duration = Duration::from_millis(120);
 
+/// Takes what came of a message to the dispatcher.
 pub type Report = Rc<dyn Fn(DispatchReport)>;
 
+/// Sends requests to instances. Clones share the pool of kept connections.
 #[derive(Clone)]
 pub struct Dispatcher {
     words: Rc<Words>,
     pool: Rc<Pool>,
 }
 
+/// Runs a dispatcher on the current thread until its inbox is closed.
 pub async fn run(words: Words, mut orders: Inbox<DispatcherMsg>, report: Report) {
     let dispatcher = Dispatcher::new(words);
     let (mut swept, mut any_kept) = (Instant::now(), false);
@@ -54,6 +57,7 @@
 }
 
 impl Dispatcher {
+    /// A dispatcher for a dialect, with an empty pool.
     pub fn new(words: Words) -> Dispatcher {
         Dispatcher { words: Rc::new(words), pool: Rc::default() }
     }
@@ -79,6 +83,8 @@
         true
     }
 
+    /// Sends one request and tells what its answer may be believed to say, soon after the order's limit at the
+    /// latest.
     pub async fn send(&self, order: DispatchOrder) -> Verdict {
         let Some(ask) = Ask::new(&order, &self.words) else {
             return Verdict::Whole { status: 400, head: Vec::new(), body: Vec::new(), turned_away: false };
@@ -165,6 +171,7 @@
         }
     }
 
+    /// Closes the kept connections to an instance.
     pub fn forget(&self, id: &str) {
         self.pool.forget(id);
     }
--- a/crates/dispatch/src/head.rs
+++ b/crates/dispatch/src/head.rs
@@ -46,6 +46,7 @@
     kept(&headers, &[&words.outcome])
 }
 
+/// Appends header lines to a map; what is no valid header is left out.
 pub fn fill(map: &mut HeaderMap, list: &List<HeaderLine>) {
     for line in list.iter() {
         let name = HeaderName::from_bytes(line.name.as_str().as_bytes());
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -3,6 +3,8 @@
 //! run by the instance's own word, never sent, or in doubt. Where tasks carry no id, each has a
 //! connection of its own.
 
+#![warn(missing_docs)]
+
 mod answer;
 mod ask;
 mod connection;
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -2,13 +2,18 @@
 
 use std::time::Duration;
 
+/// One request to be sent to one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DispatchOrder {
+    /// The order's number, unique in this process.
     pub number: u64,
     /// The supplier's id of the instance, to which the request is pinned.
     pub instance: String,
+    /// Where the instance takes requests, as `IP:port`.
     pub address: String,
+    /// The request's head, as an encoded `wire::RequestHead`.
     pub head: Vec<u8>,
+    /// The request's body.
     pub body: Vec<u8>,
     /// What is left of the task's time.
     pub limit: Duration,
@@ -16,38 +21,76 @@
     pub connections: u32,
 }
 
+/// What the dispatcher can be asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatcherMsg {
+    /// Send a request.
     Send(DispatchOrder),
-    Probe { id: String, address: String, after: Duration, limit: Duration },
-    Forget { id: String },
+    /// Try whether an instance takes connections.
+    Probe {
+        /// The platform's id of it.
+        id: String,
+        /// Where it takes requests.
+        address: String,
+        /// How long to wait before the first try.
+        after: Duration,
+        /// How long to try.
+        limit: Duration,
+    },
+    /// Close the kept connections to an instance.
+    Forget {
+        /// The platform's id of it.
+        id: String,
+    },
 }
 
+/// What may be believed about a request that was ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// `turned_away` is a guess by the status, where the dialect has no word for it.
     Whole {
+        /// The status of the answer.
         status: u16,
+        /// The answer's head, as an encoded `wire::AnswerHead`.
         head: Vec<u8>,
+        /// The answer's body.
         body: Vec<u8>,
+        /// Whether the instance refused the request for want of room.
         turned_away: bool,
     },
     /// By the instance's own word it did not run the task, or it is another than it was taken for.
     NotRun {
+        /// Whether another instance answers at the address.
         wrong_instance: bool,
     },
     /// Nobody takes connections there.
     NotSent,
     /// Nothing was sent, since no connection could be had in time.
     Crowded,
+    /// The request may have run.
     InDoubt {
+        /// What happened, for the log.
         told: String,
+        /// Whether the time ran out, rather than the connection failing.
         late: bool,
     },
 }
 
+/// What the dispatcher tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatchReport {
-    Dispatched { number: u64, verdict: Verdict },
-    Probed { id: String, ready: bool },
+    /// Of an order.
+    Dispatched {
+        /// The order's number.
+        number: u64,
+        /// What came of it.
+        verdict: Verdict,
+    },
+    /// Of a probe.
+    Probed {
+        /// The instance.
+        id: String,
+        /// Whether it took a connection in time.
+        ready: bool,
+    },
 }
--- a/crates/dispatch/src/words.rs
+++ b/crates/dispatch/src/words.rs
@@ -3,6 +3,7 @@
 
 use hyper::header::HeaderName;
 
+/// The header names, the path and the number format of one dialect.
 #[derive(Clone, Debug)]
 pub struct Words {
     /// The caller's id of a request, which instances echo.
