--- a/crates/scaler/src/demand.rs
+++ b/crates/scaler/src/demand.rs
@@ -11,12 +11,17 @@
 use bindings::WeightSheet;
 use std::time::Duration;
 
+/// The unit in which response times enter the demand.
 const UNIT: Duration = Duration::from_millis(50);
 
+/// The state of one function just now, as the demand counts it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Level {
+    /// Mean response time of answered requests; zero if there were none.
     pub response: Duration,
+    /// Mean number of requests waiting for room on an instance.
     pub waiting: f64,
+    /// Mean number of requests waiting for a first instance.
     pub held: f64,
 }
 
@@ -34,6 +39,7 @@
     }
 }
 
+/// The demand, in requests in flight, for each forecast rate (requests a second).
 pub fn demand(rates: &[f64], level: Level, sheet: &WeightSheet) -> Vec<f64> {
     let units = level.response.as_secs_f64() / UNIT.as_secs_f64();
     let standing = level.waiting * sheet.waiting_weight + level.held * sheet.held_weight;
@@ -48,6 +54,7 @@
     (mean, covered)
 }
 
+/// How much demand one instance serves at the sheet's target utilization; never under one request.
 pub fn capacity(instance_limit: u32, sheet: &WeightSheet) -> f64 {
     (f64::from(instance_limit) * sheet.target_usage).max(1.0)
 }
--- a/crates/scaler/src/forecast.rs
+++ b/crates/scaler/src/forecast.rs
@@ -6,21 +6,29 @@
 use crate::fourier::{COLUMNS, row};
 use std::time::Duration;
 
+/// The fewest observations that are fitted.
 pub const LEAST: usize = 8;
+/// The 90th percentile of the standard normal distribution.
 const P90: f64 = 1.281_551_565_544_600_4;
 
+/// Request rates to come, one value a step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Forecast {
+    /// The expected rates, a second.
     pub mean: Vec<f64>,
+    /// The 90th percentile of each rate.
     pub upper: Vec<f64>,
+    /// Whether this is the last value repeated, for want of a fit.
     pub persisted: bool,
 }
 
+/// A fitted SARIMAX(1,1,1) model with Fourier terms.
 #[derive(Clone, Debug)]
 pub struct Model {
     arma: Arma,
 }
 
+/// The last value of a series repeated for all steps.
 pub fn persistence(series: &[f64], steps: usize) -> Forecast {
     let last = series.last().copied().filter(|value| value.is_finite()).unwrap_or(0.0).max(0.0);
     Forecast { mean: vec![last; steps], upper: vec![last; steps], persisted: true }
@@ -45,6 +53,7 @@
         fit(&target, &rows).map(|arma| Model { arma })
     }
 
+    /// The autoregressive and the moving-average parameter (phi, theta).
     pub fn parameters(&self) -> (f64, f64) {
         (self.arma.phi, self.arma.theta)
     }
--- a/crates/scaler/src/lib.rs
+++ b/crates/scaler/src/lib.rs
@@ -2,6 +2,8 @@
 //! and weekly Fourier terms, its conversion to demand, an integer plan that counts the startup
 //! delay, and the playing of that plan by elapsed step. `Optimizer` is one host's whole state.
 
+#![warn(missing_docs)]
+
 mod arma;
 mod demand;
 mod forecast;
--- a/crates/scaler/src/optimizer.rs
+++ b/crates/scaler/src/optimizer.rs
@@ -10,17 +10,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Steps planned beyond the startup delay.
 const HORIZON: usize = 4;
+/// The longest startup delay that is planned with, in steps.
 const MOST_DELAY: f64 = 8.0;
 const FITS_PER_SECOND: f64 = 8.0;
 
+/// The answer to a request for a plan.
 pub struct Planned {
+    /// The number of instances for each step from the startup delay on.
     pub desired: Vec<u32>,
+    /// How long one step lasts.
     pub step: Duration,
+    /// Why there is only the fallback, if so.
     pub fault: Option<String>,
 }
 
+/// Samples and fits of all functions, on the machine that plans for all.
 pub struct Optimizer {
+    /// The weight sheets' fields that are set from measures.
     pub tuner: Tuner,
     step: Duration,
     fits_per_second: f64,
@@ -36,11 +44,13 @@
 }
 
 impl Optimizer {
+    /// An optimizer with no samples; `fits_per_second` bounds the processor time spent on fits.
     pub fn new(step: Duration, fits_per_second: f64) -> Optimizer {
         let (windows, tuner) = (BTreeMap::new(), Tuner::new(step));
         Optimizer { tuner, step, fits_per_second, windows, fits_left: 0.0, refilled: Duration::ZERO }
     }
 
+    /// Takes a function's sample.
     pub fn sample(&mut self, now: Duration, function: &str, sample: Sample) {
         let step = self.step;
         self.windows.entry(function.to_owned()).or_insert_with(|| Window::new(step)).take(now, sample);
@@ -52,6 +62,7 @@
         self.tuner.keep_only(known);
     }
 
+    /// Plans one function from `current` instances and a gauge read just now; the solver may take `limit`.
     pub fn plan(
         &mut self,
         now: Duration,
--- a/crates/scaler/src/plan.rs
+++ b/crates/scaler/src/plan.rs
@@ -8,32 +8,48 @@
 use microlp::{ComparisonOp, OptimizationDirection, Problem, Variable};
 use std::time::Duration;
 
+/// One integer program: how many instances a function has in each step.
 #[derive(Clone, Debug)]
 pub struct PlanTask<'a> {
+    /// Instances running or starting now.
     pub current: u32,
+    /// The fewest instances allowed.
     pub min: u32,
+    /// The most instances allowed.
     pub max: u32,
+    /// The demand one instance serves.
     pub capacity: f64,
+    /// The expected demand in each step.
     pub demand: &'a [f64],
+    /// The demand to be covered in each step.
     pub coverage: &'a [f64],
+    /// The weights of the costs.
     pub sheet: &'a WeightSheet,
+    /// How long the solver may take.
     pub limit: Duration,
 }
 
+/// The cheapest counts found.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
+    /// Instances in each step.
     pub counts: Vec<u32>,
+    /// The value of the objective.
     pub cost: f64,
 }
 
+/// Why there is no plan.
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum PlanFault {
+    /// The capacity is zero, negative or not finite.
     #[display("the capacity of an instance is not a positive number")]
     Capacity,
+    /// The solver failed or ran out of time.
     #[display("the solver found no plan: {_0}")]
     Solver(String),
 }
 
+/// Solves the program.
 pub fn plan(task: &PlanTask) -> Result<Plan, PlanFault> {
     if !task.capacity.is_finite() || task.capacity <= 0.0 {
         return Err(PlanFault::Capacity);
--- a/crates/scaler/src/player.rs
+++ b/crates/scaler/src/player.rs
@@ -6,11 +6,16 @@
 
 use std::time::Duration;
 
+/// When a plan is asked for, and how often.
 #[derive(Clone, Debug)]
 pub struct PlayerTiming {
+    /// How long an answer may take.
     pub timeout: Duration,
+    /// The pause after an answer that did not come.
     pub backoff: Duration,
+    /// The least time between two plans asked for early, since load came up.
     pub early: Duration,
+    /// The pause after two answers in a row that did not come.
     pub rest: Duration,
 }
 
@@ -25,27 +30,41 @@
     }
 }
 
+/// What one function looks like now.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Situation {
+    /// Instances that take requests.
     pub running: u32,
+    /// Instances ordered or coming up.
     pub starting: u32,
+    /// Requests waiting for room.
     pub held: u32,
+    /// Requests on instances.
     pub in_flight: u32,
+    /// Requests one instance may have at once.
     pub capacity: f64,
+    /// The fewest instances allowed.
     pub min: u32,
+    /// The most instances allowed.
     pub max: u32,
+    /// The operator's own count, which goes before any plan.
     pub fixed: Option<u32>,
+    /// Whether a plan may be asked for now.
     pub may_ask: bool,
     /// How many the load just now takes; a plan made of older samples is not played below it.
     pub live: u32,
 }
 
+/// What to do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
+    /// How many instances there should be.
     pub desired: u32,
+    /// Whether a plan is to be asked for.
     pub ask: bool,
 }
 
+/// Plays one function's plan by the time that has passed, and falls back where there is none.
 #[derive(Clone, Debug, Default)]
 pub struct Player {
     plan: Option<(Vec<u32>, Duration, Duration)>,
@@ -54,16 +73,20 @@
     resting: Option<Duration>,
     early_at: Option<Duration>,
     fence: u64,
+    /// How often two answers in a row did not come.
     pub fallbacks: u64,
+    /// How often a plan was asked for before its time.
     pub early_asks: u64,
 }
 
+/// The count where there is no plan: as it is, one if there is demand and none runs, within the bounds.
 pub fn fallback(current: u32, demand: bool, min: u32, max: u32) -> u32 {
     let count = if demand && current == 0 { 1 } else { current };
     count.clamp(min.min(max), max)
 }
 
 impl Player {
+    /// The plan's count for now; none without a plan.
     pub fn played(&self, now: Duration) -> Option<u32> {
         let (counts, step, from) = self.plan.as_ref()?;
         let place = now.saturating_sub(*from).as_millis() / step.as_millis().max(1);
@@ -75,6 +98,7 @@
         self.fence
     }
 
+    /// The counts of the latest plan, one a step.
     pub fn plan(&self) -> &[u32] {
         self.plan.as_ref().map_or(&[], |(counts, ..)| counts.as_slice())
     }
--- a/crates/scaler/src/window.rs
+++ b/crates/scaler/src/window.rs
@@ -7,18 +7,25 @@
 
 /// The step where none is set.
 pub const STEP: Duration = Duration::from_secs(15);
+/// How many samples are kept: four hours of the default step.
 pub const LENGTH: usize = 240 * 60 / 15;
 const FIT_LASTS: Duration = Duration::from_secs(300);
 const RECENT: usize = 10;
 
+/// What one function had in one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
+    /// Requests a second.
     pub rate: f64,
+    /// Mean response time; zero if nothing was answered.
     pub response: Duration,
+    /// Requests waiting for room on an instance.
     pub waiting: f64,
+    /// Requests waiting for a first instance.
     pub held: f64,
 }
 
+/// The latest samples of one function and the fit made from them.
 pub struct Window {
     step: Duration,
     samples: VecDeque<Sample>,
@@ -35,6 +42,7 @@
 }
 
 impl Window {
+    /// An empty window whose samples are one `step` apart.
     pub fn new(step: Duration) -> Window {
         Window { step, samples: VecDeque::new(), first: 0, fitted: None, failed: None, newest: None }
     }
@@ -60,14 +68,17 @@
         }
     }
 
+    /// The three newest samples, the newest first.
     pub fn last_three(&self) -> impl Iterator<Item = &Sample> {
         self.samples.iter().rev().take(3)
     }
 
+    /// How many samples are kept.
     pub fn len(&self) -> usize {
         self.samples.len()
     }
 
+    /// Whether no sample was taken yet.
     pub fn is_empty(&self) -> bool {
         self.samples.is_empty()
     }
