--- a/crates/heron/src/client.rs
+++ b/crates/heron/src/client.rs
@@ -12,35 +12,62 @@
 
 const ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
+/// Why a call has no answer.
 #[derive(Debug, Display, Error)]
 pub enum CallFault {
+    /// The request could not be built from what was given.
     #[display("a call that cannot be made: {_0}")]
     Malformed(hyper::http::Error),
+    /// The address cannot be reached, or the connection failed on the way.
     #[display("{address}: {told}")]
-    Unreached { address: String, told: String },
+    Unreached {
+        /// The address called.
+        address: String,
+        /// What went wrong.
+        told: String,
+    },
+    /// No whole answer came in time; the call may have taken effect.
     #[display("{address}: no answer in time")]
-    Late { address: String },
+    Late {
+        /// The address called.
+        address: String,
+    },
+    /// Standard output cannot be written to.
     #[display("cannot print: {_0}")]
     Print(std::io::Error),
 }
 
+/// One call to a node's HTTP API.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
+    /// The HTTP method.
     pub method: Method,
+    /// The API's `IP:port`.
     pub address: String,
+    /// The path, with its query if there is one.
     pub path: String,
+    /// The bearer token; empty for none.
     pub token: String,
+    /// The version that a change is based on, or `*`.
     pub if_match: Option<String>,
+    /// The operation's id: a change sent twice under one id takes effect once.
     pub operation: Option<String>,
+    /// Further headers.
     pub headers: Vec<(String, String)>,
+    /// The body, as JSON; empty for none.
     pub body: Vec<u8>,
+    /// How long the whole call may take.
     pub limit: Duration,
 }
 
+/// An answer read whole.
 #[derive(Clone, Debug)]
 pub struct Answer {
+    /// The HTTP status.
     pub status: u16,
+    /// The configuration's version, from the `ETag`.
     pub revision: Option<u64>,
+    /// The body as it came.
     pub body: Vec<u8>,
 }
 
@@ -72,6 +99,7 @@
     Client::builder(TokioExecutor::new()).build_http()
 }
 
+/// Makes a call and reads its answer whole.
 pub async fn ask(call: &Call) -> Result<Answer, CallFault> {
     let work = async {
         let answer = http().request(request(call)?).await.map_err(|fault| unreached(call, fault))?;
--- a/crates/heron/src/folder.rs
+++ b/crates/heron/src/folder.rs
@@ -10,23 +10,55 @@
 const DEPTH: usize = 8;
 const KINDS: [&str; 5] = ["function-bindings", "weight-sheets", "headcount-plans", "functions", "bounds"];
 
+/// Why files are no configuration.
 #[derive(Debug, Display, Error)]
 pub enum FolderFault {
+    /// A file or folder cannot be read.
     #[display("{}: {fault}", path.display())]
-    Unread { path: PathBuf, fault: std::io::Error },
+    Unread {
+        /// The file or folder.
+        path: PathBuf,
+        /// What the system answered.
+        fault: std::io::Error,
+    },
+    /// A file is no JSON.
     #[display("{}: {fault}", path.display())]
-    NotJson { path: PathBuf, fault: serde_json::Error },
+    NotJson {
+        /// The file.
+        path: PathBuf,
+        /// Where and why reading failed.
+        fault: serde_json::Error,
+    },
+    /// A file is no object of kinds.
     #[display("{}: {told}", path.display())]
-    Shape { path: PathBuf, told: String },
+    Shape {
+        /// The file.
+        path: PathBuf,
+        /// What is allowed.
+        told: String,
+    },
+    /// Two files declare the same resource.
     #[display("{key} is declared in {} and in {}", first.display(), second.display())]
-    Twice { key: String, first: PathBuf, second: PathBuf },
+    Twice {
+        /// The resource, as kind/tenant/name.
+        key: String,
+        /// The file that declares it first.
+        first: PathBuf,
+        /// The file that declares it again.
+        second: PathBuf,
+    },
+    /// There is nothing to read.
     #[display("{}: no .json files", path.display())]
-    Empty { path: PathBuf },
+    Empty {
+        /// The folder.
+        path: PathBuf,
+    },
 }
 
 /// The declared resources, by kind/tenant/name.
 pub type Declared = BTreeMap<String, Value>;
 
+/// Reads one file, or all `.json` files of a folder at any depth up to 8.
 pub fn read(path: &Path) -> Result<Declared, FolderFault> {
     let mut files = Vec::new();
     if path.is_dir() {
--- a/crates/heron/src/lib.rs
+++ b/crates/heron/src/lib.rs
@@ -1,5 +1,7 @@
 //! The operators' client as a library: one call to a registry's or router's HTTP API.
 
+#![warn(missing_docs)]
+
 mod client;
 mod folder;
 
