--- a/crates/doors/src/serve.rs
+++ b/crates/doors/src/serve.rs
@@ -15,16 +15,24 @@
 /// The server's buffer is never smaller.
 const HEAD_LEAST: usize = 8192;
 
+/// The bounds within which connections are served.
 #[derive(Clone, Copy, Debug)]
 pub struct DoorLimits {
+    /// The most connections at a time; more wait to be accepted.
     pub connections: usize,
+    /// The largest head of a request; never under 8 KiB.
     pub head_bytes: usize,
+    /// The most headers of a request.
     pub headers: usize,
+    /// How long a request's head may take to arrive.
     pub head_time: Duration,
+    /// How long a connection may live before it is asked to close.
     pub life: Duration,
+    /// How long a closing connection may take to finish its request.
     pub grace: Duration,
 }
 
+/// Serves a router's connections until `stop` holds true, then lets open ones finish.
 pub async fn serve(listener: TcpListener, router: Router, limits: DoorLimits, stop: watch::Receiver<bool>) {
     serve_within(listener, router, move || limits, stop).await;
 }
--- a/crates/doors/src/shelf.rs
+++ b/crates/doors/src/shelf.rs
@@ -15,6 +15,7 @@
     value: Arc<str>,
 }
 
+/// A snapshot of one node's resources with the order of their changes.
 #[derive(Clone, Debug)]
 pub struct Shelf {
     epoch: u64,
@@ -71,6 +72,7 @@
         !gone.is_empty()
     }
 
+    /// One resource with its version, by kind/tenant/name.
     pub fn get(&self, key: &str) -> Option<Value> {
         let item = self.items.get(key)?;
         let value: Value = serde_json::from_str(&item.value).unwrap_or_default();
@@ -127,8 +129,11 @@
 /// What a watch is for: one kind, in a scope, perhaps one resource of it.
 #[derive(Clone, Debug)]
 pub struct Filter {
+    /// The kind's word, such as `weight-sheets`.
     pub kind: String,
+    /// Whose resources the reader may see.
     pub scope: Scope,
+    /// One resource, as `tenant/name`; none for all of the kind.
     pub name: Option<String>,
 }
 
@@ -140,6 +145,7 @@
     }
 }
 
+/// Whether a resource, by `tenant/name`, may be seen in a scope.
 pub fn in_scope(name: &str, scope: &str) -> bool {
     scope.is_empty() || name.split('/').next() == Some(scope)
 }
--- a/crates/doors/src/tokens.rs
+++ b/crates/doors/src/tokens.rs
@@ -6,19 +6,34 @@
 use std::path::{Path, PathBuf};
 use subtle::ConstantTimeEq;
 
+/// Why the tokens file cannot be used.
 #[derive(Debug, Display, Error)]
 pub enum TokensFault {
+    /// The file cannot be read.
     #[display("tokens file {}: {fault}", path.display())]
-    Unread { path: PathBuf, fault: io::Error },
+    Unread {
+        /// The file.
+        path: PathBuf,
+        /// What the system answered.
+        fault: io::Error,
+    },
+    /// A line is no `tenant=SECRET`.
     #[display("tokens file {}: {allowed}", path.display())]
-    Malformed { path: PathBuf, allowed: String },
+    Malformed {
+        /// The file.
+        path: PathBuf,
+        /// What is allowed.
+        allowed: String,
+    },
 }
 
+/// The known tokens as digests, each with the tenant it is scoped to.
 #[derive(Clone)]
 pub struct Tokens {
     list: Vec<([u8; 32], String)>,
 }
 
+/// Checks a list of `tenant=SECRET` entries; the error says what is allowed and no secret.
 #[allow(clippy::ptr_arg)]
 pub fn well_formed(list: &Vec<String>) -> Result<(), String> {
     let good = |entry: &String| match entry.split_once('=') {
@@ -33,6 +48,7 @@
 }
 
 impl Tokens {
+    /// The tokens of a well-formed list.
     pub fn new(list: &[String]) -> Tokens {
         let split = list.iter().filter_map(|entry| entry.split_once('='));
         Tokens { list: split.map(|(tenant, secret)| (Sha256::digest(secret).into(), tenant.to_owned())).collect() }
--- a/crates/doors/src/views.rs
+++ b/crates/doors/src/views.rs
@@ -22,12 +22,16 @@
 /// Changes closer together than this come as one look.
 const PACE: Duration = Duration::from_millis(50);
 
+/// What the pages are made from.
 #[derive(Clone)]
 pub struct Views {
+    /// The newest snapshot of the node's resources.
     pub shelf: watch::Receiver<Shelf>,
+    /// Who may read, and whose resources.
     pub tokens: Tokens,
 }
 
+/// The routes `/v1/view/...` and `/v1/watch/...`.
 pub fn views(views: Views) -> Router {
     Router::new()
         .route("/v1/view/{kind}", get(list))
