--- a/crates/hollow/src/assign.rs
+++ b/crates/hollow/src/assign.rs
@@ -1,10 +1,10 @@
-//! Which function is home where, worked out once for all nodes of a ward. Each router of the product
+//! Which function is home where, worked out once for all nodes of a node group. Each router of the product
 //! works it out for itself; what that costs is measured apart (`hollow homes`), and four hundred
 //! times over one process could not bear it.
 
 use crate::node::NodeInput;
-use crate::town::Town;
-use crate::ward::Shared;
+use crate::node_group::Shared;
+use crate::workload::Workload;
 use bindings::Book;
 use holds::Roster;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 const CALM: Duration = Duration::from_millis(750);
 const LIST: Duration = Duration::from_secs(1);
 
-/// The newest roster and step any node of the ward has.
+/// The newest roster and step any node of the node group has.
 pub fn newest(shared: &Shared) -> (u64, u64) {
     let nodes = shared.nodes.borrow();
     let each = nodes.values().map(|node| {
@@ -81,8 +81,8 @@
     let nodes: Vec<_> = shared.nodes.borrow().values().cloned().collect();
     for node in nodes {
         let id = node.borrow().follower.me();
-        let numbers = homes.get(&id).into_iter().flatten().filter_map(|name| Town::number(name));
-        let instances = numbers.flat_map(|number| shared.plan.town.lines(number)).collect();
+        let numbers = homes.get(&id).into_iter().flatten().filter_map(|name| Workload::number(name));
+        let instances = numbers.flat_map(|number| shared.plan.workload.lines(number)).collect();
         let report = SupplyReport::Listed { listing: Listing { instances }, asked: Instant::now() };
         give(shared, &node, NodeInput::Listed { report });
     }
--- a/crates/hollow/src/fleet.rs
+++ b/crates/hollow/src/fleet.rs
@@ -1,12 +1,12 @@
 //! A hollow fleet put together: relays first, then the registries, the configuration, the real
-//! routers and the wards. Dropping it ends everything it started.
+//! routers and the node groups. Dropping it ends everything it started.
 
 use crate::line::Order;
 use crate::node::identity;
+use crate::node_group::{self, NodeGroupOrder, Plan};
+use crate::node_slot::{NodeMsg, NodeSlot};
 use crate::opening::{Open, RelayView, Relayed, listen_all, on_thread, relay_thread};
 use crate::processes::{CLUSTER, Process, REGISTRIES, TOKEN, address, registry, router, zone};
-use crate::seat::{NodeMsg, Seat};
-use crate::ward::{self, Plan, WardOrder};
 use heron::{Answer, Call, ask};
 use hyper::Method;
 use kernel::{Post, inbox, local};
@@ -25,19 +25,19 @@
 
 pub struct Fleet {
     pub processes: Vec<Process>,
-    pub wards: Vec<Post<WardOrder>>,
+    pub groups: Vec<Post<NodeGroupOrder>>,
     pub relays: Vec<Post<oneshot::Sender<RelayView>>>,
     threads: Vec<JoinHandle<()>>,
     pub hollow: usize,
     pub total: usize,
-    pub ward_of: Vec<(usize, usize)>,
+    pub group_of: Vec<(usize, usize)>,
     pub zones: Vec<String>,
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
         self.processes.clear();
-        self.wards.clear();
+        self.groups.clear();
         self.relays.clear();
         for thread in self.threads.drain(..) {
             let _ = thread.join();
@@ -56,15 +56,15 @@
         let names: BTreeMap<String, String> = drawn.iter().map(|d| (d.address.clone(), d.name.clone())).collect();
         let mut fleet = Fleet {
             processes: Vec::new(),
-            wards: Vec::new(),
+            groups: Vec::new(),
             relays: Vec::new(),
             threads: Vec::new(),
             hollow,
             total: nodes,
-            ward_of: Vec::new(),
+            group_of: Vec::new(),
             zones: Vec::new(),
         };
-        let mut platform = Some((platform, order.town().page()));
+        let mut platform = Some((platform, order.workload().page()));
         for (listener, drawn) in relayed.into_iter().zip(&drawn) {
             let (name, behind) = (drawn.name.clone(), drawn.behind.clone());
             let relayed = Relayed { names: names.clone(), listener, name, behind, platform: platform.take() };
@@ -77,14 +77,14 @@
             fleet.processes.push(registry(order, folder, drawn, number, &told)?);
         }
         fleet.wait("a core", |page| page["current_tail"] == true).await?;
-        let answer = fleet.call(Method::PUT, "/v1/configuration", order.town().configuration()).await?;
+        let answer = fleet.call(Method::PUT, "/v1/configuration", order.workload().configuration()).await?;
         if answer.status != 200 {
             return Err(format!("the configuration: {} {}", answer.status, String::from_utf8_lossy(&answer.body)));
         }
-        let town = order.town();
+        let workload = order.workload();
         for older in 0..order.older {
-            let number = older % town.functions;
-            let body = json!({"set": {town.key(number): town.binding(number, 3999 - older as u32)}});
+            let number = older % workload.functions;
+            let body = json!({"set": {workload.key(number): workload.binding(number, 3999 - older as u32)}});
             let answer = fleet.call(Method::PATCH, "/v1/configuration", body.to_string().into_bytes()).await?;
             if answer.status != 200 {
                 return Err(format!("an older change: {}", String::from_utf8_lossy(&answer.body)));
@@ -108,7 +108,7 @@
         let threads = order.threads.min(self.hollow);
         let mut peers = BTreeMap::new();
         let mut addresses = BTreeSet::new();
-        let mut parts: Vec<Vec<Seat>> = (0..threads).map(|_| Vec::new()).collect();
+        let mut parts: Vec<Vec<NodeSlot>> = (0..threads).map(|_| Vec::new()).collect();
         for (number, listener) in listeners.into_iter().enumerate() {
             listener.set_nonblocking(true).map_err(|fault| fault.to_string())?;
             let address = address(&listener);
@@ -118,16 +118,16 @@
             addresses.insert(address.clone());
             let zone = zone(number, order.zones);
             self.zones.push(zone.clone());
-            let ward = number % threads;
-            self.ward_of.push((ward, parts[ward].len()));
-            parts[ward].push(Seat { id, address, zone, listener, inbox: taken });
+            let group = number % threads;
+            self.group_of.push((group, parts[group].len()));
+            parts[group].push(NodeSlot { id, address, zone, listener, inbox: taken });
         }
         let (peers, addresses, routers) = (Arc::new(peers), Arc::new(addresses), Arc::new(routers));
-        for (number, seats) in parts.into_iter().enumerate() {
+        for (number, slots) in parts.into_iter().enumerate() {
             let plan = Plan {
                 cluster: CLUSTER.into(),
                 seeds: seeds.clone(),
-                town: order.town(),
+                workload: order.workload(),
                 mesh: order.mesh,
                 start_every: Duration::from_millis(order.join_ms * threads as u64),
                 peers: peers.clone(),
@@ -135,8 +135,9 @@
                 routers: routers.clone(),
             };
             let (post, orders) = inbox(64);
-            self.wards.push(post);
-            self.threads.push(on_thread(&format!("ward-{number}"), move || local(ward::run(plan, seats, orders)))?);
+            self.groups.push(post);
+            self.threads
+                .push(on_thread(&format!("ward-{number}"), move || local(node_group::run(plan, slots, orders)))?);
         }
         Ok(())
     }
--- a/crates/hollow/src/line.rs
+++ b/crates/hollow/src/line.rs
@@ -1,7 +1,7 @@
 //! The command line, and whether what it asks for is possible on this machine at all.
 
 use crate::proc::{files_allowed, memory_mb};
-use crate::town::Town;
+use crate::workload::Workload;
 use lexopt::prelude::*;
 use std::path::PathBuf;
 
@@ -73,8 +73,8 @@
 }
 
 impl Order {
-    pub fn town(&self) -> Town {
-        Town { functions: self.functions[0], awake: self.awake[0], instances: self.instances[0] }
+    pub fn workload(&self) -> Workload {
+        Workload { functions: self.functions[0], awake: self.awake[0], instances: self.instances[0] }
     }
 }
 
@@ -187,7 +187,7 @@
     if [&order.functions, &order.awake, &order.instances].iter().any(|list| list.len() != 1) {
         return Err("run takes one number of functions, awake and instances".into());
     }
-    let Town { functions, awake, instances } = order.town();
+    let Workload { functions, awake, instances } = order.workload();
     if awake > functions || (awake == 0 && instances > 0) {
         return Err(format!("--awake {awake}: allowed is up to --functions, and some if there are instances"));
     }
--- a/crates/hollow/src/ward.rs
+++ b/crates/hollow/src/node_group.rs
@@ -1,12 +1,12 @@
-//! A ward: many hollow nodes on one thread. Each has its own listener and its own held links, made by
+//! A node group: many hollow nodes on one thread. Each has its own listener and its own held links, made by
 //! the product's own link service; words between two hollow nodes are counted and go the short way.
 
 use crate::assign;
 use crate::node::{Node, NodeInput, NodeOutput};
+use crate::node_slot::{NodeMsg, NodeSlot, ReturnOnDrop};
 use crate::relay::HOLLOW;
-use crate::seat::{NodeMsg, Put, Seat};
 use crate::tally::{Tally, Way};
-use crate::town::Town;
+use crate::workload::Workload;
 use kernel::{Inbox, Post};
 use links::{LinkEvent, LinkOrder, Me};
 use std::cell::{Cell, RefCell};
@@ -20,8 +20,8 @@
 
 const TICK: Duration = Duration::from_millis(10);
 
-pub enum WardOrder {
-    Look(oneshot::Sender<WardView>),
+pub enum NodeGroupOrder {
+    Look(oneshot::Sender<NodeGroupView>),
     /// The nodes of these places fall silent; with true they come back at once, knowing nothing.
     Silence {
         places: Vec<usize>,
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct WardView {
+pub struct NodeGroupView {
     pub tally: Tally,
     pub nodes: usize,
     pub serving: usize,
@@ -43,7 +43,7 @@
 pub struct Plan {
     pub cluster: String,
     pub seeds: Vec<String>,
-    pub town: Town,
+    pub workload: Workload,
     pub mesh: bool,
     pub start_every: Duration,
     pub peers: Arc<BTreeMap<NodeId, Post<NodeMsg>>>,
@@ -58,36 +58,36 @@
     pub tally: RefCell<Tally>,
     pub nodes: RefCell<BTreeMap<usize, Rc<RefCell<Node>>>>,
     pub assigned: Cell<(u64, u64)>,
-    beat_bytes: Cell<u64>,
+    heartbeat_bytes: Cell<u64>,
 }
 
-pub async fn run(plan: Plan, seats: Vec<Seat>, mut orders: Inbox<WardOrder>) {
+pub async fn run(plan: Plan, slots: Vec<NodeSlot>, mut orders: Inbox<NodeGroupOrder>) {
     let shared = Rc::new(Shared {
         plan,
         begun: Instant::now(),
         tally: RefCell::default(),
         nodes: RefCell::default(),
         assigned: Cell::new((0, 0)),
-        beat_bytes: Cell::new(0),
+        heartbeat_bytes: Cell::new(0),
     });
     spawn_local(assign::run(shared.clone()));
     let mut running: BTreeMap<usize, JoinHandle<()>> = BTreeMap::new();
-    let seats: Vec<Rc<RefCell<Option<Seat>>>> = seats.into_iter().map(|s| Rc::new(RefCell::new(Some(s)))).collect();
-    for (place, seat) in seats.iter().enumerate() {
-        running.insert(place, spawn_local(alone(shared.clone(), place, seat.clone())));
+    let slots: Vec<Rc<RefCell<Option<NodeSlot>>>> = slots.into_iter().map(|s| Rc::new(RefCell::new(Some(s)))).collect();
+    for (place, slot) in slots.iter().enumerate() {
+        running.insert(place, spawn_local(alone(shared.clone(), place, slot.clone())));
         tokio::time::sleep(shared.plan.start_every).await;
     }
     while let Some(order) = orders.next().await {
         match order {
-            WardOrder::Look(reply) => drop(reply.send(shared.view())),
-            WardOrder::Silence { places, back } => {
+            NodeGroupOrder::Look(reply) => drop(reply.send(shared.view())),
+            NodeGroupOrder::Silence { places, back } => {
                 for place in places {
                     let Some(task) = running.remove(&place) else { continue };
                     task.abort();
                     let _ = task.await;
                     shared.nodes.borrow_mut().remove(&place);
                     if back {
-                        running.insert(place, spawn_local(alone(shared.clone(), place, seats[place].clone())));
+                        running.insert(place, spawn_local(alone(shared.clone(), place, slots[place].clone())));
                     }
                 }
             }
@@ -96,10 +96,11 @@
 }
 
 impl Shared {
-    fn view(&self) -> WardView {
+    fn view(&self) -> NodeGroupView {
         let nodes = self.nodes.borrow();
         let now = self.begun.elapsed();
-        let mut view = WardView { tally: self.tally.borrow().clone(), nodes: nodes.len(), ..WardView::default() };
+        let mut view =
+            NodeGroupView { tally: self.tally.borrow().clone(), nodes: nodes.len(), ..NodeGroupView::default() };
         view.least_revision = u64::MAX;
         view.least_members = usize::MAX;
         for node in nodes.values() {
@@ -116,7 +117,7 @@
 
     fn count(&self, (from, out): (NodeId, &str), into: &str, message: &Message) {
         let beat = matches!(message, Message::Carry(CarryMsg::Beat));
-        let mut bytes = if beat { self.beat_bytes.get() } else { 0 };
+        let mut bytes = if beat { self.heartbeat_bytes.get() } else { 0 };
         let mut kind = "carry.beat";
         if bytes == 0 {
             let cluster = self.plan.cluster.as_str().into();
@@ -125,7 +126,7 @@
             bytes = raw.len() as u64;
             kind = crate::kinds::kind(&raw[8..]);
             if beat {
-                self.beat_bytes.set(bytes);
+                self.heartbeat_bytes.set(bytes);
             }
         }
         let mut tally = self.tally.borrow_mut();
@@ -136,14 +137,14 @@
 
 /// A node with all it spawns: when this ends, its links and the tasks around them end too, as those of
 /// a process would.
-async fn alone(shared: Rc<Shared>, place: usize, seat: Rc<RefCell<Option<Seat>>>) {
-    LocalSet::new().run_until(live(shared, place, seat)).await;
+async fn alone(shared: Rc<Shared>, place: usize, slot: Rc<RefCell<Option<NodeSlot>>>) {
+    LocalSet::new().run_until(live(shared, place, slot)).await;
 }
 
-/// One node from its start until it is aborted; its seat is put back for the next beginning.
-async fn live(shared: Rc<Shared>, place: usize, seat: Rc<RefCell<Option<Seat>>>) {
-    let Some(taken) = seat.borrow_mut().take() else { return };
-    let mut guard = Put { seat, taken: Some(taken) };
+/// One node from its start until it is aborted; its slot is put back for the next beginning.
+async fn live(shared: Rc<Shared>, place: usize, slot: Rc<RefCell<Option<NodeSlot>>>) {
+    let Some(taken) = slot.borrow_mut().take() else { return };
+    let mut guard = ReturnOnDrop { slot, taken: Some(taken) };
     let Some(taken) = guard.taken.as_mut() else { return };
     let incarnation = rand::random::<u64>() >> 8;
     let plan = &shared.plan;
--- a/crates/hollow/src/seat.rs
+++ b/crates/hollow/src/node_slot.rs
@@ -1,4 +1,4 @@
-//! A hollow node's place in its ward, which outlasts the node.
+//! A hollow node's place in its node group, which outlasts the node.
 
 use kernel::Inbox;
 use links::LinkEvent;
@@ -13,7 +13,7 @@
 }
 
 /// One hollow node's place, known before anything starts.
-pub struct Seat {
+pub struct NodeSlot {
     pub id: NodeId,
     pub address: String,
     pub zone: String,
@@ -21,14 +21,14 @@
     pub inbox: Inbox<NodeMsg>,
 }
 
-/// Gives a seat back when its node ends, however it ends.
-pub struct Put {
-    pub seat: Rc<RefCell<Option<Seat>>>,
-    pub taken: Option<Seat>,
+/// Gives a slot back when its node ends, however it ends.
+pub struct ReturnOnDrop {
+    pub slot: Rc<RefCell<Option<NodeSlot>>>,
+    pub taken: Option<NodeSlot>,
 }
 
-impl Drop for Put {
+impl Drop for ReturnOnDrop {
     fn drop(&mut self) {
-        *self.seat.borrow_mut() = self.taken.take();
+        *self.slot.borrow_mut() = self.taken.take();
     }
 }
--- a/crates/hollow/src/offline.rs
+++ b/crates/hollow/src/offline.rs
@@ -8,7 +8,7 @@
 use crate::report::tell;
 use crate::slopes::Series;
 use crate::tally::round;
-use crate::town::Town;
+use crate::workload::Workload;
 use bindings::{Book, Function};
 use holds::{MemberLine, Roster};
 use rand::{RngExt, SeedableRng};
@@ -96,8 +96,8 @@
 }
 
 fn books(order: &Order) -> Value {
-    let town = Town { functions: order.functions[0], awake: 0, instances: 0 };
-    let pairs = town.pairs();
+    let workload = Workload { functions: order.functions[0], awake: 0, instances: 0 };
+    let pairs = workload.pairs();
     let bytes: usize = pairs.iter().map(|(key, value)| key.len() + value.len()).sum();
     let each = || pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
     let before = resident_mb();
@@ -128,8 +128,8 @@
 fn homes(order: &Order) -> Value {
     let (members, functions) = (order.nodes[0], order.functions[0]);
     let roster = roster(members);
-    let town = Town { functions, awake: 0, instances: 0 };
-    let names: Vec<String> = (0..functions).map(|n| town.name(n)).collect();
+    let workload = Workload { functions, awake: 0, instances: 0 };
+    let names: Vec<String> = (0..functions).map(|n| workload.name(n)).collect();
     let mut mine = 0;
     let all = timed(5, || {
         mine = names.iter().filter(|name| roster.home(name) == Some(roster.members.as_slice()[0].id)).count()
@@ -146,8 +146,8 @@
 /// What an optimizer's host does in one step for so many functions awake, each with a full window.
 fn plans(order: &Order) -> Value {
     let awake = order.awake[0];
-    let town = Town { functions: awake, awake: 0, instances: 0 };
-    let pairs = town.pairs();
+    let workload = Workload { functions: awake, awake: 0, instances: 0 };
+    let pairs = workload.pairs();
     let book = Book::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
     let functions: Vec<Function> = book.functions().cloned().collect();
     let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(order.seed);
--- a/crates/hollow/src/offline_home.rs
+++ b/crates/hollow/src/offline_home.rs
@@ -3,7 +3,7 @@
 use crate::line::Order;
 use crate::offline::{resident_mb, roster, timed};
 use crate::tally::round;
-use crate::town::Town;
+use crate::workload::Workload;
 use bindings::Book;
 use serde_json::{Value, json};
 use std::rc::Rc;
@@ -15,16 +15,16 @@
 const TICK: Duration = Duration::from_millis(10);
 const ROUNDS: u32 = 1000;
 
-/// A home of all the town's functions, its adoptions ended, its awake functions' instances known.
-pub fn open(town: &Town, members: usize) -> (Home, Duration) {
+/// A home of all the workload's functions, its adoptions ended, its awake functions' instances known.
+pub fn open(workload: &Workload, members: usize) -> (Home, Duration) {
     let roster = Rc::new(roster(members));
     let mut home = Home::new(roster.members.as_slice()[0].id, 1, HomeTiming::default());
-    let pairs = town.pairs();
+    let pairs = workload.pairs();
     let book = Rc::new(Book::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()))));
     home.step(TICK, true, HomeInput::Roster { roster });
     home.step(TICK, true, HomeInput::Book { book });
     let mut now = TICK;
-    listed(&mut home, now, town.listing());
+    listed(&mut home, now, workload.listing());
     for _ in 0..200 {
         now += TICK;
         home.step(now, true, HomeInput::Tick);
@@ -39,9 +39,9 @@
 
 pub fn passes(order: &Order) -> Value {
     let desks = order.functions[0];
-    let town = |awake: usize| Town { functions: desks, awake, instances: awake * 2 };
+    let workload = |awake: usize| Workload { functions: desks, awake, instances: awake * 2 };
     let before = resident_mb();
-    let (mut asleep, from) = open(&town(0), 1);
+    let (mut asleep, from) = open(&workload(0), 1);
     let held = resident_mb() - before;
     let tick = |home: &mut Home, from: Duration| {
         let begun = Instant::now();
@@ -51,7 +51,7 @@
         begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
     };
     let all_asleep = tick(&mut asleep, from);
-    let (mut awake, from) = open(&town(desks), 1);
+    let (mut awake, from) = open(&workload(desks), 1);
     let all_awake = tick(&mut awake, from);
     json!({
         "tick us, all asleep": round(all_asleep), "tick us, all awake": round(all_awake),
@@ -75,10 +75,10 @@
 /// home with the functions of one in 430.
 pub fn lists(order: &Order) -> Value {
     let instances = order.instances[0];
-    let town = Town { functions: 9100, awake: instances.min(9100), instances };
-    let page = town.page();
+    let workload = Workload { functions: 9100, awake: instances.min(9100), instances };
+    let page = workload.page();
     let parse = timed(5, || drop(read(&page)));
-    let (mut home, now) = open(&town, 430);
+    let (mut home, now) = open(&workload, 430);
     let take = timed(5, || listed(&mut home, now, read(&page)));
     json!({
         "page bytes": page.len(), "read ms": round(parse), "read and take in ms": round(take),
--- a/crates/hollow/src/offline_tasks.rs
+++ b/crates/hollow/src/offline_tasks.rs
@@ -5,7 +5,7 @@
 use crate::offline::timed;
 use crate::offline_home::open;
 use crate::tally::round;
-use crate::town::Town;
+use crate::workload::Workload;
 use serde_json::{Value, json};
 use std::time::Duration;
 use traffic::{HomeInput, HomeOutput, Verdict};
@@ -26,9 +26,9 @@
 
 pub fn tasks(order: &Order) -> Value {
     let bytes = order.bytes[0];
-    let town = Town { functions: 21, awake: 21, instances: 84 };
-    let (mut home, from) = open(&town, 1);
-    let name = town.name(0);
+    let workload = Workload { functions: 21, awake: 21, instances: 84 };
+    let (mut home, from) = open(&workload, 1);
+    let name = workload.name(0);
     let header = |name: &str| HeaderLine { name: name.into(), value: vec![b'x'; 24].into() };
     let headers = ["content-type", "content-length", "user-agent", "accept"].map(header).to_vec().into();
     let head: Vec<u8> =
--- a/crates/hollow/src/opening.rs
+++ b/crates/hollow/src/opening.rs
@@ -1,10 +1,10 @@
 //! What a hollow fleet opens before anything starts: addresses for all, and the relays' thread, which
 //! also answers for the platform.
 
+use crate::platform_stub::{self, Asked};
 use crate::processes::{CLUSTER, Drawn, REGISTRIES, address, listeners};
 use crate::relay::Relays;
 use crate::tally::Tally;
-use crate::yardstub::{self, Asked};
 use kernel::{Inbox, adopt};
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -74,7 +74,7 @@
     if let Some((platform, page)) = platform
         && platform.set_nonblocking(true).is_ok()
     {
-        tokio::task::spawn_local(yardstub::serve(adopt(platform), page, asked.clone()));
+        tokio::task::spawn_local(platform_stub::serve(adopt(platform), page, asked.clone()));
     }
     while let Some(reply) = looks.next().await {
         let view = RelayView { tally: relays.tally(), lists: asked.lists.get(), list_bytes: asked.bytes.get() };
--- a/crates/hollow/src/run.rs
+++ b/crates/hollow/src/run.rs
@@ -3,11 +3,11 @@
 
 use crate::fleet::Fleet;
 use crate::line::Order;
+use crate::node_group::NodeGroupView;
 use crate::proc::Usage;
 use crate::processes::REGISTRIES;
 use crate::relay::HOLLOW;
 use crate::tally::{Tally, round};
-use crate::ward::WardView;
 use hyper::Method;
 use rand::{RngExt, SeedableRng};
 use serde_json::{Map, Value, json};
@@ -94,8 +94,8 @@
 
 /// One change: when its receipt came, and when every hollow node had it in force.
 async fn change(order: &Order, fleet: &mut Fleet, number: usize, deadline_ms: u32) -> Result<(f64, f64), String> {
-    let town = order.town();
-    let body = json!({"set": {town.key(number): town.binding(number, deadline_ms)}}).to_string().into_bytes();
+    let workload = order.workload();
+    let body = json!({"set": {workload.key(number): workload.binding(number, deadline_ms)}}).to_string().into_bytes();
     let before = fleet.look().await.least_revision;
     let begun = Instant::now();
     let mut answer = fleet.call(Method::PATCH, "/v1/configuration", body.clone()).await?;
@@ -129,13 +129,13 @@
     let ended = unquiet(order, &mut fleet, &roles, last, &mut phases).await;
     fleet.alive()?;
     Ok(json!({
-        "nodes": nodes, "hollow": hollow, "routers": order.routers, "functions": order.town().functions,
-        "awake": order.town().awake, "instances": order.town().instances, "mesh": order.mesh,
+        "nodes": nodes, "hollow": hollow, "routers": order.routers, "functions": order.workload().functions,
+        "awake": order.workload().awake, "instances": order.workload().instances, "mesh": order.mesh,
         "stood_ms": millis(stood), "fault": ended.err(), "optimizer_on": host, "phases": phases,
     }))
 }
 
-fn whole(view: &WardView, left: usize, members: usize) -> bool {
+fn whole(view: &NodeGroupView, left: usize, members: usize) -> bool {
     view.serving == left && view.least_members == members && view.most_members == members
 }
 
@@ -153,7 +153,7 @@
         eprintln!("changes");
         let (mut receipts, mut in_force) = (Vec::new(), Vec::new());
         for n in 0..order.changes {
-            let number = dice.random_range(0..order.town().functions);
+            let number = dice.random_range(0..order.workload().functions);
             let (receipt, everywhere) = change(order, fleet, number, 3000 + n as u32).await?;
             receipts.push(receipt);
             in_force.push(everywhere);
--- a/crates/hollow/src/watching.rs
+++ b/crates/hollow/src/watching.rs
@@ -1,21 +1,25 @@
 //! Looking at a hollow fleet while it runs, and silencing its nodes.
 
 use crate::fleet::{Fleet, PATIENCE, PAUSE};
+use crate::node_group::{NodeGroupOrder, NodeGroupView};
 use crate::opening::RelayView;
 use crate::proc::Usage;
-use crate::ward::{WardOrder, WardView};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
 impl Fleet {
-    pub async fn look(&self) -> WardView {
-        let mut all =
-            WardView { least_revision: u64::MAX, least_members: usize::MAX, assigned: true, ..WardView::default() };
-        for ward in &self.wards {
+    pub async fn look(&self) -> NodeGroupView {
+        let mut all = NodeGroupView {
+            least_revision: u64::MAX,
+            least_members: usize::MAX,
+            assigned: true,
+            ..NodeGroupView::default()
+        };
+        for group in &self.groups {
             let (reply, told) = oneshot::channel();
-            let _ = ward.send(WardOrder::Look(reply));
+            let _ = group.send(NodeGroupOrder::Look(reply));
             let Ok(view) = told.await else { continue };
             all.tally.merge(&view.tally);
             all.nodes += view.nodes;
@@ -42,7 +46,7 @@
     }
 
     /// Waits until the hollow nodes' common view fits, and says how long that took.
-    pub async fn until(&mut self, what: &str, fits: impl Fn(&WardView) -> bool) -> Result<Duration, String> {
+    pub async fn until(&mut self, what: &str, fits: impl Fn(&NodeGroupView) -> bool) -> Result<Duration, String> {
         let begun = Instant::now();
         loop {
             let view = self.look().await;
@@ -50,7 +54,7 @@
                 return Ok(begun.elapsed());
             }
             if begun.elapsed() > PATIENCE {
-                let WardView { nodes, serving, least_members, most_members, .. } = view;
+                let NodeGroupView { nodes, serving, least_members, most_members, .. } = view;
                 return Err(format!(
                     "{what} is not reached in {PATIENCE:?}: {serving} of {nodes} hollow nodes serve and know {least_members} to {most_members} of {} members",
                     self.total
@@ -62,10 +66,10 @@
     }
 
     pub fn silence(&self, numbers: &[usize], back: bool) {
-        for (place, ward) in self.wards.iter().enumerate() {
+        for (place, group) in self.groups.iter().enumerate() {
             let places =
-                numbers.iter().map(|n| self.ward_of[*n]).filter(|(w, _)| *w == place).map(|(_, p)| p).collect();
-            let _ = ward.send(WardOrder::Silence { places, back });
+                numbers.iter().map(|n| self.group_of[*n]).filter(|(w, _)| *w == place).map(|(_, p)| p).collect();
+            let _ = group.send(NodeGroupOrder::Silence { places, back });
         }
     }
 
--- a/crates/hollow/src/town.rs
+++ b/crates/hollow/src/workload.rs
@@ -5,7 +5,7 @@
 use supply::{InstanceLine, InstanceState, Listing};
 
 #[derive(Clone, Copy, Debug)]
-pub struct Town {
+pub struct Workload {
     pub functions: usize,
     pub awake: usize,
     pub instances: usize,
@@ -13,7 +13,7 @@
 
 const TENANTS: usize = 64;
 
-impl Town {
+impl Workload {
     pub fn name(&self, number: usize) -> String {
         format!("t{:02}/f{number:05}", number % TENANTS)
     }
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -3,7 +3,7 @@
 
 use bindings::Book;
 use holds::{MemberLine, Roster};
-use hollow::{Node, NodeInput, NodeOutput, Town};
+use hollow::{Node, NodeInput, NodeOutput, Workload};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -31,8 +31,8 @@
 
 /// Messages the node sends in two seconds among so many members, by kind.
 fn sent(members: u64, awake: usize) -> BTreeMap<&'static str, usize> {
-    let town = Town { functions: 40, awake, instances: awake * 2 };
-    let pairs = town.pairs();
+    let workload = Workload { functions: 40, awake, instances: awake * 2 };
+    let pairs = workload.pairs();
     let roster = roster(members);
     let mine: Vec<&(String, Vec<u8>)> = pairs.iter().take(20).collect();
     let book = Book::build(1, 1, mine.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
