--- a/crates/chain/src/digest.rs
+++ b/crates/chain/src/digest.rs
@@ -21,6 +21,7 @@
         self.digest_writes(hasher);
         self.digest_agreement(hasher);
         self.digest_line(hasher);
+        self.digest_tenure(hasher);
         self.digest_joining(hasher);
     }
 
@@ -77,6 +78,12 @@
         (self.fence, self.view_fence, self.sent_to, self.acked, self.age(self.acked_at)).hash(hasher);
     }
 
+    fn digest_tenure(&self, hasher: &mut impl Hasher) {
+        (self.suspecting.map(|since| self.age(since)), self.age(self.tail_answered)).hash(hasher);
+        self.tenure.digest(hasher);
+        self.answer_reports.digest(|moment| self.age(moment), hasher);
+    }
+
     fn digest_joining(&self, hasher: &mut impl Hasher) {
         if let Some(copying) = &self.copying {
             (copying.from, copying.copy, copying.piece, copying.seq, &copying.pairs).hash(hasher);
--- a/crates/chain/src/tenure.rs
+++ b/crates/chain/src/tenure.rs
@@ -9,11 +9,12 @@
 use crate::register::is_majority;
 use crate::types::Output;
 use std::collections::BTreeMap;
+use std::hash::{Hash, Hasher};
 use std::time::Duration;
 use wire::{ChainMsg, NodeId, View};
 
 /// A run of views, without a gap, in which this member is the tail.
-#[derive(Default)]
+#[derive(Clone, Default)]
 pub struct Tenure {
     /// The view with which the run began.
     first_view: u64,
@@ -22,13 +23,30 @@
 }
 
 /// What voters report on the tail before the one of a view.
-#[derive(Default)]
+#[derive(Clone, Default)]
 pub struct AnswerReports {
     view: u64,
     /// The latest moment, by the clock here, at which each voter can have answered.
     answered: BTreeMap<NodeId, Duration>,
 }
 
+impl Tenure {
+    /// Feeds what is remembered into a hasher.
+    pub(crate) fn digest(&self, hasher: &mut impl Hasher) {
+        (self.first_view, &self.voters_before).hash(hasher);
+    }
+}
+
+impl AnswerReports {
+    /// Feeds what was reported into a hasher, each moment as its age.
+    pub(crate) fn digest(&self, age: impl Fn(Duration) -> (u64, u64), hasher: &mut impl Hasher) {
+        self.view.hash(hasher);
+        for (id, answered) in &self.answered {
+            (id, age(*answered)).hash(hasher);
+        }
+    }
+}
+
 fn tail_of(view: &View) -> Option<NodeId> {
     view.chain.as_slice().last().copied()
 }
