--- a/crates/sim/src/callers.rs
+++ b/crates/sim/src/callers.rs
@@ -1,6 +1,7 @@
 //! Callers: an open loop of tasks at random routers, some repeating a run-once key elsewhere at
 //! once, some trying again eagerly when they are refused.
 
+use crate::chances::Sort;
 use crate::router_node::Turn;
 use crate::world::{Event, World};
 use rand::RngExt;
@@ -43,7 +44,25 @@
     format!("t{}/f{function}", function % TENANTS)
 }
 
+fn is_keyed(class: &str) -> bool {
+    matches!(class, "once" | "deferred")
+}
+
+/// The most instances that a try is sent to where its binding does not say.
+const ATTEMPTS: usize = 2;
+
 impl World {
+    /// Where links are reset, some requests may run on one instance only, and once.
+    pub fn class_of(&self, function: usize) -> &'static str {
+        if self.plan.sort == Sort::Resets && function % 4 == 3 { "single" } else { CLASSES[function % 4] }
+    }
+
+    /// The most instances that a try of the service is sent to; the store counts those of deferred tasks.
+    pub fn most_instances(&self, service: &str) -> usize {
+        let function = service.rsplit('f').next().and_then(|number| number.parse().ok()).unwrap_or_default();
+        if self.class_of(function) == "deferred" { usize::MAX } else { ATTEMPTS }
+    }
+
     pub fn caller(&mut self) {
         let crowd = self.callers.crowd.filter(|(_, until)| self.now < *until).map(|(function, _)| function);
         let flood = self.now < self.callers.flood_until;
@@ -68,14 +87,14 @@
         let task = SimTask {
             label: format!("{number}#1"),
             key: number.to_string(),
-            class: CLASSES[function % 4],
+            class: self.class_of(function),
             path: format!("/{service}"),
             service,
             tries: 1,
             begun: self.now,
         };
         let eager = self.now < self.callers.eager_until;
-        if task.class != "ordinary" && (eager || self.dice.random_ratio(1, 10)) {
+        if is_keyed(task.class) && (eager || self.dice.random_ratio(1, 10)) {
             for twin in 0..if eager { 4 } else { 1 } {
                 let label = format!("{number}#twin{twin}");
                 self.call(SimTask { label, tries: 9, ..task.clone() });
@@ -115,11 +134,14 @@
                 headers: vec![header].into(),
             },
             body: task.key.clone().into_bytes(),
-            key: (task.class != "ordinary").then(|| task.key.clone()),
+            key: is_keyed(task.class).then(|| task.key.clone()),
             respond_async: task.class == "deferred" && self.dice.random_bool(0.5),
         };
         self.say(|| format!("task {} ({}) asked at router {n}", task.label, task.class));
         self.rules.asked(self.now, &task.label, &task.service);
+        if task.class == "single" {
+            self.rules.asked_once_per_try(&task.label);
+        }
         self.callers.open.insert((n, ask), task);
         self.turn(n, Turn::Front(FrontInput::Task { ask, call }));
     }
--- a/crates/sim/src/chances.rs
+++ b/crates/sim/src/chances.rs
@@ -19,9 +19,10 @@
     Wake,
     Flood,
     Grown,
+    Resets,
 }
 
-const WORDS: [(&str, Sort); 13] = [
+const WORDS: [(&str, Sort); 14] = [
     ("calm", Sort::Calm),
     ("core", Sort::Core),
     ("routers", Sort::Routers),
@@ -35,6 +36,7 @@
     ("wake", Sort::Wake),
     ("flood", Sort::Flood),
     ("grown", Sort::Grown),
+    ("resets", Sort::Resets),
 ];
 
 /// One failure and its drawing by weight: a sort names what may happen in it.
@@ -71,6 +73,7 @@
     MoveSeeds,
     Wake,
     Flood,
+    ResetLinks,
 }
 
 impl Sort {
@@ -106,6 +109,22 @@
             Sort::Wake => &[Wake],
             Sort::Flood => &[Flood],
             Sort::Grown => &[Grow, KillRegistry, KillRouter, FreezeRouter, CutOne, LoseDisk],
+            Sort::Resets => &[
+                ResetLinks,
+                ResetLinks,
+                ResetLinks,
+                ResetLinks,
+                ResetLinks,
+                ResetLinks,
+                Garble,
+                Garble,
+                LoseAnswers,
+                KillRouter,
+                FreezeRouter,
+                LeaveRouter,
+                Worker,
+                Crowd,
+            ],
             Sort::Mixed | Sort::Storm => &[
                 KillRegistry,
                 KillCore,
@@ -159,16 +178,18 @@
 impl Plan {
     pub fn new(seed: u64, sort: Sort) -> Plan {
         let seconds = Duration::from_secs;
+        // Many requests at a time, for a shorter run.
+        let (busy, short) = (sort == Sort::Resets, (seconds(24), seconds(26)));
         Plan {
             sort,
             routers: if matches!(sort, Sort::Storm | Sort::Wake) { 5 } else { 3 + (seed % 3) as usize },
             functions: if sort == Sort::Wake { 60 } else { 8 },
             limit: if sort == Sort::Wake { 1 } else { 3 },
-            bouts: [(seconds(12), seconds(22)), (seconds(46), seconds(54))],
-            final_fault: seconds(76),
-            callers_end: seconds(80),
-            end: seconds(94),
-            rate: 25.0,
+            bouts: [(seconds(12), seconds(22)), if busy { short } else { (seconds(46), seconds(54)) }],
+            final_fault: seconds(if busy { 28 } else { 76 }),
+            callers_end: seconds(if busy { 30 } else { 80 }),
+            end: seconds(if busy { 36 } else { 94 }),
+            rate: if busy { 60.0 } else { 25.0 },
             instances: match sort {
                 Sort::Crowd => 9,
                 Sort::Wake => 70,
--- a/crates/sim/src/failing.rs
+++ b/crates/sim/src/failing.rs
@@ -143,6 +143,31 @@
         self.say(|| format!("cut healed, {} ways", cuts.len()));
     }
 
+    /// Half of the links between routers are reset: half of what is on its way is lost, and both ends
+    /// hear of it a little later.
+    pub(crate) fn reset_links(&mut self) {
+        for a in 0..self.routers.len() {
+            for b in 0..a {
+                if self.dice.random_bool(0.5) {
+                    self.reset_link(Place::Router(a), Place::Router(b));
+                }
+            }
+        }
+    }
+
+    fn reset_link(&mut self, a: Place, b: Place) {
+        let ends = [(a, self.identity(b).0), (b, self.identity(a).0)];
+        let dice = &mut self.dice;
+        self.events.retain(|_, event| match event {
+            Event::Frame { to, from, .. } if ends.contains(&(*to, *from)) => dice.random_bool(0.5),
+            _ => true,
+        });
+        let ways = vec![(a, b), (b, a)];
+        self.net.cuts.extend(ways.iter().copied());
+        let unheard = self.ms(1, 20);
+        self.after(unheard, Event::Mend { what: Mending::Heal(ways) });
+    }
+
     /// Links that are slow but not lost: every frame of some pairs takes up to 600 ms.
     pub(crate) fn slow_links(&mut self, back: Duration) {
         let all = self.places();
--- a/crates/sim/src/faults.rs
+++ b/crates/sim/src/faults.rs
@@ -28,7 +28,11 @@
         if self.now >= self.plan.final_fault {
             return self.final_fault();
         }
-        let pause = if self.plan.sort == Sort::Storm { self.ms(50, 1500) } else { self.ms(300, 5000) };
+        let pause = match self.plan.sort {
+            Sort::Storm => self.ms(50, 1500),
+            Sort::Resets => self.ms(50, 700),
+            _ => self.ms(300, 5000),
+        };
         let next = self.now + pause;
         let bouts = self.plan.bouts;
         let later = bouts.iter().map(|(from, _)| *from).chain([self.plan.final_fault]).find(|from| *from > self.now);
@@ -106,7 +110,7 @@
                 self.after(back, Event::Mend { what: Mending::Yard });
             }
             Kind::Garble => {
-                self.yard.garble = 0.1;
+                self.yard.garble = if self.plan.sort == Sort::Resets { 0.4 } else { 0.1 };
                 self.after(back, Event::Mend { what: Mending::Yard });
             }
             Kind::Worker => self.worker_fault(),
@@ -124,6 +128,7 @@
             Kind::Grow => self.operators.grows = true,
             Kind::MoveSeeds => self.move_seeds(),
             Kind::Wake => self.wake_all(),
+            Kind::ResetLinks => self.reset_links(),
             Kind::Flood => self.callers.flood_until = self.now + back,
         }
         back.max(Duration::from_millis(5000))
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -1,6 +1,7 @@
 //! The instances in the simulator: they take tasks up to their limit, crash, turn away, or do the
 //! work and lose the answer.
 
+use crate::chances::Sort;
 use crate::router_node::Turn;
 use crate::world::{Event, World};
 use crate::yard::Work;
@@ -22,8 +23,10 @@
         let lost = self.dice.random_bool(self.yard.lose);
         let garbled = self.dice.random_bool(self.yard.garble);
         let turned = self.dice.random_bool(self.yard.turn_away);
+        self.count_instance(&label, &order.address);
         let limits = &self.yard.limits;
-        let mut took = Duration::from_millis(self.dice.random_range(20..120));
+        let longest = if self.plan.sort == Sort::Resets { 500 } else { 120 };
+        let mut took = Duration::from_millis(self.dice.random_range(20..longest));
         let told = self.yard.told_gone.get(&(n, order.address.clone())).copied();
         if told.is_some_and(|at| self.now > at + Duration::from_secs(3)) {
             self.rules.tell(self.now, format!("{label} was sent to {} long after it was known leaving", order.address));
@@ -64,6 +67,15 @@
         self.after(took, Event::InstanceDone { number });
     }
 
+    /// Whoever is there gets what is sent to it, also where it turns it away.
+    fn count_instance(&mut self, label: &str, id: &str) {
+        let Some(instance) = self.yard.instances.get(id).filter(|instance| instance.ready_at <= self.now) else {
+            return;
+        };
+        let most = self.most_instances(&instance.service);
+        self.rules.sent_to(self.now, label, id, most);
+    }
+
     pub fn instance_done(&mut self, number: u64) {
         let router = self.yard.work.get(&number).map(|work| work.router);
         if let Some(until) = router.and_then(|n| self.frozen_until(crate::world::Place::Router(n))) {
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -53,7 +53,7 @@
     fn items(&self, mark: &str) -> Vec<ItemLine> {
         let mut items: Vec<ItemLine> = (0..self.plan.functions)
             .map(|function| {
-                let class = crate::callers::CLASSES[function % 4];
+                let class = self.class_of(function);
                 let limit = self.plan.limit;
                 let binding = json!({"route": format!("/t{}/f{function}", function % 3), "function": format!("f{function}"), "class": class, "instance_limit": limit, "max": 6});
                 line(&format!("function-bindings/t{}/f{function}", function % 3), binding)
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -5,7 +5,7 @@
 use crate::world::{Place, World};
 use std::collections::VecDeque;
 use traffic::{FrontOutput, HomeOutput};
-use wire::{HoldMsg, Message, NodeId, PlanMsg};
+use wire::{CarryMsg, HoldMsg, Message, NodeId, PlanMsg};
 
 impl World {
     pub fn turn(&mut self, n: usize, first: Turn) {
@@ -22,7 +22,9 @@
                         match output {
                             FrontOutput::Reply { ask, reply } => self.caller_reply(n, ask, reply),
                             FrontOutput::Carry { to, message } => {
-                                self.rules.served(self.now, revision);
+                                if !matches!(message, CarryMsg::AttemptGrant { .. }) {
+                                    self.rules.served(self.now, revision);
+                                }
                                 if to == me {
                                     turns.push_back(Turn::carried(to, message));
                                 } else {
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -14,6 +14,8 @@
     runs: BTreeMap<String, u32>,
     by_key: BTreeMap<String, u32>,
     once: BTreeSet<String>,
+    once_per_try: BTreeSet<String>,
+    instances: BTreeMap<String, BTreeSet<String>>,
     not_run: BTreeSet<String>,
     accepted: BTreeMap<String, String>,
     pub newly_run: Duration,
@@ -41,6 +43,21 @@
         }
     }
 
+    /// A try that may run on one instance only, and once.
+    pub fn asked_once_per_try(&mut self, label: &str) {
+        self.once_per_try.insert(label.to_owned());
+    }
+
+    /// An instance was sent a try, whose route allows `most` of them.
+    pub fn sent_to(&mut self, now: Duration, label: &str, instance: &str, most: usize) {
+        let instances = self.instances.entry(label.to_owned()).or_default();
+        instances.insert(instance.to_owned());
+        let count = instances.len();
+        if count > most {
+            self.tell(now, format!("{label} was sent to {count} instances, {most} allowed"));
+        }
+    }
+
     pub fn ran(&mut self, now: Duration, label: &str, service: &str) {
         self.run_count += 1;
         let count = self.runs.entry(label.to_owned()).or_default();
@@ -55,6 +72,9 @@
         if *times > 1 && self.once.contains(&key) {
             self.tell(now, format!("run-once task {key} ran twice"));
         }
+        if second && self.once_per_try.contains(label) {
+            self.tell(now, format!("{label} ran twice, and may run once a try"));
+        }
         if self.not_run.contains(label) {
             self.tell(now, format!("{label} ran after its caller heard it never would"));
         }
--- a/crates/sim/tests/rules.rs
+++ b/crates/sim/tests/rules.rs
@@ -51,6 +51,18 @@
     (0..count).for_each(|n| rules.ran(ms(n), "9#1", "t0/f0"));
 }
 
+fn sent_to_three_instances(rules: &mut Rules, planted: bool) {
+    let instances = ["i1", "i2", "i2", if planted { "i3" } else { "i1" }];
+    instances.iter().for_each(|instance| rules.sent_to(ms(1), "5#1", instance, 2));
+    rules.sent_to(ms(2), "5#2", "i4", 2);
+}
+
+fn single_run_twice(rules: &mut Rules, planted: bool) {
+    rules.asked_once_per_try("6#1");
+    rules.ran(ms(1), "6#1", "t0/f3");
+    rules.ran(ms(2), if planted { "6#1" } else { "6#2" }, "t0/f3");
+}
+
 /// Ten tasks a second, a fault from 8 to 10 s, and service again from 23 s on, or too late.
 fn stays_low_after_the_return(rules: &mut Rules, planted: bool) {
     rules.faulty(ms(8_000), ms(10_000));
@@ -76,6 +88,8 @@
 #[test_case(older_than_acknowledged; "an older revision three seconds on")]
 #[test_case(slipped_back; "a slip back after a quarter second")]
 #[test_case(turned_away_twelve_times; "a twelfth turn-away in five seconds")]
+#[test_case(sent_to_three_instances; "a try sent to more instances than its route allows")]
+#[test_case(single_run_twice; "a try that may run once runs twice")]
 #[test_case(second_tries; "second tries beyond their share")]
 fn a_planted_fault_is_caught_and_its_absence_is_not(plant: fn(&mut Rules, bool)) {
     for planted in [false, true] {
--- /dev/null
+++ b/crates/traffic/src/attempt_count.rs
@@ -0,0 +1,48 @@
+//! The attempts at one request, counted by its front, which outlives the loss of any home. A home makes
+//! no attempt that was not granted first, so that whatever becomes of a home, no more instances were
+//! sent the request than were granted. Only what a home gives back unused may be granted anew.
+
+use wire::ForwardRequest;
+
+#[derive(Clone, Debug, Default)]
+pub struct AttemptCount {
+    /// What the route allows; nothing where a ledger decides what may run.
+    most: Option<u32>,
+    /// Granted to all homes so far, without what was given back.
+    granted: u32,
+    /// The part of it that the present home has.
+    present: u32,
+}
+
+impl AttemptCount {
+    pub fn allow(&mut self, most: Option<u32>) {
+        self.most = most;
+    }
+
+    pub fn is_spent(&self) -> bool {
+        self.most.is_some_and(|most| self.granted >= most)
+    }
+
+    /// The request is forwarded with its first attempt granted.
+    pub fn forward(&mut self) -> u32 {
+        self.granted = self.granted.saturating_add(1);
+        self.present = 1;
+        if self.most.is_some() { self.present } else { ForwardRequest::UNCOUNTED }
+    }
+
+    /// The home asks for so many in all; what it has now, with one more where one is left.
+    pub fn ask(&mut self, wanted: u32) -> u32 {
+        if wanted > self.present && !self.is_spent() {
+            self.granted = self.granted.saturating_add(1);
+            self.present += 1;
+        }
+        self.present
+    }
+
+    /// The home gives the request back, having sent it to so many instances.
+    pub fn give_back(&mut self, sent: u32) {
+        let unused = self.present.saturating_sub(sent);
+        self.granted = self.granted.saturating_sub(unused);
+        self.present = 0;
+    }
+}
--- /dev/null
+++ b/crates/traffic/src/forwarding.rs
@@ -0,0 +1,66 @@
+//! Forwarding a request to its function's home, with the attempts that its front grants.
+
+use crate::front::{Front, RETRY, SOON};
+use crate::front_passes::unknown;
+use crate::front_types::{FrontOutput, Reply, Stage};
+use wire::{CarryMsg, ForwardRequest, NodeId, Outcome};
+
+impl Front {
+    pub(crate) fn attempt(&mut self, task: u64) {
+        if !self.may_serve || !self.resolve(task) {
+            return;
+        }
+        let Some(record) = self.table.get_mut(&task) else { return };
+        if record.attempts.is_spent() {
+            return self.answer_spent(task);
+        }
+        let Some(home) = self.roster.home(&record.function) else { return };
+        let due = record.due <= self.now;
+        record.again_at = self.now + RETRY;
+        if due || !self.may_carry_to(home) {
+            return;
+        }
+        let Some(record) = self.table.get_mut(&task) else { return };
+        self.next += 1;
+        self.by_carry.remove(&record.carry);
+        self.by_carry.insert(self.next, task);
+        record.carry = self.next;
+        record.stage = Stage::Carried { home };
+        let request = ForwardRequest {
+            task: record.carry,
+            function: record.function.as_str().into(),
+            binding: record.binding.as_str().into(),
+            left_ms: (record.due - self.now).as_millis() as u32,
+            tries: record.tries,
+            attempts: record.attempts.forward(),
+            respond_async: record.call.respond_async as u8,
+            key: record.key.as_str().into(),
+            head: wire::to_bytes(&record.call.head).into(),
+            body: record.call.body.clone().into(),
+        };
+        self.outs.push(FrontOutput::Carry { to: home, message: CarryMsg::Forward { request } });
+    }
+
+    /// Tells a home how many attempts it has in all, with one more where one is left; none where the request is no
+    /// longer with it.
+    pub(crate) fn attempt_asked(&mut self, from: NodeId, carry: u64, wanted: u32) {
+        let task = self.by_carry.get(&carry).copied();
+        let record = task.and_then(|task| self.table.get_mut(&task));
+        let present = record.filter(|record| record.carry == carry && record.stage == Stage::Carried { home: from });
+        let attempts = present.map_or(0, |record| record.attempts.ask(wanted));
+        self.outs.push(FrontOutput::Carry { to: from, message: CarryMsg::AttemptGrant { task: carry, attempts } });
+    }
+
+    /// No attempt is left, and none that was made has told an answer.
+    pub(crate) fn answer_spent(&mut self, task: u64) {
+        let doubt = self.table.get(&task).is_some_and(|record| record.doubt);
+        let reply = match doubt {
+            true => unknown(),
+            false => {
+                let reply = Reply::own(503, Some(Outcome::NotRun), "no instance took it");
+                reply.again(self.spread(task, SOON))
+            }
+        };
+        self.answer(task, reply);
+    }
+}
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -2,9 +2,10 @@
 //! proof of its revision or no link to the home, is carried once it has, and is answered with the
 //! truth: what the home said, `not-run` only if it was never carried, `unknown` when in doubt.
 
+use crate::attempt_count::AttemptCount;
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
 use crate::watching::Watched;
-use bindings::Book;
+use bindings::{Book, Class};
 use holds::{Roster, first_number};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -134,6 +135,7 @@
             again_at: self.now,
             tries: 0,
             doubt: false,
+            attempts: AttemptCount::default(),
         };
         self.table.insert(task, record);
         self.by_ask.insert(ask, task);
@@ -176,7 +178,7 @@
     }
 
     /// Looks the route up anew each time: a waiting task follows the newest revision.
-    fn resolve(&mut self, task: u64) -> bool {
+    pub(crate) fn resolve(&mut self, task: u64) -> bool {
         let (Some(book), Some(record)) = (self.book.clone(), self.table.get_mut(&task)) else { return false };
         let Some((name, binding)) = book.find_route(&record.call.host, &record.call.path) else {
             if record.doubt {
@@ -207,39 +209,10 @@
         }
         record.function = format!("{tenant}/{}", binding.function_for(dice(task)));
         record.class = Some(binding.class);
+        let counted = matches!(binding.class, Class::Ordinary | Class::Single);
+        record.attempts.allow(counted.then_some(binding.attempts.max(1)));
         true
     }
-
-    pub(crate) fn attempt(&mut self, task: u64) {
-        if !self.may_serve || !self.resolve(task) {
-            return;
-        }
-        let Some(record) = self.table.get_mut(&task) else { return };
-        let Some(home) = self.roster.home(&record.function) else { return };
-        let due = record.due <= self.now;
-        record.again_at = self.now + RETRY;
-        if due || !self.may_carry_to(home) {
-            return;
-        }
-        let Some(record) = self.table.get_mut(&task) else { return };
-        self.next += 1;
-        self.by_carry.remove(&record.carry);
-        self.by_carry.insert(self.next, task);
-        record.carry = self.next;
-        record.stage = Stage::Carried { home };
-        let message = CarryMsg::Carry {
-            task: record.carry,
-            function: record.function.as_str().into(),
-            binding: record.binding.as_str().into(),
-            left_ms: (record.due - self.now).as_millis() as u32,
-            tries: record.tries,
-            respond_async: record.call.respond_async as u8,
-            key: record.key.as_str().into(),
-            head: wire::to_bytes(&record.call.head).into(),
-            body: record.call.body.clone().into(),
-        };
-        self.outs.push(FrontOutput::Carry { to: home, message });
-    }
 }
 
 /// Evenly spread, and the same each time for the same task.
--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use wire::{CarryMsg, NodeId, Outcome};
 
-fn unknown() -> Reply {
+pub(crate) fn unknown() -> Reply {
     Reply::own(504, Some(Outcome::Unknown), "the outcome is not known")
 }
 
@@ -19,7 +19,7 @@
 
     /// The home was lost with tasks on it: what they came to is in doubt. They are tried on with the
     /// next home, which knows from the ledger or the budget whether it may run them; what may run
-    /// only once, and stands in no ledger, is not tried on: its caller is told at once.
+    /// only once, and stands in no ledger, or has no attempt left, is not tried on: its caller is told at once.
     pub(crate) fn doubt_home(&mut self, lost: impl Fn(NodeId) -> bool) {
         let mut over = Vec::new();
         for (task, record) in &mut self.table {
@@ -31,7 +31,7 @@
                 record.again_at = self.now;
                 record.tries = record.tries.saturating_add(1);
                 record.doubt = true;
-                if record.class == Some(Class::Single) {
+                if record.class == Some(Class::Single) || record.attempts.is_spent() {
                     over.push(*task);
                 }
             }
@@ -70,7 +70,11 @@
 
     pub(crate) fn carried(&mut self, from: NodeId, message: CarryMsg) {
         let carry = match &message {
-            CarryMsg::Answer { task, .. } | CarryMsg::Carried { task, .. } | CarryMsg::NotHome { task } => *task,
+            CarryMsg::AttemptAsk { task, attempts } => return self.attempt_asked(from, *task, *attempts),
+            CarryMsg::Answer { task, .. }
+            | CarryMsg::Carried { task, .. }
+            | CarryMsg::NotHome { task }
+            | CarryMsg::Returned { task, .. } => *task,
             _ => return,
         };
         let Some(task) = self.by_carry.get(&carry).copied() else { return };
@@ -87,9 +91,14 @@
                 let after = Duration::from_secs(retry_after.into());
                 self.told(task, outcome, status, after, head.into_vec(), body.into_vec());
             }
-            _ => {
+            given_back => {
                 record.stage = Stage::Waiting;
                 record.again_at = self.now + RETRY;
+                let sent = if let CarryMsg::Returned { attempts, .. } = given_back { attempts } else { 0 };
+                record.attempts.give_back(sent);
+                if record.attempts.is_spent() {
+                    self.answer_spent(task);
+                }
             }
         }
     }
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -1,5 +1,6 @@
 //! What the front takes and returns, and the record it keeps of each task.
 
+use crate::attempt_count::AttemptCount;
 use bindings::{Book, Class};
 use holds::Roster;
 use std::rc::Rc;
@@ -99,4 +100,5 @@
     pub again_at: Duration,
     pub tries: u8,
     pub doubt: bool,
+    pub attempts: AttemptCount,
 }
--- a/crates/traffic/src/giving_up.rs
+++ b/crates/traffic/src/giving_up.rs
@@ -42,6 +42,7 @@
             let Some(task) = self.tasks.get(&number) else { continue };
             let again = self.spread(number, SOON);
             match (task.class, &task.place) {
+                (_, Place::AwaitingGrant { .. }) => self.fail(number),
                 (Class::Deferred, Place::Storing) => {
                     if let Some(task) = self.tasks.get_mut(&number) {
                         task.stored = None;
@@ -66,7 +67,7 @@
         follow.into_iter().for_each(|number| self.claim(number));
     }
 
-    /// Gives a task that was never dispatched back to its front, which finds its home anew.
+    /// Gives a task that did not run back to its front, which finds its home anew.
     pub(crate) fn send_back(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         if let Some(desk) = self.desks.get_mut(&task.function) {
@@ -81,7 +82,7 @@
             return self.forget(number);
         }
         if task.reached {
-            return self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO);
+            return self.fail(number);
         }
         // The next home would not know of the instance that turned it away.
         if task.class == Class::Single && task.dispatches > 0 {
@@ -92,8 +93,10 @@
 
     pub(crate) fn not_home(&mut self, number: u64) {
         if let Some(task) = self.tasks.get(&number) {
-            let (to, id) = (task.id.from, task.id.task);
-            self.outs.push(HomeOutput::Carry { to, message: CarryMsg::NotHome { task: id } });
+            let (to, task, attempts) = (task.id.from, task.id.task, task.dispatches);
+            let message =
+                if attempts == 0 { CarryMsg::NotHome { task } } else { CarryMsg::Returned { task, attempts } };
+            self.outs.push(HomeOutput::Carry { to, message });
             self.forget(number);
         }
     }
--- a/crates/traffic/src/holding.rs
+++ b/crates/traffic/src/holding.rs
@@ -53,10 +53,14 @@
         self.answer(number, outcome, status, retry_after, Vec::new(), Vec::new());
     }
 
+    pub(crate) fn time_to_come_back(&self, number: u64, wait: Duration) -> Duration {
+        self.spread(number, wait.max(SOON / 2))
+    }
+
     /// Tells at once that a task which was never run will not be, and when to come back: once those
     /// ahead of it are expected to be done.
     pub(crate) fn give_up(&mut self, number: u64, wait: Duration) {
-        let again = self.spread(number, wait.max(SOON / 2));
+        let again = self.time_to_come_back(number, wait);
         if self.tasks.get(&number).is_some_and(|task| task.class == bindings::Class::Once) {
             self.release(number);
         }
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -95,7 +95,12 @@
         self.now = now;
         self.may_serve = may_serve;
         match input {
-            HomeInput::Carry { from, message: carry @ CarryMsg::Carry { .. } } => self.let_in(from, carry),
+            HomeInput::Carry { from, message: message @ (CarryMsg::Carry { .. } | CarryMsg::Forward { .. }) } => {
+                message.into_forwarded().into_iter().for_each(|request| self.let_in(from, request));
+            }
+            HomeInput::Carry { from, message: CarryMsg::AttemptGrant { task, attempts } } => {
+                self.attempts_granted(from, task, attempts);
+            }
             HomeInput::Carry { from, message: CarryMsg::Watch } => {
                 if may_serve {
                     self.outs.push(HomeOutput::Carry { to: from, message: CarryMsg::Beat });
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use supply::{SupplyOrder, SupplyReport};
-use wire::{CarryMsg, HoldMsg, MeasureLine, NodeId, PlanMsg, SampleLine};
+use wire::{CarryMsg, HoldMsg, MeasureLine, NodeId, Outcome, PlanMsg, SampleLine};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
@@ -112,9 +112,41 @@
     Claiming,
     Storing,
     Held,
-    Running { number: u64 },
-    Following { at: Duration },
+    Running {
+        number: u64,
+    },
+    Following {
+        at: Duration,
+    },
     Releasing,
+    /// Its attempt failed, and its front is asked for another.
+    AwaitingGrant {
+        until: Duration,
+    },
+}
+
+/// What a request is answered with if no further attempt is made.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Failure {
+    pub outcome: Outcome,
+    pub status: u16,
+    pub retry_after: Duration,
+    pub head: Vec<u8>,
+    pub body: Vec<u8>,
+}
+
+impl Failure {
+    pub fn answered(status: u16, head: Vec<u8>, body: Vec<u8>) -> Failure {
+        Failure { outcome: Outcome::Answered, status, retry_after: Duration::ZERO, head, body }
+    }
+
+    pub fn unknown(status: u16) -> Failure {
+        Failure { outcome: Outcome::Unknown, ..Failure::answered(status, Vec::new(), Vec::new()) }
+    }
+
+    pub fn not_run(retry_after: Duration) -> Failure {
+        Failure { outcome: Outcome::NotRun, retry_after, ..Failure::unknown(503) }
+    }
 }
 
 pub struct HomeTask {
@@ -138,6 +170,10 @@
     pub dispatches: u32,
     /// The most instances it may be sent to.
     pub attempts: u32,
+    /// To how many of them its front lets it be sent so far.
+    pub granted: u32,
+    /// Of the last attempt, while another is asked for.
+    pub failure: Option<Failure>,
     /// The instance it was last sent to, which others go before.
     pub avoid: String,
     /// It has run, or may have.
--- a/crates/traffic/src/keeper.rs
+++ b/crates/traffic/src/keeper.rs
@@ -109,6 +109,8 @@
                 caller: false,
                 dispatches,
                 attempts: u32::MAX,
+                granted: u32::MAX,
+                failure: None,
                 avoid: String::new(),
                 reached: true,
                 rank: crate::holding::LAST,
--- a/crates/traffic/src/letting_in.rs
+++ b/crates/traffic/src/letting_in.rs
@@ -7,13 +7,12 @@
 use bindings::Class;
 use sha2::{Digest, Sha256};
 use std::time::Duration;
-use wire::{CarryMsg, NodeId, Outcome};
+use wire::{CarryMsg, ForwardRequest, NodeId, Outcome};
 
 impl Home {
-    pub(crate) fn let_in(&mut self, from: NodeId, carry: CarryMsg) {
-        let CarryMsg::Carry { task, function, binding, left_ms, tries, respond_async, key, head, body } = carry else {
-            return;
-        };
+    pub(crate) fn let_in(&mut self, from: NodeId, request: ForwardRequest) {
+        let ForwardRequest { task, function, binding, left_ms, tries, attempts, respond_async, key, head, body } =
+            request;
         let id = TaskId { from, task };
         if self.seen.insert(id, self.now).is_some() {
             return;
@@ -58,6 +57,8 @@
             caller: true,
             dispatches: 0,
             attempts: bound.attempts.max(1),
+            granted: if attempts == ForwardRequest::UNCOUNTED { u32::MAX } else { attempts },
+            failure: None,
             avoid: String::new(),
             reached: again && keyless,
             rank: if last { LAST } else { bound.rank },
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -4,6 +4,7 @@
 //! the dispatcher to instances, the platform's adapter and the follower on the control thread.
 
 mod allowances;
+mod attempt_count;
 mod budget;
 mod caller_limits;
 mod control_loop;
@@ -13,6 +14,7 @@
 mod door;
 mod estimate;
 mod faults;
+mod forwarding;
 mod front;
 mod front_passes;
 mod front_types;
@@ -35,6 +37,7 @@
 mod placing;
 mod plane;
 mod plane_out;
+mod retrying;
 mod risk;
 mod scale;
 mod service;
--- /dev/null
+++ b/crates/traffic/src/retrying.rs
@@ -0,0 +1,82 @@
+//! Further attempts at a request after one that failed. The front counts the attempts: one beyond those it
+//! granted is asked for, while the failure is kept to be the answer if none is granted in time.
+
+use crate::home::Home;
+use crate::home_types::{Failure, HomeOutput, Place, TaskId};
+use bindings::Class;
+use std::time::Duration;
+use wire::{CarryMsg, NodeId, Outcome};
+
+/// How long a front's grant is waited for; on one machine it comes at once.
+const GRANT_PATIENCE: Duration = Duration::from_millis(300);
+
+impl Home {
+    /// Queues a request for another instance, while its time, its attempts and the budget last, or
+    /// answers with the failure.
+    pub(crate) fn try_again(&mut self, number: u64, may_have_run: bool, failure: Failure) {
+        let (now, margin) = (self.now, self.timing.margin);
+        let Some(task) = self.tasks.get_mut(&number) else { return };
+        task.reached |= may_have_run;
+        task.failure = Some(failure);
+        let owned = self.roster.home(&task.function) == Some(self.me);
+        let Some(desk) = self.desks.get_mut(&task.function).filter(|desk| owned && desk.leaving.is_none()) else {
+            return self.send_back(number);
+        };
+        let late = now + margin + desk.least_time() > task.due;
+        if late || task.dispatches >= task.attempts || !desk.budget.may_second(now) {
+            return self.fail(number);
+        }
+        if task.dispatches < task.granted {
+            return self.queue_again(number);
+        }
+        task.place = Place::AwaitingGrant { until: now + GRANT_PATIENCE };
+        let (to, attempts) = (task.id.from, task.dispatches + 1);
+        let message = CarryMsg::AttemptAsk { task: task.id.task, attempts };
+        self.outs.push(HomeOutput::Carry { to, message });
+    }
+
+    /// The front tells how many attempts it granted in all.
+    pub(crate) fn attempts_granted(&mut self, from: NodeId, task: u64, attempts: u32) {
+        let id = TaskId { from, task };
+        let awaits =
+            |task: &crate::home_types::HomeTask| task.id == id && matches!(task.place, Place::AwaitingGrant { .. });
+        let Some((number, task)) = self.tasks.iter_mut().find(|(_, task)| awaits(task)) else { return };
+        let number = *number;
+        task.granted = task.granted.max(attempts);
+        if task.dispatches >= task.granted {
+            return self.fail(number);
+        }
+        let owned = self.roster.home(&task.function) == Some(self.me);
+        let stays = self.desks.get(&task.function).is_some_and(|desk| desk.leaving.is_none());
+        if owned && stays { self.queue_again(number) } else { self.send_back(number) }
+    }
+
+    fn queue_again(&mut self, number: u64) {
+        let Some(task) = self.tasks.get_mut(&number) else { return };
+        task.failure = None;
+        task.not_before = self.now;
+        self.hold(number);
+    }
+
+    /// Answers with the failure of the last attempt.
+    pub(crate) fn fail(&mut self, number: u64) {
+        let Some(task) = self.tasks.get_mut(&number) else { return };
+        let (class, reached) = (task.class, task.reached);
+        let failure = task.failure.take().unwrap_or_else(|| Failure::unknown(504));
+        // An instance that did not run it says nothing of the ones before.
+        let failure = if failure.outcome == Outcome::NotRun && reached { Failure::unknown(504) } else { failure };
+        if class == Class::Once {
+            self.release(number);
+        }
+        let Failure { outcome, status, retry_after, head, body } = failure;
+        self.answer(number, outcome, status, retry_after, head, body);
+    }
+
+    pub(crate) fn grant_pass(&mut self) {
+        let now = self.now;
+        let overdue = |place: &Place| matches!(place, Place::AwaitingGrant { until } if now >= *until);
+        let waiting = self.tasks.iter().filter(|(_, task)| overdue(&task.place));
+        let waiting: Vec<u64> = waiting.map(|(number, _)| *number).collect();
+        waiting.into_iter().for_each(|number| self.fail(number));
+    }
+}
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -23,6 +23,7 @@
     pub(crate) fn tick(&mut self) {
         self.handover_pass();
         self.keeping_pass();
+        self.grant_pass();
         self.expire_pass();
         self.ledger_pass();
         self.deferred_pass();
--- a/crates/traffic/src/verdicts.rs
+++ b/crates/traffic/src/verdicts.rs
@@ -3,7 +3,7 @@
 
 use crate::desk::Desk;
 use crate::home::Home;
-use crate::home_types::HomeOutput;
+use crate::home_types::{Failure, HomeOutput};
 use crate::instance::InstanceEvent;
 use bindings::Class;
 use dispatch::Verdict;
@@ -36,11 +36,10 @@
                 if leaves { self.send_back(number) } else { self.hold(number) }
             }
             (Verdict::NotRun { .. }, Class::Ordinary | Class::Single | Class::Once) => {
-                if !self.try_again(number, false) {
-                    let wait = |desk: &Desk| desk.expected_wait(now, desk.held.len());
-                    let wait = self.desks.get(&name).map_or(Duration::ZERO, wait);
-                    self.give_up(number, wait);
-                }
+                let wait = |desk: &Desk| desk.expected_wait(now, desk.held.len());
+                let wait = self.desks.get(&name).map_or(Duration::ZERO, wait);
+                let again = self.time_to_come_back(number, wait);
+                self.try_again(number, false, Failure::not_run(again));
             }
             (Verdict::Whole { status, head, body, .. }, Class::Once) => {
                 let answer = stored(status, &head, &body);
@@ -54,15 +53,17 @@
             }
             (Verdict::Whole { status, head, body, turned_away }, Class::Ordinary | Class::Single) => {
                 let failed = status >= 500 && status != 504;
-                let again = class == Class::Ordinary && (turned_away || failed) && self.try_again(number, !turned_away);
-                if !again {
+                if class == Class::Ordinary && (turned_away || failed) {
+                    self.try_again(number, !turned_away, Failure::answered(status, head, body));
+                } else {
                     self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
                 }
             }
             (Verdict::InDoubt { late, .. }, Class::Ordinary | Class::Single) => {
-                if class == Class::Single || !self.try_again(number, true) {
-                    let status = if late { 504 } else { 502 };
-                    self.answer_own(number, Outcome::Unknown, status, Duration::ZERO);
+                let status = if late { 504 } else { 502 };
+                match class {
+                    Class::Single => self.answer_own(number, Outcome::Unknown, status, Duration::ZERO),
+                    _ => self.try_again(number, true, Failure::unknown(status)),
                 }
             }
             (Verdict::Whole { status, head, body, turned_away }, Class::Deferred) if status < 500 && !turned_away => {
@@ -121,22 +122,6 @@
         }
     }
 
-    /// Holds a task for another instance, while its time, its attempts and the budget last.
-    fn try_again(&mut self, number: u64, may_have_run: bool) -> bool {
-        let now = self.now;
-        let margin = self.timing.margin;
-        let Some(task) = self.tasks.get_mut(&number) else { return false };
-        let Some(desk) = self.desks.get_mut(&task.function) else { return false };
-        task.reached |= may_have_run;
-        let late = now + margin + desk.least_time() > task.due;
-        if late || task.dispatches >= task.attempts || !desk.budget.may_second(now) {
-            return false;
-        }
-        task.not_before = now;
-        self.hold(number);
-        true
-    }
-
     /// Another instance answers at its address: that one takes connections, so there is no more to look.
     fn replaced(&mut self, name: &str, instance_id: &str) {
         if let Some(instance) = self.desks.get_mut(name).and_then(|desk| desk.instances.get_mut(instance_id)) {
--- /dev/null
+++ b/crates/traffic/tests/attempts.rs
@@ -0,0 +1,263 @@
+//! No request is sent to more instances than its route allows, whatever becomes of homes and links:
+//! a front and the homes it forwards to, with the messages between them passed, lost or repeated by hand.
+
+mod common;
+
+use common::{ME, OTHER, ms, reply, roster};
+use std::rc::Rc;
+use test_case::test_case;
+use traffic::{Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming, Verdict};
+use wire::{CarryMsg, HomeTable, NodeId, Outcome, SlotLine};
+
+const THIRD: NodeId = 3;
+
+fn book(class: &str, attempts: u32) -> Rc<bindings::Book> {
+    let binding = format!(
+        r#"{{"route":"/t/f","function":"f","class":"{class}","attempts":{attempts},"instance_limit":4,"deadline_ms":4000}}"#
+    );
+    Rc::new(bindings::Book::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
+}
+
+fn front(attempts: u32) -> Front {
+    let mut front = Front::new(ME, 1, FrontLimits::default());
+    front.step(ms(0), true, FrontInput::Book { book: book("ordinary", attempts) });
+    front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[OTHER]) });
+    front.step(ms(0), true, FrontInput::Link { id: OTHER, up: true });
+    front.step(ms(0), true, FrontInput::Link { id: THIRD, up: true });
+    front
+}
+
+/// A home with four instances.
+fn home(id: NodeId, attempts: u32) -> Home {
+    let mut home = Home::new(id, 1, HomeTiming::default());
+    home.step(ms(0), true, HomeInput::Book { book: book("ordinary", attempts) });
+    home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[9]) });
+    home.step(ms(0), true, HomeInput::Roster { roster: roster(2, &[id]) });
+    let slot = |instance: u32| SlotLine {
+        instance: format!("i{instance}").as_str().into(),
+        address: format!("127.0.0.1:{instance}").as_str().into(),
+        ready: 1,
+        busy: 0,
+    };
+    let slots = vec![slot(1), slot(2), slot(3), slot(4)].into();
+    let table = HomeTable { function: "t/f".into(), roster: 2, slots, requests: 100, ..HomeTable::default() };
+    home.step(ms(1), true, HomeInput::Carry { from: 9, message: CarryMsg::Table { table } });
+    home
+}
+
+fn forwarded(outputs: &[FrontOutput]) -> Option<(u64, CarryMsg)> {
+    outputs.iter().find_map(|output| match output {
+        FrontOutput::Carry { message: message @ CarryMsg::Forward { request }, .. } => {
+            Some((request.task, message.clone()))
+        }
+        _ => None,
+    })
+}
+
+fn give(home: &mut Home, at: u64, message: CarryMsg) -> Vec<HomeOutput> {
+    home.step(ms(at), true, HomeInput::Carry { from: ME, message })
+}
+
+fn sent(outputs: &[HomeOutput]) -> Option<u64> {
+    outputs.iter().find_map(|output| match output {
+        HomeOutput::Dispatch(order) => Some(order.number),
+        _ => None,
+    })
+}
+
+fn to_front(outputs: &[HomeOutput]) -> Option<CarryMsg> {
+    outputs.iter().find_map(|output| match output {
+        HomeOutput::Carry { to: ME, message } if !matches!(message, CarryMsg::Beat) => Some(message.clone()),
+        _ => None,
+    })
+}
+
+fn fails(home: &mut Home, at: u64, outputs: &[HomeOutput], verdict: Verdict) -> Vec<HomeOutput> {
+    let number = sent(outputs).expect("sent to an instance");
+    home.step(ms(at), true, HomeInput::Dispatched { number, verdict })
+}
+
+fn garbled() -> Verdict {
+    Verdict::InDoubt { told: "garbled".into(), late: false }
+}
+
+fn failed() -> Verdict {
+    Verdict::Whole { status: 500, head: Vec::new(), body: b"first".to_vec(), turned_away: false }
+}
+
+fn tell(front: &mut Front, from: NodeId, at: u64, message: CarryMsg) -> Vec<FrontOutput> {
+    front.step(ms(at), true, FrontInput::Carried { from, message })
+}
+
+fn granted(outputs: &[FrontOutput]) -> Option<u32> {
+    outputs.iter().find_map(|output| match output {
+        FrontOutput::Carry { message: CarryMsg::AttemptGrant { attempts, .. }, .. } => Some(*attempts),
+        _ => None,
+    })
+}
+
+fn grant(task: u64, attempts: u32) -> CarryMsg {
+    CarryMsg::AttemptGrant { task, attempts }
+}
+
+/// The links are reset while an instance runs the request, and the next one garbles its answer too.
+#[test]
+fn two_homes_in_a_row_send_it_to_no_more_instances_than_its_route_allows() {
+    let mut front = front(2);
+    let (_, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let mut first = home(OTHER, 2);
+    let one = give(&mut first, 6, message);
+    assert!(sent(&one).is_some());
+    front.step(ms(10), true, FrontInput::Link { id: OTHER, up: false });
+    let outputs = front.step(ms(20), true, FrontInput::Roster { roster: roster(3, &[THIRD]) });
+    let (_, message) = forwarded(&outputs).expect("forwarded again");
+    let mut second = home(THIRD, 2);
+    let two = give(&mut second, 21, message);
+    assert!(sent(&two).is_some());
+    for (home, outputs, from) in [(&mut first, &one, OTHER), (&mut second, &two, THIRD)] {
+        let outputs = fails(home, 40, outputs, garbled());
+        assert_eq!(sent(&outputs), None, "a third instance");
+        let ask = to_front(&outputs).expect("asks for a third attempt");
+        let outputs = tell(&mut front, from, 41, ask);
+        let most = granted(&outputs).expect("told");
+        assert!(most <= 1, "{most} granted to each of two homes");
+    }
+}
+
+#[test]
+fn a_home_may_send_it_again_once_its_front_grants_it() {
+    let mut front = front(2);
+    let (task, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let mut home = home(OTHER, 2);
+    let outputs = give(&mut home, 6, message);
+    let outputs = fails(&mut home, 20, &outputs, garbled());
+    let ask = to_front(&outputs).expect("asks");
+    assert_eq!(ask, CarryMsg::AttemptAsk { task, attempts: 2 });
+    for at in [21, 22] {
+        assert_eq!(granted(&tell(&mut front, OTHER, at, ask.clone())), Some(2), "however often the frame comes");
+    }
+    let outputs = give(&mut home, 23, grant(task, 2));
+    assert!(sent(&outputs).is_some());
+    assert_eq!(sent(&give(&mut home, 24, grant(task, 2))), None, "the grant came twice");
+    let outputs = fails(&mut home, 30, &outputs, failed());
+    let answer = to_front(&outputs);
+    assert!(matches!(answer, Some(CarryMsg::Answer { status: 500, .. })), "no attempt is left: {answer:?}");
+}
+
+#[test_case(Some(0), 25; "refused")]
+#[test_case(None, 400; "unanswered")]
+fn without_a_grant_the_failure_is_the_answer(told: Option<u32>, at: u64) {
+    let mut front = front(2);
+    let (task, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let mut home = home(OTHER, 2);
+    let outputs = give(&mut home, 6, message);
+    let outputs = fails(&mut home, 20, &outputs, failed());
+    assert!(matches!(to_front(&outputs), Some(CarryMsg::AttemptAsk { .. })));
+    let outputs = match told {
+        Some(attempts) => give(&mut home, at, grant(task, attempts)),
+        None => home.step(ms(at), true, HomeInput::Tick),
+    };
+    let answer = to_front(&outputs);
+    let Some(CarryMsg::Answer { outcome, status, body, .. }) = answer else { panic!("{answer:?}") };
+    assert_eq!((outcome, status, body.as_slice()), (Outcome::Answered, 500, b"first".as_slice()));
+    assert_eq!(sent(&give(&mut home, at + 5, grant(task, 2))), None, "a grant after the answer");
+}
+
+/// A front that lost two homes has no attempt left to grant.
+#[test]
+fn with_no_attempt_left_the_caller_is_told_at_once() {
+    let mut front = front(2);
+    assert!(forwarded(&common::ask(&mut front, 5, true, "/t/f")).is_some());
+    let outputs = front.step(ms(20), true, FrontInput::Roster { roster: roster(2, &[THIRD]) });
+    assert!(forwarded(&outputs).is_some());
+    let outputs = front.step(ms(40), true, FrontInput::Roster { roster: roster(3, &[OTHER]) });
+    assert_eq!(forwarded(&outputs), None);
+    let told = reply(&outputs).expect("told at once");
+    assert_eq!((told.outcome, told.status), (Some(Outcome::Unknown), 504));
+}
+
+/// What a home never sent is forwarded with as many attempts as before, however often it is given back.
+#[test]
+fn what_is_given_back_unsent_loses_no_attempt() {
+    let mut front = front(1);
+    let mut outputs = common::ask(&mut front, 5, true, "/t/f");
+    for at in [50, 100, 150] {
+        let (task, _) = forwarded(&outputs).expect("forwarded");
+        tell(&mut front, OTHER, at, CarryMsg::NotHome { task });
+        outputs = front.step(ms(at + 40), true, FrontInput::Tick);
+    }
+    assert!(forwarded(&outputs).is_some());
+}
+
+/// Instances that turned it away were sent it: the next home may send it to so many fewer.
+#[test]
+fn what_was_turned_away_before_it_is_given_back_stays_counted() {
+    let mut front = front(2);
+    let (task, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let mut home = home(OTHER, 2);
+    let outputs = give(&mut home, 6, message);
+    home.step(ms(10), true, HomeInput::Roster { roster: roster(3, &[THIRD]) });
+    let outputs = fails(&mut home, 20, &outputs, Verdict::NotRun { wrong_instance: false });
+    assert_eq!(to_front(&outputs), Some(CarryMsg::Returned { task, attempts: 1 }));
+}
+
+#[test]
+fn a_home_that_gives_it_back_keeps_what_it_used() {
+    let mut front = front(2);
+    let (task, _) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    tell(&mut front, OTHER, 10, CarryMsg::Returned { task, attempts: 1 });
+    let (task, _) = forwarded(&front.step(ms(50), true, FrontInput::Tick)).expect("one is left");
+    let outputs = tell(&mut front, OTHER, 60, CarryMsg::AttemptAsk { task, attempts: 2 });
+    assert_eq!(granted(&outputs), Some(1), "one was used at the home before");
+    let outputs = tell(&mut front, OTHER, 70, CarryMsg::Returned { task, attempts: 1 });
+    let told = reply(&outputs).expect("told at once");
+    assert_eq!((told.outcome, told.status, told.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
+}
+
+/// The first instance may have run it, and the second surely did not.
+#[test]
+fn a_request_that_may_have_run_is_not_called_not_run_by_the_last_instance() {
+    let mut front = front(2);
+    let (task, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let mut home = home(OTHER, 2);
+    let outputs = give(&mut home, 6, message);
+    fails(&mut home, 20, &outputs, garbled());
+    let outputs = give(&mut home, 21, grant(task, 2));
+    let outputs = fails(&mut home, 30, &outputs, Verdict::NotRun { wrong_instance: false });
+    let answer = to_front(&outputs);
+    assert!(matches!(answer, Some(CarryMsg::Answer { outcome: Outcome::Unknown, status: 504, .. })), "{answer:?}");
+}
+
+/// Its function moves while an instance has it: no further attempt is made here, and its caller is not
+/// kept waiting for one.
+#[test]
+fn a_home_that_leaves_answers_a_failed_attempt_at_once() {
+    let mut front = front(2);
+    let (_, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let mut home = home(OTHER, 2);
+    let outputs = give(&mut home, 6, message);
+    home.step(ms(10), true, HomeInput::Roster { roster: roster(3, &[THIRD]) });
+    let outputs = fails(&mut home, 20, &outputs, failed());
+    let answer = to_front(&outputs);
+    assert!(matches!(answer, Some(CarryMsg::Answer { status: 500, .. })), "{answer:?}");
+}
+
+/// A front of the format before counts nothing: its home makes as many attempts as the binding allows.
+#[test]
+fn a_front_that_does_not_count_is_asked_for_nothing() {
+    let mut home = home(OTHER, 2);
+    let message = CarryMsg::Carry {
+        task: 7,
+        function: "t/f".into(),
+        binding: "t/f".into(),
+        left_ms: 4000,
+        tries: 0,
+        respond_async: 0,
+        key: "a".into(),
+        head: wire::to_bytes(&wire::RequestHead::default()).into(),
+        body: Vec::new().into(),
+    };
+    let outputs = give(&mut home, 6, message);
+    let outputs = fails(&mut home, 20, &outputs, failed());
+    assert!(sent(&outputs).is_some(), "{outputs:?}");
+}
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -55,7 +55,7 @@
 
 pub fn carry(outputs: &[FrontOutput]) -> (u64, CarryMsg) {
     match &outputs[0] {
-        FrontOutput::Carry { message: message @ CarryMsg::Carry { task, .. }, .. } => (*task, message.clone()),
+        FrontOutput::Carry { message: message @ CarryMsg::Forward { request }, .. } => (request.task, message.clone()),
         other => panic!("not a carry: {other:?}"),
     }
 }
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -32,7 +32,7 @@
     let again = front.step(ms(40), true, FrontInput::Link { id: OTHER, up: true });
     assert!(again.is_empty());
     let (task, message) = carry(&front.step(ms(60), true, FrontInput::Tick));
-    assert!(matches!(message, CarryMsg::Carry { tries: 1, .. }));
+    assert!(matches!(message, CarryMsg::Forward { request } if request.tries == 1));
     let told = front.step(ms(70), true, answer(task, Outcome::NotRun, 503));
     assert_eq!(reply(&told).map(|r| (r.outcome, r.status)), Some((Some(Outcome::Unknown), 504)));
 }
--- a/crates/traffic/tests/watching.rs
+++ b/crates/traffic/tests/watching.rs
@@ -51,7 +51,7 @@
     assert_eq!(watches(&ask(&mut front, 6, true, "/t/f")), 0, "asked just now");
     let carried = front.step(ms(9), true, FrontInput::Link { id: OTHER, up: true });
     assert_eq!(carried.len(), 2);
-    assert!(carried.iter().all(|o| matches!(o, FrontOutput::Carry { message: CarryMsg::Carry { .. }, .. })));
+    assert!(carried.iter().all(|o| matches!(o, FrontOutput::Carry { message: CarryMsg::Forward { .. }, .. })));
 }
 
 #[test]
@@ -63,7 +63,9 @@
     for at in [62_000, 65_000] {
         let outputs = ask(&mut front, at, true, "/t/f");
         assert!(
-            outputs.iter().all(|output| !matches!(output, FrontOutput::Carry { message: CarryMsg::Carry { .. }, .. })),
+            outputs
+                .iter()
+                .all(|output| !matches!(output, FrontOutput::Carry { message: CarryMsg::Forward { .. }, .. })),
             "silent until heard"
         );
     }
--- a/crates/wire/src/carry.rs
+++ b/crates/wire/src/carry.rs
@@ -121,6 +121,28 @@
     pub workers_gone: List<Text>,
 }
 
+/// A request forwarded to its function's home, with the number of attempts that its front grants.
+#[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
+pub struct ForwardRequest {
+    pub task: u64,
+    pub function: Text,
+    pub binding: Text,
+    pub left_ms: u32,
+    pub tries: u8,
+    /// To how many instances the home may send it before it asks for more; `UNCOUNTED` if the front
+    /// does not count.
+    pub attempts: u32,
+    pub respond_async: u8,
+    pub key: Text,
+    pub head: Blob,
+    pub body: Blob,
+}
+
+impl ForwardRequest {
+    /// As many attempts as the binding allows.
+    pub const UNCOUNTED: u32 = 0;
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum CarryMsg {
@@ -159,11 +181,55 @@
     /// Asks for the inventory whole.
     #[deku(id = "11")]
     InventoryAsk,
+    /// `Carry` with the attempts that the front grants.
+    #[deku(id = "12")]
+    Forward { request: ForwardRequest },
+    /// A home asks a front for so many attempts in all at what was forwarded under this number.
+    #[deku(id = "13")]
+    AttemptAsk { task: u64, attempts: u32 },
+    /// The attempts granted in all at what was forwarded under this number, whether or not more were asked for.
+    #[deku(id = "14")]
+    AttemptGrant { task: u64, attempts: u32 },
+    /// `NotHome` for what was sent to so many instances, none of which ran it.
+    #[deku(id = "15")]
+    Returned { task: u64, attempts: u32 },
 }
 
 impl CarryMsg {
     /// Whether it is meant for the receiver's home; if not, it answers the receiver's front.
     pub fn is_for_home(&self) -> bool {
-        !matches!(self, CarryMsg::Answer { .. } | CarryMsg::Carried { .. } | CarryMsg::NotHome { .. } | CarryMsg::Beat)
+        !matches!(
+            self,
+            CarryMsg::Answer { .. }
+                | CarryMsg::Carried { .. }
+                | CarryMsg::NotHome { .. }
+                | CarryMsg::Returned { .. }
+                | CarryMsg::AttemptAsk { .. }
+                | CarryMsg::Beat
+        )
+    }
+
+    /// The request that is forwarded, if one is, by a front that counts its attempts or by an older one.
+    pub fn into_forwarded(self) -> Option<ForwardRequest> {
+        match self {
+            CarryMsg::Forward { request } => Some(request),
+            CarryMsg::Carry { task, function, binding, left_ms, tries, respond_async, key, head, body } => {
+                let attempts = ForwardRequest::UNCOUNTED;
+                let request = ForwardRequest {
+                    task,
+                    function,
+                    binding,
+                    left_ms,
+                    tries,
+                    attempts,
+                    respond_async,
+                    key,
+                    head,
+                    body,
+                };
+                Some(request)
+            }
+            _ => None,
+        }
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -13,11 +13,13 @@
 mod spoken;
 
 pub use carry::{
-    AnswerHead, CarryMsg, HeaderLine, HomeTable, InventoryChange, Outcome, RequestHead, SlotLine, StockLine,
-    StoredAnswer, StoredTask, WorkerRecord,
+    AnswerHead, CarryMsg, ForwardRequest, HeaderLine, HomeTable, InventoryChange, Outcome, RequestHead, SlotLine,
+    StockLine, StoredAnswer, StoredTask, WorkerRecord,
 };
 pub use chain::{ChainMsg, EntryLine, OpNo, PairLine, Seat, View};
-pub use codec::{CAPACITY, FORMAT, Frame, FrameFault, LIMIT, Message, OLDEST, decode, encode, read_frame, write_frame};
+pub use codec::{
+    ATTEMPTS, CAPACITY, FORMAT, Frame, FrameFault, LIMIT, Message, OLDEST, decode, encode, read_frame, write_frame,
+};
 pub use hold::{HoldMsg, ItemLine, StepLine};
 pub use ledger::{Capacity, ClaimRecord, ClaimState, Command, DeferredRecord, OpRecord, Receipt};
 pub use packed::{Packed, pack, unpack};
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -6,11 +6,20 @@
 //! answers that tell the time to come back in milliseconds. Format 4 brought steps and the whole
 //! configuration in packed parts, and differences of the roster; before, both came whole and unpacked.
 //! It also brought what machines can carry, fronts that ask to be beaten, and the supplier's inventory
-//! told by one home to the others.
+//! told by one home to the others. Format 5 brought forwards that tell the attempts granted, and homes
+//! that ask for more; before, each home made as many attempts as the binding allows.
 
-use crate::{CarryMsg, ChainMsg, HoldMsg, Message, PlanMsg, Text};
+use crate::codec::ATTEMPTS;
+use crate::{CarryMsg, ChainMsg, ForwardRequest, HoldMsg, Message, PlanMsg, Text};
 
 pub fn spoken(message: Message, format: u16) -> Option<Message> {
+    let message = match message {
+        message if format >= ATTEMPTS => return Some(message),
+        Message::Carry(CarryMsg::Forward { request }) => Message::Carry(uncounted(request)),
+        Message::Carry(CarryMsg::Returned { task, .. }) => Message::Carry(CarryMsg::NotHome { task }),
+        Message::Carry(CarryMsg::AttemptAsk { .. } | CarryMsg::AttemptGrant { .. }) => return None,
+        message => message,
+    };
     let message = match message {
         message if format >= 4 => return Some(message),
         Message::Hold(HoldMsg::Enrol { address, zone, ops, .. }) => Message::Hold(HoldMsg::Join { address, zone, ops }),
@@ -54,6 +63,12 @@
     }
 }
 
+/// A forward as it was told before fronts granted attempts.
+fn uncounted(request: ForwardRequest) -> CarryMsg {
+    let ForwardRequest { task, function, binding, left_ms, tries, respond_async, key, head, body, .. } = request;
+    CarryMsg::Carry { task, function, binding, left_ms, tries, respond_async, key, head, body }
+}
+
 #[cfg(test)]
 mod tests {
     use super::*;
@@ -77,6 +92,31 @@
         assert_eq!(spoken(seats.clone(), 2), Some(seats));
     }
 
+    #[test]
+    fn formats_before_five_hear_of_no_granted_attempts() {
+        let carry = CarryMsg::Carry {
+            task: 9,
+            function: "t/f".into(),
+            binding: "t/b".into(),
+            left_ms: 700,
+            tries: 1,
+            respond_async: 0,
+            key: "k".into(),
+            head: vec![1].into(),
+            body: vec![2].into(),
+        };
+        let request = carry.clone().into_forwarded().expect("a forward");
+        assert_eq!(request.attempts, ForwardRequest::UNCOUNTED);
+        let counted = CarryMsg::Forward { request: ForwardRequest { attempts: 1, ..request } };
+        let heard = |message: CarryMsg, format| spoken(Message::Carry(message), format);
+        assert_eq!(heard(counted.clone(), 4), Some(Message::Carry(carry)));
+        assert_eq!(heard(counted.clone(), 5), Some(Message::Carry(counted)));
+        let not_home = Some(Message::Carry(CarryMsg::NotHome { task: 9 }));
+        assert_eq!(heard(CarryMsg::Returned { task: 9, attempts: 1 }, 4), not_home);
+        assert_eq!(heard(CarryMsg::AttemptAsk { task: 9, attempts: 2 }, 4), None);
+        assert_eq!(heard(CarryMsg::AttemptGrant { task: 9, attempts: 2 }, 4), None);
+    }
+
     #[test]
     fn formats_before_four_fetch_the_configuration_unpacked() {
         let ask = |offset| Message::Hold(HoldMsg::PartAsk { ask: 7, whole: 1, number: 0, offset });
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -3,10 +3,25 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wire::{
-    CarryMsg, ChainMsg, EntryLine, FORMAT, Frame, HoldMsg, ItemLine, Message, OpNo, PlanMsg, Seat, StepLine, View,
-    decode, encode, from_bytes, to_bytes,
+    CarryMsg, ChainMsg, EntryLine, FORMAT, ForwardRequest, Frame, HoldMsg, ItemLine, Message, OpNo, PlanMsg, Seat,
+    StepLine, View, decode, encode, from_bytes, to_bytes,
 };
 
+fn forward() -> ForwardRequest {
+    ForwardRequest {
+        task: 5,
+        function: "a/f".into(),
+        binding: "a/b".into(),
+        left_ms: 4000,
+        tries: 0,
+        attempts: 1,
+        respond_async: 0,
+        key: "k".into(),
+        head: vec![7; 9].into(),
+        body: vec![8; 9].into(),
+    }
+}
+
 fn samples() -> Vec<Message> {
     let view = View {
         number: 3,
@@ -24,6 +39,8 @@
         Message::Hold(HoldMsg::Stage { step }),
         Message::Hold(HoldMsg::ReadReceipt { ask: 1, state: 1, items: vec![item].into() }),
         Message::Carry(CarryMsg::NotHome { task: 5 }),
+        Message::Carry(CarryMsg::Forward { request: forward() }),
+        Message::Carry(CarryMsg::AttemptGrant { task: 5, attempts: 2 }),
         Message::Plan(PlanMsg::Receipt { ask: 1, fence: 2, state: 1, step_ms: 15_000, desired: vec![1, 2, 3].into() }),
     ]
 }
@@ -37,7 +54,7 @@
     let mut dice = ChaCha8Rng::seed_from_u64(4);
     let (mut refused, mut read) = (0, 0);
     for round in 0..60_000 {
-        let whole = frame(samples()[round % 6].clone());
+        let whole = frame(samples()[round % 8].clone());
         let mut record = to_bytes(&whole);
         for _ in 0..dice.random_range(1..6) {
             let place = dice.random_range(0..record.len());
