--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -12,6 +12,8 @@
 pub const OLDEST: u16 = 1;
 /// The format that first told what a machine can carry, and in which homes beat only whom they serve.
 pub const CAPACITY: u16 = 4;
+/// The format that first told how many attempts at a request its front grants.
+pub const ATTEMPTS: u16 = 5;
 pub const LIMIT: usize = 8 * 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
