--- a/crates/traffic/src/allowances.rs
+++ b/crates/traffic/src/allowances.rs
@@ -1,7 +1,8 @@
 //! What the fleet may do beyond serving each request once, as its users set it, and the part of it
-//! that one home takes. Homes follow each other and may know nothing of each other: three in one
+//! that one home takes. Homes follow each other and may know nothing of each other: any number in one
 //! window stay within the retry slack, two within the turn-aways.
 
+use crate::recent_homes::EarlierHomes;
 use std::time::Duration;
 
 /// A machine's clock may run fast or slow by this part: what is spent is remembered longer than the
@@ -46,8 +47,16 @@
         (requests as f64 * self.retry_ratio * PART) as usize
     }
 
-    pub fn spare(&self) -> Most {
-        Most { known: self.retry_slack / 2, at_first: self.retry_slack / 4 }
+    /// Of the slack, a home that knows all spends half. Of those that do not, each spends half of what the
+    /// one before it might: however many there are in one window, together they spend no more than the
+    /// other half. One that cannot tell how many there were spends nothing of it.
+    pub fn spare(&self, earlier: EarlierHomes) -> Most {
+        let known = self.retry_slack / 2;
+        let at_first = match earlier {
+            EarlierHomes::AtMost(homes) => known.checked_shr(homes.max(1)).unwrap_or(0),
+            EarlierHomes::Unknown => 0,
+        };
+        Most { known, at_first }
     }
 
     pub fn turned(&self) -> Most {
@@ -56,9 +65,9 @@
     }
 
     /// Counts of a copy, told as those of a home that has only its part at first left to spend.
-    pub fn as_of_a_copy(&self, requests: &mut u32, seconds: &mut u32, turned: &mut u32) {
+    pub fn as_of_a_copy(&self, earlier: EarlierHomes, requests: &mut u32, seconds: &mut u32, turned: &mut u32) {
         let kept_back = |most: Most| most.known.saturating_sub(most.at_first) as u32;
-        *seconds = (*seconds).max(self.share(*requests as usize) as u32 + kept_back(self.spare()));
+        *seconds = (*seconds).max(self.share(*requests as usize) as u32 + kept_back(self.spare(earlier)));
         *turned = (*turned).max(kept_back(self.turned()));
     }
 
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -2,6 +2,7 @@
 //! their slack, by what this home knows and by what it has to leave to homes it knows nothing of.
 
 use crate::allowances::{Allowances, Most};
+use crate::recent_homes::EarlierHomes;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -61,13 +62,17 @@
         self.own.times.clear();
         self.careful_until = now + self.careful;
     }
+    /// What others spent up to now is still not known; what this home spent since then counts on.
+    pub fn stay_careful(&mut self, now: Duration) {
+        self.careful_until = now + self.careful;
+    }
     /// Another home told of what it had spent at a moment; `whole` if it has spent nothing since.
     pub fn take_over(&mut self, now: Duration, at: Duration, count: usize, whole: bool) {
         self.all.insert(at, count);
         if whole {
             self.careful_until = now;
         } else {
-            self.be_careful(now);
+            self.stay_careful(now);
         }
     }
     /// Room by all that is known here, as if nobody else had been home lately.
@@ -92,20 +97,21 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     allowances: Allowances,
+    earlier: EarlierHomes,
     requests: Window,
     own_requests: Window,
     seconds: Spent,
 }
 
 impl Budget {
-    /// A home that does not know what was spent before it came spends only its own part, for one
-    /// window's length: half the slack and twice a quarter are what three homes in one window may
-    /// spend, with its share of what each was asked.
+    /// A home that does not know what was spent before it came spends only its own part for one window's
+    /// length, with its share of what it was asked itself.
     pub fn new(now: Duration, allowances: &Allowances) -> Budget {
         let (credited, remembered) =
             (Allowances::credited(allowances.retry_window), Allowances::remembered(allowances.retry_window));
         Budget {
             allowances: allowances.clone(),
+            earlier: EarlierHomes::AtMost(1),
             requests: Window::new(credited),
             own_requests: Window::new(credited),
             seconds: Spent::new(now, remembered, remembered),
@@ -125,7 +131,7 @@
     }
 
     fn most(&mut self, now: Duration) -> Most {
-        let spare = self.allowances.spare();
+        let spare = self.allowances.spare(self.earlier);
         Most {
             known: self.allowances.share(self.requests.count(now)) + spare.known,
             at_first: self.allowances.share(self.own_requests.count(now)) + spare.at_first,
@@ -166,6 +172,16 @@
         self.seconds.be_careful(now);
     }
 
+    /// How many homes may have spent in this window before this one came, as far as the rosters tell.
+    pub fn set_earlier_homes(&mut self, earlier: EarlierHomes) {
+        self.earlier = earlier;
+    }
+
+    /// Nothing was learned of what was spent before this home came.
+    pub fn stay_careful(&mut self, now: Duration) {
+        self.seconds.stay_careful(now);
+    }
+
     /// The home before told of more second tries than it had.
     pub fn learn(&mut self, now: Duration, more: u32) {
         self.seconds.learn(now, more.min(20_000) as usize);
@@ -179,9 +195,6 @@
             let came = |n: usize| at.saturating_sub(length.mul_f64(n as f64 / requests as f64));
             self.requests.times = (0..requests).rev().map(came).collect();
         }
-        if !whole {
-            self.own_requests.times.clear();
-        }
         self.seconds.take_over(now, at, seconds, whole);
     }
 }
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -31,12 +31,15 @@
                     if mine && desk.leaving.is_some() {
                         (desk.leaving, desk.taken) = (None, self.roster.number);
                         desk.begin_anew(now);
+                        let earlier = self.history.earlier_homes(now, &function.name);
+                        desk.budget.set_earlier_homes(earlier);
                         begun_anew.push(function.name.clone());
                     }
                 }
                 None if mine => {
                     event!(home_taken, "{}", function.name);
-                    let desk = Desk::new(now, function.clone(), self.roster.number, &self.timing.allowances);
+                    let mut desk = Desk::new(now, function.clone(), self.roster.number, &self.timing.allowances);
+                    desk.budget.set_earlier_homes(self.history.earlier_homes(now, &function.name));
                     self.desks.insert(function.name.clone(), desk);
                     self.take_kept(&function.name);
                     begun_anew.push(function.name.clone());
@@ -111,7 +114,7 @@
     /// Ends adoptions whose time has come, and closes desks that have nothing left to finish.
     pub(crate) fn handover_pass(&mut self) {
         let now = self.now;
-        for desk in self.desks.values_mut() {
+        for (name, desk) in &mut self.desks {
             if desk.adopting.is_some() && !self.may_serve {
                 desk.adopting = Some((now, false));
                 continue;
@@ -121,7 +124,8 @@
             {
                 desk.adopting = None;
                 desk.risk.be_careful(now);
-                desk.budget.be_careful(now);
+                desk.budget.stay_careful(now);
+                desk.budget.set_earlier_homes(self.history.earlier_homes(now, name));
                 for instance in desk.instances.values_mut() {
                     instance.allowed = (desk.function.instance_limit / 2).max(1);
                     instance.allowed_at = now;
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -2,11 +2,13 @@
 //! to. Inputs change records; passes over the table decide what is dispatched, given up, started
 //! and stopped. Nothing is dispatched without a valid pass and the home's own place in the roster.
 
+use crate::allowances::Allowances;
 use crate::desk::Desk;
 use crate::home_types::{HomeInput, HomeOutput, HomeTask, HomeTiming, Ledger, LedgerAsk, TaskId};
 use crate::inventory::Inventory;
 use crate::keeping::Kept;
 use crate::placing::Workers;
+use crate::recent_homes::RosterHistory;
 use bindings::Book;
 use holds::{Roster, first_number};
 use std::collections::BTreeMap;
@@ -23,6 +25,7 @@
     pub(crate) core_near: bool,
     pub(crate) book: Option<Rc<Book>>,
     pub(crate) roster: Rc<Roster>,
+    pub(crate) history: RosterHistory,
     pub(crate) tasks: BTreeMap<u64, HomeTask>,
     pub(crate) seen: BTreeMap<TaskId, Duration>,
     pub(crate) desks: BTreeMap<String, Desk>,
@@ -53,6 +56,7 @@
 
 impl Home {
     pub fn new(me: NodeId, incarnation: u64, timing: HomeTiming) -> Self {
+        let window = Allowances::remembered(timing.allowances.retry_window);
         Home {
             me,
             incarnation,
@@ -62,6 +66,7 @@
             core_near: false,
             book: None,
             roster: Rc::default(),
+            history: RosterHistory::new(window),
             tasks: BTreeMap::new(),
             seen: BTreeMap::new(),
             desks: BTreeMap::new(),
@@ -123,6 +128,7 @@
                 self.open_new(before);
             }
             HomeInput::Roster { roster } => {
+                self.history.add(now, roster.clone());
                 self.roster = roster;
                 self.inventory_turn();
                 self.align_desks();
--- a/crates/traffic/src/keeping.rs
+++ b/crates/traffic/src/keeping.rs
@@ -124,7 +124,9 @@
         for name in names {
             let Some(kept) = self.kept.remove(&name).filter(|kept| now < kept.at + LASTS) else { continue };
             let mut table = HomeTable { kept: 0, roster: self.roster.number, begun_whole: 0, ..kept.table };
-            self.timing.allowances.as_of_a_copy(&mut table.requests, &mut table.seconds, &mut table.turned);
+            let earlier = self.history.earlier_homes(now, &name);
+            let allowances = &self.timing.allowances;
+            allowances.as_of_a_copy(earlier, &mut table.requests, &mut table.seconds, &mut table.turned);
             self.outs.push(HomeOutput::Carry { to: kept.from, message: CarryMsg::Table { table } });
         }
     }
@@ -145,6 +147,7 @@
         let Some(desk) = self.desks.get_mut(table.function.as_str()) else { return };
         if desk.adopting.take().is_some() {
             let at = copied.unwrap_or(now);
+            desk.budget.set_earlier_homes(self.history.earlier_homes(now, table.function.as_str()));
             desk.budget.take_over(now, at, table.requests, table.seconds, copied.is_none());
             desk.risk.take_over(now, at, table.turned);
             desk.sent_tasks = SentTasks::from_table(table.begun_whole != 0, table.begun.iter().map(|id| id.as_str()));
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -1,6 +1,8 @@
 //! A home of one deferred function, the tasks sent to it, and the store as it reads it.
 
 use super::{ME, OTHER, ms, roster};
+use holds::Roster;
+use std::rc::Rc;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{CarryMsg, HoldMsg, HomeTable, ItemLine, RequestHead, SlotLine, StoredTask};
 
@@ -12,11 +14,16 @@
 }
 
 pub fn home_of(id: u64, roster_number: u64) -> Home {
+    router(id, roster(roster_number, &[id]))
+}
+
+/// A router that begins with this roster, home or not.
+pub fn router(id: u64, first: Rc<Roster>) -> Home {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"deferred"}"#;
     let book = bindings::Book::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
     let mut home = Home::new(id, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::Book { book: std::rc::Rc::new(book) });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(roster_number, &[id]) });
+    home.step(ms(0), true, HomeInput::Book { book: Rc::new(book) });
+    home.step(ms(0), true, HomeInput::Roster { roster: first });
     home.step(ms(0), true, HomeInput::Core { near: true });
     home
 }
--- /dev/null
+++ b/crates/traffic/tests/recent_homes.rs
@@ -0,0 +1,95 @@
+//! Homes that follow each other within one retry window and know nothing of what each other spent.
+
+mod common;
+
+use common::deferred::{FUNCTION, read, router, sent, table};
+use common::{ms, roster};
+use std::time::Duration;
+use traffic::{Budget, EarlierHomes, HomeInput, RosterHistory};
+use wire::{CarryMsg, HomeTable, SlotLine};
+
+const SLACK: usize = 60;
+const BEFORE_ALL: u64 = 90;
+const WINDOW: Duration = Duration::from_secs(10);
+
+/// A copy made before anything was spent, with room for a whole backlog.
+fn empty_copy(roster_number: u64) -> CarryMsg {
+    let slot = |n: u32| SlotLine {
+        instance: format!("i{n}").as_str().into(),
+        address: format!("127.0.0.1:{n}").as_str().into(),
+        ready: 1,
+        busy: 0,
+    };
+    let slots: Vec<SlotLine> = (0..20).map(slot).collect();
+    CarryMsg::Table { table: HomeTable { kept: 1, slots: slots.into(), ..table(roster_number) } }
+}
+
+/// Each is home for a second, sends all that it may of a backlog in doubt, and is killed.
+#[test]
+fn any_number_of_homes_in_one_window_stay_within_the_slack() {
+    let backlog: Vec<u64> = (0..100).collect();
+    let homes = 8;
+    let mut retries = Vec::new();
+    for id in 1..=homes {
+        let mut home = router(id, roster(1, &[BEFORE_ALL]));
+        let mut before = BEFORE_ALL;
+        for (number, next) in (2..).zip(1..id) {
+            home.step(ms(20_000 + next * 1000), true, HomeInput::Roster { roster: roster(number, &[next]) });
+            before = next;
+        }
+        let at = 20_000 + id * 1000;
+        home.step(ms(at - 10), true, HomeInput::Carry { from: before, message: empty_copy(id) });
+        home.step(ms(at), true, HomeInput::Roster { roster: roster(id + 1, &[id]) });
+        let mut spent = sent(&read(&mut home, at + 1, &backlog));
+        for later in (at + 40..at + 1000).step_by(40) {
+            spent += sent(&home.step(ms(later), true, HomeInput::Tick));
+        }
+        assert_eq!(home.status()["functions"][FUNCTION]["second_tries_10s"].as_u64(), Some(spent as u64));
+        retries.push(spent);
+    }
+    assert!(retries.iter().sum::<usize>() + SLACK / 2 <= SLACK, "besides the half that a home before may have spent");
+    assert!(retries[0] >= SLACK / 4, "the first goes on: {retries:?}");
+}
+
+fn most_at_first(earlier: EarlierHomes) -> usize {
+    let mut budget = Budget::new(ms(0), &traffic::Allowances::default());
+    budget.set_earlier_homes(earlier);
+    (0..100).filter(|at| budget.try_second(ms(*at))).count()
+}
+
+#[test]
+fn each_home_may_spend_half_of_what_the_one_before_it_might() {
+    let spent: Vec<usize> = (1..7).map(|homes| most_at_first(EarlierHomes::AtMost(homes))).collect();
+    assert_eq!(spent, [15, 7, 3, 1, 0, 0]);
+    assert_eq!(most_at_first(EarlierHomes::AtMost(u32::MAX)), 0);
+    assert_eq!(most_at_first(EarlierHomes::Unknown), 0);
+}
+
+#[test]
+fn a_machine_that_has_just_started_cannot_tell_how_many_homes_there_were() {
+    let mut history = RosterHistory::new(WINDOW);
+    assert_eq!(history.earlier_homes(ms(20_000), FUNCTION), EarlierHomes::Unknown);
+    history.add(ms(500), roster(7, &[1]));
+    assert_eq!(history.earlier_homes(ms(10_000), FUNCTION), EarlierHomes::Unknown);
+    assert_eq!(history.earlier_homes(ms(10_501), FUNCTION), EarlierHomes::AtMost(0));
+}
+
+#[test]
+fn homes_are_counted_by_the_rosters_of_the_last_window() {
+    let mut history = RosterHistory::new(WINDOW);
+    history.add(ms(0), roster(1, &[1]));
+    history.add(ms(20_000), roster(2, &[2]));
+    history.add(ms(21_000), roster(3, &[2]));
+    history.add(ms(22_000), roster(4, &[1]));
+    assert_eq!(history.earlier_homes(ms(23_000), FUNCTION), EarlierHomes::AtMost(2), "one changed nothing");
+    history.add(ms(24_000), roster(7, &[1]));
+    assert_eq!(history.earlier_homes(ms(24_000), FUNCTION), EarlierHomes::AtMost(5), "two were never seen");
+    let mut again = (*roster(8, &[1])).clone();
+    let mut members = again.members.into_vec();
+    members[0].incarnation = 2;
+    again.members = members.into();
+    history.add(ms(25_000), again.into());
+    assert_eq!(history.earlier_homes(ms(25_000), FUNCTION), EarlierHomes::AtMost(6), "the same, begun anew");
+    assert_eq!(history.earlier_homes(ms(30_001), FUNCTION), EarlierHomes::AtMost(5), "the first was long ago");
+    assert_eq!(history.earlier_homes(ms(35_001), FUNCTION), EarlierHomes::AtMost(0));
+}
