--- a/crates/control/src/api_calls.rs
+++ b/crates/control/src/api_calls.rs
@@ -14,9 +14,11 @@
         items: Vec<ItemLine>,
         dry: bool,
     },
-    /// The latest revision, in force or not, and some of its resources as this registry has them.
+    /// The latest revision, in force or not, and some of its resources, as far as this registry knows
+    /// them to be committed. It is answered once that revision is at least `revision`.
     Latest {
         keys: Vec<String>,
+        revision: u64,
     },
     Configuration {
         scope: String,
@@ -27,6 +29,17 @@
     Status,
 }
 
+impl ApiCall {
+    /// The revision that must be committed here before the call can be judged by this registry's state.
+    pub(crate) fn builds_on(&self) -> Option<u64> {
+        match self {
+            ApiCall::Latest { revision, .. } => Some(*revision),
+            ApiCall::Change { dry: true, base, .. } => Some(base.unwrap_or_default()),
+            _ => None,
+        }
+    }
+}
+
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiReply {
     pub status: u16,
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -4,9 +4,11 @@
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::entering::Duty;
+use crate::judging::BehindCall;
 use crate::keys;
-use crate::operators::{Activation, ReadJob};
+use crate::operators::Activation;
 use crate::parts::PackedSteps;
+use crate::reading::ReadJob;
 use crate::rosters::Rosters;
 use chain::{Batch, Input, Member, Output, State};
 use holds::Sessions;
@@ -70,8 +72,17 @@
 
 pub enum Wait {
     Duty(Duty),
-    Router { to: NodeId, ask: u64 },
-    Change { ask: u64, op: String, body: Vec<u8> },
+    Router {
+        to: NodeId,
+        ask: u64,
+    },
+    /// `again`: it was entered before, in an earlier view, and may be in the log already.
+    Change {
+        ask: u64,
+        op: String,
+        body: Vec<u8>,
+        again: bool,
+    },
 }
 
 pub struct Core {
@@ -90,6 +101,7 @@
     pub(crate) open: BTreeSet<Duty>,
     pub(crate) next_op: u64,
     pub(crate) reads: BTreeMap<u64, ReadJob>,
+    pub(crate) behind: Vec<BehindCall>,
     pub(crate) activations: Vec<Activation>,
     pub(crate) effective: u64,
     pub(crate) ticked: Duration,
@@ -122,6 +134,7 @@
             open: BTreeSet::new(),
             next_op: first_op,
             reads: BTreeMap::new(),
+            behind: Vec::new(),
             activations: Vec::new(),
             effective: 0,
             ticked: Duration::ZERO,
--- a/crates/control/src/entering.rs
+++ b/crates/control/src/entering.rs
@@ -26,8 +26,9 @@
         self.waits.retain(|_, (wait, _)| !matches!(wait, Wait::Duty(_)));
         self.open.clear();
         let again = self.waits.extract_if(.., |_, (wait, _)| matches!(wait, Wait::Change { .. }));
-        for (_, (wait, due)) in again.collect::<Vec<_>>() {
-            let Wait::Change { body, .. } = &wait else { continue };
+        for (_, (mut wait, due)) in again.collect::<Vec<_>>() {
+            let Wait::Change { body, again, .. } = &mut wait else { continue };
+            *again = true;
             let body = body.clone();
             self.next_op += 1;
             let number = self.next_op;
@@ -58,7 +59,7 @@
                 let message = HoldMsg::EnterReceipt { ask, state: entered as u8, body: receipt.into() };
                 self.outs.push(CoreOutput::Router { to, message });
             }
-            Wait::Change { ask, op, .. } => self.change_done(ask, op, entered, &receipt),
+            Wait::Change { ask, op, again, .. } => self.change_done(ask, op, again, entered, &receipt),
         }
     }
 }
--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -43,6 +43,7 @@
             self.outs.push(CoreOutput::Activated { step: active });
             self.activated(active);
         }
+        self.judge_behind();
         let tail = self.member.is_current_tail();
         if !tail {
             self.tail_since = None;
--- /dev/null
+++ b/crates/control/src/judging.rs
@@ -0,0 +1,60 @@
+//! Calls that a registry judges by its own state: what it knows of the latest revision, and dry runs. They
+//! see only what is committed, and wait a little where this registry is behind the revision they build on.
+
+use crate::api_calls::{ApiCall, ApiReply};
+use crate::apply_change::{self, Change};
+use crate::core::Core;
+use crate::keys;
+use serde_json::{Map, Value, json};
+use std::time::Duration;
+
+/// How long a call waits for the revision that it builds on to be committed here.
+pub(crate) const BEHIND: Duration = Duration::from_millis(600);
+
+/// A call to be judged by this registry's state once that is new enough.
+pub struct BehindCall {
+    pub ask: u64,
+    pub call: ApiCall,
+    pub due: Duration,
+}
+
+impl Core {
+    /// Answers the calls whose revision is committed here by now, and those that have waited for long: a
+    /// registry that is behind can't tell whether a change fits, and must refuse none.
+    pub(crate) fn judge_behind(&mut self) {
+        if self.behind.is_empty() {
+            return;
+        }
+        let revision = keys::number(self.state(), keys::LATEST_REVISION);
+        for waiting in std::mem::take(&mut self.behind) {
+            let is_new_enough = waiting.call.builds_on().is_none_or(|needed| needed <= revision);
+            match waiting.call {
+                ApiCall::Latest { keys, .. } if is_new_enough || self.now > waiting.due => {
+                    let reply = self.latest(&keys);
+                    self.reply(waiting.ask, reply);
+                }
+                ApiCall::Change { base, revision, whole, scope, items, .. } if is_new_enough => {
+                    let (revision, scope, items) = (revision.unwrap_or_default(), scope.as_str(), items.as_slice());
+                    let change = Change { base, revision, whole, scope, items };
+                    let reply = apply_change::dry_run(self.state(), &change);
+                    self.reply(waiting.ask, reply);
+                }
+                _ if self.now > waiting.due => self.busy(waiting.ask, "this registry does not know that revision"),
+                call => self.behind.push(BehindCall { call, ..waiting }),
+            }
+        }
+    }
+
+    fn latest(&self, keys: &[String]) -> ApiReply {
+        let state = self.state();
+        let read = |key: &String| {
+            let raw = state.get(&format!("{}{key}", keys::LATEST_PAIRS))?;
+            Some((key.clone(), serde_json::from_slice::<Value>(raw).ok()?))
+        };
+        let items: Map<String, Value> = keys.iter().filter_map(read).collect();
+        let revision = keys::number(state, keys::LATEST_REVISION);
+        let mut reply = ApiReply::new(200, json!({"revision": revision, "items": items}));
+        reply.revision = Some(revision);
+        reply
+    }
+}
--- /dev/null
+++ b/crates/control/src/reading.rs
@@ -0,0 +1,100 @@
+//! Reads of the whole configuration, from the tail, page by page and all of one step. A read that is slow
+//! is begun anew; a page that answers an earlier ask is left aside, since pages before it may be missing.
+
+use crate::api_calls::ApiReply;
+use crate::core::{Core, CoreOutput};
+use crate::keys;
+use bindings::Kind;
+use chain::State;
+use serde_json::{Map, Value, json};
+use std::collections::BTreeMap;
+use std::time::Duration;
+use wire::{HoldMsg, ItemLine};
+
+const READ_AGAIN: Duration = Duration::from_millis(400);
+
+pub struct ReadJob {
+    /// The number under which the newest page was asked for; answers to earlier asks are not for it.
+    pub page_ask: u64,
+    pub scope: String,
+    pub step: Option<u64>,
+    pub pairs: BTreeMap<String, Vec<u8>>,
+    pub asked: Duration,
+    pub due: Duration,
+}
+
+impl Core {
+    pub(crate) fn tick_reads(&mut self) {
+        let now = self.now;
+        let asks: Vec<u64> = self.reads.keys().copied().collect();
+        for ask in asks {
+            let Some(read) = self.reads.get(&ask) else { continue };
+            if now > read.due {
+                self.reads.remove(&ask);
+                self.busy(ask, "the tail could not be reached in time");
+            } else if now > read.asked + READ_AGAIN {
+                self.read_on(ask, String::new());
+            }
+        }
+    }
+
+    pub(crate) fn read_on(&mut self, ask: u64, from: String) {
+        let Some(tail) = self.member.view().chain.as_slice().last().copied() else { return };
+        self.next_op += 1;
+        if let Some(read) = self.reads.get_mut(&ask) {
+            read.asked = self.now;
+            read.page_ask = self.next_op;
+            if from.is_empty() {
+                read.step = None;
+                read.pairs.clear();
+            }
+            let message = HoldMsg::FetchAll { ask: read.page_ask, from: from.into() };
+            self.outs.push(CoreOutput::Router { to: tail, message });
+        }
+    }
+
+    pub(crate) fn on_piece(&mut self, page_ask: u64, step: u64, revision: u64, items: Vec<ItemLine>, next: &str) {
+        let Some((ask, read)) = self.reads.iter_mut().find(|(_, read)| read.page_ask == page_ask) else { return };
+        let ask = *ask;
+        if read.step.is_some_and(|first| first != step) {
+            return self.read_on(ask, String::new());
+        }
+        read.step = Some(step);
+        read.pairs.extend(items.into_iter().map(|item| (item.key.as_str().to_owned(), item.value.into_vec())));
+        if !next.is_empty() {
+            return self.read_on(ask, next.to_owned());
+        }
+        if let Some(read) = self.reads.remove(&ask) {
+            let mut reply = ApiReply::new(200, document(revision, &read.scope, &read.pairs));
+            reply.revision = Some(revision);
+            self.reply(ask, reply);
+        }
+    }
+}
+
+/// The configuration in force as one data file keeps it, which may be behind the others'.
+pub fn stored_document(state: &State) -> Value {
+    let pairs = keys::with_prefix(state, keys::ACTIVE_PAIRS)
+        .map(|(key, value)| (key[keys::ACTIVE_PAIRS.len()..].to_owned(), value.to_vec()))
+        .collect();
+    document(keys::number(state, keys::ACTIVE_REVISION), "", &pairs)
+}
+
+pub fn document(revision: u64, scope: &str, pairs: &BTreeMap<String, Vec<u8>>) -> Value {
+    let mut kinds: BTreeMap<&str, Map<String, Value>> =
+        Kind::ALL.iter().map(|kind| (kind.word(), Map::new())).collect();
+    for (key, value) in pairs {
+        let Some((kind, name)) = key.split_once('/') else { continue };
+        if !scope.is_empty() && name.split('/').next() != Some(scope) {
+            continue;
+        }
+        if let Some(list) = kinds.get_mut(kind) {
+            list.insert(name.to_owned(), serde_json::from_slice(value).unwrap_or_default());
+        }
+    }
+    let mut whole = json!({"revision": revision});
+    for (kind, list) in kinds {
+        whole[kind] = Value::Object(list);
+    }
+    whole
+}
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -4,6 +4,7 @@
 mod cluster;
 
 use cluster::{Cluster, change, fetch};
+use control::ApiCall;
 use std::time::Duration;
 use test_case::test_case;
 use wire::NodeId;
@@ -101,3 +102,15 @@
         assert!(acknowledged >= 15, "{acknowledged} acknowledged with the link from {from} to {to} lost");
     }
 }
+/// What a head took in alone isn't decided, so no dry run may be refused because of it.
+#[test]
+fn a_dry_run_is_judged_by_what_is_committed() {
+    let mut cluster = Cluster::founded(3);
+    let head = cluster.chain()[0];
+    assert_eq!(cluster.ask(head, change("first", 0)).status, 200);
+    cut_off(&mut cluster, head, Cut::Both);
+    cluster.call(head, change("undecided", 1));
+    let ApiCall::Change { op, base, revision, whole, scope, items, .. } = change("other", 1) else { return };
+    let reply = cluster.ask(head, ApiCall::Change { op, base, revision, whole, scope, items, dry: true });
+    assert!(!(400..500).contains(&reply.status), "{reply:?}");
+}
