--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -1,5 +1,7 @@
 //! Judgements that the simulator and the checker of process runs share.
 
+mod linearizable;
 mod recovery;
 
+pub use linearizable::{Anomaly, Invocation, Read, Response, anomalies};
 pub use recovery::{Low, Recovery, recovery};
