--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/ending.rs
@@ -11,6 +11,7 @@
     pub fn check_end(&mut self) {
         let now = self.now;
         self.check_read_back();
+        self.check_orders();
         self.check_deferred();
         let [flooders, others] = self.callers.short_of;
         let short = match self.plan.sort {
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -11,6 +11,7 @@
 mod net;
 mod operators;
 mod registry_node;
+mod resending;
 mod router_node;
 mod router_turns;
 mod rules;
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -1,8 +1,11 @@
 //! Operators: whole configurations and patches, single, in races and in bursts, with what was
 //! acknowledged, refused and left unknown kept for the rules and the read-back at the end.
 
+use crate::chances::Sort;
+use crate::resending::Order;
 use crate::world::{Event, World};
 use control::{ApiCall, ApiReply, CoreInput};
+use judge::{Invocation, Response};
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -13,6 +16,7 @@
     pub mark: String,
     pub base: Option<u64>,
     pub invalid: bool,
+    pub sent: Duration,
 }
 
 #[derive(Default)]
@@ -28,13 +32,18 @@
     pub read: Option<Value>,
     pub last_ack: Duration,
     pub grows: bool,
+    /// All that was sent and answered, for the check of linearizability.
+    pub history: Vec<Invocation>,
+    /// Orders by their marks, kept where they are sent again.
+    pub orders: BTreeMap<String, Order>,
 }
 
 impl Operators {
-    pub fn lost_registry(&mut self, n: usize) {
+    pub fn lost_registry(&mut self, now: Duration, n: usize) {
         let gone: Vec<(usize, u64)> = self.open.keys().filter(|(registry, _)| *registry == n).copied().collect();
         for key in gone {
             if let Some(asked) = self.open.remove(&key) {
+                self.record(now, &asked, Response::Unknown);
                 self.unknown.push(asked.mark);
             }
         }
@@ -42,6 +51,12 @@
             self.reading = None;
         }
     }
+
+    pub fn record(&mut self, now: Duration, asked: &Asked, response: Response) {
+        let order = asked.mark.clone();
+        let (base, is_valid, sent, ended) = (asked.base, !asked.invalid, asked.sent, now);
+        self.history.push(Invocation { order, base, is_valid, sent, ended, response });
+    }
 }
 
 fn line(key: &str, value: Value) -> ItemLine {
@@ -50,7 +65,7 @@
 
 impl World {
     /// The bindings all runs share, under a mark that tells one configuration from another.
-    fn items(&self, mark: &str) -> Vec<ItemLine> {
+    pub(crate) fn items(&self, mark: &str) -> Vec<ItemLine> {
         let mut items: Vec<ItemLine> = (0..self.plan.functions)
             .map(|function| {
                 let class = crate::callers::CLASSES[function % 4];
@@ -68,6 +83,9 @@
         if quiet {
             return self.read_back();
         }
+        if self.plan.sort == Sort::Operators {
+            return self.operators_turn();
+        }
         let burst = self.dice.random_ratio(1, 8);
         let pause = if burst { self.dice.random_range(1..40) } else { self.dice.random_range(300..3000) };
         self.after(Duration::from_millis(pause), Event::Operator);
@@ -114,7 +132,7 @@
                 items,
                 dry: false,
             };
-            self.operators.open.insert((n, ask), Asked { mark, base, invalid });
+            self.operators.open.insert((n, ask), Asked { mark, base, invalid, sent: self.now });
             self.feed_registry(n, CoreInput::Call { ask, call });
         }
     }
@@ -129,16 +147,26 @@
         }
         let Some(asked) = self.operators.open.remove(&(n, ask)) else { return };
         let now = self.now;
+        let response = match reply.status {
+            200 => Response::Taken { revision: reply.revision.unwrap_or_default() },
+            412 => Response::Stale,
+            400..=499 => Response::Invalid,
+            _ => Response::Unknown,
+        };
+        self.operators.record(now, &asked, response);
         match reply.status {
             200 => {
                 let revision = reply.revision.unwrap_or_default();
                 if asked.invalid {
                     self.rules.tell(now, format!("invalid change {} was acknowledged", asked.mark));
                 }
-                let same_base = |(_, _, base): &(u64, String, Option<u64>)| base.is_some() && *base == asked.base;
+                let same_base = |(_, mark, base): &(u64, String, Option<u64>)| {
+                    base.is_some() && *base == asked.base && *mark != asked.mark
+                };
                 if self.operators.acked.iter().any(same_base) {
                     self.rules.tell(now, format!("two changes on revision {:?} were acknowledged", asked.base));
                 }
+                self.check_copies(&asked.mark);
                 self.operators.founded = true;
                 self.operators.revision = self.operators.revision.max(revision);
                 self.operators.last_ack = now;
@@ -152,6 +180,7 @@
                 self.operators.refused.push(asked.mark);
             }
             504 => self.operators.unknown.push(asked.mark),
+            500.. if self.plan.sort == Sort::Operators => self.operators.unknown.push(asked.mark),
             _ => self.operators.refused.push(asked.mark),
         }
     }
@@ -201,7 +230,7 @@
 }
 
 /// A change is known by a number kept in a plan of a function that is never called.
-fn mark_line(mark: &str) -> ItemLine {
+pub(crate) fn mark_line(mark: &str) -> ItemLine {
     let number: u64 = mark[1..].parse().unwrap_or_default();
     line("headcount-plans/t0/mark", json!({"fixed": number % 1000}))
 }
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -88,7 +88,7 @@
         node.life = 0;
         let id = node.id;
         self.say(|| format!("registry {n} is killed"));
-        self.operators.lost_registry(n);
+        self.operators.lost_registry(self.now, n);
         self.announce(id, false);
     }
 
