--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -42,6 +42,7 @@
             self.outs.push(CoreOutput::Activated { step: active });
             self.activated(active);
         }
+        self.judge_behind();
         let tail = self.member.is_current_tail();
         self.follow_tenure();
         let due = self.push_due || committed != self.pushed_commit || self.now >= self.pushed_at + PUSH_EVERY;
--- a/crates/sim/src/chances.rs
+++ b/crates/sim/src/chances.rs
@@ -20,9 +20,10 @@
     Flood,
     Grown,
     Resets,
+    Operators,
 }
 
-const WORDS: [(&str, Sort); 14] = [
+const WORDS: [(&str, Sort); 15] = [
     ("calm", Sort::Calm),
     ("core", Sort::Core),
     ("routers", Sort::Routers),
@@ -37,6 +38,7 @@
     ("flood", Sort::Flood),
     ("grown", Sort::Grown),
     ("resets", Sort::Resets),
+    ("operators", Sort::Operators),
 ];
 
 /// One failure and its drawing by weight: a sort names what may happen in it.
@@ -125,6 +127,20 @@
                 Worker,
                 Crowd,
             ],
+            Sort::Operators => &[
+                KillRegistry,
+                KillCore,
+                FreezeRegistry,
+                StallDisk,
+                LoseDisk,
+                StopRegistry,
+                CutOne,
+                CutCore,
+                CutInside,
+                CutInside,
+                CutPair,
+                SlowLinks,
+            ],
             Sort::Mixed | Sort::Storm => &[
                 KillRegistry,
                 KillCore,
