--- a/crates/chain/src/seats.rs
+++ b/crates/chain/src/seats.rs
@@ -32,18 +32,32 @@
         self.meta.view.fresh != 0 || lately.is_some_and(|source| source.joiner != id && !chain.contains(&source.joiner))
     }
 
-    /// The place among the voters that a joiner takes, which may be one after the last. A member that is out
-    /// of the chain but heard is about to return, and keeps its seat.
+    /// The place among the voters that a joiner takes, which may be one after the last. A member that
+    /// asks to return keeps its seat.
     fn place_of(&self, seat: &Seat) -> usize {
         let voters = self.meta.view.voters.as_slice();
-        let gone = |voter: &Seat| !self.meta.view.chain.iter().any(|id| *id == voter.id);
+        let gone = |voter: &Seat| self.is_gone(voter);
         let known = voters.iter().position(|voter| voter.id == seat.id);
         let there = || voters.iter().position(|voter| voter.address == seat.address && gone(voter));
-        let silent = |voter: &Seat| gone(voter) && self.is_suspect(voter.id);
-        let spare = || voters.iter().position(silent).filter(|_| voters.len() >= self.enough());
+        let free = |voter: &Seat| gone(voter) && !self.is_returning(voter.id);
+        let spare = || voters.iter().position(free).filter(|_| voters.len() >= self.enough());
         known.or_else(there).or_else(spare).unwrap_or(voters.len())
     }
 
+    fn is_gone(&self, voter: &Seat) -> bool {
+        !self.meta.view.chain.as_slice().contains(&voter.id)
+    }
+
+    /// Whether several heartbeats of a voter are missing.
+    fn is_quiet(&self, id: NodeId) -> bool {
+        let quiet = |(heard, _): &(Duration, bool)| self.now > *heard + self.timing.beat * 3;
+        id != self.meta.seat.id && self.heard.get(&id).is_none_or(quiet)
+    }
+
+    fn is_returning(&self, id: NodeId) -> bool {
+        self.newcomers.get(&id).is_some_and(|(_, last)| self.now < *last + RETRY * 3)
+    }
+
     /// Who asks says how long it has waited, since whoever is the tail now may not have heard it before.
     pub(crate) fn note_newcomer(&mut self, id: NodeId, waited: Duration) {
         let now = self.now;
@@ -65,6 +79,8 @@
             Some(_) => true,
             None if voters.len() >= MOST => false,
             None if voters.len() < enough => true,
+            // If a quiet voter is lost, its seat will be free soon.
+            None if voters.iter().any(|voter| self.is_quiet(voter.id)) => false,
             None => self.newcomers.get(&seat.id).is_some_and(|(first, _)| self.now >= *first + STANDS),
         }
     }
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -206,3 +206,19 @@
         assert_eq!((net.chain(1), voters(&net, 1)), (vec![1, 2, 3], vec![1, 2, 3]));
     }
 }
+
+#[test]
+fn a_newcomer_gets_no_seat_beside_that_of_a_machine_just_lost() {
+    let mut net = Net::founded();
+    net.enter(1, "kept");
+    net.settle();
+    net.seeds.insert(4, vec![1, 2, 3]);
+    net.start_founding(4, 0);
+    net.pass(2600);
+    net.members.remove(&1);
+    for _ in 0..80 {
+        net.pass(50);
+        assert_eq!(voters(&net, 2).len(), 3, "of four voters with one gone two may not be lost");
+    }
+    assert_eq!(voters(&net, 2), vec![2, 3, 4]);
+}
--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -199,8 +199,7 @@
             }
             Choice::EndLeaving(index) => {
                 self.machines[index].removed = self.machines[index].successor.is_some();
-                let spare = self.newest_view().is_some_and(|view| view.voters.as_slice().len() > self.losses * 2 + 1);
-                self.machines[index].left_in_order = self.may_stop(index) && !(spare && self.has_seat(index));
+                self.machines[index].left_in_order = self.may_stop(index) && self.has_left(index);
                 self.stop(index);
             }
             Choice::Join { replaces } => {
--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -63,6 +63,14 @@
         self.newest_view().is_some_and(|view| view.voters.iter().any(own))
     }
 
+    /// Whether no identity of a machine is in the chain, or has a seat that could be spared.
+    pub(crate) fn has_left(&self, index: usize) -> bool {
+        let Some(newest) = self.newest_view() else { return true };
+        let chained = newest.chain.iter().any(|id| machine_of(*id) == index);
+        let spare = newest.voters.as_slice().len() > self.losses * 2 + 1;
+        !chained && !(spare && self.has_seat(index))
+    }
+
     /// A new machine that was never whole is not missed, for whom it replaces is, unless it has a seat
     /// and cannot vote.
     fn is_only_arriving(&self, index: usize) -> bool {
