--- a/crates/explore/src/main.rs
+++ b/crates/explore/src/main.rs
@@ -9,7 +9,7 @@
 Usage: explore all  [--scenario S] [--depth N] [--states N] [--probe-every N] [BUDGET]
        explore walk [--scenario S] [--from N] [--count N] [--length N] [BUDGET]
 
---scenario: three, wiped, replacing, six, eight or founding [three]
+--scenario: three, wiped, learning, replacing, six, eight or founding [three]
 --plant: none, early-sync, forged-vote, lone-learner or forged-copy [none]
 BUDGET, how many of each a run may have: --entries --confirms --crashes --wipes --drops --silences
        --passes --leaves --joins";
--- a/crates/explore/src/passing.rs
+++ b/crates/explore/src/passing.rs
@@ -73,21 +73,27 @@
         if let Silence::Cut(index) = silence {
             self.frames.retain(|(from, to), _| machine_of(*from) != index && machine_of(*to) != index);
         }
-        let silent = silence.machine();
         for _ in 0..MOST_DELIVERIES {
-            let writes =
-                |index: &usize| !self.machines[*index].pending.is_empty() && silence != Silence::Frozen(*index);
-            if let Some(index) = (0..self.machines.len()).find(writes) {
-                self.land(index);
-                continue;
+            if !self.finish_next(silence) {
+                return;
             }
-            let Some((from, to)) = self.next_link(silent) else { return };
-            let Some(messages) = self.frames.get_mut(&(from, to)) else { return };
-            let message = messages.remove(0);
-            self.deliver(from, to, message);
         }
     }
 
+    /// Lands one write or delivers one message, and says whether there was any.
+    pub(crate) fn finish_next(&mut self, silence: Silence) -> bool {
+        let writes = |index: &usize| !self.machines[*index].pending.is_empty() && silence != Silence::Frozen(*index);
+        if let Some(index) = (0..self.machines.len()).find(writes) {
+            self.land(index);
+            return true;
+        }
+        let Some((from, to)) = self.next_link(silence.machine()) else { return false };
+        let Some(messages) = self.frames.get_mut(&(from, to)) else { return false };
+        let message = messages.remove(0);
+        self.deliver(from, to, message);
+        true
+    }
+
     fn next_link(&self, silent: Option<usize>) -> Option<(NodeId, NodeId)> {
         let reaches = |id: NodeId| Some(machine_of(id)) != silent;
         let mut waiting = self.frames.iter().filter(|(_, messages)| !messages.is_empty());
--- a/crates/explore/src/scenario.rs
+++ b/crates/explore/src/scenario.rs
@@ -13,7 +13,9 @@
     Three,
     /// The same, with one machine's disk just lost: it asks to join under a new identity.
     Wiped,
-    /// The same, with a fourth machine just joined, the successor of the third.
+    /// The same, at the moment when the wiped machine has been added to the chain as a learner.
+    Learning,
+    /// The same as the first, with a fourth machine just joined, the successor of the third.
     Replacing,
     /// Six machines of which two may be lost.
     Six,
@@ -28,6 +30,7 @@
         match word {
             "three" => Some(Scenario::Three),
             "wiped" => Some(Scenario::Wiped),
+            "learning" => Some(Scenario::Learning),
             "replacing" => Some(Scenario::Replacing),
             "six" => Some(Scenario::Six),
             "eight" => Some(Scenario::Eight),
@@ -55,6 +58,10 @@
         world.run_calm(2);
         match self {
             Scenario::Wiped => world.wipe(2),
+            Scenario::Learning => {
+                world.wipe(2);
+                world.run_until_learner();
+            }
             Scenario::Replacing => {
                 let successor = world.add_machine(false);
                 world.machines[2].successor = Some(successor);
@@ -76,4 +83,15 @@
             self.note_recovered();
         }
     }
+
+    fn run_until_learner(&mut self) {
+        let learning = |world: &World| world.newest_view().is_some_and(|view| view.fresh != 0);
+        for _ in 0..FORMING_STEPS {
+            self.advance(Silence::None);
+            while !learning(self) && self.finish_next(Silence::None) {}
+            if learning(self) {
+                return;
+            }
+        }
+    }
 }
