--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -84,6 +84,14 @@
         }
     }
 
+    /// Rounds of confirmation are numbered from here, differently by each process of a member: a receipt
+    /// of a round that an earlier process began must not count for one of this.
+    pub fn numbering_rounds_from(mut self, first: u64) -> Self {
+        self.round.wanted = first;
+        self.round.number = first;
+        self
+    }
+
     pub fn ask_confirm(&mut self) -> u64 {
         self.round.wanted = self.round.number + 1;
         self.round.wanted
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -222,3 +222,24 @@
     }
     assert_eq!(voters(&net, 2), vec![2, 3, 4]);
 }
+
+#[test]
+fn a_confirmation_of_an_earlier_process_does_not_count_for_the_next() {
+    let mut net = Net::founded();
+    let round = net.members.get_mut(&3).unwrap().ask_confirm();
+    net.feed(3, chain::Input::Confirm);
+    let (_, _, heartbeat) = net.frames.iter().find(|(_, to, _)| *to == 1).cloned().unwrap();
+    net.frames.clear();
+    net.feed(1, chain::Input::Frame { from: 3, message: heartbeat });
+    let (_, _, receipt) = net.frames.pop_back().unwrap();
+    net.restart_numbering_from(3, round + 1000);
+    net.pass(500);
+    assert!(net.members[&3].is_current_tail());
+    net.cut = vec![3];
+    net.pass(3000);
+    assert_eq!((net.chain(1), net.chain(3)), (vec![1, 2], vec![1, 2, 3]));
+    net.members.get_mut(&3).unwrap().ask_confirm();
+    net.feed(3, chain::Input::Confirm);
+    net.feed(3, chain::Input::Frame { from: 1, message: receipt });
+    assert!(net.confirmed.is_empty(), "it is not the tail any more, and does not know");
+}
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -79,6 +79,14 @@
         self.members.insert(id, member.founding_with(seats).bearing(losses));
     }
 
+    /// Starts a member anew, with a process whose confirmation rounds begin at a number of its own.
+    pub fn restart_numbering_from(&mut self, id: NodeId, round: u64) {
+        self.start(id);
+        if let Some(member) = self.members.remove(&id) {
+            self.members.insert(id, member.numbering_rounds_from(round));
+        }
+    }
+
     pub fn feed(&mut self, id: NodeId, input: Input) {
         let Some(member) = self.members.get_mut(&id) else { return };
         for output in member.step(self.now, input) {
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -108,7 +108,7 @@
 impl Core {
     pub fn new(member: Member, timing: CoreTiming, first_op: u64) -> Self {
         Core {
-            member,
+            member: member.numbering_rounds_from(first_op),
             timing,
             format: wire::FORMAT,
             now: Duration::ZERO,
