--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -12,7 +12,10 @@
 use wire::{OpRecord, Receipt};
 
 const OP_TICKS: u64 = 86_400;
+/// Steps in force that are kept for routers a little behind, as many as these and no more than so many
+/// bytes; the newest is kept whatever its size, since it names the quorum.
 const STEPS_KEPT: u64 = 64;
+const STEPS_KEPT_BYTES: usize = 512 * 1024;
 const STEP_BYTES: usize = 5 * 1024 * 1024;
 const RESOURCES: usize = 50_000;
 
@@ -211,10 +214,22 @@
         draft.put_number(keys::ACTIVE_REVISION, step.revision);
     }
     draft.put_number(keys::ACTIVE, to);
-    let old: Vec<String> = keys::with_prefix(draft.state, "s/")
-        .map(|(key, _)| key.clone())
-        .take_while(|key| *key < keys::step_key(to.saturating_sub(STEPS_KEPT)))
-        .collect();
-    old.into_iter().for_each(|key| draft.drop(key));
+    forget_steps(draft, to);
     Receipt::Plain
 }
+
+/// Forgets the steps up to the active one that are beyond what is kept: each may be as large as a whole
+/// configuration, and a router that is further behind takes that instead.
+fn forget_steps(draft: &mut Draft, active: u64) {
+    let oldest = keys::step_key(active.saturating_sub(STEPS_KEPT));
+    let newest = keys::step_key(active);
+    let mut bytes = 0;
+    let mut old = Vec::new();
+    for (key, step) in draft.state.range(keys::STEPS.to_owned()..newest).rev() {
+        bytes += step.len();
+        if bytes > STEPS_KEPT_BYTES || *key < oldest {
+            old.push(key.clone());
+        }
+    }
+    old.into_iter().for_each(|key| draft.drop(key));
+}
--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -15,6 +15,7 @@
 pub const STORED: &str = "n/stored";
 pub const ACTIVE_PAIRS: &str = "a/";
 pub const LATEST_PAIRS: &str = "l/";
+pub const STEPS: &str = "s/";
 pub const MEMBERS: &str = "r/";
 pub const TAKEN: &str = "o/";
 pub const REFUSED: &str = "q/";
@@ -28,7 +29,7 @@
 }
 
 pub fn step_key(step: u64) -> String {
-    format!("s/{step:020}")
+    format!("{STEPS}{step:020}")
 }
 
 pub fn member_key(id: NodeId) -> String {
--- /dev/null
+++ b/crates/control/tests/disk_bound.rs
@@ -0,0 +1,125 @@
+//! The data file under hundreds of whole configurations: its size follows what is kept, not how much
+//! was ever written, and stays far below the 64 MB of a small machine's disk.
+
+use chain::{Input, Member, Output, Store, Timing};
+use control::apply;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+use wire::{Command, ItemLine, OpNo, Seat, to_bytes};
+
+const ROUTES: usize = 3000;
+const FUNCTIONS: usize = 158;
+const CHANGES: u64 = 30;
+const DISK_BYTES: u64 = 64 * 1024 * 1024;
+
+fn folder(name: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("heronlink-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+fn file_bytes(path: &Path) -> u64 {
+    std::fs::metadata(path).map_or(0, |told| told.len())
+}
+
+/// A registry alone, with the real rules of the state and the real data file.
+struct Registry {
+    member: Member,
+    store: Store,
+    now: Duration,
+    entered: u64,
+}
+
+impl Registry {
+    fn open(path: &Path) -> Registry {
+        let seat = Seat { id: 5, address: "127.0.0.1:1".into() };
+        let (store, stored) = Store::open(path, "posta", seat.clone()).unwrap();
+        let member = Member::new(seat, stored, Timing::default(), apply, Duration::ZERO).founding_with(1);
+        let mut registry = Registry { member, store, now: Duration::ZERO, entered: 0 };
+        (0..20).for_each(|_| registry.pass());
+        registry
+    }
+
+    fn feed(&mut self, input: Input) {
+        let mut inputs = vec![input];
+        while let Some(input) = inputs.pop() {
+            for output in self.member.step(self.now, input) {
+                match output {
+                    Output::Write { ticket, batch } => {
+                        self.store.write(&batch).unwrap();
+                        inputs.push(Input::Written { ticket });
+                    }
+                    Output::SendSeeds { message } => inputs.push(Input::Frame { from: 5, message }),
+                    _ => {}
+                }
+            }
+        }
+    }
+
+    fn pass(&mut self) {
+        self.now += Duration::from_millis(100);
+        self.feed(Input::Tick);
+    }
+
+    fn enter(&mut self, command: &Command) {
+        self.entered += 1;
+        let op = OpNo { origin: 5, number: self.entered };
+        self.feed(Input::Enter { op, body: to_bytes(command) });
+        self.pass();
+    }
+
+    fn change(&mut self, number: u64) {
+        let bindings = (0..ROUTES).map(|route| binding(route, 1000 + number));
+        let items: Vec<ItemLine> = (0..FUNCTIONS).map(function).chain(bindings).collect();
+        let op = format!("change {number}").as_str().into();
+        let command =
+            Command::Declare { op, base: 0, any: 1, whole: 1, revision: 0, scope: "main".into(), items: items.into() };
+        self.enter(&command);
+        self.enter(&Command::Activate { step: number });
+    }
+}
+
+fn function(number: usize) -> ItemLine {
+    let value = r#"{"memory_mb":768,"boot_ms":1400,"instance_limit":6,"connections":106,"notes":{}}"#;
+    ItemLine {
+        key: format!("functions/main/s{number}").as_str().into(),
+        gone: 0,
+        value: value.as_bytes().to_vec().into(),
+    }
+}
+
+fn binding(route: usize, deadline: u64) -> ItemLine {
+    let value = format!(
+        r#"{{"host":"h{}.example","route":"/gowu{route}/fi14/","function":"s{}","class":"ordinary","deadline_ms":{deadline},"aim_ms":300,"attempts":2,"rank":2,"declared":true,"notes":{{"fields":{{"name":"r-{route}"}},"place":[7,{route}]}}}}"#,
+        route % 7,
+        route % FUNCTIONS
+    );
+    ItemLine {
+        key: format!("function-bindings/main/r-{route}").as_str().into(),
+        gone: 0,
+        value: value.into_bytes().into(),
+    }
+}
+
+#[test]
+fn the_file_stays_far_below_the_disk_under_hundreds_of_whole_configurations() {
+    let folder = folder("disk-bound");
+    let path = folder.join("registry.redb");
+    let mut registry = Registry::open(&path);
+    let mut most = 0;
+    for number in 1..=CHANGES {
+        registry.change(number);
+        most = most.max(file_bytes(&path));
+        if number % 10 == 0 {
+            println!("{number} changes: {} KB", file_bytes(&path) / 1024);
+        }
+    }
+    assert_eq!(control::number(registry.member.state(), "c/revision"), CHANGES, "all of them were taken");
+    assert!(most < DISK_BYTES / 2, "the file grew to {most} bytes");
+    let state = registry.member.state().clone();
+    drop(registry);
+    let again = Registry::open(&path);
+    assert!(again.member.state().ptr_eq(&state) || *again.member.state() == state, "what was kept is what was there");
+    let _ = std::fs::remove_dir_all(folder);
+}
