--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -16,7 +16,7 @@
 mod view;
 mod writes;
 
-pub use disk::Disk;
+pub use disk::{Disk, DiskReport};
 pub use member::Member;
 pub use store::{Store, StoreFault};
 pub use types::{Apply, Batch, Effect, Input, Meta, Output, State, Stored, Timing, Value, apply_batch};
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -138,6 +138,7 @@
             Input::Frame { from, message } => self.frame(from, message),
             Input::Written { ticket } => self.written(ticket),
             Input::DiskFault => self.faulted = true,
+            Input::DiskBack { stored } => self.start_again(stored),
             Input::Enter { op, body } => self.enter(op, body),
             Input::Confirm => {
                 if !self.round.running && self.round.wanted > self.round.number {
--- a/crates/chain/src/store.rs
+++ b/crates/chain/src/store.rs
@@ -46,6 +46,15 @@
     Damaged,
 }
 
+impl StoreFault {
+    /// The disk has no room, and nothing else is wrong with it. After other faults what a read brings back
+    /// need not be what the disk holds, so only a full disk is ever written to again by the same process.
+    pub fn is_disk_full(&self) -> bool {
+        use std::io::ErrorKind::{QuotaExceeded, StorageFull};
+        matches!(self, StoreFault::File(redb::Error::Io(fault)) if matches!(fault.kind(), StorageFull | QuotaExceeded))
+    }
+}
+
 pub struct Store {
     base: Database,
     cluster: String,
@@ -60,6 +69,19 @@
         Store::begin(Database::builder().set_cache_size(CACHE).create(path)?, cluster, seat)
     }
 
+    /// Opens a file that is there already and is this member's own, and proves by a write that the disk takes
+    /// one.
+    pub fn reopen(path: &Path, cluster: &str, seat: &Seat) -> Result<(Store, Stored), StoreFault> {
+        let base = Database::builder().set_cache_size(CACHE).open(path)?;
+        let mut store = Store { base, cluster: cluster.to_owned() };
+        let stored = store.load()?.ok_or(StoreFault::Damaged)?;
+        if stored.meta.seat.id != seat.id {
+            return Err(StoreFault::Damaged);
+        }
+        store.write(&Batch { last: stored.last, settled: stored.settled, ..Batch::default() })?;
+        Ok((store, stored))
+    }
+
     /// On a disk of another kind, such as one that loses its power.
     pub fn open_on(disk: impl StorageBackend, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreFault> {
         Store::begin(Database::builder().create_with_backend(disk)?, cluster, seat)
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -68,10 +68,22 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     Tick,
-    Frame { from: NodeId, message: ChainMsg },
-    Written { ticket: u64 },
+    Frame {
+        from: NodeId,
+        message: ChainMsg,
+    },
+    Written {
+        ticket: u64,
+    },
     DiskFault,
-    Enter { op: OpNo, body: Vec<u8> },
+    /// The disk takes writes again and holds this: the member starts again from it.
+    DiskBack {
+        stored: Stored,
+    },
+    Enter {
+        op: OpNo,
+        body: Vec<u8>,
+    },
     Confirm,
     Leave,
 }
--- a/crates/chain/src/writes.rs
+++ b/crates/chain/src/writes.rs
@@ -1,7 +1,8 @@
-//! Writes to the disk: one at a time, and what is to be said only after it once it is synced.
+//! Writes to the disk: one at a time, and what is to be said only after it once it is synced; and the
+//! member's new start from the disk after a fault.
 
 use crate::member::{Member, Writing};
-use crate::types::{Batch, Output};
+use crate::types::{Batch, Output, Stored};
 
 impl Member {
     pub(crate) fn flush(&mut self) {
@@ -35,4 +36,24 @@
         }
         self.settle();
     }
+
+    /// Starts again from what the disk holds, as a new process would: nothing that was not synced is kept.
+    /// Only the numbers of rounds, ballots and writes go on, since answers to earlier ones may still come.
+    pub(crate) fn start_again(&mut self, stored: Stored) {
+        if !self.faulted || stored.meta.seat.id != self.meta.seat.id {
+            return;
+        }
+        let seat = self.meta.seat.clone();
+        let mut member = Member::new(seat, stored, self.timing.clone(), self.apply, self.now);
+        let proposed = self.proposal.as_ref().map_or(0, |proposal| proposal.ballot);
+        member.seen_ballot = self.seen_ballot.max(proposed);
+        member.round.number = self.round.number;
+        member.ticket = self.ticket;
+        member.leaving = self.leaving;
+        member.founding = std::mem::take(&mut self.founding);
+        member.losses = self.losses;
+        member.joins_wait = self.joins_wait;
+        member.returns = std::mem::take(&mut self.returns);
+        *self = member;
+    }
 }
--- /dev/null
+++ b/crates/chain/tests/catch_up.rs
@@ -0,0 +1,158 @@
+//! Members that missed hundreds of changes: what they are sent is bounded by what they missed, beside new
+//! changes; and no member takes a role on state that is not known to be the newest.
+
+mod net;
+
+use net::Net;
+use wire::NodeId;
+
+/// An entry's words are the key it sets: these are some 4 KB each.
+fn words(name: &str) -> String {
+    format!("{name} {}", "x".repeat(4000))
+}
+
+fn all_hold(net: &Net, count: usize) -> bool {
+    net.members.values().all(|member| member.committed_state().len() == count)
+}
+
+#[test]
+fn a_member_away_for_hundreds_of_changes_is_sent_these_and_no_more_while_new_ones_go_on() {
+    for missed in [30, 120, 400] {
+        let mut net = Net::founded();
+        (0..300).for_each(|n| _ = net.enter(1, &words(&format!("before {n}"))));
+        net.pass(500);
+        net.members.remove(&2);
+        net.pass(3000);
+        for n in 0..missed {
+            net.enter(1, &words(&format!("missed {n}")));
+            net.settle();
+        }
+        net.start(2);
+        let mut waited = 0;
+        while net.members[&2].committed_state().len() < 300 + missed + waited && waited < 60 {
+            net.enter(net.chain(1)[0], &words(&format!("meanwhile {waited}")));
+            net.pass(100);
+            waited += 1;
+        }
+        println!("{missed} missed: up after {waited} tenths of a second, {:?}", net.caught_up_by);
+        assert!(waited < 40, "not up to date within 4 s beside new changes");
+        let (messages, bytes) = net.caught_up_by[&2];
+        assert!(messages <= 2, "{messages} messages");
+        assert!(bytes <= (missed + 20) * 4200, "{bytes} bytes for {missed} changes of 4 KB");
+        net.pass(4000);
+        assert!(all_hold(&net, 300 + missed + waited), "one member lacks something");
+        assert_eq!(net.chain(1).len(), 3);
+    }
+}
+
+#[test]
+fn a_member_whose_disk_was_full_is_back_without_being_started_anew() {
+    for full in [1, 2, 3] {
+        let mut net = Net::founded();
+        (0..40).for_each(|n| _ = net.enter(1, &format!("before {n}")));
+        net.pass(500);
+        net.full = vec![full];
+        let head = net.chain(1)[0];
+        net.enter(head, "while it fills");
+        net.pass(3000);
+        let other: NodeId = if full == 1 { 2 } else { 1 };
+        assert_eq!(net.chain(other).len(), 2, "a full disk is out of the chain");
+        (0..200).for_each(|n| _ = net.enter(net.chain(other)[0], &format!("missed {n}")));
+        net.pass(500);
+        net.free_disk(full);
+        net.pass(4000);
+        assert_eq!(net.chain(other).len(), 3, "member {full} is not back");
+        let states: Vec<_> = net.members.values().map(|member| member.committed_state().clone()).collect();
+        assert!(states.iter().all(|state| *state == states[0] && state.len() >= 240), "member {full}");
+        net.members.remove(&other);
+        net.pass(3000);
+        let op = net.enter(full, "after a second loss");
+        net.pass(500);
+        assert!(net.done.contains(&(full, op, true)), "what came back bears the next loss");
+    }
+}
+
+#[test]
+fn an_old_answer_to_a_round_begun_before_the_disk_was_full_confirms_nothing() {
+    let mut net = Net::founded();
+    (0..5).for_each(|n| _ = net.enter(1, &format!("before {n}")));
+    net.pass(500);
+    net.members.get_mut(&3).unwrap().ask_confirm();
+    net.feed(3, chain::Input::Confirm);
+    let held: Vec<_> = net.frames.drain(..).filter(|(from, ..)| *from == 3).collect();
+    net.full = vec![3];
+    net.enter(1, "fills it");
+    net.settle();
+    net.free_disk(3);
+    net.confirmed.clear();
+    held.into_iter().for_each(|frame| net.frames.push_back(frame));
+    net.settle();
+    assert!(net.confirmed.is_empty(), "a round of before was taken for one of now");
+}
+
+#[test]
+fn a_member_brought_up_by_one_that_is_lost_meanwhile_starts_over_with_another() {
+    for (lost, comes) in [(2, 5), (1, 5)] {
+        let mut net = Net::founded();
+        (0..1500).for_each(|n| _ = net.enter(1, &words(&format!("before {n}"))));
+        net.pass(1000);
+        net.members.remove(&3);
+        net.pass(3000);
+        net.start(4);
+        let mut turns = 0;
+        while net.caught_up_by.get(&4).is_none_or(|(messages, _)| *messages < 3) && turns < 200 {
+            net.now += std::time::Duration::from_millis(50);
+            let ids: Vec<NodeId> = net.members.keys().copied().collect();
+            ids.into_iter().for_each(|id| net.feed(id, chain::Input::Tick));
+            net.steps(40);
+            turns += 1;
+        }
+        assert!(!net.members[&4].is_chained(), "it is no member while it lacks something");
+        let kept = net.members.remove(&lost);
+        net.pass(2000);
+        net.start(comes);
+        net.pass(2000);
+        assert!(!net.members[&4].is_current_tail() && !net.members[&4].is_head());
+        net.start(lost);
+        drop(kept);
+        net.pass(15_000);
+        let survivor = if lost == 1 { 2 } else { 1 };
+        assert!(net.chain(survivor).len() >= 3, "chain {:?} after losing {lost}", net.chain(survivor));
+        for id in net.chain(survivor) {
+            assert_eq!(net.members[&id].committed_state().len(), 1500, "member {id}");
+        }
+    }
+}
+
+#[test]
+fn a_member_with_old_state_that_is_up_first_has_no_role_and_answers_nothing() {
+    for old in [1, 2, 3] {
+        let mut net = Net::founded();
+        (0..10).for_each(|n| _ = net.enter(1, &format!("before {n}")));
+        net.pass(500);
+        net.members.remove(&old);
+        net.pass(3000);
+        let head = net.chain(if old == 1 { 2 } else { 1 })[0];
+        (0..300).for_each(|n| _ = net.enter(head, &format!("missed {n}")));
+        net.pass(1000);
+        net.members.clear();
+        net.done.clear();
+        net.confirmed.clear();
+        net.start(old);
+        for _ in 0..60 {
+            let op = net.enter(old, "an order to one that knows nothing new");
+            net.members.get_mut(&old).unwrap().ask_confirm();
+            net.feed(old, chain::Input::Confirm);
+            net.pass(100);
+            assert!(!net.done.contains(&(old, op, true)), "member {old} acknowledged");
+            assert!(net.confirmed.is_empty(), "member {old} was confirmed by itself");
+            assert!(!net.members[&old].committed_state().contains_key("before 9"), "it answers from old state");
+        }
+        [1, 2, 3].into_iter().filter(|id| *id != old).for_each(|id| net.start(id));
+        net.pass(6000);
+        assert_eq!(net.chain(old).len(), 3);
+        for id in [1, 2, 3] {
+            assert!(net.members[&id].committed_state().contains_key("missed 299"), "member {id}");
+        }
+    }
+}
--- /dev/null
+++ b/crates/chain/tests/full.rs
@@ -0,0 +1,76 @@
+//! A disk that is full for a while: the file holds all that was acknowledged, and the disk's thread goes on
+//! by itself once there is room. After any other fault it does not.
+
+mod platter;
+
+use chain::{Batch, Disk, DiskReport, Store};
+use platter::Disk as Platter;
+use std::sync::mpsc;
+use wire::{EntryLine, OpNo, Seat};
+
+fn seat() -> Seat {
+    Seat { id: 5, address: "127.0.0.1:1".into() }
+}
+
+fn batch(seq: u64) -> Batch {
+    let entry = EntryLine { seq, op: OpNo { origin: 1, number: seq }, body: vec![seq as u8; 30_000].into() };
+    let pairs = vec![(format!("key {}", seq % 5), Some(vec![seq as u8; 50_000].into()))];
+    Batch { pairs, entries: vec![entry], trim_below: seq.saturating_sub(4), last: seq, ..Batch::default() }
+}
+
+/// The disk's thread over a disk in memory, and what it reports.
+fn start(platter: &Platter) -> (Disk, mpsc::Receiver<DiskReport>) {
+    let (store, _) = Store::open_on(platter.clone(), "posta", seat()).unwrap();
+    let (reports, reported) = mpsc::channel();
+    let again = platter.clone();
+    let reopen = move || {
+        let (mut store, stored) = Store::open_on(again.clone(), "posta", seat())?;
+        store.write(&Batch { last: stored.last, settled: stored.settled, ..Batch::default() })?;
+        Ok((store, stored))
+    };
+    let disk = Disk::start(store, reopen, move |report| _ = reports.send(report)).unwrap();
+    (disk, reported)
+}
+
+#[test]
+fn a_disk_that_was_full_is_written_to_again_and_holds_all_that_was_acknowledged() {
+    for seed in 0..4u64 {
+        let platter = Platter::new(Vec::new(), u64::MAX);
+        let (disk, reported) = start(&platter);
+        let mut acknowledged = 0;
+        for round in 1..=3u64 {
+            for seq in acknowledged + 1..=acknowledged + 3 + seed {
+                assert!(disk.write(seq, batch(seq)));
+                assert!(matches!(reported.recv(), Ok(DiskReport::Written { ticket }) if ticket == seq));
+                acknowledged = seq;
+            }
+            platter.0.lock().unwrap().full = true;
+            disk.write(acknowledged + 1, batch(acknowledged + 1));
+            assert!(matches!(reported.recv(), Ok(DiskReport::Fault(fault)) if fault.is_disk_full()), "round {round}");
+            platter.0.lock().unwrap().full = false;
+            let Ok(DiskReport::Back { stored }) = reported.recv() else { panic!("it does not come back") };
+            assert!((acknowledged..=acknowledged + 1).contains(&stored.last), "{} of {acknowledged}", stored.last);
+            let newest = stored.state.get(&format!("key {}", stored.last % 5)).map(|value| value[0]);
+            assert_eq!(newest, Some(stored.last as u8), "what stands there is that of the last entry");
+            acknowledged = stored.last;
+        }
+    }
+}
+
+#[test]
+fn after_a_fault_that_is_no_lack_of_room_the_file_is_not_touched_again() {
+    let platter = Platter::new(Vec::new(), u64::MAX);
+    drop(Store::open_on(platter.clone(), "posta", seat()).unwrap());
+    let image = platter.0.lock().unwrap().synced.clone();
+    let broken = Platter::new(image, 12);
+    let (disk, reported) = start(&broken);
+    let fault = (1..50u64).find_map(|seq| {
+        disk.write(seq, batch(seq));
+        match reported.recv() {
+            Ok(DiskReport::Fault(fault)) => Some(fault),
+            _ => None,
+        }
+    });
+    assert!(fault.is_some_and(|fault| !fault.is_disk_full()));
+    assert!(reported.recv().is_err(), "the disk's thread has ended");
+}
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -30,6 +30,10 @@
     pub told: BTreeMap<NodeId, Vec<NodeId>>,
     /// Where a member is met, if not at an address of its own.
     pub addresses: BTreeMap<NodeId, wire::Text>,
+    /// Whose disk refuses every write.
+    pub full: Vec<NodeId>,
+    /// Messages of a copy or of missed entries that reached a member, and their bytes.
+    pub caught_up_by: BTreeMap<NodeId, (usize, usize)>,
 }
 
 pub fn seat(id: NodeId) -> Seat {
@@ -54,6 +58,8 @@
             seeds: BTreeMap::new(),
             told: BTreeMap::new(),
             addresses: BTreeMap::new(),
+            full: Vec::new(),
+            caught_up_by: BTreeMap::new(),
         };
         ids.iter().for_each(|id| net.start(*id));
         net
@@ -100,16 +106,26 @@
     }
 
     pub fn settle(&mut self) {
-        loop {
+        self.steps(usize::MAX);
+    }
+
+    /// Carries so many frames and writes, or all there are.
+    pub fn steps(&mut self, count: usize) {
+        for _ in 0..count {
             if let Some((from, to, message)) = self.frames.pop_front() {
                 let pair = self.pairs.contains(&(from, to)) || self.pairs.contains(&(to, from));
                 if !self.cut.contains(&from) && !self.cut.contains(&to) && !pair {
+                    self.count(to, &message);
                     self.feed(to, Input::Frame { from, message });
                 }
                 continue;
             }
             let Some(place) = self.writes.iter().position(|(id, ..)| !self.stalled.contains(id)) else { return };
             let (id, ticket, batch) = self.writes.remove(place);
+            if self.full.contains(&id) {
+                self.feed(id, Input::DiskFault);
+                continue;
+            }
             if let Some(disk) = self.disks.get_mut(&id) {
                 apply_batch(disk, &batch);
             }
@@ -117,6 +133,22 @@
         }
     }
 
+    fn count(&mut self, to: NodeId, message: &ChainMsg) {
+        if matches!(message, ChainMsg::CopyPiece { .. } | ChainMsg::Suffix { .. }) {
+            let (messages, bytes) = self.caught_up_by.entry(to).or_default();
+            *messages += 1;
+            *bytes += wire::to_bytes(message).len();
+        }
+    }
+
+    /// The disk has room again, and the member starts from what it holds.
+    pub fn free_disk(&mut self, id: NodeId) {
+        self.full.retain(|full| *full != id);
+        let stored = self.disks[&id].clone();
+        self.feed(id, Input::DiskBack { stored });
+        self.settle();
+    }
+
     pub fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 50 {
             self.now += Duration::from_millis(50);
--- a/crates/chain/tests/power.rs
+++ b/crates/chain/tests/power.rs
@@ -2,98 +2,14 @@
 //! kept or torn by the seed. After that the file opens, everything acknowledged is there, and nothing
 //! is there by halves.
 
+mod platter;
+
 use chain::{Batch, Store};
-use rand::{RngExt, SeedableRng};
+use platter::Disk;
+use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use redb::StorageBackend;
-use std::io;
-use std::sync::{Arc, Mutex};
 use wire::{EntryLine, OpNo, Seat};
 
-#[derive(Debug)]
-struct Platter {
-    synced: Vec<u8>,
-    now: Vec<u8>,
-    unsynced: Vec<(u64, Vec<u8>)>,
-    left: u64,
-    used: u64,
-}
-
-/// The trait asks for a lock; nothing of the product has one.
-#[derive(Clone, Debug)]
-struct Disk(Arc<Mutex<Platter>>);
-
-impl Disk {
-    fn new(image: Vec<u8>, left: u64) -> Disk {
-        Disk(Arc::new(Mutex::new(Platter { now: image.clone(), synced: image, unsynced: Vec::new(), left, used: 0 })))
-    }
-
-    /// What the disk holds once its power is back: each write since the last sync was lost, landed
-    /// whole, or landed in part.
-    fn after_the_loss(&self, dice: &mut ChaCha8Rng) -> Vec<u8> {
-        let platter = self.0.lock().unwrap();
-        let mut image = platter.synced.clone();
-        for (at, bytes) in &platter.unsynced {
-            let kept = match dice.random_range(0..3) {
-                0 => 0,
-                1 => bytes.len(),
-                _ => dice.random_range(0..=bytes.len()),
-            };
-            let end = *at as usize + kept;
-            if kept > 0 && image.len() < end {
-                image.resize(end, 0);
-            }
-            if kept > 0 {
-                image[*at as usize..end].copy_from_slice(&bytes[..kept]);
-            }
-        }
-        image
-    }
-}
-
-impl Platter {
-    fn spend(&mut self) -> io::Result<()> {
-        self.used += 1;
-        if self.used > self.left { Err(io::Error::other("the power is gone")) } else { Ok(()) }
-    }
-}
-
-impl StorageBackend for Disk {
-    fn len(&self) -> io::Result<u64> {
-        Ok(self.0.lock().unwrap().now.len() as u64)
-    }
-    fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let platter = self.0.lock().unwrap();
-        let from = platter.now.get(offset as usize..offset as usize + out.len());
-        out.copy_from_slice(from.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))?);
-        Ok(())
-    }
-    fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut platter = self.0.lock().unwrap();
-        platter.spend()?;
-        platter.now.resize(len as usize, 0);
-        let grown = platter.synced.len().max(len as usize);
-        platter.synced.resize(grown, 0);
-        Ok(())
-    }
-    fn sync_data(&self) -> io::Result<()> {
-        let mut platter = self.0.lock().unwrap();
-        platter.spend()?;
-        platter.synced = platter.now.clone();
-        platter.unsynced.clear();
-        Ok(())
-    }
-    fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut platter = self.0.lock().unwrap();
-        let result = platter.spend();
-        platter.unsynced.push((offset, data.to_vec()));
-        if result.is_ok() {
-            platter.now[offset as usize..offset as usize + data.len()].copy_from_slice(data);
-        }
-        result
-    }
-}
-
 fn seat() -> Seat {
     Seat { id: 5, address: "127.0.0.1:1".into() }
 }
@@ -158,3 +74,56 @@
     }
     println!("{writes} moments, {torn} landed though not acknowledged");
 }
+
+/// A whole checkpoint in the place of what was there: 600 pairs, each with the same mark.
+fn checkpoint(mark: u8, last: u64) -> Batch {
+    let pairs = (0..600).map(|n| (format!("pair {n:03}"), Some(vec![mark; 200 + n % 90].into()))).collect();
+    Batch { replace: true, pairs, trim_below: last + 1, last, settled: last, ..Batch::default() }
+}
+
+#[test]
+fn whatever_the_moment_in_the_installing_of_a_checkpoint_the_disk_holds_the_old_or_the_new_never_both() {
+    let begun = Disk::new(Vec::new(), u64::MAX);
+    {
+        let (mut store, _) = Store::open_on(begun.clone(), "posta", seat()).unwrap();
+        store.write(&checkpoint(1, 100)).unwrap();
+        (101..105).for_each(|seq| store.write(&batch(seq)).unwrap());
+    }
+    let image = begun.0.lock().unwrap().synced.clone();
+    let install = |disk: &Disk| -> Option<bool> {
+        let (mut store, _) = Store::open_on(disk.clone(), "posta", seat()).ok()?;
+        Some(store.write(&checkpoint(2, 900)).is_ok())
+    };
+    let whole = Disk::new(image.clone(), u64::MAX);
+    assert_eq!(install(&whole), Some(true));
+    let writes = whole.0.lock().unwrap().used;
+    let (mut old, mut new) = (0, 0);
+    for moment in 0..=writes {
+        for seed in 0..4 {
+            let mut dice = ChaCha8Rng::seed_from_u64(moment * 1000 + seed);
+            let disk = Disk::new(image.clone(), moment);
+            let acknowledged = install(&disk).unwrap_or(false);
+            let again = Disk::new(disk.after_the_loss(&mut dice), u64::MAX);
+            let opened = Store::open_on(again, "posta", Seat { id: 99, address: "".into() });
+            let (_, stored) = opened.unwrap_or_else(|told| panic!("write {moment} seed {seed}: {told}"));
+            let marks =
+                |mark: u8| stored.state.iter().filter(|(key, v)| key.starts_with("pair") && v[0] == mark).count();
+            let entries: Vec<u64> = stored.entries.iter().map(|entry| entry.seq).collect();
+            match stored.last {
+                104 => {
+                    assert!(!acknowledged, "write {moment} seed {seed}: an acknowledged checkpoint is gone");
+                    assert_eq!((marks(1), marks(2), entries), (600, 0, vec![101, 102, 103, 104]));
+                    assert!(stored.state.contains_key("newest"));
+                    old += 1;
+                }
+                900 => {
+                    assert_eq!((marks(1), marks(2), stored.state.len(), entries.len()), (0, 600, 600, 0));
+                    new += 1;
+                }
+                other => panic!("write {moment} seed {seed}: at entry {other}"),
+            }
+        }
+    }
+    println!("{writes} moments: {old} times the old, {new} times the new");
+    assert!(old > 0 && new > 0);
+}
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -6,7 +6,7 @@
 use crate::membership::Membership;
 use crate::optimizer::OptimizerMsg;
 use crate::service::ControlMsg;
-use chain::Disk;
+use chain::{Disk, DiskReport};
 use events::event;
 use kernel::{Inbox, Post, wait_for_signal};
 use links::{LinkEvent, LinkOrder};
@@ -78,11 +78,15 @@
                 _ => None,
             },
             ControlMsg::Link(_) | ControlMsg::Stop => None,
-            ControlMsg::Written(Ok(ticket)) => Some(CoreInput::Written { ticket }),
-            ControlMsg::Written(Err(fault)) => {
+            ControlMsg::Disk(DiskReport::Written { ticket }) => Some(CoreInput::Written { ticket }),
+            ControlMsg::Disk(DiskReport::Fault(fault)) => {
                 event!(disk_fault, "{fault}");
                 Some(CoreInput::DiskFault)
             }
+            ControlMsg::Disk(DiskReport::Back { stored }) => {
+                event!(disk_back, "at entry {}", stored.last);
+                Some(CoreInput::DiskBack { stored })
+            }
             ControlMsg::Seeds(Ok(seeds)) => {
                 event!(settings_taken, "seeds {}", seeds.join(","));
                 self.seeds = seeds;
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -8,7 +8,7 @@
 use crate::operators::{Activation, ReadJob};
 use crate::parts::PackedSteps;
 use crate::rosters::Rosters;
-use chain::{Batch, Input, Member, Output, State};
+use chain::{Batch, Input, Member, Output, State, Stored};
 use holds::Sessions;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -50,6 +50,7 @@
     Chain { from: NodeId, message: ChainMsg },
     Written { ticket: u64 },
     DiskFault,
+    DiskBack { stored: Box<Stored> },
     Router { from: NodeId, incarnation: u64, message: HoldMsg },
     Call { ask: u64, call: ApiCall },
     Leave,
@@ -169,6 +170,10 @@
             CoreInput::Chain { from, message } => self.chain(Input::Frame { from, message }),
             CoreInput::Written { ticket } => self.chain(Input::Written { ticket }),
             CoreInput::DiskFault => self.chain(Input::DiskFault),
+            CoreInput::DiskBack { stored } => {
+                self.tail_since = None;
+                self.chain(Input::DiskBack { stored: *stored });
+            }
             CoreInput::Router { from, incarnation, message } => self.router(from, incarnation, message),
             CoreInput::Call { ask, call } => self.call(ask, call),
             CoreInput::Leave => self.chain(Input::Leave),
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -14,7 +14,7 @@
 use crate::settings::RegistryEnv;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
-use chain::{Disk, Member, Store, StoreFault, Timing};
+use chain::{Disk, DiskReport, Member, Store, StoreFault, Stored, Timing};
 use doors::{DoorLimits, Shelf, Tokens, Views};
 use events::event;
 use kernel::{Directory, Inbox, SendFault, adopt, behind, find, listen, local, thread};
@@ -22,15 +22,18 @@
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::TcpListener;
+use std::path::Path;
 use std::rc::Rc;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
 use wire::{Message, Seat};
 
+const OPEN_EVERY: Duration = Duration::from_millis(500);
+
 pub enum ControlMsg {
     Link(LinkEvent),
-    Written(Result<u64, StoreFault>),
+    Disk(DiskReport),
     Call { call: ApiCall, reply: oneshot::Sender<ApiReply> },
     Seeds(Result<Vec<String>, String>),
     Stop,
@@ -44,7 +47,7 @@
     }
     std::fs::create_dir_all(&settings.data).map_err(|fault| RunFault::Folder { path: settings.data.clone(), fault })?;
     let newcomer = Seat { id: rand::random::<u64>() | 1, address: settings.address.as_str().into() };
-    let (store, stored) = Store::open(&file, &settings.cluster, newcomer)
+    let (store, stored) = open_when_possible(&file, &settings.cluster, newcomer)
         .map_err(|fault| RunFault::Store { path: file.clone(), fault })?;
     if settings.show {
         let page = format!("{:#}\n", stored_document(&stored.state));
@@ -104,8 +107,10 @@
     };
     thread("optimizer", move || optimizer::run(host, optimizer_inbox))?;
     let written = control.clone();
-    let disk = Disk::start(store, move |result| {
-        written.send_blocking(ControlMsg::Written(result));
+    let (cluster, own) = (settings.cluster.clone(), seat.clone());
+    let reopen = move || Store::reopen(&file, &cluster, &own);
+    let disk = Disk::start(store, reopen, move |report| {
+        written.send_blocking(ControlMsg::Disk(report));
     })
     .map_err(RunFault::Disk)?;
     let founds = settings.found && settings.seeds.contains(&settings.address);
@@ -145,6 +150,19 @@
     Ok(())
 }
 
+/// A disk that is full at the start is waited for: it has room again sooner or later.
+fn open_when_possible(file: &Path, cluster: &str, newcomer: Seat) -> Result<(Store, Stored), StoreFault> {
+    loop {
+        match Store::open(file, cluster, newcomer.clone()) {
+            Err(fault) if fault.is_disk_full() => {
+                event!(disk_waited, "{fault}");
+                std::thread::sleep(OPEN_EVERY);
+            }
+            opened => return opened,
+        }
+    }
+}
+
 fn serve(
     name: &str,
     listener: TcpListener,
--- a/crates/events/src/list.rs
+++ b/crates/events/src/list.rs
@@ -34,6 +34,8 @@
     copy_installed = 202, Info, "checkpoint installed";
     missed_taken = 205, Info, "missed entries taken";
     disk_fault = 203, Error, "disk fault, member out of the chain";
+    disk_back = 206, Info, "disk has room again, member starts from it";
+    disk_waited = 207, Warn, "disk full at the start, waiting for room";
     founding = 204, Info, "cluster founded";
     step_staged = 301, Info, "configuration step staged";
     step_activated = 302, Info, "configuration step activated";
