--- a/crates/chain/src/copy.rs
+++ b/crates/chain/src/copy.rs
@@ -69,7 +69,7 @@
         if !self.is_current_tail() || view.chain.as_slice().contains(&seat.id) || !self.may_return(seat.id) {
             return;
         }
-        if self.joins_wait || self.is_bringing_in_other(seat.id) || !self.has_seat_for(&seat) {
+        if (self.joins_wait && self.keeps_copies()) || self.is_bringing_in_other(seat.id) || !self.has_seat_for(&seat) {
             return;
         }
         if !ready {
--- a/crates/chain/src/line.rs
+++ b/crates/chain/src/line.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether an entry is kept on one disk more than may be lost, or on all there were ever meant to be.
-    fn keeps_copies(&self) -> bool {
+    pub(crate) fn keeps_copies(&self) -> bool {
         self.meta.view.chain.as_slice().len() >= self.copies()
     }
 
--- a/crates/chain/tests/catch_up.rs
+++ b/crates/chain/tests/catch_up.rs
@@ -72,6 +72,28 @@
     }
 }
 
+#[test]
+fn a_chain_too_short_to_take_entries_lets_a_joiner_in_whatever_waits() {
+    let mut net = Net::founded();
+    (0..5).for_each(|n| _ = net.enter(1, &format!("before {n}")));
+    net.pass(500);
+    net.members.remove(&2);
+    net.pass(3000);
+    net.members.get_mut(&1).unwrap().let_joins_wait(true);
+    net.stalled = vec![3];
+    net.enter(1, "its disk does not answer");
+    net.pass(2500);
+    net.stalled.clear();
+    net.settle();
+    assert_eq!(net.chain(1), vec![1], "it says itself that it is unwell, and votes once its disk answers");
+    net.pass(1500);
+    assert_eq!(net.chain(1).len(), 2, "what is pending can only go on with a second copy");
+    net.members.get_mut(&3).unwrap().let_joins_wait(true);
+    net.start(2);
+    net.pass(2000);
+    assert_eq!(net.chain(1).len(), 2, "now that there are enough, joiners wait");
+}
+
 #[test]
 fn an_old_answer_to_a_round_begun_before_the_disk_was_full_confirms_nothing() {
     let mut net = Net::founded();
