--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -20,7 +20,7 @@
 mod writes;
 
 pub use digest::{digest_batch, digest_entries, digest_meta, digest_state};
-pub use disk::Disk;
+pub use disk::{Disk, DiskReport};
 pub use member::Member;
 pub use store::{Store, StoreFault};
 pub use types::{Apply, Batch, Effect, Input, Meta, Output, State, Stored, Timing, Value, apply_batch};
