--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -12,6 +12,7 @@
 mod seats;
 mod store;
 mod suffix;
+mod tenure;
 mod types;
 mod view;
 mod writes;
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -6,6 +6,7 @@
 use crate::found::Founding;
 use crate::register::Proposal;
 use crate::returns::Return;
+use crate::tenure::{AnswerReports, Tenure};
 use crate::types::{Apply, Batch, Input, Meta, Output, State, Stored, Timing};
 use crate::view::Round;
 use std::collections::{BTreeMap, VecDeque};
@@ -71,6 +72,10 @@
     /// Who asked to join in no one's place, from when to when.
     pub(crate) newcomers: BTreeMap<NodeId, (Duration, Duration)>,
     pub(crate) log_bytes: usize,
+    pub(crate) tenure: Tenure,
+    pub(crate) answer_reports: AnswerReports,
+    /// When this voter last answered the tail of its view, or adopted that view, or started.
+    pub(crate) tail_answered: Duration,
 }
 
 impl Member {
@@ -124,6 +129,9 @@
             newcomers: BTreeMap::new(),
             seeking: None,
             log_bytes: 0,
+            tenure: Tenure::default(),
+            answer_reports: AnswerReports::default(),
+            tail_answered: now,
         };
         member.log_bytes = member.log.iter().map(|entry| entry.body.len()).sum();
         member.next.trim_below = member.log.front().map_or(0, |entry| entry.seq);
@@ -199,6 +207,7 @@
             ChainMsg::Suffix { copy, entries } => self.on_suffix(from, copy, entries.into_vec()),
             ChainMsg::JoinAsk { seat, ready, seq } => self.on_join_ask(seat, ready != 0, seq),
             ChainMsg::FoundAsk { seat, bound } => self.on_found_ask(seat, bound),
+            ChainMsg::LastAnswered { view, millis } => self.on_last_answered(from, view, millis),
             ChainMsg::Done { op, entered, receipt } => self.on_done(op, entered != 0, receipt),
         }
     }
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -25,6 +25,7 @@
             return;
         }
         self.note_returns(&view);
+        let report = self.change_tail(&view);
         self.meta.view = view.clone();
         self.meta.promised = 0;
         self.meta.accepted_ballot = 0;
@@ -32,7 +33,7 @@
         self.seen_ballot = 0;
         self.proposal = None;
         self.heard_from_all();
-        self.keep_meta(Vec::new());
+        self.keep_meta(report.into_iter().collect());
         self.enter_line();
         self.outs.push(Output::Viewed { view });
     }
@@ -51,6 +52,9 @@
             return self.send(from, ChainMsg::Decided { view });
         }
         let holds_next = (self.meta.accepted_ballot > 0) as u8;
+        if holds_next == 0 {
+            self.note_answer(from);
+        }
         self.send(from, ChainMsg::BeatReceipt { view: self.meta.view.number, round, holds_next });
     }
 
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -8,6 +8,7 @@
 use crate::operators::{Activation, ReadJob};
 use crate::parts::PackedSteps;
 use crate::rosters::Rosters;
+use crate::tenure::Tenure;
 use chain::{Batch, Input, Member, Output, State};
 use holds::Sessions;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -32,7 +33,7 @@
 
 impl CoreTiming {
     /// A router's hold lapses here a sixth later than it can have lapsed there, whatever the clocks'
-    /// drift; a new tail waits as long before it lets any step come into force.
+    /// drift; a new tail waits as long after the last proof the tail before can have granted.
     pub fn for_hold(hold: Duration) -> Self {
         CoreTiming {
             lapse: hold + hold / 6,
@@ -82,6 +83,8 @@
     pub(crate) outs: Vec<CoreOutput>,
     pub(crate) sessions: Sessions,
     pub(crate) tail_since: Option<Duration>,
+    /// The unbroken run of views as the tail that the sessions belong to.
+    pub(crate) tenure: Option<Tenure>,
     pub(crate) jobs: VecDeque<(u64, NodeId, u64, HoldMsg)>,
     /// Renewals that wait for the next round of confirmation.
     pub(crate) renewals: Vec<(NodeId, u64, HoldMsg)>,
@@ -115,6 +118,7 @@
             outs: Vec::new(),
             sessions: Sessions::default(),
             tail_since: None,
+            tenure: None,
             jobs: VecDeque::new(),
             renewals: Vec::new(),
             rounded: Duration::ZERO,
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -32,7 +32,9 @@
     }
 
     pub(crate) fn duties_confirmed(&mut self) {
-        let Some(since) = self.tail_since else { return };
+        if self.tail_since.is_none() {
+            return;
+        }
         let members = self.align();
         if self.now >= self.ticked + self.timing.tick {
             self.ticked = self.now;
@@ -42,7 +44,7 @@
         for (id, incarnation) in self.sessions.lapsed(self.now, self.timing.lapse) {
             self.enter_duty(Duty::Lapse { id, incarnation }, &Command::Lapse { id, incarnation });
         }
-        if self.now >= since + self.timing.settle {
+        if self.earlier_proofs_are_over() {
             self.activate_staged();
             self.renew_quorum(members.keys().copied().collect());
         }
@@ -55,7 +57,7 @@
         let mut ready = active;
         for step in active + 1..=latest {
             quorums.push(keys::quorum(self.state(), step));
-            if self.sessions.staged_by_all(step, &quorums) {
+            if self.sessions.staged_by_all(step, &quorums, self.now, self.timing.lapse) {
                 ready = step;
             }
         }
--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -2,7 +2,6 @@
 
 use crate::core::{Core, CoreOutput, Wait};
 use crate::keys;
-use holds::Sessions;
 use std::time::Duration;
 use wire::HoldMsg;
 
@@ -44,13 +43,7 @@
             self.activated(active);
         }
         let tail = self.member.is_current_tail();
-        if !tail {
-            self.tail_since = None;
-        } else if self.tail_since.is_none() {
-            self.tail_since = Some(self.now);
-            self.sessions = Sessions::default();
-            self.aligned = None;
-        }
+        self.follow_tenure();
         let due = self.push_due || committed != self.pushed_commit || self.now >= self.pushed_at + PUSH_EVERY;
         if tail && committed >= synced && due {
             self.push_due = false;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -28,6 +28,7 @@
 mod service;
 mod settings;
 mod status;
+mod tenure;
 
 pub use api_calls::{ApiCall, ApiReply};
 pub use apply::apply;
--- a/crates/control/src/routers.rs
+++ b/crates/control/src/routers.rs
@@ -110,8 +110,10 @@
             latest: keys::number(self.state(), keys::LATEST),
             member: member as u8,
         };
+        if member {
+            self.sessions.note_proof(from, now);
+        }
         if let Some(session) = self.sessions.table.get_mut(&from).filter(|_| member) {
-            session.proved = now;
             session.staged = session.staged.max(staged);
             session.active = active;
             session.roster = roster;
--- /dev/null
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -0,0 +1,227 @@
+//! Registries and routers' followers on one simulated network and clock: the real `Core` and `Follower`
+//! with a fixed delay on each frame and each write, and machines that can be killed, cut off or added.
+
+#![allow(dead_code)]
+
+use chain::{Batch, Member, Stored, Timing, apply_batch};
+use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
+use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Standing};
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+use wire::{ItemLine, Message, NodeId, Seat};
+
+const FRAME_DELAY: Duration = Duration::from_millis(2);
+const WRITE_DELAY: Duration = Duration::from_millis(4);
+const REGISTRY_TICK: Duration = Duration::from_millis(10);
+const ROUTER_TICK: Duration = Duration::from_millis(20);
+const FIRST_ROUTER: NodeId = 1000;
+
+enum Event {
+    RegistryTick(NodeId),
+    RouterTick(NodeId),
+    Frame { from: NodeId, to: NodeId, message: Message },
+    Written { id: NodeId, ticket: u64, batch: Batch },
+}
+
+#[derive(Default)]
+pub struct Fleet {
+    pub now: Duration,
+    pub registries: BTreeMap<NodeId, Core>,
+    pub routers: BTreeMap<NodeId, Follower>,
+    /// Machines that run but whose frames reach nobody.
+    pub cut: BTreeSet<NodeId>,
+    /// Machines that reach each other and nobody else.
+    pub island: BTreeSet<NodeId>,
+    pub replies: BTreeMap<u64, (Duration, ApiReply)>,
+    /// Which voters an empty registry was told of.
+    told: BTreeMap<NodeId, Vec<NodeId>>,
+    disks: BTreeMap<NodeId, Stored>,
+    queue: BTreeMap<(Duration, u64), Event>,
+    events: u64,
+    asks: u64,
+    losses: usize,
+}
+
+impl Fleet {
+    pub fn started(registries: NodeId, routers: usize) -> Fleet {
+        let losses = if registries > 3 { 2 } else { 1 };
+        let mut fleet = Fleet { now: Duration::from_secs(1), losses, ..Fleet::default() };
+        (1..=registries).for_each(|id| fleet.start_registry(id));
+        fleet.pass(if registries > 3 { 12_000 } else { 3000 });
+        (0..routers).for_each(|n| fleet.start_router(FIRST_ROUTER + n as NodeId));
+        fleet.pass(8000);
+        assert_eq!(fleet.chain().len(), registries as usize, "the chain is whole");
+        let members = fleet.routers.keys().filter(|id| fleet.head().has_member(**id)).count();
+        assert_eq!(members, routers, "every router is a member");
+        fleet
+    }
+
+    pub fn start_registry(&mut self, id: NodeId) {
+        let stored = self.disks.entry(id).or_default().clone();
+        let seat = Seat { id, address: format!("10.0.0.{id}:1").into() };
+        let founds = if id <= 3 { 3 } else { 0 };
+        let member = Member::new(seat, stored, Timing::default(), control::apply, self.now);
+        let member = member.founding_with(founds).bearing(self.losses);
+        self.registries.insert(id, Core::new(member, CoreTiming::default(), (id << 40) + self.events));
+        self.at(Duration::ZERO, Event::RegistryTick(id));
+    }
+
+    pub fn start_router(&mut self, id: NodeId) {
+        let (address, timing) = (format!("10.0.1.{id}:1"), FollowerTiming::default());
+        self.routers.insert(id, Follower::new(id, id, &address, "a", "", timing));
+        self.at(Duration::from_micros(id % 20 * 1000), Event::RouterTick(id));
+    }
+
+    /// Kills the program of a registry; its disk is kept.
+    pub fn kill(&mut self, id: NodeId) {
+        self.registries.remove(&id);
+        self.routers.remove(&id);
+    }
+
+    pub fn isolate_together(&mut self, ids: &[NodeId]) {
+        self.island = ids.iter().copied().collect();
+    }
+
+    pub fn kill_and_wipe(&mut self, id: NodeId) {
+        self.kill(id);
+        self.disks.remove(&id);
+    }
+
+    /// The chain of the newest view that any living registry has adopted.
+    pub fn chain(&self) -> Vec<NodeId> {
+        let views = self.registries.values().map(|core| core.member().view());
+        views.max_by_key(|view| view.number).map(|view| view.chain.as_slice().to_vec()).unwrap_or_default()
+    }
+
+    pub fn head(&self) -> &Core {
+        &self.registries[&self.chain()[0]]
+    }
+
+    /// Sends a change to a registry and returns the number under which its reply will stand.
+    pub fn change(&mut self, registry: NodeId, value: u64) -> u64 {
+        self.asks += 1;
+        let ask = self.asks;
+        let value = format!(r#"{{"fixed":{value}}}"#).into_bytes();
+        let items = vec![ItemLine { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }];
+        let (op, scope) = (format!("op-{ask}"), String::new());
+        let call = ApiCall::Change { op, base: None, revision: None, whole: false, scope, items, dry: false };
+        self.feed_registry(registry, CoreInput::Call { ask, call });
+        ask
+    }
+
+    /// Sends a change and returns how long its acknowledgement took.
+    pub fn acknowledged_after(&mut self, registry: NodeId, value: u64) -> Duration {
+        let asked = self.now;
+        let ask = self.change(registry, value);
+        while !self.replies.contains_key(&ask) && self.now < asked + Duration::from_secs(9) {
+            self.pass(5);
+        }
+        let (at, reply) = self.replies.get(&ask).expect("the change was answered");
+        assert_eq!(reply.status, 200, "the change is in force");
+        *at - asked
+    }
+
+    /// Routers that may serve at this moment by an older step than the one in force at the core.
+    pub fn serving_by_older(&mut self) -> Vec<NodeId> {
+        let now = self.now;
+        let active = self.registries.values().map(|core| control::number(core.state(), "c/active"));
+        let newest = active.max().unwrap_or_default();
+        let serves = |follower: &mut Follower| follower.standing_at(now) != Standing::Waiting;
+        let older = self.routers.iter_mut().filter(|(_, router)| router.step_number() < newest);
+        older.filter_map(|(id, router)| serves(router).then_some(*id)).collect()
+    }
+
+    pub fn pass(&mut self, millis: u64) {
+        let until = self.now + Duration::from_millis(millis);
+        while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
+            let ((at, _), event) = entry.remove_entry();
+            self.now = at;
+            self.take(event);
+        }
+        self.now = until;
+    }
+
+    fn at(&mut self, delay: Duration, event: Event) {
+        self.events += 1;
+        self.queue.insert((self.now + delay, self.events), event);
+    }
+
+    fn take(&mut self, event: Event) {
+        match event {
+            Event::RegistryTick(id) if self.registries.contains_key(&id) => {
+                self.feed_registry(id, CoreInput::Tick);
+                self.at(REGISTRY_TICK, Event::RegistryTick(id));
+            }
+            Event::RouterTick(id) if self.routers.contains_key(&id) => {
+                self.feed_router(id, FollowerInput::Tick);
+                self.at(ROUTER_TICK, Event::RouterTick(id));
+            }
+            Event::Frame { from, to, message } => self.deliver(from, to, message),
+            Event::Written { id, ticket, batch } if self.registries.contains_key(&id) => {
+                apply_batch(self.disks.entry(id).or_default(), &batch);
+                self.feed_registry(id, CoreInput::Written { ticket });
+            }
+            _ => {}
+        }
+    }
+
+    fn deliver(&mut self, from: NodeId, to: NodeId, message: Message) {
+        let apart = self.island.contains(&from) != self.island.contains(&to);
+        if apart || self.cut.contains(&from) || self.cut.contains(&to) {
+            return;
+        }
+        match message {
+            Message::Chain(message) => self.feed_registry(to, CoreInput::Chain { from, message }),
+            Message::Hold(message) if to < FIRST_ROUTER => {
+                self.feed_registry(to, CoreInput::Router { from, incarnation: from, message })
+            }
+            Message::Hold(message) if from < FIRST_ROUTER => {
+                self.feed_router(to, FollowerInput::Registry { from, message })
+            }
+            Message::Hold(message) => self.feed_router(to, FollowerInput::Peer { from, message }),
+            _ => {}
+        }
+    }
+
+    fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
+        self.at(FRAME_DELAY, Event::Frame { from, to, message });
+    }
+
+    fn feed_registry(&mut self, id: NodeId, input: CoreInput) {
+        let now = self.now;
+        let Some(core) = self.registries.get_mut(&id) else { return };
+        for output in core.step(now, input) {
+            match output {
+                CoreOutput::Registry { to, message } => self.send(id, to, Message::Chain(message)),
+                CoreOutput::Router { to, message } => self.send(id, to, Message::Hold(message)),
+                CoreOutput::Seeds { message } => {
+                    let told = self.told.get(&id).into_iter().flatten().copied();
+                    let others: BTreeSet<NodeId> = (1..=3).chain(told).filter(|other| *other != id).collect();
+                    others.into_iter().for_each(|to| self.send(id, to, Message::Chain(message.clone())));
+                }
+                CoreOutput::Write { ticket, batch } => self.at(WRITE_DELAY, Event::Written { id, ticket, batch }),
+                CoreOutput::Told { view } => {
+                    self.told.insert(id, view.voters.iter().map(|seat| seat.id).collect());
+                }
+                CoreOutput::Reply { ask, reply } => drop(self.replies.insert(ask, (now, reply))),
+                _ => {}
+            }
+        }
+    }
+
+    fn feed_router(&mut self, id: NodeId, input: FollowerInput) {
+        let now = self.now;
+        let Some(router) = self.routers.get_mut(&id) else { return };
+        for output in router.step(now, input) {
+            match output {
+                FollowerOutput::ToRegistry { to: Some(to), message } => self.send(id, to, Message::Hold(message)),
+                FollowerOutput::ToRegistry { to: None, message } => {
+                    let all: Vec<NodeId> = self.registries.keys().copied().collect();
+                    all.into_iter().for_each(|to| self.send(id, to, Message::Hold(message.clone())));
+                }
+                FollowerOutput::ToPeer { to, message } => self.send(id, to, Message::Hold(message)),
+                _ => {}
+            }
+        }
+    }
+}
--- a/crates/holds/src/sessions.rs
+++ b/crates/holds/src/sessions.rs
@@ -8,7 +8,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     pub incarnation: u64,
+    /// When it was last given a proof here, or first came into this table.
     pub proved: Duration,
+    /// No proof it may still have was asked for after this moment.
+    pub proof_asked_until: Duration,
     pub staged: u64,
     pub active: u64,
     pub roster: u64,
@@ -39,11 +42,16 @@
             match self.table.get_mut(id) {
                 Some(session) if session.incarnation == *incarnation => {}
                 Some(session) => {
-                    let proved = session.proved;
-                    *session = Session { incarnation: *incarnation, proved, ..Session::default() };
+                    let (proved, proof_asked_until) = (session.proved, session.proof_asked_until);
+                    *session = Session { incarnation: *incarnation, proved, proof_asked_until, ..Session::default() };
                 }
                 None => {
-                    let session = Session { incarnation: *incarnation, proved: now, ..Session::default() };
+                    let session = Session {
+                        incarnation: *incarnation,
+                        proved: now,
+                        proof_asked_until: now,
+                        ..Session::default()
+                    };
                     self.table.insert(*id, session);
                 }
             }
@@ -55,12 +63,27 @@
         self.table.iter().filter(|(_, s)| silent(s)).map(|(id, s)| (*id, s.incarnation)).collect()
     }
 
-    /// Whether every member has staged the step, and the machines that have are a majority of
-    /// each quorum given. An empty quorum asks nothing.
-    pub fn staged_by_all(&self, step: u64, quorums: &[Vec<NodeId>]) -> bool {
+    pub fn note_proof(&mut self, id: NodeId, now: Duration) {
+        if let Some(session) = self.table.get_mut(&id) {
+            (session.proved, session.proof_asked_until) = (now, now);
+        }
+    }
+
+    /// Learns that tails before this one granted no proof that was asked for after `until`. Whoever was given
+    /// one here, which is at `begun` or later, is left as it is.
+    pub fn bound_earlier_proofs(&mut self, begun: Duration, until: Duration) {
+        for session in self.table.values_mut().filter(|session| session.proved <= begun) {
+            session.proof_asked_until = session.proof_asked_until.min(until);
+        }
+    }
+
+    /// Whether every member has staged the step or has no proof any more, `lapse` after it was asked for; and
+    /// the machines that have staged it are a majority of each quorum given. An empty quorum asks nothing.
+    pub fn staged_by_all(&self, step: u64, quorums: &[Vec<NodeId>], now: Duration, lapse: Duration) -> bool {
         let has = |id: &NodeId| self.table.get(id).is_some_and(|session| session.staged >= step);
         let most = |quorum: &Vec<NodeId>| quorum.iter().filter(|id| has(id)).count() * 2 > quorum.len();
-        self.table.values().all(|session| session.staged >= step)
+        let unproved = |session: &Session| now > session.proof_asked_until + lapse;
+        self.table.values().all(|session| session.staged >= step || unproved(session))
             && quorums.iter().all(|quorum| quorum.is_empty() || most(quorum))
     }
 }
--- a/crates/wire/src/chain.rs
+++ b/crates/wire/src/chain.rs
@@ -81,4 +81,7 @@
     SuffixAsk { since: u64, last: u64, digest: u64 },
     #[deku(id = "20")]
     Suffix { copy: u64, entries: List<EntryLine> },
+    /// To the new tail of a view: how long before adopting it a voter last answered the tail before.
+    #[deku(id = "21")]
+    LastAnswered { view: u64, millis: u64 },
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 /// The newest format spoken, and the oldest still understood.
-pub const FORMAT: u16 = 4;
+pub const FORMAT: u16 = 5;
 pub const OLDEST: u16 = 1;
 /// The format that first told what a machine can carry, and in which homes beat only whom they serve.
 pub const CAPACITY: u16 = 4;
@@ -132,7 +132,8 @@
     #[test]
     fn a_length_that_lies_is_refused_without_allocating_for_it() {
         let mut record = to_bytes(&frame());
-        let lie = record.iter().position(|b| *b == 5).unwrap();
+        // The length of the cluster's name, which follows the two bytes of the format.
+        let lie = 2 + record[2..].iter().position(|b| *b == 5).unwrap();
         record[lie..lie + 4].copy_from_slice(&u32::MAX.to_le_bytes());
         assert!(matches!(decode("posta", crc32fast::hash(&record), &record), Err(FrameFault::Malformed)));
     }
