--- a/crates/sim/src/callers.rs
+++ b/crates/sim/src/callers.rs
@@ -144,6 +144,7 @@
                 self.callers.answered += 1;
                 self.rules.served_well(now);
                 self.rules.accepted(&task.key, &task.service);
+                self.moment(crate::strikes::Trigger::WorkAccepted, n);
             }
             Some(Outcome::NotRun) => {
                 self.callers.refused += 1;
--- a/crates/sim/src/chances.rs
+++ b/crates/sim/src/chances.rs
@@ -19,9 +19,12 @@
     Wake,
     Flood,
     Grown,
+    Cutoff,
+    Replacement,
+    Anything,
 }
 
-const WORDS: [(&str, Sort); 13] = [
+const WORDS: [(&str, Sort); 16] = [
     ("calm", Sort::Calm),
     ("core", Sort::Core),
     ("routers", Sort::Routers),
@@ -35,6 +38,9 @@
     ("wake", Sort::Wake),
     ("flood", Sort::Flood),
     ("grown", Sort::Grown),
+    ("cutoff", Sort::Cutoff),
+    ("replacement", Sort::Replacement),
+    ("anything", Sort::Anything),
 ];
 
 /// One failure and its drawing by weight: a sort names what may happen in it.
@@ -71,6 +77,7 @@
     MoveSeeds,
     Wake,
     Flood,
+    Control(crate::control_faults::ControlFault),
 }
 
 impl Sort {
@@ -82,10 +89,15 @@
         WORDS.map(|(word, _)| word).join(", ")
     }
 
+    /// The sorts on the control plane's failures, with longer bouts and more registries.
+    pub fn is_on_control(self) -> bool {
+        matches!(self, Sort::Cutoff | Sort::Replacement | Sort::Anything)
+    }
+
     pub fn kinds(self) -> &'static [Kind] {
         use Kind::*;
         match self {
-            Sort::Calm => &[],
+            Sort::Calm | Sort::Cutoff | Sort::Replacement | Sort::Anything => &[],
             Sort::Core => &[
                 KillRegistry,
                 KillRegistry,
@@ -145,6 +157,9 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub sort: Sort,
+    pub registries: usize,
+    /// How many registries may be lost with their disks at once.
+    pub losses: usize,
     pub routers: usize,
     pub functions: usize,
     pub limit: u32,
@@ -159,15 +174,26 @@
 impl Plan {
     pub fn new(seed: u64, sort: Sort) -> Plan {
         let seconds = Duration::from_secs;
+        let (registries, losses) = match seed % 4 {
+            1 if sort.is_on_control() => (6, 2),
+            2 if sort.is_on_control() => (8, 2),
+            _ => (3, 1),
+        };
+        let long = sort.is_on_control();
         Plan {
             sort,
+            registries,
+            losses,
             routers: if matches!(sort, Sort::Storm | Sort::Wake) { 5 } else { 3 + (seed % 3) as usize },
             functions: if sort == Sort::Wake { 60 } else { 8 },
             limit: if sort == Sort::Wake { 1 } else { 3 },
-            bouts: [(seconds(12), seconds(22)), (seconds(46), seconds(54))],
-            final_fault: seconds(76),
-            callers_end: seconds(80),
-            end: seconds(94),
+            bouts: match long {
+                true => [(seconds(14), seconds(28)), (seconds(70), seconds(80))],
+                false => [(seconds(12), seconds(22)), (seconds(46), seconds(54))],
+            },
+            final_fault: seconds(if long { 122 } else { 76 }),
+            callers_end: seconds(if long { 126 } else { 80 }),
+            end: seconds(if long { 140 } else { 94 }),
             rate: 25.0,
             instances: match sort {
                 Sort::Crowd => 9,
--- /dev/null
+++ b/crates/sim/src/core_rules.rs
@@ -0,0 +1,216 @@
+//! Rules on the registries as a whole: how many synced copies there are of what is committed, whether a
+//! majority of voters would be left after as many more losses as are declared, how soon after the last
+//! trouble the core can bear them again and has everyone back, and that none acknowledges alone.
+
+use crate::rules::Rules;
+use crate::world::{Place, World};
+use rand::RngExt;
+use std::time::Duration;
+use wire::{NodeId, View};
+
+/// After this long without trouble a registry counts as well again: with three of them, and with more.
+const CATCH_UP: Duration = Duration::from_secs(4);
+const CATCH_UP_OF_MANY: Duration = Duration::from_secs(6);
+/// After this long without trouble everyone is back in the chain.
+const ALL_BACK: Duration = Duration::from_secs(20);
+/// What was on the way when a cut began may still be answered.
+const ON_THE_WAY: Duration = Duration::from_millis(1500);
+const EVERY: Duration = Duration::from_millis(100);
+/// No rule on the whole core before it has been founded and joined by all.
+const BEGIN: Duration = Duration::from_secs(13);
+
+/// The copies of what is committed, and how many there must be.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CoreCopies {
+    pub entry: u64,
+    pub synced: usize,
+    pub losses: usize,
+    /// Disks lost that no one has replaced in the chain yet.
+    pub lost: usize,
+}
+
+/// What the rules on the core remember between steps.
+#[derive(Default)]
+pub struct CoreStanding {
+    looked: Duration,
+    committed: u64,
+    view: u64,
+    lost: usize,
+    /// Since when no registry hears from any other, by registry.
+    alone_since: Vec<Option<Duration>>,
+}
+
+impl Rules {
+    /// One disk more holds each committed entry than may be lost, less those that are lost already.
+    pub fn copies(&mut self, now: Duration, copies: CoreCopies) {
+        let wanted = (copies.losses + 1).saturating_sub(copies.lost).max(1);
+        if copies.synced < wanted {
+            let CoreCopies { entry, synced, .. } = copies;
+            self.tell(now, format!("entry {entry} is committed with {synced} synced copies, {wanted} are to be"));
+        }
+    }
+
+    /// After as many more losses as are declared a majority of the voters is left, and one copy at least.
+    pub fn bears_losses(&mut self, now: Duration, voters: usize, running: usize, chained: usize, losses: usize) {
+        let left = running.saturating_sub(losses);
+        if left * 2 <= voters {
+            self.tell(now, format!("{running} of {voters} voters run: {losses} more losses leave no majority"));
+        }
+        if chained <= losses {
+            self.tell(now, format!("{chained} in the chain: {losses} more losses may leave no copy"));
+        }
+    }
+
+    pub fn all_back(&mut self, now: Duration, calm_since: Duration, absent: usize) {
+        if absent > 0 && now > calm_since + ALL_BACK {
+            let calm = (now - calm_since).as_secs();
+            self.tell(now, format!("{absent} registries are not in the chain after {calm} s of calm"));
+        }
+    }
+
+    /// An acknowledgement by a registry that has heard from no other since that moment.
+    pub fn acknowledged_by_one_alone(&mut self, now: Duration, alone_since: Option<Duration>) {
+        if let Some(since) = alone_since.filter(|since| now > *since + ON_THE_WAY) {
+            self.tell(now, format!("a change was acknowledged by one cut off for {} ms", (now - since).as_millis()));
+        }
+    }
+}
+
+impl World {
+    pub(crate) fn live_registries(&self) -> Vec<usize> {
+        (0..self.registries.len()).filter(|n| !self.registries[*n].retired).collect()
+    }
+
+    pub(crate) fn any_registry(&mut self) -> usize {
+        let live = self.live_registries();
+        live[self.dice.random_range(0..live.len())]
+    }
+
+    /// Where a registry asks while it knows no view: its seeds, and whom they told of.
+    pub(crate) fn seeds_of(&self, n: usize) -> Vec<String> {
+        if !self.plan.sort.is_on_control() {
+            return self.seeds.clone();
+        }
+        let node = &self.registries[n];
+        let seeds = if node.seeds.is_empty() { &self.seeds } else { &node.seeds };
+        seeds.iter().chain(&node.told).cloned().collect()
+    }
+
+    pub(crate) fn catch_up(&self) -> Duration {
+        if self.plan.losses > 1 { CATCH_UP_OF_MANY } else { CATCH_UP }
+    }
+
+    /// How many more disks may be lost now: the losses declared, less those who are lost or not yet over it.
+    pub(crate) fn disks_that_may_go(&self) -> usize {
+        let unwell = |n: &usize| !self.is_well(*n);
+        let lost = self.live_registries().iter().filter(|n| unwell(n)).count();
+        self.plan.losses.saturating_sub(lost)
+    }
+
+    fn is_well(&self, n: usize) -> bool {
+        let node = &self.registries[n];
+        node.core.is_some() && !self.is_in_trouble(n) && self.now > node.last_trouble + self.catch_up()
+    }
+
+    fn is_in_trouble(&self, n: usize) -> bool {
+        let (node, now, place) = (&self.registries[n], self.now, Place::Registry(n));
+        let held = node.frozen_until > now || node.stalled_until > now || node.slow_disk_until > now || node.full;
+        let registry = |place: &Place| matches!(place, Place::Registry(_));
+        let touches = |(a, b): &(Place, Place)| (*a == place || *b == place) && registry(a) && registry(b);
+        let net = &self.net;
+        held || node.core.is_none() || self.is_slow(place) || net.cuts.iter().chain(net.slow.keys()).any(touches)
+    }
+
+    pub(crate) fn acknowledged_by(&mut self, n: usize) {
+        let alone = self.core_standing.alone_since.get(n).copied().flatten();
+        self.rules.acknowledged_by_one_alone(self.now, alone);
+        self.moment(crate::strikes::Trigger::ChangeAcknowledged, n);
+    }
+
+    /// After each step: copies, when anything was committed, agreed on or lost; the rest ten times a second.
+    pub fn check_core(&mut self) {
+        if self.now >= self.core_standing.looked + EVERY {
+            self.core_standing.looked = self.now;
+            self.note_troubles();
+            self.check_calm_core();
+        }
+        let cores = self.registries.iter().filter_map(|node| node.core.as_ref());
+        let newest = |(committed, view): (u64, u64), core: &control::Core| {
+            let member = core.member();
+            (committed.max(member.positions().2), view.max(member.view().number))
+        };
+        let (committed, view) = cores.fold((0, 0), newest);
+        let lost = self.registries.iter().filter(|node| node.disk_lost && !node.retired).count();
+        let known = &mut self.core_standing;
+        if (known.committed, known.view, known.lost) == (committed, view, lost) && committed > 0 {
+            return;
+        }
+        (known.committed, known.view, known.lost) = (known.committed.max(committed), view, lost);
+        let entry = known.committed;
+        self.check_copies(entry);
+    }
+
+    fn check_copies(&mut self, entry: u64) {
+        let Some(op) = self.rules.committed_op(entry) else { return };
+        let holds = |disk: &chain::Stored| {
+            let known = disk.entries.binary_search_by_key(&entry, |line| line.seq);
+            disk.last >= entry
+                && known.is_ok_and(|at| {
+                    let line = &disk.entries[at];
+                    (line.op.origin, line.op.number) == op
+                })
+                || (disk.last >= entry && known.is_err())
+        };
+        let live = self.registries.iter().filter(|node| !node.retired || node.core.is_some());
+        let synced = live.filter(|node| holds(&node.disk)).count();
+        if let Some(view) = self.newest_view() {
+            for node in &mut self.registries {
+                node.disk_lost &= !(view.chain.iter().any(|id| *id == node.id) && view.fresh != node.id);
+            }
+        }
+        let lost = self.registries.iter().filter(|node| node.disk_lost).count();
+        let losses = self.plan.losses;
+        self.rules.copies(self.now, CoreCopies { entry, synced, losses, lost });
+    }
+
+    fn newest_view(&self) -> Option<View> {
+        let cores = self.registries.iter().filter_map(|node| node.core.as_ref());
+        cores.map(|core| core.member().view()).max_by_key(|view| view.number).cloned()
+    }
+
+    fn note_troubles(&mut self) {
+        let live = self.live_registries();
+        for n in live.iter().copied().filter(|n| self.is_in_trouble(*n)).collect::<Vec<_>>() {
+            self.registries[n].last_trouble = self.now;
+        }
+        let now = self.now;
+        let hears = |n: usize| {
+            let from = |other: &usize| *other != n && self.registries[*other].core.is_some();
+            let way = |other: usize| (Place::Registry(other), Place::Registry(n));
+            live.iter().filter(|other| from(other)).any(|other| !self.net.cuts.contains(&way(*other)))
+        };
+        let alone: Vec<bool> = (0..self.registries.len()).map(|n| !hears(n)).collect();
+        let since = &mut self.core_standing.alone_since;
+        since.resize(alone.len(), None);
+        for (since, alone) in since.iter_mut().zip(alone) {
+            *since = alone.then(|| since.unwrap_or(now));
+        }
+    }
+
+    fn check_calm_core(&mut self) {
+        let live = self.live_registries();
+        let leaving = |node: &crate::registry_node::RegistryNode| node.retired && node.core.is_some();
+        if self.now < BEGIN || self.registries.iter().any(leaving) || !live.iter().all(|n| self.is_well(*n)) {
+            return;
+        }
+        let Some(view) = self.newest_view() else { return };
+        let running: Vec<NodeId> = live.iter().map(|n| self.registries[*n].id).collect();
+        let voters = view.voters.iter().filter(|seat| running.contains(&seat.id)).count();
+        let chained = view.chain.iter().filter(|id| running.contains(id)).count();
+        let calm_since = self.registries.iter().map(|node| node.last_trouble.max(node.retired_at)).max();
+        let absent = running.len() - chained;
+        let all = view.voters.as_slice().len();
+        self.rules.bears_losses(self.now, all, voters, chained, self.plan.losses);
+        self.rules.all_back(self.now, calm_since.unwrap_or_default(), absent);
+    }
+}
--- a/crates/sim/src/failing.rs
+++ b/crates/sim/src/failing.rs
@@ -22,10 +22,12 @@
 
     /// A planned stop of a registry, one at a time: the chain goes on without it at once.
     pub(crate) fn stop_registry(&mut self, n: usize) {
-        let calm = |node: &crate::registry_node::RegistryNode| {
-            node.core.as_ref().is_some_and(|core| core.member().view().chain.as_slice().len() == 3)
+        let live = self.live_registries();
+        let calm = |n: &usize| {
+            let core = self.registries[*n].core.as_ref();
+            core.is_some_and(|core| core.member().view().chain.as_slice().len() == live.len())
         };
-        if !self.registries.iter().all(calm) {
+        if !live.iter().all(calm) {
             return;
         }
         self.feed_registry(n, control::CoreInput::Leave);
@@ -55,28 +57,34 @@
     }
 
     pub(crate) fn places(&self) -> Vec<Place> {
-        (0..3).map(Place::Registry).chain((0..self.routers.len()).map(Place::Router)).collect()
+        self.live_registries()
+            .into_iter()
+            .map(Place::Registry)
+            .chain((0..self.routers.len()).map(Place::Router))
+            .collect()
     }
 
     /// Routers in the zone of a registry.
     pub(crate) fn zone_of(&self, registry: usize) -> Vec<usize> {
-        (0..self.routers.len()).filter(|n| n % 3 == registry).collect()
+        (0..self.routers.len()).filter(|n| n % 3 == registry % 3).collect()
     }
 
     /// One disk is lost, only while the other two are whole in the chain with it; the machine comes
     /// back empty, sometimes at a new address.
     pub(crate) fn lose_disk(&mut self, n: usize, back: Duration) {
-        let whole = |node: &crate::registry_node::RegistryNode| {
-            let Some(core) = &node.core else { return false };
+        let live = self.live_registries();
+        let whole = |n: &usize| {
+            let Some(core) = &self.registries[*n].core else { return false };
             let view = core.member().view();
-            view.chain.as_slice().len() == 3 && view.fresh == 0
+            view.chain.as_slice().len() == live.len() && view.fresh == 0
         };
-        if !self.registries.iter().all(whole) {
+        if !live.iter().all(whole) {
             return;
         }
         self.kill_registry(n);
         self.registries[n].disk = Stored::default();
         self.registries[n].pending = None;
+        self.registries[n].disk_lost = true;
         if self.dice.random_bool(0.5) {
             self.registries[n].address = format!("10.0.9.{}:1", self.steps);
         }
@@ -87,15 +95,16 @@
     /// The seeds on every machine become the registries' present addresses, and a router is started
     /// anew by them.
     pub(crate) fn move_seeds(&mut self) {
-        self.seeds = self.registries.iter().map(|node| node.address.clone()).collect();
+        let live = self.live_registries().into_iter().take(3);
+        self.seeds = live.map(|n| self.registries[n].address.clone()).collect();
         let router = self.dice.random_range(0..self.routers.len());
         self.kill_router_for(router, 200, 1000);
     }
 
     pub(crate) fn cut(&mut self, kind: Kind) -> Duration {
-        let registries: Vec<Place> = (0..3).map(Place::Registry).collect();
+        let registries: Vec<Place> = self.live_registries().into_iter().map(Place::Registry).collect();
         let all = self.places();
-        let one = self.dice.random_range(0..3);
+        let one = self.dice.random_range(0..registries.len());
         let mut others = all.clone();
         let side: Vec<Place> = match kind {
             Kind::CutOne => vec![all[self.dice.random_range(0..all.len())]],
@@ -105,7 +114,7 @@
                 vec![registries[one]]
             }
             Kind::CutPair => {
-                others = vec![registries[(one + 1) % 3]];
+                others = vec![registries[(one + 1) % registries.len()]];
                 vec![registries[one]]
             }
             Kind::CutZone => {
--- a/crates/sim/src/faults.rs
+++ b/crates/sim/src/faults.rs
@@ -28,13 +28,17 @@
         if self.now >= self.plan.final_fault {
             return self.final_fault();
         }
-        let pause = if self.plan.sort == Sort::Storm { self.ms(50, 1500) } else { self.ms(300, 5000) };
+        let pause = match self.plan.sort {
+            Sort::Storm => self.ms(50, 1500),
+            Sort::Anything => self.ms(100, 3000),
+            _ => self.ms(300, 5000),
+        };
         let next = self.now + pause;
         let bouts = self.plan.bouts;
         let later = bouts.iter().map(|(from, _)| *from).chain([self.plan.final_fault]).find(|from| *from > self.now);
         let next = if self.plan.in_bout(next) { next } else { later.unwrap_or(next) };
         self.at(next, Event::Fault);
-        let kinds = self.plan.sort.kinds();
+        let kinds = crate::control_faults::kinds(self.plan.sort);
         if kinds.is_empty() || !self.plan.in_bout(self.now) {
             return;
         }
@@ -47,9 +51,12 @@
 
     /// The day's end: power is lost at every registry, and at one router, just before the read-back.
     fn final_fault(&mut self) {
+        if self.plan.sort.is_on_control() {
+            return self.final_blow();
+        }
         self.say(|| "the final fault".into());
         let router = self.dice.random_range(0..self.routers.len());
-        for n in 0..3 {
+        for n in self.live_registries() {
             self.kill_registry_for(n, 200, 2500);
         }
         self.kill_router_for(router, 200, 2500);
@@ -70,12 +77,12 @@
 
     /// Does it and says how long it lasts at the most.
     fn bring_about(&mut self, kind: Kind, back: Duration) -> Duration {
-        let registry = self.dice.random_range(0..3);
+        let registry = self.any_registry();
         let router = self.dice.random_range(0..self.routers.len());
         let millis = back.as_millis() as u64;
         match kind {
             Kind::KillRegistry => self.kill_registry_for(registry, millis, millis + 1),
-            Kind::KillCore => (0..3).for_each(|n| self.kill_registry_for(n, 200, 5000)),
+            Kind::KillCore => self.live_registries().into_iter().for_each(|n| self.kill_registry_for(n, 200, 5000)),
             Kind::FreezeRegistry => return self.freeze(Place::Registry(registry)),
             Kind::StallDisk => self.registries[registry].stalled_until = self.now + back,
             Kind::FillDisk => {
@@ -91,7 +98,7 @@
             }
             Kind::KillRouters => (0..self.routers.len()).for_each(|n| self.kill_router_for(n, 200, 4000)),
             Kind::KillAll => {
-                (0..3).for_each(|n| self.kill_registry_for(n, 200, 4000));
+                self.live_registries().into_iter().for_each(|n| self.kill_registry_for(n, 200, 4000));
                 (0..self.routers.len()).for_each(|n| self.kill_router_for(n, 200, 4000));
             }
             Kind::FreezeRouter => return self.freeze(Place::Router(router)),
@@ -124,6 +131,7 @@
             Kind::Grow => self.operators.grows = true,
             Kind::MoveSeeds => self.move_seeds(),
             Kind::Wake => self.wake_all(),
+            Kind::Control(fault) => return self.control_fault(fault, back),
             Kind::Flood => self.callers.flood_until = self.now + back,
         }
         back.max(Duration::from_millis(5000))
--- /dev/null
+++ b/crates/sim/src/follow_ups.rs
@@ -0,0 +1,80 @@
+//! What follows a failure some time later: each step says what is done, and the failure that sent for it
+//! knows when.
+
+use crate::strikes::Blow;
+use crate::world::{Place, World};
+use std::time::Duration;
+
+/// What follows a failure some time later.
+#[derive(Clone, Debug)]
+pub enum FollowUp {
+    Strike {
+        at: usize,
+        blow: Blow,
+    },
+    Cut {
+        cuts: Vec<(Place, Place)>,
+        lasts: Duration,
+    },
+    RestartRegistry {
+        registry: usize,
+    },
+    /// So many changes on one revision are sent to this registry.
+    Change {
+        registry: usize,
+        count: usize,
+    },
+    KillAgain {
+        registry: usize,
+        times: u32,
+    },
+    StallDisk {
+        registry: usize,
+        lasts: Duration,
+    },
+    FillDisk {
+        registry: usize,
+        lasts: Duration,
+    },
+    Drain {
+        zone: usize,
+    },
+    Roll {
+        next: usize,
+        at_a_time: usize,
+        waited: Duration,
+    },
+    /// A planned stop of a registry begins, and it goes once it is out of the chain or has waited long enough.
+    Retire {
+        registry: usize,
+    },
+    Retiring {
+        registry: usize,
+        until: Duration,
+    },
+    ReplaceNext {
+        left: usize,
+        planned: bool,
+    },
+    LastBlow,
+}
+
+impl World {
+    pub(crate) fn take_follow_up(&mut self, step: FollowUp) {
+        match step {
+            FollowUp::Strike { at, blow } => self.strike(at, blow),
+            FollowUp::Cut { cuts, lasts } => self.begin_cut(cuts, lasts),
+            FollowUp::RestartRegistry { registry } => self.kill_registry_for(registry, 100, 1500),
+            FollowUp::Change { registry, count } => self.send_changes(registry, count),
+            FollowUp::KillAgain { registry, times } => self.kill_again(registry, times),
+            FollowUp::StallDisk { registry, lasts } => self.registries[registry].stalled_until = self.now + lasts,
+            FollowUp::FillDisk { registry, lasts } => self.fill_disk(registry, lasts),
+            FollowUp::Drain { zone } => self.drain_zone(zone),
+            FollowUp::Roll { next, at_a_time, waited } => self.roll_next(next, at_a_time, waited),
+            FollowUp::Retire { registry } => self.retire(registry),
+            FollowUp::Retiring { registry, until } => self.await_retirement(registry, until),
+            FollowUp::ReplaceNext { left, planned } => self.replace_next(left, planned),
+            FollowUp::LastBlow => self.last_blow_without_moment(),
+        }
+    }
+}
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -4,20 +4,30 @@
 
 mod callers;
 mod chances;
+mod control_faults;
+mod core_rules;
+mod cutoff;
 mod ending;
 mod failing;
 mod faults;
+mod final_blow;
+mod follow_ups;
 mod instances;
 mod net;
 mod operators;
 mod registry_node;
+mod replacement;
+mod rolling;
 mod router_node;
 mod router_turns;
 mod rules;
+mod slowness;
 mod standing;
+mod strikes;
 mod world;
 mod yard;
 
 pub use chances::{Plan, Sort};
+pub use core_rules::CoreCopies;
 pub use rules::Rules;
 pub use world::{Outcome, World, run};
--- a/crates/sim/src/net.rs
+++ b/crates/sim/src/net.rs
@@ -2,6 +2,7 @@
 //! one is slow or comes twice; cuts, one-way or both, drop what is sent across them, and a cut
 //! that ends resets the connections it touched.
 
+use crate::slowness::SLOW_FRAME;
 use crate::world::{Event, Place, World};
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,6 +16,7 @@
     pub names: BTreeMap<NodeId, Place>,
     pub sent: u64,
     pub slow: BTreeMap<(Place, Place), Duration>,
+    pub slow_machines: BTreeMap<Place, Duration>,
 }
 
 impl World {
@@ -37,7 +39,8 @@
         let message = if self.net.sent.is_multiple_of(64) { through_codec(message) } else { message };
         let micros = self.dice.random_range(150..1500);
         let slow = if self.dice.random_ratio(1, 400) { self.dice.random_range(1..400_000) } else { 0 };
-        let more = self.net.slow.get(&(from, to)).copied().unwrap_or_default();
+        let mut more = self.net.slow.get(&(from, to)).copied().unwrap_or_default();
+        more += SLOW_FRAME * (u32::from(self.is_slow(from)) + u32::from(self.is_slow(to)));
         let mut time = self.now + Duration::from_micros(micros + slow) + more;
         let last = self.net.last.entry((from, to)).or_default();
         time = time.max(*last + Duration::from_micros(1));
@@ -49,6 +52,17 @@
         self.at(time, Event::Frame { to, life, from: id, incarnation, message });
     }
 
+    /// Loses what was sent from one to the other and has not arrived, as when a connection is reset.
+    pub fn drop_in_flight(&mut self, from: Place, to: Place) {
+        let (id, incarnation) = self.identity(from);
+        let lost = |event: &mut Event| {
+            matches!(event, Event::Frame { to: target, from, incarnation: sent_by, .. }
+                if *target == to && *from == id && *sent_by == incarnation)
+        };
+        let count = self.events.extract_if(.., |_, event| lost(event)).count();
+        self.say(|| format!("{from:?} to {to:?} is reset, {count} frames lost"));
+    }
+
     pub fn identity(&self, place: Place) -> (NodeId, u64) {
         match place {
             Place::Registry(n) => (self.registries[n].id, self.registries[n].life),
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -28,6 +28,7 @@
     pub read: Option<Value>,
     pub last_ack: Duration,
     pub grows: bool,
+    pub last_acknowledger: Option<usize>,
 }
 
 impl Operators {
@@ -74,7 +75,7 @@
         let racers = if self.dice.random_ratio(1, 4) { 2 } else { 1 };
         let base = self.operators.revision;
         for _ in 0..racers {
-            let n = self.dice.random_range(0..3);
+            let n = self.any_registry();
             if self.registries[n].core.is_none() {
                 continue;
             }
@@ -116,6 +117,7 @@
             };
             self.operators.open.insert((n, ask), Asked { mark, base, invalid });
             self.feed_registry(n, CoreInput::Call { ask, call });
+            self.moment(crate::strikes::Trigger::ChangeSent, n);
         }
     }
 
@@ -144,6 +146,7 @@
                 self.operators.last_ack = now;
                 self.rules.acknowledged(now, revision);
                 self.operators.acked.push((revision, asked.mark, asked.base));
+                self.acknowledged_by(n);
             }
             412 => {
                 let told: Value = serde_json::from_str(&reply.body).unwrap_or_default();
@@ -162,7 +165,7 @@
         }
         let back = self.now > self.plan.final_fault + Duration::from_secs(4);
         if back && self.operators.reading.is_none() && self.operators.open.is_empty() {
-            let n = self.dice.random_range(0..3);
+            let n = self.any_registry();
             if self.registries[n].core.is_some() {
                 self.operators.next += 1;
                 let ask = self.operators.next;
@@ -201,7 +204,7 @@
 }
 
 /// A change is known by a number kept in a plan of a function that is never called.
-fn mark_line(mark: &str) -> ItemLine {
+pub(crate) fn mark_line(mark: &str) -> ItemLine {
     let number: u64 = mark[1..].parse().unwrap_or_default();
     line("headcount-plans/t0/mark", json!({"fixed": number % 1000}))
 }
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -1,5 +1,6 @@
 //! A registry in the simulator: the real core over a disk that keeps only what was synced.
 
+use crate::slowness::SLOW_DISK;
 use crate::world::{Event, Place, TICK, World};
 use bindings::Book;
 use chain::{Batch, Member, Stored, Timing, apply_batch};
@@ -23,11 +24,28 @@
     pub frozen_until: Duration,
     pub drift: f64,
     pub planner: Planner,
+    pub slow_disk_until: Duration,
+    /// Seeds of its own, where its settings were written after the others'.
+    pub seeds: Vec<String>,
+    /// Addresses that a seed told of while it was empty.
+    pub told: Vec<String>,
+    pub started_before: bool,
+    /// Gone for good, after a planned stop.
+    pub retired: bool,
+    pub retired_at: Duration,
+    /// Its disk was lost, and it has not been in the chain since.
+    pub disk_lost: bool,
+    pub last_trouble: Duration,
 }
 
 impl World {
     pub fn add_registry(&mut self, n: usize) {
-        let address = self.seeds[n].clone();
+        self.push_registry(format!("10.0.0.{n}:1"));
+        self.start_registry(n);
+    }
+
+    /// One more registry that has not started yet.
+    pub fn push_registry(&mut self, address: String) {
         self.registries.push(RegistryNode {
             id: 0,
             address,
@@ -41,12 +59,19 @@
             frozen_until: Duration::ZERO,
             drift: 1.0,
             planner: Planner::default(),
+            slow_disk_until: Duration::ZERO,
+            seeds: Vec::new(),
+            told: Vec::new(),
+            started_before: false,
+            retired: false,
+            retired_at: Duration::ZERO,
+            disk_lost: false,
+            last_trouble: self.now,
         });
-        self.start_registry(n);
     }
 
     pub fn start_registry(&mut self, n: usize) {
-        if self.registries[n].core.is_some() {
+        if self.registries[n].core.is_some() || self.registries[n].retired {
             return;
         }
         let fresh = self.dice.random::<u64>() | 1;
@@ -65,7 +90,14 @@
         node.frozen_until = Duration::ZERO;
         node.planner = Planner::default();
         node.planner.viewed(node.disk.meta.view.clone());
-        let member = Member::new(seat, node.disk.clone(), Timing::default(), control::apply, Duration::ZERO);
+        node.told.clear();
+        node.last_trouble = now;
+        let founds = !node.started_before && self.seeds.contains(&node.address);
+        node.started_before = true;
+        let mut member = Member::new(seat, node.disk.clone(), Timing::default(), control::apply, Duration::ZERO);
+        if self.plan.sort.is_on_control() {
+            member = member.founding_with(if founds { self.seeds.len() } else { 0 }).bearing(self.plan.losses);
+        }
         node.core = Some(Core::new(member, CoreTiming::default(), life << 20));
         self.net.names.insert(seat_id, Place::Registry(n));
         self.say(|| format!("registry {n} starts as {seat_id:016x}"));
@@ -86,6 +118,7 @@
             apply_batch(&mut node.disk, &batch);
         }
         node.life = 0;
+        node.last_trouble = self.now;
         let id = node.id;
         self.say(|| format!("registry {n} is killed"));
         self.operators.lost_registry(n);
@@ -151,20 +184,24 @@
             CoreOutput::Registry { to, message } => self.send(from, to, Message::Chain(message)),
             CoreOutput::Router { to, message } => self.send(from, to, Message::Hold(message)),
             CoreOutput::Seeds { message } => {
+                let seeds = self.seeds_of(n);
                 for other in 0..self.registries.len() {
-                    if self.seeds.contains(&self.registries[other].address) && other != n {
+                    if seeds.contains(&self.registries[other].address) && other != n {
                         self.send_place(from, Place::Registry(other), Message::Chain(message.clone()));
                     }
                 }
             }
             CoreOutput::Write { ticket, batch } => {
-                let wait = Duration::from_micros(self.dice.random_range(400..4000));
+                let times = if self.registries[n].slow_disk_until > self.now { SLOW_DISK } else { 1 };
+                let wait = Duration::from_micros(self.dice.random_range(400..4000)) * times;
                 let life = self.registries[n].life;
                 self.registries[n].pending = Some((ticket, batch));
                 self.after(wait, Event::Written { registry: n, life, ticket });
             }
             CoreOutput::Reply { ask, reply } => self.operator_answer(n, ask, reply),
-            CoreOutput::Told { .. } => {}
+            CoreOutput::Told { view } => {
+                self.registries[n].told = view.voters.iter().map(|seat| seat.address.as_str().to_owned()).collect();
+            }
             CoreOutput::Viewed { view } => {
                 self.say(|| {
                     let chain: Vec<String> = view.chain.iter().map(|id| format!("{:04x}", id >> 48)).collect();
--- /dev/null
+++ b/crates/sim/src/replacement.rs
@@ -0,0 +1,112 @@
+//! Replacement of registries: unplanned, where an empty machine comes at another address for one that is
+//! lost with its disk; and planned, where the new one comes first and the old is then asked to stop.
+
+use crate::follow_ups::FollowUp;
+use crate::world::World;
+use chain::Stored;
+use rand::RngExt;
+use std::time::Duration;
+
+/// How long a registry that was asked to stop waits to be out of the chain, as the program does.
+const LEAVE: Duration = Duration::from_millis(800);
+const LOOK: Duration = Duration::from_millis(20);
+/// How many are replaced in one bout at the most.
+const IN_TURN: usize = 3;
+
+impl World {
+    /// The machine is gone with its disk; an empty one comes, mostly at an address of its own.
+    pub(crate) fn replace_with_empty(&mut self, n: usize, back: Duration) {
+        self.kill_registry(n);
+        self.registries[n].disk = Stored::default();
+        self.registries[n].disk_lost = true;
+        if self.dice.random_bool(0.7) {
+            self.registries[n].address = self.new_address();
+        }
+        self.registries[n].seeds = self.addresses_of_others(n);
+        self.say(|| format!("registry {n} is lost with its disk"));
+        self.after(back, crate::world::Event::Mend { what: crate::faults::Mending::StartRegistry(n) });
+    }
+
+    fn new_address(&mut self) -> String {
+        self.next += 1;
+        format!("10.0.9.{}:1", self.next)
+    }
+
+    /// What settings written now name as seeds: three other registries at the most.
+    fn addresses_of_others(&self, n: usize) -> Vec<String> {
+        let others = self.live_registries().into_iter().filter(|other| *other != n);
+        others.take(3).map(|other| self.registries[other].address.clone()).collect()
+    }
+
+    pub(crate) fn replace_unplanned(&mut self, back: Duration) {
+        if self.disks_that_may_go() == 0 {
+            return;
+        }
+        let target = self.chosen_registry();
+        self.replace_with_empty(target, back.min(Duration::from_secs(4)));
+    }
+
+    /// One that is calm gets a successor, and some time later is asked to stop.
+    pub(crate) fn replace_planned(&mut self) {
+        if self.disks_that_may_go() == 0 {
+            return;
+        }
+        let old = self.chosen_registry();
+        let new = self.registries.len();
+        let address = self.new_address();
+        let seeds = self.addresses_of_others(new);
+        self.push_registry(address);
+        self.registries[new].seeds = seeds;
+        self.say(|| format!("registry {new} is to replace registry {old}"));
+        self.start_registry(new);
+        let wait = self.ms(300, 6000);
+        self.follow_up(wait, FollowUp::Retire { registry: old });
+    }
+
+    pub(crate) fn retire(&mut self, registry: usize) {
+        if self.registries[registry].retired {
+            return;
+        }
+        self.say(|| format!("registry {registry} is asked to stop for good"));
+        self.registries[registry].retired = true;
+        self.registries[registry].retired_at = self.now;
+        self.feed_registry(registry, control::CoreInput::Leave);
+        let until = self.now + LEAVE;
+        self.follow_up(LOOK, FollowUp::Retiring { registry, until });
+    }
+
+    pub(crate) fn await_retirement(&mut self, registry: usize, until: Duration) {
+        let chained = self.registries[registry].core.as_ref().is_some_and(|core| core.member().is_chained());
+        if chained && self.now < until {
+            return self.follow_up(LOOK, FollowUp::Retiring { registry, until });
+        }
+        self.say(|| format!("registry {registry} goes for good, in the chain: {chained}"));
+        self.kill_registry(registry);
+    }
+
+    pub(crate) fn replace_in_turn(&mut self) -> Duration {
+        let planned = self.dice.random_bool(0.5);
+        let left = self.live_registries().len().min(IN_TURN);
+        self.replace_next(left, planned);
+        (self.catch_up() + Duration::from_secs(7)) * left as u32
+    }
+
+    /// The next one only when the one before it has had its time.
+    pub(crate) fn replace_next(&mut self, left: usize, planned: bool) {
+        if left == 0 {
+            return;
+        }
+        if self.disks_that_may_go() == 0 {
+            return self.follow_up(Duration::from_millis(100), FollowUp::ReplaceNext { left, planned });
+        }
+        self.rules.faulty(self.now, self.now + Duration::from_secs(7));
+        if planned {
+            self.replace_planned();
+        } else {
+            let back = self.ms(200, 3000);
+            self.replace_unplanned(back);
+        }
+        let wait = Duration::from_millis(if planned { 7000 } else { 100 });
+        self.follow_up(wait, FollowUp::ReplaceNext { left: left - 1, planned });
+    }
+}
--- /dev/null
+++ b/crates/sim/src/rolling.rs
@@ -0,0 +1,55 @@
+//! Planned restarts that go round all routers, each stopped while it has a request open, and zones whose
+//! workers are drained soon after a machine of theirs is back.
+
+use crate::follow_ups::FollowUp;
+use crate::world::World;
+use std::time::Duration;
+
+const LOOK: Duration = Duration::from_millis(10);
+/// How long a stop waits for a request to be open.
+const IDLE: Duration = Duration::from_secs(2);
+const WORKER_ZONES: usize = 3;
+
+impl World {
+    /// All routers in turn; says how long that takes at the most.
+    pub(crate) fn roll_routers(&mut self, at_a_time: usize) -> Duration {
+        self.roll_next(0, at_a_time, Duration::ZERO);
+        let rounds = self.routers.len().div_ceil(at_a_time) as u32;
+        Duration::from_secs(12) * rounds
+    }
+
+    pub(crate) fn roll_next(&mut self, next: usize, at_a_time: usize, waited: Duration) {
+        if next >= self.routers.len() {
+            return;
+        }
+        let leaving = self.routers.iter().filter(|node| node.leaving_since.is_some()).count();
+        let up = self.routers.iter().filter(|node| node.alive() && node.leaving_since.is_none()).count();
+        let machines = self.routers[next].machines.as_ref();
+        let busy = machines.is_some_and(|machines| machines.front.depth() > 0);
+        if leaving >= at_a_time || up < 2 || (!busy && waited < IDLE) {
+            let waited = waited + LOOK;
+            return self.follow_up(LOOK, FollowUp::Roll { next, at_a_time, waited });
+        }
+        if machines.is_some() && self.routers[next].leaving_since.is_none() {
+            self.say(|| format!("router {next} is asked to leave, busy: {busy}"));
+            self.rules.faulty(self.now, self.now + Duration::from_secs(12));
+            self.routers[next].leaving_since = Some(self.now);
+            self.follow(next, holds::FollowerInput::Leave);
+        }
+        self.follow_up(LOOK, FollowUp::Roll { next: next + 1, at_a_time, waited: Duration::ZERO });
+    }
+
+    pub(crate) fn drain_zone_at_return(&mut self, back: Duration) {
+        let registry = self.chosen_registry();
+        let millis = back.as_millis() as u64;
+        self.kill_registry_for(registry, millis, millis + 1);
+        let wait = back + self.ms(5, 1000);
+        self.follow_up(wait, FollowUp::Drain { zone: registry % WORKER_ZONES });
+    }
+
+    pub(crate) fn drain_zone(&mut self, zone: usize) {
+        self.say(|| format!("the workers of zone {zone} are drained"));
+        let there = self.yard.instances.values_mut().filter(|instance| instance.worker % WORKER_ZONES == zone);
+        there.for_each(|instance| instance.leaving = true);
+    }
+}
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -108,6 +108,11 @@
         self.not_run.insert(label.to_owned());
     }
 
+    /// What is known to be committed at this place of the chain.
+    pub fn committed_op(&self, entry: u64) -> Option<(u64, u64)> {
+        self.chain.get(&entry).copied()
+    }
+
     /// Something is failing from one moment to the other, at the most.
     pub fn faulty(&mut self, from: Duration, to: Duration) {
         self.faults.push((from, to));
--- a/crates/sim/src/standing.rs
+++ b/crates/sim/src/standing.rs
@@ -16,7 +16,10 @@
             node.frozen_until > now || node.stalled_until > now || node.full
         };
         let up = self.registries.iter().map(|node| node.life).collect::<Vec<u64>>();
-        let disturbed = !net.cuts.is_empty() || !net.slow.is_empty() || (0..3).any(held_up) || up != self.stood.1;
+        let disturbed = !net.cuts.is_empty()
+            || !net.slow.is_empty()
+            || self.live_registries().into_iter().any(held_up)
+            || up != self.stood.1;
         if disturbed {
             self.stood = (now, up);
             return;
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -7,6 +7,7 @@
 use crate::registry_node::RegistryNode;
 use crate::router_node::RouterNode;
 use crate::rules::Rules;
+use crate::slowness::SLOW_MACHINE;
 use crate::yard::SimYard;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -38,6 +39,7 @@
     Operator,
     Fault,
     Mend { what: crate::faults::Mending },
+    FollowUp(crate::follow_ups::FollowUp),
 }
 
 pub struct World {
@@ -60,6 +62,8 @@
     pub judged: usize,
     pub stood: (Duration, Vec<u64>),
     pub brought_back: [u64; 2],
+    pub armed: Vec<crate::strikes::Armed>,
+    pub core_standing: crate::core_rules::CoreStanding,
     pub trace: bool,
 }
 
@@ -92,10 +96,12 @@
             judged: 0,
             stood: (Duration::ZERO, Vec::new()),
             brought_back: [0; 2],
+            armed: Vec::new(),
+            core_standing: crate::core_rules::CoreStanding::default(),
             trace: false,
             plan,
         };
-        for n in 0..3 {
+        for n in 0..world.plan.registries {
             world.add_registry(n);
         }
         for n in 0..world.plan.routers {
@@ -155,8 +161,10 @@
             Event::Operator => self.operator(),
             Event::Fault => self.fault(),
             Event::Mend { what } => self.mend(what),
+            Event::FollowUp(step) => self.take_follow_up(step),
         }
         self.check_chain();
+        self.check_core();
         true
     }
 
@@ -174,7 +182,8 @@
             Place::Router(n) if self.routers[n].life == life => self.tick_router(n),
             _ => return,
         }
-        self.after(TICK, Event::Tick { at, life });
+        let pause = if self.is_slow(at) { TICK * SLOW_MACHINE } else { TICK };
+        self.after(pause, Event::Tick { at, life });
     }
 
     pub fn frozen_until(&self, at: Place) -> Option<Duration> {
