--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -62,6 +62,8 @@
     pub judged: usize,
     pub stood: (Duration, Vec<u64>),
     pub brought_back: [u64; 2],
+    /// The registry that is to stop for good, and its successor.
+    pub replacing: Option<(usize, usize)>,
     pub armed: Vec<crate::strikes::Armed>,
     pub core_standing: crate::core_rules::CoreStanding,
     pub trace: bool,
@@ -96,6 +98,7 @@
             judged: 0,
             stood: (Duration::ZERO, Vec::new()),
             brought_back: [0; 2],
+            replacing: None,
             armed: Vec::new(),
             core_standing: crate::core_rules::CoreStanding::default(),
             trace: false,
@@ -163,6 +166,14 @@
             Event::Mend { what } => self.mend(what),
             Event::FollowUp(step) => self.take_follow_up(step),
         }
+        if self.trace
+            && std::env::var("DBG").is_ok_and(|v| self.now.as_millis() as u64 == v.parse::<u64>().unwrap_or(0))
+        {
+            self.standings().into_iter().for_each(|line| eprintln!("DBG {line}"));
+            for n in &self.registries {
+                eprintln!("DBG {} {:?}", n.address, n.pending.as_ref().map(|p| p.0));
+            }
+        }
         self.check_chain();
         self.check_core();
         true
