--- a/crates/sim/src/chances.rs
+++ b/crates/sim/src/chances.rs
@@ -21,9 +21,12 @@
     Grown,
     Resets,
     Operators,
+    Cutoff,
+    Replacement,
+    Anything,
 }
 
-const WORDS: [(&str, Sort); 15] = [
+const WORDS: [(&str, Sort); 18] = [
     ("calm", Sort::Calm),
     ("core", Sort::Core),
     ("routers", Sort::Routers),
@@ -39,6 +42,9 @@
     ("grown", Sort::Grown),
     ("resets", Sort::Resets),
     ("operators", Sort::Operators),
+    ("cutoff", Sort::Cutoff),
+    ("replacement", Sort::Replacement),
+    ("anything", Sort::Anything),
 ];
 
 /// One failure and its drawing by weight: a sort names what may happen in it.
@@ -76,6 +82,7 @@
     Wake,
     Flood,
     ResetLinks,
+    Control(crate::control_faults::ControlFault),
 }
 
 impl Sort {
@@ -87,10 +94,15 @@
         WORDS.map(|(word, _)| word).join(", ")
     }
 
+    /// The sorts on the control plane's failures, with longer bouts and more registries.
+    pub fn is_on_control(self) -> bool {
+        matches!(self, Sort::Cutoff | Sort::Replacement | Sort::Anything)
+    }
+
     pub fn kinds(self) -> &'static [Kind] {
         use Kind::*;
         match self {
-            Sort::Calm => &[],
+            Sort::Calm | Sort::Cutoff | Sort::Replacement | Sort::Anything => &[],
             Sort::Core => &[
                 KillRegistry,
                 KillRegistry,
@@ -180,6 +192,9 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub sort: Sort,
+    pub registries: usize,
+    /// How many registries may be lost with their disks at once.
+    pub losses: usize,
     pub routers: usize,
     pub functions: usize,
     pub limit: u32,
@@ -194,17 +209,47 @@
 impl Plan {
     pub fn new(seed: u64, sort: Sort) -> Plan {
         let seconds = Duration::from_secs;
-        // Many requests at a time, for a shorter run.
-        let (busy, short) = (sort == Sort::Resets, (seconds(24), seconds(26)));
+        let busy = sort == Sort::Resets;
+        let (registries, losses) = match seed % 4 {
+            1 if sort.is_on_control() => (6, 2),
+            2 if sort.is_on_control() => (8, 2),
+            _ => (3, 1),
+        };
+        let long = sort.is_on_control();
         Plan {
             sort,
+            registries,
+            losses,
             routers: if matches!(sort, Sort::Storm | Sort::Wake) { 5 } else { 3 + (seed % 3) as usize },
             functions: if sort == Sort::Wake { 60 } else { 8 },
             limit: if sort == Sort::Wake { 1 } else { 3 },
-            bouts: [(seconds(12), seconds(22)), if busy { short } else { (seconds(46), seconds(54)) }],
-            final_fault: seconds(if busy { 28 } else { 76 }),
-            callers_end: seconds(if busy { 30 } else { 80 }),
-            end: seconds(if busy { 36 } else { 94 }),
+            bouts: match sort {
+                // Many requests at a time, for a shorter run.
+                Sort::Resets => [(seconds(12), seconds(22)), (seconds(24), seconds(26))],
+                _ if long => [(seconds(14), seconds(28)), (seconds(70), seconds(80))],
+                _ => [(seconds(12), seconds(22)), (seconds(46), seconds(54))],
+            },
+            final_fault: seconds(if busy {
+                28
+            } else if long {
+                122
+            } else {
+                76
+            }),
+            callers_end: seconds(if busy {
+                30
+            } else if long {
+                126
+            } else {
+                80
+            }),
+            end: seconds(if busy {
+                36
+            } else if long {
+                140
+            } else {
+                94
+            }),
             rate: if busy { 60.0 } else { 25.0 },
             instances: match sort {
                 Sort::Crowd => 9,
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -36,6 +36,7 @@
     pub history: Vec<Invocation>,
     /// Orders by their marks, kept where they are sent again.
     pub orders: BTreeMap<String, Order>,
+    pub last_acknowledger: Option<usize>,
 }
 
 impl Operators {
@@ -92,7 +93,7 @@
         let racers = if self.dice.random_ratio(1, 4) { 2 } else { 1 };
         let base = self.operators.revision;
         for _ in 0..racers {
-            let n = self.dice.random_range(0..3);
+            let n = self.any_registry();
             if self.registries[n].core.is_none() {
                 continue;
             }
@@ -134,6 +135,7 @@
             };
             self.operators.open.insert((n, ask), Asked { mark, base, invalid, sent: self.now });
             self.feed_registry(n, CoreInput::Call { ask, call });
+            self.moment(crate::strikes::Trigger::ChangeSent, n);
         }
     }
 
@@ -172,6 +174,7 @@
                 self.operators.last_ack = now;
                 self.rules.acknowledged(now, revision);
                 self.operators.acked.push((revision, asked.mark, asked.base));
+                self.acknowledged_by(n);
             }
             412 => {
                 let told: Value = serde_json::from_str(&reply.body).unwrap_or_default();
@@ -191,7 +194,7 @@
         }
         let back = self.now > self.plan.final_fault + Duration::from_secs(4);
         if back && self.operators.reading.is_none() && self.operators.open.is_empty() {
-            let n = self.dice.random_range(0..3);
+            let n = self.any_registry();
             if self.registries[n].core.is_some() {
                 self.operators.next += 1;
                 let ask = self.operators.next;
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -7,6 +7,7 @@
 use crate::registry_node::RegistryNode;
 use crate::router_node::RouterNode;
 use crate::rules::Rules;
+use crate::slowness::SLOW_MACHINE;
 use crate::yard::SimYard;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -38,6 +39,7 @@
     Operator,
     Fault,
     Mend { what: crate::faults::Mending },
+    FollowUp(crate::follow_ups::FollowUp),
 }
 
 pub struct World {
@@ -60,6 +62,10 @@
     pub judged: usize,
     pub stood: (Duration, Vec<u64>),
     pub brought_back: [u64; 2],
+    /// The registry that is to stop for good, and its successor.
+    pub replacing: Option<(usize, usize)>,
+    pub armed: Vec<crate::strikes::Armed>,
+    pub core_standing: crate::core_rules::CoreStanding,
     pub trace: bool,
 }
 
@@ -92,10 +98,13 @@
             judged: 0,
             stood: (Duration::ZERO, Vec::new()),
             brought_back: [0; 2],
+            replacing: None,
+            armed: Vec::new(),
+            core_standing: crate::core_rules::CoreStanding::default(),
             trace: false,
             plan,
         };
-        for n in 0..3 {
+        for n in 0..world.plan.registries {
             world.add_registry(n);
         }
         for n in 0..world.plan.routers {
@@ -155,8 +164,18 @@
             Event::Operator => self.operator(),
             Event::Fault => self.fault(),
             Event::Mend { what } => self.mend(what),
+            Event::FollowUp(step) => self.take_follow_up(step),
+        }
+        if self.trace
+            && std::env::var("DBG").is_ok_and(|v| self.now.as_millis() as u64 == v.parse::<u64>().unwrap_or(0))
+        {
+            self.standings().into_iter().for_each(|line| eprintln!("DBG {line}"));
+            for n in &self.registries {
+                eprintln!("DBG {} {:?}", n.address, n.pending.as_ref().map(|p| p.0));
+            }
         }
         self.check_chain();
+        self.check_core();
         true
     }
 
@@ -174,7 +193,8 @@
             Place::Router(n) if self.routers[n].life == life => self.tick_router(n),
             _ => return,
         }
-        self.after(TICK, Event::Tick { at, life });
+        let pause = if self.is_slow(at) { TICK * SLOW_MACHINE } else { TICK };
+        self.after(pause, Event::Tick { at, life });
     }
 
     pub fn frozen_until(&self, at: Place) -> Option<Duration> {
