--- a/crates/env/src/lib.rs
+++ b/crates/env/src/lib.rs
@@ -7,11 +7,13 @@
 mod line;
 mod parse;
 mod rules;
+mod tool;
 
 pub use lexopt;
 pub use line::{Reread, program, program_given};
 pub use parse::{FromWords, Source};
 pub use rules::{address, address_or_none, addresses, any, in_range, non_empty, seeds, word};
+pub use tool::{ToolArgument, ToolLine};
 
 use derive_more::{Display, Error};
 
--- /dev/null
+++ b/crates/env/src/tool.rs
@@ -0,0 +1,57 @@
+//! Reading the command line of a tool: one command, switches and options with a value, in any order.
+
+use lexopt::prelude::*;
+
+/// One part of a tool's command line.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ToolArgument {
+    /// `-h` or `--help`.
+    Help,
+    /// `-V` or `--version`.
+    Version,
+    /// The command; there is one at most.
+    Command(String),
+    /// An option without a value, by its name.
+    Switch(&'static str),
+    /// An option with its value.
+    Option {
+        /// The option's name, without the dashes.
+        name: String,
+        /// What follows it.
+        value: String,
+    },
+}
+
+/// A tool's command line, read part by part.
+pub struct ToolLine {
+    line: lexopt::Parser,
+    switches: &'static [&'static str],
+    has_command: bool,
+}
+
+impl ToolLine {
+    /// Reads a line in which only `switches` are options without a value.
+    pub fn new(line: lexopt::Parser, switches: &'static [&'static str]) -> ToolLine {
+        ToolLine { line, switches, has_command: false }
+    }
+
+    /// The next part, none at the end. The error is what to tell whoever wrote the line.
+    pub fn next_argument(&mut self) -> Result<Option<ToolArgument>, String> {
+        let Some(argument) = self.line.next().map_err(|error| error.to_string())? else { return Ok(None) };
+        let name = match argument {
+            Short('h') | Long("help") => return Ok(Some(ToolArgument::Help)),
+            Short('V') | Long("version") => return Ok(Some(ToolArgument::Version)),
+            Value(word) if !self.has_command => {
+                self.has_command = true;
+                return Ok(Some(ToolArgument::Command(word.to_string_lossy().into_owned())));
+            }
+            Long(name) => name.to_owned(),
+            other => return Err(format!("{}; see --help", other.unexpected())),
+        };
+        if let Some(switch) = self.switches.iter().find(|switch| **switch == name) {
+            return Ok(Some(ToolArgument::Switch(switch)));
+        }
+        let value = self.line.value().and_then(|value| value.string()).map_err(|error| error.to_string())?;
+        Ok(Some(ToolArgument::Option { name, value }))
+    }
+}
--- a/crates/fleet/src/line.rs
+++ b/crates/fleet/src/line.rs
@@ -1,7 +1,7 @@
 //! The command line of the fleet runner.
 
 use crate::faults::{Timed, parse_faults};
-use lexopt::prelude::*;
+use env::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
 pub const HELP: &str = "fleet: a whole deployment on one machine
@@ -56,7 +56,7 @@
     pub other: Option<PathBuf>,
 }
 
-pub fn parse(mut line: lexopt::Parser) -> Result<Option<Order>, String> {
+pub fn parse(line: lexopt::Parser) -> Result<Option<Order>, String> {
     let beside = std::env::current_exe().ok().and_then(|path| path.parent().map(PathBuf::from)).unwrap_or_default();
     let mut order = Order {
         what: What::Up,
@@ -76,32 +76,28 @@
         other: None,
     };
     let mut what = String::new();
-    while let Some(arg) = line.next().map_err(|fault| fault.to_string())? {
-        let name = match arg {
-            Short('h') | Long("help") => {
+    let mut line = ToolLine::new(line, &["no-tuning", "no-plans"]);
+    while let Some(argument) = line.next_argument()? {
+        let (name, value) = match argument {
+            ToolArgument::Help => {
                 println!("{HELP}");
                 return Ok(None);
             }
-            Short('V') | Long("version") => {
+            ToolArgument::Version => {
                 println!("fleet {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
-            Value(word) if what.is_empty() => {
-                what = word.to_string_lossy().into_owned();
+            ToolArgument::Command(word) => {
+                what = word;
                 continue;
             }
-            Long("no-tuning") => {
-                order.tuning = false;
+            ToolArgument::Switch(name) => {
+                order.tuning &= name != "no-tuning";
+                order.plans &= name != "no-plans";
                 continue;
             }
-            Long("no-plans") => {
-                order.plans = false;
-                continue;
-            }
-            Long(name) => name.to_owned(),
-            other => return Err(other.unexpected().to_string()),
+            ToolArgument::Option { name, value } => (name, value),
         };
-        let value = line.value().and_then(|v| v.string()).map_err(|fault| fault.to_string())?;
         let wrong = |_| format!("--{name} {value}: allowed is a number");
         match name.as_str() {
             "deployment" => order.deployment = value.into(),
--- a/crates/hollow/src/line.rs
+++ b/crates/hollow/src/line.rs
@@ -2,7 +2,7 @@
 
 use crate::proc::{files_allowed, memory_mb};
 use crate::workload::Workload;
-use lexopt::prelude::*;
+use env::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
 pub const HELP: &str = "hollow: a core and a few routers among many hollow nodes in one process
@@ -92,7 +92,7 @@
     }
 }
 
-pub fn parse(mut line: lexopt::Parser) -> Result<Option<Order>, String> {
+pub fn parse(line: lexopt::Parser) -> Result<Option<Order>, String> {
     let beside = std::env::current_exe().ok().and_then(|path| path.parent().map(PathBuf::from)).unwrap_or_default();
     let mut order = Order {
         what: What::Run,
@@ -118,32 +118,28 @@
         one: false,
     };
     let mut what = String::new();
-    while let Some(arg) = line.next().map_err(|fault| fault.to_string())? {
-        let name = match arg {
-            Short('h') | Long("help") => {
+    let mut line = ToolLine::new(line, &["mesh", "one"]);
+    while let Some(argument) = line.next_argument()? {
+        let (name, value) = match argument {
+            ToolArgument::Help => {
                 println!("{HELP}");
                 return Ok(None);
             }
-            Short('V') | Long("version") => {
+            ToolArgument::Version => {
                 println!("hollow {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
-            Value(word) if what.is_empty() => {
-                what = word.to_string_lossy().into_owned();
+            ToolArgument::Command(word) => {
+                what = word;
                 continue;
             }
-            Long("mesh") => {
-                order.mesh = true;
+            ToolArgument::Switch(name) => {
+                order.mesh |= name == "mesh";
+                order.one |= name == "one";
                 continue;
             }
-            Long("one") => {
-                order.one = true;
-                continue;
-            }
-            Long(name) => name.to_owned(),
-            other => return Err(other.unexpected().to_string()),
+            ToolArgument::Option { name, value } => (name, value),
         };
-        let value = line.value().and_then(|v| v.string()).map_err(|fault| fault.to_string())?;
         match name.as_str() {
             "nodes" => order.nodes = list(&name, &value, 1, 5000)?,
             "routers" => order.routers = one(&name, &value, 0, 8)?,
--- a/crates/swarm/src/line.rs
+++ b/crates/swarm/src/line.rs
@@ -3,7 +3,7 @@
 use crate::check::CheckOrder;
 use crate::load::{Crowd, LoadOrder};
 use crate::replay::ReplayOrder;
-use lexopt::prelude::*;
+use env::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
 pub const HELP: &str = "swarm: load generator and checker
@@ -42,42 +42,42 @@
     Check(CheckOrder),
 }
 
-pub fn parse(mut line: lexopt::Parser) -> Result<Order, String> {
+pub fn parse(line: lexopt::Parser) -> Result<Order, String> {
     let mut what = None;
     let (mut har, mut speed) = (PathBuf::new(), 1.0);
     let mut load = LoadOrder::default();
     let mut check = CheckOrder { turned: "/probe/turn".into(), ..CheckOrder::default() };
-    while let Some(arg) = line.next().map_err(|fault| fault.to_string())? {
-        let name = match arg {
-            Short('h') | Long("help") => return Ok(Order::Help),
-            Short('V') | Long("version") => return Ok(Order::Version),
-            Value(word) if what.is_none() => {
-                what = Some(word.to_string_lossy().into_owned());
+    let mut line = ToolLine::new(line, &[]);
+    while let Some(argument) = line.next_argument()? {
+        let (name, value) = match argument {
+            ToolArgument::Help => return Ok(Order::Help),
+            ToolArgument::Version => return Ok(Order::Version),
+            ToolArgument::Command(word) => {
+                what = Some(word);
                 continue;
             }
-            Long(name) => name.to_owned(),
-            other => return Err(format!("{}; see --help", other.unexpected())),
+            ToolArgument::Switch(name) => return Err(format!("no flag --{name}; see --help")),
+            ToolArgument::Option { name, value } => (name, value),
         };
-        let mut text = || line.value().and_then(|value| value.string()).map_err(|fault| fault.to_string());
         match name.as_str() {
-            "targets" => load.targets = text()?.split(',').map(str::to_owned).collect(),
-            "configuration" => load.configuration = text()?.into(),
-            "services" => load.services = text()?.into(),
-            "out" => load.out = text()?.into(),
-            "har" => har = text()?.into(),
-            "speed" => speed = number("speed", &text()?)?,
-            "seconds" => load.seconds = number("seconds", &text()?)?,
-            "factor" => load.factor = number("factor", &text()?)?,
-            "seed" => load.seed = number("seed", &text()?)?,
-            "repeat" => load.repeat = number("repeat", &text()?)?,
-            "eager" => load.eager = number("eager", &text()?)?,
-            "crowd" => load.crowds.push(crowd(&text()?)?),
-            "tasks" => check.tasks = text()?.into(),
-            "runs" => check.runs = text()?.into(),
-            "changes" => check.changes = Some(PathBuf::from(text()?)),
-            "turned" => check.turned = text()?,
-            "spans" => check.spans = Some(PathBuf::from(text()?)),
-            "refusals" => check.refusals = Some(number("refusals", &text()?)?),
+            "targets" => load.targets = value.split(',').map(str::to_owned).collect(),
+            "configuration" => load.configuration = value.into(),
+            "services" => load.services = value.into(),
+            "out" => load.out = value.into(),
+            "har" => har = value.into(),
+            "speed" => speed = number("speed", &value)?,
+            "seconds" => load.seconds = number("seconds", &value)?,
+            "factor" => load.factor = number("factor", &value)?,
+            "seed" => load.seed = number("seed", &value)?,
+            "repeat" => load.repeat = number("repeat", &value)?,
+            "eager" => load.eager = number("eager", &value)?,
+            "crowd" => load.crowds.push(crowd(&value)?),
+            "tasks" => check.tasks = value.into(),
+            "runs" => check.runs = value.into(),
+            "changes" => check.changes = Some(PathBuf::from(value)),
+            "turned" => check.turned = value,
+            "spans" => check.spans = Some(PathBuf::from(value)),
+            "refusals" => check.refusals = Some(number("refusals", &value)?),
             other => return Err(format!("no flag --{other}; see --help")),
         }
     }
