--- a/crates/fleet/src/timeline.rs
+++ b/crates/fleet/src/timeline.rs
@@ -8,10 +8,28 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
+/// A failure that has not ended yet.
+struct OpenSpan {
+    /// Milliseconds of the wall clock.
+    from_ms: u64,
+    planned: bool,
+}
+
+/// A failure or planned work, from when to when.
+struct Span {
+    /// Milliseconds of the wall clock.
+    from_ms: u64,
+    /// Milliseconds of the wall clock; the greatest number where it did not end.
+    to_ms: u64,
+    what: String,
+    planned: bool,
+}
+
+/// What failed or was planned in a run so far.
 #[derive(Default)]
 pub struct Timeline {
-    open: BTreeMap<String, (u64, bool)>,
-    spans: Vec<(u64, u64, String, bool)>,
+    open: BTreeMap<String, OpenSpan>,
+    spans: Vec<Span>,
 }
 
 impl Timeline {
@@ -31,19 +49,23 @@
                     self.begin("mischief".into(), now, false);
                 }
             }
-            ("patch", _) => self.spans.push((now, now, "patch".into(), true)),
-            _ => self.spans.push((now, now, fault.what.clone(), false)),
+            ("patch", _) => self.push(now, now, "patch", true),
+            _ => self.push(now, now, &fault.what, false),
         }
     }
 
     fn begin(&mut self, name: String, now: u64, planned: bool) {
-        let known = self.open.entry(name).or_insert((now, planned));
-        known.1 &= planned;
+        let known = self.open.entry(name).or_insert(OpenSpan { from_ms: now, planned });
+        known.planned &= planned;
+    }
+
+    fn push(&mut self, from_ms: u64, to_ms: u64, what: &str, planned: bool) {
+        self.spans.push(Span { from_ms, to_ms, what: what.to_owned(), planned });
     }
 
     fn end(&mut self, name: &str, now: u64) {
-        if let Some((from, planned)) = self.open.remove(name) {
-            self.spans.push((from, now, name.to_owned(), planned));
+        if let Some(OpenSpan { from_ms, planned }) = self.open.remove(name) {
+            self.push(from_ms, now, name, planned);
         }
     }
 
@@ -52,20 +74,17 @@
         let mut parts = words.split(',').map(|part| part.parse::<f64>().unwrap_or(0.0));
         let (at, lasts) = (parts.next().unwrap_or(0.0), parts.next().unwrap_or(0.0));
         let from = begun + (at * 1000.0) as u64;
-        self.spans.push((from, from + (lasts * 1000.0) as u64, "crowd".into(), false));
+        self.push(from, from + (lasts * 1000.0) as u64, "crowd", false);
     }
 
+    /// Writes one JSON line for each span, those that did not end last.
     pub fn write(&self, path: &Path) -> Result<(), String> {
-        let open = self.open.iter().map(|(name, (from, planned))| (*from, u64::MAX, name.clone(), *planned));
-        let lines: String = self
-            .spans
-            .iter()
-            .cloned()
-            .chain(open)
-            .map(|(from, to, what, planned)| {
-                format!("{}\n", json!({"from": from, "to": to, "what": what, "planned": planned}))
-            })
-            .collect();
+        let line = |from: u64, to: u64, what: &str, planned: bool| {
+            format!("{}\n", json!({"from": from, "to": to, "what": what, "planned": planned}))
+        };
+        let ended = self.spans.iter().map(|span| line(span.from_ms, span.to_ms, &span.what, span.planned));
+        let open = self.open.iter().map(|(name, span)| line(span.from_ms, u64::MAX, name, span.planned));
+        let lines: String = ended.chain(open).collect();
         std::fs::write(path, lines).map_err(|fault| format!("{}: {fault}", path.display()))
     }
 }
