--- a/crates/scaler/src/arma.rs
+++ b/crates/scaler/src/arma.rs
@@ -6,10 +6,14 @@
 use argmin::solver::neldermead::NelderMead;
 use nalgebra::{DMatrix, DVector};
 
+/// The greatest size of phi and theta.
 const BOUND: f64 = 0.98;
+/// The most iterations of the outer search.
 const ITERATIONS: u64 = 60;
+/// Singular values below this part of the greatest are taken as none.
 const RANK_CUT: f64 = 1e-4;
 
+/// The fitted parameters.
 #[derive(Clone, Debug)]
 pub struct Arma {
     pub phi: f64,
@@ -64,6 +68,7 @@
     }
 }
 
+/// Fits a differenced series with its regression rows; none if the search fails or the fit is not finite.
 pub fn fit(target: &[f64], rows: &[[f64; COLUMNS]]) -> Option<Arma> {
     let squares = Squares { target, rows };
     let corners = vec![vec![0.3, -0.3], vec![-0.4, 0.2], vec![0.6, 0.5]];
--- a/crates/scaler/src/fourier.rs
+++ b/crates/scaler/src/fourier.rs
@@ -3,10 +3,12 @@
 
 use std::time::Duration;
 
+/// The number of terms.
 pub const COLUMNS: usize = 8;
 const DAY: f64 = 86_400.0;
 const WEEK: f64 = 7.0 * DAY;
 
+/// The terms at a time.
 pub fn row(at: Duration) -> [f64; COLUMNS] {
     let seconds = at.as_secs_f64();
     let mut row = [0.0; COLUMNS];
--- a/crates/scaler/src/player.rs
+++ b/crates/scaler/src/player.rs
@@ -64,11 +64,30 @@
     pub ask: bool,
 }
 
+/// A plan from the moment it came.
+#[derive(Clone, Debug)]
+struct RunningPlan {
+    /// Instances in each step.
+    counts: Vec<u32>,
+    step: Duration,
+    begun: Duration,
+}
+
+/// A plan asked for and not yet answered.
+#[derive(Clone, Copy, Debug)]
+struct PendingAsk {
+    number: u64,
+    asked_at: Duration,
+}
+
+/// No plan is played by longer steps than this.
+const LONGEST_STEP: Duration = Duration::from_secs(3600);
+
 /// Plays one function's plan by the time that has passed, and falls back where there is none.
 #[derive(Clone, Debug, Default)]
 pub struct Player {
-    plan: Option<(Vec<u32>, Duration, Duration)>,
-    asked: Option<(u64, Duration)>,
+    plan: Option<RunningPlan>,
+    asked: Option<PendingAsk>,
     tries: u32,
     resting: Option<Duration>,
     early_at: Option<Duration>,
@@ -88,9 +107,9 @@
 impl Player {
     /// The plan's count for now; none without a plan.
     pub fn played(&self, now: Duration) -> Option<u32> {
-        let (counts, step, from) = self.plan.as_ref()?;
-        let place = now.saturating_sub(*from).as_millis() / step.as_millis().max(1);
-        counts.get(place as usize).copied()
+        let plan = self.plan.as_ref()?;
+        let place = now.saturating_sub(plan.begun).as_millis() / plan.step.as_millis().max(1);
+        plan.counts.get(place as usize).copied()
     }
 
     /// The number that named the host of the latest plan.
@@ -100,7 +119,7 @@
 
     /// The counts of the latest plan, one a step.
     pub fn plan(&self) -> &[u32] {
-        self.plan.as_ref().map_or(&[], |(counts, ..)| counts.as_slice())
+        self.plan.as_ref().map_or(&[], |plan| plan.counts.as_slice())
     }
 
     /// Says what the count should be now, and whether a plan is to be asked for under `ask`.
@@ -109,8 +128,8 @@
         if let Some(count) = fixed {
             return Verdict { desired: count, ask: false };
         }
-        if let Some((_, at)) = self.asked
-            && now > at + timing.timeout
+        if let Some(PendingAsk { asked_at, .. }) = self.asked
+            && now > asked_at + timing.timeout
         {
             self.asked = None;
             self.tries += 1;
@@ -128,7 +147,7 @@
         let wanted = played.is_none() || early;
         let asks = may_ask && wanted && rested && self.asked.is_none();
         if asks {
-            self.asked = Some((ask, now));
+            self.asked = Some(PendingAsk { number: ask, asked_at: now });
             if early {
                 self.early_at = Some(now);
                 self.early_asks += 1;
@@ -142,7 +161,7 @@
 
     /// Takes a plan asked for under `ask`, unless a later host has already been heard.
     pub fn take(&mut self, now: Duration, ask: u64, fence: u64, desired: Vec<u32>, step: Duration) -> bool {
-        let due = self.asked.is_some_and(|(known, _)| known == ask);
+        let due = self.asked.is_some_and(|asked| asked.number == ask);
         if !due || fence < self.fence || desired.is_empty() || step.is_zero() {
             return false;
         }
@@ -150,7 +169,7 @@
         self.asked = None;
         self.tries = 0;
         self.resting = None;
-        self.plan = Some((desired, step.min(Duration::from_secs(3600)), now));
+        self.plan = Some(RunningPlan { counts: desired, step: step.min(LONGEST_STEP), begun: now });
         true
     }
 }
--- a/crates/scaler/src/window.rs
+++ b/crates/scaler/src/window.rs
@@ -9,8 +9,14 @@
 pub const STEP: Duration = Duration::from_secs(15);
 /// How many samples are kept: four hours of the default step.
 pub const LENGTH: usize = 240 * 60 / 15;
+/// How long a fit is used.
 const FIT_LASTS: Duration = Duration::from_secs(300);
+/// How many of the newest observations are held against a fit.
 const RECENT: usize = 10;
+/// A fit is made anew once the mean of the recent rates moved by more than this share of the fitted mean.
+const MOVED_SHARE: f64 = 0.5;
+/// Means below this count as this, in requests a second.
+const LEAST_RATE: f64 = 0.1;
 
 /// What one function had in one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -25,12 +31,20 @@
     pub held: f64,
 }
 
+/// A fit and what it was made from.
+struct Fit {
+    model: Model,
+    fitted_at: Duration,
+    /// Mean of the rates fitted, requests a second.
+    mean_rate: f64,
+}
+
 /// The latest samples of one function and the fit made from them.
 pub struct Window {
     step: Duration,
     samples: VecDeque<Sample>,
     first: u32,
-    fitted: Option<(Model, Duration, f64)>,
+    fitted: Option<Fit>,
     failed: Option<Duration>,
     newest: Option<Duration>,
 }
@@ -87,8 +101,9 @@
         let recent = &rates[rates.len().saturating_sub(RECENT)..];
         let mean = recent.iter().sum::<f64>() / recent.len().max(1) as f64;
         match &self.fitted {
-            Some((_, at, fitted_mean)) => {
-                now > *at + FIT_LASTS || (mean - fitted_mean).abs() > 0.5 * fitted_mean.abs().max(0.1)
+            Some(fit) => {
+                let moved = (mean - fit.mean_rate).abs() > MOVED_SHARE * fit.mean_rate.abs().max(LEAST_RATE);
+                now > fit.fitted_at + FIT_LASTS || moved
             }
             None => self.failed.is_none_or(|at| now > at + self.step),
         }
@@ -101,11 +116,11 @@
         if self.needs_fit(now, &rates) && may_fit() {
             let recent = &rates[rates.len().saturating_sub(RECENT)..];
             let mean = recent.iter().sum::<f64>() / recent.len().max(1) as f64;
-            self.fitted = Model::fit(&rates, from, step).map(|model| (model, now, mean));
+            self.fitted = Model::fit(&rates, from, step).map(|model| Fit { model, fitted_at: now, mean_rate: mean });
             self.failed = self.fitted.is_none().then_some(now);
         }
         match &self.fitted {
-            Some((model, ..)) => model.forecast(&rates, from, step, steps),
+            Some(fit) => fit.model.forecast(&rates, from, step, steps),
             None => persistence(&rates, steps),
         }
     }
