--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -13,11 +13,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
+/// How long a connection to an instance may take.
 const CONNECT: Duration = Duration::from_millis(600);
 /// An instance that stops at the deadline it was handed may say so itself.
 const LAST_WORD: Duration = Duration::from_millis(20);
+/// The time between two looks for connections that have been idle too long.
 const SWEEP: Duration = Duration::from_millis(500);
+/// The first pause between two tries of a probe.
 const PROBE_AGAIN: Duration = Duration::from_millis(25);
+/// The longest pause between two tries of a probe.
 const PROBE_AGAIN_MOST: Duration = Duration::from_millis(120);
 
 /// Takes what came of a message to the dispatcher.
--- a/crates/doors/src/shelf.rs
+++ b/crates/doors/src/shelf.rs
@@ -6,6 +6,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
+/// How many removals are remembered; a watcher that missed more begins anew.
 const GONE_KEPT: usize = 2048;
 
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -7,10 +7,12 @@
 pub use list::{EVENTS, Event};
 pub use setup::{SetupFault, setup};
 
+/// Writes an event's line; use [`event!`].
 pub fn emit(event: &Event, detail: std::fmt::Arguments<'_>) {
     log::log!(target: "heronlink", event.level, "E{:04} {}: {detail}", event.number, event.title);
 }
 
+/// Writes a numbered event, with a detail as in `format!` if one is given.
 #[macro_export]
 macro_rules! event {
     ($event:ident) => { $crate::emit(&$crate::EVENTS.$event, format_args!("-")) };
--- a/crates/heron/src/client.rs
+++ b/crates/heron/src/client.rs
@@ -10,6 +10,7 @@
 use std::io::Write;
 use std::time::Duration;
 
+/// The largest answer read.
 const ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
 /// Why a call has no answer.
--- a/crates/heron/src/folder.rs
+++ b/crates/heron/src/folder.rs
@@ -7,7 +7,9 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
+/// How deep folders are read.
 const DEPTH: usize = 8;
+/// The kinds of resources, as they stand in documents and paths.
 const KINDS: [&str; 5] = ["function-bindings", "weight-sheets", "headcount-plans", "functions", "bounds"];
 
 /// Why files are no configuration.
--- a/crates/judge/src/recovery.rs
+++ b/crates/judge/src/recovery.rs
@@ -3,6 +3,7 @@
 
 use std::time::Duration;
 
+/// How long service may take to return.
 const RETURN: Duration = Duration::from_secs(12);
 
 /// A second in which too little was served.
--- a/crates/links/src/demand.rs
+++ b/crates/links/src/demand.rs
@@ -14,7 +14,9 @@
 use tokio::task::spawn_local;
 use wire::{Message, NodeId};
 
+/// How long a dial may take.
 const CONNECT: Duration = Duration::from_millis(1000);
+/// The most messages that wait for one peer to be dialled.
 const WAITING: usize = 1024;
 
 #[derive(Default)]
--- a/crates/links/src/service.rs
+++ b/crates/links/src/service.rs
@@ -19,8 +19,11 @@
 use tokio::task::spawn_local;
 use wire::{FrameFault, Message, NodeId};
 
+/// The most connections taken in at a time; more are closed at once.
 const CONNECTIONS: usize = 1024;
+/// The longest pause between two dials of one address.
 const PAUSE_MAX_MS: u64 = 800;
+/// How long a dial may take.
 const CONNECT: Duration = Duration::from_millis(900);
 
 /// Hands an event to its owner; awaiting it slows the connection's reader down.
--- a/crates/links/src/stream.rs
+++ b/crates/links/src/stream.rs
@@ -17,14 +17,21 @@
 use tokio::time::timeout;
 use wire::{Frame, FrameFault, Message, spoken};
 
+/// How long the first frame may take.
 const GREETING: Duration = Duration::from_secs(3);
 /// Beats and proofs go over a link in use several times in this time.
 const PATIENCE: Duration = Duration::from_millis(1500);
+/// A link over which nothing goes for so long is greeted, or closed if it was dialled on demand.
 const QUIET: Duration = Duration::from_secs(4);
+/// A link over which nothing comes for so long is ended.
 const SILENT: Duration = Duration::from_secs(13);
+/// How long a write may take.
 const WRITE: Duration = Duration::from_secs(5);
+/// How long what the other side had sent is waited for when a link is closed.
 const LAST: Duration = Duration::from_secs(2);
+/// The most messages queued to one peer.
 const QUEUE: usize = 8192;
+/// Bytes buffered each way.
 const BUFFER: usize = 16 * 1024;
 
 fn late() -> FrameFault {
--- a/crates/supply/src/caller.rs
+++ b/crates/supply/src/caller.rs
@@ -8,7 +8,9 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 
+/// The largest answer read.
 const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// The most idle connections kept.
 const KEPT: usize = 4;
 
 /// An HTTP client towards one address. Clones share its kept connections.
--- a/crates/supply/src/service.rs
+++ b/crates/supply/src/service.rs
@@ -8,7 +8,9 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
+/// The most calls under way at a time.
 const CALLS: usize = 16;
+/// How long a call may take.
 const LIMIT: Duration = Duration::from_secs(1);
 
 /// What the service can be asked for.
