--- a/crates/judge/src/linearizable.rs
+++ b/crates/judge/src/linearizable.rs
@@ -14,7 +14,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
     /// Acknowledged under this revision.
-    Taken { revision: u64 },
+    Taken {
+        /// What became current by it.
+        revision: u64,
+    },
     /// Refused because another revision is current.
     Stale,
     /// Refused for what it says.
@@ -26,27 +29,36 @@
 /// One sending of an order to one registry.
 #[derive(Clone, Debug)]
 pub struct Invocation {
+    /// What tells one order from another, the same each time it is sent.
     pub order: String,
     /// The revision it builds on, or none for whatever is current.
     pub base: Option<u64>,
+    /// Whether what it says may be taken at all.
     pub is_valid: bool,
+    /// When it was sent.
     pub sent: Duration,
     /// When it was answered, or given up as unknown.
     pub ended: Duration,
+    /// What came back.
     pub response: Response,
 }
 
 /// One read of the configuration.
 #[derive(Clone, Debug)]
 pub struct Read {
+    /// When it was asked for.
     pub sent: Duration,
+    /// When it was answered.
     pub ended: Duration,
+    /// The revision that was read.
     pub revision: u64,
     /// The order that made what was read, where that can be told.
     pub order: Option<String>,
 }
 
+/// What no compare-and-set register could have done.
 #[derive(Clone, Debug, PartialEq, Eq)]
+#[allow(missing_docs, reason = "each variant's own comment names what its fields are")]
 pub enum Anomaly {
     /// Two orders were acknowledged on top of one revision.
     TwoWinners { base: u64, orders: [String; 2] },
--- a/crates/sim/src/chances.rs
+++ b/crates/sim/src/chances.rs
@@ -2,8 +2,6 @@
 //! in two bouts with a calm after each, so that what service came back to can be judged second by
 //! second; every run ends with all registries losing power at once.
 
-use std::time::Duration;
-
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sort {
     Calm,
@@ -188,79 +186,3 @@
         }
     }
 }
-
-#[derive(Clone, Debug)]
-pub struct Plan {
-    pub sort: Sort,
-    pub registries: usize,
-    /// How many registries may be lost with their disks at once.
-    pub losses: usize,
-    pub routers: usize,
-    pub functions: usize,
-    pub limit: u32,
-    pub bouts: [(Duration, Duration); 2],
-    pub final_fault: Duration,
-    pub callers_end: Duration,
-    pub end: Duration,
-    pub rate: f64,
-    pub instances: usize,
-}
-
-impl Plan {
-    pub fn new(seed: u64, sort: Sort) -> Plan {
-        let seconds = Duration::from_secs;
-        let busy = sort == Sort::Resets;
-        let (registries, losses) = match seed % 4 {
-            1 if sort.is_on_control() => (6, 2),
-            2 if sort.is_on_control() => (8, 2),
-            _ => (3, 1),
-        };
-        let long = sort.is_on_control();
-        Plan {
-            sort,
-            registries,
-            losses,
-            routers: if matches!(sort, Sort::Storm | Sort::Wake) { 5 } else { 3 + (seed % 3) as usize },
-            functions: if sort == Sort::Wake { 60 } else { 8 },
-            limit: if sort == Sort::Wake { 1 } else { 3 },
-            bouts: match sort {
-                // Many requests at a time, for a shorter run.
-                Sort::Resets => [(seconds(12), seconds(22)), (seconds(24), seconds(26))],
-                _ if long => [(seconds(14), seconds(28)), (seconds(70), seconds(80))],
-                _ => [(seconds(12), seconds(22)), (seconds(46), seconds(54))],
-            },
-            final_fault: seconds(if busy {
-                28
-            } else if long {
-                122
-            } else {
-                76
-            }),
-            callers_end: seconds(if busy {
-                30
-            } else if long {
-                126
-            } else {
-                80
-            }),
-            end: seconds(if busy {
-                36
-            } else if long {
-                140
-            } else {
-                94
-            }),
-            rate: if busy { 60.0 } else { 25.0 },
-            instances: match sort {
-                Sort::Crowd => 9,
-                Sort::Wake => 70,
-                Sort::Flood => 16,
-                _ => usize::MAX,
-            },
-        }
-    }
-
-    pub fn in_bout(&self, now: Duration) -> bool {
-        self.bouts.iter().any(|(from, to)| *from <= now && now < *to)
-    }
-}
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -15,6 +15,7 @@
 mod instances;
 mod net;
 mod operators;
+mod plan;
 mod registry_node;
 mod replacement;
 mod resending;
@@ -28,7 +29,8 @@
 mod world;
 mod yard;
 
-pub use chances::{Plan, Sort};
+pub use chances::Sort;
 pub use core_rules::CoreCopies;
+pub use plan::Plan;
 pub use rules::Rules;
 pub use world::{Outcome, World, run};
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,9 +1,10 @@
 //! The world: nodes, a queue of timed events, and the loop that takes them one by one.
 
 use crate::callers::Callers;
-use crate::chances::{Plan, Sort};
+use crate::chances::Sort;
 use crate::net::Net;
 use crate::operators::Operators;
+use crate::plan::Plan;
 use crate::registry_node::RegistryNode;
 use crate::router_node::RouterNode;
 use crate::rules::Rules;
