--- /dev/null
+++ b/crates/control/tests/resending.rs
@@ -0,0 +1,113 @@
+//! Orders sent again after lost answers: to any registry, after newer changes, after restarts and cuts,
+//! while the first sending is still under way, eight at a time.
+
+mod cluster;
+
+use cluster::{Cluster, change, fetch};
+use std::time::Duration;
+
+fn cut_off(cluster: &mut Cluster, lone: u64) {
+    for other in cluster.ids().into_iter().filter(|other| *other != lone) {
+        cluster.cut_one_way(lone, other);
+        cluster.cut_one_way(other, lone);
+    }
+}
+
+#[test]
+fn of_eight_changes_on_one_revision_one_wins_and_the_others_hear_that_they_lost() {
+    let mut cluster = Cluster::founded(3);
+    for (round, base) in [(0, 0), (1, 1), (2, 2)] {
+        let asks: Vec<u64> = (0..8).map(|n| cluster.call(1 + n % 3, change(&format!("r{round}-{n}"), base))).collect();
+        cluster.run(Duration::from_secs(2));
+        let statuses: Vec<u16> = asks.iter().map(|ask| cluster.reply(*ask).expect("answered").status).collect();
+        let count = |wanted| statuses.iter().filter(|status| **status == wanted).count();
+        assert_eq!((count(200), count(412)), (1, 7), "{statuses:?}");
+    }
+}
+
+#[test]
+fn one_order_sent_eight_times_at_once_is_applied_once_and_always_acknowledged() {
+    let mut cluster = Cluster::founded(3);
+    let asks: Vec<u64> = (0..8).map(|n| cluster.call(1 + n % 3, change("same", 0))).collect();
+    cluster.run(Duration::from_secs(2));
+    for ask in asks {
+        let reply = cluster.reply(ask).expect("answered");
+        assert_eq!((reply.status, reply.revision), (200, Some(1)));
+    }
+    assert_eq!(cluster.ask(2, fetch()).revision, Some(1));
+}
+
+#[test]
+fn an_order_is_acknowledged_again_after_hundreds_of_changes_and_a_restart_of_all() {
+    let mut cluster = Cluster::founded(3);
+    for base in 0..400 {
+        assert_eq!(cluster.ask(1 + base % 3, change(&format!("order-{base}"), base)).status, 200);
+    }
+    cluster.ids().into_iter().for_each(|id| cluster.kill(id));
+    cluster.ids().into_iter().for_each(|id| cluster.start(id));
+    cluster.run(Duration::from_secs(5));
+    for base in [0, 1, 63, 64, 200, 399] {
+        for id in cluster.ids() {
+            let reply = cluster.ask(id, change(&format!("order-{base}"), base));
+            assert_eq!((reply.status, reply.revision), (200, Some(base + 1)), "order {base} at {id}");
+        }
+    }
+    assert_eq!(cluster.ask(3, fetch()).revision, Some(400));
+}
+
+/// The order reaches the head's log and the next member's; then the head is lost before it is decided.
+#[test]
+fn an_order_that_outlives_the_head_that_took_it_is_applied_once() {
+    for place in 0..3 {
+        let mut cluster = Cluster::founded(3);
+        let chain = cluster.chain();
+        cluster.cut_one_way(chain[1], chain[2]);
+        let first = cluster.call(chain[place], change("order", 0));
+        cut_off(&mut cluster, chain[0]);
+        cluster.run(Duration::from_millis(300));
+        cluster.heal();
+        cut_off(&mut cluster, chain[0]);
+        let reply = cluster.ask(chain[1], change("order", 0));
+        assert_eq!((reply.status, reply.revision), (200, Some(1)), "asked at {place} first");
+        cluster.heal();
+        cluster.run(Duration::from_secs(12));
+        let status = cluster.reply(first).map(|reply| reply.status);
+        assert!(status.is_none_or(|status| status == 200 || status >= 500), "{status:?}");
+        for id in cluster.ids() {
+            assert_eq!(cluster.ask(id, change("order", 0)).revision, Some(1));
+        }
+    }
+}
+
+/// Cut off for 20 s, restarted meanwhile, back for a moment and cut off again, with orders at it all along.
+#[test]
+fn a_registry_cut_off_again_as_it_comes_back_refuses_nothing_and_confirms_nothing_alone() {
+    for place in 0..3 {
+        let mut cluster = Cluster::founded(3);
+        let chain = cluster.chain();
+        let (lone, other) = (chain[place], chain[(place + 1) % 3]);
+        let mut revision = 0;
+        let mut alone = Vec::new();
+        for turn in 0..2 {
+            cut_off(&mut cluster, lone);
+            for second in 0..20 {
+                if (turn, second) == (0, 8) {
+                    cluster.kill(lone);
+                    cluster.start(lone);
+                }
+                alone.push(cluster.call(lone, change(&format!("alone-{turn}-{second}"), revision)));
+                let reply = cluster.ask(other, change(&format!("order-{turn}-{second}"), revision));
+                assert!(reply.status == 200 || reply.status >= 500, "a proper order got {}", reply.status);
+                revision = reply.revision.unwrap_or(revision);
+                cluster.run(Duration::from_millis(700));
+            }
+            for ask in alone.drain(..) {
+                let status = cluster.reply(ask).map(|reply| reply.status);
+                assert!(status.is_none_or(|status| status >= 500), "alone it answered {status:?}");
+            }
+            cluster.heal();
+            cluster.run(Duration::from_millis(300 + 900 * place as u64));
+        }
+        assert!(revision >= 30, "{revision} of 40 orders were acknowledged");
+    }
+}
