--- a/crates/swarm/src/check.rs
+++ b/crates/swarm/src/check.rs
@@ -45,6 +45,7 @@
         add(&mut broken, "a slip back after a newer revision was seen", &found.slipped);
         add(&mut broken, "a refused change was followed", &found.refused);
         add(&mut broken, "racing changes were both acknowledged", &found.racers);
+        add(&mut broken, "the changes are not linearizable", &found.anomalies);
     }
     if let Some(path) = &order.spans {
         let spans: Vec<Span> = read(path)?;
--- a/crates/swarm/src/fresh.rs
+++ b/crates/swarm/src/fresh.rs
@@ -5,8 +5,10 @@
 
 use crate::rules::Run;
 use crate::tally::Attempt;
+use judge::{Invocation, Response, anomalies};
 use serde::Deserialize;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 const OLD: u64 = 3000;
 const SLIP: u64 = 250;
@@ -31,6 +33,26 @@
     pub slipped: Vec<String>,
     pub refused: Vec<String>,
     pub racers: Vec<String>,
+    pub anomalies: Vec<String>,
+}
+
+impl Change {
+    /// The change as an order of its own: each is sent once.
+    fn invocation(&self) -> Invocation {
+        Invocation {
+            order: format!("{} asked at {}", self.service, self.asked),
+            base: (self.base > 0).then_some(self.base),
+            is_valid: true,
+            sent: Duration::from_millis(self.asked),
+            ended: Duration::from_millis(self.told),
+            response: match self.status {
+                200 => Response::Taken { revision: self.revision },
+                412 => Response::Stale,
+                400..=499 => Response::Invalid,
+                _ => Response::Unknown,
+            },
+        }
+    }
 }
 
 pub fn freshness(attempts: &[Attempt], runs: &[&Run], changes: &[Change], path: &str) -> Freshness {
@@ -71,12 +93,14 @@
     let mut bases: BTreeMap<u64, usize> = BTreeMap::new();
     turned.iter().filter(|change| change.base > 0).for_each(|change| *bases.entry(change.base).or_default() += 1);
     let racers = bases.iter().filter(|(_, count)| **count > 1);
+    let history: Vec<Invocation> = changes.iter().map(Change::invocation).collect();
     Freshness {
         judged: list.len(),
         old: told(&due),
         slipped: told(&newest),
         refused,
         racers: racers.map(|(base, count)| format!("{count} changes on revision {base}")).collect(),
+        anomalies: anomalies(&history, &[]).iter().map(|anomaly| format!("{anomaly:?}")).collect(),
     }
 }
 
@@ -129,6 +153,13 @@
         assert_eq!(found(&[(20_100, "p/t2")], &[]).refused.len(), 1);
         assert_eq!(found(&[], &[change(10_001, 200, 3, 1, "p/t3")]).racers.len(), 1);
         assert!(found(&[], &[]).racers.is_empty());
+        // The record itself leaves out who won over the turn that was refused at 20 s.
+        let anomalies = |more: &[Change]| found(&[], more).anomalies.len();
+        assert_eq!(anomalies(&[]), 1);
+        assert_eq!(anomalies(&[change(19_990, 200, 3, 2, "p/t3")]), 0, "with its winner it is right");
+        assert_eq!(anomalies(&[change(20_100, 200, 2, 1, "p/t3")]), 4, "a second winner, its number twice, a way back");
+        assert_eq!(anomalies(&[change(10_010, 412, 0, 1, "p/t3")]), 1, "another came first");
+        assert_eq!(anomalies(&[change(5000, 412, 0, 1, "p/t3")]), 2, "nothing came first");
         let read = Change { read: true, ..change(30_000, 412, 0, 2, "p/t3") };
         assert_eq!(found(&[], &[read]).refused.len(), 1);
     }
