--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -8,7 +8,7 @@
 use crate::operators::{Activation, ReadJob};
 use crate::parts::PackedSteps;
 use crate::rosters::Rosters;
-use crate::tenure::Tenure;
+use crate::tenure::{Tenure, ToldProofs};
 use chain::{Batch, Input, Member, Output, State};
 use holds::Sessions;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -86,6 +86,7 @@
     pub(crate) tail_since: Option<Duration>,
     /// The unbroken run of views as the tail that the sessions belong to.
     pub(crate) tenure: Option<Tenure>,
+    pub(crate) told_proofs: Option<ToldProofs>,
     pub(crate) jobs: VecDeque<(u64, NodeId, u64, HoldMsg)>,
     /// Renewals that wait for the next round of confirmation.
     pub(crate) renewals: Vec<(NodeId, u64, HoldMsg)>,
@@ -120,6 +121,7 @@
             sessions: Sessions::default(),
             tail_since: None,
             tenure: None,
+            told_proofs: None,
             jobs: VecDeque::new(),
             renewals: Vec::new(),
             rounded: Duration::ZERO,
@@ -216,6 +218,7 @@
             }
         }
         if reviewed {
+            self.hand_over_proofs();
             self.enter_again();
         }
     }
--- a/crates/control/src/routers.rs
+++ b/crates/control/src/routers.rs
@@ -63,6 +63,7 @@
             HoldMsg::Piece { ask, step, revision, items, next, .. } => {
                 self.on_piece(ask, step, revision, items.into_vec(), next.as_str())
             }
+            HoldMsg::Proofs { view, earlier_millis, proofs } => self.on_proofs(view, earlier_millis, proofs.into_vec()),
             _ => {}
         }
     }
--- a/crates/control/tests/failover.rs
+++ b/crates/control/tests/failover.rs
@@ -112,3 +112,49 @@
     assert_eq!(fleet.serving_by_older(), NOBODY);
     assert!(after < BOUND, "{after:?}");
 }
+
+/// Lets a replacement join and returns at the moment its view is adopted, with the replacement as the tail.
+fn replaced(fleet: &mut Fleet, which: &str) -> NodeId {
+    let killed = place(fleet, which);
+    fleet.kill_and_wipe(killed);
+    fleet.pass(2500);
+    fleet.start_registry(killed);
+    while fleet.chain().last() != Some(&killed) {
+        fleet.pass(1);
+    }
+    killed
+}
+
+#[test_case("head"; "of the head")]
+#[test_case("tail"; "of the tail")]
+fn a_replacement_that_becomes_the_tail_goes_on_with_what_the_tail_before_knew(which: &str) {
+    let mut fleet = Fleet::started(3, 8);
+    let joined = replaced(&mut fleet, which);
+    let asked = fleet.registries.keys().copied().find(|id| *id != joined).unwrap();
+    let after = fleet.acknowledged_after(asked, 2);
+    println!("{which} replaced, asked as its replacement became the tail: {after:?}");
+    fleet.pass(GUARD_MILLIS);
+    assert_eq!(fleet.serving_by_older(), NOBODY);
+    assert!(after < Duration::from_millis(500), "{after:?}");
+}
+
+#[test]
+fn a_replacement_that_becomes_the_tail_waits_for_a_router_that_the_tail_before_proved() {
+    for wait in [0, 100, 400, 900] {
+        let mut fleet = Fleet::started(3, 8);
+        let killed = place(&fleet, "head");
+        fleet.kill_and_wipe(killed);
+        fleet.pass(2500 - wait);
+        fleet.cut.insert(ROUTER + 3);
+        fleet.pass(wait);
+        let asked = fleet.chain()[0];
+        fleet.start_registry(killed);
+        while fleet.chain().last() != Some(&killed) {
+            fleet.pass(1);
+        }
+        let after = fleet.acknowledged_after(asked, 2);
+        println!("a router cut off {wait} ms before the replacement came: {after:?}");
+        assert!(!fleet.serving_by_older().contains(&(ROUTER + 3)), "at the acknowledgement");
+        assert!(after < BOUND, "{after:?}");
+    }
+}
--- a/crates/holds/src/sessions.rs
+++ b/crates/holds/src/sessions.rs
@@ -77,6 +77,24 @@
         }
     }
 
+    /// Takes over from the tail before, which has told of everyone it had in its table. A member it did not tell
+    /// of was granted nothing by it; `earlier` bounds what tails before that one granted.
+    pub fn take_over(&mut self, begun: Duration, earlier: Duration, told: &BTreeMap<NodeId, (u64, Duration)>) {
+        for (id, session) in self.table.iter_mut().filter(|(_, session)| session.proved <= begun) {
+            let until = told.get(id).map_or(earlier, |(_, asked)| *asked);
+            session.proof_asked_until = session.proof_asked_until.min(until);
+        }
+        for (id, (incarnation, asked)) in told {
+            self.table.entry(*id).or_insert_with(|| Session {
+                incarnation: *incarnation,
+                proved: *asked,
+                proof_asked_until: *asked,
+                ghost: true,
+                ..Session::default()
+            });
+        }
+    }
+
     /// Whether every member has staged the step or has no proof any more, `over` after it was asked for; and
     /// the machines that have staged it are a majority of each quorum given. An empty quorum asks nothing.
     pub fn staged_by_all(&self, step: u64, quorums: &[Vec<NodeId>], now: Duration, over: Duration) -> bool {
--- a/crates/holds/src/steps.rs
+++ b/crates/holds/src/steps.rs
@@ -10,6 +10,7 @@
         match message {
             HoldMsg::Proof { ask, active, latest, member } => self.on_proof(from, ask, active, latest, member != 0),
             HoldMsg::NotTail { seats, .. } | HoldMsg::Seats { seats } => {
+                self.forget_tail(from);
                 let addresses: Vec<String> = seats.iter().map(|seat| seat.as_str().to_owned()).collect();
                 if !addresses.is_empty() {
                     self.outs.push(FollowerOutput::Seats { addresses });
@@ -37,6 +38,13 @@
         }
     }
 
+    /// A registry that says it is not the tail any more is not asked for another half second: all are, at once.
+    fn forget_tail(&mut self, said_by: NodeId) {
+        if self.tail.take_if(|(id, _)| *id == said_by).is_some() {
+            self.renewed = None;
+        }
+    }
+
     /// A change of a roster this router has not is passed over: the core hears its number with each renewal.
     fn on_roster_change(&mut self, since: u64, number: u64, size: u32, body: &Blob) {
         if number <= self.roster.number || (since != 0 && since != self.roster.number) {
--- a/crates/holds/tests/follower.rs
+++ b/crates/holds/tests/follower.rs
@@ -115,3 +115,18 @@
     assert_eq!(one.standing_at(ms(3006)), Standing::ByPeers);
     assert_eq!(one.standing_at(ms(3200)), Standing::Waiting, "200 ms from when it was asked");
 }
+
+#[test]
+fn a_tail_that_says_it_is_none_any_more_is_left_at_once_for_all_registries() {
+    let mut follower = follower(1);
+    let asked = renewals(&tick(&mut follower, 0));
+    tell(&mut follower, 5, proof(asked[0], 0, 0));
+    assert_eq!(renewals(&tick(&mut follower, 10)), [], "the next renewal is not due");
+    tell(&mut follower, 20, HoldMsg::Seats { seats: Vec::new().into() });
+    let to_all = tick(&mut follower, 30)
+        .into_iter()
+        .any(|output| matches!(output, FollowerOutput::ToRegistry { to: None, message: HoldMsg::Renew { .. } }));
+    assert!(to_all);
+    tell(&mut follower, 40, HoldMsg::Seats { seats: Vec::new().into() });
+    assert_eq!(renewals(&tick(&mut follower, 50)), [], "said again, it makes no more renewals");
+}
--- a/crates/holds/tests/sessions.rs
+++ b/crates/holds/tests/sessions.rs
@@ -62,3 +62,14 @@
     sessions.table.get_mut(&2).unwrap().staged = 4;
     assert!(!ready(&sessions, 60_000));
 }
+
+#[test]
+fn what_the_tail_before_told_stands_for_its_members_its_ghosts_and_those_it_never_met() {
+    let mut sessions = met();
+    let told = BTreeMap::from([(1, (1, millis(9900))), (7, (1, millis(9800)))]);
+    sessions.take_over(millis(10_000), millis(5000), &told);
+    assert!(!ready(&sessions, 11_400), "7 is a member no more and was proved at 9.8 s");
+    assert!(ready(&sessions, 11_401), "3 was never met by the tail before");
+    sessions.align(millis(11_551), &BTreeMap::from([(1, 1), (2, 1), (3, 1)]), LAPSE);
+    assert!(!sessions.table.contains_key(&7));
+}
--- a/crates/wire/src/hold.rs
+++ b/crates/wire/src/hold.rs
@@ -20,6 +20,14 @@
     pub items: List<ItemLine>,
 }
 
+/// How long ago a router can last have asked for a proof that it was granted.
+#[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
+pub struct ProofAge {
+    pub id: NodeId,
+    pub incarnation: u64,
+    pub millis: u64,
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum HoldMsg {
@@ -79,6 +87,10 @@
     /// `Join` with the hashing of homes that is known and what the machine can carry.
     #[deku(id = "30")]
     Enrol { address: Text, zone: Text, ops: Text, hashing: u8, capacity: Capacity },
+    /// From the tail of one view to the tail of the next, on adopting it: whose proofs may still hold, and how
+    /// long ago tails before both can last have granted one.
+    #[deku(id = "31")]
+    Proofs { view: u64, earlier_millis: u64, proofs: List<ProofAge> },
 }
 
 impl HoldMsg {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -18,7 +18,7 @@
 };
 pub use chain::{ChainMsg, EntryLine, OpNo, PairLine, Seat, View};
 pub use codec::{CAPACITY, FORMAT, Frame, FrameFault, LIMIT, Message, OLDEST, decode, encode, read_frame, write_frame};
-pub use hold::{HoldMsg, ItemLine, StepLine};
+pub use hold::{HoldMsg, ItemLine, ProofAge, StepLine};
 pub use ledger::{Capacity, ClaimRecord, ClaimState, Command, DeferredRecord, OpRecord, Receipt};
 pub use packed::{Packed, pack, unpack};
 pub use parts::{Blob, List, Text, from_bytes, to_bytes};
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -7,14 +7,14 @@
 //! configuration in packed parts, and differences of the roster; before, both came whole and unpacked.
 //! It also brought what machines can carry, fronts that ask to be beaten, and the supplier's inventory
 //! told by one home to the others. Format 5 brought a voter's report on when it last answered the tail
-//! of the view before.
+//! of the view before, and what that tail tells the next of the proofs it granted.
 
 use crate::{CarryMsg, ChainMsg, HoldMsg, Message, PlanMsg, Text};
 
 pub fn spoken(message: Message, format: u16) -> Option<Message> {
     let message = match message {
         message if format >= 5 => return Some(message),
-        Message::Chain(ChainMsg::LastAnswered { .. }) => return None,
+        Message::Chain(ChainMsg::LastAnswered { .. }) | Message::Hold(HoldMsg::Proofs { .. }) => return None,
         message if format == 4 => return Some(message),
         Message::Hold(HoldMsg::Enrol { address, zone, ops, .. }) => Message::Hold(HoldMsg::Join { address, zone, ops }),
         Message::Carry(CarryMsg::Watch | CarryMsg::Inventory { .. } | CarryMsg::InventoryAsk) => return None,
