--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -10,7 +10,7 @@
 use crate::parts::PackedSteps;
 use crate::reading::ReadJob;
 use crate::rosters::Rosters;
-use crate::tenure::Tenure;
+use crate::tenure::{Tenure, ToldProofs};
 use chain::{Batch, Input, Member, Output, State, Stored};
 use holds::Sessions;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -98,6 +98,7 @@
     pub(crate) tail_since: Option<Duration>,
     /// The unbroken run of views as the tail that the sessions belong to.
     pub(crate) tenure: Option<Tenure>,
+    pub(crate) told_proofs: Option<ToldProofs>,
     pub(crate) jobs: VecDeque<(u64, NodeId, u64, HoldMsg)>,
     /// Renewals that wait for the next round of confirmation.
     pub(crate) renewals: Vec<(NodeId, u64, HoldMsg)>,
@@ -133,6 +134,7 @@
             sessions: Sessions::default(),
             tail_since: None,
             tenure: None,
+            told_proofs: None,
             jobs: VecDeque::new(),
             renewals: Vec::new(),
             rounded: Duration::ZERO,
@@ -234,6 +236,7 @@
             }
         }
         if reviewed {
+            self.hand_over_proofs();
             self.enter_again();
         }
     }
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -8,7 +8,7 @@
 //! It also brought what machines can carry, fronts that ask to be beaten, and the supplier's inventory
 //! told by one home to the others. Format 5 brought forwards that tell the attempts granted, and homes
 //! that ask for more; before, each home made as many attempts as the binding allows. It also brought a
-//! voter's report on when it last answered the tail of the view before.
+//! voter's report on when it last answered the tail of the view before, and what that tail tells the next of the proofs it granted.
 
 use crate::codec::ATTEMPTS;
 use crate::{CarryMsg, ChainMsg, ForwardRequest, HoldMsg, Message, PlanMsg, Text};
@@ -19,7 +19,7 @@
         Message::Carry(CarryMsg::Forward { request }) => Message::Carry(uncounted(request)),
         Message::Carry(CarryMsg::Returned { task, .. }) => Message::Carry(CarryMsg::NotHome { task }),
         Message::Carry(CarryMsg::AttemptAsk { .. } | CarryMsg::AttemptGrant { .. }) => return None,
-        Message::Chain(ChainMsg::LastAnswered { .. }) => return None,
+        Message::Chain(ChainMsg::LastAnswered { .. }) | Message::Hold(HoldMsg::Proofs { .. }) => return None,
         message => message,
     };
     let message = match message {
