--- a/crates/heron/src/main.rs
+++ b/crates/heron/src/main.rs
@@ -4,6 +4,7 @@
 use hyper::Method;
 use lexopt::prelude::*;
 use serde_json::Value;
+use std::fmt::Display;
 use std::io::Write;
 use std::path::Path;
 use std::process::ExitCode;
@@ -32,6 +33,33 @@
 remove read the revision first and change that one. Exit codes: 0 done, 1 refused, 2 wrong use,
 3 outcome not known (ask again with the same --operation), 4 not reached.";
 
+/// How long a call may take; a change is answered once every router holds it.
+const CALL_LIMIT: Duration = Duration::from_secs(60);
+
+/// How a command ends, as scripts read it; the help tells the same.
+mod exit_code {
+    pub const DONE: u8 = 0;
+    /// The server refused, or `diff` found differences.
+    pub const REFUSED: u8 = 1;
+    pub const WRONG_USE: u8 = 2;
+    pub const OUTCOME_NOT_KNOWN: u8 = 3;
+    pub const NOT_REACHED: u8 = 4;
+}
+
+/// Why a command has no answer to show.
+struct Failure {
+    exit_code: u8,
+    message: String,
+}
+
+fn wrong_use(message: impl Display) -> Failure {
+    Failure { exit_code: exit_code::WRONG_USE, message: message.to_string() }
+}
+
+fn not_reached(message: impl Display) -> Failure {
+    Failure { exit_code: exit_code::NOT_REACHED, message: message.to_string() }
+}
+
 struct Line {
     api: String,
     token: String,
@@ -97,7 +125,7 @@
         Ok(None) => return ExitCode::SUCCESS,
         Err(told) => {
             eprintln!("heron: {told}");
-            return ExitCode::from(2);
+            return ExitCode::from(exit_code::WRONG_USE);
         }
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
@@ -109,14 +137,15 @@
     };
     match runtime.block_on(carry_out(line)) {
         Ok(code) => ExitCode::from(code),
-        Err((code, told)) => {
-            eprintln!("heron: {told}");
-            ExitCode::from(code)
+        Err(failure) => {
+            eprintln!("heron: {}", failure.message);
+            ExitCode::from(failure.exit_code)
         }
     }
 }
 
-type Ended = Result<u8, (u8, String)>;
+/// The exit code of a command that was answered.
+type Ended = Result<u8, Failure>;
 
 async fn carry_out(line: Line) -> Ended {
     let words: Vec<&str> = line.words.iter().map(String::as_str).collect();
@@ -126,10 +155,10 @@
         body,
         address: line.api.clone(),
         token: line.token.clone(),
-        limit: Duration::from_secs(60),
+        limit: CALL_LIMIT,
         ..Call::default()
     };
-    let file = |path: &str| std::fs::read(path).map_err(|fault| (2, format!("{path}: {fault}")));
+    let file = |path: &str| std::fs::read(path).map_err(|fault| wrong_use(format!("{path}: {fault}")));
     match words[..] {
         ["get"] => show(call(Method::GET, "/v1/configuration".into(), Vec::new())).await,
         ["get", part] => show(call(Method::GET, format!("/v1/{part}"), Vec::new())).await,
@@ -138,27 +167,27 @@
         ["metrics"] => show(call(Method::GET, "/metrics".into(), Vec::new())).await,
         ["watch"] => {
             let call = call(Method::GET, "/v1/watch".into(), Vec::new());
-            watch(&call).await.map_err(|fault| (4, fault.to_string())).map(|good| if good { 0 } else { 1 })
+            watched(&call).await
         }
         ["apply", path] => {
-            let declared = read(Path::new(path)).map_err(|fault| (2, fault.to_string()))?;
+            let declared = read(Path::new(path)).map_err(wrong_use)?;
             let body = document(&declared).to_string().into_bytes();
             change(&line, call(Method::PUT, "/v1/configuration".into(), body)).await
         }
         ["diff", path] => {
-            let wanted = read(Path::new(path)).map_err(|fault| (2, fault.to_string()))?;
+            let wanted = read(Path::new(path)).map_err(wrong_use)?;
             diff(call(Method::GET, "/v1/configuration".into(), Vec::new()), &wanted).await
         }
         ["view", part] => show(call(Method::GET, format!("/v1/view/{part}"), Vec::new())).await,
         ["watch", part] => {
             let from = line.from.as_ref().map(|mark| format!("?from={mark}")).unwrap_or_default();
             let call = call(Method::GET, format!("/v1/watch/{part}{from}"), Vec::new());
-            watch(&call).await.map_err(|fault| (4, fault.to_string())).map(|good| if good { 0 } else { 1 })
+            watched(&call).await
         }
         ["patch", path] => change(&line, call(Method::PATCH, "/v1/configuration".into(), file(path)?)).await,
         ["set", name, path] => change(&line, call(Method::PUT, format!("/v1/{name}"), file(path)?)).await,
         ["remove", name] => change(&line, call(Method::DELETE, format!("/v1/{name}"), Vec::new())).await,
-        _ => Err((2, "say a command; see --help".into())),
+        _ => Err(wrong_use("say a command; see --help")),
     }
 }
 
@@ -171,36 +200,41 @@
         Some(tag) => Some(tag.clone()),
         None => {
             let read = Call { method: Method::GET, path: "/v1/configuration".into(), body: Vec::new(), ..call.clone() };
-            let known = ask(&read).await.map_err(|fault| (4, fault.to_string()))?;
+            let known = ask(&read).await.map_err(not_reached)?;
             Some(known.revision.map_or("0".into(), |revision| revision.to_string()))
         }
     };
     show(call).await
 }
 
+async fn watched(call: &Call) -> Ended {
+    let good = watch(call).await.map_err(not_reached)?;
+    Ok(if good { exit_code::DONE } else { exit_code::REFUSED })
+}
+
 /// What applying the files would change, one line each.
 async fn diff(call: Call, wanted: &Declared) -> Ended {
-    let answer = ask(&call).await.map_err(|fault| (4, fault.to_string()))?;
+    let answer = ask(&call).await.map_err(not_reached)?;
     let now: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     if answer.status != 200 {
-        return Err((4, format!("the configuration cannot be read: {} {now}", answer.status)));
+        return Err(not_reached(format!("the configuration cannot be read: {} {now}", answer.status)));
     }
     let lines = differences(&resources(&now), wanted);
     let page: String = lines.iter().map(|line| format!("{line}\n")).collect();
-    std::io::stdout().write_all(page.as_bytes()).map_err(|fault| (4, format!("cannot print: {fault}")))?;
-    Ok(u8::from(!lines.is_empty()))
+    std::io::stdout().write_all(page.as_bytes()).map_err(|fault| not_reached(format!("cannot print: {fault}")))?;
+    Ok(if lines.is_empty() { exit_code::DONE } else { exit_code::REFUSED })
 }
 
 async fn show(call: Call) -> Ended {
-    let answer = ask(&call).await.map_err(|fault| (4, fault.to_string()))?;
+    let answer = ask(&call).await.map_err(not_reached)?;
     let page = match serde_json::from_slice::<Value>(&answer.body) {
         Ok(value) => format!("{value:#}\n"),
         Err(_) => format!("{}\n", String::from_utf8_lossy(&answer.body)),
     };
-    std::io::stdout().write_all(page.as_bytes()).map_err(|fault| (4, format!("cannot print: {fault}")))?;
+    std::io::stdout().write_all(page.as_bytes()).map_err(|fault| not_reached(format!("cannot print: {fault}")))?;
     Ok(match answer.status {
-        200..=299 => 0,
-        504 => 3,
-        _ => 1,
+        200..=299 => exit_code::DONE,
+        504 => exit_code::OUTCOME_NOT_KNOWN,
+        _ => exit_code::REFUSED,
     })
 }
