--- a/crates/yard/src/api.rs
+++ b/crates/yard/src/api.rs
@@ -1,10 +1,10 @@
-//! The platform's API and the yard's owner: one thread holds the state, handlers send it asks.
+//! The platform's API and the emulator's owner: one thread holds the state, handlers send it asks.
 
-use crate::beginning::begin;
 use crate::instance::{Ask, draw, wall_ms};
 use crate::record::Record;
 use crate::services::load;
-use crate::state::{Mischief, Yard, YardEnv};
+use crate::starting::start_instance;
+use crate::state::{Emulator, Misbehaviour, YardEnv};
 use axum::extract::{Path, State};
 use axum::http::StatusCode;
 use axum::routing::{get, post};
@@ -20,7 +20,7 @@
 
 pub enum Order {
     Call { what: &'static str, id: String, body: Value, reply: oneshot::Sender<Answer> },
-    Lot(Ask),
+    Disturbance(Ask),
     Ready { id: String },
 }
 
@@ -41,7 +41,7 @@
             .route("/v1/workers/{id}/{what}", post(worker))
             .route("/v1/counts", get(counts))
             .with_state(orders.clone());
-        let yard = Yard {
+        let emulator = Emulator {
             drained: vec![false; settings.workers as usize],
             dice: rand_chacha::ChaCha8Rng::seed_from_u64(settings.seed),
             settings,
@@ -51,12 +51,12 @@
             begun: 0,
             shown: VecDeque::new(),
             calls: VecDeque::new(),
-            mischief: Mischief::default(),
+            mischief: Misbehaviour::default(),
             refused: 0,
             told: BTreeSet::new(),
             instance_seconds: 0.0,
         };
-        tokio::task::spawn_local(own(yard, record, orders, inbox));
+        tokio::task::spawn_local(own(emulator, record, orders, inbox));
         axum::serve(listener, router).await.map_err(|fault| fault.to_string())
     })
 }
@@ -98,30 +98,30 @@
     ask(&orders, "counts", String::new(), Value::Null).await
 }
 
-async fn own(mut yard: Yard, record: Record, orders: mpsc::Sender<Order>, mut inbox: mpsc::Receiver<Order>) {
+async fn own(mut emulator: Emulator, record: Record, orders: mpsc::Sender<Order>, mut inbox: mpsc::Receiver<Order>) {
     let mut ticks = tokio::time::interval(Duration::from_millis(200));
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                let (list, workers) = (yard.listing(), yard.workers());
-                yard.shown.push_back((Instant::now(), list, workers));
+                let (list, workers) = (emulator.listing(), emulator.workers());
+                emulator.shown.push_back((Instant::now(), list, workers));
             }
             order = inbox.recv() => match order {
-                Some(Order::Lot(Ask::Lot(reply))) => drop(reply.send(draw(&mut yard))),
+                Some(Order::Disturbance(Ask::Disturbance(reply))) => drop(reply.send(draw(&mut emulator))),
                 Some(Order::Ready { id }) => {
-                    if let Some(held) = yard.instances.get_mut(&id)
+                    if let Some(held) = emulator.instances.get_mut(&id)
                         && held.state == "starting" {
                         held.state = "running";
                     }
                 }
                 Some(Order::Call { what, id, body, reply }) => {
-                    let (hang, lost) = (yard.mischief.hang_calls, yard.mischief.drop_receipts);
+                    let (hang, lost) = (emulator.mischief.hang_calls, emulator.mischief.drop_receipts);
                     let calls = what == "start" || what == "stop";
-                    if calls && yard.chance(hang) {
+                    if calls && emulator.chance(hang) {
                         continue;
                     }
-                    let answer = carry_out(&mut yard, &record, &orders, what, &id, &body).await;
-                    if !(calls && yard.chance(lost)) {
+                    let answer = carry_out(&mut emulator, &record, &orders, what, &id, &body).await;
+                    if !(calls && emulator.chance(lost)) {
                         let _ = reply.send(answer);
                     }
                 }
@@ -132,7 +132,7 @@
 }
 
 async fn carry_out(
-    yard: &mut Yard,
+    emulator: &mut Emulator,
     record: &Record,
     orders: &mpsc::Sender<Order>,
     what: &str,
@@ -142,18 +142,20 @@
     match what {
         "list" => {
             let tell = |id: &str| record.write(json!({"at": wall_ms(), "what": "told", "instance": id}));
-            (StatusCode::OK, yard.late_listing(tell))
+            (StatusCode::OK, emulator.late_listing(tell))
         }
-        "start" | "stop" if !yard.lets_call() => (StatusCode::TOO_MANY_REQUESTS, json!({"fault": "too many calls"})),
-        "workers" => (StatusCode::OK, yard.late_workers()),
-        "start" => begin(yard, record, orders, body),
-        "stop" => match yard.remove(id) {
+        "start" | "stop" if !emulator.admit_call() => {
+            (StatusCode::TOO_MANY_REQUESTS, json!({"fault": "too many calls"}))
+        }
+        "workers" => (StatusCode::OK, emulator.late_workers()),
+        "start" => start_instance(emulator, record, orders, body),
+        "stop" => match emulator.remove(id) {
             true => (StatusCode::ACCEPTED, json!({"id": id})),
             false => (StatusCode::NOT_FOUND, json!({"fault": "no such instance"})),
         },
         "mischief" => {
             let share = |name: &str| body[name].as_f64().unwrap_or(0.0);
-            yard.mischief = Mischief {
+            emulator.mischief = Misbehaviour {
                 lose: share("lose"),
                 garbage: share("garbage"),
                 cut: share("cut"),
@@ -165,32 +167,32 @@
         }
         "worker" => {
             let number: usize = id.parse().unwrap_or(usize::MAX);
-            if number >= yard.drained.len() {
+            if number >= emulator.drained.len() {
                 return (StatusCode::NOT_FOUND, json!({}));
             }
             let on_it: Vec<String> =
-                yard.instances.iter().filter(|(_, held)| held.worker == number).map(|(id, _)| id.clone()).collect();
+                emulator.instances.iter().filter(|(_, held)| held.worker == number).map(|(id, _)| id.clone()).collect();
             match body.as_str() {
-                Some("crash") => on_it.iter().for_each(|id| _ = yard.remove(id)),
+                Some("crash") => on_it.iter().for_each(|id| _ = emulator.remove(id)),
                 Some("drain") => {
-                    yard.drained[number] = true;
+                    emulator.drained[number] = true;
                     for id in &on_it {
-                        if let Some(held) = yard.instances.get_mut(id) {
+                        if let Some(held) = emulator.instances.get_mut(id) {
                             held.state = "leaving";
                         }
                         record.write(json!({"at": wall_ms(), "what": "leaving", "instance": id}));
                     }
                 }
-                _ => yard.drained[number] = false,
+                _ => emulator.drained[number] = false,
             }
             record.write(json!({"at": wall_ms(), "what": "worker", "worker": number, "order": body}));
             (StatusCode::OK, json!({"instances": on_it.len()}))
         }
         _ => {
-            let running: f64 = yard.instances.values().map(|held| held.asked.elapsed().as_secs_f64()).sum();
+            let running: f64 = emulator.instances.values().map(|held| held.asked.elapsed().as_secs_f64()).sum();
             let told = json!({
-                "instances": yard.instances.len(), "refused_calls": yard.refused,
-                "instance_seconds": yard.instance_seconds + running,
+                "instances": emulator.instances.len(), "refused_calls": emulator.refused,
+                "instance_seconds": emulator.instance_seconds + running,
             });
             (StatusCode::OK, told)
         }
--- a/crates/yard/src/instance.rs
+++ b/crates/yard/src/instance.rs
@@ -6,7 +6,7 @@
 
 use crate::record::Record;
 use crate::services::Service;
-use crate::state::Yard;
+use crate::state::Emulator;
 use axum::Router;
 use axum::body::{Body, Bytes};
 use axum::extract::State;
@@ -21,11 +21,11 @@
 use tokio::sync::{mpsc, oneshot};
 
 pub enum Ask {
-    Lot(oneshot::Sender<Lot>),
+    Disturbance(oneshot::Sender<Disturbance>),
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Lot {
+pub enum Disturbance {
     Plain,
     Lose,
     Garbage,
@@ -41,7 +41,7 @@
     pub busy: Arc<AtomicU32>,
     pub alive: Arc<AtomicBool>,
     pub record: Record,
-    pub lots: mpsc::Sender<Ask>,
+    pub disturbances: mpsc::Sender<Ask>,
 }
 
 pub fn wall_ms() -> u64 {
@@ -53,36 +53,36 @@
     let _ = axum::serve(listener, router).await;
 }
 
-pub fn draw(yard: &mut Yard) -> Lot {
-    let mischief = yard.mischief.clone();
-    for (share, lot) in [
-        (mischief.turn_away, Lot::TurnAway),
-        (mischief.lose, Lot::Lose),
-        (mischief.garbage, Lot::Garbage),
-        (mischief.cut, Lot::Cut),
+pub fn draw(emulator: &mut Emulator) -> Disturbance {
+    let mischief = emulator.mischief.clone();
+    for (share, disturbance) in [
+        (mischief.turn_away, Disturbance::TurnAway),
+        (mischief.lose, Disturbance::Lose),
+        (mischief.garbage, Disturbance::Garbage),
+        (mischief.cut, Disturbance::Cut),
     ] {
-        if yard.chance(share) {
-            return lot;
+        if emulator.chance(share) {
+            return disturbance;
         }
     }
-    Lot::Plain
+    Disturbance::Plain
 }
 
 async fn run(State(endpoint): State<Endpoint>, method: Method, uri: Uri, headers: HeaderMap, body: Bytes) -> Response {
     let task = headers.get("x-task").and_then(|value| value.to_str().ok()).unwrap_or("-").to_owned();
     let (reply, told) = oneshot::channel();
-    let asked = endpoint.lots.send(Ask::Lot(reply)).await.is_ok();
+    let asked = endpoint.disturbances.send(Ask::Disturbance(reply)).await.is_ok();
     if !endpoint.alive.load(Ordering::SeqCst) {
         return lost(64);
     }
-    let lot = if asked { told.await.unwrap_or(Lot::Plain) } else { Lot::Plain };
+    let disturbance = if asked { told.await.unwrap_or(Disturbance::Plain) } else { Disturbance::Plain };
     let busy = endpoint.busy.fetch_add(1, Ordering::SeqCst);
     let note = |what: &str| {
         endpoint.record.write(
             json!({"at": wall_ms(), "what": what, "task": task, "service": endpoint.service, "instance": endpoint.id}),
         )
     };
-    if busy >= endpoint.shape.limit || lot == Lot::TurnAway {
+    if busy >= endpoint.shape.limit || disturbance == Disturbance::TurnAway {
         endpoint.busy.fetch_sub(1, Ordering::SeqCst);
         note("turned-away");
         return (StatusCode::SERVICE_UNAVAILABLE, "at its limit").into_response();
@@ -98,15 +98,15 @@
         return lost(64);
     }
     let text = format!("{method} {} task={task} body={}", uri.path(), String::from_utf8_lossy(&body));
-    match lot {
-        Lot::Lose => lost(text.len()),
-        Lot::Cut => {
+    match disturbance {
+        Disturbance::Lose => lost(text.len()),
+        Disturbance::Cut => {
             let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
             let parts = [Ok(half), Err(std::io::Error::other("cut"))];
             let body = Body::from_stream(futures_lite::stream::iter(parts));
             Response::builder().header("content-length", text.len()).body(body).unwrap_or_default()
         }
-        Lot::Garbage => {
+        Disturbance::Garbage => {
             let mut response = Response::new(Body::from_stream(futures_lite::stream::iter([
                 Ok::<_, std::io::Error>(Bytes::from_static(b"garbage")),
                 Err(std::io::Error::other("more garbage")),
@@ -114,7 +114,7 @@
             response.headers_mut().insert("x-garbage", HeaderValue::from_static("1"));
             response
         }
-        Lot::Plain | Lot::TurnAway => text.into_response(),
+        Disturbance::Plain | Disturbance::TurnAway => text.into_response(),
     }
 }
 
--- a/crates/yard/src/main.rs
+++ b/crates/yard/src/main.rs
@@ -1,12 +1,12 @@
-//! `yard`: the platform's stand-in. Workers in zones, with memory, a limit on calls, late lists, instances
+//! `emulator`: the platform's emulator. Workers in zones, with memory, a limit on calls, late lists, instances
 //! that take their time to start and then serve on endpoints of their own, and a record of every
 //! task they ran. It can be told to crash or drain workers and to make instances misbehave.
 
 mod api;
-mod beginning;
 mod instance;
 mod record;
 mod services;
+mod starting;
 mod state;
 
 use std::process::ExitCode;
--- a/crates/yard/src/services.rs
+++ b/crates/yard/src/services.rs
@@ -1,4 +1,4 @@
-//! What the yard needs to know of each service: how many tasks an instance takes at once, how
+//! What the emulator needs to know of each service: how many tasks an instance takes at once, how
 //! long it takes to start and to answer.
 
 use serde::Deserialize;
--- a/crates/yard/src/beginning.rs
+++ b/crates/yard/src/starting.rs
@@ -4,7 +4,7 @@
 use crate::api::{Answer, Order};
 use crate::instance::{Endpoint, serve};
 use crate::record::Record;
-use crate::state::{Held, Started, Yard, worker_name, worker_number};
+use crate::state::{Emulator, RunningInstance, Started, worker_name, worker_number};
 use axum::http::StatusCode;
 use rand::RngExt;
 use serde_json::{Value, json};
@@ -21,21 +21,21 @@
     (StatusCode::ACCEPTED, json!({"id": started.id, "address": started.address, "worker": worker}))
 }
 
-pub fn begin(yard: &mut Yard, record: &Record, orders: &mpsc::Sender<Order>, body: &Value) -> Answer {
+pub fn start_instance(emulator: &mut Emulator, record: &Record, orders: &mpsc::Sender<Order>, body: &Value) -> Answer {
     let service = body["service"].as_str().unwrap_or_default().to_owned();
     let memory_mb = body["memory_mb"].as_u64().unwrap_or(0) as u32;
-    let Some(shape) = yard.services.get(&service).cloned() else {
+    let Some(shape) = emulator.services.get(&service).cloned() else {
         return (StatusCode::BAD_REQUEST, json!({"fault": "no such service"}));
     };
     let nonce = body["nonce"].as_str().unwrap_or_default().to_owned();
     if nonce.is_empty() || nonce.len() > NONCE_BYTES {
         return (StatusCode::BAD_REQUEST, json!({"fault": "a nonce of 1 to 64 bytes is needed"}));
     }
-    if let Some(started) = yard.nonces.get(&(service.clone(), nonce.clone())) {
+    if let Some(started) = emulator.nonces.get(&(service.clone(), nonce.clone())) {
         return told(started);
     }
     let named = body["worker"].as_str().map(|name| worker_number(name).unwrap_or(usize::MAX));
-    let Some(worker) = yard.place(named, memory_mb) else {
+    let Some(worker) = emulator.place(named, memory_mb) else {
         return (StatusCode::INSUFFICIENT_STORAGE, json!({"fault": "no worker has the memory"}));
     };
     // The port is taken now and listened on only when the instance has started.
@@ -43,10 +43,10 @@
     let Ok((socket, address)) = bound.and_then(|socket| socket.local_addr().map(|address| (socket, address))) else {
         return (StatusCode::SERVICE_UNAVAILABLE, json!({"fault": "no port"}));
     };
-    yard.begun += 1;
-    let id = format!("i-{:x}-{:x}", yard.settings.seed & 0xffff, yard.begun);
-    let wait = Duration::from_millis(shape.start_ms * yard.dice.random_range(90..=115) / 100);
-    let (lots, mut lot_inbox) = mpsc::channel(64);
+    emulator.begun += 1;
+    let id = format!("i-{:x}-{:x}", emulator.settings.seed & 0xffff, emulator.begun);
+    let wait = Duration::from_millis(shape.start_ms * emulator.dice.random_range(90..=115) / 100);
+    let (disturbances, mut disturbance_inbox) = mpsc::channel(64);
     let alive = Arc::new(AtomicBool::new(true));
     let endpoint = Endpoint {
         id: id.clone(),
@@ -55,7 +55,7 @@
         busy: Arc::default(),
         alive: alive.clone(),
         record: record.clone(),
-        lots,
+        disturbances,
     };
     let (forward, ready, name) = (orders.clone(), orders.clone(), id.clone());
     let task = tokio::task::spawn_local(async move {
@@ -63,14 +63,14 @@
         let Ok(listener) = socket.listen(1024) else { return };
         let _ = ready.send(Order::Ready { id: name }).await;
         tokio::join!(serve(endpoint, listener), async {
-            while let Some(lot) = lot_inbox.recv().await {
-                let _ = forward.send(Order::Lot(lot)).await;
+            while let Some(disturbance) = disturbance_inbox.recv().await {
+                let _ = forward.send(Order::Disturbance(disturbance)).await;
             }
         });
     });
     let started = Started { id: id.clone(), address: address.to_string(), worker };
     let answer = told(&started);
-    let held = Held {
+    let held = RunningInstance {
         service: service.clone(),
         address: address.to_string(),
         worker,
@@ -80,7 +80,7 @@
         alive,
         asked: Instant::now(),
     };
-    yard.instances.insert(id, held);
-    yard.nonces.insert((service, nonce), started);
+    emulator.instances.insert(id, held);
+    emulator.nonces.insert((service, nonce), started);
     answer
 }
--- a/crates/yard/src/state.rs
+++ b/crates/yard/src/state.rs
@@ -1,4 +1,4 @@
-//! The yard's state, owned by one thread: workers, instances, the call limit, and the late list.
+//! The emulator's state, owned by one thread: workers, instances, the call limit, and the late list.
 
 use crate::services::Services;
 use env::{address, any, in_range};
@@ -25,7 +25,7 @@
     }
 }
 
-pub struct Held {
+pub struct RunningInstance {
     pub service: String,
     pub address: String,
     pub worker: usize,
@@ -45,7 +45,7 @@
 }
 
 #[derive(Clone, Default)]
-pub struct Mischief {
+pub struct Misbehaviour {
     pub lose: f64,
     pub garbage: f64,
     pub cut: f64,
@@ -54,28 +54,28 @@
     pub drop_receipts: f64,
 }
 
-pub struct Yard {
+pub struct Emulator {
     pub settings: YardEnv,
     pub services: Services,
-    pub instances: BTreeMap<String, Held>,
+    pub instances: BTreeMap<String, RunningInstance>,
     pub nonces: BTreeMap<(String, String), Started>,
     pub begun: u64,
     pub drained: Vec<bool>,
     pub shown: VecDeque<(Instant, Value, Value)>,
     pub calls: VecDeque<Instant>,
-    pub mischief: Mischief,
+    pub mischief: Misbehaviour,
     pub dice: rand_chacha::ChaCha8Rng,
     pub refused: u64,
     pub told: BTreeSet<String>,
     pub instance_seconds: f64,
 }
 
-impl Yard {
+impl Emulator {
     pub fn chance(&mut self, share: f64) -> bool {
         share > 0.0 && self.dice.random_bool(share.min(1.0))
     }
 
-    pub fn lets_call(&mut self) -> bool {
+    pub fn admit_call(&mut self) -> bool {
         let now = Instant::now();
         while self.calls.front().is_some_and(|at| now.duration_since(*at) > Duration::from_secs(1)) {
             self.calls.pop_front();
@@ -89,21 +89,21 @@
     }
 
     /// Memory left on each worker.
-    fn left(&self) -> Vec<i64> {
-        let mut left = vec![i64::from(self.settings.memory_mb); self.drained.len()];
-        for held in self.instances.values() {
-            left[held.worker] -= i64::from(held.memory_mb);
+    fn free_mb_by_worker(&self) -> Vec<i64> {
+        let mut free_mb_by_worker = vec![i64::from(self.settings.memory_mb); self.drained.len()];
+        for instance in self.instances.values() {
+            free_mb_by_worker[instance.worker] -= i64::from(instance.memory_mb);
         }
-        left
+        free_mb_by_worker
     }
 
     /// The worker that is named, or the one with the most memory left, if it has enough.
     pub fn place(&self, named: Option<usize>, memory_mb: u32) -> Option<usize> {
-        let left = self.left();
-        (0..left.len())
+        let free_mb_by_worker = self.free_mb_by_worker();
+        (0..free_mb_by_worker.len())
             .filter(|worker| named.is_none_or(|named| named == *worker))
-            .filter(|worker| !self.drained[*worker] && left[*worker] >= i64::from(memory_mb))
-            .max_by_key(|worker| (left[*worker], std::cmp::Reverse(*worker)))
+            .filter(|worker| !self.drained[*worker] && free_mb_by_worker[*worker] >= i64::from(memory_mb))
+            .max_by_key(|worker| (free_mb_by_worker[*worker], std::cmp::Reverse(*worker)))
     }
 
     fn zone(&self, worker: usize) -> &str {
@@ -112,23 +112,23 @@
     }
 
     pub fn listing(&self) -> Value {
-        let line = |(id, held): (&String, &Held)| {
+        let line = |(id, instance): (&String, &RunningInstance)| {
             json!({
-                "id": id, "service": held.service, "address": held.address, "zone": self.zone(held.worker),
-                "worker": worker_name(held.worker), "state": held.state,
+                "id": id, "service": instance.service, "address": instance.address, "zone": self.zone(instance.worker),
+                "worker": worker_name(instance.worker), "state": instance.state,
             })
         };
         json!({"instances": self.instances.iter().map(line).collect::<Vec<Value>>()})
     }
 
     pub fn workers(&self) -> Value {
-        let line = |(worker, left): (usize, i64)| {
+        let line = |(worker, free_mb_by_worker): (usize, i64)| {
             json!({
                 "name": worker_name(worker), "zone": self.zone(worker), "memory_mb": self.settings.memory_mb,
-                "free_mb": left.max(0), "ready": !self.drained[worker],
+                "free_mb": free_mb_by_worker.max(0), "ready": !self.drained[worker],
             })
         };
-        json!({"workers": self.left().into_iter().enumerate().map(line).collect::<Vec<Value>>()})
+        json!({"workers": self.free_mb_by_worker().into_iter().enumerate().map(line).collect::<Vec<Value>>()})
     }
 
     /// The lists, of instances and of workers, as they stood a while ago.
@@ -158,10 +158,10 @@
     }
 
     pub fn remove(&mut self, id: &str) -> bool {
-        let Some(held) = self.instances.remove(id) else { return false };
-        self.instance_seconds += held.asked.elapsed().as_secs_f64();
-        held.alive.store(false, Ordering::SeqCst);
-        if let Some(task) = held.task {
+        let Some(instance) = self.instances.remove(id) else { return false };
+        self.instance_seconds += instance.asked.elapsed().as_secs_f64();
+        instance.alive.store(false, Ordering::SeqCst);
+        if let Some(task) = instance.task {
             task.abort();
         }
         true
