--- a/crates/judge/src/linearizable.rs
+++ b/crates/judge/src/linearizable.rs
@@ -88,6 +88,7 @@
     acknowledged: Vec<(Duration, u64)>,
 }
 
+/// Everything in the history that a compare-and-set register with unknown outcomes could not have done.
 pub fn anomalies(invocations: &[Invocation], reads: &[Read]) -> Vec<Anomaly> {
     let mut found = Vec::new();
     let effects = effects(invocations, &mut found);
