--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -38,7 +38,8 @@
             head: wire::to_bytes(&record.call.head).into(),
             body: record.call.body.clone().into(),
         };
-        self.outs.push(FrontOutput::Carry { to: home, message: CarryMsg::Forward { request } });
+        let message = CarryMsg::Forward { request: Box::new(request) };
+        self.outs.push(FrontOutput::Carry { to: home, message });
     }
 
     /// Tells a home how many attempts it has in all, with one more where one is left; none where the request is no
--- a/crates/wire/src/carry.rs
+++ b/crates/wire/src/carry.rs
@@ -183,7 +183,7 @@
     InventoryAsk,
     /// `Carry` with the attempts that the front grants.
     #[deku(id = "12")]
-    Forward { request: ForwardRequest },
+    Forward { request: Box<ForwardRequest> },
     /// A home asks a front for so many attempts in all at what was forwarded under this number.
     #[deku(id = "13")]
     AttemptAsk { task: u64, attempts: u32 },
@@ -212,7 +212,7 @@
     /// The request that is forwarded, if one is, by a front that counts its attempts or by an older one.
     pub fn into_forwarded(self) -> Option<ForwardRequest> {
         match self {
-            CarryMsg::Forward { request } => Some(request),
+            CarryMsg::Forward { request } => Some(*request),
             CarryMsg::Carry { task, function, binding, left_ms, tries, respond_async, key, head, body } => {
                 let attempts = ForwardRequest::UNCOUNTED;
                 let request = ForwardRequest {
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -15,7 +15,7 @@
 pub fn spoken(message: Message, format: u16) -> Option<Message> {
     let message = match message {
         message if format >= ATTEMPTS => return Some(message),
-        Message::Carry(CarryMsg::Forward { request }) => Message::Carry(uncounted(request)),
+        Message::Carry(CarryMsg::Forward { request }) => Message::Carry(uncounted(*request)),
         Message::Carry(CarryMsg::Returned { task, .. }) => Message::Carry(CarryMsg::NotHome { task }),
         Message::Carry(CarryMsg::AttemptAsk { .. } | CarryMsg::AttemptGrant { .. }) => return None,
         message => message,
@@ -107,7 +107,7 @@
         };
         let request = carry.clone().into_forwarded().expect("a forward");
         assert_eq!(request.attempts, ForwardRequest::UNCOUNTED);
-        let counted = CarryMsg::Forward { request: ForwardRequest { attempts: 1, ..request } };
+        let counted = CarryMsg::Forward { request: Box::new(ForwardRequest { attempts: 1, ..request }) };
         let heard = |message: CarryMsg, format| spoken(Message::Carry(message), format);
         assert_eq!(heard(counted.clone(), 4), Some(Message::Carry(carry)));
         assert_eq!(heard(counted.clone(), 5), Some(Message::Carry(counted)));
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -39,7 +39,7 @@
         Message::Hold(HoldMsg::Stage { step }),
         Message::Hold(HoldMsg::ReadReceipt { ask: 1, state: 1, items: vec![item].into() }),
         Message::Carry(CarryMsg::NotHome { task: 5 }),
-        Message::Carry(CarryMsg::Forward { request: forward() }),
+        Message::Carry(CarryMsg::Forward { request: Box::new(forward()) }),
         Message::Carry(CarryMsg::AttemptGrant { task: 5, attempts: 2 }),
         Message::Plan(PlanMsg::Receipt { ask: 1, fence: 2, state: 1, step_ms: 15_000, desired: vec![1, 2, 3].into() }),
     ]
