--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -3,6 +3,7 @@
 
 mod common;
 
+use common::forwards::{forwarded, granted, sent, to_front};
 use common::{ME, OTHER, ms, reply, roster};
 use std::rc::Rc;
 use test_case::test_case;
@@ -45,33 +46,10 @@
     home
 }
 
-fn forwarded(outputs: &[FrontOutput]) -> Option<(u64, CarryMsg)> {
-    outputs.iter().find_map(|output| match output {
-        FrontOutput::Carry { message: message @ CarryMsg::Forward { request }, .. } => {
-            Some((request.task, message.clone()))
-        }
-        _ => None,
-    })
-}
-
 fn give(home: &mut Home, at: u64, message: CarryMsg) -> Vec<HomeOutput> {
     home.step(ms(at), true, HomeInput::Carry { from: ME, message })
 }
 
-fn sent(outputs: &[HomeOutput]) -> Option<u64> {
-    outputs.iter().find_map(|output| match output {
-        HomeOutput::Dispatch(order) => Some(order.number),
-        _ => None,
-    })
-}
-
-fn to_front(outputs: &[HomeOutput]) -> Option<CarryMsg> {
-    outputs.iter().find_map(|output| match output {
-        HomeOutput::Carry { to: ME, message } if !matches!(message, CarryMsg::Beat) => Some(message.clone()),
-        _ => None,
-    })
-}
-
 fn fails(home: &mut Home, at: u64, outputs: &[HomeOutput], verdict: Verdict) -> Vec<HomeOutput> {
     let number = sent(outputs).expect("sent to an instance");
     home.step(ms(at), true, HomeInput::Dispatched { number, verdict })
@@ -89,13 +67,6 @@
     front.step(ms(at), true, FrontInput::Carried { from, message })
 }
 
-fn granted(outputs: &[FrontOutput]) -> Option<u32> {
-    outputs.iter().find_map(|output| match output {
-        FrontOutput::Carry { message: CarryMsg::AttemptGrant { attempts, .. }, .. } => Some(*attempts),
-        _ => None,
-    })
-}
-
 fn grant(task: u64, attempts: u32) -> CarryMsg {
     CarryMsg::AttemptGrant { task, attempts }
 }
--- /dev/null
+++ b/crates/traffic/tests/common/forwards.rs
@@ -0,0 +1,35 @@
+//! What fronts and homes say to each other of a forwarded request.
+
+use super::ME;
+use traffic::{FrontOutput, HomeOutput};
+use wire::CarryMsg;
+
+pub fn forwarded(outputs: &[FrontOutput]) -> Option<(u64, CarryMsg)> {
+    outputs.iter().find_map(|output| match output {
+        FrontOutput::Carry { message: message @ CarryMsg::Forward { request }, .. } => {
+            Some((request.task, message.clone()))
+        }
+        _ => None,
+    })
+}
+
+pub fn sent(outputs: &[HomeOutput]) -> Option<u64> {
+    outputs.iter().find_map(|output| match output {
+        HomeOutput::Dispatch(order) => Some(order.number),
+        _ => None,
+    })
+}
+
+fn to_front(outputs: &[HomeOutput]) -> Option<CarryMsg> {
+    outputs.iter().find_map(|output| match output {
+        HomeOutput::Carry { to: ME, message } if !matches!(message, CarryMsg::Beat) => Some(message.clone()),
+        _ => None,
+    })
+}
+
+pub fn granted(outputs: &[FrontOutput]) -> Option<u32> {
+    outputs.iter().find_map(|output| match output {
+        FrontOutput::Carry { message: CarryMsg::AttemptGrant { attempts, .. }, .. } => Some(*attempts),
+        _ => None,
+    })
+}
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -2,6 +2,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
+pub mod forwards;
 pub mod supplied;
 
 use bindings::Book;
