--- a/crates/traffic/tests/common/forwards.rs
+++ b/crates/traffic/tests/common/forwards.rs
@@ -20,7 +20,7 @@
     })
 }
 
-fn to_front(outputs: &[HomeOutput]) -> Option<CarryMsg> {
+pub fn to_front(outputs: &[HomeOutput]) -> Option<CarryMsg> {
     outputs.iter().find_map(|output| match output {
         HomeOutput::Carry { to: ME, message } if !matches!(message, CarryMsg::Beat) => Some(message.clone()),
         _ => None,
