--- a/crates/explore/src/main.rs
+++ b/crates/explore/src/main.rs
@@ -6,7 +6,7 @@
 
 const HELP: &str = "explore: searches the states of a modelled cluster for a broken invariant
 
-Usage: explore all  [--scenario S] [--depth N] [--states N] [--probe-every N] [BUDGET]
+Usage: explore all  [--scenario S] [--depth N] [--states N] [--seconds N] [--probe-every N] [BUDGET]
        explore walk [--scenario S] [--from N] [--count N] [--length N] [BUDGET]
 
 --scenario: three, wiped, learning, replacing, six, eight or founding [three]
@@ -31,7 +31,7 @@
             search: String::new(),
             scenario: Scenario::Three,
             plant: Plant::None,
-            limits: Limits { depth: 6, states: 10_000_000, probe_every: 0 },
+            limits: Limits { depth: 6, states: 10_000_000, seconds: 600, probe_every: 0 },
             budget: Budget {
                 entries: 2,
                 confirms: 1,
@@ -99,6 +99,7 @@
     let budget = &mut flags.budget;
     match name {
         "depth" => flags.limits.depth = number as usize,
+        "seconds" => flags.limits.seconds = number,
         "states" => flags.limits.states = number,
         "probe-every" => flags.limits.probe_every = number,
         "from" => flags.from = number,
--- a/crates/explore/src/search.rs
+++ b/crates/explore/src/search.rs
@@ -12,6 +12,7 @@
 pub struct Limits {
     pub depth: usize,
     pub states: u64,
+    pub seconds: u64,
     /// Look ahead from every so many-th distinct state; 0 for never.
     pub probe_every: u64,
 }
@@ -42,12 +43,13 @@
     visited: HashMap<u64, usize>,
     path: Vec<Choice>,
     report: Report,
+    begun: Instant,
 }
 
 /// Takes every choice from a state, to the depth of the limits.
 pub fn explore(start: &World, limits: &Limits) -> Report {
     let begun = Instant::now();
-    let mut search = Search { limits, visited: HashMap::new(), path: Vec::new(), report: Report::default() };
+    let mut search = Search { limits, visited: HashMap::new(), path: Vec::new(), report: Report::default(), begun };
     search.report.complete = true;
     search.descend(start);
     search.report.distinct = search.visited.len() as u64;
@@ -61,7 +63,8 @@
             return;
         }
         for choice in world.choices() {
-            if self.report.explored >= self.limits.states {
+            let late = self.begun.elapsed().as_secs() >= self.limits.seconds;
+            if late || self.report.explored >= self.limits.states {
                 self.report.complete = false;
                 return;
             }
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -30,8 +30,9 @@
     pub disk: Stored,
     /// Writes handed to the disk that are not yet synced.
     pub pending: Vec<(u64, Batch)>,
-    /// How often its disk was lost.
+    /// How often its disk was lost, and its process started.
     pub wipes: u64,
+    pub starts: u64,
     /// Had a fault, and has not been back in the chain since.
     pub troubled: bool,
     /// Was in the chain at least once.
@@ -93,6 +94,7 @@
             disk: Stored::default(),
             pending: Vec::new(),
             wipes: 0,
+            starts: 0,
             troubled: !may_found,
             arrived: false,
             leaving: false,
@@ -110,23 +112,25 @@
     pub fn start(&mut self, index: usize) {
         let machine = &mut self.machines[index];
         machine.id = index as NodeId + 1 + machine.wipes * 10;
+        machine.starts += 1;
         machine.leaving = false;
         machine.left_in_order = false;
         let seat = Seat { id: machine.id, address: address(index) };
         machine.disk.meta.seat = seat.clone();
         let seats = if machine.may_found { 3 } else { 0 };
         let member = Member::new(seat, machine.disk.clone(), Timing::default(), apply, self.now);
-        machine.member = Some(member.founding_with(seats).bearing(self.losses));
+        let member = member.founding_with(seats).bearing(self.losses);
+        machine.member = Some(member.numbering_rounds_from(machine.starts << 20));
     }
 
-    /// The process ends; what was not synced is gone, and so is what was on its way to it.
+    /// The process ends; what was not synced is gone. Messages on their way to it may still reach the
+    /// next process.
     pub fn stop(&mut self, index: usize) {
         self.machines[index].member = None;
         self.machines[index].pending.clear();
         self.machines[index].troubled = true;
         let id = self.machines[index].id;
         self.history.asked.retain(|(asked, _), _| *asked != id);
-        self.frames.retain(|(_, to), _| machine_of(*to) != index);
     }
 
     pub fn feed(&mut self, index: usize, input: Input) {
