--- a/crates/chain/src/leave.rs
+++ b/crates/chain/src/leave.rs
@@ -26,7 +26,8 @@
     /// Whether nothing that the others rely on is left to this member: it is out of the chain, and has no
     /// seat that would count against their majority once it is empty.
     pub fn may_stop(&self) -> bool {
-        !self.is_chained() && !(self.is_voter(self.meta.seat.id) && self.has_spare_seats())
+        let seat_to_give_up = self.is_voter(self.meta.seat.id) && self.has_spare_seats();
+        !self.is_chained() && !seat_to_give_up
     }
 
     fn has_spare_seats(&self) -> bool {
