--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -68,7 +68,8 @@
         let Some(newest) = self.newest_view() else { return true };
         let chained = newest.chain.iter().any(|id| machine_of(*id) == index);
         let spare = newest.voters.as_slice().len() > self.losses * 2 + 1;
-        !chained && !(spare && self.has_seat(index))
+        let seat_to_give_up = spare && self.has_seat(index);
+        !chained && !seat_to_give_up
     }
 
     /// A new machine that was never whole is not missed, for whom it replaces is, unless it has a seat
--- a/crates/explore/src/search.rs
+++ b/crates/explore/src/search.rs
@@ -89,7 +89,8 @@
             return;
         }
         self.visited.insert(digest, depth);
-        let probes = self.limits.probe_every > 0 && self.visited.len() as u64 % self.limits.probe_every == 0;
+        let every = self.limits.probe_every;
+        let probes = every > 0 && (self.visited.len() as u64).is_multiple_of(every);
         if known.is_none() && probes {
             self.report.probed += 1;
             world.probe();
