--- a/crates/chain/tests/catch_up.rs
+++ b/crates/chain/tests/catch_up.rs
@@ -106,7 +106,12 @@
     net.enter(1, "fills it");
     net.settle();
     net.free_disk(3);
+    net.pass(500);
+    assert!(net.members[&3].is_current_tail(), "it is the tail again");
     net.confirmed.clear();
+    net.members.get_mut(&3).unwrap().ask_confirm();
+    net.feed(3, chain::Input::Confirm);
+    net.frames.clear();
     held.into_iter().for_each(|frame| net.frames.push_back(frame));
     net.settle();
     assert!(net.confirmed.is_empty(), "a round of before was taken for one of now");
