--- /dev/null
+++ b/crates/sim/src/catch_up.rs
@@ -0,0 +1,107 @@
+//! Rules on members that come back: while nothing is disturbed, one that is up holds all that is committed
+//! within a bound; and whoever has a role in the newest view holds all that was acknowledged.
+
+use crate::faults::Mending;
+use crate::world::{Event, Place, World};
+use chain::{Member, apply_batch};
+use control::{CoreInput, number};
+use rand::RngExt;
+use std::time::Duration;
+
+/// From the moment when nothing is disturbed any longer until all are members that hold everything.
+const BOUND: Duration = Duration::from_secs(4);
+/// What is committed is known by all so much later: a frame takes up to 0.4 s here, and others wait behind it.
+const SPREAD: Duration = Duration::from_millis(1500);
+
+/// How far the core was known to be committed a little while ago.
+#[derive(Default)]
+pub struct CatchUp {
+    sampled: Duration,
+    earlier: u64,
+    newest: u64,
+    looked_at: Duration,
+    /// How often the rule on time was held against a core.
+    pub judged: u64,
+    pub longest: Duration,
+}
+
+impl World {
+    /// A disk that was full takes writes again; the process goes on.
+    pub(crate) fn free_disk(&mut self, n: usize) {
+        if let Some(until) = self.frozen_until(Place::Registry(n)) {
+            return self.at(until, Event::Mend { what: Mending::FreeDisk(n) });
+        }
+        let landed = self.dice.random_ratio(1, 3);
+        let node = &mut self.registries[n];
+        node.full = false;
+        if !std::mem::take(&mut node.refused_write) || node.core.is_none() {
+            return;
+        }
+        if let Some((_, batch)) = node.pending.take()
+            && landed
+        {
+            apply_batch(&mut node.disk, &batch);
+        }
+        let stored = Box::new(node.disk.clone());
+        self.say(|| format!("the disk of registry {n} has room again"));
+        self.feed_registry(n, CoreInput::DiskBack { stored });
+    }
+
+    fn members_up(&self) -> impl Iterator<Item = (usize, &Member)> {
+        let cores = self.registries.iter().enumerate();
+        cores.filter_map(|(n, node)| node.core.as_ref().map(|core| (n, core.member())))
+    }
+
+    pub fn check_caught_up(&mut self) {
+        let now = self.now;
+        if now >= self.catch_up.sampled + SPREAD {
+            self.catch_up.sampled = now;
+            self.catch_up.earlier = self.catch_up.newest;
+            self.catch_up.newest = self.members_up().map(|(_, member)| member.positions().2).max().unwrap_or_default();
+        }
+        let earlier = self.catch_up.earlier;
+        let behind = |member: &Member| !member.is_chained() || member.positions().2 < earlier;
+        let up = self.members_up().count() == self.registries.len();
+        let late = self.members_up().find(|(_, member)| behind(member)).map(|(n, member)| (n, member.positions()));
+        let calm = now.saturating_sub(self.stood.0);
+        if !up || calm.is_zero() {
+            return;
+        }
+        match late {
+            Some((n, positions)) if calm > BOUND => {
+                let told = format!("registry {n} is not caught up {} ms after the last trouble", calm.as_millis());
+                self.rules.tell(now, format!("{told}: {positions:?}, {earlier} was committed"));
+            }
+            Some(_) => self.catch_up.longest = self.catch_up.longest.max(calm),
+            None => self.catch_up.judged += u64::from(calm > BOUND),
+        }
+    }
+
+    /// Head, tail and whoever else is a full member of the newest view that anyone has taken on.
+    pub fn check_roles(&mut self) {
+        let now = self.now;
+        if now < self.catch_up.looked_at + Duration::from_millis(20) {
+            return;
+        }
+        self.catch_up.looked_at = now;
+        let acknowledged = self.operators.acked.iter().map(|(revision, ..)| *revision).max().unwrap_or_default();
+        let newest = self.members_up().map(|(_, member)| member.view().number).max().unwrap_or_default();
+        let behind = self.members_up().find_map(|(n, member)| {
+            let view = member.view();
+            let has_role = view.number == newest && member.is_chained() && view.fresh != member.seat().id;
+            let holds = number(member.state(), "c/latest-revision");
+            (has_role && holds < acknowledged).then_some((n, holds, member.is_head(), member.is_current_tail()))
+        });
+        if let Some((n, holds, head, tail)) = behind {
+            let role = if head {
+                "head"
+            } else if tail {
+                "tail"
+            } else {
+                "member"
+            };
+            self.rules
+                .tell(now, format!("registry {n} is {role} with {holds}, though {acknowledged} was acknowledged"));
+        }
+    }
+}
--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/ending.rs
@@ -72,7 +72,7 @@
     pub fn summary(&self) -> String {
         let callers = &self.callers;
         format!(
-            "steps {} runs {} answered {} refused {} unknown {} lost {} acked {} refused changes {} unknown changes {} starts {} judged seconds {} short {:?} back by entries, by copies {:?}",
+            "steps {} runs {} answered {} refused {} unknown {} lost {} acked {} refused changes {} unknown changes {} starts {} judged seconds {} short {:?} back by entries, by copies {:?} caught up: judged {} longest {} ms",
             self.steps,
             self.rules.run_count,
             callers.answered,
@@ -86,6 +86,8 @@
             self.judged,
             callers.short_of,
             self.brought_back,
+            self.catch_up.judged,
+            self.catch_up.longest.as_millis(),
         )
     }
 }
--- a/crates/sim/src/faults.rs
+++ b/crates/sim/src/faults.rs
@@ -10,6 +10,7 @@
 pub enum Mending {
     StartRegistry(usize),
     EndRegistry(usize),
+    FreeDisk(usize),
     StartRouter(usize),
     Heal(Vec<(Place, Place)>),
     Quicken,
@@ -82,6 +83,10 @@
                 self.registries[registry].full = true;
                 self.after(back, Event::Mend { what: Mending::StartRegistry(registry) });
             }
+            Kind::FillDiskForAWhile => {
+                self.registries[registry].full = true;
+                self.after(back, Event::Mend { what: Mending::FreeDisk(registry) });
+            }
             Kind::LoseDisk => self.lose_disk(registry, back),
             Kind::KillRouter => self.kill_router_for(router, millis, millis + 1),
             Kind::KillZone => {
@@ -137,6 +142,7 @@
                 }
                 self.start_registry(n);
             }
+            Mending::FreeDisk(n) => self.free_disk(n),
             Mending::EndRegistry(n) => {
                 self.kill_registry(n);
                 let back = self.ms(500, 3000);
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -3,6 +3,7 @@
 //! the rules checked after every step. The same seed replays the same run to the last event.
 
 mod callers;
+mod catch_up;
 mod chances;
 mod ending;
 mod failing;
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -69,7 +69,11 @@
             return self.read_back();
         }
         let burst = self.dice.random_ratio(1, 8);
-        let pause = if burst { self.dice.random_range(1..40) } else { self.dice.random_range(300..3000) };
+        let pause = if burst {
+            self.dice.random_range(1..40)
+        } else {
+            self.dice.random_range(self.plan.change_pause_ms.clone())
+        };
         self.after(Duration::from_millis(pause), Event::Operator);
         let racers = if self.dice.random_ratio(1, 4) { 2 } else { 1 };
         let base = self.operators.revision;
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -19,6 +19,8 @@
     pub pending: Option<(u64, Batch)>,
     pub stalled_until: Duration,
     pub full: bool,
+    /// A write was refused since the process started or came back.
+    pub refused_write: bool,
     pub base: Duration,
     pub frozen_until: Duration,
     pub drift: f64,
@@ -37,6 +39,7 @@
             pending: None,
             stalled_until: Duration::ZERO,
             full: false,
+            refused_write: false,
             base: Duration::ZERO,
             frozen_until: Duration::ZERO,
             drift: 1.0,
@@ -62,6 +65,7 @@
         node.life = life;
         node.base = now;
         node.full = false;
+        node.refused_write = false;
         node.frozen_until = Duration::ZERO;
         node.planner = Planner::default();
         node.planner.viewed(node.disk.meta.view.clone());
@@ -137,6 +141,7 @@
             return self.at(until, Event::Written { registry: n, life, ticket });
         }
         if node.full {
+            node.refused_write = true;
             return self.feed_registry(n, CoreInput::DiskFault);
         }
         if let Some((_, batch)) = node.pending.take_if(|(known, _)| *known == ticket) {
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,6 +1,7 @@
 //! The world: nodes, a queue of timed events, and the loop that takes them one by one.
 
 use crate::callers::Callers;
+use crate::catch_up::CatchUp;
 use crate::chances::{Plan, Sort};
 use crate::net::Net;
 use crate::operators::Operators;
@@ -60,6 +61,7 @@
     pub judged: usize,
     pub stood: (Duration, Vec<u64>),
     pub brought_back: [u64; 2],
+    pub catch_up: CatchUp,
     pub trace: bool,
 }
 
@@ -92,6 +94,7 @@
             judged: 0,
             stood: (Duration::ZERO, Vec::new()),
             brought_back: [0; 2],
+            catch_up: CatchUp::default(),
             trace: false,
             plan,
         };
@@ -148,6 +151,7 @@
             Event::Listing => {
                 self.listing();
                 self.check_members();
+                self.check_caught_up();
             }
             Event::Link { router, id, up } => self.link(router, id, up),
             Event::Caller => self.caller(),
@@ -157,6 +161,7 @@
             Event::Mend { what } => self.mend(what),
         }
         self.check_chain();
+        self.check_roles();
         true
     }
 
--- a/crates/sim/tests/seeds.rs
+++ b/crates/sim/tests/seeds.rs
@@ -14,6 +14,7 @@
 #[test_case(Sort::Herd, &[1, 2, 3]; "herd")]
 #[test_case(Sort::Grown, &[1, 2]; "grown")]
 #[test_case(Sort::Storm, &[1, 2]; "storm")]
+#[test_case(Sort::Changes, &[1, 11]; "changes")]
 #[test_case(Sort::Overload, &[7, 21]; "turn-aways across a crash and in a burst")]
 #[test_case(Sort::Mixed, &[13]; "a table with an instance long told leaving")]
 #[test_case(Sort::Storm, &[4]; "a backlog read back after two crashes")]
