--- a/crates/sim/src/chances.rs
+++ b/crates/sim/src/chances.rs
@@ -22,9 +22,10 @@
     Cutoff,
     Replacement,
     Anything,
+    Changes,
 }
 
-const WORDS: [(&str, Sort); 18] = [
+const WORDS: [(&str, Sort); 19] = [
     ("calm", Sort::Calm),
     ("core", Sort::Core),
     ("routers", Sort::Routers),
@@ -43,6 +44,7 @@
     ("cutoff", Sort::Cutoff),
     ("replacement", Sort::Replacement),
     ("anything", Sort::Anything),
+    ("changes", Sort::Changes),
 ];
 
 /// One failure and its drawing by weight: a sort names what may happen in it.
@@ -53,6 +55,8 @@
     FreezeRegistry,
     StallDisk,
     FillDisk,
+    /// Full for a while, and free again under the same process.
+    FillDiskForAWhile,
     LoseDisk,
     KillRouter,
     KillZone,
@@ -151,6 +155,18 @@
                 CutPair,
                 SlowLinks,
             ],
+            Sort::Changes => &[
+                KillRegistry,
+                FreezeRegistry,
+                StallDisk,
+                FillDisk,
+                FillDiskForAWhile,
+                FillDiskForAWhile,
+                LoseDisk,
+                KillRouter,
+                CutOne,
+                Grow,
+            ],
             Sort::Mixed | Sort::Storm => &[
                 KillRegistry,
                 KillCore,
--- a/crates/sim/src/plan.rs
+++ b/crates/sim/src/plan.rs
@@ -2,6 +2,7 @@
 //! the run begins and ends.
 
 use crate::chances::Sort;
+use std::ops::Range;
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
@@ -19,6 +20,8 @@
     pub end: Duration,
     pub rate: f64,
     pub instances: usize,
+    /// Between two changes of the configuration, in milliseconds.
+    pub change_pause_ms: Range<u64>,
 }
 
 impl Plan {
@@ -72,6 +75,7 @@
                 Sort::Flood => 16,
                 _ => usize::MAX,
             },
+            change_pause_ms: if sort == Sort::Changes { 60..240 } else { 300..3000 },
         }
     }
 
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,6 +1,7 @@
 //! The world: nodes, a queue of timed events, and the loop that takes them one by one.
 
 use crate::callers::Callers;
+use crate::catch_up::CatchUp;
 use crate::chances::Sort;
 use crate::net::Net;
 use crate::operators::Operators;
@@ -67,6 +68,7 @@
     pub replacing: Option<(usize, usize)>,
     pub armed: Vec<crate::strikes::Armed>,
     pub core_standing: crate::core_rules::CoreStanding,
+    pub catch_up: CatchUp,
     pub trace: bool,
 }
 
@@ -102,6 +104,7 @@
             replacing: None,
             armed: Vec::new(),
             core_standing: crate::core_rules::CoreStanding::default(),
+            catch_up: CatchUp::default(),
             trace: false,
             plan,
         };
@@ -158,6 +161,7 @@
             Event::Listing => {
                 self.listing();
                 self.check_members();
+                self.check_caught_up();
             }
             Event::Link { router, id, up } => self.link(router, id, up),
             Event::Caller => self.caller(),
@@ -167,16 +171,9 @@
             Event::Mend { what } => self.mend(what),
             Event::FollowUp(step) => self.take_follow_up(step),
         }
-        if self.trace
-            && std::env::var("DBG").is_ok_and(|v| self.now.as_millis() as u64 == v.parse::<u64>().unwrap_or(0))
-        {
-            self.standings().into_iter().for_each(|line| eprintln!("DBG {line}"));
-            for n in &self.registries {
-                eprintln!("DBG {} {:?}", n.address, n.pending.as_ref().map(|p| p.0));
-            }
-        }
         self.check_chain();
         self.check_core();
+        self.check_roles();
         true
     }
 
