--- a/crates/sim/src/core_rules.rs
+++ b/crates/sim/src/core_rules.rs
@@ -61,6 +61,13 @@
         }
     }
 
+    /// Voters whose disks are there, less those that may be lost now, are a majority for good.
+    pub fn keeps_majority(&mut self, now: Duration, voters: usize, disks: usize, more: usize) {
+        if disks.saturating_sub(more) * 2 <= voters {
+            self.tell(now, format!("{disks} of {voters} voters have their disks, and {more} more may be lost now"));
+        }
+    }
+
     pub fn all_back(&mut self, now: Duration, calm_since: Duration, absent: usize) {
         if absent > 0 && now > calm_since + ALL_BACK {
             let calm = (now - calm_since).as_secs();
@@ -107,7 +114,7 @@
         self.plan.losses.saturating_sub(lost)
     }
 
-    fn is_well(&self, n: usize) -> bool {
+    pub(crate) fn is_well(&self, n: usize) -> bool {
         let node = &self.registries[n];
         node.core.is_some() && !self.is_in_trouble(n) && self.now > node.last_trouble + self.catch_up()
     }
@@ -174,11 +181,15 @@
     }
 
     fn newest_view(&self) -> Option<View> {
-        let cores = self.registries.iter().filter_map(|node| node.core.as_ref());
-        cores.map(|core| core.member().view()).max_by_key(|view| view.number).cloned()
+        let known = self.registries.iter().map(|node| match &node.core {
+            Some(core) => core.member().view(),
+            None => &node.disk.meta.view,
+        });
+        known.max_by_key(|view| view.number).filter(|view| view.number > 0).cloned()
     }
 
-    fn note_troubles(&mut self) {
+    /// Who is in trouble now, and who hears from no other.
+    pub(crate) fn note_troubles(&mut self) {
         let live = self.live_registries();
         for n in live.iter().copied().filter(|n| self.is_in_trouble(*n)).collect::<Vec<_>>() {
             self.registries[n].last_trouble = self.now;
@@ -197,10 +208,25 @@
         }
     }
 
+    /// Whatever is down or cut off now: the voters whose disks are there make a majority even after as many
+    /// more disks are lost as may be.
+    fn check_disks_of_voters(&mut self) {
+        let Some(view) = self.newest_view() else { return };
+        let kept = self.registries.iter().filter(|node| !node.retired || node.core.is_some());
+        let kept: Vec<NodeId> = kept.map(|node| node.disk.meta.seat.id).collect();
+        let disks = view.voters.iter().filter(|seat| kept.contains(&seat.id)).count();
+        let (all, more) = (view.voters.as_slice().len(), self.disks_that_may_go());
+        self.rules.keeps_majority(self.now, all, disks, more);
+    }
+
     fn check_calm_core(&mut self) {
         let live = self.live_registries();
         let leaving = |node: &crate::registry_node::RegistryNode| node.retired && node.core.is_some();
-        if self.now < BEGIN || self.registries.iter().any(leaving) || !live.iter().all(|n| self.is_well(*n)) {
+        if self.now < BEGIN {
+            return;
+        }
+        self.check_disks_of_voters();
+        if self.registries.iter().any(leaving) || !live.iter().all(|n| self.is_well(*n)) {
             return;
         }
         let Some(view) = self.newest_view() else { return };
--- a/crates/sim/src/cutoff.rs
+++ b/crates/sim/src/cutoff.rs
@@ -111,6 +111,7 @@
         };
         self.say(|| format!("cut, {manner:?}, of {cuts:?} for {} ms", lasts.as_millis()));
         self.net.cuts.extend(cuts.iter().copied());
+        self.note_troubles();
         if manner != Manner::Silent {
             cuts.iter().for_each(|(from, to)| self.break_connection(*from, *to));
         }
--- a/crates/sim/src/failing.rs
+++ b/crates/sim/src/failing.rs
@@ -30,6 +30,7 @@
         if !live.iter().all(calm) {
             return;
         }
+        self.registries[n].last_trouble = self.now;
         self.feed_registry(n, control::CoreInput::Leave);
         self.after(Duration::from_millis(100), Event::Mend { what: Mending::EndRegistry(n) });
     }
@@ -135,6 +136,7 @@
         }
         self.say(|| format!("cut of {side:?}, one way {one_way}"));
         self.net.cuts.extend(cuts.iter().copied());
+        self.note_troubles();
         let wait = self.ms(300, 8000);
         self.after(wait, Event::Mend { what: Mending::Heal(cuts) });
         wait
@@ -144,6 +146,7 @@
         for cut in &cuts {
             self.net.cuts.remove(cut);
         }
+        self.note_troubles();
         for (a, b) in &cuts {
             let (Place::Router(n), id) = (*a, self.identity(*b).0) else { continue };
             self.after(Duration::from_millis(2), Event::Link { router: n, id, up: false });
--- a/crates/sim/src/replacement.rs
+++ b/crates/sim/src/replacement.rs
@@ -48,7 +48,7 @@
 
     /// One that is calm gets a successor, and some time later is asked to stop.
     pub(crate) fn replace_planned(&mut self) {
-        if self.disks_that_may_go() == 0 {
+        if self.disks_that_may_go() == 0 || self.replacing.is_some() {
             return;
         }
         let old = self.chosen_registry();
@@ -59,13 +59,17 @@
         self.registries[new].seeds = seeds;
         self.say(|| format!("registry {new} is to replace registry {old}"));
         self.start_registry(new);
+        self.replacing = Some((old, new));
         let wait = self.ms(300, 6000);
         self.follow_up(wait, FollowUp::Retire { registry: old });
     }
 
     pub(crate) fn retire(&mut self, registry: usize) {
-        if self.registries[registry].retired {
-            return;
+        let pair = self.replacing;
+        let in_pair = |n: &usize| pair.is_some_and(|(old, new)| *n == old || *n == new);
+        let others_lost = self.live_registries().iter().filter(|n| !in_pair(n) && !self.is_well(**n)).count();
+        if others_lost >= self.plan.losses || self.registries[registry].core.is_none() {
+            return self.follow_up(Duration::from_millis(100), FollowUp::Retire { registry });
         }
         self.say(|| format!("registry {registry} is asked to stop for good"));
         self.registries[registry].retired = true;
@@ -82,6 +86,7 @@
         }
         self.say(|| format!("registry {registry} goes for good, in the chain: {chained}"));
         self.kill_registry(registry);
+        self.replacing = None;
     }
 
     pub(crate) fn replace_in_turn(&mut self) -> Duration {
@@ -96,7 +101,7 @@
         if left == 0 {
             return;
         }
-        if self.disks_that_may_go() == 0 {
+        if self.disks_that_may_go() == 0 || self.replacing.is_some() {
             return self.follow_up(Duration::from_millis(100), FollowUp::ReplaceNext { left, planned });
         }
         self.rules.faulty(self.now, self.now + Duration::from_secs(7));
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -62,6 +62,8 @@
     pub judged: usize,
     pub stood: (Duration, Vec<u64>),
     pub brought_back: [u64; 2],
+    /// The registry that is to stop for good, and its successor.
+    pub replacing: Option<(usize, usize)>,
     pub armed: Vec<crate::strikes::Armed>,
     pub core_standing: crate::core_rules::CoreStanding,
     pub trace: bool,
@@ -96,6 +98,7 @@
             judged: 0,
             stood: (Duration::ZERO, Vec::new()),
             brought_back: [0; 2],
+            replacing: None,
             armed: Vec::new(),
             core_standing: crate::core_rules::CoreStanding::default(),
             trace: false,
--- a/crates/sim/tests/rules.rs
+++ b/crates/sim/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Each of the simulator's own checks catches a fault planted for it, and passes what is right.
 
-use sim::Rules;
+use sim::{CoreCopies, Rules};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -67,6 +67,47 @@
     rules.recovered(ms(2_000), ms(60_000));
 }
 
+fn too_few_copies(rules: &mut Rules, planted: bool) {
+    let synced = if planted { 2 } else { 3 };
+    rules.copies(ms(1), CoreCopies { entry: 7, synced, losses: 2, lost: 0 });
+}
+
+/// While two disks are lost one copy is enough, and there is never to be none.
+fn no_copy_after_losses(rules: &mut Rules, planted: bool) {
+    let synced = if planted { 0 } else { 1 };
+    rules.copies(ms(1), CoreCopies { entry: 7, synced, losses: 2, lost: 2 });
+}
+
+fn no_majority_after_losses(rules: &mut Rules, planted: bool) {
+    let running = if planted { 3 } else { 4 };
+    rules.bears_losses(ms(1), 4, running, 4, 1);
+}
+
+fn no_copy_left_after_losses(rules: &mut Rules, planted: bool) {
+    rules.bears_losses(ms(1), 3, 3, if planted { 1 } else { 2 }, 1);
+}
+
+fn disks_of_voters_gone(rules: &mut Rules, planted: bool) {
+    rules.keeps_majority(ms(1), 8, if planted { 6 } else { 7 }, 2);
+}
+
+fn not_back_in_the_chain(rules: &mut Rules, planted: bool) {
+    rules.all_back(ms(if planted { 25_001 } else { 25_000 }), ms(5_000), 1);
+    rules.all_back(ms(60_000), ms(5_000), 0);
+}
+
+fn acknowledged_alone(rules: &mut Rules, planted: bool) {
+    rules.acknowledged_by_one_alone(ms(3_000), Some(ms(if planted { 1_499 } else { 1_500 })));
+    rules.acknowledged_by_one_alone(ms(60_000), None);
+}
+
+#[test_case(too_few_copies; "an entry committed with a copy too few")]
+#[test_case(no_copy_after_losses; "an entry that no disk holds")]
+#[test_case(no_majority_after_losses; "voters of whom a loss leaves no majority")]
+#[test_case(no_copy_left_after_losses; "a chain of which a loss leaves none")]
+#[test_case(disks_of_voters_gone; "voters whose disks are gone")]
+#[test_case(not_back_in_the_chain; "a registry that does not come back")]
+#[test_case(acknowledged_alone; "an acknowledgement by one cut off")]
 #[test_case(stays_low_after_the_return; "service that does not come back in time")]
 #[test_case(low_while_another_fault_lasts; "service low with nothing failing any longer")]
 #[test_case(run_once_twice; "a run-once task that runs twice")]
