--- a/crates/sim/src/core_rules.rs
+++ b/crates/sim/src/core_rules.rs
@@ -160,13 +160,10 @@
     fn check_copies(&mut self, entry: u64) {
         let Some(op) = self.rules.committed_op(entry) else { return };
         let holds = |disk: &chain::Stored| {
+            let same = |line: &wire::EntryLine| (line.op.origin, line.op.number) == op;
             let known = disk.entries.binary_search_by_key(&entry, |line| line.seq);
-            disk.last >= entry
-                && known.is_ok_and(|at| {
-                    let line = &disk.entries[at];
-                    (line.op.origin, line.op.number) == op
-                })
-                || (disk.last >= entry && known.is_err())
+            // What was copied whole, or trimmed, has no entry to look at.
+            disk.last >= entry && known.map_or(true, |at| same(&disk.entries[at]))
         };
         let live = self.registries.iter().filter(|node| !node.retired || node.core.is_some());
         let synced = live.filter(|node| holds(&node.disk)).count();
