--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -172,7 +172,7 @@
                 if self.operators.acked.iter().any(same_base) {
                     self.rules.tell(now, format!("two changes on revision {:?} were acknowledged", asked.base));
                 }
-                self.check_copies(&asked.mark);
+                self.check_order_copies(&asked.mark);
                 self.operators.founded = true;
                 self.operators.revision = self.operators.revision.max(revision);
                 self.operators.last_ack = now;
--- a/crates/sim/src/resending.rs
+++ b/crates/sim/src/resending.rs
@@ -96,7 +96,7 @@
     }
 
     /// Whoever acknowledges an order may be alone by now, but never has the only disk that holds it.
-    pub fn check_copies(&mut self, mark: &str) {
+    pub fn check_order_copies(&mut self, mark: &str) {
         let key = format!("o/{mark}");
         let holders = self.registries.iter().filter(|node| node.disk.state.contains_key(&key)).count();
         let is_any_lost = self.registries.iter().any(|node| node.disk.last == 0);
--- a/crates/sim/src/strikes.rs
+++ b/crates/sim/src/strikes.rs
@@ -141,7 +141,7 @@
                 items,
                 dry: false,
             };
-            self.operators.open.insert((registry, ask), Asked { mark, base, invalid: false });
+            self.operators.open.insert((registry, ask), Asked { mark, base, invalid: false, sent: self.now });
             self.feed_registry(registry, CoreInput::Call { ask, call });
             self.moment(Trigger::ChangeSent, registry);
         }
