--- a/crates/sim/src/catch_up.rs
+++ b/crates/sim/src/catch_up.rs
@@ -19,6 +19,8 @@
     sampled: Duration,
     earlier: u64,
     newest: u64,
+    /// The newest view that anyone ever took on, whoever of them is up now.
+    newest_view: u64,
     looked_at: Duration,
     /// How often the rule on time was held against a core.
     pub judged: u64,
@@ -85,7 +87,9 @@
         }
         self.catch_up.looked_at = now;
         let acknowledged = self.operators.acked.iter().map(|(revision, ..)| *revision).max().unwrap_or_default();
-        let newest = self.members_up().map(|(_, member)| member.view().number).max().unwrap_or_default();
+        let known = self.members_up().map(|(_, member)| member.view().number).max().unwrap_or_default();
+        let newest = self.catch_up.newest_view.max(known);
+        self.catch_up.newest_view = newest;
         let behind = self.members_up().find_map(|(n, member)| {
             let view = member.view();
             let has_role = view.number == newest && member.is_chained() && view.fresh != member.seat().id;
