--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -36,13 +36,13 @@
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (relays, name, behind) = (relays.clone(), name.clone(), behind.clone());
-                spawn_local(async move { relays.carry(stream, &name, &behind).await });
+                spawn_local(async move { relays.relay(stream, &name, &behind).await });
             }
         });
         Ok(())
     }
 
-    async fn carry(&self, mut dialler: TcpStream, target: &str, behind: &str) -> Option<()> {
+    async fn relay(&self, mut dialler: TcpStream, target: &str, behind: &str) -> Option<()> {
         let cluster = self.cluster.borrow().clone();
         let hello = read_frame(&cluster, &mut dialler).await.ok()?;
         let Message::Hello { address } = &hello.message else { return None };
--- a/crates/holds/src/follower.rs
+++ b/crates/holds/src/follower.rs
@@ -126,7 +126,7 @@
     }
 
     /// What this machine can carry, as it is told on joining.
-    pub fn able_to_carry(mut self, able: Capacity) -> Self {
+    pub fn able_to_own(mut self, able: Capacity) -> Self {
         if let HoldMsg::Enrol { capacity, .. } = &mut self.joining {
             *capacity = able;
         }
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -114,7 +114,7 @@
 
     fn frame(&mut self, from: NodeId, message: Message) {
         match message {
-            Message::Carry(message) if message.is_for_home() => self.feed_home(HomeInput::Carry { from, message }),
+            Message::Forward(message) if message.is_for_home() => self.feed_home(HomeInput::Forward { from, message }),
             Message::Plan(message) => self.feed_home(HomeInput::Plan { message }),
             Message::Hold(message @ (HoldMsg::EnterReceipt { .. } | HoldMsg::ReadReceipt { .. })) => {
                 self.feed_home(HomeInput::Ledger { message });
@@ -173,7 +173,7 @@
         let may_serve = self.may_serve(self.now);
         for output in self.home.step(self.now, may_serve, input) {
             match output {
-                HomeOutput::Carry { to, message } => self.send(to, Message::Carry(message)),
+                HomeOutput::Forward { to, message } => self.send(to, Message::Forward(message)),
                 HomeOutput::Enter { ask, body } => self.tell_core(HoldMsg::Enter { ask, body: body.into() }),
                 HomeOutput::Read { ask, prefix } => {
                     self.tell_core(HoldMsg::Read { ask, prefix: prefix.into(), from: "".into() });
--- a/crates/hollow/src/node_group.rs
+++ b/crates/hollow/src/node_group.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
-use wire::{CarryMsg, FORMAT, Frame, Message, NodeId};
+use wire::{FORMAT, ForwardMessage, Frame, Message, NodeId};
 
 const TICK: Duration = Duration::from_millis(10);
 
@@ -116,7 +116,7 @@
     }
 
     fn count(&self, (from, out): (NodeId, &str), into: &str, message: &Message) {
-        let beat = matches!(message, Message::Carry(CarryMsg::Beat));
+        let beat = matches!(message, Message::Forward(ForwardMessage::Beat));
         let mut bytes = if beat { self.heartbeat_bytes.get() } else { 0 };
         let mut kind = "carry.beat";
         if bytes == 0 {
@@ -202,7 +202,7 @@
                         self.count((me, HOLLOW), HOLLOW, &message);
                         if self.plan.mesh {
                             let _ = links.send(LinkOrder::Send { to, message });
-                        } else if !matches!(message, Message::Carry(CarryMsg::Beat)) {
+                        } else if !matches!(message, Message::Forward(ForwardMessage::Beat)) {
                             let _ = peer.send(NodeMsg::Peer { from: me, message });
                         }
                     }
--- a/crates/hollow/src/offline_tasks.rs
+++ b/crates/hollow/src/offline_tasks.rs
@@ -9,13 +9,13 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 use traffic::{HomeInput, HomeOutput, Verdict};
-use wire::{CarryMsg, FORMAT, Frame, HeaderLine, Message, Outcome, RequestHead, decode, encode};
+use wire::{FORMAT, ForwardMessage, Frame, HeaderLine, Message, Outcome, RequestHead, decode, encode};
 
 const TASKS: u64 = 500;
 const APART: Duration = Duration::from_millis(10);
 
-fn frame(message: CarryMsg) -> Vec<u8> {
-    let message = Message::Carry(message);
+fn frame(message: ForwardMessage) -> Vec<u8> {
+    let message = Message::Forward(message);
     encode(&Frame { format: FORMAT, cluster: "hollow".into(), sender: 7, incarnation: 1, message })
 }
 
@@ -33,7 +33,7 @@
     let headers = ["content-type", "content-length", "user-agent", "accept"].map(header).to_vec().into();
     let head: Vec<u8> =
         wire::to_bytes(&RequestHead { method: "POST".into(), target: format!("/{name}").as_str().into(), headers });
-    let carry = |task: u64| CarryMsg::Carry {
+    let forward = |task: u64| ForwardMessage::ForwardUncounted {
         task,
         function: name.as_str().into(),
         binding: name.as_str().into(),
@@ -44,7 +44,7 @@
         head: head.clone().into(),
         body: vec![b'b'; bytes].into(),
     };
-    let carried = CarryMsg::Carried {
+    let forwarded = ForwardMessage::AnswerInSeconds {
         task: 1,
         outcome: Outcome::Answered,
         status: 200,
@@ -52,7 +52,7 @@
         head: head.clone().into(),
         body: vec![b'b'; bytes].into(),
     };
-    let (there, back) = (frame(carry(1)), frame(carried.clone()));
+    let (there, back) = (frame(forward(1)), frame(forwarded.clone()));
     let mut now = from;
     let (mut next, mut answered) = (0, 0);
     let whole =
@@ -61,19 +61,19 @@
         for _ in 0..TASKS {
             now += APART;
             next += 1;
-            let outputs = home.step(now, true, HomeInput::Carry { from: 9, message: carry(next) });
+            let outputs = home.step(now, true, HomeInput::Forward { from: 9, message: forward(next) });
             for output in outputs {
                 let HomeOutput::Dispatch(order) = output else { continue };
                 let verdict = whole(&head);
                 let outputs = home.step(now, true, HomeInput::Dispatched { number: order.number, verdict });
-                answered += outputs.iter().filter(|output| matches!(output, HomeOutput::Carry { .. })).count();
+                answered += outputs.iter().filter(|output| matches!(output, HomeOutput::Forward { .. })).count();
             }
         }
     });
     let codec = timed(5, || {
         for task in 0..TASKS {
-            read(&frame(carry(task)));
-            drop(frame(carried.clone()));
+            read(&frame(forward(task)));
+            drop(frame(forwarded.clone()));
         }
     });
     json!({
--- a/crates/hollow/src/relay.rs
+++ b/crates/hollow/src/relay.rs
@@ -36,12 +36,12 @@
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let (relays, name, behind) = (relays.clone(), name.clone(), behind.clone());
-                spawn_local(async move { relays.carry(stream, &name, &behind).await });
+                spawn_local(async move { relays.relay(stream, &name, &behind).await });
             }
         });
     }
 
-    async fn carry(&self, mut dialler: TcpStream, target: &str, behind: &str) -> Option<()> {
+    async fn relay(&self, mut dialler: TcpStream, target: &str, behind: &str) -> Option<()> {
         let hello = read_frame(&self.cluster, &mut dialler).await.ok()?;
         let Message::Hello { address } = &hello.message else { return None };
         let source = self.names.get(address.as_str()).map_or(HOLLOW, String::as_str);
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use test_case::test_case;
-use wire::{CarryMsg, HoldMsg, Message, NodeId, PlanMsg};
+use wire::{ForwardMessage, HoldMsg, Message, NodeId, PlanMsg};
 
 const TAIL: NodeId = 2;
 const ME: NodeId = 11;
@@ -58,7 +58,7 @@
             let kind = match &message {
                 Message::Hold(HoldMsg::Renew { .. }) => "renewals",
                 Message::Hold(_) => "other words to the core",
-                Message::Carry(CarryMsg::Beat) => "beats",
+                Message::Forward(ForwardMessage::Beat) => "beats",
                 Message::Plan(PlanMsg::Ask { .. }) => "plan asks",
                 _ => "others",
             };
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use traffic::{Front, FrontInput, FrontLimits, Home, HomeInput, HomeTiming};
-use wire::{Capacity, CarryMsg, HoldMsg, Message, NodeId, PlanMsg};
+use wire::{Capacity, ForwardMessage, HoldMsg, Message, NodeId, PlanMsg};
 
 pub struct Machines {
     pub follower: Follower,
@@ -52,10 +52,10 @@
 }
 
 impl Turn {
-    pub fn carried(from: NodeId, message: CarryMsg) -> Turn {
+    pub fn forwarded(from: NodeId, message: ForwardMessage) -> Turn {
         match message.is_for_home() {
-            true => Turn::Home(HomeInput::Carry { from, message }),
-            false => Turn::Front(FrontInput::Carried { from, message }),
+            true => Turn::Home(HomeInput::Forward { from, message }),
+            false => Turn::Front(FrontInput::Forwarded { from, message }),
         }
     }
 }
@@ -94,7 +94,7 @@
         let relay_above = if self.seed & 4 != 0 { 2 } else { 12 };
         let timing = FollowerTiming { relay_above, ..FollowerTiming::default() };
         node.machines = Some(Machines {
-            follower: Follower::new(node.id, life, &node.address, node.zone, "", timing).able_to_carry(capacity(n)),
+            follower: Follower::new(node.id, life, &node.address, node.zone, "", timing).able_to_own(capacity(n)),
             front: Front::new(node.id, life, FrontLimits::default()),
             home: Home::new(node.id, life, HomeTiming::default()),
             heard: None,
@@ -187,7 +187,7 @@
                 }
                 self.follow(n, FollowerInput::Registry { from, message });
             }
-            Message::Carry(message) => self.turn(n, Turn::carried(from, message)),
+            Message::Forward(message) => self.turn(n, Turn::forwarded(from, message)),
             Message::Plan(message) => self.turn(n, Turn::Home(HomeInput::Plan { message })),
             _ => {}
         }
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -1,11 +1,11 @@
 //! Turns of a simulated router's front and home until neither has anything more to do, with the
-//! rule on revisions checked at each carry and each dispatch.
+//! rule on revisions checked at each forward and each dispatch.
 
 use crate::router_node::Turn;
 use crate::world::{Place, World};
 use std::collections::VecDeque;
 use traffic::{FrontOutput, HomeOutput};
-use wire::{CarryMsg, HoldMsg, Message, NodeId, PlanMsg};
+use wire::{ForwardMessage, HoldMsg, Message, NodeId, PlanMsg};
 
 impl World {
     pub fn turn(&mut self, n: usize, first: Turn) {
@@ -21,14 +21,14 @@
                     for output in machines.front.step(now, may_serve, input) {
                         match output {
                             FrontOutput::Reply { ask, reply } => self.caller_reply(n, ask, reply),
-                            FrontOutput::Carry { to, message } => {
-                                if !matches!(message, CarryMsg::AttemptGrant { .. }) {
+                            FrontOutput::Forward { to, message } => {
+                                if !matches!(message, ForwardMessage::AttemptGrant { .. }) {
                                     self.rules.served(self.now, revision);
                                 }
                                 if to == me {
-                                    turns.push_back(Turn::carried(to, message));
+                                    turns.push_back(Turn::forwarded(to, message));
                                 } else {
-                                    self.send(Place::Router(n), to, Message::Carry(message));
+                                    self.send(Place::Router(n), to, Message::Forward(message));
                                 }
                             }
                         }
@@ -38,11 +38,11 @@
                     let tail = machines.follower.tail();
                     for output in machines.home.step(now, may_serve, input) {
                         match output {
-                            HomeOutput::Carry { to, message } if to == me => {
-                                turns.push_back(Turn::carried(to, message))
+                            HomeOutput::Forward { to, message } if to == me => {
+                                turns.push_back(Turn::forwarded(to, message))
                             }
-                            HomeOutput::Carry { to, message } => {
-                                self.send(Place::Router(n), to, Message::Carry(message));
+                            HomeOutput::Forward { to, message } => {
+                                self.send(Place::Router(n), to, Message::Forward(message));
                             }
                             HomeOutput::Enter { ask, body } => {
                                 let message = HoldMsg::Enter { ask, body: body.into() };
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -158,7 +158,7 @@
         self.acked.push((now, revision));
     }
 
-    /// A task was carried or dispatched by this revision just now.
+    /// A task was forwarded or dispatched by this revision just now.
     pub fn served(&mut self, now: Duration, revision: u64) {
         if revision > self.newest_served {
             self.newest_served = revision;
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -3,7 +3,7 @@
 use crate::front::{Front, RETRY, SOON};
 use crate::front_passes::unknown;
 use crate::front_types::{FrontOutput, Reply, Stage};
-use wire::{CarryMsg, ForwardRequest, NodeId, Outcome};
+use wire::{ForwardMessage, ForwardRequest, NodeId, Outcome};
 
 impl Front {
     pub(crate) fn attempt(&mut self, task: u64) {
@@ -17,17 +17,17 @@
         let Some(home) = self.roster.home(&record.function) else { return };
         let due = record.due <= self.now;
         record.again_at = self.now + RETRY;
-        if due || !self.may_carry_to(home) {
+        if due || !self.may_forward_to(home) {
             return;
         }
         let Some(record) = self.table.get_mut(&task) else { return };
         self.next += 1;
-        self.by_carry.remove(&record.carry);
-        self.by_carry.insert(self.next, task);
-        record.carry = self.next;
-        record.stage = Stage::Carried { home };
+        self.by_forward.remove(&record.forward);
+        self.by_forward.insert(self.next, task);
+        record.forward = self.next;
+        record.stage = Stage::Forwarded { home };
         let request = ForwardRequest {
-            task: record.carry,
+            task: record.forward,
             function: record.function.as_str().into(),
             binding: record.binding.as_str().into(),
             left_ms: (record.due - self.now).as_millis() as u32,
@@ -38,18 +38,20 @@
             head: wire::to_bytes(&record.call.head).into(),
             body: record.call.body.clone().into(),
         };
-        let message = CarryMsg::Forward { request: Box::new(request) };
-        self.outs.push(FrontOutput::Carry { to: home, message });
+        let message = ForwardMessage::Forward { request: Box::new(request) };
+        self.outs.push(FrontOutput::Forward { to: home, message });
     }
 
     /// Tells a home how many attempts it has in all, with one more where one is left; none where the request is no
     /// longer with it.
-    pub(crate) fn attempt_asked(&mut self, from: NodeId, carry: u64, wanted: u32) {
-        let task = self.by_carry.get(&carry).copied();
+    pub(crate) fn attempt_asked(&mut self, from: NodeId, forward: u64, wanted: u32) {
+        let task = self.by_forward.get(&forward).copied();
         let record = task.and_then(|task| self.table.get_mut(&task));
-        let present = record.filter(|record| record.carry == carry && record.stage == Stage::Carried { home: from });
+        let present =
+            record.filter(|record| record.forward == forward && record.stage == Stage::Forwarded { home: from });
         let attempts = present.map_or(0, |record| record.attempts.ask(wanted));
-        self.outs.push(FrontOutput::Carry { to: from, message: CarryMsg::AttemptGrant { task: carry, attempts } });
+        self.outs
+            .push(FrontOutput::Forward { to: from, message: ForwardMessage::AttemptGrant { task: forward, attempts } });
     }
 
     /// No attempt is left, and none that was made has told an answer.
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -1,6 +1,6 @@
 //! Meeting callers: one record a task, worked by passes. A task waits while this router has no
-//! proof of its revision or no link to the home, is carried once it has, and is answered with the
-//! truth: what the home said, `not-run` only if it was never carried, `unknown` when in doubt.
+//! proof of its revision or no link to the home, is forwarded once it has, and is answered with the
+//! truth: what the home said, `not-run` only if it was never forwarded, `unknown` when in doubt.
 
 use crate::attempt_count::AttemptCount;
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
@@ -10,13 +10,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{CarryMsg, NodeId, Outcome};
+use wire::{ForwardMessage, NodeId, Outcome};
 
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(4);
 pub(crate) const RETRY: Duration = Duration::from_millis(25);
 /// When to come back to a router that is full, or that waits for a proof or a home.
 pub(crate) const SOON: Duration = Duration::from_millis(300);
-/// A task with an aim waits to be carried for a quarter of it, or a little longer where that is short.
+/// A task with an aim waits to be forwarded for a quarter of it, or a little longer where that is short.
 const PATIENCE_LEAST: Duration = Duration::from_millis(120);
 
 pub struct Front {
@@ -25,7 +25,7 @@
     pub(crate) limits: FrontLimits,
     pub(crate) table: BTreeMap<u64, Record>,
     pub(crate) by_ask: BTreeMap<u64, u64>,
-    pub(crate) by_carry: BTreeMap<u64, u64>,
+    pub(crate) by_forward: BTreeMap<u64, u64>,
     pub(crate) per_tenant: BTreeMap<String, usize>,
     pub(crate) linked: BTreeSet<NodeId>,
     pub(crate) watched: BTreeMap<NodeId, Watched>,
@@ -46,7 +46,7 @@
             limits,
             table: BTreeMap::new(),
             by_ask: BTreeMap::new(),
-            by_carry: BTreeMap::new(),
+            by_forward: BTreeMap::new(),
             per_tenant: BTreeMap::new(),
             linked: BTreeSet::new(),
             watched: BTreeMap::new(),
@@ -69,10 +69,10 @@
         self.may_serve = may_serve;
         match input {
             FrontInput::Task { ask, call } => self.let_in(ask, call),
-            FrontInput::Carried { from, message: CarryMsg::Beat } => self.heard(from),
-            FrontInput::Carried { from, message } => {
+            FrontInput::Forwarded { from, message: ForwardMessage::Beat } => self.heard(from),
+            FrontInput::Forwarded { from, message } => {
                 self.heard(from);
-                self.carried(from, message)
+                self.forwarded(from, message)
             }
             FrontInput::Link { id, up: true } => {
                 self.linked.insert(id);
@@ -121,7 +121,7 @@
         let patience = self.patience(&call);
         let record = Record {
             ask,
-            carry: 0,
+            forward: 0,
             call,
             key,
             binding: String::new(),
@@ -159,7 +159,7 @@
     pub(crate) fn remove(&mut self, task: u64) {
         if let Some(record) = self.table.remove(&task) {
             self.by_ask.remove(&record.ask);
-            self.by_carry.remove(&record.carry);
+            self.by_forward.remove(&record.forward);
             if let Some(count) = self.per_tenant.get_mut(&record.tenant) {
                 *count = count.saturating_sub(1);
             }
--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -5,14 +5,14 @@
 use crate::front_types::{Reply, Stage};
 use bindings::Class;
 use std::time::Duration;
-use wire::{CarryMsg, NodeId, Outcome};
+use wire::{ForwardMessage, NodeId, Outcome};
 
 pub(crate) fn unknown() -> Reply {
     Reply::own(504, Some(Outcome::Unknown), "the outcome is not known")
 }
 
 impl Front {
-    /// Whether some task waits to be carried.
+    /// Whether some task waits to be forwarded.
     pub fn waits(&self) -> bool {
         self.table.values().any(|record| record.stage == Stage::Waiting)
     }
@@ -23,7 +23,7 @@
     pub(crate) fn doubt_home(&mut self, lost: impl Fn(NodeId) -> bool) {
         let mut over = Vec::new();
         for (task, record) in &mut self.table {
-            if let Stage::Carried { home } = record.stage
+            if let Stage::Forwarded { home } = record.stage
                 && home != self.me
                 && lost(home)
             {
@@ -62,39 +62,39 @@
                     self.answer(task, reply);
                 }
                 Stage::Waiting if now >= record.again_at => self.attempt(task),
-                Stage::Carried { .. } if now >= record.due + self.limits.slack => self.answer(task, unknown()),
+                Stage::Forwarded { .. } if now >= record.due + self.limits.slack => self.answer(task, unknown()),
                 _ => {}
             }
         }
     }
 
-    pub(crate) fn carried(&mut self, from: NodeId, message: CarryMsg) {
-        let carry = match &message {
-            CarryMsg::AttemptAsk { task, attempts } => return self.attempt_asked(from, *task, *attempts),
-            CarryMsg::Answer { task, .. }
-            | CarryMsg::Carried { task, .. }
-            | CarryMsg::NotHome { task }
-            | CarryMsg::Returned { task, .. } => *task,
+    pub(crate) fn forwarded(&mut self, from: NodeId, message: ForwardMessage) {
+        let forward = match &message {
+            ForwardMessage::AttemptAsk { task, attempts } => return self.attempt_asked(from, *task, *attempts),
+            ForwardMessage::Answer { task, .. }
+            | ForwardMessage::AnswerInSeconds { task, .. }
+            | ForwardMessage::NotHome { task }
+            | ForwardMessage::Returned { task, .. } => *task,
             _ => return,
         };
-        let Some(task) = self.by_carry.get(&carry).copied() else { return };
+        let Some(task) = self.by_forward.get(&forward).copied() else { return };
         let Some(record) = self.table.get_mut(&task) else { return };
-        if record.stage != (Stage::Carried { home: from }) {
+        if record.stage != (Stage::Forwarded { home: from }) {
             return;
         }
         match message {
-            CarryMsg::Answer { outcome, status, again_ms, head, body, .. } => {
+            ForwardMessage::Answer { outcome, status, again_ms, head, body, .. } => {
                 let after = Duration::from_millis(again_ms.into());
                 self.told(task, outcome, status, after, head.into_vec(), body.into_vec());
             }
-            CarryMsg::Carried { outcome, status, retry_after, head, body, .. } => {
+            ForwardMessage::AnswerInSeconds { outcome, status, retry_after, head, body, .. } => {
                 let after = Duration::from_secs(retry_after.into());
                 self.told(task, outcome, status, after, head.into_vec(), body.into_vec());
             }
             given_back => {
                 record.stage = Stage::Waiting;
                 record.again_at = self.now + RETRY;
-                let sent = if let CarryMsg::Returned { attempts, .. } = given_back { attempts } else { 0 };
+                let sent = if let ForwardMessage::Returned { attempts, .. } = given_back { attempts } else { 0 };
                 record.attempts.give_back(sent);
                 if record.attempts.is_spent() {
                     self.answer_spent(task);
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -5,7 +5,7 @@
 use holds::Roster;
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{CarryMsg, NodeId, Outcome, RequestHead};
+use wire::{ForwardMessage, NodeId, Outcome, RequestHead};
 
 #[derive(Clone, Debug)]
 pub struct Call {
@@ -41,7 +41,7 @@
 
 pub enum FrontInput {
     Task { ask: u64, call: Call },
-    Carried { from: NodeId, message: CarryMsg },
+    Forwarded { from: NodeId, message: ForwardMessage },
     Link { id: NodeId, up: bool },
     Book { book: Rc<Book> },
     Roster { roster: Rc<Roster> },
@@ -52,7 +52,7 @@
 #[derive(Debug, PartialEq)]
 pub enum FrontOutput {
     Reply { ask: u64, reply: Reply },
-    Carry { to: NodeId, message: CarryMsg },
+    Forward { to: NodeId, message: ForwardMessage },
 }
 
 #[derive(Clone, Debug)]
@@ -80,12 +80,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     Waiting,
-    Carried { home: NodeId },
+    Forwarded { home: NodeId },
 }
 
 pub struct Record {
     pub ask: u64,
-    pub carry: u64,
+    pub forward: u64,
     pub call: Call,
     pub key: String,
     pub binding: String,
@@ -94,7 +94,7 @@
     pub class: Option<Class>,
     pub begun: Duration,
     pub due: Duration,
-    /// Until when it may wait to be carried.
+    /// Until when it may wait to be forwarded.
     pub patience: Duration,
     pub stage: Stage,
     pub again_at: Duration,
--- a/crates/traffic/src/giving_up.rs
+++ b/crates/traffic/src/giving_up.rs
@@ -4,7 +4,7 @@
 use crate::home_types::{HomeOutput, HomeTask, Place};
 use bindings::Class;
 use std::time::Duration;
-use wire::{CarryMsg, Outcome};
+use wire::{ForwardMessage, Outcome};
 
 const SOON: Duration = Duration::from_millis(500);
 /// A task with an aim that was offered to no instance in this share of its time is told so while
@@ -94,9 +94,12 @@
     pub(crate) fn not_home(&mut self, number: u64) {
         if let Some(task) = self.tasks.get(&number) {
             let (to, task, attempts) = (task.id.from, task.id.task, task.dispatches);
-            let message =
-                if attempts == 0 { CarryMsg::NotHome { task } } else { CarryMsg::Returned { task, attempts } };
-            self.outs.push(HomeOutput::Carry { to, message });
+            let message = if attempts == 0 {
+                ForwardMessage::NotHome { task }
+            } else {
+                ForwardMessage::Returned { task, attempts }
+            };
+            self.outs.push(HomeOutput::Forward { to, message });
             self.forget(number);
         }
     }
--- a/crates/traffic/src/giving_way.rs
+++ b/crates/traffic/src/giving_way.rs
@@ -10,7 +10,7 @@
 use crate::instance::{InstanceEvent, Phase};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::CarryMsg;
+use wire::ForwardMessage;
 
 const PAUSE: Duration = Duration::from_millis(250);
 const HOLDS_BACK: Duration = Duration::from_secs(10);
@@ -28,8 +28,8 @@
         }
         let memory_mb = desk.function.memory_mb;
         for to in self.roster.homes() {
-            let message = CarryMsg::GiveWay { function: name.into(), memory_mb };
-            self.outs.push(HomeOutput::Carry { to, message });
+            let message = ForwardMessage::GiveWay { function: name.into(), memory_mb };
+            self.outs.push(HomeOutput::Forward { to, message });
         }
     }
 
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -9,7 +9,7 @@
 use events::event;
 use std::rc::Rc;
 use std::time::Duration;
-use wire::CarryMsg;
+use wire::ForwardMessage;
 
 const REPEAT: Duration = Duration::from_millis(200);
 const FOREIGN_ON_CRASH: Duration = Duration::from_millis(400);
@@ -107,7 +107,7 @@
         let Some((next, _)) = desk.leaving else { return };
         desk.leaving = Some((next, now));
         if let Some(table) = self.table_of(name, false) {
-            self.outs.push(HomeOutput::Carry { to: next, message: CarryMsg::Table { table } });
+            self.outs.push(HomeOutput::Forward { to: next, message: ForwardMessage::Table { table } });
         }
     }
 
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{CarryMsg, HomeTable, NodeId, Outcome, TunedLine};
+use wire::{ForwardMessage, HomeTable, NodeId, Outcome, TunedLine};
 
 pub struct Home {
     pub(crate) me: NodeId,
@@ -100,28 +100,36 @@
         self.now = now;
         self.may_serve = may_serve;
         match input {
-            HomeInput::Carry { from, message: message @ (CarryMsg::Carry { .. } | CarryMsg::Forward { .. }) } => {
+            HomeInput::Forward {
+                from,
+                message: message @ (ForwardMessage::ForwardUncounted { .. } | ForwardMessage::Forward { .. }),
+            } => {
                 message.into_forwarded().into_iter().for_each(|request| self.let_in(from, request));
             }
-            HomeInput::Carry { from, message: CarryMsg::AttemptGrant { task, attempts } } => {
+            HomeInput::Forward { from, message: ForwardMessage::AttemptGrant { task, attempts } } => {
                 self.attempts_granted(from, task, attempts);
             }
-            HomeInput::Carry { from, message: CarryMsg::Watch } => {
+            HomeInput::Forward { from, message: ForwardMessage::Watch } => {
                 if may_serve {
-                    self.outs.push(HomeOutput::Carry { to: from, message: CarryMsg::Beat });
+                    self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::Beat });
                 }
             }
-            HomeInput::Carry { message: CarryMsg::Handover { function, roster, slots, requests, seconds }, .. } => {
+            HomeInput::Forward {
+                message: ForwardMessage::Handover { function, roster, slots, requests, seconds },
+                ..
+            } => {
                 let table = HomeTable { function, roster, slots, requests, seconds, ..HomeTable::default() };
                 self.take_handover(table)
             }
-            HomeInput::Carry { message: CarryMsg::GiveWay { function, .. }, .. } => self.give_way(function.as_str()),
-            HomeInput::Carry { from, message: CarryMsg::Inventory { inventory } } => {
+            HomeInput::Forward { message: ForwardMessage::GiveWay { function, .. }, .. } => {
+                self.give_way(function.as_str())
+            }
+            HomeInput::Forward { from, message: ForwardMessage::Inventory { inventory } } => {
                 self.inventory_told(from, inventory)
             }
-            HomeInput::Carry { from, message: CarryMsg::InventoryAsk } => self.inventory_asked(from),
-            HomeInput::Carry { from, message: CarryMsg::Table { table } } => self.on_table(from, table),
-            HomeInput::Carry { .. } => {}
+            HomeInput::Forward { from, message: ForwardMessage::InventoryAsk } => self.inventory_asked(from),
+            HomeInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
+            HomeInput::Forward { .. } => {}
             HomeInput::Dispatched { number, verdict } => self.dispatched(number, verdict),
             HomeInput::Ledger { message } => self.ledger_receipt(message),
             HomeInput::Platform { report, listed_at } => self.platform(report, listed_at),
@@ -191,8 +199,8 @@
             task.caller = false;
             let again_ms = retry_after.as_millis() as u32;
             let message =
-                CarryMsg::Answer { task: id, outcome, status, again_ms, head: head.into(), body: body.into() };
-            self.outs.push(HomeOutput::Carry { to, message });
+                ForwardMessage::Answer { task: id, outcome, status, again_ms, head: head.into(), body: body.into() };
+            self.outs.push(HomeOutput::Forward { to, message });
         }
         let lives_on = task.stored.is_some() && outcome == Outcome::Accepted;
         if !lives_on {
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use supply::{SupplyOrder, SupplyReport};
-use wire::{CarryMsg, HoldMsg, MeasureLine, NodeId, Outcome, PlanMsg, SampleLine};
+use wire::{ForwardMessage, HoldMsg, MeasureLine, NodeId, Outcome, PlanMsg, SampleLine};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
@@ -16,7 +16,7 @@
 }
 
 pub enum HomeInput {
-    Carry { from: NodeId, message: CarryMsg },
+    Forward { from: NodeId, message: ForwardMessage },
     Dispatched { number: u64, verdict: Verdict },
     Ledger { message: HoldMsg },
     Platform { report: SupplyReport, listed_at: Duration },
@@ -31,9 +31,9 @@
 
 #[derive(Debug)]
 pub enum HomeOutput {
-    Carry {
+    Forward {
         to: NodeId,
-        message: CarryMsg,
+        message: ForwardMessage,
     },
     Enter {
         ask: u64,
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use supply::{InstanceLine, InstanceState, Listing, SupplyOrder, WorkerLine};
-use wire::{CarryMsg, InventoryChange, NodeId};
+use wire::{ForwardMessage, InventoryChange, NodeId};
 
 /// How long after the list was due the next in turn waits before it reads in the other's place.
 const STAND_IN: Duration = Duration::from_secs(1);
@@ -53,7 +53,7 @@
         }
         let first = turn.first().copied().filter(|first| *first != self.me && turn.contains(&self.me));
         if let (None, Some(to)) = (inventory.source, first) {
-            self.outs.push(HomeOutput::Carry { to, message: CarryMsg::InventoryAsk });
+            self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::InventoryAsk });
         }
         inventory.turn = turn;
     }
@@ -134,8 +134,8 @@
         let inventory = self.with_ages(change);
         let others = self.inventory.turn.iter().filter(|id| **id != self.me);
         let message = |to: &NodeId| {
-            let message = CarryMsg::Inventory { inventory: inventory.clone() };
-            HomeOutput::Carry { to: *to, message }
+            let message = ForwardMessage::Inventory { inventory: inventory.clone() };
+            HomeOutput::Forward { to: *to, message }
         };
         self.outs.extend(others.map(message));
     }
@@ -144,7 +144,7 @@
     pub(crate) fn inventory_asked(&mut self, to: NodeId) {
         if let Some((_, number)) = self.inventory.source.filter(|(from, _)| *from == self.me) {
             let inventory = self.with_ages(self.whole_inventory(number));
-            self.outs.push(HomeOutput::Carry { to, message: CarryMsg::Inventory { inventory } });
+            self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::Inventory { inventory } });
         }
     }
 
@@ -181,7 +181,7 @@
         if change.since != 0 && self.inventory.source != Some((from, change.since)) {
             if self.inventory.missed.is_none_or(|at| now >= at + ASK_PAUSE) {
                 self.inventory.missed = Some(now);
-                self.outs.push(HomeOutput::Carry { to: from, message: CarryMsg::InventoryAsk });
+                self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::InventoryAsk });
             }
             return;
         }
--- a/crates/traffic/src/keeping.rs
+++ b/crates/traffic/src/keeping.rs
@@ -10,7 +10,7 @@
 use crate::starting::look_limit;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use wire::{CarryMsg, HomeTable, NodeId, SlotLine, Text};
+use wire::{ForwardMessage, HomeTable, NodeId, SlotLine, Text};
 
 const EVERY: Duration = Duration::from_millis(500);
 const LASTS: Duration = Duration::from_secs(6);
@@ -69,7 +69,7 @@
             let waiting = self.tasks.values().filter(|task| task.caller).map(|task| task.id.from);
             let fronts: BTreeSet<NodeId> = waiting.chain(older).collect();
             let others = fronts.into_iter().filter(|id| *id != self.me);
-            self.outs.extend(others.map(|to| HomeOutput::Carry { to, message: CarryMsg::Beat }));
+            self.outs.extend(others.map(|to| HomeOutput::Forward { to, message: ForwardMessage::Beat }));
         }
         if now < self.kept_at + EVERY {
             return;
@@ -84,7 +84,7 @@
         for name in names {
             let Some(to) = self.roster.home_after(&name, self.me).filter(|to| *to != self.me) else { continue };
             if let Some(table) = self.table_of(&name, true) {
-                self.outs.push(HomeOutput::Carry { to, message: CarryMsg::Table { table } });
+                self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::Table { table } });
             }
         }
     }
@@ -127,7 +127,7 @@
             let earlier = self.history.earlier_homes(now, &name);
             let allowances = &self.timing.allowances;
             allowances.as_of_a_copy(earlier, &mut table.requests, &mut table.seconds, &mut table.turned);
-            self.outs.push(HomeOutput::Carry { to: kept.from, message: CarryMsg::Table { table } });
+            self.outs.push(HomeOutput::Forward { to: kept.from, message: ForwardMessage::Table { table } });
         }
     }
 
--- a/crates/traffic/src/letting_in.rs
+++ b/crates/traffic/src/letting_in.rs
@@ -1,5 +1,5 @@
-//! Letting a carried task in: is this its home, is there room, what does its class ask first. A
-//! carry has a number of its own and is let in once, however often its frame comes.
+//! Letting a forwarded request in: is this its home, is there room, what does its class ask first. A
+//! forwarded request has a number of its own and is let in once, however often its frame comes.
 
 use crate::holding::LAST;
 use crate::home::Home;
@@ -7,7 +7,7 @@
 use bindings::Class;
 use sha2::{Digest, Sha256};
 use std::time::Duration;
-use wire::{CarryMsg, ForwardRequest, NodeId, Outcome};
+use wire::{ForwardMessage, ForwardRequest, NodeId, Outcome};
 
 impl Home {
     pub(crate) fn let_in(&mut self, from: NodeId, request: ForwardRequest) {
@@ -22,10 +22,10 @@
         let (Some(bound), true, Some(desk)) =
             (bound, self.is_home(function.as_str()), self.desks.get_mut(function.as_str()))
         else {
-            return self.outs.push(HomeOutput::Carry { to: from, message: CarryMsg::NotHome { task } });
+            return self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::NotHome { task } });
         };
         if !bound.sends_to(service) || desk.leaving.is_some() {
-            return self.outs.push(HomeOutput::Carry { to: from, message: CarryMsg::NotHome { task } });
+            return self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::NotHome { task } });
         }
         desk.arrivals += 1;
         let full = desk.held.len() >= self.timing.function_inbox;
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,4 +1,4 @@
-//! The data plane as a library. `Front` meets callers and carries tasks; `Home` places the tasks
+//! The data plane as a library. `Front` meets callers and forwards requests; `Home` places the tasks
 //! of the functions it is home to, starts and stops their instances, and keeps the run-once and
 //! deferred promises. Both are state machines over tables of records; around them are the door,
 //! the dispatcher to instances, the platform's adapter and the follower on the control thread.
--- a/crates/traffic/src/plane.rs
+++ b/crates/traffic/src/plane.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use supply::{SupplyOrder, SupplyReport};
 use tokio::sync::{oneshot, watch};
-use wire::{CarryMsg, DeferredRecord, HoldMsg, Message, NodeId, StoredAnswer};
+use wire::{DeferredRecord, ForwardMessage, HoldMsg, Message, NodeId, StoredAnswer};
 
 const TICK: Duration = Duration::from_millis(20);
 /// Between two looks while nothing waits here; what comes in is worked at once all the same.
@@ -82,10 +82,10 @@
 }
 
 impl Turn {
-    pub(crate) fn carried(from: NodeId, message: CarryMsg) -> Turn {
+    pub(crate) fn forwarded(from: NodeId, message: ForwardMessage) -> Turn {
         match message.is_for_home() {
-            true => Turn::Home(HomeInput::Carry { from, message }),
-            false => Turn::Front(FrontInput::Carried { from, message }),
+            true => Turn::Home(HomeInput::Forward { from, message }),
+            false => Turn::Front(FrontInput::Forwarded { from, message }),
         }
     }
 }
@@ -155,7 +155,7 @@
             TrafficMsg::Link(LinkEvent::Up { id, .. }) => self.turn(Turn::Front(FrontInput::Link { id, up: true })),
             TrafficMsg::Link(LinkEvent::Down { id }) => self.turn(Turn::Front(FrontInput::Link { id, up: false })),
             TrafficMsg::Link(LinkEvent::Frame { from, message, .. }) => match message {
-                Message::Carry(message) => self.turn(Turn::carried(from, message)),
+                Message::Forward(message) => self.turn(Turn::forwarded(from, message)),
                 Message::Plan(message) => self.turn(Turn::Home(HomeInput::Plan { message })),
                 Message::Hold(HoldMsg::ReadReceipt { ask, items, .. }) if ask & STATUS_BIT != 0 => {
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
--- a/crates/traffic/src/plane_out.rs
+++ b/crates/traffic/src/plane_out.rs
@@ -33,11 +33,11 @@
                     for output in self.front.step(now, may_serve, input) {
                         match output {
                             FrontOutput::Reply { ask, reply } => self.reply(ask, reply),
-                            FrontOutput::Carry { to, message } if to == self.me => {
-                                turns.push_back(Turn::carried(to, message));
+                            FrontOutput::Forward { to, message } if to == self.me => {
+                                turns.push_back(Turn::forwarded(to, message));
                             }
-                            FrontOutput::Carry { to, message } => {
-                                self.link(LinkOrder::Send { to, message: Message::Carry(message) });
+                            FrontOutput::Forward { to, message } => {
+                                self.link(LinkOrder::Send { to, message: Message::Forward(message) });
                             }
                         }
                     }
@@ -55,8 +55,10 @@
 
     fn carry_out(&mut self, output: HomeOutput) -> Option<Turn> {
         match output {
-            HomeOutput::Carry { to, message } if to == self.me => return Some(Turn::carried(to, message)),
-            HomeOutput::Carry { to, message } => self.link(LinkOrder::Send { to, message: Message::Carry(message) }),
+            HomeOutput::Forward { to, message } if to == self.me => return Some(Turn::forwarded(to, message)),
+            HomeOutput::Forward { to, message } => {
+                self.link(LinkOrder::Send { to, message: Message::Forward(message) })
+            }
             HomeOutput::Enter { ask, body } => self.to_core(HoldMsg::Enter { ask, body: body.into() }),
             HomeOutput::Read { ask, prefix } => {
                 self.to_core(HoldMsg::Read { ask, prefix: prefix.into(), from: "".into() });
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -5,7 +5,7 @@
 use crate::home_types::{Failure, HomeOutput, Place, TaskId};
 use bindings::Class;
 use std::time::Duration;
-use wire::{CarryMsg, NodeId, Outcome};
+use wire::{ForwardMessage, NodeId, Outcome};
 
 /// How long a front's grant is waited for; on one machine it comes at once.
 const GRANT_PATIENCE: Duration = Duration::from_millis(300);
@@ -31,8 +31,8 @@
         }
         task.place = Place::AwaitingGrant { until: now + GRANT_PATIENCE };
         let (to, attempts) = (task.id.from, task.dispatches + 1);
-        let message = CarryMsg::AttemptAsk { task: task.id.task, attempts };
-        self.outs.push(HomeOutput::Carry { to, message });
+        let message = ForwardMessage::AttemptAsk { task: task.id.task, attempts };
+        self.outs.push(HomeOutput::Forward { to, message });
     }
 
     /// The front tells how many attempts it granted in all.
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -145,7 +145,7 @@
     let timing = FollowerTiming { hold: settings.hold, ..FollowerTiming::default() };
     let control = Control {
         begun,
-        follower: Follower::new(me, incarnation, address, zone, ops, timing).able_to_carry(settings.capacity()),
+        follower: Follower::new(me, incarnation, address, zone, ops, timing).able_to_own(settings.capacity()),
         pass,
         links: find(&directory, "links"),
         traffic: find(&directory, "traffic"),
@@ -220,7 +220,7 @@
                 LinkEvent::Frame { from, incarnation, message } => {
                     let for_traffic = matches!(
                         message,
-                        Message::Carry(_)
+                        Message::Forward(_)
                             | Message::Plan(_)
                             | Message::Hold(HoldMsg::EnterReceipt { .. } | HoldMsg::ReadReceipt { .. })
                     );
--- a/crates/traffic/src/watching.rs
+++ b/crates/traffic/src/watching.rs
@@ -1,20 +1,20 @@
-//! Whether a home is there to be carried to. While a home has tasks of a front it beats that front, and
-//! any frame of its counts as a beat; so one not heard for a while since a carry is silent. Nothing
-//! more is carried there, and it is asked to beat, as is one not linked yet, until it is heard.
+//! Whether a home is there to be forwarded to. While a home has tasks of a front it beats that front, and
+//! any frame of its counts as a beat; so one not heard for a while since a forward is silent. Nothing
+//! more is forwarded there, and it is asked to beat, as is one not linked yet, until it is heard.
 
 use crate::front::Front;
 use crate::front_types::{FrontOutput, Stage};
 use std::time::Duration;
-use wire::{CarryMsg, NodeId};
+use wire::{ForwardMessage, NodeId};
 
-/// A home not heard for so long after a carry is carried nothing more, so that only what it had before
+/// A home not heard for so long after a forward is forwarded nothing more, so that only what it had before
 /// is in doubt.
 const QUIET: Duration = Duration::from_millis(350);
 const ASK_AGAIN: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Watched {
-    /// When it was first carried something since it was last heard.
+    /// When it was first forwarded something since it was last heard.
     unheard: Option<Duration>,
     asked: Option<Duration>,
 }
@@ -28,7 +28,7 @@
     }
 
     /// Says whether a task may go there now, and if so takes it as gone.
-    pub(crate) fn may_carry_to(&mut self, home: NodeId) -> bool {
+    pub(crate) fn may_forward_to(&mut self, home: NodeId) -> bool {
         if home == self.me {
             return true;
         }
@@ -40,7 +40,7 @@
         }
         if watched.asked.is_none_or(|at| now >= at + ASK_AGAIN) {
             watched.asked = Some(now);
-            self.outs.push(FrontOutput::Carry { to: home, message: CarryMsg::Watch });
+            self.outs.push(FrontOutput::Forward { to: home, message: ForwardMessage::Watch });
         }
         false
     }
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use test_case::test_case;
 use traffic::{Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming, Verdict};
-use wire::{CarryMsg, HomeTable, NodeId, Outcome, SlotLine};
+use wire::{ForwardMessage, HomeTable, NodeId, Outcome, SlotLine};
 
 const THIRD: NodeId = 3;
 
@@ -42,12 +42,12 @@
     };
     let slots = vec![slot(1), slot(2), slot(3), slot(4)].into();
     let table = HomeTable { function: "t/f".into(), roster: 2, slots, requests: 100, ..HomeTable::default() };
-    home.step(ms(1), true, HomeInput::Carry { from: 9, message: CarryMsg::Table { table } });
+    home.step(ms(1), true, HomeInput::Forward { from: 9, message: ForwardMessage::Table { table } });
     home
 }
 
-fn give(home: &mut Home, at: u64, message: CarryMsg) -> Vec<HomeOutput> {
-    home.step(ms(at), true, HomeInput::Carry { from: ME, message })
+fn give(home: &mut Home, at: u64, message: ForwardMessage) -> Vec<HomeOutput> {
+    home.step(ms(at), true, HomeInput::Forward { from: ME, message })
 }
 
 fn fails(home: &mut Home, at: u64, outputs: &[HomeOutput], verdict: Verdict) -> Vec<HomeOutput> {
@@ -63,12 +63,12 @@
     Verdict::Whole { status: 500, head: Vec::new(), body: b"first".to_vec(), turned_away: false }
 }
 
-fn tell(front: &mut Front, from: NodeId, at: u64, message: CarryMsg) -> Vec<FrontOutput> {
-    front.step(ms(at), true, FrontInput::Carried { from, message })
+fn tell(front: &mut Front, from: NodeId, at: u64, message: ForwardMessage) -> Vec<FrontOutput> {
+    front.step(ms(at), true, FrontInput::Forwarded { from, message })
 }
 
-fn grant(task: u64, attempts: u32) -> CarryMsg {
-    CarryMsg::AttemptGrant { task, attempts }
+fn grant(task: u64, attempts: u32) -> ForwardMessage {
+    ForwardMessage::AttemptGrant { task, attempts }
 }
 
 /// The links are reset while an instance runs the request, and the next one garbles its answer too.
@@ -103,7 +103,7 @@
     let outputs = give(&mut home, 6, message);
     let outputs = fails(&mut home, 20, &outputs, garbled());
     let ask = to_front(&outputs).expect("asks");
-    assert_eq!(ask, CarryMsg::AttemptAsk { task, attempts: 2 });
+    assert_eq!(ask, ForwardMessage::AttemptAsk { task, attempts: 2 });
     for at in [21, 22] {
         assert_eq!(granted(&tell(&mut front, OTHER, at, ask.clone())), Some(2), "however often the frame comes");
     }
@@ -112,7 +112,7 @@
     assert_eq!(sent(&give(&mut home, 24, grant(task, 2))), None, "the grant came twice");
     let outputs = fails(&mut home, 30, &outputs, failed());
     let answer = to_front(&outputs);
-    assert!(matches!(answer, Some(CarryMsg::Answer { status: 500, .. })), "no attempt is left: {answer:?}");
+    assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "no attempt is left: {answer:?}");
 }
 
 #[test_case(Some(0), 25; "refused")]
@@ -123,13 +123,13 @@
     let mut home = home(OTHER, 2);
     let outputs = give(&mut home, 6, message);
     let outputs = fails(&mut home, 20, &outputs, failed());
-    assert!(matches!(to_front(&outputs), Some(CarryMsg::AttemptAsk { .. })));
+    assert!(matches!(to_front(&outputs), Some(ForwardMessage::AttemptAsk { .. })));
     let outputs = match told {
         Some(attempts) => give(&mut home, at, grant(task, attempts)),
         None => home.step(ms(at), true, HomeInput::Tick),
     };
     let answer = to_front(&outputs);
-    let Some(CarryMsg::Answer { outcome, status, body, .. }) = answer else { panic!("{answer:?}") };
+    let Some(ForwardMessage::Answer { outcome, status, body, .. }) = answer else { panic!("{answer:?}") };
     assert_eq!((outcome, status, body.as_slice()), (Outcome::Answered, 500, b"first".as_slice()));
     assert_eq!(sent(&give(&mut home, at + 5, grant(task, 2))), None, "a grant after the answer");
 }
@@ -154,7 +154,7 @@
     let mut outputs = common::ask(&mut front, 5, true, "/t/f");
     for at in [50, 100, 150] {
         let (task, _) = forwarded(&outputs).expect("forwarded");
-        tell(&mut front, OTHER, at, CarryMsg::NotHome { task });
+        tell(&mut front, OTHER, at, ForwardMessage::NotHome { task });
         outputs = front.step(ms(at + 40), true, FrontInput::Tick);
     }
     assert!(forwarded(&outputs).is_some());
@@ -169,18 +169,18 @@
     let outputs = give(&mut home, 6, message);
     home.step(ms(10), true, HomeInput::Roster { roster: roster(3, &[THIRD]) });
     let outputs = fails(&mut home, 20, &outputs, Verdict::NotRun { wrong_instance: false });
-    assert_eq!(to_front(&outputs), Some(CarryMsg::Returned { task, attempts: 1 }));
+    assert_eq!(to_front(&outputs), Some(ForwardMessage::Returned { task, attempts: 1 }));
 }
 
 #[test]
 fn a_home_that_gives_it_back_keeps_what_it_used() {
     let mut front = front(2);
     let (task, _) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
-    tell(&mut front, OTHER, 10, CarryMsg::Returned { task, attempts: 1 });
+    tell(&mut front, OTHER, 10, ForwardMessage::Returned { task, attempts: 1 });
     let (task, _) = forwarded(&front.step(ms(50), true, FrontInput::Tick)).expect("one is left");
-    let outputs = tell(&mut front, OTHER, 60, CarryMsg::AttemptAsk { task, attempts: 2 });
+    let outputs = tell(&mut front, OTHER, 60, ForwardMessage::AttemptAsk { task, attempts: 2 });
     assert_eq!(granted(&outputs), Some(1), "one was used at the home before");
-    let outputs = tell(&mut front, OTHER, 70, CarryMsg::Returned { task, attempts: 1 });
+    let outputs = tell(&mut front, OTHER, 70, ForwardMessage::Returned { task, attempts: 1 });
     let told = reply(&outputs).expect("told at once");
     assert_eq!((told.outcome, told.status, told.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
 }
@@ -196,7 +196,10 @@
     let outputs = give(&mut home, 21, grant(task, 2));
     let outputs = fails(&mut home, 30, &outputs, Verdict::NotRun { wrong_instance: false });
     let answer = to_front(&outputs);
-    assert!(matches!(answer, Some(CarryMsg::Answer { outcome: Outcome::Unknown, status: 504, .. })), "{answer:?}");
+    assert!(
+        matches!(answer, Some(ForwardMessage::Answer { outcome: Outcome::Unknown, status: 504, .. })),
+        "{answer:?}"
+    );
 }
 
 /// Its function moves while an instance has it: no further attempt is made here, and its caller is not
@@ -210,14 +213,14 @@
     home.step(ms(10), true, HomeInput::Roster { roster: roster(3, &[THIRD]) });
     let outputs = fails(&mut home, 20, &outputs, failed());
     let answer = to_front(&outputs);
-    assert!(matches!(answer, Some(CarryMsg::Answer { status: 500, .. })), "{answer:?}");
+    assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "{answer:?}");
 }
 
 /// A front of the format before counts nothing: its home makes as many attempts as the binding allows.
 #[test]
 fn a_front_that_does_not_count_is_asked_for_nothing() {
     let mut home = home(OTHER, 2);
-    let message = CarryMsg::Carry {
+    let message = ForwardMessage::ForwardUncounted {
         task: 7,
         function: "t/f".into(),
         binding: "t/f".into(),
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -4,7 +4,7 @@
 use holds::Roster;
 use std::rc::Rc;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{CarryMsg, HoldMsg, HomeTable, ItemLine, RequestHead, SlotLine, StoredTask};
+use wire::{ForwardMessage, HoldMsg, HomeTable, ItemLine, RequestHead, SlotLine, StoredTask};
 
 pub const FUNCTION: &str = "t/f";
 
@@ -32,8 +32,8 @@
     wire::to_bytes(&RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() })
 }
 
-pub fn carry(number: u64) -> HomeInput {
-    let message = CarryMsg::Carry {
+pub fn forward(number: u64) -> HomeInput {
+    let message = ForwardMessage::ForwardUncounted {
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
@@ -44,7 +44,7 @@
         head: head().into(),
         body: Vec::new().into(),
     };
-    HomeInput::Carry { from: OTHER, message }
+    HomeInput::Forward { from: OTHER, message }
 }
 
 pub fn granted(outputs: &[HomeOutput]) -> HomeInput {
@@ -68,12 +68,12 @@
 }
 
 pub fn given(table: HomeTable) -> HomeInput {
-    HomeInput::Carry { from: OTHER, message: CarryMsg::Table { table } }
+    HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table } }
 }
 
 pub fn told(outputs: &[HomeOutput]) -> Option<HomeTable> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Carry { message: CarryMsg::Table { table }, .. } => Some(table.clone()),
+        HomeOutput::Forward { message: ForwardMessage::Table { table }, .. } => Some(table.clone()),
         _ => None,
     })
 }
--- a/crates/traffic/tests/common/forwards.rs
+++ b/crates/traffic/tests/common/forwards.rs
@@ -2,11 +2,11 @@
 
 use super::ME;
 use traffic::{FrontOutput, HomeOutput};
-use wire::CarryMsg;
+use wire::ForwardMessage;
 
-pub fn forwarded(outputs: &[FrontOutput]) -> Option<(u64, CarryMsg)> {
+pub fn forwarded(outputs: &[FrontOutput]) -> Option<(u64, ForwardMessage)> {
     outputs.iter().find_map(|output| match output {
-        FrontOutput::Carry { message: message @ CarryMsg::Forward { request }, .. } => {
+        FrontOutput::Forward { message: message @ ForwardMessage::Forward { request }, .. } => {
             Some((request.task, message.clone()))
         }
         _ => None,
@@ -20,16 +20,16 @@
     })
 }
 
-pub fn to_front(outputs: &[HomeOutput]) -> Option<CarryMsg> {
+pub fn to_front(outputs: &[HomeOutput]) -> Option<ForwardMessage> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Carry { to: ME, message } if !matches!(message, CarryMsg::Beat) => Some(message.clone()),
+        HomeOutput::Forward { to: ME, message } if !matches!(message, ForwardMessage::Beat) => Some(message.clone()),
         _ => None,
     })
 }
 
 pub fn granted(outputs: &[FrontOutput]) -> Option<u32> {
     outputs.iter().find_map(|output| match output {
-        FrontOutput::Carry { message: CarryMsg::AttemptGrant { attempts, .. }, .. } => Some(*attempts),
+        FrontOutput::Forward { message: ForwardMessage::AttemptGrant { attempts, .. }, .. } => Some(*attempts),
         _ => None,
     })
 }
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use traffic::{Call, Front, FrontInput, FrontLimits, FrontOutput, Reply};
-use wire::{Capacity, CarryMsg, RequestHead};
+use wire::{Capacity, ForwardMessage, RequestHead};
 
 pub const ME: u64 = 1;
 pub const OTHER: u64 = 2;
@@ -55,9 +55,11 @@
     front.step(ms(at), may_serve, FrontInput::Task { ask: at, call })
 }
 
-pub fn carry(outputs: &[FrontOutput]) -> (u64, CarryMsg) {
+pub fn forward(outputs: &[FrontOutput]) -> (u64, ForwardMessage) {
     match &outputs[0] {
-        FrontOutput::Carry { message: message @ CarryMsg::Forward { request }, .. } => (request.task, message.clone()),
+        FrontOutput::Forward { message: message @ ForwardMessage::Forward { request }, .. } => {
+            (request.task, message.clone())
+        }
         other => panic!("not a carry: {other:?}"),
     }
 }
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -2,23 +2,23 @@
 
 mod common;
 
-use common::{ME, OTHER, ask, book, carry, front, ms, reply, roster};
+use common::{ME, OTHER, ask, book, forward, front, ms, reply, roster};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{CarryMsg, Outcome};
+use wire::{ForwardMessage, Outcome};
 
 fn answer(task: u64, outcome: Outcome, status: u16) -> FrontInput {
     let (head, body) = (Vec::new().into(), b"theirs".to_vec().into());
-    FrontInput::Carried {
+    FrontInput::Forwarded {
         from: OTHER,
-        message: CarryMsg::Carried { task, outcome, status, retry_after: 1, head, body },
+        message: ForwardMessage::AnswerInSeconds { task, outcome, status, retry_after: 1, head, body },
     }
 }
 
 #[test]
 fn an_answer_to_the_incarnation_before_finds_no_task() {
-    let (old, _) = carry(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
+    let (old, _) = forward(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
     let mut next = front(2, OTHER);
-    let (new, _) = carry(&ask(&mut next, 5, true, "/t/f"));
+    let (new, _) = forward(&ask(&mut next, 5, true, "/t/f"));
     assert_ne!(old, new);
     assert!(next.step(ms(9), true, answer(old, Outcome::Answered, 200)).is_empty());
     assert_eq!(reply(&next.step(ms(9), true, answer(new, Outcome::Answered, 200))).map(|r| r.status), Some(200));
@@ -31,8 +31,8 @@
     front.step(ms(20), true, FrontInput::Link { id: OTHER, up: false });
     let again = front.step(ms(40), true, FrontInput::Link { id: OTHER, up: true });
     assert!(again.is_empty());
-    let (task, message) = carry(&front.step(ms(60), true, FrontInput::Tick));
-    assert!(matches!(message, CarryMsg::Forward { request } if request.tries == 1));
+    let (task, message) = forward(&front.step(ms(60), true, FrontInput::Tick));
+    assert!(matches!(message, ForwardMessage::Forward { request } if request.tries == 1));
     let told = front.step(ms(70), true, answer(task, Outcome::NotRun, 503));
     assert_eq!(reply(&told).map(|r| (r.outcome, r.status)), Some((Some(Outcome::Unknown), 504)));
 }
@@ -57,18 +57,20 @@
     let mut home = Home::new(OTHER, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::Book { book: book() });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
-    let (_, message) = carry(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
-    home.step(ms(6), true, HomeInput::Carry { from: ME, message: message.clone() });
-    home.step(ms(7), true, HomeInput::Carry { from: ME, message: message.clone() });
+    let (_, message) = forward(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
+    home.step(ms(6), true, HomeInput::Forward { from: ME, message: message.clone() });
+    home.step(ms(7), true, HomeInput::Forward { from: ME, message: message.clone() });
     assert_eq!(home.depths().0, 1);
     let mut refused = 0;
     for at in (0..5000).step_by(50) {
         let outputs = home.step(ms(at + 10), true, HomeInput::Tick);
-        refused +=
-            outputs.iter().filter(|o| matches!(o, HomeOutput::Carry { message: CarryMsg::Answer { .. }, .. })).count();
+        refused += outputs
+            .iter()
+            .filter(|o| matches!(o, HomeOutput::Forward { message: ForwardMessage::Answer { .. }, .. }))
+            .count();
     }
     assert_eq!((refused, home.depths().0), (1, 0));
-    home.step(ms(5100), true, HomeInput::Carry { from: ME, message });
+    home.step(ms(5100), true, HomeInput::Forward { from: ME, message });
     assert_eq!(home.depths().0, 0, "let in again after its answer");
 }
 
@@ -86,8 +88,8 @@
     for at in (0..9000u64).step_by(10) {
         let mut inputs = vec![HomeInput::Tick];
         if at > 2000 && at % 20 == 0 {
-            let (_, message) = carry(&ask(&mut front, at, true, "/t/f"));
-            inputs.push(HomeInput::Carry { from: ME, message });
+            let (_, message) = forward(&ask(&mut front, at, true, "/t/f"));
+            inputs.push(HomeInput::Forward { from: ME, message });
         }
         let report = |report| HomeInput::Platform { report, listed_at: ms(at) };
         if let Some(nonce) = instance.take() {
@@ -101,13 +103,16 @@
             inputs.push(HomeInput::Dispatched { number, verdict });
         }
         for output in inputs.into_iter().flat_map(|input| home.step(ms(at), true, input)).collect::<Vec<_>>() {
-            if let HomeOutput::Carry { message, .. } = &output {
-                front.step(ms(at), true, FrontInput::Carried { from: OTHER, message: message.clone() });
+            if let HomeOutput::Forward { message, .. } = &output {
+                front.step(ms(at), true, FrontInput::Forwarded { from: OTHER, message: message.clone() });
             }
             match output {
                 HomeOutput::Dispatch(order) => running.push((order.number, at + 500)),
                 HomeOutput::Supply(supply::SupplyOrder::Start(order)) => instance = Some(order.nonce),
-                HomeOutput::Carry { message: CarryMsg::Answer { outcome: Outcome::NotRun, again_ms, .. }, .. } => {
+                HomeOutput::Forward {
+                    message: ForwardMessage::Answer { outcome: Outcome::NotRun, again_ms, .. },
+                    ..
+                } => {
                     refused.push((at, again_ms));
                 }
                 _ => {}
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use supply::{InstanceLine, InstanceState, Listing, SupplyOrder, SupplyReport};
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{CarryMsg, NodeId};
+use wire::{ForwardMessage, NodeId};
 
 const IDS: [NodeId; 4] = [3, 5, 7, 11];
 
@@ -48,11 +48,11 @@
                     let lines = vec![worker("w0", "a", 4096, true)];
                     self.tell(id, SupplyReport::Workers { lines, asked: Instant::now() });
                 }
-                HomeOutput::Carry { to, message } if self.deaf != Some(to) && self.deaf != Some(id) => {
-                    if let CarryMsg::Inventory { inventory } = &message {
+                HomeOutput::Forward { to, message } if self.deaf != Some(to) && self.deaf != Some(id) => {
+                    if let ForwardMessage::Inventory { inventory } = &message {
                         self.bytes += wire::to_bytes(inventory).len();
                     }
-                    self.feed(to, HomeInput::Carry { from: id, message });
+                    self.feed(to, HomeInput::Forward { from: id, message });
                 }
                 _ => {}
             }
--- a/crates/traffic/tests/keeping.rs
+++ b/crates/traffic/tests/keeping.rs
@@ -2,21 +2,23 @@
 
 mod common;
 
-use common::{ME, OTHER, ask, book, carry, front, ms, reply, roster};
+use common::{ME, OTHER, ask, book, forward, front, ms, reply, roster};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{CarryMsg, HomeTable, Outcome, RequestHead, SlotLine};
+use wire::{ForwardMessage, HomeTable, Outcome, RequestHead, SlotLine};
 
 const FUNCTION: &str = "t/f";
 
-fn table(roster: u64, kept: u8, instance: &str) -> CarryMsg {
+fn table(roster: u64, kept: u8, instance: &str) -> ForwardMessage {
     let slot = SlotLine { instance: instance.into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 };
     let slots = vec![slot].into();
-    CarryMsg::Table { table: HomeTable { function: FUNCTION.into(), roster, kept, slots, ..HomeTable::default() } }
+    ForwardMessage::Table {
+        table: HomeTable { function: FUNCTION.into(), roster, kept, slots, ..HomeTable::default() },
+    }
 }
 
-fn task(number: u64) -> CarryMsg {
+fn task(number: u64) -> ForwardMessage {
     let head = RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() };
-    CarryMsg::Carry {
+    ForwardMessage::ForwardUncounted {
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
@@ -30,12 +32,12 @@
 }
 
 /// A home that has just lost the other, with or without a table kept for it.
-fn after_the_crash(kept: Option<CarryMsg>) -> Home {
+fn after_the_crash(kept: Option<ForwardMessage>) -> Home {
     let mut home = Home::new(ME, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::Book { book: book() });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
     if let Some(message) = kept {
-        home.step(ms(10), true, HomeInput::Carry { from: OTHER, message });
+        home.step(ms(10), true, HomeInput::Forward { from: OTHER, message });
     }
     home.step(ms(2000), true, HomeInput::Roster { roster: roster(2, &[ME]) });
     home
@@ -48,9 +50,9 @@
 #[test]
 fn the_next_home_begins_at_once_from_the_table_it_kept() {
     let mut home = after_the_crash(Some(table(1, 1, "i1")));
-    assert!(dispatched(&home.step(ms(2001), true, HomeInput::Carry { from: OTHER, message: task(7) })));
+    assert!(dispatched(&home.step(ms(2001), true, HomeInput::Forward { from: OTHER, message: task(7) })));
     let mut bare = after_the_crash(None);
-    assert!(!dispatched(&bare.step(ms(2001), true, HomeInput::Carry { from: OTHER, message: task(7) })));
+    assert!(!dispatched(&bare.step(ms(2001), true, HomeInput::Forward { from: OTHER, message: task(7) })));
 }
 
 #[test]
@@ -58,9 +60,9 @@
     let mut home = after_the_crash(Some(table(1, 1, "i1")));
     let ready = |home: &mut Home| home.status()["functions"][FUNCTION]["ready"].as_u64();
     assert_eq!(ready(&mut home), Some(1));
-    home.step(ms(2100), true, HomeInput::Carry { from: OTHER, message: table(1, 0, "i2") });
+    home.step(ms(2100), true, HomeInput::Forward { from: OTHER, message: table(1, 0, "i2") });
     assert_eq!(ready(&mut home), Some(1), "handed over under the roster before");
-    home.step(ms(2200), true, HomeInput::Carry { from: OTHER, message: table(2, 0, "i3") });
+    home.step(ms(2200), true, HomeInput::Forward { from: OTHER, message: table(2, 0, "i3") });
     assert_eq!(ready(&mut home), Some(2), "handed over under this one");
 }
 
@@ -69,14 +71,14 @@
     let mut keeper = Home::new(ME, 1, HomeTiming::default());
     keeper.step(ms(0), true, HomeInput::Book { book: book() });
     keeper.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
-    keeper.step(ms(10), true, HomeInput::Carry { from: OTHER, message: table(1, 1, "i1") });
+    keeper.step(ms(10), true, HomeInput::Forward { from: OTHER, message: table(1, 1, "i1") });
     let mut again = (*roster(2, &[OTHER])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
     again.members = members.into();
     let outputs = keeper.step(ms(500), true, HomeInput::Roster { roster: again.into() });
     let handed = outputs.iter().any(|output| {
-        matches!(output, HomeOutput::Carry { to: OTHER, message: CarryMsg::Table { table } }
+        matches!(output, HomeOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } }
             if table.kept == 0 && table.roster == 2 && table.slots.as_slice().len() == 1)
     });
     assert!(handed, "{outputs:?}");
@@ -85,21 +87,23 @@
 #[test]
 fn what_was_not_dispatched_goes_back_when_the_hold_has_lapsed() {
     let mut home = after_the_crash(None);
-    home.step(ms(2001), true, HomeInput::Carry { from: OTHER, message: task(7) });
+    home.step(ms(2001), true, HomeInput::Forward { from: OTHER, message: task(7) });
     let outputs = home.step(ms(2002), false, HomeInput::Lapsed);
-    let back = |output: &HomeOutput| matches!(output, HomeOutput::Carry { message: CarryMsg::NotHome { task: 7 }, .. });
+    let back = |output: &HomeOutput| {
+        matches!(output, HomeOutput::Forward { message: ForwardMessage::NotHome { task: 7 }, .. })
+    };
     assert!(outputs.iter().any(back), "{outputs:?}");
 }
 
 fn only_asks_to_beat(outputs: &[FrontOutput], home: u64) -> bool {
-    matches!(outputs, [FrontOutput::Carry { to, message: CarryMsg::Watch }] if *to == home)
+    matches!(outputs, [FrontOutput::Forward { to, message: ForwardMessage::Watch }] if *to == home)
 }
 
 #[test]
 fn a_silent_home_is_carried_nothing_and_its_tasks_are_never_in_doubt() {
     let mut front = front(1, OTHER);
-    front.step(ms(100), true, FrontInput::Carried { from: OTHER, message: CarryMsg::Beat });
-    carry(&ask(&mut front, 200, true, "/t/f"));
+    front.step(ms(100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Beat });
+    forward(&ask(&mut front, 200, true, "/t/f"));
     assert!(only_asks_to_beat(&ask(&mut front, 600, true, "/t/f"), OTHER), "no beat for half a second");
     let moved = front.step(ms(2000), true, FrontInput::Roster { roster: roster(2, &[3]) });
     assert!(only_asks_to_beat(&moved, 3), "the next home is not linked yet");
@@ -124,7 +128,7 @@
     home.step(ms(0), true, HomeInput::Book { book: once });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[ME]) });
     home.step(ms(0), true, HomeInput::Core { near: true });
-    let outputs = home.step(ms(1), true, HomeInput::Carry { from: OTHER, message: task(7) });
+    let outputs = home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: task(7) });
     let ask = outputs.iter().find_map(|output| match output {
         HomeOutput::Enter { ask, .. } => Some(*ask),
         _ => None,
@@ -134,7 +138,7 @@
     let message = wire::HoldMsg::EnterReceipt { ask: ask.expect("a claim"), state: 1, body };
     home.step(ms(2), true, HomeInput::Ledger { message });
     home.step(ms(3), false, HomeInput::Lapsed);
-    let outputs = home.step(ms(4), true, HomeInput::Carry { from: OTHER, message: table(1, 0, "i1") });
+    let outputs = home.step(ms(4), true, HomeInput::Forward { from: OTHER, message: table(1, 0, "i1") });
     assert!(!dispatched(&outputs), "its key is being released");
 }
 
@@ -142,17 +146,17 @@
 fn a_home_that_had_lapsed_waits_for_the_table_of_the_home_between() {
     let mut home = after_the_crash(Some(table(1, 1, "i1")));
     home.step(ms(3000), false, HomeInput::Lapsed);
-    assert!(!dispatched(&home.step(ms(3001), true, HomeInput::Carry { from: OTHER, message: task(7) })));
-    let CarryMsg::Table { table: mut between } = table(2, 0, "i2") else { panic!("a table") };
+    assert!(!dispatched(&home.step(ms(3001), true, HomeInput::Forward { from: OTHER, message: task(7) })));
+    let ForwardMessage::Table { table: mut between } = table(2, 0, "i2") else { panic!("a table") };
     between.turned = 9;
-    let handed = CarryMsg::Table { table: between.clone() };
+    let handed = ForwardMessage::Table { table: between.clone() };
     assert!(
-        !dispatched(&home.step(ms(3002), true, HomeInput::Carry { from: OTHER, message: handed })),
+        !dispatched(&home.step(ms(3002), true, HomeInput::Forward { from: OTHER, message: handed })),
         "nine were turned away"
     );
     assert!(
         dispatched(&home.step(ms(8100), true, HomeInput::Tick))
-            || dispatched(&home.step(ms(8200), true, HomeInput::Carry { from: OTHER, message: task(9) }))
+            || dispatched(&home.step(ms(8200), true, HomeInput::Forward { from: OTHER, message: task(9) }))
     );
 }
 
@@ -160,12 +164,16 @@
 #[test]
 fn what_a_later_table_tells_beyond_the_copy_counts_too() {
     let mut home = after_the_crash(Some(table(1, 1, "i1")));
-    let CarryMsg::Table { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
+    let ForwardMessage::Table { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
     let turned = |home: &mut Home| home.status()["functions"][FUNCTION]["turned_away_5s"].as_u64();
     for (at, told, wanted) in [(2100, 5, 5), (2300, 7, 7), (2500, 7, 7)] {
         whole.turned = told;
-        home.step(ms(at), true, HomeInput::Carry { from: OTHER, message: CarryMsg::Table { table: whole.clone() } });
+        home.step(
+            ms(at),
+            true,
+            HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table: whole.clone() } },
+        );
         assert_eq!(turned(&mut home), Some(wanted), "at {at} ms");
     }
-    assert!(!dispatched(&home.step(ms(2600), true, HomeInput::Carry { from: OTHER, message: task(7) })));
+    assert!(!dispatched(&home.step(ms(2600), true, HomeInput::Forward { from: OTHER, message: task(7) })));
 }
--- a/crates/traffic/tests/lapse.rs
+++ b/crates/traffic/tests/lapse.rs
@@ -2,15 +2,15 @@
 
 mod common;
 
-use common::deferred::{FUNCTION, carry, granted, handed, home, read, sent};
+use common::deferred::{FUNCTION, forward, granted, handed, home, read, sent};
 use common::{ME, OTHER, ms, roster};
 use traffic::{Home, HomeInput, HomeOutput, Verdict};
-use wire::CarryMsg;
+use wire::ForwardMessage;
 
 #[test]
 fn stored_tasks_held_before_the_lapse_are_sent_only_as_the_store_tells_of_them() {
     let mut home = home();
-    let outputs = home.step(ms(1), true, carry(7));
+    let outputs = home.step(ms(1), true, forward(7));
     home.step(ms(2), true, granted(&outputs));
     home.step(ms(3000), false, HomeInput::Lapsed);
     assert_eq!(sent(&home.step(ms(3001), true, handed())), 0, "another home may have run it since");
@@ -22,7 +22,7 @@
 fn only_requests_that_were_sent_are_counted_and_each_of_them_once() {
     let mut home = home();
     for number in 0..200 {
-        let outputs = home.step(ms(1), true, carry(number));
+        let outputs = home.step(ms(1), true, forward(number));
         home.step(ms(2), true, granted(&outputs));
     }
     let counted = |home: &mut Home| home.status()["functions"][FUNCTION]["requests_10s"].as_u64();
@@ -53,7 +53,7 @@
 #[test]
 fn a_home_that_is_home_again_while_it_leaves_begins_anew() {
     let mut home = home();
-    let outputs = home.step(ms(1), true, carry(7));
+    let outputs = home.step(ms(1), true, forward(7));
     home.step(ms(2), true, granted(&outputs));
     assert_eq!(sent(&home.step(ms(3), true, handed())), 1);
     home.step(ms(2000), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
@@ -66,7 +66,7 @@
 #[test]
 fn what_is_still_being_finished_is_told_as_sent() {
     let mut home = home();
-    let outputs = home.step(ms(1), true, carry(7));
+    let outputs = home.step(ms(1), true, forward(7));
     home.step(ms(2), true, granted(&outputs));
     let outputs = home.step(ms(3), true, handed());
     let order = outputs.iter().find_map(|output| match output {
@@ -78,7 +78,7 @@
     home.step(ms(50), true, HomeInput::Dispatched { number: order.expect("sent"), verdict });
     let outputs = home.step(ms(60), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
     let told = outputs.iter().any(|output| {
-        matches!(output, HomeOutput::Carry { message: CarryMsg::Table { table }, .. }
+        matches!(output, HomeOutput::Forward { message: ForwardMessage::Table { table }, .. }
             if table.begun_whole != 0 && table.begun.as_slice().len() == 1)
     });
     assert!(told, "{outputs:?}");
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -6,7 +6,7 @@
 use common::ME;
 use common::supplied::{FUNCTION, Supplied, six_workers};
 use traffic::{HomeInput, HomeOutput, Verdict};
-use wire::{CarryMsg, PlanMsg, RequestHead};
+use wire::{ForwardMessage, PlanMsg, RequestHead};
 
 /// A plan made before the crowd: one instance at every step.
 fn one(ask: u64) -> PlanMsg {
@@ -24,7 +24,7 @@
         }
         for _ in 0..rate / 100 {
             *next += 1;
-            let message = CarryMsg::Carry {
+            let message = ForwardMessage::ForwardUncounted {
                 task: *next,
                 function: FUNCTION.into(),
                 binding: FUNCTION.into(),
@@ -35,7 +35,7 @@
                 head: wire::to_bytes(&RequestHead::default()).into(),
                 body: Vec::new().into(),
             };
-            home.feed(HomeInput::Carry { from: ME, message });
+            home.feed(HomeInput::Forward { from: ME, message });
         }
         for output in std::mem::take(&mut home.others) {
             match output {
--- a/crates/traffic/tests/order.rs
+++ b/crates/traffic/tests/order.rs
@@ -7,10 +7,10 @@
 use common::supplied::{FUNCTION, Supplied, six_workers};
 use std::rc::Rc;
 use traffic::{HomeInput, HomeOutput, Verdict};
-use wire::{CarryMsg, RequestHead};
+use wire::{ForwardMessage, RequestHead};
 
-fn carry(home: &mut Supplied, task: u64, left_ms: u32) {
-    let message = CarryMsg::Carry {
+fn forward(home: &mut Supplied, task: u64, left_ms: u32) {
+    let message = ForwardMessage::ForwardUncounted {
         task,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
@@ -21,7 +21,7 @@
         head: wire::to_bytes(&RequestHead::default()).into(),
         body: task.to_le_bytes().to_vec().into(),
     };
-    home.feed(HomeInput::Carry { from: ME, message });
+    home.feed(HomeInput::Forward { from: ME, message });
 }
 
 /// The tasks sent since the last look, by the number in their body, and the order's own number.
@@ -46,13 +46,13 @@
     let nonce = home.starts[0].nonce.clone();
     home.accepted(&nonce, "i1");
     home.probed("i1", true);
-    carry(&mut home, 1, 4000);
+    forward(&mut home, 1, 4000);
     let mut last = sent(&mut home);
     assert_eq!(last.iter().map(|(task, _)| *task).collect::<Vec<_>>(), [1]);
-    carry(&mut home, 2, 4000);
+    forward(&mut home, 2, 4000);
     home.pass(1300);
-    carry(&mut home, 3, 4000);
-    carry(&mut home, 4, 2600);
+    forward(&mut home, 3, 4000);
+    forward(&mut home, 4, 2600);
     for expected in [4, 3, 2] {
         let verdict = Verdict::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
         home.feed(HomeInput::Dispatched { number: last[0].1, verdict });
--- a/crates/traffic/tests/recent_homes.rs
+++ b/crates/traffic/tests/recent_homes.rs
@@ -6,14 +6,14 @@
 use common::{ms, roster};
 use std::time::Duration;
 use traffic::{Budget, EarlierHomes, HomeInput, RosterHistory};
-use wire::{CarryMsg, HomeTable, SlotLine};
+use wire::{ForwardMessage, HomeTable, SlotLine};
 
 const SLACK: usize = 60;
 const BEFORE_ALL: u64 = 90;
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// A copy made before anything was spent, with room for a whole backlog.
-fn empty_copy(roster_number: u64) -> CarryMsg {
+fn empty_copy(roster_number: u64) -> ForwardMessage {
     let slot = |n: u32| SlotLine {
         instance: format!("i{n}").as_str().into(),
         address: format!("127.0.0.1:{n}").as_str().into(),
@@ -21,7 +21,7 @@
         busy: 0,
     };
     let slots: Vec<SlotLine> = (0..20).map(slot).collect();
-    CarryMsg::Table { table: HomeTable { kept: 1, slots: slots.into(), ..table(roster_number) } }
+    ForwardMessage::Table { table: HomeTable { kept: 1, slots: slots.into(), ..table(roster_number) } }
 }
 
 /// Each is home for a second, sends all that it may of a backlog in doubt, and is killed.
@@ -38,7 +38,7 @@
             before = next;
         }
         let at = 20_000 + id * 1000;
-        home.step(ms(at - 10), true, HomeInput::Carry { from: before, message: empty_copy(id) });
+        home.step(ms(at - 10), true, HomeInput::Forward { from: before, message: empty_copy(id) });
         home.step(ms(at), true, HomeInput::Roster { roster: roster(id + 1, &[id]) });
         let mut spent = sent(&read(&mut home, at + 1, &backlog));
         for later in (at + 40..at + 1000).step_by(40) {
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::deferred::{
-    FUNCTION, asked, carry, given, granted, home, home_of, listed, read, sent, stored, table, told,
+    FUNCTION, asked, forward, given, granted, home, home_of, listed, read, sent, stored, table, told,
 };
 use common::{ME, OTHER, ms, roster};
 use std::collections::BTreeSet;
 use traffic::{Home, HomeInput, HomeOutput, Verdict};
-use wire::{CarryMsg, HomeTable};
+use wire::{ForwardMessage, HomeTable};
 
 const BACKLOG: [u64; 6] = [1, 2, 3, 4, 5, 6];
 
@@ -84,7 +84,7 @@
 fn a_task_is_told_until_the_store_has_recorded_that_it_is_finished() {
     let mut home = after_a_crash(ME);
     read(&mut home, 20, &[]);
-    let outputs = home.step(ms(30), true, carry(7));
+    let outputs = home.step(ms(30), true, forward(7));
     let outputs = home.step(ms(31), true, granted(&outputs));
     let verdict = Verdict::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
     let number = order(&outputs).expect("sent");
@@ -108,7 +108,7 @@
     again.members = members.into();
     let outputs = keeper.step(ms(500), true, HomeInput::Roster { roster: again.into() });
     let handed = outputs.iter().find_map(|output| match output {
-        HomeOutput::Carry { to: OTHER, message: CarryMsg::Table { table } } if table.roster == 3 => Some(table),
+        HomeOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } } if table.roster == 3 => Some(table),
         _ => None,
     });
     assert_eq!(handed.expect("handed back").begun_whole, 0);
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use bindings::Book;
-use common::{ME, OTHER, carry, ms, reply, roster};
+use common::{ME, OTHER, forward, ms, reply, roster};
 use std::rc::Rc;
 use test_case::test_case;
 use traffic::{Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming, Verdict};
-use wire::{CarryMsg, HomeTable, Outcome, RequestHead, SlotLine};
+use wire::{ForwardMessage, HomeTable, Outcome, RequestHead, SlotLine};
 
 fn single(attempts: u32) -> Rc<Book> {
     let binding = format!(
@@ -17,7 +17,7 @@
     Rc::new(Book::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
 }
 
-/// A home with two instances, and the task that it was carried.
+/// A home with two instances, and the task that it was forwarded.
 fn home(attempts: u32) -> (Home, Vec<HomeOutput>) {
     let mut home = Home::new(ME, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::Book { book: single(attempts) });
@@ -27,9 +27,9 @@
         |id: &str| SlotLine { instance: id.into(), address: format!("127.0.0.1:{id}").into(), ready: 1, busy: 0 };
     let slots = vec![slot("1"), slot("2")].into();
     let table = HomeTable { function: "t/f".into(), roster: 2, slots, ..HomeTable::default() };
-    home.step(ms(1), true, HomeInput::Carry { from: OTHER, message: CarryMsg::Table { table } });
+    home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table } });
     let head = RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() };
-    let message = CarryMsg::Carry {
+    let message = ForwardMessage::ForwardUncounted {
         task: 7,
         function: "t/f".into(),
         binding: "t/f".into(),
@@ -40,7 +40,7 @@
         head: wire::to_bytes(&head).into(),
         body: Vec::new().into(),
     };
-    let outputs = home.step(ms(2), true, HomeInput::Carry { from: OTHER, message });
+    let outputs = home.step(ms(2), true, HomeInput::Forward { from: OTHER, message });
     (home, outputs)
 }
 
@@ -53,7 +53,7 @@
 
 fn told(outputs: &[HomeOutput]) -> Option<(Outcome, u16, u32)> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Carry { message: CarryMsg::Answer { outcome, status, again_ms, .. }, .. } => {
+        HomeOutput::Forward { message: ForwardMessage::Answer { outcome, status, again_ms, .. }, .. } => {
             Some((*outcome, *status, *again_ms))
         }
         _ => None,
@@ -126,20 +126,20 @@
 #[test_case(FrontInput::Roster { roster: roster(2, &[3]) }; "declared lost")]
 fn a_home_that_is_lost_may_have_run_it(lost: FrontInput) {
     let mut front = front();
-    let (task, _) = carry(&common::ask(&mut front, 5, true, "/t/f"));
+    let (task, _) = forward(&common::ask(&mut front, 5, true, "/t/f"));
     let outputs = front.step(ms(20), true, lost);
     assert_eq!(reply(&outputs).map(|reply| (reply.outcome, reply.status)), Some((Some(Outcome::Unknown), 504)));
-    let late = CarryMsg::NotHome { task };
-    assert!(front.step(ms(30), true, FrontInput::Carried { from: OTHER, message: late }).is_empty());
+    let late = ForwardMessage::NotHome { task };
+    assert!(front.step(ms(30), true, FrontInput::Forwarded { from: OTHER, message: late }).is_empty());
 }
 
 #[test]
 fn what_its_home_gives_back_is_carried_on() {
     let mut front = front();
-    let (task, _) = carry(&common::ask(&mut front, 5, true, "/t/f"));
-    front.step(ms(20), true, FrontInput::Carried { from: OTHER, message: CarryMsg::NotHome { task } });
+    let (task, _) = forward(&common::ask(&mut front, 5, true, "/t/f"));
+    front.step(ms(20), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::NotHome { task } });
     let outputs = front.step(ms(60), true, FrontInput::Tick);
-    assert!(matches!(outputs[..], [FrontOutput::Carry { .. }]), "{outputs:?}");
+    assert!(matches!(outputs[..], [FrontOutput::Forward { .. }]), "{outputs:?}");
 }
 
 #[test]
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -6,7 +6,7 @@
 use common::{ME, OTHER, roster};
 use supply::{InstanceState, StartReceipt, StopReceipt};
 use traffic::{DispatchOrder, HomeInput, HomeOutput, Verdict};
-use wire::{CarryMsg, RequestHead};
+use wire::{ForwardMessage, RequestHead};
 
 fn accepted_one() -> Supplied {
     let mut home = Supplied::new(1, six_workers());
@@ -95,9 +95,9 @@
     assert_eq!(home.count("ready"), 1);
 }
 
-fn task(number: u64) -> CarryMsg {
+fn task(number: u64) -> ForwardMessage {
     let head = RequestHead { method: "GET".into(), target: "/t/f".into(), headers: Vec::new().into() };
-    CarryMsg::Carry {
+    ForwardMessage::ForwardUncounted {
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
@@ -121,7 +121,7 @@
 fn one_that_refuses_a_connection_is_not_taken_back_unless_it_takes_one_again() {
     let mut home = accepted_one();
     home.probed("i1", true);
-    home.feed(HomeInput::Carry { from: OTHER, message: task(1) });
+    home.feed(HomeInput::Forward { from: OTHER, message: task(1) });
     let number = last_dispatch(&home).expect("a dispatch").number;
     home.feed(HomeInput::Dispatched { number, verdict: Verdict::NotSent });
     home.list(vec![line("i1", "w0", InstanceState::Running)]);
@@ -138,7 +138,7 @@
         let mut home = accepted_one();
         home.probed("i1", true);
         home.list(vec![line("i1", "w0", InstanceState::Running)]);
-        home.feed(HomeInput::Carry { from: OTHER, message: task(1) });
+        home.feed(HomeInput::Forward { from: OTHER, message: task(1) });
         let number = last_dispatch(&home).expect("a dispatch").number;
         home.feed(HomeInput::Dispatched { number, verdict: Verdict::NotSent });
         for _ in 0..6 {
@@ -171,12 +171,12 @@
     let nonce = home.starts[0].nonce.clone();
     home.feed(HomeInput::Roster { roster: roster(8, &[OTHER]) });
     let table = home.others.iter().find_map(|output| match output {
-        HomeOutput::Carry { message: CarryMsg::Table { table }, .. } if table.kept == 0 => Some(table.clone()),
+        HomeOutput::Forward { message: ForwardMessage::Table { table }, .. } if table.kept == 0 => Some(table.clone()),
         _ => None,
     });
     let mut next = Supplied::beside(OTHER, 1, six_workers());
     next.feed(HomeInput::Roster { roster: roster(8, &[ME]) });
-    next.feed(HomeInput::Carry { from: OTHER, message: CarryMsg::Table { table: table.expect("a table") } });
+    next.feed(HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table: table.expect("a table") } });
     next.pass(300);
     let nonces: Vec<&str> = next.starts.iter().map(|order| order.nonce.as_str()).collect();
     assert_eq!(nonces, [nonce.as_str()]);
--- a/crates/traffic/tests/watching.rs
+++ b/crates/traffic/tests/watching.rs
@@ -2,20 +2,23 @@
 
 mod common;
 
-use common::{ME, OTHER, ask, book, carry, front, ms, roster};
+use common::{ME, OTHER, ask, book, forward, front, ms, roster};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
-use wire::CarryMsg;
+use wire::ForwardMessage;
 
 fn beaten(outputs: &[HomeOutput]) -> Vec<u64> {
     let to = |output: &HomeOutput| match output {
-        HomeOutput::Carry { to, message: CarryMsg::Beat } => Some(*to),
+        HomeOutput::Forward { to, message: ForwardMessage::Beat } => Some(*to),
         _ => None,
     };
     outputs.iter().filter_map(to).collect()
 }
 
 fn watches(outputs: &[FrontOutput]) -> usize {
-    outputs.iter().filter(|output| matches!(output, FrontOutput::Carry { message: CarryMsg::Watch, .. })).count()
+    outputs
+        .iter()
+        .filter(|output| matches!(output, FrontOutput::Forward { message: ForwardMessage::Watch, .. }))
+        .count()
 }
 
 fn unlinked() -> traffic::Front {
@@ -33,13 +36,15 @@
     let homes = roster(1, &[OTHER]);
     home.step(ms(0), true, HomeInput::Roster { roster: homes });
     assert!(beaten(&home.step(ms(200), true, HomeInput::Tick)).is_empty());
-    assert_eq!(beaten(&home.step(ms(210), true, HomeInput::Carry { from: 3, message: CarryMsg::Watch })), [3]);
-    assert!(beaten(&home.step(ms(215), false, HomeInput::Carry { from: 3, message: CarryMsg::Watch })).is_empty());
-    let (_, message) = carry(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
-    home.step(ms(220), true, HomeInput::Carry { from: 4, message });
+    assert_eq!(beaten(&home.step(ms(210), true, HomeInput::Forward { from: 3, message: ForwardMessage::Watch })), [3]);
+    assert!(
+        beaten(&home.step(ms(215), false, HomeInput::Forward { from: 3, message: ForwardMessage::Watch })).is_empty()
+    );
+    let (_, message) = forward(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
+    home.step(ms(220), true, HomeInput::Forward { from: 4, message });
     assert_eq!(beaten(&home.step(ms(400), true, HomeInput::Tick)), [4]);
     assert!(beaten(&home.step(ms(600), false, HomeInput::Tick)).is_empty(), "without a proof");
-    let answered = |o: &HomeOutput| matches!(o, HomeOutput::Carry { message: CarryMsg::Answer { .. }, .. });
+    let answered = |o: &HomeOutput| matches!(o, HomeOutput::Forward { message: ForwardMessage::Answer { .. }, .. });
     let given_up = (7..80).map(|n| home.step(ms(n * 100), true, HomeInput::Tick)).any(|o| o.iter().any(answered));
     assert!(given_up && beaten(&home.step(ms(8100), true, HomeInput::Tick)).is_empty(), "nothing is open");
 }
@@ -49,28 +54,30 @@
     let mut front = unlinked();
     assert_eq!(watches(&ask(&mut front, 5, true, "/t/f")), 1);
     assert_eq!(watches(&ask(&mut front, 6, true, "/t/f")), 0, "asked just now");
-    let carried = front.step(ms(9), true, FrontInput::Link { id: OTHER, up: true });
-    assert_eq!(carried.len(), 2);
-    assert!(carried.iter().all(|o| matches!(o, FrontOutput::Carry { message: CarryMsg::Forward { .. }, .. })));
+    let forwarded = front.step(ms(9), true, FrontInput::Link { id: OTHER, up: true });
+    assert_eq!(forwarded.len(), 2);
+    assert!(
+        forwarded.iter().all(|o| matches!(o, FrontOutput::Forward { message: ForwardMessage::Forward { .. }, .. }))
+    );
 }
 
 #[test]
 fn a_home_is_good_until_it_was_silent_after_a_carry() {
     let mut front = front(1, OTHER);
-    carry(&ask(&mut front, 60_000, true, "/t/f"));
-    carry(&ask(&mut front, 60_300, true, "/t/f"));
+    forward(&ask(&mut front, 60_000, true, "/t/f"));
+    forward(&ask(&mut front, 60_300, true, "/t/f"));
     assert_eq!(watches(&ask(&mut front, 60_400, true, "/t/f")), 1);
     for at in [62_000, 65_000] {
         let outputs = ask(&mut front, at, true, "/t/f");
         assert!(
             outputs
                 .iter()
-                .all(|output| !matches!(output, FrontOutput::Carry { message: CarryMsg::Forward { .. }, .. })),
+                .all(|output| !matches!(output, FrontOutput::Forward { message: ForwardMessage::Forward { .. }, .. })),
             "silent until heard"
         );
     }
-    front.step(ms(65_100), true, FrontInput::Carried { from: OTHER, message: CarryMsg::Beat });
-    carry(&ask(&mut front, 65_200, true, "/t/f"));
-    front.step(ms(65_300), true, FrontInput::Carried { from: OTHER, message: CarryMsg::Beat });
-    carry(&ask(&mut front, 80_000, true, "/t/f"));
+    front.step(ms(65_100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Beat });
+    forward(&ask(&mut front, 65_200, true, "/t/f"));
+    front.step(ms(65_300), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Beat });
+    forward(&ask(&mut front, 80_000, true, "/t/f"));
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -2,7 +2,7 @@
 //! another format, a bad checksum or too great a length is a fault, after which the connection
 //! is of no more use.
 
-use crate::{CarryMsg, ChainMsg, HoldMsg, NodeId, PlanMsg, Text, from_bytes, to_bytes};
+use crate::{ChainMsg, ForwardMessage, HoldMsg, NodeId, PlanMsg, Text, from_bytes, to_bytes};
 use deku::prelude::*;
 use derive_more::{Display, Error, From};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -24,7 +24,7 @@
     #[deku(id = "2")]
     Hold(HoldMsg),
     #[deku(id = "3")]
-    Carry(CarryMsg),
+    Forward(ForwardMessage),
     #[deku(id = "4")]
     Plan(PlanMsg),
     #[deku(id = "5")]
--- a/crates/wire/src/carry.rs
+++ b/crates/wire/src/forward.rs
@@ -1,4 +1,4 @@
-//! What routers say to each other about tasks: carrying one to its function's home, the whole
+//! What routers say to each other about tasks: forwarding one to its function's home, the whole
 //! answer on the way back, and the table a leaving home hands to its successor.
 
 use crate::{Blob, List, Text};
@@ -145,9 +145,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
-pub enum CarryMsg {
+pub enum ForwardMessage {
     #[deku(id = "1")]
-    Carry {
+    ForwardUncounted {
         task: u64,
         function: Text,
         binding: Text,
@@ -159,7 +159,7 @@
         body: Blob,
     },
     #[deku(id = "2")]
-    Carried { task: u64, outcome: Outcome, status: u16, retry_after: u32, head: Blob, body: Blob },
+    AnswerInSeconds { task: u64, outcome: Outcome, status: u16, retry_after: u32, head: Blob, body: Blob },
     #[deku(id = "3")]
     NotHome { task: u64 },
     #[deku(id = "4")]
@@ -170,7 +170,7 @@
     Beat,
     #[deku(id = "7")]
     Table { table: HomeTable },
-    /// `Carried` with the time to come back in milliseconds.
+    /// `AnswerInSeconds` with the time to come back in milliseconds.
     #[deku(id = "8")]
     Answer { task: u64, outcome: Outcome, status: u16, again_ms: u32, head: Blob, body: Blob },
     /// Asks a home to beat.
@@ -181,7 +181,7 @@
     /// Asks for the inventory whole.
     #[deku(id = "11")]
     InventoryAsk,
-    /// `Carry` with the attempts that the front grants.
+    /// `ForwardUncounted` with the attempts that the front grants.
     #[deku(id = "12")]
     Forward { request: Box<ForwardRequest> },
     /// A home asks a front for so many attempts in all at what was forwarded under this number.
@@ -195,25 +195,35 @@
     Returned { task: u64, attempts: u32 },
 }
 
-impl CarryMsg {
+impl ForwardMessage {
     /// Whether it is meant for the receiver's home; if not, it answers the receiver's front.
     pub fn is_for_home(&self) -> bool {
         !matches!(
             self,
-            CarryMsg::Answer { .. }
-                | CarryMsg::Carried { .. }
-                | CarryMsg::NotHome { .. }
-                | CarryMsg::Returned { .. }
-                | CarryMsg::AttemptAsk { .. }
-                | CarryMsg::Beat
+            ForwardMessage::Answer { .. }
+                | ForwardMessage::AnswerInSeconds { .. }
+                | ForwardMessage::NotHome { .. }
+                | ForwardMessage::Returned { .. }
+                | ForwardMessage::AttemptAsk { .. }
+                | ForwardMessage::Beat
         )
     }
 
     /// The request that is forwarded, if one is, by a front that counts its attempts or by an older one.
     pub fn into_forwarded(self) -> Option<ForwardRequest> {
         match self {
-            CarryMsg::Forward { request } => Some(*request),
-            CarryMsg::Carry { task, function, binding, left_ms, tries, respond_async, key, head, body } => {
+            ForwardMessage::Forward { request } => Some(*request),
+            ForwardMessage::ForwardUncounted {
+                task,
+                function,
+                binding,
+                left_ms,
+                tries,
+                respond_async,
+                key,
+                head,
+                body,
+            } => {
                 let attempts = ForwardRequest::UNCOUNTED;
                 let request = ForwardRequest {
                     task,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -2,9 +2,9 @@
 //! a checksum, a format number, the cluster's name and the sender's identity. Every list and
 //! byte string inside a frame is bounded before anything is allocated for it.
 
-mod carry;
 mod chain;
 mod codec;
+mod forward;
 mod hold;
 mod ledger;
 mod packed;
@@ -12,14 +12,14 @@
 mod plan;
 mod spoken;
 
-pub use carry::{
-    AnswerHead, CarryMsg, ForwardRequest, HeaderLine, HomeTable, InventoryChange, Outcome, RequestHead, SlotLine,
-    StockLine, StoredAnswer, StoredTask, WorkerRecord,
-};
 pub use chain::{ChainMsg, EntryLine, OpNo, PairLine, Seat, View};
 pub use codec::{
     ATTEMPTS, CAPACITY, FORMAT, Frame, FrameFault, LIMIT, Message, OLDEST, decode, encode, read_frame, write_frame,
 };
+pub use forward::{
+    AnswerHead, ForwardMessage, ForwardRequest, HeaderLine, HomeTable, InventoryChange, Outcome, RequestHead, SlotLine,
+    StockLine, StoredAnswer, StoredTask, WorkerRecord,
+};
 pub use hold::{HoldMsg, ItemLine, ProofAge, StepLine};
 pub use ledger::{Capacity, ClaimRecord, ClaimState, Command, DeferredRecord, OpRecord, Receipt};
 pub use packed::{Packed, pack, unpack};
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -11,21 +11,23 @@
 //! voter's report on when it last answered the tail of the view before, and what that tail tells the next of the proofs it granted.
 
 use crate::codec::ATTEMPTS;
-use crate::{CarryMsg, ChainMsg, ForwardRequest, HoldMsg, Message, PlanMsg, Text};
+use crate::{ChainMsg, ForwardMessage, ForwardRequest, HoldMsg, Message, PlanMsg, Text};
 
 pub fn spoken(message: Message, format: u16) -> Option<Message> {
     let message = match message {
         message if format >= ATTEMPTS => return Some(message),
-        Message::Carry(CarryMsg::Forward { request }) => Message::Carry(uncounted(*request)),
-        Message::Carry(CarryMsg::Returned { task, .. }) => Message::Carry(CarryMsg::NotHome { task }),
-        Message::Carry(CarryMsg::AttemptAsk { .. } | CarryMsg::AttemptGrant { .. }) => return None,
+        Message::Forward(ForwardMessage::Forward { request }) => Message::Forward(uncounted(*request)),
+        Message::Forward(ForwardMessage::Returned { task, .. }) => Message::Forward(ForwardMessage::NotHome { task }),
+        Message::Forward(ForwardMessage::AttemptAsk { .. } | ForwardMessage::AttemptGrant { .. }) => return None,
         Message::Chain(ChainMsg::LastAnswered { .. }) | Message::Hold(HoldMsg::Proofs { .. }) => return None,
         message => message,
     };
     let message = match message {
         message if format >= 4 => return Some(message),
         Message::Hold(HoldMsg::Enrol { address, zone, ops, .. }) => Message::Hold(HoldMsg::Join { address, zone, ops }),
-        Message::Carry(CarryMsg::Watch | CarryMsg::Inventory { .. } | CarryMsg::InventoryAsk) => return None,
+        Message::Forward(ForwardMessage::Watch | ForwardMessage::Inventory { .. } | ForwardMessage::InventoryAsk) => {
+            return None;
+        }
         Message::Hold(HoldMsg::PartAsk { ask, whole, offset: 0, .. }) if whole != 0 => {
             Message::Hold(HoldMsg::FetchAll { ask, from: Text::default() })
         }
@@ -40,9 +42,9 @@
     };
     let message = match message {
         message if format >= 3 => return Some(message),
-        Message::Carry(CarryMsg::Answer { task, outcome, status, again_ms, head, body }) => {
+        Message::Forward(ForwardMessage::Answer { task, outcome, status, again_ms, head, body }) => {
             let retry_after = again_ms.div_ceil(1000);
-            Message::Carry(CarryMsg::Carried { task, outcome, status, retry_after, head, body })
+            Message::Forward(ForwardMessage::AnswerInSeconds { task, outcome, status, retry_after, head, body })
         }
         other => other,
     };
@@ -52,9 +54,9 @@
         Message::Hold(HoldMsg::Leaving) => Some(Message::Hold(HoldMsg::Leave { successor: 0 })),
         Message::Chain(ChainMsg::SuffixAsk { .. }) => Some(Message::Chain(ChainMsg::CopyAsk { copy: 0, piece: 0 })),
         Message::Plan(PlanMsg::Measures { .. } | PlanMsg::Tuned { .. }) => None,
-        Message::Carry(CarryMsg::Beat) => None,
-        Message::Carry(CarryMsg::Table { table }) if table.kept != 0 => None,
-        Message::Carry(CarryMsg::Table { table }) => Some(Message::Carry(CarryMsg::Handover {
+        Message::Forward(ForwardMessage::Beat) => None,
+        Message::Forward(ForwardMessage::Table { table }) if table.kept != 0 => None,
+        Message::Forward(ForwardMessage::Table { table }) => Some(Message::Forward(ForwardMessage::Handover {
             function: table.function,
             roster: table.roster,
             slots: table.slots,
@@ -66,9 +68,9 @@
 }
 
 /// A forward as it was told before fronts granted attempts.
-fn uncounted(request: ForwardRequest) -> CarryMsg {
+fn uncounted(request: ForwardRequest) -> ForwardMessage {
     let ForwardRequest { task, function, binding, left_ms, tries, respond_async, key, head, body, .. } = request;
-    CarryMsg::Carry { task, function, binding, left_ms, tries, respond_async, key, head, body }
+    ForwardMessage::ForwardUncounted { task, function, binding, left_ms, tries, respond_async, key, head, body }
 }
 
 #[cfg(test)]
@@ -79,13 +81,13 @@
     #[test]
     fn format_one_hears_only_its_own_words() {
         let old = |message| spoken(message, 1);
-        assert_eq!(old(Message::Carry(CarryMsg::Beat)), None);
+        assert_eq!(old(Message::Forward(ForwardMessage::Beat)), None);
         let table = HomeTable { function: "t/f".into(), roster: 4, requests: 9, turned: 3, ..HomeTable::default() };
         let kept = HomeTable { kept: 1, ..table.clone() };
-        assert_eq!(old(Message::Carry(CarryMsg::Table { table: kept })), None);
-        let handed = old(Message::Carry(CarryMsg::Table { table: table.clone() }));
+        assert_eq!(old(Message::Forward(ForwardMessage::Table { table: kept })), None);
+        let handed = old(Message::Forward(ForwardMessage::Table { table: table.clone() }));
         assert!(
-            matches!(handed, Some(Message::Carry(CarryMsg::Handover { roster: 4, requests: 9, .. }))),
+            matches!(handed, Some(Message::Forward(ForwardMessage::Handover { roster: 4, requests: 9, .. }))),
             "{handed:?}"
         );
         let seats = Message::Hold(HoldMsg::Seats { seats: vec!["a:1".into()].into() });
@@ -96,7 +98,7 @@
 
     #[test]
     fn formats_before_five_hear_of_no_granted_attempts() {
-        let carry = CarryMsg::Carry {
+        let forward = ForwardMessage::ForwardUncounted {
             task: 9,
             function: "t/f".into(),
             binding: "t/b".into(),
@@ -107,16 +109,16 @@
             head: vec![1].into(),
             body: vec![2].into(),
         };
-        let request = carry.clone().into_forwarded().expect("a forward");
+        let request = forward.clone().into_forwarded().expect("a forward");
         assert_eq!(request.attempts, ForwardRequest::UNCOUNTED);
-        let counted = CarryMsg::Forward { request: Box::new(ForwardRequest { attempts: 1, ..request }) };
-        let heard = |message: CarryMsg, format| spoken(Message::Carry(message), format);
-        assert_eq!(heard(counted.clone(), 4), Some(Message::Carry(carry)));
-        assert_eq!(heard(counted.clone(), 5), Some(Message::Carry(counted)));
-        let not_home = Some(Message::Carry(CarryMsg::NotHome { task: 9 }));
-        assert_eq!(heard(CarryMsg::Returned { task: 9, attempts: 1 }, 4), not_home);
-        assert_eq!(heard(CarryMsg::AttemptAsk { task: 9, attempts: 2 }, 4), None);
-        assert_eq!(heard(CarryMsg::AttemptGrant { task: 9, attempts: 2 }, 4), None);
+        let counted = ForwardMessage::Forward { request: Box::new(ForwardRequest { attempts: 1, ..request }) };
+        let heard = |message: ForwardMessage, format| spoken(Message::Forward(message), format);
+        assert_eq!(heard(counted.clone(), 4), Some(Message::Forward(forward)));
+        assert_eq!(heard(counted.clone(), 5), Some(Message::Forward(counted)));
+        let not_home = Some(Message::Forward(ForwardMessage::NotHome { task: 9 }));
+        assert_eq!(heard(ForwardMessage::Returned { task: 9, attempts: 1 }, 4), not_home);
+        assert_eq!(heard(ForwardMessage::AttemptAsk { task: 9, attempts: 2 }, 4), None);
+        assert_eq!(heard(ForwardMessage::AttemptGrant { task: 9, attempts: 2 }, 4), None);
     }
 
     #[test]
@@ -129,12 +131,16 @@
     #[test]
     fn formats_before_three_hear_the_time_to_come_back_in_whole_seconds() {
         let (head, body) = (Blob::default(), Blob::default());
-        let message = CarryMsg::Answer { task: 1, outcome: Outcome::NotRun, status: 503, again_ms: 1001, head, body };
-        let answer = Message::Carry(message);
+        let message =
+            ForwardMessage::Answer { task: 1, outcome: Outcome::NotRun, status: 503, again_ms: 1001, head, body };
+        let answer = Message::Forward(message);
         for format in [1, 2] {
             let heard = spoken(answer.clone(), format);
             assert!(
-                matches!(heard, Some(Message::Carry(CarryMsg::Carried { task: 1, retry_after: 2, .. }))),
+                matches!(
+                    heard,
+                    Some(Message::Forward(ForwardMessage::AnswerInSeconds { task: 1, retry_after: 2, .. }))
+                ),
                 "{heard:?}"
             );
         }
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -3,8 +3,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wire::{
-    CarryMsg, ChainMsg, EntryLine, FORMAT, ForwardRequest, Frame, HoldMsg, ItemLine, Message, OpNo, PlanMsg, Seat,
-    StepLine, View, decode, encode, from_bytes, to_bytes,
+    ChainMsg, EntryLine, FORMAT, ForwardMessage, ForwardRequest, Frame, HoldMsg, ItemLine, Message, OpNo, PlanMsg,
+    Seat, StepLine, View, decode, encode, from_bytes, to_bytes,
 };
 
 fn forward() -> ForwardRequest {
@@ -38,9 +38,9 @@
         Message::Chain(ChainMsg::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
         Message::Hold(HoldMsg::Stage { step }),
         Message::Hold(HoldMsg::ReadReceipt { ask: 1, state: 1, items: vec![item].into() }),
-        Message::Carry(CarryMsg::NotHome { task: 5 }),
-        Message::Carry(CarryMsg::Forward { request: Box::new(forward()) }),
-        Message::Carry(CarryMsg::AttemptGrant { task: 5, attempts: 2 }),
+        Message::Forward(ForwardMessage::NotHome { task: 5 }),
+        Message::Forward(ForwardMessage::Forward { request: Box::new(forward()) }),
+        Message::Forward(ForwardMessage::AttemptGrant { task: 5, attempts: 2 }),
         Message::Plan(PlanMsg::Receipt { ask: 1, fence: 2, state: 1, step_ms: 15_000, desired: vec![1, 2, 3].into() }),
     ]
 }
