--- a/crates/hollow/src/offline_home.rs
+++ b/crates/hollow/src/offline_home.rs
@@ -1,4 +1,4 @@
-//! A home alone: its tick against open desks, and the platform's list against instances.
+//! A home alone: its tick against open schedulers, and the platform's list against instances.
 
 use crate::line::Order;
 use crate::offline::{resident_mb, roster, timed};
@@ -38,8 +38,8 @@
 }
 
 pub fn passes(order: &Order) -> Value {
-    let desks = order.functions[0];
-    let workload = |awake: usize| Workload { functions: desks, awake, instances: awake * 2 };
+    let schedulers = order.functions[0];
+    let workload = |awake: usize| Workload { functions: schedulers, awake, instances: awake * 2 };
     let before = resident_mb();
     let (mut asleep, from) = open(&workload(0), 1);
     let held = resident_mb() - before;
@@ -51,24 +51,24 @@
         begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
     };
     let all_asleep = tick(&mut asleep, from);
-    let (mut awake, from) = open(&workload(desks), 1);
+    let (mut awake, from) = open(&workload(schedulers), 1);
     let all_awake = tick(&mut awake, from);
     json!({
         "tick us, all asleep": round(all_asleep), "tick us, all awake": round(all_awake),
         "cores, all asleep": round(all_asleep / TICK.as_micros() as f64),
         "cores, all awake": round(all_awake / TICK.as_micros() as f64), "home asleep MB": round(held),
-        "sample bytes a desk": sample_bytes(&mut asleep, from, desks),
+        "sample bytes a desk": sample_bytes(&mut asleep, from, schedulers),
     })
 }
 
-/// The bytes of one round of samples, shared by the desks they tell of.
-fn sample_bytes(home: &mut Home, from: Duration, desks: usize) -> f64 {
+/// The bytes of one round of samples, shared by the schedulers they tell of.
+fn sample_bytes(home: &mut Home, from: Duration, schedulers: usize) -> f64 {
     let outputs = home.step(from + Duration::from_secs(60), true, HomeInput::Tick);
     let told = outputs.into_iter().find_map(|output| match output {
         traffic::HomeOutput::Samples { lines } => Some(PlanMsg::Samples { lines: lines.into() }),
         _ => None,
     });
-    told.map_or(0.0, |message| round(wire::to_bytes(&Message::Plan(message)).len() as f64 / desks as f64))
+    told.map_or(0.0, |message| round(wire::to_bytes(&Message::Plan(message)).len() as f64 / schedulers as f64))
 }
 
 /// One reading of the list by one router of the target: its bytes, its parsing, and its taking in by a
--- a/crates/traffic/src/estimate.rs
+++ b/crates/traffic/src/estimate.rs
@@ -1,11 +1,11 @@
-//! How long a task will have to wait at a desk, by what answers have taken, the slots that are free or
+//! How long a task will have to wait at a scheduler, by what answers have taken, the slots that are free or
 //! come free, and the instances that are starting.
 
-use crate::desk::Desk;
+use crate::function_scheduler::FunctionScheduler;
 use crate::instance::{Instance, Phase};
 use std::time::Duration;
 
-impl Desk {
+impl FunctionScheduler {
     /// Until a task behind so many others can go. By then the slots in use come free at the rate of
     /// answers, and those of instances that start are free from when they have started.
     pub fn expected_wait(&self, now: Duration, ahead: usize) -> Duration {
--- a/crates/traffic/src/estimate_tests.rs
+++ b/crates/traffic/src/estimate_tests.rs
@@ -9,20 +9,21 @@
 const NOW: Duration = Duration::from_secs(100);
 
 /// Two slots an instance, half a second an answer, a second a start.
-fn desk(ready: u32, busy: u32, starting: u32) -> Desk {
+fn scheduler(ready: u32, busy: u32, starting: u32) -> FunctionScheduler {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","instance_limit":2}"#;
     let book = Book::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
-    let mut desk = Desk::new(NOW, book.function("t/f").expect("bound").clone(), 1, &Allowances::default());
-    desk.took(Duration::from_millis(500));
+    let mut scheduler =
+        FunctionScheduler::new(NOW, book.function("t/f").expect("bound").clone(), 1, &Allowances::default());
+    scheduler.took(Duration::from_millis(500));
     for number in 0..ready + starting {
         let mut instance = Instance::new(NOW - Duration::from_millis(400), "127.0.0.1:1");
         if number < ready {
             instance.take(InstanceEvent::Ready);
             instance.busy = busy;
         }
-        desk.instances.insert(number.to_string(), instance);
+        scheduler.instances.insert(number.to_string(), instance);
     }
-    desk
+    scheduler
 }
 
 #[test_case(1, 1, 0, 0 => 0; "a slot is free")]
@@ -33,5 +34,5 @@
 #[test_case(0, 0, 0, 0 => 1000; "none is there yet")]
 #[test_case(1, 2, 1, 7 => 1050; "some come free and some start")]
 fn a_wait_is_expected(ready: u32, busy: u32, starting: u32, ahead: usize) -> u128 {
-    desk(ready, busy, starting).expected_wait(NOW, ahead).as_millis()
+    scheduler(ready, busy, starting).expected_wait(NOW, ahead).as_millis()
 }
--- a/crates/traffic/src/desk.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -15,7 +15,7 @@
 const GROW: Duration = Duration::from_secs(1);
 const GROW_CALM: Duration = Duration::from_millis(200);
 
-pub struct Desk {
+pub struct FunctionScheduler {
     pub function: Function,
     pub held: VecDeque<u64>,
     pub instances: BTreeMap<String, Instance>,
@@ -57,9 +57,9 @@
     pub usage_sum: f64,
 }
 
-impl Desk {
-    pub fn new(now: Duration, function: Function, roster: u64, allowances: &Allowances) -> Desk {
-        Desk {
+impl FunctionScheduler {
+    pub fn new(now: Duration, function: Function, roster: u64, allowances: &Allowances) -> FunctionScheduler {
+        FunctionScheduler {
             function,
             held: VecDeque::new(),
             instances: BTreeMap::new(),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether anything is, was lately or should be going on here; a desk asleep costs nothing.
+    /// Whether anything is, was lately or should be going on here; a scheduler asleep costs nothing.
     pub fn is_awake(&self) -> bool {
         let wanted = self.function.fixed.unwrap_or(self.function.min) > 0 || self.desired > 0;
         wanted || !self.held.is_empty() || !self.instances.is_empty() || self.in_flight > 0 || self.arrivals > 0
--- a/crates/traffic/src/giving_up.rs
+++ b/crates/traffic/src/giving_up.rs
@@ -20,8 +20,8 @@
 impl Home {
     /// A held task without the time its answer takes is given up now, not sent in vain.
     fn least_time(&self, task: &HomeTask) -> Duration {
-        match (&task.place, self.desks.get(&task.function)) {
-            (Place::Held, Some(desk)) => desk.least_time(),
+        match (&task.place, self.schedulers.get(&task.function)) {
+            (Place::Held, Some(scheduler)) => scheduler.least_time(),
             _ => Duration::ZERO,
         }
     }
@@ -70,8 +70,8 @@
     /// Gives a task that did not run back to its front, which finds its home anew.
     pub(crate) fn send_back(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        if let Some(desk) = self.desks.get_mut(&task.function) {
-            desk.held.retain(|held| *held != number);
+        if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
+            scheduler.held.retain(|held| *held != number);
         }
         if task.class == Class::Once && task.claim != 0 {
             task.place = Place::Releasing;
--- a/crates/traffic/src/giving_way.rs
+++ b/crates/traffic/src/giving_way.rs
@@ -22,11 +22,11 @@
 
 impl Home {
     pub(crate) fn ask_to_give_way(&mut self, name: &str) {
-        let Some(desk) = self.desks.get(name) else { return };
-        if desk.held.is_empty() {
+        let Some(scheduler) = self.schedulers.get(name) else { return };
+        if scheduler.held.is_empty() {
             return;
         }
-        let memory_mb = desk.function.memory_mb;
+        let memory_mb = scheduler.function.memory_mb;
         for to in self.roster.homes() {
             let message = ForwardMessage::GiveWay { function: name.into(), memory_mb };
             self.outs.push(HomeOutput::Forward { to, message });
@@ -57,8 +57,11 @@
         }
         let of_it = self.listed.iter().filter(|(name, _)| tenant_of(name) == *most_tenant);
         let (name, _) = of_it.max_by_key(|(name, count)| (**count, *name))?;
-        let desk = self.desks.get(name).filter(|desk| desk.leaving.is_none() && desk.count(Phase::Ready) > 1)?;
-        let ready = desk.instances.iter().filter(|(_, instance)| instance.phase() == Phase::Ready);
+        let scheduler = self
+            .schedulers
+            .get(name)
+            .filter(|scheduler| scheduler.leaving.is_none() && scheduler.count(Phase::Ready) > 1)?;
+        let ready = scheduler.instances.iter().filter(|(_, instance)| instance.phase() == Phase::Ready);
         ready.min_by_key(|(_, instance)| instance.busy).map(|(id, _)| (name.clone(), id.clone()))
     }
 
@@ -71,26 +74,32 @@
             return;
         }
         let (per_tenant, grows) = (self.per_tenant(), self.has_some(asking));
-        let idle = self.desks.iter().filter(|(name, desk)| {
-            let spare = desk.count(Phase::Ready) > desk.function.fixed.unwrap_or(desk.function.min);
-            let last = desk.count(Phase::Ready) < 2;
-            name.as_str() != asking && desk.held.is_empty() && desk.leaving.is_none() && spare && !(grows && last)
+        let idle = self.schedulers.iter().filter(|(name, scheduler)| {
+            let spare = scheduler.count(Phase::Ready) > scheduler.function.fixed.unwrap_or(scheduler.function.min);
+            let last = scheduler.count(Phase::Ready) < 2;
+            name.as_str() != asking
+                && scheduler.held.is_empty()
+                && scheduler.leaving.is_none()
+                && spare
+                && !(grows && last)
         });
         let selected = idle
-            .flat_map(|(name, desk)| desk.instances.iter().map(move |(id, instance)| (name, desk, id, instance)))
+            .flat_map(|(name, scheduler)| {
+                scheduler.instances.iter().map(move |(id, instance)| (name, scheduler, id, instance))
+            })
             .filter(|(_, _, _, instance)| instance.phase() == Phase::Ready && instance.busy == 0)
             .filter(|(_, _, _, instance)| now > instance.used + IDLE)
-            .min_by_key(|(_, desk, id, instance)| {
-                let share = per_tenant.get(desk.function.tenant.as_str()).copied().unwrap_or_default();
-                (desk.count(Phase::Ready) < 2, std::cmp::Reverse(share), instance.used, (*id).clone())
+            .min_by_key(|(_, scheduler, id, instance)| {
+                let share = per_tenant.get(scheduler.function.tenant.as_str()).copied().unwrap_or_default();
+                (scheduler.count(Phase::Ready) < 2, std::cmp::Reverse(share), instance.used, (*id).clone())
             })
             .map(|(name, _, id, _)| (name.clone(), id.clone()));
         let Some((name, id)) = selected.or_else(|| self.busy_beyond_its_share(asking)) else { return };
         self.gave_way = now;
-        if let Some(desk) = self.desks.get_mut(&name) {
-            desk.holds_back = now + HOLDS_BACK;
-            desk.refused_until = now + if desk.held.is_empty() { NO_GROWTH } else { REST };
-            if let Some(instance) = desk.instances.get_mut(&id) {
+        if let Some(scheduler) = self.schedulers.get_mut(&name) {
+            scheduler.holds_back = now + HOLDS_BACK;
+            scheduler.refused_until = now + if scheduler.held.is_empty() { NO_GROWTH } else { REST };
+            if let Some(instance) = scheduler.instances.get_mut(&id) {
                 instance.take(InstanceEvent::Drain);
             }
         }
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -1,8 +1,8 @@
-//! Homes moving: a desk opened for a function gained, waiting for the old home's table or, after
-//! a crash without one kept here, for the platform's list and a pause; and a desk closing for a
+//! Homes moving: a scheduler opened for a function gained, waiting for the old home's table or, after
+//! a crash without one kept here, for the platform's list and a pause; and a scheduler closing for a
 //! function lost, which hands its table over, gives back what was never dispatched and finishes what was.
 
-use crate::desk::Desk;
+use crate::function_scheduler::FunctionScheduler;
 use crate::home::Home;
 use crate::home_types::{HomeOutput, HomeTask, Ledger, Place};
 use bindings::Book;
@@ -15,8 +15,8 @@
 const FOREIGN_ON_CRASH: Duration = Duration::from_millis(400);
 
 impl Home {
-    /// Opens and closes desks so that they are those of the book's functions homed here.
-    pub(crate) fn align_desks(&mut self) {
+    /// Opens and closes schedulers so that they are those of the book's functions homed here.
+    pub(crate) fn align_schedulers(&mut self) {
         let Some(book) = self.book.clone() else { return };
         if self.roster.number == 0 {
             return;
@@ -25,22 +25,23 @@
         let mut begun_anew = Vec::new();
         for function in book.functions() {
             let mine = self.is_home(&function.name);
-            match self.desks.get_mut(&function.name) {
-                Some(desk) => {
-                    desk.function = function.clone();
-                    if mine && desk.leaving.is_some() {
-                        (desk.leaving, desk.taken) = (None, self.roster.number);
-                        desk.begin_anew(now);
+            match self.schedulers.get_mut(&function.name) {
+                Some(scheduler) => {
+                    scheduler.function = function.clone();
+                    if mine && scheduler.leaving.is_some() {
+                        (scheduler.leaving, scheduler.taken) = (None, self.roster.number);
+                        scheduler.begin_anew(now);
                         let earlier = self.history.earlier_homes(now, &function.name);
-                        desk.budget.set_earlier_homes(earlier);
+                        scheduler.budget.set_earlier_homes(earlier);
                         begun_anew.push(function.name.clone());
                     }
                 }
                 None if mine => {
                     event!(home_taken, "{}", function.name);
-                    let mut desk = Desk::new(now, function.clone(), self.roster.number, &self.timing.allowances);
-                    desk.budget.set_earlier_homes(self.history.earlier_homes(now, &function.name));
-                    self.desks.insert(function.name.clone(), desk);
+                    let mut scheduler =
+                        FunctionScheduler::new(now, function.clone(), self.roster.number, &self.timing.allowances);
+                    scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, &function.name));
+                    self.schedulers.insert(function.name.clone(), scheduler);
                     self.take_kept(&function.name);
                     begun_anew.push(function.name.clone());
                 }
@@ -49,20 +50,20 @@
         }
         // What the store listed before another home was home is outdated.
         self.asks.retain(|_, ask| ask.kind != Ledger::Deferred || !begun_anew.contains(&ask.function));
-        let names: Vec<String> = self.desks.keys().cloned().collect();
+        let names: Vec<String> = self.schedulers.keys().cloned().collect();
         for name in names {
             let next = self.roster.home(&name).filter(|home| *home != self.me);
             let bound = book.function(&name).is_some();
-            let Some(desk) = self.desks.get_mut(&name) else { continue };
+            let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
             match next {
-                Some(next) if desk.leaving.is_none_or(|(known, _)| known != next) => {
-                    desk.leaving = Some((next, now));
-                    let held: Vec<u64> = desk.held.drain(..).collect();
+                Some(next) if scheduler.leaving.is_none_or(|(known, _)| known != next) => {
+                    scheduler.leaving = Some((next, now));
+                    let held: Vec<u64> = scheduler.held.drain(..).collect();
                     held.into_iter().for_each(|number| self.send_back(number));
                     self.hand_over(&name);
                 }
                 None if !bound => {
-                    let held: Vec<u64> = desk.held.iter().copied().collect();
+                    let held: Vec<u64> = scheduler.held.iter().copied().collect();
                     held.into_iter().for_each(|number| self.send_back(number));
                 }
                 _ => {}
@@ -75,9 +76,9 @@
     /// A function that the book before did not have had no home: nothing is to be waited for.
     pub(crate) fn open_new(&mut self, before: Option<Rc<Book>>) {
         let Some(before) = before else { return };
-        for (name, desk) in &mut self.desks {
-            if desk.adopting == Some((self.now, false)) && before.function(name).is_none() {
-                desk.adopting = None;
+        for (name, scheduler) in &mut self.schedulers {
+            if scheduler.adopting == Some((self.now, false)) && before.function(name).is_none() {
+                scheduler.adopting = None;
             }
         }
     }
@@ -103,31 +104,31 @@
 
     fn hand_over(&mut self, name: &str) {
         let now = self.now;
-        let Some(desk) = self.desks.get_mut(name) else { return };
-        let Some((next, _)) = desk.leaving else { return };
-        desk.leaving = Some((next, now));
+        let Some(scheduler) = self.schedulers.get_mut(name) else { return };
+        let Some((next, _)) = scheduler.leaving else { return };
+        scheduler.leaving = Some((next, now));
         if let Some(table) = self.table_of(name, false) {
             self.outs.push(HomeOutput::Forward { to: next, message: ForwardMessage::Table { table } });
         }
     }
 
-    /// Ends adoptions whose time has come, and closes desks that have nothing left to finish.
+    /// Ends adoptions whose time has come, and closes schedulers that have nothing left to finish.
     pub(crate) fn handover_pass(&mut self) {
         let now = self.now;
-        for (name, desk) in &mut self.desks {
-            if desk.adopting.is_some() && !self.may_serve {
-                desk.adopting = Some((now, false));
+        for (name, scheduler) in &mut self.schedulers {
+            if scheduler.adopting.is_some() && !self.may_serve {
+                scheduler.adopting = Some((now, false));
                 continue;
             }
-            if let Some((since, listed)) = desk.adopting
+            if let Some((since, listed)) = scheduler.adopting
                 && ((listed && now > since + FOREIGN_ON_CRASH / 2) || now > since + self.timing.adopt)
             {
-                desk.adopting = None;
-                desk.risk.be_careful(now);
-                desk.budget.stay_careful(now);
-                desk.budget.set_earlier_homes(self.history.earlier_homes(now, name));
-                for instance in desk.instances.values_mut() {
-                    instance.allowed = (desk.function.instance_limit / 2).max(1);
+                scheduler.adopting = None;
+                scheduler.risk.be_careful(now);
+                scheduler.budget.stay_careful(now);
+                scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, name));
+                for instance in scheduler.instances.values_mut() {
+                    instance.allowed = (scheduler.function.instance_limit / 2).max(1);
                     instance.allowed_at = now;
                     instance.foreign = 1;
                     instance.foreign_until = now + FOREIGN_ON_CRASH / 2;
@@ -135,16 +136,19 @@
             }
         }
         let due: Vec<String> = self
-            .desks
+            .schedulers
             .iter()
-            .filter(|(_, desk)| desk.leaving.is_some_and(|(_, at)| now >= at + REPEAT))
+            .filter(|(_, scheduler)| scheduler.leaving.is_some_and(|(_, at)| now >= at + REPEAT))
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
             self.hand_over(&name);
-            let done = self.desks.get(&name).is_some_and(|desk| desk.in_flight == 0 && desk.held.is_empty());
+            let done = self
+                .schedulers
+                .get(&name)
+                .is_some_and(|scheduler| scheduler.in_flight == 0 && scheduler.held.is_empty());
             if done {
-                self.desks.remove(&name);
+                self.schedulers.remove(&name);
             }
         }
     }
--- a/crates/traffic/src/holding.rs
+++ b/crates/traffic/src/holding.rs
@@ -24,13 +24,13 @@
         let (order, refusable) = ((task.rank, task.due), task.stored.is_none() && !task.reached);
         let left = task.due.saturating_sub(now);
         let aim = task.aim.filter(|aim| !task.inherits && now <= task.arrived + *aim / EARLY);
-        let Some(desk) = self.desks.get_mut(&task.function) else { return };
+        let Some(scheduler) = self.schedulers.get_mut(&task.function) else { return };
         let before = |held: &&u64| self.tasks.get(held).is_some_and(|task| (task.rank, task.due) <= order);
-        let ahead = desk.held.iter().take_while(before).count();
-        let wait = desk.expected_wait(now, ahead);
-        desk.held.insert(ahead, number);
+        let ahead = scheduler.held.iter().take_while(before).count();
+        let wait = scheduler.expected_wait(now, ahead);
+        scheduler.held.insert(ahead, number);
         let worth = match aim {
-            Some(aim) if desk.has_any() => aim.saturating_sub(desk.mean_time).max(aim / 2).min(left),
+            Some(aim) if scheduler.has_any() => aim.saturating_sub(scheduler.mean_time).max(aim / 2).min(left),
             _ => left.mul_f64(HOPE),
         };
         if refusable && wait > worth {
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -1,9 +1,9 @@
-//! A home as one state machine: a table of task records and a desk for each function it is home
+//! A home as one state machine: a table of task records and a scheduler for each function it is home
 //! to. Inputs change records; passes over the table decide what is dispatched, given up, started
 //! and stopped. Nothing is dispatched without a valid pass and the home's own place in the roster.
 
 use crate::allowances::Allowances;
-use crate::desk::Desk;
+use crate::function_scheduler::FunctionScheduler;
 use crate::home_types::{HomeInput, HomeOutput, HomeTask, HomeTiming, Ledger, LedgerAsk, TaskId};
 use crate::inventory::Inventory;
 use crate::keeping::Kept;
@@ -28,7 +28,7 @@
     pub(crate) history: RosterHistory,
     pub(crate) tasks: BTreeMap<u64, HomeTask>,
     pub(crate) seen: BTreeMap<TaskId, Duration>,
-    pub(crate) desks: BTreeMap<String, Desk>,
+    pub(crate) schedulers: BTreeMap<String, FunctionScheduler>,
     pub(crate) asks: BTreeMap<u64, LedgerAsk>,
     pub(crate) plan_asks: BTreeMap<u64, String>,
     pub(crate) running: BTreeMap<u64, (u64, String, String, Duration, u32)>,
@@ -69,7 +69,7 @@
             history: RosterHistory::new(window),
             tasks: BTreeMap::new(),
             seen: BTreeMap::new(),
-            desks: BTreeMap::new(),
+            schedulers: BTreeMap::new(),
             asks: BTreeMap::new(),
             plan_asks: BTreeMap::new(),
             running: BTreeMap::new(),
@@ -137,14 +137,14 @@
             HomeInput::Plan { message } => self.plan_receipt(message),
             HomeInput::Book { book } => {
                 let before = self.book.replace(book);
-                self.align_desks();
+                self.align_schedulers();
                 self.open_new(before);
             }
             HomeInput::Roster { roster } => {
                 self.history.add(now, roster.clone());
                 self.roster = roster;
                 self.inventory_turn();
-                self.align_desks();
+                self.align_schedulers();
                 self.hand_back();
             }
             HomeInput::Lapsed => self.lapsed(),
@@ -191,8 +191,8 @@
         if task.caller {
             if outcome == Outcome::NotRun {
                 self.refusals += 1;
-                if let Some(desk) = self.desks.get_mut(&task.function) {
-                    desk.seen.refused += 1;
+                if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
+                    scheduler.seen.refused += 1;
                 }
             }
             let (to, id) = (task.id.from, task.id.task);
@@ -210,9 +210,9 @@
 
     pub(crate) fn forget(&mut self, number: u64) {
         if let Some(task) = self.tasks.remove(&number)
-            && let Some(desk) = self.desks.get_mut(&task.function)
+            && let Some(scheduler) = self.schedulers.get_mut(&task.function)
         {
-            desk.held.retain(|held| *held != number);
+            scheduler.held.retain(|held| *held != number);
         }
     }
 
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -66,7 +66,10 @@
         let for_all = place == 0 || silent;
         let pause = |ordered: Option<Duration>, pause: Duration| ordered.is_none_or(|at| now >= at + pause);
         let asked = self.inventory.ordered.unwrap_or_default();
-        let waits = self.desks.values().any(|desk| desk.adopting.is_some_and(|(since, told)| !told && asked <= since));
+        let waits = self
+            .schedulers
+            .values()
+            .any(|scheduler| scheduler.adopting.is_some_and(|(since, told)| !told && asked <= since));
         let own = waits && pause(self.inventory.ordered, OWN_PAUSE);
         if own || for_all && pause(self.inventory.ordered, every) {
             self.inventory.ordered = Some(now);
@@ -211,8 +214,8 @@
         let functions: BTreeSet<&str> = lines.values().map(|line| line.service.as_str()).collect();
         self.leaving.extend(lines.keys().map(|id| (id.clone(), self.now)));
         for name in functions {
-            let Some(desk) = self.desks.get_mut(name) else { continue };
-            let known = desk.instances.iter_mut().filter(|(id, _)| lines.contains_key(*id));
+            let Some(scheduler) = self.schedulers.get_mut(name) else { continue };
+            let known = scheduler.instances.iter_mut().filter(|(id, _)| lines.contains_key(*id));
             known.for_each(|(_, instance)| instance.take(crate::instance::InstanceEvent::Drain));
         }
     }
--- a/crates/traffic/src/keeper.rs
+++ b/crates/traffic/src/keeper.rs
@@ -24,17 +24,17 @@
         }
         let reading = self.asks.values().filter(|ask| ask.kind == Ledger::Deferred).count();
         let due: Vec<String> = self
-            .desks
+            .schedulers
             .iter()
-            .filter(|(_, desk)| desk.leaving.is_none() && desk.adopting.is_none())
-            .filter(|(_, desk)| desk.read_at.is_none_or(|at| now >= at + self.timing.deferred_read))
+            .filter(|(_, scheduler)| scheduler.leaving.is_none() && scheduler.adopting.is_none())
+            .filter(|(_, scheduler)| scheduler.read_at.is_none_or(|at| now >= at + self.timing.deferred_read))
             .filter(|(name, _)| book.takes_deferred(name))
             .map(|(name, _)| name.clone())
             .take(READS_AT_ONCE.saturating_sub(reading))
             .collect();
         for name in due {
-            if let Some(desk) = self.desks.get_mut(&name) {
-                desk.read_at = Some(now);
+            if let Some(scheduler) = self.schedulers.get_mut(&name) {
+                scheduler.read_at = Some(now);
             }
             let ask = self.number();
             let record = LedgerAsk {
@@ -74,28 +74,31 @@
         let sent = sent.filter_map(|task| task.stored.clone());
         let finishing = self.being_finished(name).map(|id| id.as_str().to_owned());
         let live: BTreeSet<String> = sent.chain(finishing).collect();
-        if let Some(desk) = self.desks.get_mut(name) {
-            desk.sent_tasks.learn(pending, live);
+        if let Some(scheduler) = self.schedulers.get_mut(name) {
+            scheduler.sent_tasks.learn(pending, live);
         }
     }
 
     pub(crate) fn take_deferred(&mut self, ask: u64, items: Vec<ItemLine>) {
         let Some(record) = self.asks.remove(&ask) else { return };
         let name = record.function;
-        if !self.is_home(&name) || !self.desks.contains_key(&name) {
+        if !self.is_home(&name) || !self.schedulers.contains_key(&name) {
             return;
         }
         self.learn_sent(&name, &items);
         for item in items {
             let id = task_id(&item).to_owned();
             let known = self.tasks.values().any(|task| task.stored.as_deref() == Some(id.as_str()));
-            let room = self.desks.get(&name).is_some_and(|desk| desk.held.len() < self.timing.function_inbox / 2);
+            let room = self
+                .schedulers
+                .get(&name)
+                .is_some_and(|scheduler| scheduler.held.len() < self.timing.function_inbox / 2);
             let Some(kept) = wire::from_bytes::<StoredTask>(item.value.as_slice()) else { continue };
             if known || !room || self.finished.contains_key(&id) {
                 continue;
             }
             let number = self.number();
-            let sent = self.desks.get(&name).is_some_and(|desk| desk.sent_tasks.may_contain(&id));
+            let sent = self.schedulers.get(&name).is_some_and(|scheduler| scheduler.sent_tasks.may_contain(&id));
             let dispatches = u32::from(sent);
             let task = HomeTask {
                 id: TaskId { from: 0, task: number },
--- a/crates/traffic/src/keeping.rs
+++ b/crates/traffic/src/keeping.rs
@@ -1,7 +1,7 @@
 //! What a home knows of its functions, kept by the router that would be home next: twice a second a
 //! home sends it each table in use. After a crash the next home begins from the table it kept; if the
 //! machine that was lost comes back by itself and is home again, the table is handed back to it. A
-//! table under an older roster than the desk was taken by is refused: its sender was fenced out.
+//! table under an older roster than the scheduler was taken by is refused: its sender was fenced out.
 
 use crate::home::Home;
 use crate::home_types::{HomeOutput, Ledger, Place};
@@ -29,10 +29,10 @@
 impl Home {
     pub(crate) fn table_of(&mut self, name: &str, kept: bool) -> Option<HomeTable> {
         let now = self.now;
-        let desk = self.desks.get_mut(name)?;
-        let (requests, seconds) = desk.budget.told(now);
+        let scheduler = self.schedulers.get_mut(name)?;
+        let (requests, seconds) = scheduler.budget.told(now);
         let known = |instance: &Instance| matches!(instance.phase(), Phase::Ready | Phase::Starting);
-        let slots: Vec<SlotLine> = desk
+        let slots: Vec<SlotLine> = scheduler
             .instances
             .iter()
             .filter(|(_, instance)| known(instance))
@@ -43,7 +43,7 @@
                 busy: instance.busy,
             })
             .collect();
-        let sent_tasks = desk.sent_tasks.told(BEGUN_MOST);
+        let sent_tasks = scheduler.sent_tasks.told(BEGUN_MOST);
         let whole = sent_tasks.is_some();
         let begun: Vec<Text> = sent_tasks.into_iter().flatten().map(Text::from).collect();
         Some(HomeTable {
@@ -53,7 +53,7 @@
             slots: slots.into(),
             requests: requests as u32,
             seconds: seconds as u32,
-            turned: desk.risk.told(now) as u32,
+            turned: scheduler.risk.told(now) as u32,
             begun: begun.into(),
             begun_whole: whole as u8,
         })
@@ -76,11 +76,14 @@
         }
         self.kept_at = now;
         self.kept.retain(|_, kept| now < kept.at + LASTS);
-        let in_use = |desk: &mut crate::desk::Desk| {
-            desk.leaving.is_none() && (!desk.instances.is_empty() || desk.budget.counts(now) != (0, 0))
+        let in_use = |scheduler: &mut crate::function_scheduler::FunctionScheduler| {
+            scheduler.leaving.is_none() && (!scheduler.instances.is_empty() || scheduler.budget.counts(now) != (0, 0))
         };
-        let names: Vec<String> =
-            self.desks.iter_mut().filter_map(|(name, desk)| in_use(desk).then(|| name.clone())).collect();
+        let names: Vec<String> = self
+            .schedulers
+            .iter_mut()
+            .filter_map(|(name, scheduler)| in_use(scheduler).then(|| name.clone()))
+            .collect();
         for name in names {
             let Some(to) = self.roster.home_after(&name, self.me).filter(|to| *to != self.me) else { continue };
             if let Some(table) = self.table_of(&name, true) {
@@ -134,7 +137,10 @@
     pub(crate) fn take_handover(&mut self, table: HomeTable) {
         let name = table.function.as_str();
         let mine = self.is_home(name) && table.roster <= self.roster.number;
-        let fits = self.desks.get(name).is_some_and(|desk| desk.leaving.is_none() && table.roster >= desk.taken);
+        let fits = self
+            .schedulers
+            .get(name)
+            .is_some_and(|scheduler| scheduler.leaving.is_none() && table.roster >= scheduler.taken);
         if mine && fits {
             let until = self.now + FOREIGN;
             self.take_table(table, None, until);
@@ -144,28 +150,29 @@
     /// A kept copy is as old as its `copied`: the home it was kept for has spent more since.
     fn take_table(&mut self, table: HomeTable, copied: Option<Duration>, foreign_until: Duration) {
         let now = self.now;
-        let Some(desk) = self.desks.get_mut(table.function.as_str()) else { return };
-        if desk.adopting.take().is_some() {
+        let Some(scheduler) = self.schedulers.get_mut(table.function.as_str()) else { return };
+        if scheduler.adopting.take().is_some() {
             let at = copied.unwrap_or(now);
-            desk.budget.set_earlier_homes(self.history.earlier_homes(now, table.function.as_str()));
-            desk.budget.take_over(now, at, table.requests, table.seconds, copied.is_none());
-            desk.risk.take_over(now, at, table.turned);
-            desk.sent_tasks = SentTasks::from_table(table.begun_whole != 0, table.begun.iter().map(|id| id.as_str()));
+            scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, table.function.as_str()));
+            scheduler.budget.take_over(now, at, table.requests, table.seconds, copied.is_none());
+            scheduler.risk.take_over(now, at, table.turned);
+            scheduler.sent_tasks =
+                SentTasks::from_table(table.begun_whole != 0, table.begun.iter().map(|id| id.as_str()));
         } else {
-            desk.budget.learn(now, table.seconds.saturating_sub(desk.told.0));
-            desk.risk.learn(now, table.turned.saturating_sub(desk.told.1));
-            desk.sent_tasks.learn_more(table.begun_whole != 0, table.begun.iter().map(|id| id.as_str()));
+            scheduler.budget.learn(now, table.seconds.saturating_sub(scheduler.told.0));
+            scheduler.risk.learn(now, table.turned.saturating_sub(scheduler.told.1));
+            scheduler.sent_tasks.learn_more(table.begun_whole != 0, table.begun.iter().map(|id| id.as_str()));
         }
-        desk.told = (desk.told.0.max(table.seconds), desk.told.1.max(table.turned));
+        scheduler.told = (scheduler.told.0.max(table.seconds), scheduler.told.1.max(table.turned));
         for slot in table.slots.into_vec() {
             let id = slot.instance.as_str();
             if self.stopped.contains_key(id) || self.leaving.contains_key(id) {
                 continue;
             }
             let address = slot.address.as_str();
-            let boot = desk.boot();
-            let fresh = !desk.instances.contains_key(id);
-            let instance = desk.instances.entry(id.to_owned()).or_insert_with(|| Instance::new(now, address));
+            let boot = scheduler.boot();
+            let fresh = !scheduler.instances.contains_key(id);
+            let instance = scheduler.instances.entry(id.to_owned()).or_insert_with(|| Instance::new(now, address));
             if fresh && slot.ready == 0 && !address.is_empty() {
                 let (id, address, after) = (id.to_owned(), address.to_owned(), Duration::ZERO);
                 self.outs.push(HomeOutput::Probe { id, address, after, limit: look_limit(boot) });
@@ -189,8 +196,8 @@
     /// Should this be home again, it is as one that comes anew: it waits for the table of the home between.
     pub(crate) fn lapsed(&mut self) {
         let now = self.now;
-        for desk in self.desks.values_mut() {
-            desk.begin_anew(now);
+        for scheduler in self.schedulers.values_mut() {
+            scheduler.begin_anew(now);
         }
         self.asks.retain(|_, ask| ask.kind != Ledger::Deferred);
         self.doubt_stored();
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -138,10 +138,10 @@
 
     /// The store knows that the task is finished: the next home will not find it pending.
     fn finish_recorded(&mut self, function: &str, command: &[u8]) {
-        if let (Some(Command::Finish { id, .. }), Some(desk)) =
-            (wire::from_bytes(command), self.desks.get_mut(function))
+        if let (Some(Command::Finish { id, .. }), Some(scheduler)) =
+            (wire::from_bytes(command), self.schedulers.get_mut(function))
         {
-            desk.sent_tasks.remove(id.as_str());
+            scheduler.sent_tasks.remove(id.as_str());
         }
     }
 
--- a/crates/traffic/src/letting_in.rs
+++ b/crates/traffic/src/letting_in.rs
@@ -19,19 +19,19 @@
         }
         let bound = self.book.as_ref().and_then(|book| book.binding(binding.as_str())).cloned();
         let service = function.as_str().split_once('/').map_or("", |(_, service)| service);
-        let (Some(bound), true, Some(desk)) =
-            (bound, self.is_home(function.as_str()), self.desks.get_mut(function.as_str()))
+        let (Some(bound), true, Some(scheduler)) =
+            (bound, self.is_home(function.as_str()), self.schedulers.get_mut(function.as_str()))
         else {
             return self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::NotHome { task } });
         };
-        if !bound.sends_to(service) || desk.leaving.is_some() {
+        if !bound.sends_to(service) || scheduler.leaving.is_some() {
             return self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::NotHome { task } });
         }
-        desk.arrivals += 1;
-        let full = desk.held.len() >= self.timing.function_inbox;
+        scheduler.arrivals += 1;
+        let full = scheduler.held.len() >= self.timing.function_inbox;
         let last = bound.class == Class::Deferred || bound.player_weight <= 0.0;
         let (keyless, again) = (matches!(bound.class, Class::Ordinary | Class::Single), tries > 0);
-        let spent = again && keyless && (bound.class == Class::Single || !desk.budget.try_second(self.now));
+        let spent = again && keyless && (bound.class == Class::Single || !scheduler.budget.try_second(self.now));
         let (scope, digest) = match keyless {
             true => (String::new(), Vec::new()),
             false => (format!("{}/{}", binding.as_str(), key.as_str()), digest(head.as_slice(), body.as_slice())),
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -1,7 +1,7 @@
 //! The load on a function just now: what arrived within about the last second and what is held, as the
 //! slots that it keeps in use. A plan is made of whole samples and lags behind a crowd by some of them.
 
-use crate::desk::Desk;
+use crate::function_scheduler::FunctionScheduler;
 use crate::instance::Phase;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -77,7 +77,7 @@
     }
 }
 
-impl Desk {
+impl FunctionScheduler {
     /// What an answer can be expected to take.
     pub fn expected_time(&self) -> Duration {
         if self.usual.time.is_zero() { self.answer_mean() } else { self.usual.time.min(self.answer_mean()) }
--- a/crates/traffic/src/passes.rs
+++ b/crates/traffic/src/passes.rs
@@ -1,6 +1,6 @@
 //! The pass over held tasks: those whose turn it is go to instances with room.
 
-use crate::desk::Desk;
+use crate::function_scheduler::FunctionScheduler;
 use crate::home::Home;
 use crate::home_types::{HomeOutput, HomeTask, Place};
 use crate::instance::Phase;
@@ -13,14 +13,18 @@
         if !self.may_serve {
             return;
         }
-        let names: Vec<String> =
-            self.desks.iter().filter(|(_, desk)| !desk.held.is_empty()).map(|(name, _)| name.clone()).collect();
+        let names: Vec<String> = self
+            .schedulers
+            .iter()
+            .filter(|(_, scheduler)| !scheduler.held.is_empty())
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in names {
             if !self.is_home(&name) {
                 continue;
             }
-            let Some(desk) = self.desks.get(&name) else { continue };
-            if desk.leaving.is_some() || desk.adopting.is_some() {
+            let Some(scheduler) = self.schedulers.get(&name) else { continue };
+            if scheduler.leaving.is_some() || scheduler.adopting.is_some() {
                 continue;
             }
             while let Some((number, selected)) = self.next_to_send(&name) {
@@ -34,22 +38,22 @@
     /// that are running, which keep a slot meanwhile.
     fn next_to_send(&mut self, name: &str) -> Option<(u64, String)> {
         let now = self.now;
-        let desk = self.desks.get_mut(name)?;
-        let roomiest = desk.roomiest(now)?;
-        let proven = desk.instances.get(&roomiest).is_some_and(|instance| instance.busy < instance.proven);
-        if !desk.risk.may_send(now, proven) {
+        let scheduler = self.schedulers.get_mut(name)?;
+        let roomiest = scheduler.roomiest(now)?;
+        let proven = scheduler.instances.get(&roomiest).is_some_and(|instance| instance.busy < instance.proven);
+        if !scheduler.risk.may_send(now, proven) {
             return None;
         }
         let may_go = |task: &&HomeTask| task.place == Place::Held && now >= task.not_before;
-        let (tasks, expected) = (&self.tasks, desk.expected_time());
+        let (tasks, expected) = (&self.tasks, scheduler.expected_time());
         let mut late = None;
-        for number in &desk.held {
+        for number in &scheduler.held {
             let Some(task) = tasks.get(number).filter(may_go) else { continue };
             let in_aim = task.inherits || task.aim.is_none_or(|aim| now + expected <= task.arrived + aim);
             if !in_aim && late.is_some() {
                 continue;
             }
-            let Some(selected) = other_than(desk, now, &task.avoid, roomiest.clone()) else { continue };
+            let Some(selected) = other_than(scheduler, now, &task.avoid, roomiest.clone()) else { continue };
             if in_aim {
                 return Some((*number, selected));
             }
@@ -65,27 +69,29 @@
             let bound = self.book.as_ref().and_then(|book| book.binding(&task.binding));
             bound.is_some_and(|bound| name.split_once('/').is_some_and(|(_, service)| bound.sends_to(service)))
         });
-        let (Some(task), Some(desk)) = (self.tasks.get_mut(&number), self.desks.get_mut(name)) else { return };
+        let (Some(task), Some(scheduler)) = (self.tasks.get_mut(&number), self.schedulers.get_mut(name)) else {
+            return;
+        };
         if !still_bound {
-            desk.held.retain(|held| *held != number);
+            scheduler.held.retain(|held| *held != number);
             return self.send_back(number);
         }
-        if task.dispatches > 0 && !desk.budget.try_second(now) {
+        if task.dispatches > 0 && !scheduler.budget.try_second(now) {
             task.not_before = now + Duration::from_millis(250);
             return;
         }
-        let Some(instance) = desk.instances.get_mut(&instance_id) else { return };
+        let Some(instance) = scheduler.instances.get_mut(&instance_id) else { return };
         if task.is_first() {
-            desk.budget.request(now);
+            scheduler.budget.request(now);
         }
         instance.busy += 1;
         let level = instance.busy;
-        desk.in_flight += 1;
-        desk.risk.sent(now, order, level <= instance.proven);
-        desk.held.retain(|held| *held != number);
+        scheduler.in_flight += 1;
+        scheduler.risk.sent(now, order, level <= instance.proven);
+        scheduler.held.retain(|held| *held != number);
         task.dispatches += 1;
         if let Some(id) = &task.stored {
-            desk.sent_tasks.insert(id);
+            scheduler.sent_tasks.insert(id);
         }
         task.place = Place::Running { number: order };
         let limit = if task.caller && task.class != Class::Deferred {
@@ -101,18 +107,18 @@
             head: task.head.clone(),
             body: task.body.clone(),
             limit,
-            connections: desk.function.connections,
+            connections: scheduler.function.connections,
         }));
     }
 }
 
 /// The roomiest instance but one; that one itself only where there is no other that is ready.
-fn other_than(desk: &Desk, now: Duration, avoid: &str, roomiest: String) -> Option<String> {
+fn other_than(scheduler: &FunctionScheduler, now: Duration, avoid: &str, roomiest: String) -> Option<String> {
     if roomiest != avoid {
         return Some(roomiest);
     }
-    let limit = desk.function.instance_limit;
-    let others = desk.instances.iter().filter(|(id, instance)| *id != avoid && instance.phase() == Phase::Ready);
+    let limit = scheduler.function.instance_limit;
+    let others = scheduler.instances.iter().filter(|(id, instance)| *id != avoid && instance.phase() == Phase::Ready);
     let mut others = others.map(|(id, instance)| (instance.room(now, limit), id)).peekable();
     if others.peek().is_none() {
         return Some(roomiest);
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -19,11 +19,13 @@
         task.reached |= may_have_run;
         task.failure = Some(failure);
         let owned = self.roster.home(&task.function) == Some(self.me);
-        let Some(desk) = self.desks.get_mut(&task.function).filter(|desk| owned && desk.leaving.is_none()) else {
+        let Some(scheduler) =
+            self.schedulers.get_mut(&task.function).filter(|scheduler| owned && scheduler.leaving.is_none())
+        else {
             return self.send_back(number);
         };
-        let late = now + margin + desk.least_time() > task.due;
-        if late || task.dispatches >= task.attempts || !desk.budget.may_second(now) {
+        let late = now + margin + scheduler.least_time() > task.due;
+        if late || task.dispatches >= task.attempts || !scheduler.budget.may_second(now) {
             return self.fail(number);
         }
         if task.dispatches < task.granted {
@@ -47,7 +49,7 @@
             return self.fail(number);
         }
         let owned = self.roster.home(&task.function) == Some(self.me);
-        let stays = self.desks.get(&task.function).is_some_and(|desk| desk.leaving.is_none());
+        let stays = self.schedulers.get(&task.function).is_some_and(|scheduler| scheduler.leaving.is_none());
         if owned && stays { self.queue_again(number) } else { self.send_back(number) }
     }
 
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -1,4 +1,4 @@
-//! Matching instances to the plan: each desk's player says a count, starts go out under this
+//! Matching instances to the plan: each scheduler's player says a count, starts go out under this
 //! router's share of the platform's allowance with waking functions first, and stops drain before
 //! they are ordered. Samples for the forecast are taken on the way.
 
@@ -56,34 +56,34 @@
         for name in self.by_need() {
             let ask = self.number();
             let bound = self.book.as_ref().is_some_and(|book| book.function(&name).is_some());
-            let Some(desk) = self.desks.get_mut(&name) else { continue };
-            if desk.leaving.is_some() || desk.adopting.is_some() {
+            let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
+            if scheduler.leaving.is_some() || scheduler.adopting.is_some() {
                 continue;
             }
-            desk.grow_back(now);
-            desk.load.pass(now, desk.arrivals);
-            desk.usual.pass(desk.mean_time);
-            let (ready, starting) = (desk.count(Phase::Ready), desk.count(Phase::Starting));
+            scheduler.grow_back(now);
+            scheduler.load.pass(now, scheduler.arrivals);
+            scheduler.usual.pass(scheduler.mean_time);
+            let (ready, starting) = (scheduler.count(Phase::Ready), scheduler.count(Phase::Starting));
             let held =
-                desk.held.iter().filter(|n| self.tasks.get(n).is_some_and(|t| now >= t.not_before)).count() as u32;
+                scheduler.held.iter().filter(|n| self.tasks.get(n).is_some_and(|t| now >= t.not_before)).count() as u32;
             let situation = Situation {
                 running: ready,
                 starting,
                 held,
-                in_flight: desk.in_flight,
-                capacity: desk.capacity(),
-                min: desk.function.min,
-                max: desk.function.max,
-                fixed: desk.function.fixed,
+                in_flight: scheduler.in_flight,
+                capacity: scheduler.capacity(),
+                min: scheduler.function.min,
+                max: scheduler.function.max,
+                fixed: scheduler.function.fixed,
                 may_ask: asks_left > 0,
-                live: desk.live(now),
+                live: scheduler.live(now),
             };
-            let before = desk.player.fallbacks;
-            let verdict = desk.player.step(now, ask, situation, &self.timing.player);
-            if desk.player.fallbacks > before {
+            let before = scheduler.player.fallbacks;
+            let verdict = scheduler.player.step(now, ask, situation, &self.timing.player);
+            if scheduler.player.fallbacks > before {
                 event!(plan_fallback, "{name}");
             }
-            desk.desired = if bound { verdict.desired } else { 0 };
+            scheduler.desired = if bound { verdict.desired } else { 0 };
             asks_left -= usize::from(verdict.ask);
             if verdict.ask && bound {
                 let message = PlanMsg::Ask {
@@ -97,13 +97,13 @@
                 self.outs.push(HomeOutput::PlanAsk { message });
             }
             let count = ready + starting;
-            let kept = desk.peak.pass(now, desk.desired, desk.function.boot);
-            let willing = now >= desk.refused_until && (held > 0 || now >= desk.holds_back);
+            let kept = scheduler.peak.pass(now, scheduler.desired, scheduler.function.boot);
+            let willing = now >= scheduler.refused_until && (held > 0 || now >= scheduler.holds_back);
             let may_grow = count == 0 || now >= self.no_growth;
-            if desk.desired > count && willing && may_grow {
+            if scheduler.desired > count && willing && may_grow {
                 let waking = held > 0 && count == 0;
-                let more = if now < self.no_growth { 1 } else { desk.desired - count };
-                wanting.push((waking, desk.function.player_weight, more, name));
+                let more = if now < self.no_growth { 1 } else { scheduler.desired - count };
+                wanting.push((waking, scheduler.function.player_weight, more, name));
             } else if kept < count {
                 self.drain(&name, count - kept);
             }
@@ -127,15 +127,15 @@
 
     /// Functions that are awake, those whose callers wait first.
     fn by_need(&self) -> Vec<String> {
-        let awake = self.desks.iter().filter(|(_, desk)| desk.is_awake());
-        let (waited, others): (Vec<_>, Vec<_>) = awake.partition(|(_, desk)| !desk.held.is_empty());
+        let awake = self.schedulers.iter().filter(|(_, scheduler)| scheduler.is_awake());
+        let (waited, others): (Vec<_>, Vec<_>) = awake.partition(|(_, scheduler)| !scheduler.held.is_empty());
         waited.into_iter().chain(others).map(|(name, _)| name.clone()).collect()
     }
 
     /// Takes the least busy out of use, those still starting first where nobody waits for them.
     fn drain(&mut self, name: &str, count: u32) {
-        let Some(desk) = self.desks.get_mut(name) else { return };
-        let mut list: Vec<(u32, bool, String)> = desk
+        let Some(scheduler) = self.schedulers.get_mut(name) else { return };
+        let mut list: Vec<(u32, bool, String)> = scheduler
             .instances
             .iter()
             .filter(|(_, instance)| matches!(instance.phase(), Phase::Ready | Phase::Starting))
@@ -143,7 +143,7 @@
             .collect();
         list.sort();
         for (_, _, id) in list.into_iter().take(count as usize) {
-            if let Some(instance) = desk.instances.get_mut(&id) {
+            if let Some(instance) = scheduler.instances.get_mut(&id) {
                 instance.take(InstanceEvent::Drain);
             }
         }
@@ -153,8 +153,8 @@
     fn stop_drained(&mut self) {
         let now = self.now;
         let fence = self.roster.number;
-        for desk in self.desks.values_mut() {
-            for (id, instance) in desk.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
+        for scheduler in self.schedulers.values_mut() {
+            for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
                 let ended = match instance.phase() {
                     Phase::Draining => true,
                     Phase::Gone => instance.lost.is_some_and(|at| now > at + LOST_LASTS),
@@ -174,15 +174,15 @@
 
     fn sample_pass(&mut self) {
         let now = self.now;
-        for desk in self.desks.values_mut().filter(|desk| desk.is_awake()) {
-            let held = desk.held.len() as f64;
-            desk.looks += 1;
-            let slots = f64::from(desk.count(Phase::Ready) * desk.function.instance_limit);
-            desk.seen.usage_sum += f64::from(desk.in_flight) / slots.max(1.0);
-            if desk.count(Phase::Ready) == 0 {
-                desk.held_sum += held;
+        for scheduler in self.schedulers.values_mut().filter(|scheduler| scheduler.is_awake()) {
+            let held = scheduler.held.len() as f64;
+            scheduler.looks += 1;
+            let slots = f64::from(scheduler.count(Phase::Ready) * scheduler.function.instance_limit);
+            scheduler.seen.usage_sum += f64::from(scheduler.in_flight) / slots.max(1.0);
+            if scheduler.count(Phase::Ready) == 0 {
+                scheduler.held_sum += held;
             } else {
-                desk.waiting_sum += held;
+                scheduler.waiting_sum += held;
             }
         }
         if now < self.sampled + self.timing.sample {
@@ -192,22 +192,22 @@
         self.sampled = now;
         let mut lines = Vec::new();
         let mut measures = Vec::new();
-        for (name, desk) in &mut self.desks {
-            if desk.leaving.is_some() || (!desk.is_awake() && desk.sampled_zero) {
+        for (name, scheduler) in &mut self.schedulers {
+            if scheduler.leaving.is_some() || (!scheduler.is_awake() && scheduler.sampled_zero) {
                 continue;
             }
-            desk.sampled_zero = !desk.is_awake();
-            let looks = f64::from(desk.looks.max(1));
+            scheduler.sampled_zero = !scheduler.is_awake();
+            let looks = f64::from(scheduler.looks.max(1));
             lines.push(SampleLine {
                 function: name.as_str().into(),
-                rate_milli: (f64::from(desk.arrivals) * 1000.0 / lasted) as u64,
-                response_micro: (desk.answer_time.as_micros() / u128::from(desk.answered.max(1))) as u64,
-                waiting_milli: (desk.waiting_sum * 1000.0 / looks) as u64,
-                held_milli: (desk.held_sum * 1000.0 / looks) as u64,
+                rate_milli: (f64::from(scheduler.arrivals) * 1000.0 / lasted) as u64,
+                response_micro: (scheduler.answer_time.as_micros() / u128::from(scheduler.answered.max(1))) as u64,
+                waiting_milli: (scheduler.waiting_sum * 1000.0 / looks) as u64,
+                held_milli: (scheduler.held_sum * 1000.0 / looks) as u64,
             });
-            measures.extend(desk.measure(name, looks));
-            (desk.arrivals, desk.answered, desk.looks) = (0, 0, 0);
-            (desk.answer_time, desk.waiting_sum, desk.held_sum) = (Duration::ZERO, 0.0, 0.0);
+            measures.extend(scheduler.measure(name, looks));
+            (scheduler.arrivals, scheduler.answered, scheduler.looks) = (0, 0, 0);
+            (scheduler.answer_time, scheduler.waiting_sum, scheduler.held_sum) = (Duration::ZERO, 0.0, 0.0);
         }
         if !lines.is_empty() {
             self.outs.push(HomeOutput::Samples { lines });
@@ -224,10 +224,10 @@
         let PlanMsg::Receipt { ask, fence, step_ms, desired, .. } = message else { return };
         let Some(name) = self.plan_asks.remove(&ask) else { return };
         let now = self.now;
-        if let Some(desk) = self.desks.get_mut(&name) {
+        if let Some(scheduler) = self.schedulers.get_mut(&name) {
             let step = Duration::from_millis(step_ms.into());
-            if desk.player.take(now, ask, fence, desired.into_vec(), step) {
-                event!(plan_received, "{name}: {:?}", desk.player.plan());
+            if scheduler.player.take(now, ask, fence, desired.into_vec(), step) {
+                event!(plan_received, "{name}: {:?}", scheduler.player.plan());
             }
         }
     }
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -40,29 +40,29 @@
         let number = self.number();
         let nonce = format!("{:x}-{:x}-{number:x}", self.me, self.incarnation & 0xffff_ffff);
         let now = self.now;
-        let Some(desk) = self.desks.get_mut(name) else { return false };
-        desk.instances.insert(nonce.clone(), Instance::wished(now));
+        let Some(scheduler) = self.schedulers.get_mut(name) else { return false };
+        scheduler.instances.insert(nonce.clone(), Instance::wished(now));
         self.order_start(name, &nonce, worker);
         true
     }
 
     fn place(&self, name: &str) -> Placed {
-        let Some(desk) = self.desks.get(name) else { return Placed::Wait };
+        let Some(scheduler) = self.schedulers.get(name) else { return Placed::Wait };
         let counts = |instance: &&Instance| matches!(instance.phase(), Phase::Ready | Phase::Starting);
         let place = |instance: &Instance| {
             let zone = self.workers.zone_of(&instance.worker).unwrap_or(&instance.zone);
             (instance.worker.clone(), zone.to_owned())
         };
-        let others: Vec<(String, String)> = desk.instances.values().filter(counts).map(place).collect();
+        let others: Vec<(String, String)> = scheduler.instances.values().filter(counts).map(place).collect();
         let zone = self.roster.member(self.me).map_or("", |line| line.zone.as_str());
-        self.workers.select(self.now, name, desk.function.memory_mb, zone, &others)
+        self.workers.select(self.now, name, scheduler.function.memory_mb, zone, &others)
     }
 
     fn order_start(&mut self, name: &str, nonce: &str, worker: Option<String>) {
         let now = self.now;
-        let Some(desk) = self.desks.get_mut(name) else { return };
-        let memory_mb = desk.function.memory_mb;
-        let Some(instance) = desk.instances.get_mut(nonce) else { return };
+        let Some(scheduler) = self.schedulers.get_mut(name) else { return };
+        let memory_mb = scheduler.function.memory_mb;
+        let Some(instance) = scheduler.instances.get_mut(nonce) else { return };
         let Some(pending) = &mut instance.pending else { return };
         pending.asked = true;
         instance.worker = worker.clone().unwrap_or_default();
@@ -78,21 +78,24 @@
     pub(crate) fn pending_pass(&mut self) {
         let now = self.now;
         let mut due: Vec<(String, String)> = Vec::new();
-        for (name, desk) in self.desks.iter_mut().filter(|(_, desk)| !desk.instances.is_empty()) {
+        for (name, scheduler) in self.schedulers.iter_mut().filter(|(_, scheduler)| !scheduler.instances.is_empty()) {
             let waits = |instance: &Instance| instance.pending.as_ref().is_some_and(|pending| !pending.asked);
-            desk.instances.retain(|_, instance| !waits(instance) || instance.phase() == Phase::Starting);
-            if desk.leaving.is_some() || desk.adopting.is_some() {
+            scheduler.instances.retain(|_, instance| !waits(instance) || instance.phase() == Phase::Starting);
+            if scheduler.leaving.is_some() || scheduler.adopting.is_some() {
                 continue;
             }
             let again = |instance: &Instance| instance.pending.as_ref().is_some_and(|p| !p.asked && now >= p.again);
-            let nonces = desk.instances.iter().filter(|(_, instance)| again(instance)).map(|(nonce, _)| nonce);
+            let nonces = scheduler.instances.iter().filter(|(_, instance)| again(instance)).map(|(nonce, _)| nonce);
             due.extend(nonces.map(|nonce| (name.clone(), nonce.clone())));
         }
         for (name, nonce) in due {
             if self.starts_left < 1.0 {
                 return;
             }
-            let Some(instance) = self.desks.get(&name).and_then(|desk| desk.instances.get(&nonce)) else { continue };
+            let Some(instance) = self.schedulers.get(&name).and_then(|scheduler| scheduler.instances.get(&nonce))
+            else {
+                continue;
+            };
             let same = Some(instance.worker.clone()).filter(|worker| !worker.is_empty());
             let placed = same.map_or_else(|| self.place(&name), |worker| Placed::On(Some(worker)));
             if let Placed::On(worker) = placed {
@@ -104,22 +107,22 @@
 
     pub(crate) fn started(&mut self, nonce: &str, receipt: StartReceipt) {
         let now = self.now;
-        let found = self.desks.iter().find(|(_, desk)| desk.instances.contains_key(nonce));
+        let found = self.schedulers.iter().find(|(_, scheduler)| scheduler.instances.contains_key(nonce));
         let Some(name) = found.map(|(name, _)| name.clone()) else { return };
-        let Some(desk) = self.desks.get_mut(&name) else { return };
-        let Some(instance) = desk.instances.get_mut(nonce) else { return };
+        let Some(scheduler) = self.schedulers.get_mut(&name) else { return };
+        let Some(instance) = scheduler.instances.get_mut(nonce) else { return };
         let wished = instance.phase() == Phase::Starting;
         let Some(pending) = &mut instance.pending else { return };
         pending.asked = false;
         match receipt {
             StartReceipt::Accepted { id, address } => self.accepted(&name, nonce, id, address),
-            _ if !wished => drop(desk.instances.remove(nonce)),
+            _ if !wished => drop(scheduler.instances.remove(nonce)),
             StartReceipt::Unanswered => {
                 pending.tries += 1;
                 pending.again = now + AGAIN * 2u32.pow(pending.tries.min(4));
                 event!(platform_refused, "start {nonce} unanswered");
                 if pending.tries >= TRIES {
-                    desk.instances.remove(nonce);
+                    scheduler.instances.remove(nonce);
                 }
             }
             StartReceipt::Limited => {
@@ -128,22 +131,22 @@
             }
             StartReceipt::Refused => {
                 event!(platform_refused, "start {nonce} refused");
-                desk.instances.remove(nonce);
-                desk.refused_until = now + REFUSED_PAUSE;
+                scheduler.instances.remove(nonce);
+                scheduler.refused_until = now + REFUSED_PAUSE;
             }
             StartReceipt::NoRoom => {
                 event!(platform_refused, "start {nonce}: no room on {}", instance.worker);
                 pending.hops += 1;
                 let hops = pending.hops;
                 let worker = std::mem::take(&mut instance.worker);
-                self.workers.turned_away(now, &worker, desk.function.memory_mb);
+                self.workers.turned_away(now, &worker, scheduler.function.memory_mb);
                 match self.place(&name) {
                     Placed::On(next @ Some(_)) if hops < HOPS && !worker.is_empty() => {
                         self.order_start(&name, nonce, next)
                     }
                     _ => {
-                        if let Some(desk) = self.desks.get_mut(&name) {
-                            desk.instances.remove(nonce);
+                        if let Some(scheduler) = self.schedulers.get_mut(&name) {
+                            scheduler.instances.remove(nonce);
                         }
                         self.no_room(&name);
                     }
@@ -155,13 +158,13 @@
     /// From now on the instance goes by the supplier's id; one found on the list before is the same.
     fn accepted(&mut self, name: &str, nonce: &str, id: String, address: String) {
         let now = self.now;
-        let Some(desk) = self.desks.get_mut(name) else { return };
-        let Some(mut instance) = desk.instances.remove(nonce) else { return };
+        let Some(scheduler) = self.schedulers.get_mut(name) else { return };
+        let Some(mut instance) = scheduler.instances.remove(nonce) else { return };
         instance.pending = None;
         if self.stopped.contains_key(&id) {
             return;
         }
-        if let Some(known) = desk.instances.get_mut(&id) {
+        if let Some(known) = scheduler.instances.get_mut(&id) {
             known.worker = instance.worker;
             return;
         }
@@ -170,19 +173,19 @@
             instance.take(InstanceEvent::Drain);
         }
         if instance.phase() == Phase::Starting {
-            let boot = desk.boot();
+            let boot = scheduler.boot();
             let after = (instance.ordered + boot.mul_f64(LOOK_AFTER)).saturating_sub(now);
             self.outs.push(HomeOutput::Probe { id: id.clone(), address, after, limit: look_limit(boot) });
         }
-        desk.instances.insert(id, instance);
+        scheduler.instances.insert(id, instance);
     }
 
     /// No worker has room: callers who wait ask others to give way.
     fn no_room(&mut self, name: &str) {
         let now = self.now;
-        let Some(desk) = self.desks.get_mut(name) else { return };
-        let wakes = desk.instances.is_empty() && !desk.held.is_empty();
-        desk.refused_until = now + if wakes { LIMITED_PAUSE } else { NO_ROOM_PAUSE };
+        let Some(scheduler) = self.schedulers.get_mut(name) else { return };
+        let wakes = scheduler.instances.is_empty() && !scheduler.held.is_empty();
+        scheduler.refused_until = now + if wakes { LIMITED_PAUSE } else { NO_ROOM_PAUSE };
         self.ask_to_give_way(name);
     }
 }
--- a/crates/traffic/src/status.rs
+++ b/crates/traffic/src/status.rs
@@ -28,14 +28,14 @@
     /// The plans of the functions homed here.
     pub fn plans(&self) -> impl Iterator<Item = (&String, Played)> {
         let now = self.now;
-        self.desks.iter().filter(|(_, desk)| desk.leaving.is_none()).map(move |(name, desk)| {
+        self.schedulers.iter().filter(|(_, scheduler)| scheduler.leaving.is_none()).map(move |(name, scheduler)| {
             let played = Played {
-                desired: desk.player.plan().to_vec(),
-                played: desk.player.played(now),
-                wanted: desk.desired,
-                ready: desk.count(Phase::Ready),
-                starting: desk.count(Phase::Starting),
-                fence: desk.player.fence(),
+                desired: scheduler.player.plan().to_vec(),
+                played: scheduler.player.played(now),
+                wanted: scheduler.desired,
+                ready: scheduler.count(Phase::Ready),
+                starting: scheduler.count(Phase::Starting),
+                fence: scheduler.player.fence(),
             };
             (name, played)
         })
@@ -44,23 +44,27 @@
     pub fn status(&mut self) -> Value {
         let now = self.now;
         let mut functions = serde_json::Map::new();
-        for (name, desk) in &mut self.desks {
-            let (requests, seconds) = desk.budget.counts(now);
-            if !desk.is_awake() && (requests, seconds) == (0, 0) && desk.adopting.is_none() && desk.leaving.is_none() {
+        for (name, scheduler) in &mut self.schedulers {
+            let (requests, seconds) = scheduler.budget.counts(now);
+            if !scheduler.is_awake()
+                && (requests, seconds) == (0, 0)
+                && scheduler.adopting.is_none()
+                && scheduler.leaving.is_none()
+            {
                 continue;
             }
             functions.insert(
                 name.clone(),
                 json!({
-                    "held": desk.held.len(), "in_flight": desk.in_flight,
-                    "starting": desk.count(Phase::Starting), "ready": desk.count(Phase::Ready),
-                    "draining": desk.count(Phase::Draining),
-                    "desired": desk.desired, "plan": desk.player.plan(), "played": desk.player.played(now),
-                    "fixed": desk.function.fixed, "fallbacks": desk.player.fallbacks,
-                    "early_asks": desk.player.early_asks,
+                    "held": scheduler.held.len(), "in_flight": scheduler.in_flight,
+                    "starting": scheduler.count(Phase::Starting), "ready": scheduler.count(Phase::Ready),
+                    "draining": scheduler.count(Phase::Draining),
+                    "desired": scheduler.desired, "plan": scheduler.player.plan(), "played": scheduler.player.played(now),
+                    "fixed": scheduler.function.fixed, "fallbacks": scheduler.player.fallbacks,
+                    "early_asks": scheduler.player.early_asks,
                     "requests_10s": requests, "second_tries_10s": seconds,
-                    "turned_away_5s": desk.risk.turned(now),
-                    "adopting": desk.adopting.is_some(), "leaving": desk.leaving.is_some(),
+                    "turned_away_5s": scheduler.risk.turned(now),
+                    "adopting": scheduler.adopting.is_some(), "leaving": scheduler.leaving.is_some(),
                 }),
             );
         }
--- a/crates/traffic/src/supply_side.rs
+++ b/crates/traffic/src/supply_side.rs
@@ -37,11 +37,11 @@
         if !ready || self.leaving.contains_key(id) || self.stopped.contains_key(id) {
             return;
         }
-        for desk in self.desks.values_mut() {
-            let Some(instance) = desk.instances.get_mut(id) else { continue };
+        for scheduler in self.schedulers.values_mut() {
+            let Some(instance) = scheduler.instances.get_mut(id) else { continue };
             match instance.phase() {
                 Phase::Starting => {
-                    desk.seen.booted(now.saturating_sub(instance.ordered));
+                    scheduler.seen.booted(now.saturating_sub(instance.ordered));
                     instance.take(InstanceEvent::Ready);
                 }
                 Phase::Gone if instance.lost.take().is_some() => instance.take(InstanceEvent::Found),
@@ -52,7 +52,9 @@
 
     /// It refused a connection: nothing more goes there unless it takes one again soon.
     pub(crate) fn lose(&mut self, name: &str, id: &str) {
-        let Some(instance) = self.desks.get_mut(name).and_then(|desk| desk.instances.get_mut(id)) else { return };
+        let Some(instance) = self.schedulers.get_mut(name).and_then(|scheduler| scheduler.instances.get_mut(id)) else {
+            return;
+        };
         if instance.phase() != Phase::Ready {
             return;
         }
@@ -64,10 +66,10 @@
 
     fn stop_told(&mut self, id: &str, receipt: StopReceipt) {
         let now = self.now;
-        for desk in self.desks.values_mut() {
-            let Some(instance) = desk.instances.get_mut(id) else { continue };
+        for scheduler in self.schedulers.values_mut() {
+            let Some(instance) = scheduler.instances.get_mut(id) else { continue };
             match receipt {
-                StopReceipt::Taken | StopReceipt::Unknown if instance.busy == 0 => drop(desk.instances.remove(id)),
+                StopReceipt::Taken | StopReceipt::Unknown if instance.busy == 0 => drop(scheduler.instances.remove(id)),
                 StopReceipt::Taken | StopReceipt::Unknown => {}
                 StopReceipt::Limited => instance.stop_again = now + LIMITED,
                 StopReceipt::Unanswered => instance.stop_again = now + UNANSWERED,
@@ -79,8 +81,8 @@
     pub(crate) fn workers_listed(&mut self, lines: Vec<WorkerLine>, asked: Duration) {
         self.workers.take(lines, asked);
         let workers = &self.workers;
-        for desk in self.desks.values_mut().filter(|desk| !desk.instances.is_empty()) {
-            desk.instances.retain(|_, instance| {
+        for scheduler in self.schedulers.values_mut().filter(|scheduler| !scheduler.instances.is_empty()) {
+            scheduler.instances.retain(|_, instance| {
                 let starting = instance.phase() == Phase::Starting && instance.pending.is_none();
                 let told = asked > instance.ordered + CRASH_TOLD;
                 let down = !instance.worker.is_empty() && !workers.knows(&instance.worker);
@@ -100,11 +102,11 @@
         }
         self.listed = by_function.iter().map(|(name, lines)| ((*name).to_owned(), lines.len() as u32)).collect();
         let mut never_came = Vec::new();
-        for (name, desk) in &mut self.desks {
+        for (name, scheduler) in &mut self.schedulers {
             let lines = by_function.remove(name.as_str()).unwrap_or_default();
-            let overlay = self.timing.start_expiry.max(look_limit(desk.boot()));
+            let overlay = self.timing.start_expiry.max(look_limit(scheduler.boot()));
             let known: BTreeMap<&str, &InstanceLine> = lines.iter().map(|line| (line.id.as_str(), *line)).collect();
-            for (id, instance) in desk.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
+            for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
                 match known.get(id.as_str()) {
                     Some(line) => {
                         instance.take_line(line);
@@ -125,24 +127,24 @@
                 }
             }
             let gone = |instance: &Instance| instance.phase() == Phase::Gone && instance.busy == 0;
-            desk.instances.retain(|id, instance| !gone(instance) || known.contains_key(id.as_str()));
-            if desk.leaving.is_none() {
+            scheduler.instances.retain(|id, instance| !gone(instance) || known.contains_key(id.as_str()));
+            if scheduler.leaving.is_none() {
                 for line in &lines {
                     let ends = self.stopped.contains_key(&line.id) || self.leaving.contains_key(&line.id);
-                    if !ends && !desk.instances.contains_key(&line.id) {
+                    if !ends && !scheduler.instances.contains_key(&line.id) {
                         let mut instance = Instance::new(now, &line.address);
                         instance.take_line(line);
                         if line.state == InstanceState::Running {
                             instance.take(InstanceEvent::Ready);
                         }
-                        desk.instances.insert(line.id.clone(), instance);
+                        scheduler.instances.insert(line.id.clone(), instance);
                     }
                 }
-                if let Some((since, _)) = desk.adopting
+                if let Some((since, _)) = scheduler.adopting
                     && own
                     && asked > since
                 {
-                    desk.adopting = Some((since, true));
+                    scheduler.adopting = Some((since, true));
                 }
             }
         }
--- a/crates/traffic/src/tuned.rs
+++ b/crates/traffic/src/tuned.rs
@@ -1,11 +1,11 @@
 //! The home's part in tuning: what it measured of each function goes to the registries with every
 //! sample, and what the host has in force comes back, fenced by the number that named the host.
 
-use crate::desk::{Desk, Seen};
+use crate::function_scheduler::{FunctionScheduler, Seen};
 use crate::home::Home;
 use wire::{MeasureLine, TunedLine};
 
-impl Desk {
+impl FunctionScheduler {
     /// What was measured since the sample before; nothing of a function that stood still.
     pub(crate) fn measure(&mut self, name: &str, looks: f64) -> Option<MeasureLine> {
         let seen = std::mem::take(&mut self.seen);
@@ -39,9 +39,9 @@
     }
 
     pub(crate) fn apply_tuned(&mut self) {
-        for desk in self.desks.values_mut() {
-            let line = self.tuned.1.iter().find(|line| line.function.as_str() == desk.function.name);
-            desk.tuned_usage = line.map(|line| line.usage_micro as f64 / 1e6);
+        for scheduler in self.schedulers.values_mut() {
+            let line = self.tuned.1.iter().find(|line| line.function.as_str() == scheduler.function.name);
+            scheduler.tuned_usage = line.map(|line| line.usage_micro as f64 / 1e6);
         }
     }
 
--- a/crates/traffic/src/verdicts.rs
+++ b/crates/traffic/src/verdicts.rs
@@ -1,7 +1,7 @@
 //! What instances made of the tasks sent to them: answers go back, what has surely not run may go to
 //! another instance, and what may have run is tried again only where it may run more than once.
 
-use crate::desk::Desk;
+use crate::function_scheduler::FunctionScheduler;
 use crate::home::Home;
 use crate::home_types::{Failure, HomeOutput};
 use crate::instance::InstanceEvent;
@@ -28,17 +28,18 @@
                 task.dispatches -= 1;
                 task.not_before = now;
                 if task.is_first()
-                    && let Some(desk) = self.desks.get_mut(&name)
+                    && let Some(scheduler) = self.schedulers.get_mut(&name)
                 {
-                    desk.budget.not_sent();
-                    task.stored.iter().for_each(|id| desk.sent_tasks.remove(id));
+                    scheduler.budget.not_sent();
+                    task.stored.iter().for_each(|id| scheduler.sent_tasks.remove(id));
                 }
-                let leaves = self.desks.get(&name).is_none_or(|desk| desk.leaving.is_some()) || !self.is_home(&name);
+                let leaves = self.schedulers.get(&name).is_none_or(|scheduler| scheduler.leaving.is_some())
+                    || !self.is_home(&name);
                 if leaves { self.send_back(number) } else { self.hold(number) }
             }
             (Verdict::NotRun { .. }, Class::Ordinary | Class::Single | Class::Once) => {
-                let wait = |desk: &Desk| desk.expected_wait(now, desk.held.len());
-                let wait = self.desks.get(&name).map_or(Duration::ZERO, wait);
+                let wait = |scheduler: &FunctionScheduler| scheduler.expected_wait(now, scheduler.held.len());
+                let wait = self.schedulers.get(&name).map_or(Duration::ZERO, wait);
                 let again = self.time_to_come_back(number, wait);
                 self.try_again(number, false, Failure::not_run(again));
             }
@@ -83,15 +84,15 @@
         }
     }
 
-    /// What the desk learns of its instance from a verdict.
+    /// What the scheduler learns of its instance from a verdict.
     fn note(&mut self, name: &str, instance_id: &str, order: u64, (begun, level): (Duration, u32), verdict: &Verdict) {
         let now = self.now;
-        let Some(desk) = self.desks.get_mut(name) else { return };
+        let Some(scheduler) = self.schedulers.get_mut(name) else { return };
         let turned_away =
             matches!(verdict, Verdict::Whole { turned_away: true, .. } | Verdict::NotRun { wrong_instance: false });
-        desk.in_flight = desk.in_flight.saturating_sub(1);
-        desk.risk.ended(now, order, begun, turned_away);
-        if let Some(instance) = desk.instances.get_mut(instance_id) {
+        scheduler.in_flight = scheduler.in_flight.saturating_sub(1);
+        scheduler.risk.ended(now, order, begun, turned_away);
+        if let Some(instance) = scheduler.instances.get_mut(instance_id) {
             instance.busy = instance.busy.saturating_sub(1);
             instance.used = now;
             match verdict {
@@ -107,11 +108,11 @@
         match verdict {
             _ if turned_away => {
                 event!(turned_away, "{instance_id}");
-                desk.turned_away(now, instance_id);
-                desk.budget.turned_away(now);
-                desk.seen.turned += 1;
+                scheduler.turned_away(now, instance_id);
+                scheduler.budget.turned_away(now);
+                scheduler.seen.turned += 1;
             }
-            Verdict::Whole { .. } => desk.took(now.saturating_sub(begun)),
+            Verdict::Whole { .. } => scheduler.took(now.saturating_sub(begun)),
             Verdict::NotRun { .. } => event!(instance_doubted, "{instance_id}: another answers at its address"),
             Verdict::InDoubt { told, .. } => event!(instance_doubted, "{instance_id}: {told}"),
             Verdict::NotSent | Verdict::Crowded => {}
@@ -125,7 +126,9 @@
 
     /// Another instance answers at its address: that one takes connections, so there is no more to look.
     fn replaced(&mut self, name: &str, instance_id: &str) {
-        if let Some(instance) = self.desks.get_mut(name).and_then(|desk| desk.instances.get_mut(instance_id)) {
+        if let Some(instance) =
+            self.schedulers.get_mut(name).and_then(|scheduler| scheduler.instances.get_mut(instance_id))
+        {
             instance.take(InstanceEvent::Lost);
             instance.lost = Some(self.now);
         }
