--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -2,8 +2,8 @@
 //! written before anything it returns is sent, so a staged step is never acknowledged while the
 //! traffic thread still holds a longer pass.
 
+use crate::data_plane::TrafficMsg;
 use crate::pass_cell::PassCell;
-use crate::plane::TrafficMsg;
 use bindings::Book;
 use events::event;
 use holds::{Follower, FollowerInput, FollowerOutput, Standing};
--- a/crates/traffic/src/plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -53,7 +53,7 @@
     },
 }
 
-pub struct Plane {
+pub struct DataPlane {
     pub me: NodeId,
     pub begun: Instant,
     pub pass: PassCell,
@@ -90,7 +90,7 @@
     }
 }
 
-impl Plane {
+impl DataPlane {
     pub async fn run(mut self, mut inbox: Inbox<TrafficMsg>) {
         let tick = tokio::time::sleep(TICK);
         tokio::pin!(tick);
--- a/crates/traffic/src/plane_out.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -1,16 +1,16 @@
 //! The plane's way out: turns of the two machines until neither has anything more to do, and
 //! their outputs carried to links, dispatcher, platform and waiting callers.
 
+use crate::data_plane::{DataPlane, Turn};
 use crate::front_types::{FrontOutput, Reply};
 use crate::home_types::{HomeInput, HomeOutput};
-use crate::plane::{Plane, Turn};
 use dispatch::{DispatcherMsg, Verdict};
 use events::event;
 use links::LinkOrder;
 use std::collections::VecDeque;
 use wire::{HoldMsg, Message, PlanMsg};
 
-impl Plane {
+impl DataPlane {
     pub(crate) fn link(&self, order: LinkOrder) {
         if self.links.send(order).is_err() {
             event!(inbox_full, "links");
--- a/crates/traffic/src/door.rs
+++ b/crates/traffic/src/door.rs
@@ -2,8 +2,8 @@
 //! writes the answer, with the outcome in a header of its own where the dialect has one.
 
 use crate::caller_limits::CallerLimits;
+use crate::data_plane::TrafficMsg;
 use crate::front_types::{Call, Reply};
-use crate::plane::TrafficMsg;
 use axum::Router;
 use axum::body::{Body, HttpBody};
 use axum::extract::{Request, State};
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -4,6 +4,7 @@
 
 use crate::caller_limits::CallerLimits;
 use crate::control_loop::{Control, ControlMsg};
+use crate::data_plane::{DataPlane, TrafficMsg};
 use crate::dialect::Dialect;
 use crate::door::{self, Door};
 use crate::faults::RunFault;
@@ -13,7 +14,6 @@
 use crate::home_types::HomeTiming;
 use crate::ops::{Views, ops_router};
 use crate::pass_cell::PassCell;
-use crate::plane::{Plane, TrafficMsg};
 use crate::settings::RouterEnv;
 use crate::shelving::Shelving;
 use dispatch::{DispatchReport, DispatcherMsg};
@@ -98,7 +98,7 @@
     let door = Door { traffic: find(&directory, "traffic"), words: door_words, limits: bounded.clone() };
     let (callers_pages, doors_stop) = (door::router(door), stopping.clone());
     let traffic_thread = thread("traffic", move || {
-        let plane = Plane {
+        let plane = DataPlane {
             me,
             begun,
             pass: cell,
