--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -15,7 +15,7 @@
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
 use chain::{Disk, DiskReport, Member, Store, StoreFault, Stored, Timing};
-use doors::{DoorLimits, Shelf, Tokens, Views};
+use doors::{ServerLimits, Shelf, Tokens, Views};
 use events::event;
 use kernel::{Directory, Inbox, SendFault, adopt, behind, find, listen, local, thread};
 use links::{LinkEvent, LinkOrder, Me};
@@ -80,7 +80,7 @@
     let (shelf, shelved) = watch::channel(Shelf::new(incarnation));
     let kinds = doors::views(Views { shelf: shelved, tokens: tokens.clone() });
     let (body, life) = (settings.body, Duration::from_secs(3600));
-    let limits = DoorLimits {
+    let limits = ServerLimits {
         connections: 256,
         head_bytes: 16 * 1024,
         headers: 64,
@@ -90,10 +90,10 @@
     };
     let asking = Operators::new(control.clone(), shown);
     let own = api::router(Api { operators: asking.clone(), tokens }, body).merge(kinds);
-    let mut doors = vec![serve("api", operators, own, limits, stopping.clone())?];
+    let mut servers = vec![serve("api", operators, own, limits, stopping.clone())?];
     if let (Some(make), Some(listener)) = (dialect.pages, dialect_listener) {
         let pages = make(asking).layer(DefaultBodyLimit::max(body));
-        doors.push(serve("pages", listener, pages, limits, stopping)?);
+        servers.push(serve("pages", listener, pages, limits, stopping)?);
     }
     let host = Host {
         me,
@@ -145,7 +145,7 @@
         work.run(control, control_inbox).await
     });
     let _ = stop.send(true);
-    doors.into_iter().for_each(|door| _ = door.join());
+    servers.into_iter().for_each(|server| _ = server.join());
     event!(stopped);
     Ok(())
 }
@@ -167,7 +167,7 @@
     name: &str,
     listener: TcpListener,
     pages: Router,
-    limits: DoorLimits,
+    limits: ServerLimits,
     stop: watch::Receiver<bool>,
 ) -> Result<JoinHandle<()>, RunFault> {
     Ok(thread(name, move || local(async move { doors::serve(adopt(listener), pages, limits, stop).await }))?)
--- a/crates/doors/src/lib.rs
+++ b/crates/doors/src/lib.rs
@@ -10,7 +10,7 @@
 mod views;
 
 pub use kinds::kinds;
-pub use serve::{DoorLimits, serve, serve_within};
+pub use serve::{ServerLimits, serve, serve_within};
 pub use shelf::{Filter, Shelf, in_scope};
 pub use tokens::{Tokens, TokensFault, well_formed};
 pub use views::{Views, views};
--- a/crates/doors/src/serve.rs
+++ b/crates/doors/src/serve.rs
@@ -17,7 +17,7 @@
 
 /// The bounds within which connections are served.
 #[derive(Clone, Copy, Debug)]
-pub struct DoorLimits {
+pub struct ServerLimits {
     /// The most connections at a time; more wait to be accepted.
     pub connections: usize,
     /// The largest head of a request; never under 8 KiB.
@@ -33,7 +33,7 @@
 }
 
 /// Serves a router's connections until `stop` holds true, then lets open ones finish.
-pub async fn serve(listener: TcpListener, router: Router, limits: DoorLimits, stop: watch::Receiver<bool>) {
+pub async fn serve(listener: TcpListener, router: Router, limits: ServerLimits, stop: watch::Receiver<bool>) {
     serve_within(listener, router, move || limits, stop).await;
 }
 
@@ -41,7 +41,7 @@
 pub async fn serve_within(
     listener: TcpListener,
     router: Router,
-    limits_now: impl Fn() -> DoorLimits,
+    limits_now: impl Fn() -> ServerLimits,
     mut stop: watch::Receiver<bool>,
 ) {
     let room = Rc::new(Semaphore::new(limits_now().connections));
--- a/crates/traffic/src/caller_limits.rs
+++ b/crates/traffic/src/caller_limits.rs
@@ -3,12 +3,12 @@
 
 use axum::http::HeaderValue;
 use bindings::CallerBounds;
-use doors::DoorLimits;
+use doors::ServerLimits;
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
 pub struct CallerLimits {
-    pub door: DoorLimits,
+    pub server: ServerLimits,
     pub body_bytes: usize,
     pub body_time: Duration,
     /// How long a connection may be idle, as callers are told it.
@@ -20,13 +20,13 @@
     pub fn within(&self, bounds: Option<&CallerBounds>) -> CallerLimits {
         let Some(bounds) = bounds else { return self.clone() };
         let time = |ms: u32| Duration::from_millis(ms.into());
-        let idle = time(bounds.idle_ms.max(bounds.head_ms)).min(self.door.head_time);
+        let idle = time(bounds.idle_ms.max(bounds.head_ms)).min(self.server.head_time);
         let told = idle.as_secs().saturating_sub(1);
         CallerLimits {
-            door: DoorLimits {
-                head_bytes: self.door.head_bytes.min(bounds.head_bytes as usize),
+            server: ServerLimits {
+                head_bytes: self.server.head_bytes.min(bounds.head_bytes as usize),
                 head_time: idle,
-                ..self.door
+                ..self.server
             },
             body_bytes: self.body_bytes.min(bounds.body_bytes as usize),
             body_time: self.body_time,
--- a/crates/traffic/src/door.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -21,42 +21,42 @@
 use wire::{AnswerHead, Outcome, RequestHead};
 
 #[derive(Clone)]
-pub struct Door {
+pub struct CallerServer {
     pub traffic: Post<TrafficMsg>,
     pub words: Arc<Words>,
     pub limits: watch::Receiver<CallerLimits>,
 }
 
-pub fn router(door: Door) -> Router {
-    Router::new().fallback(any(meet)).with_state(door)
+pub fn router(server: CallerServer) -> Router {
+    Router::new().fallback(any(meet)).with_state(server)
 }
 
-async fn meet(State(door): State<Door>, request: Request) -> Response {
+async fn meet(State(server): State<CallerServer>, request: Request) -> Response {
     let begun = Instant::now();
     let (parts, body) = request.into_parts();
-    let body = match door.read(body).await {
+    let body = match server.read(body).await {
         Ok(body) => body,
         Err(refused) => return refused,
     };
     let path = parts.uri.path().to_owned();
-    if let Some(id) = door.words.task_path.and_then(|below| path.strip_prefix(below)) {
-        return door.status(id).await;
+    if let Some(id) = server.words.task_path.and_then(|below| path.strip_prefix(below)) {
+        return server.status(id).await;
     }
-    let Ok(call) = door.call(parts, path, body, begun) else {
-        return door.own(400, "Idempotency-Key is 1 to 128 plain characters", false);
+    let Ok(call) = server.call(parts, path, body, begun) else {
+        return server.own(400, "Idempotency-Key is 1 to 128 plain characters", false);
     };
     let (reply, told) = oneshot::channel();
-    if door.traffic.send(TrafficMsg::Task { call, reply }).is_err() {
+    if server.traffic.send(TrafficMsg::Task { call, reply }).is_err() {
         let busy = Reply::own(503, Some(Outcome::NotRun), "this router is busy");
-        return door.answer(busy.again(Duration::from_millis(500)));
+        return server.answer(busy.again(Duration::from_millis(500)));
     }
     match told.await {
-        Ok(reply) => door.answer(reply),
-        Err(_) => door.answer(Reply::own(504, Some(Outcome::Unknown), "the outcome is not known")),
+        Ok(reply) => server.answer(reply),
+        Err(_) => server.answer(Reply::own(504, Some(Outcome::Unknown), "the outcome is not known")),
     }
 }
 
-impl Door {
+impl CallerServer {
     async fn read(&self, body: Body) -> Result<Vec<u8>, Response> {
         if body.is_end_stream() {
             return Ok(Vec::new());
@@ -164,5 +164,5 @@
 }
 
 #[cfg(test)]
-#[path = "door_tests.rs"]
+#[path = "caller_server_tests.rs"]
 mod tests;
--- a/crates/traffic/src/door_tests.rs
+++ b/crates/traffic/src/caller_server_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use axum::http::{HeaderMap, HeaderName};
-use doors::DoorLimits;
+use doors::ServerLimits;
 use hyper::service::Service;
 use hyper_util::service::TowerToHyperService;
 use kernel::{Inbox, inbox};
@@ -10,9 +10,9 @@
 
 fn limits() -> CallerLimits {
     let time = Duration::from_secs(20);
-    let door =
-        DoorLimits { connections: 8, head_bytes: 16 * 1024, headers: 64, head_time: time, life: time, grace: time };
-    CallerLimits { door, body_bytes: 64, body_time: time, keep_alive: None }
+    let server =
+        ServerLimits { connections: 8, head_bytes: 16 * 1024, headers: 64, head_time: time, life: time, grace: time };
+    CallerLimits { server, body_bytes: 64, body_time: time, keep_alive: None }
 }
 
 fn another_dialect() -> Words {
@@ -29,18 +29,18 @@
     }
 }
 
-fn door(words: Words) -> (Door, Inbox<TrafficMsg>, watch::Sender<CallerLimits>) {
+fn server(words: Words) -> (CallerServer, Inbox<TrafficMsg>, watch::Sender<CallerLimits>) {
     let (traffic, taken) = inbox(8);
     let (bounds, limits) = watch::channel(limits());
-    (Door { traffic, words: Arc::new(words), limits }, taken, bounds)
+    (CallerServer { traffic, words: Arc::new(words), limits }, taken, bounds)
 }
 
 /// Asks, with the reply that the traffic thread would give; what it was asked, and the answer.
 fn ask(words: Words, request: Request, reply: Reply) -> (Option<Call>, Response) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
-        let (door, mut taken, _bounds) = door(words);
-        let service = TowerToHyperService::new(router(door));
+        let (server, mut taken, _bounds) = server(words);
+        let service = TowerToHyperService::new(router(server));
         let serve = async {
             match taken.next().await {
                 Some(TrafficMsg::Task { call, reply: tell }) => {
@@ -146,7 +146,7 @@
         ..bindings::CallerBounds::default()
     };
     let within = limits().within(Some(&bounds));
-    assert_eq!((within.door.head_bytes, within.body_bytes, within.door.head_time.as_secs()), (12_000, 64, 15));
+    assert_eq!((within.server.head_bytes, within.body_bytes, within.server.head_time.as_secs()), (12_000, 64, 15));
     assert_eq!(within.keep_alive, Some(HeaderValue::from_static("timeout=14")));
-    assert_eq!(limits().within(None).door.head_bytes, 16 * 1024);
+    assert_eq!(limits().within(None).server.head_bytes, 16 * 1024);
 }
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -3,10 +3,10 @@
 //! more than the work; platform and operations on threads of their own. All are found by name.
 
 use crate::caller_limits::CallerLimits;
+use crate::caller_server::{self, CallerServer};
 use crate::control_loop::{Control, ControlMsg};
 use crate::data_plane::{DataPlane, TrafficMsg};
 use crate::dialect::Dialect;
-use crate::door::{self, Door};
 use crate::faults::RunFault;
 use crate::front::Front;
 use crate::front_types::FrontLimits;
@@ -17,7 +17,7 @@
 use crate::settings::RouterEnv;
 use crate::shelving::Shelving;
 use dispatch::{DispatchReport, DispatcherMsg};
-use doors::{DoorLimits, Shelf, Tokens};
+use doors::{ServerLimits, Shelf, Tokens};
 use events::event;
 use holds::{Follower, FollowerTiming, Standing, mix};
 use kernel::{Directory, Post, SendFault, adopt, behind, find, listen, local, thread, wait_for_signal};
@@ -84,7 +84,7 @@
     })?;
     let limits = caller_limits(&settings);
     let (bounds, bounded) = watch::channel(limits.clone());
-    let (own_limits, door_limits) = (limits.clone(), limits.door);
+    let (own_limits, server_limits) = (limits.clone(), limits.server);
     let (link_names, names, cell) = (directory.clone(), directory.clone(), pass.clone());
     let back = settings.hold + settings.hold / 6 + TAKING_OVER;
     let front_limits = FrontLimits { back, ..FrontLimits::default() };
@@ -95,8 +95,8 @@
         allowances: settings.allowances(),
         ..HomeTiming::default()
     };
-    let door = Door { traffic: find(&directory, "traffic"), words: door_words, limits: bounded.clone() };
-    let (callers_pages, doors_stop) = (door::router(door), stopping.clone());
+    let server = CallerServer { traffic: find(&directory, "traffic"), words: door_words, limits: bounded.clone() };
+    let (callers_pages, servers_stop) = (caller_server::router(server), stopping.clone());
     let traffic_thread = thread("traffic", move || {
         let plane = DataPlane {
             me,
@@ -121,15 +121,15 @@
         };
         let traffic = find::<TrafficMsg>(&names, "traffic");
         let report: dispatch::Report = Rc::new(move |report| tell(&traffic, report));
-        let limits = move || bounded.borrow().door;
+        let limits = move || bounded.borrow().server;
         local(async move {
             spawn_local(links::start(myself, adopt(peers), links_inbox, deliver(link_names)));
             spawn_local(dispatch::run(words, dispatch_inbox, report));
             spawn_local(plane.run(traffic_inbox));
-            doors::serve_within(adopt(callers), callers_pages, limits, doors_stop).await;
+            doors::serve_within(adopt(callers), callers_pages, limits, servers_stop).await;
         });
     })?;
-    let ops_limits = DoorLimits { connections: 64, life: Duration::from_secs(86_400), ..door_limits };
+    let ops_limits = ServerLimits { connections: 64, life: Duration::from_secs(86_400), ..server_limits };
     let kinds = doors::views(doors::Views { shelf: shelved, tokens });
     let (views, ops_stop) = (Views { traffic: shown, control: control_shown }, stopping);
     thread("operations", move || {
@@ -183,7 +183,7 @@
 }
 
 fn caller_limits(settings: &RouterEnv) -> CallerLimits {
-    let door = DoorLimits {
+    let server = ServerLimits {
         connections: settings.connections,
         head_bytes: settings.head_bytes,
         headers: settings.headers,
@@ -191,7 +191,7 @@
         life: settings.life,
         grace: settings.grace,
     };
-    CallerLimits { door, body_bytes: settings.body, body_time: settings.body_time, keep_alive: None }
+    CallerLimits { server, body_bytes: settings.body, body_time: settings.body_time, keep_alive: None }
 }
 
 fn tell(traffic: &Post<TrafficMsg>, report: DispatchReport) {
