--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -7,7 +7,7 @@
 pub struct DispatchOrder {
     /// The order's number, unique in this process.
     pub number: u64,
-    /// The supplier's id of the instance, to which the request is pinned.
+    /// The provider's id of the instance, to which the request is pinned.
     pub instance: String,
     /// Where the instance takes requests, as `IP:port`.
     pub address: String,
--- a/crates/hollow/src/assign.rs
+++ b/crates/hollow/src/assign.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{Listing, SupplyReport};
+use supply::{Listing, ProviderReport};
 use wire::NodeId;
 
 const LOOK: Duration = Duration::from_millis(250);
@@ -83,7 +83,7 @@
         let id = node.borrow().follower.me();
         let numbers = homes.get(&id).into_iter().flatten().filter_map(|name| Workload::number(name));
         let instances = numbers.flat_map(|number| shared.plan.workload.lines(number)).collect();
-        let report = SupplyReport::Listed { listing: Listing { instances }, asked: Instant::now() };
+        let report = ProviderReport::Listed { listing: Listing { instances }, asked: Instant::now() };
         give(shared, &node, NodeInput::Listed { report });
     }
 }
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
-use supply::SupplyReport;
+use supply::ProviderReport;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{HoldMsg, Message, NodeId, PlanMsg};
 
@@ -32,7 +32,7 @@
         book: Rc<Book>,
     },
     Listed {
-        report: SupplyReport,
+        report: ProviderReport,
     },
 }
 
--- a/crates/hollow/src/offline_home.rs
+++ b/crates/hollow/src/offline_home.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{Listing, SupplyReport};
+use supply::{Listing, ProviderReport};
 use traffic::{Home, HomeInput, HomeTiming};
 use wire::{Message, PlanMsg};
 
@@ -33,7 +33,7 @@
 }
 
 fn listed(home: &mut Home, now: Duration, listing: Listing) {
-    let report = SupplyReport::Listed { listing, asked: Instant::now() };
+    let report = ProviderReport::Listed { listing, asked: Instant::now() };
     home.step(now, true, HomeInput::Platform { report, listed_at: now });
 }
 
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/yard.rs
@@ -7,7 +7,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 use supply::{
-    InstanceLine, InstanceState, Listing, StartOrder, StartReceipt, StopReceipt, SupplyOrder, SupplyReport, WorkerLine,
+    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReceipt, StopReceipt,
+    WorkerLine,
 };
 use traffic::{HomeInput, Verdict};
 
@@ -77,21 +78,21 @@
 }
 
 impl World {
-    pub fn platform_order(&mut self, n: usize, order: SupplyOrder) {
+    pub fn platform_order(&mut self, n: usize, order: ProviderOrder) {
         let lost = self.yard.unanswered > 0.0 && self.dice.random_bool(self.yard.unanswered);
         let wait = Duration::from_millis(self.dice.random_range(2..40));
         let boot = Duration::from_millis(self.dice.random_range(800..1500));
-        let look = matches!(order, SupplyOrder::List | SupplyOrder::Workers);
+        let look = matches!(order, ProviderOrder::List | ProviderOrder::Workers);
         let taken = look || self.yard.takes_order(self.now);
         let listed_at = self.router_now(n);
         let report = match order {
-            SupplyOrder::Start(order) => {
+            ProviderOrder::Start(order) => {
                 let nonce = order.nonce.clone();
                 let receipt = if taken { self.begin(order, boot) } else { StartReceipt::Limited };
                 let receipt = if lost { StartReceipt::Unanswered } else { receipt };
-                SupplyReport::Started { nonce, receipt }
+                ProviderReport::Started { nonce, receipt }
             }
-            SupplyOrder::Stop { id, .. } => {
+            ProviderOrder::Stop { id, .. } => {
                 let known = taken.then(|| self.yard.instances.remove(&id).is_some());
                 let receipt = match known {
                     _ if lost => StopReceipt::Unanswered,
@@ -99,16 +100,16 @@
                     Some(false) => StopReceipt::Unknown,
                     None => StopReceipt::Limited,
                 };
-                SupplyReport::Stopped { id, receipt }
+                ProviderReport::Stopped { id, receipt }
             }
-            SupplyOrder::List | SupplyOrder::Workers if lost => return,
-            SupplyOrder::List => {
+            ProviderOrder::List | ProviderOrder::Workers if lost => return,
+            ProviderOrder::List => {
                 let shown = self.yard.lists.front().map(|(_, listing, _)| listing.clone()).unwrap_or_default();
-                SupplyReport::Listed { listing: shown, asked: Instant::now() }
+                ProviderReport::Listed { listing: shown, asked: Instant::now() }
             }
-            SupplyOrder::Workers => {
+            ProviderOrder::Workers => {
                 let free = self.yard.lists.front().map(|(_, _, free)| free.clone()).unwrap_or_default();
-                SupplyReport::Workers {
+                ProviderReport::Workers {
                     lines: free.iter().enumerate().map(worker_line).collect(),
                     asked: Instant::now(),
                 }
@@ -171,14 +172,14 @@
         self.turn(n, Turn::Home(HomeInput::Probed { id, ready }));
     }
 
-    pub fn reported(&mut self, n: usize, life: u64, report: SupplyReport, listed_at: Duration) {
+    pub fn reported(&mut self, n: usize, life: u64, report: ProviderReport, listed_at: Duration) {
         if self.routers[n].life != life {
             return;
         }
         if let Some(until) = self.frozen_until(crate::world::Place::Router(n)) {
             return self.at(until, Event::Platform { router: n, life, report, listed_at });
         }
-        if let SupplyReport::Listed { listing, .. } = &report {
+        if let ProviderReport::Listed { listing, .. } = &report {
             for line in listing.instances.iter().filter(|line| line.state == InstanceState::Leaving) {
                 self.yard.told_gone.entry((n, line.id.clone())).or_insert(self.now);
             }
--- a/crates/supply/src/lib.rs
+++ b/crates/supply/src/lib.rs
@@ -1,5 +1,5 @@
 //! Supply of instances: the port through which the product starts, stops and lists them at whoever
-//! runs them, the service that carries orders to it, and the supplier of the product's own dialect.
+//! runs them, the service that carries orders to it, and the provider of the product's own dialect.
 
 #![warn(missing_docs)]
 
@@ -9,8 +9,9 @@
 mod service;
 
 pub use caller::Caller;
-pub use own::OwnSupplier;
+pub use own::OwnInstanceProvider;
 pub use port::{
-    Call, InstanceLine, InstanceState, Listing, Start, StartOrder, StartReceipt, StopReceipt, Supplier, WorkerLine,
+    Call, InstanceLine, InstanceProvider, InstanceState, Listing, Start, StartOrder, StartReceipt, StopReceipt,
+    WorkerLine,
 };
-pub use service::{Report, SupplyOrder, SupplyReport, run};
+pub use service::{ProviderOrder, ProviderReport, Report, run};
--- a/crates/supply/src/own.rs
+++ b/crates/supply/src/own.rs
@@ -1,13 +1,13 @@
-//! The supplier of the product's own dialect.
+//! The provider of the product's own dialect.
 
 use crate::caller::Caller;
-use crate::port::{Call, Listing, StartOrder, StartReceipt, StopReceipt, Supplier, WorkerLine};
+use crate::port::{Call, InstanceProvider, Listing, StartOrder, StartReceipt, StopReceipt, WorkerLine};
 use hyper::{Method, StatusCode};
 use serde::Deserialize;
 use serde_json::json;
 
 /// Talks to a platform in heronlink's own dialect: JSON under `/v1/instances` and `/v1/workers`.
-pub struct OwnSupplier {
+pub struct OwnInstanceProvider {
     caller: Caller,
 }
 
@@ -22,14 +22,14 @@
     workers: Vec<WorkerLine>,
 }
 
-impl OwnSupplier {
+impl OwnInstanceProvider {
     /// A client of the platform at `IP:port`.
-    pub fn new(address: &str) -> OwnSupplier {
-        OwnSupplier { caller: Caller::new(address) }
+    pub fn new(address: &str) -> OwnInstanceProvider {
+        OwnInstanceProvider { caller: Caller::new(address) }
     }
 }
 
-impl Supplier for OwnSupplier {
+impl InstanceProvider for OwnInstanceProvider {
     fn start(&self, order: StartOrder) -> Call<'_, StartReceipt> {
         Box::pin(async move {
             let StartOrder { nonce, service, worker, memory_mb, fence } = order;
--- a/crates/supply/src/port.rs
+++ b/crates/supply/src/port.rs
@@ -1,4 +1,4 @@
-//! The port: what the product asks of a supplier of instances, and what it is told. A supplier holds
+//! The port: what the product asks of a provider of instances, and what it is told. A provider holds
 //! conversations and decides nothing; a call may be dropped at any moment, and its effect is then open.
 
 use serde::{Deserialize, Serialize};
@@ -111,7 +111,7 @@
 pub type Call<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// Whoever starts, stops and lists instances.
-pub trait Supplier {
+pub trait InstanceProvider {
     /// Orders one instance.
     fn start(&self, order: StartOrder) -> Call<'_, StartReceipt>;
     /// Orders an instance stopped, under the number of the membership.
@@ -122,5 +122,5 @@
     fn workers(&self) -> Call<'_, Option<Vec<WorkerLine>>>;
 }
 
-/// Makes the supplier on the thread that uses it.
-pub type Start = Box<dyn FnOnce() -> Rc<dyn Supplier> + Send>;
+/// Makes the provider on the thread that uses it.
+pub type Start = Box<dyn FnOnce() -> Rc<dyn InstanceProvider> + Send>;
--- a/crates/supply/src/service.rs
+++ b/crates/supply/src/service.rs
@@ -1,6 +1,6 @@
-//! The service around a supplier: orders side by side within a bound, each within a time limit.
+//! The service around a provider: orders side by side within a bound, each within a time limit.
 
-use crate::port::{Listing, StartOrder, StartReceipt, StopReceipt, Supplier, WorkerLine};
+use crate::port::{InstanceProvider, Listing, StartOrder, StartReceipt, StopReceipt, WorkerLine};
 use kernel::Inbox;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 
 /// What the service can be asked for.
 #[derive(Clone, Debug)]
-pub enum SupplyOrder {
+pub enum ProviderOrder {
     /// Start one instance.
     Start(StartOrder),
     /// Stop an instance.
@@ -33,7 +33,7 @@
 
 /// What came of an order.
 #[derive(Clone, Debug)]
-pub enum SupplyReport {
+pub enum ProviderReport {
     /// Of a start.
     Started {
         /// The wish it was ordered under.
@@ -69,34 +69,34 @@
 }
 
 /// Takes what came of an order.
-pub type Report = Rc<dyn Fn(SupplyReport)>;
+pub type Report = Rc<dyn Fn(ProviderReport)>;
 
 /// Runs the service on the current thread until its inbox of orders is closed.
-pub async fn run(supplier: Rc<dyn Supplier>, mut orders: Inbox<SupplyOrder>, report: Report) {
+pub async fn run(provider: Rc<dyn InstanceProvider>, mut orders: Inbox<ProviderOrder>, report: Report) {
     let room = Rc::new(Semaphore::new(CALLS));
     while let Some(order) = orders.next().await {
-        let (supplier, report, room) = (supplier.clone(), report.clone(), room.clone());
+        let (provider, report, room) = (provider.clone(), report.clone(), room.clone());
         spawn_local(async move {
             let Ok(_permit) = room.acquire().await else { return };
             match order {
-                SupplyOrder::Start(order) => {
+                ProviderOrder::Start(order) => {
                     let nonce = order.nonce.clone();
-                    let receipt = timeout(LIMIT, supplier.start(order)).await.unwrap_or(StartReceipt::Unanswered);
-                    report(SupplyReport::Started { nonce, receipt });
+                    let receipt = timeout(LIMIT, provider.start(order)).await.unwrap_or(StartReceipt::Unanswered);
+                    report(ProviderReport::Started { nonce, receipt });
                 }
-                SupplyOrder::Stop { id, fence } => {
-                    let told = timeout(LIMIT, supplier.stop(id.clone(), fence)).await;
-                    report(SupplyReport::Stopped { id, receipt: told.unwrap_or(StopReceipt::Unanswered) });
+                ProviderOrder::Stop { id, fence } => {
+                    let told = timeout(LIMIT, provider.stop(id.clone(), fence)).await;
+                    report(ProviderReport::Stopped { id, receipt: told.unwrap_or(StopReceipt::Unanswered) });
                 }
-                SupplyOrder::List => {
+                ProviderOrder::List => {
                     let asked = Instant::now();
-                    let told = timeout(LIMIT, supplier.list()).await.ok().flatten();
-                    report(told.map_or(SupplyReport::ListFault, |listing| SupplyReport::Listed { listing, asked }));
+                    let told = timeout(LIMIT, provider.list()).await.ok().flatten();
+                    report(told.map_or(ProviderReport::ListFault, |listing| ProviderReport::Listed { listing, asked }));
                 }
-                SupplyOrder::Workers => {
+                ProviderOrder::Workers => {
                     let asked = Instant::now();
-                    let told = timeout(LIMIT, supplier.workers()).await.ok().flatten();
-                    report(told.map_or(SupplyReport::WorkersFault, |lines| SupplyReport::Workers { lines, asked }));
+                    let told = timeout(LIMIT, provider.workers()).await.ok().flatten();
+                    report(told.map_or(ProviderReport::WorkersFault, |lines| ProviderReport::Workers { lines, asked }));
                 }
             }
         });
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{SupplyOrder, SupplyReport};
+use supply::{ProviderOrder, ProviderReport};
 use tokio::sync::{oneshot, watch};
 use wire::{DeferredRecord, ForwardMessage, HoldMsg, Message, NodeId, StoredAnswer};
 
@@ -37,7 +37,7 @@
     },
     Link(LinkEvent),
     Dispatcher(DispatchReport),
-    Platform(SupplyReport),
+    Platform(ProviderReport),
     Book(Box<Book>),
     /// A later step under which the book stays as it is.
     Step(u64),
@@ -61,7 +61,7 @@
     pub home: Home,
     pub links: Post<LinkOrder>,
     pub dispatcher: Post<DispatcherMsg>,
-    pub platform: Post<SupplyOrder>,
+    pub platform: Post<ProviderOrder>,
     pub view: watch::Sender<String>,
     pub limits: (CallerLimits, watch::Sender<CallerLimits>),
     /// Kept where somebody may read it.
@@ -172,7 +172,7 @@
             }
             TrafficMsg::Platform(report) => {
                 let listed_at = match &report {
-                    SupplyReport::Listed { asked, .. } | SupplyReport::Workers { asked, .. } => {
+                    ProviderReport::Listed { asked, .. } | ProviderReport::Workers { asked, .. } => {
                         asked.saturating_duration_since(self.begun)
                     }
                     _ => Duration::ZERO,
--- a/crates/traffic/src/dialect.rs
+++ b/crates/traffic/src/dialect.rs
@@ -13,7 +13,7 @@
 pub struct Dialect {
     pub words: Words,
     /// Makes whoever runs the instances; by default that of the settings, in the product's own dialect.
-    pub supplier: Option<Start>,
+    pub provider: Option<Start>,
     /// Further pages, and the address they are served at.
     pub pages: Option<MakePages>,
     pub pages_address: Option<String>,
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -6,7 +6,7 @@
 use holds::Roster;
 use std::rc::Rc;
 use std::time::Duration;
-use supply::{SupplyOrder, SupplyReport};
+use supply::{ProviderOrder, ProviderReport};
 use wire::{ForwardMessage, HoldMsg, MeasureLine, NodeId, Outcome, PlanMsg, SampleLine};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -19,7 +19,7 @@
     Forward { from: NodeId, message: ForwardMessage },
     Dispatched { number: u64, verdict: Verdict },
     Ledger { message: HoldMsg },
-    Platform { report: SupplyReport, listed_at: Duration },
+    Platform { report: ProviderReport, listed_at: Duration },
     Probed { id: String, ready: bool },
     Plan { message: PlanMsg },
     Book { book: Rc<Book> },
@@ -44,7 +44,7 @@
         prefix: String,
     },
     Dispatch(DispatchOrder),
-    Supply(SupplyOrder),
+    Supply(ProviderOrder),
     /// Connect, from `after` on and for no longer than `limit`; `Probed` tells whether the instance took it.
     Probe {
         id: String,
@@ -74,7 +74,7 @@
     pub follow: Duration,
     pub adopt: Duration,
     pub sample: Duration,
-    /// How often the supplier's list is read for all homes.
+    /// How often the provider's list is read for all homes.
     pub list_every: Duration,
     pub overlay: Duration,
     pub start_expiry: Duration,
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -1,4 +1,4 @@
-//! The supplier's list and its workers, read by one home for all: the first in turn by the roster, or
+//! The provider's list and its workers, read by one home for all: the first in turn by the roster, or
 //! the next should nothing be heard from it. What it read goes to the other homes as changes, with the
 //! time since it was asked for; who missed some asks for the whole. A home that waits for a list asked
 //! for after its own beginning reads one itself, since no other's clock can tell that for sure.
@@ -8,7 +8,7 @@
 use crate::stock::{change_of, changed, from_record, from_worker_record, gone, worker_record};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use supply::{InstanceLine, InstanceState, Listing, SupplyOrder, WorkerLine};
+use supply::{InstanceLine, InstanceState, Listing, ProviderOrder, WorkerLine};
 use wire::{ForwardMessage, InventoryChange, NodeId};
 
 /// How long after the list was due the next in turn waits before it reads in the other's place.
@@ -74,14 +74,14 @@
         if own || for_all && pause(self.inventory.ordered, every) {
             self.inventory.ordered = Some(now);
             self.inventory.for_all = for_all;
-            self.outs.push(HomeOutput::Supply(SupplyOrder::List));
+            self.outs.push(HomeOutput::Supply(ProviderOrder::List));
         }
         let calm = now > self.inventory.changed + CHANGES_LAST;
         let every = if calm { WORKERS_SELDOM } else { WORKERS_SOON };
         let unknown = !self.workers.are_known() && pause(self.inventory.workers_ordered, OWN_PAUSE);
         if unknown || for_all && pause(self.inventory.workers_ordered, every) {
             self.inventory.workers_ordered = Some(now);
-            self.outs.push(HomeOutput::Supply(SupplyOrder::Workers));
+            self.outs.push(HomeOutput::Supply(ProviderOrder::Workers));
         }
     }
 
--- a/crates/traffic/src/placing.rs
+++ b/crates/traffic/src/placing.rs
@@ -10,7 +10,7 @@
 const LAG: Duration = Duration::from_millis(1000);
 /// A worker that turned a start away is not asked again for so long.
 const FULL: Duration = Duration::from_millis(500);
-/// So long after its beginning a home waits for a first list before it leaves the choice to the supplier.
+/// So long after its beginning a home waits for a first list before it leaves the choice to the provider.
 const FIRST: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -8,7 +8,7 @@
 use events::event;
 use scaler::Situation;
 use std::time::Duration;
-use supply::SupplyOrder;
+use supply::ProviderOrder;
 use wire::{PlanMsg, SampleLine};
 
 const EVERY: Duration = Duration::from_millis(100);
@@ -166,7 +166,7 @@
                     instance.stop_again = now + STOP_AGAIN;
                     self.stopped.insert(id.clone(), now);
                     event!(stop_ordered, "{id}");
-                    self.outs.push(HomeOutput::Supply(SupplyOrder::Stop { id: id.clone(), fence }));
+                    self.outs.push(HomeOutput::Supply(ProviderOrder::Stop { id: id.clone(), fence }));
                 }
             }
         }
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -26,7 +26,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use supply::{OwnSupplier, Supplier, SupplyOrder};
+use supply::{InstanceProvider, OwnInstanceProvider, ProviderOrder};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use wire::{HoldMsg, Message, NodeId};
@@ -54,7 +54,7 @@
     let traffic_inbox = directory.announce::<TrafficMsg>("traffic", 16_384);
     let links_inbox = directory.announce::<LinkOrder>("links", 65_536);
     let dispatch_inbox = directory.announce::<DispatcherMsg>("dispatcher", 8192);
-    let platform_inbox = directory.announce::<SupplyOrder>("platform", 4096);
+    let platform_inbox = directory.announce::<ProviderOrder>("platform", 4096);
     let (view, shown) = watch::channel(String::from("{}"));
     let (control_view, control_shown) = watch::channel(String::from("{}"));
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
@@ -71,16 +71,17 @@
         format: settings.format,
     };
     let (words, door_words) = (dialect.words.clone(), Arc::new(dialect.words));
-    let supplier = dialect.supplier;
+    let provider = dialect.provider;
     let (names, address) = (directory.clone(), settings.platform.clone());
     thread("platform", move || {
         let traffic = find::<TrafficMsg>(&names, "traffic");
-        let report: Rc<dyn Fn(supply::SupplyReport)> = Rc::new(move |report| {
+        let report: Rc<dyn Fn(supply::ProviderReport)> = Rc::new(move |report| {
             let traffic = traffic.clone();
             spawn_local(async move { traffic.send_waiting(TrafficMsg::Platform(report)).await });
         });
-        let supplier = supplier.map_or_else(|| Rc::new(OwnSupplier::new(&address)) as Rc<dyn Supplier>, |make| make());
-        local(async move { supply::run(supplier, platform_inbox, report).await });
+        let provider = provider
+            .map_or_else(|| Rc::new(OwnInstanceProvider::new(&address)) as Rc<dyn InstanceProvider>, |make| make());
+        local(async move { supply::run(provider, platform_inbox, report).await });
     })?;
     let limits = caller_limits(&settings);
     let (bounds, bounded) = watch::channel(limits.clone());
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -8,7 +8,7 @@
 use crate::placing::Placed;
 use events::event;
 use std::time::Duration;
-use supply::{StartOrder, StartReceipt, SupplyOrder};
+use supply::{ProviderOrder, StartOrder, StartReceipt};
 
 const NO_ROOM_PAUSE: Duration = Duration::from_millis(1000);
 const LIMITED_PAUSE: Duration = Duration::from_millis(250);
@@ -71,7 +71,13 @@
         }
         event!(start_ordered, "{name} as {nonce} on {}", instance.worker);
         let (nonce, service, fence) = (nonce.to_owned(), name.to_owned(), self.roster.number);
-        self.outs.push(HomeOutput::Supply(SupplyOrder::Start(StartOrder { nonce, service, worker, memory_mb, fence })));
+        self.outs.push(HomeOutput::Supply(ProviderOrder::Start(StartOrder {
+            nonce,
+            service,
+            worker,
+            memory_mb,
+            fence,
+        })));
     }
 
     /// Wishes whose order is to be sent again; those wished no longer are dropped.
@@ -155,7 +161,7 @@
         }
     }
 
-    /// From now on the instance goes by the supplier's id; one found on the list before is the same.
+    /// From now on the instance goes by the provider's id; one found on the list before is the same.
     fn accepted(&mut self, name: &str, nonce: &str, id: String, address: String) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
--- a/crates/traffic/src/stock.rs
+++ b/crates/traffic/src/stock.rs
@@ -1,4 +1,4 @@
-//! The supplier's lines as the homes tell them to one another, and what differs between two lists.
+//! The provider's lines as the homes tell them to one another, and what differs between two lists.
 
 use std::collections::BTreeMap;
 use supply::{InstanceLine, InstanceState, WorkerLine};
--- a/crates/traffic/src/supply_side.rs
+++ b/crates/traffic/src/supply_side.rs
@@ -1,4 +1,4 @@
-//! What the supplier tells, set against this home's own orders: its list lags, so an instance
+//! What the provider tells, set against this home's own orders: its list lags, so an instance
 //! ordered lately need not be on it, and one stopped lately may still be. An instance learned to
 //! be leaving or gone gets nothing more from that moment; one nobody is home to is stopped.
 
@@ -9,7 +9,7 @@
 use events::event;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use supply::{InstanceLine, InstanceState, StopReceipt, SupplyOrder, SupplyReport, WorkerLine};
+use supply::{InstanceLine, InstanceState, ProviderOrder, ProviderReport, StopReceipt, WorkerLine};
 
 const UNBOUND_LASTS: Duration = Duration::from_secs(15);
 const LIMITED: Duration = Duration::from_millis(300);
@@ -20,14 +20,14 @@
 const REFUSED_LIMIT: Duration = Duration::from_millis(1500);
 
 impl Home {
-    pub(crate) fn platform(&mut self, report: SupplyReport, listed_at: Duration) {
+    pub(crate) fn platform(&mut self, report: ProviderReport, listed_at: Duration) {
         match report {
-            SupplyReport::Started { nonce, receipt } => self.started(&nonce, receipt),
-            SupplyReport::Stopped { id, receipt } => self.stop_told(&id, receipt),
-            SupplyReport::Listed { listing, .. } => self.read(listing, listed_at),
-            SupplyReport::Workers { lines, .. } => self.workers_read(lines, listed_at),
-            SupplyReport::ListFault => event!(platform_refused, "list"),
-            SupplyReport::WorkersFault => event!(platform_refused, "workers"),
+            ProviderReport::Started { nonce, receipt } => self.started(&nonce, receipt),
+            ProviderReport::Stopped { id, receipt } => self.stop_told(&id, receipt),
+            ProviderReport::Listed { listing, .. } => self.read(listing, listed_at),
+            ProviderReport::Workers { lines, .. } => self.workers_read(lines, listed_at),
+            ProviderReport::ListFault => event!(platform_refused, "list"),
+            ProviderReport::WorkersFault => event!(platform_refused, "workers"),
         }
     }
 
@@ -155,7 +155,7 @@
     fn stop(&mut self, id: String, why: &str) {
         if self.stopped.insert(id.clone(), self.now).is_none() {
             event!(stop_ordered, "{id}, {why}");
-            self.outs.push(HomeOutput::Supply(SupplyOrder::Stop { id, fence: self.roster.number }));
+            self.outs.push(HomeOutput::Supply(ProviderOrder::Stop { id, fence: self.roster.number }));
         }
     }
 
--- a/crates/traffic/tests/common/supplied.rs
+++ b/crates/traffic/tests/common/supplied.rs
@@ -1,11 +1,12 @@
-//! A home fed by a supplier: what it orders, and what it is told.
+//! A home fed by a provider: what it orders, and what it is told.
 
 use super::{ME, ms, roster};
 use bindings::Book;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use supply::{
-    InstanceLine, InstanceState, Listing, StartOrder, StartReceipt, StopReceipt, SupplyOrder, SupplyReport, WorkerLine,
+    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReceipt, StopReceipt,
+    WorkerLine,
 };
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 
@@ -69,29 +70,29 @@
     pub fn feed(&mut self, input: HomeInput) {
         for output in self.home.step(ms(self.at), true, input) {
             match output {
-                HomeOutput::Supply(SupplyOrder::Start(order)) => self.starts.push(order),
-                HomeOutput::Supply(SupplyOrder::Stop { id, .. }) => self.stops.push(id),
+                HomeOutput::Supply(ProviderOrder::Start(order)) => self.starts.push(order),
+                HomeOutput::Supply(ProviderOrder::Stop { id, .. }) => self.stops.push(id),
                 HomeOutput::Probe { id, after, .. } => self.probes.push((id, after)),
                 other => self.others.push(other),
             }
         }
     }
 
-    fn report(&mut self, report: SupplyReport) {
+    fn report(&mut self, report: ProviderReport) {
         let listed_at = ms(self.at);
         self.feed(HomeInput::Platform { report, listed_at });
     }
 
     pub fn workers(&mut self, lines: Vec<WorkerLine>) {
-        self.report(SupplyReport::Workers { lines, asked: Instant::now() });
+        self.report(ProviderReport::Workers { lines, asked: Instant::now() });
     }
 
     pub fn list(&mut self, instances: Vec<InstanceLine>) {
-        self.report(SupplyReport::Listed { listing: Listing { instances }, asked: Instant::now() });
+        self.report(ProviderReport::Listed { listing: Listing { instances }, asked: Instant::now() });
     }
 
     pub fn started(&mut self, nonce: &str, receipt: StartReceipt) {
-        self.report(SupplyReport::Started { nonce: nonce.into(), receipt });
+        self.report(ProviderReport::Started { nonce: nonce.into(), receipt });
     }
 
     pub fn accepted(&mut self, nonce: &str, id: &str) {
@@ -100,7 +101,7 @@
     }
 
     pub fn stopped(&mut self, id: &str, receipt: StopReceipt) {
-        self.report(SupplyReport::Stopped { id: id.into(), receipt });
+        self.report(ProviderReport::Stopped { id: id.into(), receipt });
     }
 
     pub fn probed(&mut self, id: &str, ready: bool) {
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_task_that_cannot_be_served_in_time_is_refused_at_once_not_near_its_deadline() {
-    use supply::{StartReceipt, SupplyReport};
+    use supply::{ProviderReport, StartReceipt};
     use traffic::Verdict;
     let mut home = Home::new(OTHER, 1, HomeTiming::default());
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","max":1}"#;
@@ -94,7 +94,7 @@
         let report = |report| HomeInput::Platform { report, listed_at: ms(at) };
         if let Some(nonce) = instance.take() {
             let receipt = StartReceipt::Accepted { id: "i1".into(), address: "10.9.9.9:1".into() };
-            inputs.push(report(SupplyReport::Started { nonce, receipt }));
+            inputs.push(report(ProviderReport::Started { nonce, receipt }));
             inputs.push(HomeInput::Probed { id: "i1".into(), ready: true });
         }
         let done = running.iter().position(|(_, due)| at >= *due).map(|place| running.remove(place));
@@ -108,7 +108,7 @@
             }
             match output {
                 HomeOutput::Dispatch(order) => running.push((order.number, at + 500)),
-                HomeOutput::Supply(supply::SupplyOrder::Start(order)) => instance = Some(order.nonce),
+                HomeOutput::Supply(supply::ProviderOrder::Start(order)) => instance = Some(order.nonce),
                 HomeOutput::Forward {
                     message: ForwardMessage::Answer { outcome: Outcome::NotRun, again_ms, .. },
                     ..
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -1,4 +1,4 @@
-//! One home reads the supplier's list for all.
+//! One home reads the provider's list for all.
 
 mod common;
 
@@ -7,13 +7,13 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{InstanceLine, InstanceState, Listing, SupplyOrder, SupplyReport};
+use supply::{InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport};
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ForwardMessage, NodeId};
 
 const IDS: [NodeId; 4] = [3, 5, 7, 11];
 
-/// Homes that hear each other at once, and a supplier that answers at once.
+/// Homes that hear each other at once, and a provider that answers at once.
 struct Homes {
     homes: BTreeMap<NodeId, Home>,
     at: u64,
@@ -39,14 +39,14 @@
         let outputs = self.homes.get_mut(&id).unwrap().step(ms(self.at), true, input);
         for output in outputs {
             match output {
-                HomeOutput::Supply(SupplyOrder::List) => {
+                HomeOutput::Supply(ProviderOrder::List) => {
                     *self.looks.entry(id).or_default() += 1;
                     let listing = Listing { instances: self.list.clone() };
-                    self.tell(id, SupplyReport::Listed { listing, asked: Instant::now() });
+                    self.tell(id, ProviderReport::Listed { listing, asked: Instant::now() });
                 }
-                HomeOutput::Supply(SupplyOrder::Workers) => {
+                HomeOutput::Supply(ProviderOrder::Workers) => {
                     let lines = vec![worker("w0", "a", 4096, true)];
-                    self.tell(id, SupplyReport::Workers { lines, asked: Instant::now() });
+                    self.tell(id, ProviderReport::Workers { lines, asked: Instant::now() });
                 }
                 HomeOutput::Forward { to, message } if self.deaf != Some(to) && self.deaf != Some(id) => {
                     if let ForwardMessage::Inventory { inventory } = &message {
@@ -59,7 +59,7 @@
         }
     }
 
-    fn tell(&mut self, id: NodeId, report: SupplyReport) {
+    fn tell(&mut self, id: NodeId, report: ProviderReport) {
         let listed_at = ms(self.at);
         self.feed(id, HomeInput::Platform { report, listed_at });
     }
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -85,7 +85,7 @@
     pub begun_whole: u8,
 }
 
-/// An instance as the supplier lists it.
+/// An instance as the provider lists it.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct StockLine {
     pub id: Text,
@@ -106,7 +106,7 @@
     pub ready: u8,
 }
 
-/// What the supplier's list shows otherwise than under an earlier number, or than nothing where that
+/// What the provider's list shows otherwise than under an earlier number, or than nothing where that
 /// is 0, and how long ago it was asked for; the workers likewise where they were read as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct InventoryChange {
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -5,7 +5,7 @@
 //! entry of a change with a declared revision, which a registry enters only where all speak it, and
 //! answers that tell the time to come back in milliseconds. Format 4 brought steps and the whole
 //! configuration in packed parts, and differences of the roster; before, both came whole and unpacked.
-//! It also brought what machines can carry, fronts that ask to be beaten, and the supplier's inventory
+//! It also brought what machines can carry, fronts that ask to be beaten, and the provider's inventory
 //! told by one home to the others. Format 5 brought forwards that tell the attempts granted, and homes
 //! that ask for more; before, each home made as many attempts as the binding allows. It also brought a
 //! voter's report on when it last answered the tail of the view before, and what that tail tells the next of the proofs it granted.
