--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -5,7 +5,7 @@
 use crate::planner::Planner;
 use bindings::Book;
 use chain::Value;
-use doors::Shelf;
+use doors::ResourceIndex;
 use events::event;
 use kernel::{Inbox, Post};
 use links::LinkOrder;
@@ -28,7 +28,7 @@
     pub fits: f64,
     pub plans: bool,
     pub tuning: bool,
-    pub shelf: watch::Sender<Shelf>,
+    pub index: watch::Sender<ResourceIndex>,
     pub links: Post<LinkOrder>,
 }
 
@@ -43,7 +43,7 @@
             OptimizerMsg::Active { step, revision, pairs } => {
                 planner.book(&Book::build(step, revision, pairs.iter().map(|(key, raw)| (key.as_str(), &raw[..]))));
                 let before = std::mem::replace(&mut active, (revision, pairs)).1;
-                show(&host.shelf, &active, &before, &planner);
+                show(&host.index, &active, &before, &planner);
             }
             OptimizerMsg::Frame { message: PlanMsg::Ask { .. }, .. } if !host.plans => {}
             OptimizerMsg::Frame { from, message } => {
@@ -60,16 +60,16 @@
                 let (fence, lines) = planner.in_force();
                 if tunes && (!lines.is_empty() || told != (fence, lines.len())) {
                     told = (fence, lines.len());
-                    show(&host.shelf, &active, &active.1, &planner);
+                    show(&host.index, &active, &active.1, &planner);
                 }
             }
         }
     }
 }
 
-/// Puts the kinds that are other than before, and those that are tuned, in their place on the shelf.
+/// Puts the kinds that are other than before, and those that are tuned, in their place on the index.
 fn show(
-    shelf: &watch::Sender<Shelf>,
+    index: &watch::Sender<ResourceIndex>,
     (revision, pairs): &(u64, BTreeMap<String, Value>),
     before: &BTreeMap<String, Value>,
     planner: &Planner,
@@ -79,8 +79,8 @@
     let fresh = |(key, raw): &(&String, &Value)| before.get(*key) != Some(*raw) || sheets.contains(*key);
     let changed = pairs.iter().filter(fresh).map(|(key, raw)| (key.as_str(), &raw[..]));
     let items = doors::kinds(changed, fence, tuned);
-    shelf.send_if_modified(|shelf| {
-        let put = items.iter().fold(false, |any, (key, value)| shelf.put(key, *revision, value) || any);
-        shelf.keep_only(*revision, |key| pairs.contains_key(key) || items.contains_key(key)) || put
+    index.send_if_modified(|index| {
+        let put = items.iter().fold(false, |any, (key, value)| index.put(key, *revision, value) || any);
+        index.keep_only(*revision, |key| pairs.contains_key(key) || items.contains_key(key)) || put
     });
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -15,7 +15,7 @@
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
 use chain::{Disk, DiskReport, Member, Store, StoreFault, Stored, Timing};
-use doors::{ServerLimits, Shelf, Tokens, Views};
+use doors::{ResourceIndex, ServerLimits, Tokens, Views};
 use events::event;
 use kernel::{Directory, Inbox, SendFault, adopt, behind, find, listen, local, thread};
 use links::{LinkEvent, LinkOrder, Me};
@@ -77,8 +77,8 @@
     };
     let control = find::<ControlMsg>(&directory, "control");
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
-    let (shelf, shelved) = watch::channel(Shelf::new(incarnation));
-    let kinds = doors::views(Views { shelf: shelved, tokens: tokens.clone() });
+    let (index, shelved) = watch::channel(ResourceIndex::new(incarnation));
+    let kinds = doors::views(Views { index: shelved, tokens: tokens.clone() });
     let (body, life) = (settings.body, Duration::from_secs(3600));
     let limits = ServerLimits {
         connections: 256,
@@ -102,7 +102,7 @@
         fits: settings.fits,
         plans: settings.plans,
         tuning: settings.tuning,
-        shelf,
+        index,
         links: find(&directory, "links"),
     };
     thread("optimizer", move || optimizer::run(host, optimizer_inbox))?;
--- a/crates/doors/src/lib.rs
+++ b/crates/doors/src/lib.rs
@@ -4,13 +4,13 @@
 #![warn(missing_docs)]
 
 mod kinds;
+mod resource_index;
 mod serve;
-mod shelf;
 mod tokens;
 mod views;
 
 pub use kinds::kinds;
+pub use resource_index::{Filter, ResourceIndex, in_scope};
 pub use serve::{ServerLimits, serve, serve_within};
-pub use shelf::{Filter, Shelf, in_scope};
 pub use tokens::{Tokens, TokensFault, well_formed};
 pub use views::{Views, views};
--- a/crates/doors/src/shelf.rs
+++ b/crates/doors/src/resource_index.rs
@@ -1,5 +1,5 @@
 //! What one node holds of the declared kinds, resource by resource, each with the revision it last
-//! changed in here and a place in the order of changes. The shelf is handed on as a whole and cheaply;
+//! changed in here and a place in the order of changes. The index is handed on as a whole and cheaply;
 //! a watcher that is slow sees fewer changes, never older ones, and nothing queues up for it.
 
 use im::OrdMap;
@@ -18,7 +18,7 @@
 
 /// A snapshot of one node's resources with the order of their changes.
 #[derive(Clone, Debug)]
-pub struct Shelf {
+pub struct ResourceIndex {
     epoch: u64,
     place: u64,
     items: OrdMap<String, Item>,
@@ -30,11 +30,11 @@
 /// Whose resources a reader may see: all of them, or one tenant's.
 pub type Scope = String;
 
-impl Shelf {
+impl ResourceIndex {
     /// An epoch is this process's own; places of another mean nothing here.
-    pub fn new(epoch: u64) -> Shelf {
+    pub fn new(epoch: u64) -> ResourceIndex {
         let (items, by_place, gone) = (OrdMap::new(), OrdMap::new(), OrdMap::new());
-        Shelf { epoch, place: 0, items, by_place, gone, forgotten: 0 }
+        ResourceIndex { epoch, place: 0, items, by_place, gone, forgotten: 0 }
     }
 
     /// Puts a resource, by kind/tenant/name; says whether anything changed.
@@ -165,38 +165,38 @@
 
     #[test]
     fn a_watch_goes_on_from_its_mark_and_is_reset_where_the_mark_is_not_known() {
-        let mut shelf = Shelf::new(7);
-        (0..5).for_each(|n| _ = shelf.put(&format!("weight-sheets/t{}/f{n}", n % 2), 1, &json!({"n": n})));
-        let (lines, mark) = shelf.changes(&filter(""), None);
+        let mut index = ResourceIndex::new(7);
+        (0..5).for_each(|n| _ = index.put(&format!("weight-sheets/t{}/f{n}", n % 2), 1, &json!({"n": n})));
+        let (lines, mark) = index.changes(&filter(""), None);
         assert_eq!((count(&lines), lines.contains("reset")), (6, true));
-        assert_eq!(shelf.changes(&filter(""), Some(&mark)).0, "", "nothing new");
-        assert_eq!(count(&shelf.changes(&filter("t1"), None).0), 3, "one tenant's, and the reset");
-        assert!(!shelf.put("weight-sheets/t0/f0", 2, &json!({"n": 0})), "the same is no change");
-        assert!(shelf.put("weight-sheets/t0/f0", 2, &json!({"n": 9})));
-        assert!(shelf.keep_only(3, |key| key != "weight-sheets/t1/f1"));
-        let (lines, next) = shelf.changes(&filter(""), Some(&mark));
+        assert_eq!(index.changes(&filter(""), Some(&mark)).0, "", "nothing new");
+        assert_eq!(count(&index.changes(&filter("t1"), None).0), 3, "one tenant's, and the reset");
+        assert!(!index.put("weight-sheets/t0/f0", 2, &json!({"n": 0})), "the same is no change");
+        assert!(index.put("weight-sheets/t0/f0", 2, &json!({"n": 9})));
+        assert!(index.keep_only(3, |key| key != "weight-sheets/t1/f1"));
+        let (lines, next) = index.changes(&filter(""), Some(&mark));
         assert_eq!(count(&lines), 2);
         assert!(lines.contains("\"gone\":true") && lines.contains("\"n\":9"));
-        assert_eq!(shelf.changes(&filter(""), Some(&next)).0, "");
+        assert_eq!(index.changes(&filter(""), Some(&next)).0, "");
         for foreign in ["8-3", "7-99", "seven", ""] {
-            assert!(shelf.changes(&filter(""), Some(foreign)).0.contains("reset"), "{foreign}");
+            assert!(index.changes(&filter(""), Some(foreign)).0.contains("reset"), "{foreign}");
         }
-        assert_eq!(count(&shelf.changes(&Filter { kind: "headcount-plans".into(), ..filter("") }, None).0), 1);
+        assert_eq!(count(&index.changes(&Filter { kind: "headcount-plans".into(), ..filter("") }, None).0), 1);
     }
 
     #[test]
     fn a_slow_reader_costs_no_more_than_what_there_is() {
-        let mut shelf = Shelf::new(1);
-        let (_, mark) = shelf.changes(&filter(""), None);
+        let mut index = ResourceIndex::new(1);
+        let (_, mark) = index.changes(&filter(""), None);
         for n in 0..100_000u64 {
-            shelf.put(&format!("weight-sheets/t/f{}", n % 10), n, &json!({"n": n}));
+            index.put(&format!("weight-sheets/t/f{}", n % 10), n, &json!({"n": n}));
         }
-        assert_eq!(count(&shelf.changes(&filter(""), Some(&mark)).0), 10);
+        assert_eq!(count(&index.changes(&filter(""), Some(&mark)).0), 10);
         for n in 0..5000u64 {
-            shelf.put("weight-sheets/t/passing", n, &json!({"n": n}));
-            shelf.keep_only(n, |key| key != "weight-sheets/t/passing");
+            index.put("weight-sheets/t/passing", n, &json!({"n": n}));
+            index.keep_only(n, |key| key != "weight-sheets/t/passing");
         }
-        assert!(shelf.changes(&filter(""), Some(&mark)).0.contains("reset"), "what went was forgotten");
-        assert!(shelf.gone.len() <= GONE_KEPT);
+        assert!(index.changes(&filter(""), Some(&mark)).0.contains("reset"), "what went was forgotten");
+        assert!(index.gone.len() <= GONE_KEPT);
     }
 }
--- a/crates/doors/src/views.rs
+++ b/crates/doors/src/views.rs
@@ -1,7 +1,7 @@
 //! Any node's view of the kinds, and a live watch of it: the same pages on registries and
 //! routers, each reader within the scope of its token.
 
-use crate::shelf::{Filter, Shelf, in_scope};
+use crate::resource_index::{Filter, ResourceIndex, in_scope};
 use crate::tokens::Tokens;
 use axum::Router;
 use axum::body::{Body, Bytes};
@@ -26,7 +26,7 @@
 #[derive(Clone)]
 pub struct Views {
     /// The newest snapshot of the node's resources.
-    pub shelf: watch::Receiver<Shelf>,
+    pub index: watch::Receiver<ResourceIndex>,
     /// Who may read, and whose resources.
     pub tokens: Tokens,
 }
@@ -67,16 +67,16 @@
     }
 
     fn watch(&self, filter: Filter, mark: Option<String>) -> Response {
-        let mut shelf = self.shelf.clone();
-        shelf.mark_changed();
-        let lines = futures_lite::stream::unfold((shelf, filter, mark), |(mut shelf, filter, mark)| async move {
+        let mut index = self.index.clone();
+        index.mark_changed();
+        let lines = futures_lite::stream::unfold((index, filter, mark), |(mut index, filter, mark)| async move {
             loop {
-                shelf.changed().await.ok()?;
-                let (lines, next) = shelf.borrow_and_update().changes(&filter, mark.as_deref());
+                index.changed().await.ok()?;
+                let (lines, next) = index.borrow_and_update().changes(&filter, mark.as_deref());
                 if !lines.is_empty() {
                     let frame = Frame::data(Bytes::from(lines));
                     sleep(PACE).await;
-                    return Some((Ok::<_, Infallible>(frame), (shelf, filter, Some(next))));
+                    return Some((Ok::<_, Infallible>(frame), (index, filter, Some(next))));
                 }
             }
         });
@@ -87,7 +87,7 @@
 
 async fn list(State(views): State<Views>, Path(kind): Path<String>, headers: HeaderMap) -> Response {
     match views.may(&headers, &kind, None) {
-        Ok(filter) => page(&views.shelf.borrow().list(&kind, &filter.scope)),
+        Ok(filter) => page(&views.index.borrow().list(&kind, &filter.scope)),
         Err(refusal) => *refusal,
     }
 }
@@ -99,7 +99,7 @@
     if let Err(refusal) = views.may(&headers, &kind, Some(&name)) {
         return *refusal;
     }
-    match views.shelf.borrow().get(&format!("{kind}/{name}")) {
+    match views.index.borrow().get(&format!("{kind}/{name}")) {
         Some(value) => page(&value),
         None => refuse(StatusCode::NOT_FOUND, "no such resource"),
     }
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -7,7 +7,7 @@
 use crate::home::Home;
 use crate::home_types::HomeInput;
 use crate::pass_cell::PassCell;
-use crate::shelving::Shelving;
+use crate::shelving::DeclaredViews;
 use bindings::Book;
 use dispatch::{DispatchReport, DispatcherMsg};
 use holds::Roster;
@@ -65,7 +65,7 @@
     pub view: watch::Sender<String>,
     pub limits: (CallerLimits, watch::Sender<CallerLimits>),
     /// Kept where somebody may read it.
-    pub shelving: Option<Shelving>,
+    pub shelving: Option<DeclaredViews>,
     pub step: u64,
     pub tail: Option<NodeId>,
     pub registries: Vec<NodeId>,
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -15,9 +15,9 @@
 use crate::ops::{Views, ops_router};
 use crate::pass_cell::PassCell;
 use crate::settings::RouterEnv;
-use crate::shelving::Shelving;
+use crate::shelving::DeclaredViews;
 use dispatch::{DispatchReport, DispatcherMsg};
-use doors::{ServerLimits, Shelf, Tokens};
+use doors::{ResourceIndex, ServerLimits, Tokens};
 use events::event;
 use holds::{Follower, FollowerTiming, Standing, mix};
 use kernel::{Directory, Post, SendFault, adopt, behind, find, listen, local, thread, wait_for_signal};
@@ -59,7 +59,7 @@
     let (control_view, control_shown) = watch::channel(String::from("{}"));
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
     let viewed = !tokens.is_empty();
-    let (shelf, shelved) = watch::channel(Shelf::new(incarnation));
+    let (index, shelved) = watch::channel(ResourceIndex::new(incarnation));
     let (stop, stopping) = watch::channel(false);
     let pass = PassCell::default();
 
@@ -110,7 +110,7 @@
             platform: find(&names, "platform"),
             view,
             limits: (own_limits, bounds),
-            shelving: viewed.then(|| Shelving::new(shelf)),
+            shelving: viewed.then(|| DeclaredViews::new(index)),
             step: 0,
             tail: None,
             registries: Vec::new(),
@@ -131,7 +131,7 @@
         });
     })?;
     let ops_limits = ServerLimits { connections: 64, life: Duration::from_secs(86_400), ..server_limits };
-    let kinds = doors::views(doors::Views { shelf: shelved, tokens });
+    let kinds = doors::views(doors::Views { index: shelved, tokens });
     let (views, ops_stop) = (Views { traffic: shown, control: control_shown }, stopping);
     thread("operations", move || {
         local(async move {
--- a/crates/traffic/src/shelving.rs
+++ b/crates/traffic/src/shelving.rs
@@ -4,14 +4,14 @@
 use crate::home::Home;
 use crate::status::Played;
 use bindings::Book;
-use doors::Shelf;
+use doors::ResourceIndex;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use tokio::sync::watch;
 
-pub struct Shelving {
-    pub shelf: watch::Sender<Shelf>,
+pub struct DeclaredViews {
+    pub index: watch::Sender<ResourceIndex>,
     book: Option<Rc<Book>>,
     items: BTreeMap<String, Value>,
     told: (u64, u64, usize),
@@ -19,10 +19,10 @@
     news: bool,
 }
 
-impl Shelving {
-    pub fn new(shelf: watch::Sender<Shelf>) -> Shelving {
+impl DeclaredViews {
+    pub fn new(index: watch::Sender<ResourceIndex>) -> DeclaredViews {
         let (items, plans) = (BTreeMap::new(), BTreeMap::new());
-        Shelving { shelf, book: None, items, told: (0, 0, 0), plans, news: false }
+        DeclaredViews { index, book: None, items, told: (0, 0, 0), plans, news: false }
     }
 
     pub fn book(&mut self, book: Rc<Book>) {
@@ -30,7 +30,7 @@
         self.news = true;
     }
 
-    /// Brings the shelf in line with the book and the home; what is as it was costs nothing.
+    /// Brings the index in line with the book and the home; what is as it was costs nothing.
     pub fn show(&mut self, home: &Home) {
         let Some(book) = self.book.clone() else { return };
         let (fence, lines) = home.tuned();
@@ -62,17 +62,17 @@
         let kept = |key: &str| {
             items.contains_key(key) || key.strip_prefix("headcount-plans/").is_some_and(|name| plans.contains_key(name))
         };
-        self.shelf.send_if_modified(|shelf| {
-            let mut any = shelf.keep_only(book.revision, kept);
+        self.index.send_if_modified(|index| {
+            let mut any = index.keep_only(book.revision, kept);
             let declared = items.iter().filter(|(key, _)| {
                 whole && key.strip_prefix("headcount-plans/").is_none_or(|name| !plans.contains_key(name))
             });
             let moved = gone.iter().filter_map(|name| items.get_key_value(&format!("headcount-plans/{name}")));
             for (key, value) in declared.chain(moved).map(|(k, v)| (k.as_str(), v)) {
-                any |= shelf.put(key, book.revision, value);
+                any |= index.put(key, book.revision, value);
             }
             for (key, value) in &changed {
-                any |= shelf.put(key, book.revision, value);
+                any |= index.put(key, book.revision, value);
             }
             any
         });
