--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -8,7 +8,7 @@
 use crate::service::ControlMsg;
 use chain::{Disk, DiskReport};
 use events::event;
-use kernel::{Inbox, Post, wait_for_signal};
+use kernel::{Inbox, InboxSender, wait_for_signal};
 use links::{LinkEvent, LinkOrder};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -23,8 +23,8 @@
 pub struct Control {
     pub core: Core,
     pub disk: Disk,
-    pub links: Post<LinkOrder>,
-    pub optimizer: Post<OptimizerMsg>,
+    pub links: InboxSender<LinkOrder>,
+    pub optimizer: InboxSender<OptimizerMsg>,
     pub calls: BTreeMap<u64, oneshot::Sender<ApiReply>>,
     pub next_call: u64,
     pub view: watch::Sender<String>,
@@ -42,7 +42,7 @@
 }
 
 impl Control {
-    pub async fn run(mut self, post: Post<ControlMsg>, mut inbox: Inbox<ControlMsg>) {
+    pub async fn run(mut self, post: InboxSender<ControlMsg>, mut inbox: Inbox<ControlMsg>) {
         let begun = Instant::now();
         let view = self.core.member().view().clone();
         self.dial(&view);
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -5,7 +5,7 @@
 use crate::service::ControlMsg;
 use crate::settings::RegistryEnv;
 use axum::Router;
-use kernel::Post;
+use kernel::InboxSender;
 use serde_json::{Value, json};
 use tokio::sync::{oneshot, watch};
 
@@ -23,12 +23,12 @@
 /// What operators' pages ask of a registry.
 #[derive(Clone)]
 pub struct Operators {
-    pub(crate) control: Post<ControlMsg>,
+    pub(crate) control: InboxSender<ControlMsg>,
     pub(crate) view: watch::Receiver<String>,
 }
 
 impl Operators {
-    pub fn new(control: Post<ControlMsg>, view: watch::Receiver<String>) -> Operators {
+    pub fn new(control: InboxSender<ControlMsg>, view: watch::Receiver<String>) -> Operators {
         Operators { control, view }
     }
 
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -7,7 +7,7 @@
 use chain::Value;
 use doors::ResourceIndex;
 use events::event;
-use kernel::{Inbox, Post};
+use kernel::{Inbox, InboxSender};
 use links::LinkOrder;
 use scaler::Optimizer;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
     pub plans: bool,
     pub tuning: bool,
     pub index: watch::Sender<ResourceIndex>,
-    pub links: Post<LinkOrder>,
+    pub links: InboxSender<LinkOrder>,
 }
 
 pub fn run(host: Host, mut inbox: Inbox<OptimizerMsg>) {
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -18,7 +18,7 @@
 use doors::{ResourceIndex, ServerLimits, Tokens, Views};
 use events::event;
 use kernel::{Directory, Inbox, SendFault, adopt, behind, find, listen, local, thread};
-use links::{LinkEvent, LinkOrder, Me};
+use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::TcpListener;
@@ -68,7 +68,7 @@
     let (stop, stopping) = watch::channel(false);
 
     let names = directory.clone();
-    let myself = Me {
+    let myself = LocalNode {
         id: me,
         incarnation,
         cluster: settings.cluster.clone(),
@@ -173,7 +173,7 @@
     Ok(thread(name, move || local(async move { doors::serve(adopt(listener), pages, limits, stop).await }))?)
 }
 
-async fn run_links(names: Directory, me: Me, listener: TcpListener, orders: Inbox<LinkOrder>) {
+async fn run_links(names: Directory, me: LocalNode, listener: TcpListener, orders: Inbox<LinkOrder>) {
     let control = find::<ControlMsg>(&names, "control");
     let optimizer = find::<OptimizerMsg>(&names, "optimizer");
     let deliver: links::Deliver = Rc::new(move |event| {
--- a/crates/hollow/src/fleet.rs
+++ b/crates/hollow/src/fleet.rs
@@ -9,7 +9,7 @@
 use crate::processes::{CLUSTER, Process, REGISTRIES, TOKEN, address, registry, router, zone};
 use heron::{Answer, Call, ask};
 use hyper::Method;
-use kernel::{Post, inbox, local};
+use kernel::{InboxSender, inbox, local};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
@@ -25,8 +25,8 @@
 
 pub struct Fleet {
     pub processes: Vec<Process>,
-    pub groups: Vec<Post<NodeGroupOrder>>,
-    pub relays: Vec<Post<oneshot::Sender<RelayView>>>,
+    pub groups: Vec<InboxSender<NodeGroupOrder>>,
+    pub relays: Vec<InboxSender<oneshot::Sender<RelayView>>>,
     threads: Vec<JoinHandle<()>>,
     pub hollow: usize,
     pub total: usize,
--- a/crates/hollow/src/node_group.rs
+++ b/crates/hollow/src/node_group.rs
@@ -7,8 +7,8 @@
 use crate::relay::HOLLOW;
 use crate::tally::{Tally, Way};
 use crate::workload::Workload;
-use kernel::{Inbox, Post};
-use links::{LinkEvent, LinkOrder, Me};
+use kernel::{Inbox, InboxSender};
+use links::{LinkEvent, LinkOrder, LocalNode};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -46,7 +46,7 @@
     pub workload: Workload,
     pub mesh: bool,
     pub start_every: Duration,
-    pub peers: Arc<BTreeMap<NodeId, Post<NodeMsg>>>,
+    pub peers: Arc<BTreeMap<NodeId, InboxSender<NodeMsg>>>,
     pub addresses: Arc<BTreeSet<String>>,
     /// The real routers, whose links to hollow nodes pass no relay.
     pub routers: Arc<BTreeMap<NodeId, String>>,
@@ -148,8 +148,13 @@
     let Some(taken) = guard.taken.as_mut() else { return };
     let incarnation = rand::random::<u64>() >> 8;
     let plan = &shared.plan;
-    let me =
-        Me { id: taken.id, incarnation, cluster: plan.cluster.clone(), address: taken.address.clone(), format: FORMAT };
+    let me = LocalNode {
+        id: taken.id,
+        incarnation,
+        cluster: plan.cluster.clone(),
+        address: taken.address.clone(),
+        format: FORMAT,
+    };
     let node = Node::new(taken.id, incarnation, &taken.address, &taken.zone, &plan.seeds);
     let node = Rc::new(RefCell::new(node));
     shared.nodes.borrow_mut().insert(place, node.clone());
@@ -193,7 +198,7 @@
 }
 
 impl Shared {
-    pub fn carry_out(&self, me: NodeId, links: &Post<LinkOrder>, outputs: Vec<NodeOutput>) {
+    pub fn carry_out(&self, me: NodeId, links: &InboxSender<LinkOrder>, outputs: Vec<NodeOutput>) {
         for output in outputs {
             match output {
                 NodeOutput::Send { to, message } if to == me => drop((to, message)),
--- a/crates/kernel/src/directory.rs
+++ b/crates/kernel/src/directory.rs
@@ -1,7 +1,7 @@
 //! The names under which services are found. It is filled while a program is put together and
 //! cloned into each thread after that; a name announced twice is a broken invariant.
 
-use crate::inbox::{Inbox, Post, inbox};
+use crate::inbox::{Inbox, InboxSender, inbox};
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,8 +22,8 @@
     }
 
     /// The sending end of a service's inbox, or none if the name is unknown or its messages are of another type.
-    pub fn find<M: Send + 'static>(&self, name: &str) -> Option<Post<M>> {
-        self.posts.get(name)?.downcast_ref::<Post<M>>().cloned()
+    pub fn find<M: Send + 'static>(&self, name: &str) -> Option<InboxSender<M>> {
+        self.posts.get(name)?.downcast_ref::<InboxSender<M>>().cloned()
     }
 
     /// The names of all announced services, in order.
--- a/crates/kernel/src/inbox.rs
+++ b/crates/kernel/src/inbox.rs
@@ -19,21 +19,21 @@
 }
 
 /// A sending end of a bounded queue; clones share the queue and its count of refusals.
-pub struct Post<M> {
+pub struct InboxSender<M> {
     queue: mpsc::Sender<M>,
     refused: Arc<AtomicU64>,
 }
 
-impl<M> Clone for Post<M> {
+impl<M> Clone for InboxSender<M> {
     fn clone(&self) -> Self {
-        Post { queue: self.queue.clone(), refused: self.refused.clone() }
+        InboxSender { queue: self.queue.clone(), refused: self.refused.clone() }
     }
 }
 
 /// A queue of at most `bound` messages, as its sending and its receiving end.
-pub fn inbox<M>(bound: usize) -> (Post<M>, Inbox<M>) {
+pub fn inbox<M>(bound: usize) -> (InboxSender<M>, Inbox<M>) {
     let (sender, queue) = mpsc::channel(bound);
-    (Post { queue: sender, refused: Arc::default() }, Inbox { queue })
+    (InboxSender { queue: sender, refused: Arc::default() }, Inbox { queue })
 }
 
 impl<M> Inbox<M> {
@@ -58,7 +58,7 @@
     }
 }
 
-impl<M> Post<M> {
+impl<M> InboxSender<M> {
     /// Queues a message without waiting. A full queue refuses it and counts the refusal.
     pub fn send(&self, message: M) -> Result<(), SendFault<M>> {
         self.queue.try_send(message).map_err(|fault| match fault {
--- a/crates/kernel/src/program.rs
+++ b/crates/kernel/src/program.rs
@@ -2,7 +2,7 @@
 //! bound before anything runs, services looked up by name, and the signal for a planned stop.
 
 use crate::directory::Directory;
-use crate::inbox::Post;
+use crate::inbox::InboxSender;
 use derive_more::{Display, Error};
 use std::io;
 use std::thread::JoinHandle;
@@ -64,7 +64,7 @@
 }
 
 /// The sending end of a service's inbox. Panics if the service was not announced.
-pub fn find<M: Send + 'static>(directory: &Directory, name: &str) -> Post<M> {
+pub fn find<M: Send + 'static>(directory: &Directory, name: &str) -> InboxSender<M> {
     directory.find(name).expect("every service is announced before any is started")
 }
 
--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -9,5 +9,5 @@
 mod service;
 mod stream;
 
-pub use order::{LinkEvent, LinkOrder, Me};
+pub use order::{LinkEvent, LinkOrder, LocalNode};
 pub use service::{Deliver, start};
--- a/crates/links/src/order.rs
+++ b/crates/links/src/order.rs
@@ -5,7 +5,7 @@
 
 /// This process, as it introduces itself on each connection.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct LocalNode {
     /// Its identity, stable over restarts.
     pub id: NodeId,
     /// Raised with each start, so that frames of an earlier life are told apart.
--- a/crates/links/src/service.rs
+++ b/crates/links/src/service.rs
@@ -3,7 +3,7 @@
 //! know who is linked from the events and time out what went unanswered.
 
 use crate::demand::{self, Demand};
-use crate::order::{LinkEvent, LinkOrder, Me};
+use crate::order::{LinkEvent, LinkOrder, LocalNode};
 use crate::stream;
 use events::event;
 use kernel::Inbox;
@@ -37,7 +37,7 @@
 }
 
 pub struct Inner {
-    pub me: Me,
+    pub me: LocalNode,
     deliver: Deliver,
     connections: RefCell<BTreeMap<NodeId, Vec<Connection>>>,
     by_address: RefCell<BTreeMap<String, NodeId>>,
@@ -120,7 +120,7 @@
 }
 
 /// Runs the service on the current thread until its inbox of orders is closed.
-pub async fn start(me: Me, listener: TcpListener, mut orders: Inbox<LinkOrder>, deliver: Deliver) {
+pub async fn start(me: LocalNode, listener: TcpListener, mut orders: Inbox<LinkOrder>, deliver: Deliver) {
     let inner = Rc::new(Inner {
         me,
         deliver,
--- a/crates/links/src/stream.rs
+++ b/crates/links/src/stream.rs
@@ -3,7 +3,7 @@
 //! that was dialled on demand is closed by who dialled it once both sides are quiet. Either side first
 //! finishes what the other may have sent meanwhile.
 
-use crate::order::{LinkEvent, Me};
+use crate::order::{LinkEvent, LocalNode};
 use crate::service::Inner;
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -38,7 +38,7 @@
     FrameFault::Connection(ErrorKind::TimedOut.into())
 }
 
-fn frame(me: &Me, message: Message) -> Frame {
+fn frame(me: &LocalNode, message: Message) -> Frame {
     Frame {
         format: me.format,
         cluster: me.cluster.as_str().into(),
@@ -48,7 +48,7 @@
     }
 }
 
-fn hello(me: &Me) -> Frame {
+fn hello(me: &LocalNode) -> Frame {
     frame(me, Message::Hello { address: me.address.as_str().into() })
 }
 
@@ -108,7 +108,7 @@
 
 /// Ends well when the link is idle, or its queue is closed and written out.
 async fn write_out(
-    me: &Me,
+    me: &LocalNode,
     write: &mut BufWriter<OwnedWriteHalf>,
     mut queue: mpsc::Receiver<Message>,
     idle: impl Fn() -> bool,
--- a/crates/links/tests/demand.rs
+++ b/crates/links/tests/demand.rs
@@ -1,15 +1,15 @@
 //! Links on demand over real sockets: what is sent to a known peer dials it and arrives in order, both
 //! ways over the one link; a peer that cannot be dialled is told of as down; a stranger is dialled never.
 
-use kernel::{Inbox, Post, inbox, local};
-use links::{LinkEvent, LinkOrder, Me};
+use kernel::{Inbox, InboxSender, inbox, local};
+use links::{LinkEvent, LinkOrder, LocalNode};
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use wire::{HoldMsg, Message, NodeId};
 
 struct Peer {
-    orders: Post<LinkOrder>,
+    orders: InboxSender<LinkOrder>,
     events: Inbox<LinkEvent>,
     address: String,
 }
@@ -17,7 +17,7 @@
 async fn peer(id: NodeId) -> Peer {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let me = Me { id, incarnation: id, cluster: "test".into(), address: address.clone(), format: wire::FORMAT };
+    let me = LocalNode { id, incarnation: id, cluster: "test".into(), address: address.clone(), format: wire::FORMAT };
     let (orders, taken) = inbox::<LinkOrder>(1024);
     let (told, events) = inbox::<LinkEvent>(1024);
     let deliver: links::Deliver = Rc::new(move |event| {
--- a/crates/traffic/src/caller_server.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -13,7 +13,7 @@
 use axum::routing::any;
 use dispatch::Words;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
-use kernel::Post;
+use kernel::InboxSender;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
@@ -22,7 +22,7 @@
 
 #[derive(Clone)]
 pub struct CallerServer {
-    pub traffic: Post<TrafficMsg>,
+    pub traffic: InboxSender<TrafficMsg>,
     pub words: Arc<Words>,
     pub limits: watch::Receiver<CallerLimits>,
 }
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -7,7 +7,7 @@
 use bindings::Book;
 use events::event;
 use holds::{Follower, FollowerInput, FollowerOutput, Standing};
-use kernel::{Inbox, Post};
+use kernel::{Inbox, InboxSender};
 use links::{LinkEvent, LinkOrder};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -31,8 +31,8 @@
     pub begun: Instant,
     pub follower: Follower,
     pub pass: PassCell,
-    pub links: Post<LinkOrder>,
-    pub traffic: Post<TrafficMsg>,
+    pub links: InboxSender<LinkOrder>,
+    pub traffic: InboxSender<TrafficMsg>,
     pub seeds: Vec<String>,
     pub seats: Vec<String>,
     pub registries: BTreeSet<NodeId>,
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -11,7 +11,7 @@
 use bindings::Book;
 use dispatch::{DispatchReport, DispatcherMsg};
 use holds::Roster;
-use kernel::{Inbox, Post};
+use kernel::{Inbox, InboxSender};
 use links::{LinkEvent, LinkOrder};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -59,9 +59,9 @@
     pub pass: PassCell,
     pub front: Front,
     pub home: Home,
-    pub links: Post<LinkOrder>,
-    pub dispatcher: Post<DispatcherMsg>,
-    pub platform: Post<ProviderOrder>,
+    pub links: InboxSender<LinkOrder>,
+    pub dispatcher: InboxSender<DispatcherMsg>,
+    pub platform: InboxSender<ProviderOrder>,
     pub view: watch::Sender<String>,
     pub limits: (CallerLimits, watch::Sender<CallerLimits>),
     /// Kept where somebody may read it.
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -20,8 +20,8 @@
 use doors::{ResourceIndex, ServerLimits, Tokens};
 use events::event;
 use holds::{Follower, FollowerTiming, Standing, mix};
-use kernel::{Directory, Post, SendFault, adopt, behind, find, listen, local, thread, wait_for_signal};
-use links::{LinkEvent, LinkOrder, Me};
+use kernel::{Directory, InboxSender, SendFault, adopt, behind, find, listen, local, thread, wait_for_signal};
+use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -63,7 +63,7 @@
     let (stop, stopping) = watch::channel(false);
     let pass = PassCell::default();
 
-    let myself = Me {
+    let myself = LocalNode {
         id: me,
         incarnation,
         cluster: settings.cluster.clone(),
@@ -195,7 +195,7 @@
     CallerLimits { server, body_bytes: settings.body, body_time: settings.body_time, keep_alive: None }
 }
 
-fn tell(traffic: &Post<TrafficMsg>, report: DispatchReport) {
+fn tell(traffic: &InboxSender<TrafficMsg>, report: DispatchReport) {
     if let Err(SendFault::Full(message)) = traffic.send(TrafficMsg::Dispatcher(report)) {
         let traffic = traffic.clone();
         spawn_local(async move { traffic.send_waiting(message).await });
