--- a/crates/bindings/src/lib.rs
+++ b/crates/bindings/src/lib.rs
@@ -4,16 +4,16 @@
 
 #![warn(missing_docs)]
 
-mod book;
 mod check;
 mod check_fields;
 mod declarations;
 mod resources;
 mod routes;
+mod routing;
 mod tuning;
 
-pub use book::{Book, Function};
 pub use check::{Fault, check, check_name};
 pub use declarations::{CallerBounds, FunctionDeclaration};
 pub use resources::{Class, FunctionBinding, HeadcountPlan, Kind, WeightSheet};
+pub use routing::{Function, RouteTable};
 pub use tuning::{Bounds, Span, Tuning};
--- a/crates/bindings/src/book.rs
+++ b/crates/bindings/src/routing.rs
@@ -47,7 +47,7 @@
 
 /// The configuration of one step, built for look-ups.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct RouteTable {
     /// The configuration's version.
     pub revision: u64,
     /// The numbered step by which the version became active.
@@ -73,10 +73,10 @@
     }
 }
 
-impl Book {
+impl RouteTable {
     /// Builds it from the declared resources, by kind/tenant/name; what cannot be read is left out.
-    pub fn build<'a>(step: u64, revision: u64, pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> Book {
-        let mut book = Book { revision, step, ..Book::default() };
+    pub fn build<'a>(step: u64, revision: u64, pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> RouteTable {
+        let mut table = RouteTable { revision, step, ..RouteTable::default() };
         let mut read = Read::default();
         let mut bindings: BTreeMap<String, FunctionBinding> = BTreeMap::new();
         for (key, value) in pairs {
@@ -88,7 +88,7 @@
                 Some(Kind::Function) => put(&mut read.declarations, name, value),
                 Some(Kind::Bounds) => {
                     if let Ok(bounds) = serde_json::from_slice::<CallerBounds>(value) {
-                        book.bounds = Some(book.bounds.take().unwrap_or_default().least(&bounds));
+                        table.bounds = Some(table.bounds.take().unwrap_or_default().least(&bounds));
                     }
                 }
                 None => {}
@@ -96,24 +96,24 @@
         }
         for (name, declaration) in &read.declarations {
             let function = read.function(name, Some(declaration), None);
-            book.functions.insert(name.clone(), function);
+            table.functions.insert(name.clone(), function);
         }
         for (place, (name, binding)) in bindings.into_iter().enumerate() {
-            book.routes.put(&binding.host, &binding.route, place);
+            table.routes.put(&binding.host, &binding.route, place);
             let tenant = name.split('/').next().unwrap_or_default().to_owned();
             for (service, _) in binding.functions() {
-                book.bind(&read, format!("{tenant}/{service}"), &binding);
+                table.bind(&read, format!("{tenant}/{service}"), &binding);
             }
-            book.bindings.push((name, binding));
+            table.bindings.push((name, binding));
         }
-        for function in book.functions.values_mut().filter(|function| read.declarations.contains_key(&function.name)) {
+        for function in table.functions.values_mut().filter(|function| read.declarations.contains_key(&function.name)) {
             function.keep_warm(&read);
         }
-        book
+        table
     }
 
     /// Keeps the resources as they were declared as well, for those who are to show them.
-    pub fn showing<'a>(mut self, pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> Book {
+    pub fn showing<'a>(mut self, pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> RouteTable {
         self.raw = pairs.map(|(key, value)| (key.to_owned(), value.to_vec())).collect();
         self
     }
--- a/crates/bindings/tests/book.rs
+++ b/crates/bindings/tests/routing.rs
@@ -1,14 +1,14 @@
 //! What a router finds in a configuration: routes by host and path, shares, functions as declared.
 
-use bindings::{Book, FunctionBinding};
+use bindings::{FunctionBinding, RouteTable};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use test_case::test_case;
 
-fn book(pairs: &[(&str, &str)]) -> Book {
+fn table(pairs: &[(&str, &str)]) -> RouteTable {
     let faults = bindings::check(pairs.iter().map(|(key, value)| (*key, value.as_bytes())));
     assert!(faults.is_empty(), "{faults:?}");
-    Book::build(1, 1, pairs.iter().map(|(key, value)| (*key, value.as_bytes())))
+    RouteTable::build(1, 1, pairs.iter().map(|(key, value)| (*key, value.as_bytes())))
 }
 
 #[test_case("a.example", "/x/y/z" => Some("t/a-xy"); "the longest of the host")]
@@ -43,19 +43,19 @@
         })
         .collect();
     let pairs: Vec<(&str, &str)> = pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
-    let book = book(&pairs);
-    assert_eq!(book.routes(), routes.len());
-    let (found, binding) = book.find_route(host, path)?;
-    assert_eq!(book.binding(found), Some(binding));
+    let table = table(&pairs);
+    assert_eq!(table.routes(), routes.len());
+    let (found, binding) = table.find_route(host, path)?;
+    assert_eq!(table.binding(found), Some(binding));
     routes.iter().map(|(name, ..)| *name).find(|name| *name == found)
 }
 
 #[test]
 fn a_path_of_slashes_alone_is_looked_at_no_further_than_the_longest_route() {
     let pairs = [("function-bindings/t/f", r#"{"route":"/t/f","function":"f","class":"ordinary"}"#)];
-    let book = book(&pairs);
-    assert!(book.find_route("", &"/".repeat(1 << 20)).is_none());
-    assert!(book.find_route("", &format!("/t/f{}", "/".repeat(1 << 20))).is_some());
+    let table = table(&pairs);
+    assert!(table.find_route("", &"/".repeat(1 << 20)).is_none());
+    assert!(table.find_route("", &format!("/t/f{}", "/".repeat(1 << 20))).is_some());
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let fast = bind("/fast/", r#""function":"hot","aim_ms":300,"rank":0"#);
     let both = bind("/both/", r#""shares":{"hot":1,"cold":2},"aim_ms":900,"rank":4,"attempts":1"#);
     let planned = bind("/planned/", r#""function":"planned","aim_ms":10"#);
-    let book = book(&[
+    let table = table(&[
         ("bounds/t/limits", r#"{"body_bytes":100,"idle_ms":50}"#),
         ("bounds/u/limits", r#"{"body_bytes":200,"idle_ms":20}"#),
         ("function-bindings/t/both", &both),
@@ -92,24 +92,24 @@
         ("functions/t/unused", "{}"),
         ("headcount-plans/t/planned", r#"{"min":0}"#),
     ]);
-    let (hot, cold) = (book.function("t/hot").unwrap(), book.function("t/cold").unwrap());
+    let (hot, cold) = (table.function("t/hot").unwrap(), table.function("t/cold").unwrap());
     assert_eq!((hot.boot, hot.aim), (Duration::from_millis(1400), Some(Duration::from_millis(300))));
     assert_eq!((hot.min, hot.max, hot.rank, hot.attempts, hot.connections), (1, 1000, 0, 2, u32::MAX));
     assert_eq!((cold.aim, cold.min, cold.rank, cold.attempts), (Some(Duration::from_millis(900)), 0, 2, 3));
     assert_eq!((cold.instance_limit, cold.memory_mb, cold.connections), (1, 128, 26));
-    assert_eq!(book.function("t/planned").unwrap().min, 0, "an operator's plan goes before");
-    let unused = book.function("t/unused").unwrap();
+    assert_eq!(table.function("t/planned").unwrap().min, 0, "an operator's plan goes before");
+    let unused = table.function("t/unused").unwrap();
     assert_eq!((unused.min, unused.aim, unused.boot), (0, None, Duration::from_secs(1)));
-    let bounds = book.bounds().unwrap();
+    let bounds = table.bounds().unwrap();
     assert_eq!((bounds.body_bytes, bounds.idle_ms, bounds.head_ms), (100, 20, u32::MAX));
 }
 
 #[test]
 fn a_binding_as_it_was_declared_before_is_what_it_was() {
-    let book = book(&[("function-bindings/t/f", r#"{"route":"/t/f","function":"f","class":"once","max":3}"#)]);
-    let function = book.function("t/f").unwrap();
+    let table = table(&[("function-bindings/t/f", r#"{"route":"/t/f","function":"f","class":"once","max":3}"#)]);
+    let function = table.function("t/f").unwrap();
     assert_eq!((function.min, function.max, function.aim, function.rank), (0, 3, None, 1));
-    let (_, binding) = book.find_route("whatever", "/t/f/x").unwrap();
+    let (_, binding) = table.find_route("whatever", "/t/f/x").unwrap();
     assert_eq!((binding.attempts, binding.declared, binding.aim_ms), (2, false, None));
-    assert!(book.bounds().is_none());
+    assert!(table.bounds().is_none());
 }
--- a/crates/control/examples/change_cost.rs
+++ b/crates/control/examples/change_cost.rs
@@ -1,7 +1,7 @@
-//! What one change costs a registry, and a router that builds its book of it, on a configuration of
+//! What one change costs a registry, and a router that builds its route table of it, on a configuration of
 //! many routes: `cargo run --release -p control --example change_cost -- 2000`.
 
-use bindings::Book;
+use bindings::RouteTable;
 use chain::State;
 use std::time::Instant;
 use wire::{Command, ItemLine, Receipt, from_bytes, to_bytes};
@@ -67,10 +67,10 @@
     take(&mut state, "activation of the patch", Command::Activate { step: 2 });
     take(&mut state, "whole again", change("three", 6, true, items));
     let pairs = || state.iter().filter_map(|(key, value)| Some((key.strip_prefix("a/")?, &value[..])));
-    let book = timed("a router's book", || Book::build(1, 1, pairs()));
+    let routes = timed("a router's book", || RouteTable::build(1, 1, pairs()));
     let begun = Instant::now();
     let paths: Vec<String> = (0..count).map(|number| format!("/gowu{number}/fi14/2f/some/more")).collect();
     let hosts = ["h0.example", "H1.example:8080", "h2.example", "h3.example", "h4.example", "h5.example", "h6.example"];
-    let found = (0..100_000).filter(|n| book.find_route(hosts[n % count % 7], &paths[n % count]).is_some()).count();
+    let found = (0..100_000).filter(|n| routes.find_route(hosts[n % count % 7], &paths[n % count]).is_some()).count();
     println!("{found} of 100000 routes found, {:.0} ns each", begun.elapsed().as_secs_f64() * 1e4);
 }
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -1,9 +1,9 @@
 //! The optimizer's thread, which no heartbeat waits for. Every registry keeps the samples, so that a
 //! moved duty has history. What a configuration means is read here too, as it takes long where it is large:
-//! the book for plans, and the kinds as they are shown, with what is tuned beside what was declared.
+//! the route table for plans, and the kinds as they are shown, with what is tuned beside what was declared.
 
 use crate::planner::Planner;
-use bindings::Book;
+use bindings::RouteTable;
 use chain::Value;
 use doors::ResourceIndex;
 use events::event;
@@ -41,7 +41,11 @@
         match message {
             OptimizerMsg::Viewed { view } => planner.viewed(view),
             OptimizerMsg::Active { step, revision, pairs } => {
-                planner.book(&Book::build(step, revision, pairs.iter().map(|(key, raw)| (key.as_str(), &raw[..]))));
+                planner.routes(&RouteTable::build(
+                    step,
+                    revision,
+                    pairs.iter().map(|(key, raw)| (key.as_str(), &raw[..])),
+                ));
                 let before = std::mem::replace(&mut active, (revision, pairs)).1;
                 show(&host.index, &active, &before, &planner);
             }
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -3,7 +3,7 @@
 //! measured. What is tuned is sent to whoever measures and to the other registries, under the same
 //! fence; a host that was named later goes on from there.
 
-use bindings::{Book, Function};
+use bindings::{Function, RouteTable};
 use scaler::{Measure, Optimizer, Sample, Tuned};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -44,8 +44,8 @@
         self.view = view;
     }
 
-    pub fn book(&mut self, book: &Book) {
-        self.functions = book.functions().map(|function| (function.name.clone(), function.clone())).collect();
+    pub fn routes(&mut self, routes: &RouteTable) {
+        self.functions = routes.functions().map(|function| (function.name.clone(), function.clone())).collect();
         let known = &self.functions;
         self.optimizer.keep_only(|name| known.contains_key(name));
     }
--- a/crates/hollow/src/assign.rs
+++ b/crates/hollow/src/assign.rs
@@ -5,7 +5,7 @@
 use crate::node::NodeInput;
 use crate::node_group::Shared;
 use crate::workload::Workload;
-use bindings::Book;
+use bindings::RouteTable;
 use holds::Roster;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -63,15 +63,15 @@
         parts.entry(home).or_default().push((key, value));
         homes.entry(home).or_default().push(name.to_owned());
     }
-    let books: BTreeMap<NodeId, Rc<Book>> = parts
+    let tables: BTreeMap<NodeId, Rc<RouteTable>> = parts
         .into_iter()
-        .map(|(id, pairs)| (id, Rc::new(Book::build(newest.1, revision, pairs.into_iter()))))
+        .map(|(id, pairs)| (id, Rc::new(RouteTable::build(newest.1, revision, pairs.into_iter()))))
         .collect();
     drop(source);
     for node in nodes {
         let id = node.borrow().follower.me();
-        let book = books.get(&id).cloned().unwrap_or_default();
-        give(shared, &node, NodeInput::Assigned { roster: roster.clone(), book });
+        let routes = tables.get(&id).cloned().unwrap_or_default();
+        give(shared, &node, NodeInput::Assigned { roster: roster.clone(), routes });
     }
     homes
 }
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -1,7 +1,7 @@
 //! A hollow node: a router's own state machines, the follower and the home, without callers and
 //! instances. It takes ticks and frames and returns frames, as the router's threads do around them.
 
-use bindings::Book;
+use bindings::RouteTable;
 use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Roster, mix};
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -26,10 +26,10 @@
         from: NodeId,
         message: Message,
     },
-    /// The part of the book whose functions are homed here, and the roster that says so.
+    /// The part of the route table whose functions are homed here, and the roster that says so.
     Assigned {
         roster: Rc<Roster>,
-        book: Rc<Book>,
+        routes: Rc<RouteTable>,
     },
     Listed {
         report: ProviderReport,
@@ -103,9 +103,9 @@
             }
             NodeInput::Down { id } => drop(self.registries.remove(&id)),
             NodeInput::Frame { from, message } => self.frame(from, message),
-            NodeInput::Assigned { roster, book } => {
+            NodeInput::Assigned { roster, routes } => {
                 self.feed_home(HomeInput::Roster { roster });
-                self.feed_home(HomeInput::Book { book });
+                self.feed_home(HomeInput::RouteTable { routes });
             }
             NodeInput::Listed { report } => self.feed_home(HomeInput::Platform { report, listed_at: now }),
         }
--- a/crates/hollow/src/offline.rs
+++ b/crates/hollow/src/offline.rs
@@ -1,4 +1,4 @@
-//! Measurements without sockets: books, homes, plans, a home's passes, the platform's list. Each point
+//! Measurements without sockets: route tables, homes, plans, a home's passes, the platform's list. Each point
 //! is taken in a process of its own, so that its memory is its own.
 
 use crate::line::{Order, What};
@@ -9,7 +9,7 @@
 use crate::slopes::Series;
 use crate::tally::round;
 use crate::workload::Workload;
-use bindings::{Book, Function};
+use bindings::{Function, RouteTable};
 use holds::{MemberLine, Roster};
 use rand::{RngExt, SeedableRng};
 use scaler::{Optimizer, Sample};
@@ -58,7 +58,7 @@
             What::Passes => passes(order),
             What::Lists => lists(order),
             What::Tasks => tasks(order),
-            _ => books(order),
+            _ => tables(order),
         };
         println!("{told}");
         return Ok(());
@@ -95,19 +95,19 @@
     serde_json::from_slice(&output.stdout).map_err(|fault| format!("{word} of {size}: {fault}"))
 }
 
-fn books(order: &Order) -> Value {
+fn tables(order: &Order) -> Value {
     let workload = Workload { functions: order.functions[0], awake: 0, instances: 0 };
     let pairs = workload.pairs();
     let bytes: usize = pairs.iter().map(|(key, value)| key.len() + value.len()).sum();
     let each = || pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
     let before = resident_mb();
-    let book = Book::build(1, 1, each());
+    let routes = RouteTable::build(1, 1, each());
     let held = resident_mb() - before;
-    let build = timed(5, || drop(Book::build(1, 1, each())));
+    let build = timed(5, || drop(RouteTable::build(1, 1, each())));
     let check = timed(5, || drop(bindings::check(each())));
     json!({
         "configuration bytes": bytes, "book build ms": round(build), "whole check ms": round(check),
-        "book MB": round(held), "functions read": book.functions().count(),
+        "book MB": round(held), "functions read": routes.functions().count(),
     })
 }
 
@@ -148,8 +148,8 @@
     let awake = order.awake[0];
     let workload = Workload { functions: awake, awake: 0, instances: 0 };
     let pairs = workload.pairs();
-    let book = Book::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
-    let functions: Vec<Function> = book.functions().cloned().collect();
+    let routes = RouteTable::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
+    let functions: Vec<Function> = routes.functions().cloned().collect();
     let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(order.seed);
     let before = resident_mb();
     let mut optimizer = Optimizer::new(STEP, 1e9);
--- a/crates/hollow/src/offline_home.rs
+++ b/crates/hollow/src/offline_home.rs
@@ -4,7 +4,7 @@
 use crate::offline::{resident_mb, roster, timed};
 use crate::tally::round;
 use crate::workload::Workload;
-use bindings::Book;
+use bindings::RouteTable;
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -20,9 +20,9 @@
     let roster = Rc::new(roster(members));
     let mut home = Home::new(roster.members.as_slice()[0].id, 1, HomeTiming::default());
     let pairs = workload.pairs();
-    let book = Rc::new(Book::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()))));
+    let routes = Rc::new(RouteTable::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()))));
     home.step(TICK, true, HomeInput::Roster { roster });
-    home.step(TICK, true, HomeInput::Book { book });
+    home.step(TICK, true, HomeInput::RouteTable { routes });
     let mut now = TICK;
     listed(&mut home, now, workload.listing());
     for _ in 0..200 {
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -1,7 +1,7 @@
 //! What does and does not grow with nodes, counted exactly: one hollow node for two seconds of its own
 //! time, answered by a tail at once.
 
-use bindings::Book;
+use bindings::RouteTable;
 use holds::{MemberLine, Roster};
 use hollow::{Node, NodeInput, NodeOutput, Workload};
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
     let pairs = workload.pairs();
     let roster = roster(members);
     let mine: Vec<&(String, Vec<u8>)> = pairs.iter().take(20).collect();
-    let book = Book::build(1, 1, mine.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
+    let routes = RouteTable::build(1, 1, mine.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
     let mut node = Node::new(ME, 1, "10.0.0.1:0", "a", &[SEED.to_owned()]);
     let mut now = TICK;
     node.step(now, NodeInput::Up { id: TAIL, address: SEED.into() });
@@ -44,7 +44,7 @@
     for message in [HoldMsg::Stage { step }, HoldMsg::Activate { number: 1 }, HoldMsg::Roster { number: 1, body }] {
         node.step(now, NodeInput::Frame { from: TAIL, message: Message::Hold(message) });
     }
-    node.step(now, NodeInput::Assigned { roster: Rc::new(roster), book: Rc::new(book) });
+    node.step(now, NodeInput::Assigned { roster: Rc::new(roster), routes: Rc::new(routes) });
     let mut counts = BTreeMap::new();
     for tick in 0..400 {
         now += TICK;
--- a/crates/scaler/src/tuner_tests.rs
+++ b/crates/scaler/src/tuner_tests.rs
@@ -5,7 +5,7 @@
 fn function(sheet: &str) -> Function {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary"}"#;
     let pairs = [("function-bindings/t/f", binding), ("weight-sheets/t/f", sheet.as_bytes())];
-    bindings::Book::build(1, 1, pairs.into_iter()).function("t/f").unwrap().clone()
+    bindings::RouteTable::build(1, 1, pairs.into_iter()).function("t/f").unwrap().clone()
 }
 
 fn after(sheet: &str, measure: Measure, count: u32) -> (Tuner, Function) {
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -2,7 +2,7 @@
 
 use crate::slowness::SLOW_DISK;
 use crate::world::{Event, Place, TICK, World};
-use bindings::Book;
+use bindings::RouteTable;
 use chain::{Batch, Member, Stored, Timing, apply_batch};
 use control::{Core, CoreInput, CoreOutput, CoreTiming, Planner};
 use rand::RngExt;
@@ -222,8 +222,8 @@
                 let node = &mut self.registries[n];
                 let Some(core) = &node.core else { return };
                 let pairs = core.state().iter().filter_map(|(key, value)| Some((key.strip_prefix("a/")?, &value[..])));
-                let book = Book::build(step, 0, pairs);
-                node.planner.book(&book);
+                let routes = RouteTable::build(step, 0, pairs);
+                node.planner.routes(&routes);
             }
         }
     }
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -2,7 +2,7 @@
 
 use crate::chances::Sort;
 use crate::world::{Event, Place, TICK, World};
-use bindings::Book;
+use bindings::RouteTable;
 use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, mix};
 use rand::RngExt;
 use std::rc::Rc;
@@ -223,9 +223,9 @@
             FollowerOutput::ToPeer { to, message } => self.send(place, to, Message::Hold(message)),
             FollowerOutput::Activated { step, revision } => {
                 let Some(machines) = &self.routers[n].machines else { return };
-                let book = Rc::new(Book::build(step, revision, machines.follower.pairs()));
-                self.turn(n, Turn::Home(HomeInput::Book { book: book.clone() }));
-                self.turn(n, Turn::Front(FrontInput::Book { book }));
+                let routes = Rc::new(RouteTable::build(step, revision, machines.follower.pairs()));
+                self.turn(n, Turn::Home(HomeInput::RouteTable { routes: routes.clone() }));
+                self.turn(n, Turn::Front(FrontInput::RouteTable { routes }));
             }
             FollowerOutput::Rostered { .. } => {
                 let Some(machines) = &self.routers[n].machines else { return };
--- a/crates/traffic/src/caller_limits.rs
+++ b/crates/traffic/src/caller_limits.rs
@@ -1,5 +1,5 @@
 //! What a caller may send and how long it may take: the router's settings, made narrower by the
-//! bounds of the book in force. The doors read them at each connection and each request.
+//! bounds of the route table in force. The doors read them at each connection and each request.
 
 use axum::http::HeaderValue;
 use bindings::CallerBounds;
@@ -16,7 +16,7 @@
 }
 
 impl CallerLimits {
-    /// These limits within a book's bounds. A head and the pause before it have one time together.
+    /// These limits within a route table's bounds. A head and the pause before it have one time together.
     pub fn within(&self, bounds: Option<&CallerBounds>) -> CallerLimits {
         let Some(bounds) = bounds else { return self.clone() };
         let time = |ms: u32| Duration::from_millis(ms.into());
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -4,7 +4,7 @@
 
 use crate::data_plane::TrafficMsg;
 use crate::pass_cell::PassCell;
-use bindings::Book;
+use bindings::RouteTable;
 use events::event;
 use holds::{Follower, FollowerInput, FollowerOutput, Standing};
 use kernel::{Inbox, InboxSender};
@@ -44,7 +44,7 @@
     pub stood_at: Instant,
     pub view: watch::Sender<String>,
     pub grace: Duration,
-    /// The revision of the book that traffic has.
+    /// The revision of the route table that traffic has.
     pub booked: Option<u64>,
     /// Whether somebody may read views of what was declared.
     pub viewed: bool,
@@ -156,9 +156,9 @@
                         self.tell(TrafficMsg::Step(step));
                     } else {
                         self.booked = Some(revision);
-                        let book = Book::build(step, revision, self.follower.pairs());
-                        let book = if self.viewed { book.showing(self.follower.pairs()) } else { book };
-                        self.tell(TrafficMsg::Book(Box::new(book)));
+                        let routes = RouteTable::build(step, revision, self.follower.pairs());
+                        let routes = if self.viewed { routes.showing(self.follower.pairs()) } else { routes };
+                        self.tell(TrafficMsg::RouteTable(Box::new(routes)));
                     }
                     self.show();
                 }
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -8,7 +8,7 @@
 use crate::home_types::HomeInput;
 use crate::pass_cell::PassCell;
 use crate::shelving::DeclaredViews;
-use bindings::Book;
+use bindings::RouteTable;
 use dispatch::{DispatchReport, DispatcherMsg};
 use holds::Roster;
 use kernel::{Inbox, InboxSender};
@@ -38,8 +38,8 @@
     Link(LinkEvent),
     Dispatcher(DispatchReport),
     Platform(ProviderReport),
-    Book(Box<Book>),
-    /// A later step under which the book stays as it is.
+    RouteTable(Box<RouteTable>),
+    /// A later step under which the route table stays as it is.
     Step(u64),
     Roster(Box<Roster>),
     Core {
@@ -179,16 +179,16 @@
                 };
                 self.turn(Turn::Home(HomeInput::Platform { report, listed_at }));
             }
-            TrafficMsg::Book(book) => {
-                self.step = book.step;
-                let book = Rc::new(*book);
+            TrafficMsg::RouteTable(routes) => {
+                self.step = routes.step;
+                let routes = Rc::new(*routes);
                 if let Some(shelving) = &mut self.shelving {
-                    shelving.book(book.clone());
+                    shelving.routes(routes.clone());
                 }
                 let (own, limits) = &self.limits;
-                limits.send_replace(own.within(book.bounds()));
-                self.turn(Turn::Home(HomeInput::Book { book: book.clone() }));
-                self.turn(Turn::Front(FrontInput::Book { book }));
+                limits.send_replace(own.within(routes.bounds()));
+                self.turn(Turn::Home(HomeInput::RouteTable { routes: routes.clone() }));
+                self.turn(Turn::Front(FrontInput::RouteTable { routes }));
             }
             TrafficMsg::Step(step) => self.step = step,
             TrafficMsg::Roster(roster) => {
--- a/crates/traffic/src/estimate_tests.rs
+++ b/crates/traffic/src/estimate_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::allowances::Allowances;
 use crate::instance::InstanceEvent;
-use bindings::Book;
+use bindings::RouteTable;
 use test_case::test_case;
 
 const NOW: Duration = Duration::from_secs(100);
@@ -11,9 +11,9 @@
 /// Two slots an instance, half a second an answer, a second a start.
 fn scheduler(ready: u32, busy: u32, starting: u32) -> FunctionScheduler {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","instance_limit":2}"#;
-    let book = Book::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
+    let routes = RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
     let mut scheduler =
-        FunctionScheduler::new(NOW, book.function("t/f").expect("bound").clone(), 1, &Allowances::default());
+        FunctionScheduler::new(NOW, routes.function("t/f").expect("bound").clone(), 1, &Allowances::default());
     scheduler.took(Duration::from_millis(500));
     for number in 0..ready + starting {
         let mut instance = Instance::new(NOW - Duration::from_millis(400), "127.0.0.1:1");
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -5,7 +5,7 @@
 use crate::attempt_count::AttemptCount;
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
 use crate::watching::Watched;
-use bindings::{Book, Class};
+use bindings::{Class, RouteTable};
 use holds::{Roster, first_number};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     pub(crate) per_tenant: BTreeMap<String, usize>,
     pub(crate) linked: BTreeSet<NodeId>,
     pub(crate) watched: BTreeMap<NodeId, Watched>,
-    pub(crate) book: Option<Rc<Book>>,
+    pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) roster: Rc<Roster>,
     pub(crate) next: u64,
     pub(crate) now: Duration,
@@ -50,7 +50,7 @@
             per_tenant: BTreeMap::new(),
             linked: BTreeSet::new(),
             watched: BTreeMap::new(),
-            book: None,
+            routes: None,
             roster: Rc::default(),
             next: first_number(incarnation),
             now: Duration::ZERO,
@@ -83,8 +83,8 @@
                 self.watched.remove(&id);
                 self.doubt_home(|home| home == id);
             }
-            FrontInput::Book { book } => {
-                self.book = Some(book);
+            FrontInput::RouteTable { routes } => {
+                self.routes = Some(routes);
                 self.pass();
             }
             FrontInput::Roster { roster } => {
@@ -145,7 +145,8 @@
     /// How long a task may wait here before its caller is told to come back. A call of a running task
     /// waits on: who made it does not come back, and what has run of its parent would be lost.
     fn patience(&self, call: &Call) -> Duration {
-        let binding = self.book.as_ref().and_then(|book| book.find_route(&call.host, &call.path)).map(|found| found.1);
+        let binding =
+            self.routes.as_ref().and_then(|routes| routes.find_route(&call.host, &call.path)).map(|found| found.1);
         let inherits = |most: u32| call.deadline.is_some_and(|left| left < Duration::from_millis(most.into()) * 7 / 8);
         let aim = binding.filter(|binding| !inherits(binding.deadline_ms)).and_then(|binding| binding.aim_ms);
         aim.map_or(Duration::MAX, |aim| self.now + PATIENCE_LEAST.max(Duration::from_millis(aim.into()) / 4))
@@ -179,8 +180,8 @@
 
     /// Looks the route up anew each time: a waiting task follows the newest revision.
     pub(crate) fn resolve(&mut self, task: u64) -> bool {
-        let (Some(book), Some(record)) = (self.book.clone(), self.table.get_mut(&task)) else { return false };
-        let Some((name, binding)) = book.find_route(&record.call.host, &record.call.path) else {
+        let (Some(routes), Some(record)) = (self.routes.clone(), self.table.get_mut(&task)) else { return false };
+        let Some((name, binding)) = routes.find_route(&record.call.host, &record.call.path) else {
             if record.doubt {
                 return false;
             }
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -1,7 +1,7 @@
 //! What the front takes and returns, and the record it keeps of each task.
 
 use crate::attempt_count::AttemptCount;
-use bindings::{Book, Class};
+use bindings::{Class, RouteTable};
 use holds::Roster;
 use std::rc::Rc;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     Task { ask: u64, call: Call },
     Forwarded { from: NodeId, message: ForwardMessage },
     Link { id: NodeId, up: bool },
-    Book { book: Rc<Book> },
+    RouteTable { routes: Rc<RouteTable> },
     Roster { roster: Rc<Roster> },
     Gone { ask: u64 },
     Tick,
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -5,7 +5,7 @@
 use crate::function_scheduler::FunctionScheduler;
 use crate::home::Home;
 use crate::home_types::{HomeOutput, HomeTask, Ledger, Place};
-use bindings::Book;
+use bindings::RouteTable;
 use events::event;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,15 +15,15 @@
 const FOREIGN_ON_CRASH: Duration = Duration::from_millis(400);
 
 impl Home {
-    /// Opens and closes schedulers so that they are those of the book's functions homed here.
+    /// Opens and closes schedulers so that they are those of the route table's functions homed here.
     pub(crate) fn align_schedulers(&mut self) {
-        let Some(book) = self.book.clone() else { return };
+        let Some(routes) = self.routes.clone() else { return };
         if self.roster.number == 0 {
             return;
         }
         let now = self.now;
         let mut begun_anew = Vec::new();
-        for function in book.functions() {
+        for function in routes.functions() {
             let mine = self.is_home(&function.name);
             match self.schedulers.get_mut(&function.name) {
                 Some(scheduler) => {
@@ -53,7 +53,7 @@
         let names: Vec<String> = self.schedulers.keys().cloned().collect();
         for name in names {
             let next = self.roster.home(&name).filter(|home| *home != self.me);
-            let bound = book.function(&name).is_some();
+            let bound = routes.function(&name).is_some();
             let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
             match next {
                 Some(next) if scheduler.leaving.is_none_or(|(known, _)| known != next) => {
@@ -73,8 +73,8 @@
         self.drop_moved_deferred();
     }
 
-    /// A function that the book before did not have had no home: nothing is to be waited for.
-    pub(crate) fn open_new(&mut self, before: Option<Rc<Book>>) {
+    /// A function that the route table before did not have had no home: nothing is to be waited for.
+    pub(crate) fn open_new(&mut self, before: Option<Rc<RouteTable>>) {
         let Some(before) = before else { return };
         for (name, scheduler) in &mut self.schedulers {
             if scheduler.adopting == Some((self.now, false)) && before.function(name).is_none() {
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -9,7 +9,7 @@
 use crate::keeping::Kept;
 use crate::placing::Workers;
 use crate::recent_homes::RosterHistory;
-use bindings::Book;
+use bindings::RouteTable;
 use holds::{Roster, first_number};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
     pub(crate) now: Duration,
     pub(crate) may_serve: bool,
     pub(crate) core_near: bool,
-    pub(crate) book: Option<Rc<Book>>,
+    pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) roster: Rc<Roster>,
     pub(crate) history: RosterHistory,
     pub(crate) tasks: BTreeMap<u64, HomeTask>,
@@ -64,7 +64,7 @@
             now: Duration::ZERO,
             may_serve: false,
             core_near: false,
-            book: None,
+            routes: None,
             roster: Rc::default(),
             history: RosterHistory::new(window),
             tasks: BTreeMap::new(),
@@ -135,8 +135,8 @@
             HomeInput::Platform { report, listed_at } => self.platform(report, listed_at),
             HomeInput::Probed { id, ready } => self.probed(&id, ready),
             HomeInput::Plan { message } => self.plan_receipt(message),
-            HomeInput::Book { book } => {
-                let before = self.book.replace(book);
+            HomeInput::RouteTable { routes } => {
+                let before = self.routes.replace(routes);
                 self.align_schedulers();
                 self.open_new(before);
             }
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -1,7 +1,7 @@
 //! What a home takes and returns, the record it keeps of each task, and what it asked of the chain.
 
 use crate::allowances::Allowances;
-use bindings::{Book, Class};
+use bindings::{Class, RouteTable};
 use dispatch::{DispatchOrder, Verdict};
 use holds::Roster;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
     Platform { report: ProviderReport, listed_at: Duration },
     Probed { id: String, ready: bool },
     Plan { message: PlanMsg },
-    Book { book: Rc<Book> },
+    RouteTable { routes: Rc<RouteTable> },
     Roster { roster: Rc<Roster> },
     Core { near: bool },
     Lapsed,
--- a/crates/traffic/src/keeper.rs
+++ b/crates/traffic/src/keeper.rs
@@ -18,7 +18,7 @@
 impl Home {
     pub(crate) fn deferred_pass(&mut self) {
         let now = self.now;
-        let Some(book) = self.book.clone() else { return };
+        let Some(routes) = self.routes.clone() else { return };
         if !self.core_near || !self.may_serve {
             return;
         }
@@ -28,7 +28,7 @@
             .iter()
             .filter(|(_, scheduler)| scheduler.leaving.is_none() && scheduler.adopting.is_none())
             .filter(|(_, scheduler)| scheduler.read_at.is_none_or(|at| now >= at + self.timing.deferred_read))
-            .filter(|(name, _)| book.takes_deferred(name))
+            .filter(|(name, _)| routes.takes_deferred(name))
             .map(|(name, _)| name.clone())
             .take(READS_AT_ONCE.saturating_sub(reading))
             .collect();
--- a/crates/traffic/src/letting_in.rs
+++ b/crates/traffic/src/letting_in.rs
@@ -17,7 +17,7 @@
         if self.seen.insert(id, self.now).is_some() {
             return;
         }
-        let bound = self.book.as_ref().and_then(|book| book.binding(binding.as_str())).cloned();
+        let bound = self.routes.as_ref().and_then(|routes| routes.binding(binding.as_str())).cloned();
         let service = function.as_str().split_once('/').map_or("", |(_, service)| service);
         let (Some(bound), true, Some(scheduler)) =
             (bound, self.is_home(function.as_str()), self.schedulers.get_mut(function.as_str()))
--- a/crates/traffic/src/pass_cell.rs
+++ b/crates/traffic/src/pass_cell.rs
@@ -1,7 +1,7 @@
 //! The step this router serves by and the moment until which it may, in one word: written by the
 //! control thread, read at each forward and dispatch. It is lowered before a staged step is
-//! acknowledged, so no message between threads can be late for it; and it fits only a book of the
-//! same step, so a new proof never vouches for an old book.
+//! acknowledged, so no message between threads can be late for it; and it fits only a route table of the
+//! same step, so a new proof never vouches for an old route table.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/traffic/src/passes.rs
+++ b/crates/traffic/src/passes.rs
@@ -66,7 +66,7 @@
         let now = self.now;
         let order = self.number();
         let still_bound = self.tasks.get(&number).is_some_and(|task| {
-            let bound = self.book.as_ref().and_then(|book| book.binding(&task.binding));
+            let bound = self.routes.as_ref().and_then(|routes| routes.binding(&task.binding));
             bound.is_some_and(|bound| name.split_once('/').is_some_and(|(_, service)| bound.sends_to(service)))
         });
         let (Some(task), Some(scheduler)) = (self.tasks.get_mut(&number), self.schedulers.get_mut(name)) else {
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -55,7 +55,7 @@
         let mut asks_left = ASKS_PER_PASS;
         for name in self.by_need() {
             let ask = self.number();
-            let bound = self.book.as_ref().is_some_and(|book| book.function(&name).is_some());
+            let bound = self.routes.as_ref().is_some_and(|routes| routes.function(&name).is_some());
             let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
             if scheduler.leaving.is_some() || scheduler.adopting.is_some() {
                 continue;
--- a/crates/traffic/src/shelving.rs
+++ b/crates/traffic/src/shelving.rs
@@ -1,9 +1,9 @@
-//! This router's view of the three kinds: what is declared, as its book has it; the sheets in force, as
+//! This router's view of the three kinds: what is declared, as its route table has it; the sheets in force, as
 //! the optimizer's host told; and, for the functions homed here, the plan as it is played.
 
 use crate::home::Home;
 use crate::status::Played;
-use bindings::Book;
+use bindings::RouteTable;
 use doors::ResourceIndex;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 
 pub struct DeclaredViews {
     pub index: watch::Sender<ResourceIndex>,
-    book: Option<Rc<Book>>,
+    routes: Option<Rc<RouteTable>>,
     items: BTreeMap<String, Value>,
     told: (u64, u64, usize),
     plans: BTreeMap<String, Played>,
@@ -22,23 +22,23 @@
 impl DeclaredViews {
     pub fn new(index: watch::Sender<ResourceIndex>) -> DeclaredViews {
         let (items, plans) = (BTreeMap::new(), BTreeMap::new());
-        DeclaredViews { index, book: None, items, told: (0, 0, 0), plans, news: false }
+        DeclaredViews { index, routes: None, items, told: (0, 0, 0), plans, news: false }
     }
 
-    pub fn book(&mut self, book: Rc<Book>) {
-        self.book = Some(book);
+    pub fn routes(&mut self, routes: Rc<RouteTable>) {
+        self.routes = Some(routes);
         self.news = true;
     }
 
-    /// Brings the index in line with the book and the home; what is as it was costs nothing.
+    /// Brings the index in line with the route table and the home; what is as it was costs nothing.
     pub fn show(&mut self, home: &Home) {
-        let Some(book) = self.book.clone() else { return };
+        let Some(routes) = self.routes.clone() else { return };
         let (fence, lines) = home.tuned();
         let sum = lines.iter().map(|line| line.usage_micro ^ line.hard_milli).fold(0, u64::wrapping_add);
         let told = (*fence, sum, lines.len());
         if self.news || told != self.told {
             (self.news, self.told) = (false, told);
-            self.items = doors::kinds(book.declared(), *fence, lines);
+            self.items = doors::kinds(routes.declared(), *fence, lines);
             self.plans.clear();
         }
         let mut changed: Vec<(String, Value)> = Vec::new();
@@ -63,16 +63,16 @@
             items.contains_key(key) || key.strip_prefix("headcount-plans/").is_some_and(|name| plans.contains_key(name))
         };
         self.index.send_if_modified(|index| {
-            let mut any = index.keep_only(book.revision, kept);
+            let mut any = index.keep_only(routes.revision, kept);
             let declared = items.iter().filter(|(key, _)| {
                 whole && key.strip_prefix("headcount-plans/").is_none_or(|name| !plans.contains_key(name))
             });
             let moved = gone.iter().filter_map(|name| items.get_key_value(&format!("headcount-plans/{name}")));
             for (key, value) in declared.chain(moved).map(|(k, v)| (k.as_str(), v)) {
-                any |= index.put(key, book.revision, value);
+                any |= index.put(key, routes.revision, value);
             }
             for (key, value) in &changed {
-                any |= index.put(key, book.revision, value);
+                any |= index.put(key, routes.revision, value);
             }
             any
         });
--- a/crates/traffic/src/supply_side.rs
+++ b/crates/traffic/src/supply_side.rs
@@ -162,8 +162,8 @@
     /// Instances of functions bound no longer, whose home by name this router would be.
     fn stop_orphans(&mut self, left: BTreeMap<&str, Vec<&InstanceLine>>) {
         let now = self.now;
-        let Some(book) = self.book.clone() else { return };
-        let mine = |name: &str| book.function(name).is_none() && self.is_home(name);
+        let Some(routes) = self.routes.clone() else { return };
+        let mine = |name: &str| routes.function(name).is_none() && self.is_home(name);
         let orphans: Vec<String> = left
             .into_iter()
             .filter(|(name, _)| mine(name))
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -12,16 +12,16 @@
 
 const THIRD: NodeId = 3;
 
-fn book(class: &str, attempts: u32) -> Rc<bindings::Book> {
+fn routes(class: &str, attempts: u32) -> Rc<bindings::RouteTable> {
     let binding = format!(
         r#"{{"route":"/t/f","function":"f","class":"{class}","attempts":{attempts},"instance_limit":4,"deadline_ms":4000}}"#
     );
-    Rc::new(bindings::Book::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
+    Rc::new(bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
 }
 
 fn front(attempts: u32) -> Front {
     let mut front = Front::new(ME, 1, FrontLimits::default());
-    front.step(ms(0), true, FrontInput::Book { book: book("ordinary", attempts) });
+    front.step(ms(0), true, FrontInput::RouteTable { routes: routes("ordinary", attempts) });
     front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[OTHER]) });
     front.step(ms(0), true, FrontInput::Link { id: OTHER, up: true });
     front.step(ms(0), true, FrontInput::Link { id: THIRD, up: true });
@@ -31,7 +31,7 @@
 /// A home with four instances.
 fn home(id: NodeId, attempts: u32) -> Home {
     let mut home = Home::new(id, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::Book { book: book("ordinary", attempts) });
+    home.step(ms(0), true, HomeInput::RouteTable { routes: routes("ordinary", attempts) });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[9]) });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(2, &[id]) });
     let slot = |instance: u32| SlotLine {
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -20,9 +20,9 @@
 /// A router that begins with this roster, home or not.
 pub fn router(id: u64, first: Rc<Roster>) -> Home {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"deferred"}"#;
-    let book = bindings::Book::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
+    let routes = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
     let mut home = Home::new(id, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::Book { book: Rc::new(book) });
+    home.step(ms(0), true, HomeInput::RouteTable { routes: Rc::new(routes) });
     home.step(ms(0), true, HomeInput::Roster { roster: first });
     home.step(ms(0), true, HomeInput::Core { near: true });
     home
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small book, roster and front for the tests of one machine.
+//! A small route table, roster and front for the tests of one machine.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -6,7 +6,7 @@
 pub mod forwards;
 pub mod supplied;
 
-use bindings::Book;
+use bindings::RouteTable;
 use holds::{HASHING, MemberLine, Roster};
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,9 +20,9 @@
     Duration::from_millis(millis)
 }
 
-pub fn book() -> Rc<Book> {
+pub fn routes() -> Rc<RouteTable> {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary"}"#;
-    Rc::new(Book::build(1, 1, [("function-bindings/t/f", binding)].into_iter()))
+    Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter()))
 }
 
 pub fn roster(number: u64, ids: &[u64]) -> Rc<Roster> {
@@ -42,7 +42,7 @@
 
 pub fn front(incarnation: u64, home: u64) -> Front {
     let mut front = Front::new(ME, incarnation, FrontLimits::default());
-    front.step(ms(0), true, FrontInput::Book { book: book() });
+    front.step(ms(0), true, FrontInput::RouteTable { routes: routes() });
     front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[home]) });
     front.step(ms(0), true, FrontInput::Link { id: home, up: true });
     front
--- a/crates/traffic/tests/common/supplied.rs
+++ b/crates/traffic/tests/common/supplied.rs
@@ -1,7 +1,7 @@
 //! A home fed by a provider: what it orders, and what it is told.
 
 use super::{ME, ms, roster};
-use bindings::Book;
+use bindings::RouteTable;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use supply::{
@@ -32,10 +32,10 @@
     }
 }
 
-pub fn book_of(min: u32) -> Rc<Book> {
+pub fn routes_of(min: u32) -> Rc<RouteTable> {
     let binding =
         format!(r#"{{"route":"/t/f","function":"f","class":"ordinary","memory_mb":512,"min":{min},"max":40}}"#);
-    Rc::new(Book::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
+    Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
 }
 
 pub struct Supplied {
@@ -48,7 +48,7 @@
 }
 
 impl Supplied {
-    /// A home that has always had an empty book and now takes one whose function is to have so many.
+    /// A home that has always had an empty route table and now takes one whose function is to have so many.
     pub fn new(min: u32, workers: Vec<WorkerLine>) -> Supplied {
         Supplied::beside(ME, min, workers)
     }
@@ -58,12 +58,12 @@
         let home = Home::new(ME, 1, HomeTiming::default());
         let (starts, stops, probes, others) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let mut supplied = Supplied { home, at: 0, starts, stops, probes, others };
-        supplied.feed(HomeInput::Book { book: Rc::new(Book::default()) });
+        supplied.feed(HomeInput::RouteTable { routes: Rc::new(RouteTable::default()) });
         supplied.feed(HomeInput::Roster { roster: roster(7, &[member]) });
         if !workers.is_empty() {
             supplied.workers(workers);
         }
-        supplied.feed(HomeInput::Book { book: book_of(min) });
+        supplied.feed(HomeInput::RouteTable { routes: routes_of(min) });
         supplied
     }
 
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::supplied::{book_of, line, worker};
+use common::supplied::{line, routes_of, worker};
 use common::{ms, roster};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -28,9 +28,9 @@
         let homes = IDS.map(|id| (id, Home::new(id, 1, HomeTiming::default()))).into();
         let mut all = Homes { homes, at: 0, list, looks: BTreeMap::new(), deaf: None, bytes: 0 };
         for id in IDS {
-            all.feed(id, HomeInput::Book { book: Rc::new(bindings::Book::default()) });
+            all.feed(id, HomeInput::RouteTable { routes: Rc::new(bindings::RouteTable::default()) });
             all.feed(id, HomeInput::Roster { roster: roster(7, &IDS) });
-            all.feed(id, HomeInput::Book { book: book_of(0) });
+            all.feed(id, HomeInput::RouteTable { routes: routes_of(0) });
         }
         all
     }
--- a/crates/traffic/tests/keeping.rs
+++ b/crates/traffic/tests/keeping.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ME, OTHER, ask, book, forward, front, ms, reply, roster};
+use common::{ME, OTHER, ask, forward, front, ms, reply, roster, routes};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ForwardMessage, HomeTable, Outcome, RequestHead, SlotLine};
 
@@ -34,7 +34,7 @@
 /// A home that has just lost the other, with or without a table kept for it.
 fn after_the_crash(kept: Option<ForwardMessage>) -> Home {
     let mut home = Home::new(ME, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::Book { book: book() });
+    home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
     if let Some(message) = kept {
         home.step(ms(10), true, HomeInput::Forward { from: OTHER, message });
@@ -69,7 +69,7 @@
 #[test]
 fn a_machine_that_comes_back_is_handed_what_was_kept_for_it() {
     let mut keeper = Home::new(ME, 1, HomeTiming::default());
-    keeper.step(ms(0), true, HomeInput::Book { book: book() });
+    keeper.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
     keeper.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
     keeper.step(ms(10), true, HomeInput::Forward { from: OTHER, message: table(1, 1, "i1") });
     let mut again = (*roster(2, &[OTHER])).clone();
@@ -123,9 +123,9 @@
 #[test]
 fn a_claim_that_is_being_given_back_is_never_dispatched() {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"once"}"#;
-    let once = std::rc::Rc::new(bindings::Book::build(1, 1, [("function-bindings/t/f", binding)].into_iter()));
+    let once = std::rc::Rc::new(bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter()));
     let mut home = Home::new(ME, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::Book { book: once });
+    home.step(ms(0), true, HomeInput::RouteTable { routes: once });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[ME]) });
     home.step(ms(0), true, HomeInput::Core { near: true });
     let outputs = home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: task(7) });
--- a/crates/traffic/tests/order.rs
+++ b/crates/traffic/tests/order.rs
@@ -40,8 +40,8 @@
     let mut home = Supplied::new(1, six_workers());
     let binding: &[u8] =
         br#"{"route":"/t/f","function":"f","class":"ordinary","memory_mb":512,"min":1,"max":1,"aim_ms":1200}"#;
-    let book = bindings::Book::build(2, 2, [("function-bindings/t/f", binding)].into_iter());
-    home.feed(HomeInput::Book { book: Rc::new(book) });
+    let routes = bindings::RouteTable::build(2, 2, [("function-bindings/t/f", binding)].into_iter());
+    home.feed(HomeInput::RouteTable { routes: Rc::new(routes) });
     home.pass(100);
     let nonce = home.starts[0].nonce.clone();
     home.accepted(&nonce, "i1");
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -3,24 +3,24 @@
 
 mod common;
 
-use bindings::Book;
+use bindings::RouteTable;
 use common::{ME, OTHER, forward, ms, reply, roster};
 use std::rc::Rc;
 use test_case::test_case;
 use traffic::{Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming, Verdict};
 use wire::{ForwardMessage, HomeTable, Outcome, RequestHead, SlotLine};
 
-fn single(attempts: u32) -> Rc<Book> {
+fn single(attempts: u32) -> Rc<RouteTable> {
     let binding = format!(
         r#"{{"route":"/t/f","function":"f","class":"single","attempts":{attempts},"aim_ms":400,"instance_limit":4}}"#
     );
-    Rc::new(Book::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
+    Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
 }
 
 /// A home with two instances, and the task that it was forwarded.
 fn home(attempts: u32) -> (Home, Vec<HomeOutput>) {
     let mut home = Home::new(ME, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::Book { book: single(attempts) });
+    home.step(ms(0), true, HomeInput::RouteTable { routes: single(attempts) });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[ME, OTHER]) });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(2, &[ME]) });
     let slot =
@@ -116,7 +116,7 @@
 
 fn front() -> Front {
     let mut front = Front::new(ME, 1, FrontLimits::default());
-    front.step(ms(0), true, FrontInput::Book { book: single(1) });
+    front.step(ms(0), true, FrontInput::RouteTable { routes: single(1) });
     front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[OTHER]) });
     front.step(ms(0), true, FrontInput::Link { id: OTHER, up: true });
     front
--- a/crates/traffic/tests/watching.rs
+++ b/crates/traffic/tests/watching.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ME, OTHER, ask, book, forward, front, ms, roster};
+use common::{ME, OTHER, ask, forward, front, ms, roster, routes};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::ForwardMessage;
 
@@ -23,7 +23,7 @@
 
 fn unlinked() -> traffic::Front {
     let mut front = traffic::Front::new(ME, 1, traffic::FrontLimits::default());
-    front.step(ms(0), true, FrontInput::Book { book: book() });
+    front.step(ms(0), true, FrontInput::RouteTable { routes: routes() });
     front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[OTHER]) });
     front
 }
@@ -31,7 +31,7 @@
 #[test]
 fn a_home_beats_the_fronts_whose_tasks_it_has_and_whoever_asks() {
     let mut home = Home::new(OTHER, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::Book { book: book() });
+    home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER, 3, 4, 5, 6]) });
     let homes = roster(1, &[OTHER]);
     home.step(ms(0), true, HomeInput::Roster { roster: homes });
