--- a/crates/traffic/src/letting_in.rs
+++ b/crates/traffic/src/admission.rs
@@ -1,16 +1,16 @@
 //! Letting a forwarded request in: is this its home, is there room, what does its class ask first. A
-//! forwarded request has a number of its own and is let in once, however often its frame comes.
+//! forwarded request has a number of its own and is admitted once, however often its frame comes.
 
-use crate::holding::LAST;
 use crate::home::Home;
 use crate::home_types::{HomeOutput, HomeTask, Place, TaskId};
+use crate::wait_queue::LAST;
 use bindings::Class;
 use sha2::{Digest, Sha256};
 use std::time::Duration;
 use wire::{ForwardMessage, ForwardRequest, NodeId, Outcome};
 
 impl Home {
-    pub(crate) fn let_in(&mut self, from: NodeId, request: ForwardRequest) {
+    pub(crate) fn admit(&mut self, from: NodeId, request: ForwardRequest) {
         let ForwardRequest { task, function, binding, left_ms, tries, attempts, respond_async, key, head, body } =
             request;
         let id = TaskId { from, task };
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -2,12 +2,12 @@
 //! carries out what they return. Tasks a router carries to itself go round here and nowhere else.
 
 use crate::caller_limits::CallerLimits;
+use crate::declared_views::DeclaredViews;
 use crate::front::Front;
 use crate::front_types::{Call, FrontInput, Reply};
 use crate::home::Home;
 use crate::home_types::HomeInput;
 use crate::pass_cell::PassCell;
-use crate::shelving::DeclaredViews;
 use bindings::RouteTable;
 use dispatch::{DispatchReport, DispatcherMsg};
 use holds::Roster;
--- a/crates/traffic/src/keeper.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -124,7 +124,7 @@
                 failure: None,
                 avoid: String::new(),
                 reached: true,
-                rank: crate::holding::LAST,
+                rank: crate::wait_queue::LAST,
                 inherits: false,
             };
             self.tasks.insert(number, task);
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -4,7 +4,7 @@
 
 use crate::attempt_count::AttemptCount;
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
-use crate::watching::Watched;
+use crate::owner_liveness::Watched;
 use bindings::{Class, RouteTable};
 use holds::{Roster, first_number};
 use std::collections::{BTreeMap, BTreeSet};
@@ -68,7 +68,7 @@
         self.now = now;
         self.may_serve = may_serve;
         match input {
-            FrontInput::Task { ask, call } => self.let_in(ask, call),
+            FrontInput::Task { ask, call } => self.admit(ask, call),
             FrontInput::Forwarded { from, message: ForwardMessage::Beat } => self.heard(from),
             FrontInput::Forwarded { from, message } => {
                 self.heard(from);
@@ -106,7 +106,7 @@
         std::mem::take(&mut self.outs)
     }
 
-    fn let_in(&mut self, ask: u64, call: Call) {
+    fn admit(&mut self, ask: u64, call: Call) {
         if self.table.len() >= self.limits.table {
             let reply = Reply::own(503, Some(Outcome::NotRun), "this router is full").again(self.spread(ask, SOON * 2));
             self.refusals += 1;
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -6,9 +6,9 @@
 use crate::function_scheduler::FunctionScheduler;
 use crate::home_types::{HomeInput, HomeOutput, HomeTask, HomeTiming, Ledger, LedgerAsk, TaskId};
 use crate::inventory::Inventory;
-use crate::keeping::Kept;
-use crate::placing::Workers;
+use crate::placement::Workers;
 use crate::recent_homes::RosterHistory;
+use crate::standby::Kept;
 use bindings::RouteTable;
 use holds::{Roster, first_number};
 use std::collections::BTreeMap;
@@ -104,7 +104,7 @@
                 from,
                 message: message @ (ForwardMessage::ForwardUncounted { .. } | ForwardMessage::Forward { .. }),
             } => {
-                message.into_forwarded().into_iter().for_each(|request| self.let_in(from, request));
+                message.into_forwarded().into_iter().for_each(|request| self.admit(from, request));
             }
             HomeInput::Forward { from, message: ForwardMessage::AttemptGrant { task, attempts } } => {
                 self.attempts_granted(from, task, attempts);
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -5,7 +5,7 @@
 
 use crate::home::Home;
 use crate::home_types::HomeOutput;
-use crate::stock::{change_of, changed, from_record, from_worker_record, gone, worker_record};
+use crate::inventory_records::{change_of, changed, from_record, from_worker_record, gone, worker_record};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use supply::{InstanceLine, InstanceState, Listing, ProviderOrder, WorkerLine};
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -5,7 +5,7 @@
 use crate::home::Home;
 use crate::home_types::HomeOutput;
 use crate::instance::{Instance, InstanceEvent, Pending, Phase};
-use crate::placing::Placed;
+use crate::placement::Placed;
 use events::event;
 use std::time::Duration;
 use supply::{ProviderOrder, StartOrder, StartReceipt};
