--- a/crates/chain/src/copy.rs
+++ b/crates/chain/src/copy.rs
@@ -4,7 +4,7 @@
 use crate::member::Member;
 use crate::types::{Batch, State, Value};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId, PairLine, Seat};
+use wire::{ChainMessage, NodeId, PairLine, Seat};
 
 const PIECE_BYTES: usize = 512 * 1024;
 const PIECE_PAIRS: usize = 4096;
@@ -41,7 +41,7 @@
             } else if now > copying.asked + RETRY {
                 copying.asked = now;
                 let (from, copy, piece) = (copying.from, copying.copy, copying.piece);
-                let ask = if copy == 0 { self.first_ask() } else { ChainMsg::CopyAsk { copy, piece } };
+                let ask = if copy == 0 { self.first_ask() } else { ChainMessage::CopyAsk { copy, piece } };
                 self.send(from, ask);
             }
             return;
@@ -54,7 +54,7 @@
         }
         self.asked_at = now;
         let waited = (now - *self.seeking.get_or_insert(now)).as_millis() as u64;
-        let message = ChainMsg::JoinAsk { seat: self.meta.seat.clone(), ready: 0, seq: waited };
+        let message = ChainMessage::JoinAsk { seat: self.meta.seat.clone(), ready: 0, seq: waited };
         if self.meta.view.number == 0 {
             self.outs.push(crate::Output::SendSeeds { message });
         } else {
@@ -66,7 +66,7 @@
         self.note_newcomer(seat.id, Duration::from_millis(if ready { 0 } else { copy }));
         let view = self.meta.view.clone();
         if !self.is_current_tail() && self.is_chained() && !view.chain.as_slice().contains(&seat.id) {
-            return self.send(seat.id, ChainMsg::Decided { view });
+            return self.send(seat.id, ChainMessage::Decided { view });
         }
         if !self.is_current_tail() || view.chain.as_slice().contains(&seat.id) || !self.may_return(seat.id) {
             return;
@@ -75,7 +75,7 @@
             return;
         }
         if !ready {
-            return self.send(seat.id, ChainMsg::TakeCopy { view: view.number });
+            return self.send(seat.id, ChainMessage::TakeCopy { view: view.number });
         }
         let served = self.source.as_ref().is_some_and(|source| source.number == copy && source.joiner == seat.id);
         if served
@@ -148,7 +148,7 @@
             source.starts.push(key);
         }
         let (copy, seq) = (source.number, source.seq);
-        self.send(from, ChainMsg::CopyPiece { copy, piece, last, seq, pairs: pairs.into() });
+        self.send(from, ChainMessage::CopyPiece { copy, piece, last, seq, pairs: pairs.into() });
     }
 
     pub(crate) fn on_copy_piece(
@@ -173,7 +173,7 @@
         copying.pairs.extend(pairs.into_iter().map(|p| (p.key.as_str().to_owned(), p.value.into_vec().into())));
         if !last {
             let piece = copying.piece;
-            return self.send(from, ChainMsg::CopyAsk { copy, piece });
+            return self.send(from, ChainMessage::CopyAsk { copy, piece });
         }
         let pairs = std::mem::take(&mut copying.pairs);
         self.state = pairs.iter().cloned().collect();
@@ -203,7 +203,7 @@
         } else if !self.leaving {
             let seat = self.meta.seat.clone();
             self.asked_at = self.now;
-            self.send(copying.from, ChainMsg::JoinAsk { seat, ready: 1, seq: copying.copy });
+            self.send(copying.from, ChainMessage::JoinAsk { seat, ready: 1, seq: copying.copy });
         }
     }
 
--- a/crates/chain/src/found.rs
+++ b/crates/chain/src/found.rs
@@ -9,7 +9,7 @@
 use crate::view::optimizer_for;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{ChainMsg, NodeId, Seat, View};
+use wire::{ChainMessage, NodeId, Seat, View};
 
 const EVERY: Duration = Duration::from_millis(250);
 const FRESH: Duration = Duration::from_millis(1500);
@@ -61,7 +61,7 @@
         if self.founding.seats == 1 {
             return self.on_found_ask(seat, bound);
         }
-        self.outs.push(Output::SendSeeds { message: ChainMsg::FoundAsk { seat, bound } });
+        self.outs.push(Output::SendSeeds { message: ChainMessage::FoundAsk { seat, bound } });
     }
 
     fn may_found(&self) -> bool {
@@ -71,7 +71,7 @@
     pub(crate) fn on_found_ask(&mut self, seat: Seat, bound: View) {
         if self.meta.view.number > 0 {
             let view = self.meta.view.clone();
-            return self.send(seat.id, ChainMsg::Decided { view });
+            return self.send(seat.id, ChainMessage::Decided { view });
         }
         if !self.may_found() {
             return;
--- a/crates/chain/src/line.rs
+++ b/crates/chain/src/line.rs
@@ -4,7 +4,7 @@
 
 use crate::member::Member;
 use crate::types::Output;
-use wire::{Blob, ChainMsg, EntryLine, NodeId, OpNo};
+use wire::{Blob, ChainMessage, EntryLine, NodeId, OpNo};
 
 const WINDOW: u64 = 2048;
 const PER_FRAME: usize = 256;
@@ -56,7 +56,7 @@
         self.round.running = false;
         self.round.needs = None;
         if let Some(before) = self.predecessor() {
-            let message = ChainMsg::Position { view: self.meta.view.number, seq: self.synced };
+            let message = ChainMessage::Position { view: self.meta.view.number, seq: self.synced };
             self.send(before, message);
         }
         self.settle();
@@ -73,7 +73,7 @@
                 let entry = EntryLine { seq: self.last + 1, op, body: body.into() };
                 self.take(entry);
             }
-            Some(head) => self.send(head, ChainMsg::Enter { op, body: body.into() }),
+            Some(head) => self.send(head, ChainMessage::Enter { op, body: body.into() }),
             None => self.done(op, false, Vec::new()),
         }
     }
@@ -82,7 +82,7 @@
         if op.origin == self.meta.seat.id {
             self.outs.push(Output::Done { op, entered, receipt });
         } else {
-            self.send(op.origin, ChainMsg::Done { op, entered: entered as u8, receipt: receipt.into() });
+            self.send(op.origin, ChainMessage::Done { op, entered: entered as u8, receipt: receipt.into() });
         }
     }
 
@@ -125,7 +125,7 @@
         }
         let oldest = self.log.front().map_or(self.last + 1, |kept| kept.seq);
         if seq + 1 < oldest || seq > self.last {
-            return self.send(from, ChainMsg::TakeCopy { view });
+            return self.send(from, ChainMessage::TakeCopy { view });
         }
         self.acked = seq;
         self.sent_to = seq;
@@ -174,7 +174,7 @@
                 .collect();
             self.sent_to = entries.last().map_or(self.sent_to, |entry| entry.seq);
             let fence = self.view_fence;
-            let message = ChainMsg::Append { view: self.meta.view.number, fence, entries: entries.into() };
+            let message = ChainMessage::Append { view: self.meta.view.number, fence, entries: entries.into() };
             self.send(after, message);
         }
     }
@@ -191,7 +191,7 @@
         if let Some(before) = self.predecessor()
             && self.fence.is_none()
         {
-            self.send(before, ChainMsg::Position { view: self.meta.view.number, seq: self.synced });
+            self.send(before, ChainMessage::Position { view: self.meta.view.number, seq: self.synced });
         }
         if self.meta.view.voters.as_slice().len() == 1 {
             return self.settle();
@@ -204,7 +204,7 @@
             && self.fence.is_some()
         {
             let (seq, committed) = (self.synced, self.committed);
-            self.send(before, ChainMsg::Synced { view: self.meta.view.number, seq, committed });
+            self.send(before, ChainMessage::Synced { view: self.meta.view.number, seq, committed });
         }
     }
 
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -11,7 +11,7 @@
 use crate::view::Round;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use wire::{ChainMsg, EntryLine, NodeId, OpNo, Seat};
+use wire::{ChainMessage, EntryLine, NodeId, OpNo, Seat};
 
 #[derive(Clone)]
 pub struct Writing {
@@ -177,45 +177,45 @@
         }
     }
 
-    pub(crate) fn send(&mut self, to: NodeId, message: ChainMsg) {
+    pub(crate) fn send(&mut self, to: NodeId, message: ChainMessage) {
         self.outs.push(Output::Send { to, message });
     }
 
-    fn frame(&mut self, from: NodeId, message: ChainMsg) {
+    fn frame(&mut self, from: NodeId, message: ChainMessage) {
         match message {
-            ChainMsg::Beat { view, round, unwell } => self.on_beat(from, view, round, unwell != 0),
-            ChainMsg::BeatReceipt { view, round, holds_next } => {
+            ChainMessage::Beat { view, round, unwell } => self.on_beat(from, view, round, unwell != 0),
+            ChainMessage::BeatReceipt { view, round, holds_next } => {
                 self.on_beat_receipt(from, view, round, holds_next != 0)
             }
-            ChainMsg::Prepare { slot, ballot } => self.on_prepare(from, slot, ballot),
-            ChainMsg::Promise { slot, ballot, accepted_ballot, accepted } => {
+            ChainMessage::Prepare { slot, ballot } => self.on_prepare(from, slot, ballot),
+            ChainMessage::Promise { slot, ballot, accepted_ballot, accepted } => {
                 self.on_promise(from, slot, ballot, accepted_ballot, accepted)
             }
-            ChainMsg::Accept { slot, ballot, view } => self.on_accept(from, slot, ballot, view),
-            ChainMsg::Accepted { slot, ballot } => self.on_accepted(from, slot, ballot),
-            ChainMsg::Refused { slot, ballot } => self.on_refused(slot, ballot),
-            ChainMsg::Decided { view } => self.on_decided(view),
-            ChainMsg::Enter { op, body } => {
+            ChainMessage::Accept { slot, ballot, view } => self.on_accept(from, slot, ballot, view),
+            ChainMessage::Accepted { slot, ballot } => self.on_accepted(from, slot, ballot),
+            ChainMessage::Refused { slot, ballot } => self.on_refused(slot, ballot),
+            ChainMessage::Decided { view } => self.on_decided(view),
+            ChainMessage::Enter { op, body } => {
                 if self.is_head() {
                     self.enter(op, body.into_vec());
                 } else {
                     self.done(op, false, Vec::new());
                 }
             }
-            ChainMsg::Append { view, fence, entries } => self.on_append(from, view, fence, entries.into_vec()),
-            ChainMsg::Synced { view, seq, committed } => self.on_synced(from, view, seq, committed),
-            ChainMsg::Position { view, seq } => self.on_position(from, view, seq),
-            ChainMsg::TakeCopy { view } => self.on_take_copy(from, view),
-            ChainMsg::CopyAsk { copy, piece } => self.on_copy_ask(from, copy, piece),
-            ChainMsg::CopyPiece { copy, piece, last, seq, pairs } => {
+            ChainMessage::Append { view, fence, entries } => self.on_append(from, view, fence, entries.into_vec()),
+            ChainMessage::Synced { view, seq, committed } => self.on_synced(from, view, seq, committed),
+            ChainMessage::Position { view, seq } => self.on_position(from, view, seq),
+            ChainMessage::TakeCopy { view } => self.on_take_copy(from, view),
+            ChainMessage::CopyAsk { copy, piece } => self.on_copy_ask(from, copy, piece),
+            ChainMessage::CopyPiece { copy, piece, last, seq, pairs } => {
                 self.on_copy_piece(from, copy, piece, last != 0, seq, pairs.into_vec())
             }
-            ChainMsg::SuffixAsk { since, last, digest } => self.on_suffix_ask(from, since, last, digest),
-            ChainMsg::Suffix { copy, entries } => self.on_suffix(from, copy, entries.into_vec()),
-            ChainMsg::JoinAsk { seat, ready, seq } => self.on_join_ask(seat, ready != 0, seq),
-            ChainMsg::FoundAsk { seat, bound } => self.on_found_ask(seat, bound),
-            ChainMsg::LastAnswered { view, millis } => self.on_last_answered(from, view, millis),
-            ChainMsg::Done { op, entered, receipt } => self.on_done(op, entered != 0, receipt),
+            ChainMessage::SuffixAsk { since, last, digest } => self.on_suffix_ask(from, since, last, digest),
+            ChainMessage::Suffix { copy, entries } => self.on_suffix(from, copy, entries.into_vec()),
+            ChainMessage::JoinAsk { seat, ready, seq } => self.on_join_ask(seat, ready != 0, seq),
+            ChainMessage::FoundAsk { seat, bound } => self.on_found_ask(seat, bound),
+            ChainMessage::LastAnswered { view, millis } => self.on_last_answered(from, view, millis),
+            ChainMessage::Done { op, entered, receipt } => self.on_done(op, entered != 0, receipt),
         }
     }
 
--- a/crates/chain/src/register.rs
+++ b/crates/chain/src/register.rs
@@ -5,7 +5,7 @@
 use crate::types::Output;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId, View};
+use wire::{ChainMessage, NodeId, View};
 
 #[derive(Clone, Debug)]
 pub struct Proposal {
@@ -43,7 +43,7 @@
             accepting: false,
             begun: self.now,
         });
-        self.send_voters(ChainMsg::Prepare { slot, ballot });
+        self.send_voters(ChainMessage::Prepare { slot, ballot });
     }
 
     pub(crate) fn keep_meta(&mut self, after: Vec<Output>) {
@@ -52,7 +52,7 @@
         self.dirty = true;
     }
 
-    pub(crate) fn send_voters(&mut self, message: ChainMsg) {
+    pub(crate) fn send_voters(&mut self, message: ChainMessage) {
         for seat in self.meta.view.voters.clone().iter() {
             self.send(seat.id, message.clone());
         }
@@ -64,10 +64,10 @@
         }
         if ballot <= self.meta.promised {
             let ballot = self.meta.promised;
-            return self.send(from, ChainMsg::Refused { slot, ballot });
+            return self.send(from, ChainMessage::Refused { slot, ballot });
         }
         self.meta.promised = ballot;
-        let promise = ChainMsg::Promise {
+        let promise = ChainMessage::Promise {
             slot,
             ballot,
             accepted_ballot: self.meta.accepted_ballot,
@@ -82,20 +82,20 @@
         }
         if ballot < self.meta.promised {
             let ballot = self.meta.promised;
-            return self.send(from, ChainMsg::Refused { slot, ballot });
+            return self.send(from, ChainMessage::Refused { slot, ballot });
         }
         self.meta.promised = ballot;
         self.meta.accepted_ballot = ballot;
         self.meta.accepted = view;
         self.accepted_at = self.now;
-        self.keep_meta(vec![Output::Send { to: from, message: ChainMsg::Accepted { slot, ballot } }]);
+        self.keep_meta(vec![Output::Send { to: from, message: ChainMessage::Accepted { slot, ballot } }]);
     }
 
     fn slot_is_next(&mut self, from: NodeId, slot: u64) -> bool {
         let number = self.meta.view.number;
         if slot <= number {
             let view = self.meta.view.clone();
-            self.send(from, ChainMsg::Decided { view });
+            self.send(from, ChainMessage::Decided { view });
         }
         number > 0 && slot == number + 1
     }
@@ -119,7 +119,7 @@
             proposal.value = view;
         }
         let view = proposal.value.clone();
-        self.send_voters(ChainMsg::Accept { slot, ballot, view });
+        self.send_voters(ChainMessage::Accept { slot, ballot, view });
     }
 
     pub(crate) fn on_accepted(&mut self, from: NodeId, slot: u64, ballot: u64) {
@@ -135,7 +135,7 @@
             let told: BTreeSet<NodeId> =
                 self.meta.view.voters.iter().chain(view.voters.iter()).map(|seat| seat.id).collect();
             for id in told {
-                self.send(id, ChainMsg::Decided { view: view.clone() });
+                self.send(id, ChainMessage::Decided { view: view.clone() });
             }
             self.adopt(view);
         }
--- a/crates/chain/src/suffix.rs
+++ b/crates/chain/src/suffix.rs
@@ -8,7 +8,7 @@
 use crate::member::Member;
 use crate::types::Output;
 use sha2::{Digest, Sha256};
-use wire::{ChainMsg, EntryLine, NodeId};
+use wire::{ChainMessage, EntryLine, NodeId};
 
 const MOST_BYTES: usize = 2 * 1024 * 1024;
 const LOG_BYTES: usize = 4 * 1024 * 1024;
@@ -36,11 +36,11 @@
     }
 
     /// What the member asks the source for: the entries it missed, or, where it can prove nothing, all.
-    pub(crate) fn first_ask(&self) -> ChainMsg {
+    pub(crate) fn first_ask(&self) -> ChainMessage {
         let since = self.settled;
         match self.log_after(since) {
-            Some(entries) => ChainMsg::SuffixAsk { since, last: self.last, digest: digest(entries) },
-            None => ChainMsg::CopyAsk { copy: 0, piece: 0 },
+            Some(entries) => ChainMessage::SuffixAsk { since, last: self.last, digest: digest(entries) },
+            None => ChainMessage::CopyAsk { copy: 0, piece: 0 },
         }
     }
 
@@ -62,7 +62,7 @@
         let copy = self.copy_number();
         let (state, starts) = (self.synced_state.clone(), vec![String::new()]);
         self.source = Some(Source { number: copy, joiner: from, state, seq: synced, starts, asked: self.now });
-        self.send(from, ChainMsg::Suffix { copy, entries: missed.into() });
+        self.send(from, ChainMessage::Suffix { copy, entries: missed.into() });
     }
 
     pub(crate) fn on_suffix(&mut self, from: NodeId, copy: u64, entries: Vec<EntryLine>) {
--- a/crates/chain/src/tenure.rs
+++ b/crates/chain/src/tenure.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId, View};
+use wire::{ChainMessage, NodeId, View};
 
 /// A run of views, without a gap, in which this member is the tail.
 #[derive(Clone, Default)]
@@ -78,7 +78,7 @@
         let millis = self.now.saturating_sub(self.tail_answered).as_millis() as u64;
         self.tail_answered = self.now;
         let to = new_tail.filter(|_| follows && new_tail != old_tail && self.is_voter(me))?;
-        Some(Output::Send { to, message: ChainMsg::LastAnswered { view: next.number, millis } })
+        Some(Output::Send { to, message: ChainMessage::LastAnswered { view: next.number, millis } })
     }
 
     pub(crate) fn on_last_answered(&mut self, from: NodeId, view: u64, millis: u64) {
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{ChainMsg, EntryLine, NodeId, OpNo, Seat, View};
+use wire::{ChainMessage, EntryLine, NodeId, OpNo, Seat, View};
 
 pub type Value = Arc<[u8]>;
 pub type State = im::OrdMap<String, Value>;
@@ -70,7 +70,7 @@
     Tick,
     Frame {
         from: NodeId,
-        message: ChainMsg,
+        message: ChainMessage,
     },
     Written {
         ticket: u64,
@@ -92,10 +92,10 @@
 pub enum Output {
     Send {
         to: NodeId,
-        message: ChainMsg,
+        message: ChainMessage,
     },
     SendSeeds {
-        message: ChainMsg,
+        message: ChainMessage,
     },
     Write {
         ticket: u64,
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -5,7 +5,7 @@
 use crate::register::is_majority;
 use crate::types::{Output, State};
 use std::collections::BTreeSet;
-use wire::{ChainMsg, EntryLine, NodeId, Seat, View};
+use wire::{ChainMessage, EntryLine, NodeId, Seat, View};
 
 #[derive(Clone, Default)]
 pub struct Round {
@@ -52,13 +52,13 @@
         }
         if view < self.meta.view.number {
             let view = self.meta.view.clone();
-            return self.send(from, ChainMsg::Decided { view });
+            return self.send(from, ChainMessage::Decided { view });
         }
         let holds_next = (self.meta.accepted_ballot > 0) as u8;
         if holds_next == 0 {
             self.note_answer(from);
         }
-        self.send(from, ChainMsg::BeatReceipt { view: self.meta.view.number, round, holds_next });
+        self.send(from, ChainMessage::BeatReceipt { view: self.meta.view.number, round, holds_next });
     }
 
     /// Only an answer shows that a member is there: one that still sends but receives nothing would hold
@@ -118,8 +118,11 @@
     }
 
     pub(crate) fn beat(&mut self) {
-        let message =
-            ChainMsg::Beat { view: self.meta.view.number, round: self.round.number, unwell: self.is_unwell() as u8 };
+        let message = ChainMessage::Beat {
+            view: self.meta.view.number,
+            round: self.round.number,
+            unwell: self.is_unwell() as u8,
+        };
         self.send_voters(message);
     }
 
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -4,7 +4,7 @@
 
 use net::{Net, seat};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId};
+use wire::{ChainMessage, NodeId};
 
 fn voters(net: &Net, id: NodeId) -> Vec<NodeId> {
     let mut voters: Vec<NodeId> = net.members[&id].view().voters.iter().map(|seat| seat.id).collect();
@@ -101,7 +101,7 @@
         net.now += Duration::from_millis(50);
         (1..=3).for_each(|id| net.feed(id, chain::Input::Tick));
         while let Some((from, to, message)) = net.frames.pop_front() {
-            let heartbeat = matches!(message, ChainMsg::Beat { .. } | ChainMsg::BeatReceipt { .. });
+            let heartbeat = matches!(message, ChainMessage::Beat { .. } | ChainMessage::BeatReceipt { .. });
             match heartbeat {
                 true if from == 2 || to == 2 => {}
                 true => net.feed(to, chain::Input::Frame { from, message }),
@@ -145,7 +145,7 @@
         net.now += Duration::from_millis(50);
         [1, 2].into_iter().for_each(|id| net.feed(id, chain::Input::Tick));
         while let Some((from, to, message)) = net.frames.pop_front() {
-            if matches!(message, ChainMsg::Prepare { .. }) {
+            if matches!(message, ChainMessage::Prepare { .. }) {
                 net.feed(to, chain::Input::Frame { from, message: message.clone() });
             }
             net.feed(to, chain::Input::Frame { from, message });
--- a/crates/chain/tests/members.rs
+++ b/crates/chain/tests/members.rs
@@ -4,7 +4,7 @@
 
 use chain::Input;
 use net::Net;
-use wire::{ChainMsg, NodeId};
+use wire::{ChainMessage, NodeId};
 
 #[test]
 fn an_entry_is_acknowledged_once_all_have_synced_it_and_survives_any_one() {
@@ -69,7 +69,7 @@
     let mut next = net.members[&1].view().clone();
     next.number += 1;
     next.chain = vec![1, 2].into();
-    let accept = ChainMsg::Accept { slot: next.number, ballot: 1 << 8, view: next };
+    let accept = ChainMessage::Accept { slot: next.number, ballot: 1 << 8, view: next };
     net.feed(2, Input::Frame { from: 1, message: accept.clone() });
     net.feed(3, Input::Frame { from: 1, message: accept });
     net.frames.clear();
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -5,7 +5,7 @@
 use chain::{Batch, Effect, Input, Member, Output, State, Stored, Timing, apply_batch};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId, OpNo, Seat};
+use wire::{ChainMessage, NodeId, OpNo, Seat};
 
 pub fn apply(_: &State, seq: u64, body: &[u8]) -> Effect {
     let key = String::from_utf8_lossy(body).into_owned();
@@ -15,7 +15,7 @@
 pub struct Net {
     pub members: BTreeMap<NodeId, Member>,
     pub disks: BTreeMap<NodeId, Stored>,
-    pub frames: VecDeque<(NodeId, NodeId, ChainMsg)>,
+    pub frames: VecDeque<(NodeId, NodeId, ChainMessage)>,
     pub writes: Vec<(NodeId, u64, Batch)>,
     pub cut: Vec<NodeId>,
     pub pairs: Vec<(NodeId, NodeId)>,
@@ -136,7 +136,7 @@
         for _ in 0..count {
             if let Some((from, to, message)) = self.frames.pop_front() {
                 let pair = self.pairs.contains(&(from, to)) || self.pairs.contains(&(to, from));
-                let starved = matches!(message, ChainMsg::Append { .. }) && self.starved.contains(&to);
+                let starved = matches!(message, ChainMessage::Append { .. }) && self.starved.contains(&to);
                 if !self.cut.contains(&from) && !self.cut.contains(&to) && !pair && !starved {
                     self.count(to, &message);
                     self.feed(to, Input::Frame { from, message });
@@ -156,8 +156,8 @@
         }
     }
 
-    fn count(&mut self, to: NodeId, message: &ChainMsg) {
-        if matches!(message, ChainMsg::CopyPiece { .. } | ChainMsg::Suffix { .. }) {
+    fn count(&mut self, to: NodeId, message: &ChainMessage) {
+        if matches!(message, ChainMessage::CopyPiece { .. } | ChainMessage::Suffix { .. }) {
             let (messages, bytes) = self.caught_up_by.entry(to).or_default();
             *messages += 1;
             *bytes += wire::to_bytes(message).len();
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -4,8 +4,8 @@
 use crate::core::{Core, CoreInput, CoreOutput};
 use crate::keys;
 use crate::membership::Membership;
-use crate::optimizer::OptimizerMsg;
-use crate::service::ControlMsg;
+use crate::optimizer::OptimizerMessage;
+use crate::service::ControlMessage;
 use chain::{Disk, DiskReport};
 use events::event;
 use kernel::{Inbox, InboxSender, wait_for_signal};
@@ -24,7 +24,7 @@
     pub core: Core,
     pub disk: Disk,
     pub links: InboxSender<LinkOrder>,
-    pub optimizer: InboxSender<OptimizerMsg>,
+    pub optimizer: InboxSender<OptimizerMessage>,
     pub calls: BTreeMap<u64, oneshot::Sender<ApiReply>>,
     pub next_call: u64,
     pub view: watch::Sender<String>,
@@ -42,14 +42,14 @@
 }
 
 impl Control {
-    pub async fn run(mut self, post: InboxSender<ControlMsg>, mut inbox: Inbox<ControlMsg>) {
+    pub async fn run(mut self, post: InboxSender<ControlMessage>, mut inbox: Inbox<ControlMessage>) {
         let begun = Instant::now();
         let view = self.core.member().view().clone();
         self.dial(&view);
-        let _ = self.optimizer.send(OptimizerMsg::Viewed { view });
+        let _ = self.optimizer.send(OptimizerMessage::Viewed { view });
         tokio::task::spawn_local(async move {
             wait_for_signal().await;
-            post.send_waiting(ControlMsg::Stop).await;
+            post.send_waiting(ControlMessage::Stop).await;
         });
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -58,7 +58,7 @@
                 biased;
                 _ = ticks.tick() => Some(CoreInput::Tick),
                 message = inbox.next() => match message {
-                    Some(ControlMsg::Stop) | None => return self.leave(begun, &mut inbox).await,
+                    Some(ControlMessage::Stop) | None => return self.leave(begun, &mut inbox).await,
                     Some(message) => self.input(message),
                 },
             };
@@ -71,35 +71,35 @@
         }
     }
 
-    fn input(&mut self, message: ControlMsg) -> Option<CoreInput> {
+    fn input(&mut self, message: ControlMessage) -> Option<CoreInput> {
         match message {
-            ControlMsg::Link(LinkEvent::Frame { from, incarnation, message }) => match message {
+            ControlMessage::Link(LinkEvent::Frame { from, incarnation, message }) => match message {
                 Message::Chain(message) => Some(CoreInput::Chain { from, message }),
                 Message::Hold(message) => Some(CoreInput::Router { from, incarnation, message }),
                 _ => None,
             },
-            ControlMsg::Link(_) | ControlMsg::Stop => None,
-            ControlMsg::Disk(DiskReport::Written { ticket }) => Some(CoreInput::Written { ticket }),
-            ControlMsg::Disk(DiskReport::Fault(fault)) => {
+            ControlMessage::Link(_) | ControlMessage::Stop => None,
+            ControlMessage::Disk(DiskReport::Written { ticket }) => Some(CoreInput::Written { ticket }),
+            ControlMessage::Disk(DiskReport::Fault(fault)) => {
                 event!(disk_fault, "{fault}");
                 Some(CoreInput::DiskFault)
             }
-            ControlMsg::Disk(DiskReport::Back { stored }) => {
+            ControlMessage::Disk(DiskReport::Back { stored }) => {
                 event!(disk_back, "at entry {}", stored.last);
                 Some(CoreInput::DiskBack { stored })
             }
-            ControlMsg::Seeds(Ok(seeds)) => {
+            ControlMessage::Seeds(Ok(seeds)) => {
                 event!(settings_taken, "seeds {}", seeds.join(","));
                 self.seeds = seeds;
                 let view = self.core.member().view().clone();
                 self.dial(&view);
                 None
             }
-            ControlMsg::Seeds(Err(fault)) => {
+            ControlMessage::Seeds(Err(fault)) => {
                 event!(settings_refused, "{fault}");
                 None
             }
-            ControlMsg::Call { call, reply } => {
+            ControlMessage::Call { call, reply } => {
                 self.next_call += 1;
                 self.calls.insert(self.next_call, reply);
                 Some(CoreInput::Call { ask: self.next_call, call })
@@ -155,7 +155,7 @@
                     let chain: Vec<String> = view.chain.iter().map(|id| format!("{id:016x}")).collect();
                     event!(view_adopted, "view {} chain {}", view.number, chain.join(" "));
                     self.dial(&view);
-                    let _ = self.optimizer.send(OptimizerMsg::Viewed { view });
+                    let _ = self.optimizer.send(OptimizerMessage::Viewed { view });
                 }
                 CoreOutput::Installed { missed: Some(count) } => event!(missed_taken, "{count} entries"),
                 CoreOutput::Installed { missed: None } => event!(copy_installed),
@@ -176,7 +176,7 @@
         }
         let pairs =
             keys::with_prefix(state, prefix).map(|(key, value)| (key[prefix.len()..].to_owned(), value.clone()));
-        let active = OptimizerMsg::Active { step, revision, pairs: pairs.collect() };
+        let active = OptimizerMessage::Active { step, revision, pairs: pairs.collect() };
         match self.optimizer.send(active) {
             Ok(()) => self.revision = Some(revision),
             Err(_) => event!(inbox_full, "optimizer"),
@@ -197,7 +197,7 @@
 
     /// A planned stop: the chain goes on without this member by a view it proposes itself, which
     /// also names the optimizer's next host. It waits for that view, but not for long.
-    async fn leave(mut self, begun: Instant, inbox: &mut Inbox<ControlMsg>) {
+    async fn leave(mut self, begun: Instant, inbox: &mut Inbox<ControlMessage>) {
         event!(stopping);
         let outputs = self.core.step(begun.elapsed(), CoreInput::Leave);
         self.carry_out(outputs);
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{ChainMsg, HoldMsg, NodeId, View};
+use wire::{ChainMessage, LeaseMessage, NodeId, View};
 
 #[derive(Clone, Debug)]
 pub struct CoreTiming {
@@ -51,21 +51,21 @@
 #[derive(Debug)]
 pub enum CoreInput {
     Tick,
-    Chain { from: NodeId, message: ChainMsg },
+    Chain { from: NodeId, message: ChainMessage },
     Written { ticket: u64 },
     DiskFault,
     DiskBack { stored: Box<Stored> },
-    Router { from: NodeId, incarnation: u64, message: HoldMsg },
+    Router { from: NodeId, incarnation: u64, message: LeaseMessage },
     Call { ask: u64, call: ApiCall },
     Leave,
 }
 
 #[derive(Debug)]
 pub enum CoreOutput {
-    Registry { to: NodeId, message: ChainMsg },
-    Seeds { message: ChainMsg },
+    Registry { to: NodeId, message: ChainMessage },
+    Seeds { message: ChainMessage },
     Write { ticket: u64, batch: Batch },
-    Router { to: NodeId, message: HoldMsg },
+    Router { to: NodeId, message: LeaseMessage },
     Reply { ask: u64, reply: ApiReply },
     Viewed { view: View },
     Told { view: View },
@@ -99,9 +99,9 @@
     /// The unbroken run of views as the tail that the sessions belong to.
     pub(crate) tenure: Option<Tenure>,
     pub(crate) told_proofs: Option<ToldProofs>,
-    pub(crate) jobs: VecDeque<(u64, NodeId, u64, HoldMsg)>,
+    pub(crate) jobs: VecDeque<(u64, NodeId, u64, LeaseMessage)>,
     /// Renewals that wait for the next round of confirmation.
-    pub(crate) renewals: Vec<(NodeId, u64, HoldMsg)>,
+    pub(crate) renewals: Vec<(NodeId, u64, LeaseMessage)>,
     pub(crate) rounded: Duration,
     pub(crate) waits: BTreeMap<u64, (Wait, Duration)>,
     pub(crate) open: BTreeSet<Duty>,
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -2,7 +2,7 @@
 //! what makes them, and they ask the core through a handle that can be cloned.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::service::ControlMsg;
+use crate::service::ControlMessage;
 use crate::settings::RegistryEnv;
 use axum::Router;
 use kernel::InboxSender;
@@ -23,18 +23,18 @@
 /// What operators' pages ask of a registry.
 #[derive(Clone)]
 pub struct Operators {
-    pub(crate) control: InboxSender<ControlMsg>,
+    pub(crate) control: InboxSender<ControlMessage>,
     pub(crate) view: watch::Receiver<String>,
 }
 
 impl Operators {
-    pub fn new(control: InboxSender<ControlMsg>, view: watch::Receiver<String>) -> Operators {
+    pub fn new(control: InboxSender<ControlMessage>, view: watch::Receiver<String>) -> Operators {
         Operators { control, view }
     }
 
     pub async fn ask(&self, call: ApiCall) -> ApiReply {
         let (reply, told) = oneshot::channel();
-        if self.control.send(ControlMsg::Call { call, reply }).is_err() {
+        if self.control.send(ControlMessage::Call { call, reply }).is_err() {
             let mut reply = ApiReply::new(503, json!({"outcome": "not-run", "fault": "too busy"}));
             reply.retry_after = Some(1);
             return reply;
--- a/crates/control/src/entering.rs
+++ b/crates/control/src/entering.rs
@@ -3,7 +3,7 @@
 use crate::core::{Core, CoreOutput, Wait};
 use chain::Input;
 use std::time::Duration;
-use wire::{Command, HoldMsg, NodeId, OpNo};
+use wire::{Command, LeaseMessage, NodeId, OpNo};
 
 /// What the tail enters by itself. Of each, one entry at a time is on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -56,7 +56,7 @@
         match wait {
             Wait::Duty(duty) => drop(self.open.remove(&duty)),
             Wait::Router { to, ask } => {
-                let message = HoldMsg::EnterReceipt { ask, state: entered as u8, body: receipt.into() };
+                let message = LeaseMessage::EnterReceipt { ask, state: entered as u8, body: receipt.into() };
                 self.outs.push(CoreOutput::Router { to, message });
             }
             Wait::Change { ask, op, again, .. } => self.change_done(ask, op, again, entered, &receipt),
--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -3,7 +3,7 @@
 use crate::core::{Core, CoreOutput, Wait};
 use crate::keys;
 use std::time::Duration;
-use wire::HoldMsg;
+use wire::LeaseMessage;
 
 /// A registry that joins becomes the tail, and a new tail lets no step come into force for a while: one
 /// that is pending goes first, if it can at all.
@@ -17,7 +17,7 @@
         for op in late {
             match self.waits.remove(&op) {
                 Some((Wait::Router { to, ask }, _)) => {
-                    let message = HoldMsg::EnterReceipt { ask, state: 2, body: Vec::new().into() };
+                    let message = LeaseMessage::EnterReceipt { ask, state: 2, body: Vec::new().into() };
                     self.outs.push(CoreOutput::Router { to, message });
                 }
                 Some((Wait::Change { ask, op, .. }, _)) => self.unknown(ask, &op),
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -40,5 +40,5 @@
 pub use keys::{member_key, number};
 pub use membership::{MemberChange, Membership};
 pub use planner::{Planned, Planner};
-pub use service::{ControlMsg, run};
+pub use service::{ControlMessage, run};
 pub use settings::RegistryEnv;
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -13,10 +13,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
-use wire::{Message, NodeId, PlanMsg, View};
+use wire::{Message, NodeId, PlanMessage, View};
 
-pub enum OptimizerMsg {
-    Frame { from: NodeId, message: PlanMsg },
+pub enum OptimizerMessage {
+    Frame { from: NodeId, message: PlanMessage },
     Active { step: u64, revision: u64, pairs: BTreeMap<String, Value> },
     Viewed { view: View },
 }
@@ -32,15 +32,15 @@
     pub links: InboxSender<LinkOrder>,
 }
 
-pub fn run(host: Host, mut inbox: Inbox<OptimizerMsg>) {
+pub fn run(host: Host, mut inbox: Inbox<OptimizerMessage>) {
     let begun = Instant::now();
     let mut planner = Planner::new(host.tuning, Optimizer::new(host.step, host.fits));
     let mut told = (0, 0);
     let mut active = (0, BTreeMap::new());
     while let Some(message) = inbox.next_blocking() {
         match message {
-            OptimizerMsg::Viewed { view } => planner.viewed(view),
-            OptimizerMsg::Active { step, revision, pairs } => {
+            OptimizerMessage::Viewed { view } => planner.viewed(view),
+            OptimizerMessage::Active { step, revision, pairs } => {
                 planner.routes(&RouteTable::build(
                     step,
                     revision,
@@ -49,9 +49,9 @@
                 let before = std::mem::replace(&mut active, (revision, pairs)).1;
                 show(&host.index, &active, &before, &planner);
             }
-            OptimizerMsg::Frame { message: PlanMsg::Ask { .. }, .. } if !host.plans => {}
-            OptimizerMsg::Frame { from, message } => {
-                let tunes = matches!(message, PlanMsg::Measures { .. } | PlanMsg::Tuned { .. });
+            OptimizerMessage::Frame { message: PlanMessage::Ask { .. }, .. } if !host.plans => {}
+            OptimizerMessage::Frame { from, message } => {
+                let tunes = matches!(message, PlanMessage::Measures { .. } | PlanMessage::Tuned { .. });
                 for planned in planner.step(begun.elapsed(), host.me, from, message, host.solve) {
                     if let Some(fault) = planned.fault {
                         event!(plan_fault, "{fault}");
--- a/crates/control/src/parts.rs
+++ b/crates/control/src/parts.rs
@@ -6,7 +6,7 @@
 use crate::keys;
 use chain::State;
 use std::collections::BTreeMap;
-use wire::{HoldMsg, NodeId, Packed, StepLine};
+use wire::{LeaseMessage, NodeId, Packed, StepLine};
 
 /// A thin link of 2 Mbit/s takes 64 ms for one; a proof may wait so long.
 const PART: usize = 16 * 1024;
@@ -49,7 +49,7 @@
         (*number, packed)
     }
 
-    pub fn part(&mut self, state: &State, ask: u64, whole: bool, number: u64, offset: u32) -> Option<HoldMsg> {
+    pub fn part(&mut self, state: &State, ask: u64, whole: bool, number: u64, offset: u32) -> Option<LeaseMessage> {
         let (found, packed) = match whole {
             true => self.whole(state),
             false => (number, self.step(state, number)?),
@@ -59,7 +59,7 @@
         let bytes = packed.bytes.part(offset as usize, PART);
         let (size, total) = (packed.size, packed.bytes.len() as u32);
         let whole = whole as u8;
-        Some(HoldMsg::Part { ask, whole, number: found, size, packed: total, offset, bytes })
+        Some(LeaseMessage::Part { ask, whole, number: found, size, packed: total, offset, bytes })
     }
 }
 
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -7,7 +7,7 @@
 use scaler::{Measure, Optimizer, Sample, Tuned};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{MeasureLine, NodeId, PlanMsg, TunedLine, View};
+use wire::{MeasureLine, NodeId, PlanMessage, TunedLine, View};
 
 const TELL_EVERY: Duration = Duration::from_secs(5);
 
@@ -23,7 +23,7 @@
 
 pub struct Planned {
     pub to: NodeId,
-    pub message: PlanMsg,
+    pub message: PlanMessage,
     pub fault: Option<String>,
 }
 
@@ -55,9 +55,16 @@
         (self.fence, &self.in_force)
     }
 
-    pub fn step(&mut self, now: Duration, me: NodeId, from: NodeId, message: PlanMsg, limit: Duration) -> Vec<Planned> {
+    pub fn step(
+        &mut self,
+        now: Duration,
+        me: NodeId,
+        from: NodeId,
+        message: PlanMessage,
+        limit: Duration,
+    ) -> Vec<Planned> {
         match message {
-            PlanMsg::Samples { lines } => {
+            PlanMessage::Samples { lines } => {
                 for line in lines.iter().filter(|line| self.functions.contains_key(line.function.as_str())) {
                     let sample = Sample {
                         rate: line.rate_milli as f64 / 1000.0,
@@ -69,11 +76,11 @@
                 }
                 Vec::new()
             }
-            PlanMsg::Ask { ask, function, current, held, waiting } if self.view.optimizer == me => {
+            PlanMessage::Ask { ask, function, current, held, waiting } if self.view.optimizer == me => {
                 let Some(function) = self.functions.get(function.as_str()) else { return Vec::new() };
                 let gauge = Sample { held: held.into(), waiting: waiting.into(), ..Sample::default() };
                 let planned = self.optimizer.plan(now, function, current, gauge, limit);
-                let message = PlanMsg::Receipt {
+                let message = PlanMessage::Receipt {
                     ask,
                     fence: self.view.number,
                     state: planned.fault.is_none() as u8,
@@ -83,8 +90,10 @@
                 let fault = planned.fault.map(|fault| format!("{}: {fault}", function.name));
                 vec![Planned { to: from, message, fault }]
             }
-            PlanMsg::Measures { lines } if self.view.optimizer == me => self.measured(now, me, from, lines.as_slice()),
-            PlanMsg::Tuned { fence, lines } => {
+            PlanMessage::Measures { lines } if self.view.optimizer == me => {
+                self.measured(now, me, from, lines.as_slice())
+            }
+            PlanMessage::Tuned { fence, lines } => {
                 self.adopt(fence, lines.into_vec());
                 Vec::new()
             }
@@ -111,7 +120,7 @@
         let due: Vec<NodeId> =
             others.chain([from]).filter(|to| self.told.get(to).is_none_or(|at| now >= *at + TELL_EVERY)).collect();
         self.told.retain(|_, at| now < *at + TELL_EVERY * 20);
-        let message = PlanMsg::Tuned { fence: self.fence, lines: self.in_force.clone().into() };
+        let message = PlanMessage::Tuned { fence: self.fence, lines: self.in_force.clone().into() };
         due.into_iter()
             .map(|to| {
                 self.told.insert(to, now);
--- a/crates/control/src/pushes.rs
+++ b/crates/control/src/pushes.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{HoldMsg, NodeId};
+use wire::{LeaseMessage, NodeId};
 
 /// A part or a roster may take so long over a thin link with others before it.
 const AGAIN: Duration = Duration::from_millis(700);
@@ -41,7 +41,7 @@
         for (id, session) in self.sessions.table.iter_mut().filter(|(_, session)| !session.ghost) {
             if let Some(next) = next_step(now, session, active, latest) {
                 let step = match self.format {
-                    ..PARTS => keys::step(&state, next).map(|step| HoldMsg::Stage { step }),
+                    ..PARTS => keys::step(&state, next).map(|step| LeaseMessage::Stage { step }),
                     _ => self.packed.part(&state, 0, false, next, 0),
                 };
                 session.pushed = next;
@@ -52,7 +52,7 @@
             if active > session.active && active <= session.staged && untold {
                 session.told = active;
                 session.told_at = now;
-                outs.push((*id, HoldMsg::Activate { number: active }));
+                outs.push((*id, LeaseMessage::Activate { number: active }));
             }
             if number > session.roster && (session.rostered < number || now >= session.rostered_at + AGAIN) {
                 session.rostered = number;
--- a/crates/control/src/reading.rs
+++ b/crates/control/src/reading.rs
@@ -9,7 +9,7 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{HoldMsg, ItemLine};
+use wire::{ItemLine, LeaseMessage};
 
 const READ_AGAIN: Duration = Duration::from_millis(400);
 
@@ -48,7 +48,7 @@
                 read.step = None;
                 read.pairs.clear();
             }
-            let message = HoldMsg::FetchAll { ask: read.page_ask, from: from.into() };
+            let message = LeaseMessage::FetchAll { ask: read.page_ask, from: from.into() };
             self.outs.push(CoreOutput::Router { to: tail, message });
         }
     }
--- a/crates/control/src/rosters.rs
+++ b/crates/control/src/rosters.rs
@@ -6,7 +6,7 @@
 use holds::Roster;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use wire::{HoldMsg, Packed};
+use wire::{LeaseMessage, Packed};
 
 const EVERY: Duration = Duration::from_millis(200);
 const KEPT: usize = 16;
@@ -36,12 +36,12 @@
         number
     }
 
-    pub fn newest_whole(&self) -> Option<HoldMsg> {
+    pub fn newest_whole(&self) -> Option<LeaseMessage> {
         let roster = self.sent.back()?;
-        Some(HoldMsg::Roster { number: roster.number, body: roster.clone().written(wire::CAPACITY - 1).into() })
+        Some(LeaseMessage::Roster { number: roster.number, body: roster.clone().written(wire::CAPACITY - 1).into() })
     }
 
-    pub fn change(&mut self, known: u64) -> Option<HoldMsg> {
+    pub fn change(&mut self, known: u64) -> Option<LeaseMessage> {
         let newest = self.sent.back()?;
         let earlier = self.sent.iter().find(|roster| roster.number == known);
         let since = earlier.map_or(0, |roster| roster.number);
@@ -50,6 +50,6 @@
             wire::pack(&wire::to_bytes(&change))
         });
         let (size, body) = (packed.size, packed.bytes.clone());
-        Some(HoldMsg::RosterChange { since, number: newest.number, size, body })
+        Some(LeaseMessage::RosterChange { since, number: newest.number, size, body })
     }
 }
--- a/crates/control/src/routers.rs
+++ b/crates/control/src/routers.rs
@@ -6,21 +6,23 @@
 use crate::entering::Duty;
 use crate::keys;
 use std::time::Duration;
-use wire::{HoldMsg, List, NodeId};
+use wire::{LeaseMessage, List, NodeId};
 
 const JOBS: usize = 4096;
 const WAITS: usize = 8192;
 const ROUND_EVERY: Duration = Duration::from_millis(15);
 
 impl Core {
-    pub(crate) fn router(&mut self, from: NodeId, incarnation: u64, message: HoldMsg) {
+    pub(crate) fn router(&mut self, from: NodeId, incarnation: u64, message: LeaseMessage) {
         match message {
-            HoldMsg::Renew { .. } if self.tail_since.is_some() && self.renewals.len() < JOBS => {
+            LeaseMessage::Renew { .. } if self.tail_since.is_some() && self.renewals.len() < JOBS => {
                 self.renewals.push((from, incarnation, message));
                 self.confirm_renewals();
             }
-            HoldMsg::PartAsk { ask, whole, number, offset } => self.on_part_ask(from, ask, whole != 0, number, offset),
-            HoldMsg::Renew { .. } | HoldMsg::FetchAll { .. } | HoldMsg::Read { .. } => {
+            LeaseMessage::PartAsk { ask, whole, number, offset } => {
+                self.on_part_ask(from, ask, whole != 0, number, offset)
+            }
+            LeaseMessage::Renew { .. } | LeaseMessage::FetchAll { .. } | LeaseMessage::Read { .. } => {
                 if self.tail_since.is_none() {
                     self.not_tail(from);
                 } else if self.jobs.len() < JOBS {
@@ -28,12 +30,12 @@
                     self.jobs.push_back((round, from, incarnation, message));
                 }
             }
-            HoldMsg::Join { address, zone, ops } if self.tail_since.is_some() => {
+            LeaseMessage::Join { address, zone, ops } if self.tail_since.is_some() => {
                 let id = from;
                 let command = wire::Command::Join { id, incarnation, address, zone, ops };
                 self.enter_duty(Duty::Join { id, incarnation }, &command);
             }
-            HoldMsg::Enrol { address, zone, ops, hashing, capacity } if self.tail_since.is_some() => {
+            LeaseMessage::Enrol { address, zone, ops, hashing, capacity } if self.tail_since.is_some() => {
                 let id = from;
                 let command = match self.format >= wire::CAPACITY {
                     true => wire::Command::Enrol { id, incarnation, address, zone, ops, hashing, capacity },
@@ -41,11 +43,11 @@
                 };
                 self.enter_duty(Duty::Join { id, incarnation }, &command);
             }
-            HoldMsg::Leave { .. } | HoldMsg::Leaving if self.tail_since.is_some() => {
+            LeaseMessage::Leave { .. } | LeaseMessage::Leaving if self.tail_since.is_some() => {
                 let id = from;
                 self.enter_duty(Duty::Leaving { id, incarnation }, &wire::Command::Leaving { id, incarnation });
             }
-            HoldMsg::Staged { number } => {
+            LeaseMessage::Staged { number } => {
                 if let Some(session) = self.sessions.table.get_mut(&from)
                     && session.incarnation == incarnation
                 {
@@ -53,17 +55,19 @@
                     self.push_due = true;
                 }
             }
-            HoldMsg::Enter { ask, body } => {
+            LeaseMessage::Enter { ask, body } => {
                 if self.waits.len() >= WAITS {
-                    let message = HoldMsg::EnterReceipt { ask, state: 0, body: Vec::new().into() };
+                    let message = LeaseMessage::EnterReceipt { ask, state: 0, body: Vec::new().into() };
                     return self.outs.push(CoreOutput::Router { to: from, message });
                 }
                 self.enter_raw(Wait::Router { to: from, ask }, body.into_vec());
             }
-            HoldMsg::Piece { ask, step, revision, items, next, .. } => {
+            LeaseMessage::Piece { ask, step, revision, items, next, .. } => {
                 self.on_piece(ask, step, revision, items.into_vec(), next.as_str())
             }
-            HoldMsg::Proofs { view, earlier_millis, proofs } => self.on_proofs(view, earlier_millis, proofs.into_vec()),
+            LeaseMessage::Proofs { view, earlier_millis, proofs } => {
+                self.on_proofs(view, earlier_millis, proofs.into_vec())
+            }
             _ => {}
         }
     }
@@ -71,7 +75,7 @@
     pub(crate) fn not_tail(&mut self, to: NodeId) {
         let view = self.member.view();
         let seats: List<wire::Text> = view.voters.iter().map(|seat| seat.address.clone()).collect::<Vec<_>>().into();
-        let message = HoldMsg::Seats { seats };
+        let message = LeaseMessage::Seats { seats };
         self.outs.push(CoreOutput::Router { to, message });
     }
 
@@ -81,13 +85,13 @@
         {
             let Some((_, from, incarnation, message)) = self.jobs.pop_front() else { break };
             match message {
-                HoldMsg::Renew { ask, staged, active, roster } => {
+                LeaseMessage::Renew { ask, staged, active, roster } => {
                     self.prove(from, incarnation, ask, staged, active, roster)
                 }
-                HoldMsg::FetchAll { ask, from: start } => self.piece(from, ask, start.as_str()),
-                HoldMsg::Read { ask, prefix, from: start } => {
+                LeaseMessage::FetchAll { ask, from: start } => self.piece(from, ask, start.as_str()),
+                LeaseMessage::Read { ask, prefix, from: start } => {
                     let (items, _) = keys::page(self.state(), prefix.as_str(), start.as_str(), false);
-                    let message = HoldMsg::ReadReceipt { ask, state: 1, items: items.into() };
+                    let message = LeaseMessage::ReadReceipt { ask, state: 1, items: items.into() };
                     self.outs.push(CoreOutput::Router { to: from, message });
                 }
                 _ => {}
@@ -105,7 +109,7 @@
     fn prove(&mut self, from: NodeId, incarnation: u64, ask: u64, staged: u64, active: u64, roster: u64) {
         let now = self.now;
         let member = self.align().get(&from) == Some(&incarnation);
-        let message = HoldMsg::Proof {
+        let message = LeaseMessage::Proof {
             ask,
             active: keys::number(self.state(), keys::ACTIVE),
             latest: keys::number(self.state(), keys::LATEST),
@@ -125,7 +129,7 @@
     fn piece(&mut self, to: NodeId, ask: u64, start: &str) {
         let active = keys::number(self.state(), keys::ACTIVE);
         let (items, next) = keys::page(self.state(), keys::ACTIVE_PAIRS, start, true);
-        let message = HoldMsg::Piece {
+        let message = LeaseMessage::Piece {
             ask,
             step: active,
             revision: keys::number(self.state(), keys::ACTIVE_REVISION),
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -9,7 +9,7 @@
 use crate::dialect::{ControlDialect, Operators};
 use crate::faults::RunFault;
 use crate::membership::Membership;
-use crate::optimizer::{self, Host, OptimizerMsg};
+use crate::optimizer::{self, Host, OptimizerMessage};
 use crate::reading::stored_document;
 use crate::settings::RegistryEnv;
 use axum::Router;
@@ -31,7 +31,7 @@
 
 const OPEN_EVERY: Duration = Duration::from_millis(500);
 
-pub enum ControlMsg {
+pub enum ControlMessage {
     Link(LinkEvent),
     Disk(DiskReport),
     Call { call: ApiCall, reply: oneshot::Sender<ApiReply> },
@@ -61,8 +61,8 @@
     event!(started, "registry {me:016x} at {}, operators at {}", settings.address, settings.api);
 
     let mut directory = Directory::default();
-    let control_inbox = directory.announce::<ControlMsg>("control", 16_384);
-    let optimizer_inbox = directory.announce::<OptimizerMsg>("optimizer", 8192);
+    let control_inbox = directory.announce::<ControlMessage>("control", 16_384);
+    let optimizer_inbox = directory.announce::<OptimizerMessage>("optimizer", 8192);
     let links_inbox = directory.announce::<LinkOrder>("links", 65_536);
     let (view, shown) = watch::channel(String::from("{}"));
     let (stop, stopping) = watch::channel(false);
@@ -75,7 +75,7 @@
         address: settings.address.clone(),
         format: settings.format,
     };
-    let control = find::<ControlMsg>(&directory, "control");
+    let control = find::<ControlMessage>(&directory, "control");
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
     let (index, shelved) = watch::channel(ResourceIndex::new(incarnation));
     let kinds = doors::views(Views { index: shelved, tokens: tokens.clone() });
@@ -110,7 +110,7 @@
     let (cluster, own) = (settings.cluster.clone(), seat.clone());
     let reopen = move || Store::reopen(&file, &cluster, &own);
     let disk = Disk::start(store, reopen, move |report| {
-        written.send_blocking(ControlMsg::Disk(report));
+        written.send_blocking(ControlMessage::Disk(report));
     })
     .map_err(RunFault::Disk)?;
     let founds = settings.found && settings.seeds.contains(&settings.address);
@@ -137,7 +137,7 @@
         if let Some(reread) = dialect.reread {
             let (post, read) = (control.clone(), move || reread().map(|settings| settings.seeds));
             tokio::task::spawn_local(kernel::follow(settings.seeds, read, async move |told| {
-                post.send_waiting(ControlMsg::Seeds(told)).await;
+                post.send_waiting(ControlMessage::Seeds(told)).await;
             }));
         }
         // On the same thread: between threads each frame costs a wake-up each way.
@@ -174,18 +174,18 @@
 }
 
 async fn run_links(names: Directory, me: LocalNode, listener: TcpListener, orders: Inbox<LinkOrder>) {
-    let control = find::<ControlMsg>(&names, "control");
-    let optimizer = find::<OptimizerMsg>(&names, "optimizer");
+    let control = find::<ControlMessage>(&names, "control");
+    let optimizer = find::<OptimizerMessage>(&names, "optimizer");
     let deliver: links::Deliver = Rc::new(move |event| {
         let (control, optimizer) = (control.clone(), optimizer.clone());
         Box::pin(async move {
             match event {
                 LinkEvent::Frame { from, message: Message::Plan(message), .. } => {
-                    if let Err(SendFault::Full(_)) = optimizer.send(OptimizerMsg::Frame { from, message }) {
+                    if let Err(SendFault::Full(_)) = optimizer.send(OptimizerMessage::Frame { from, message }) {
                         event!(inbox_full, "optimizer");
                     }
                 }
-                other => drop(control.send_waiting(ControlMsg::Link(other)).await),
+                other => drop(control.send_waiting(ControlMessage::Link(other)).await),
             }
         })
     });
--- a/crates/control/src/tenure.rs
+++ b/crates/control/src/tenure.rs
@@ -6,7 +6,7 @@
 use holds::Sessions;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{HoldMsg, NodeId, ProofAge};
+use wire::{LeaseMessage, NodeId, ProofAge};
 
 /// A run of views in which this registry is the tail without another in between. Its sessions stay valid
 /// for all of it: nobody else can have granted a proof meanwhile.
@@ -70,7 +70,7 @@
         };
         let proofs: Vec<ProofAge> = self.sessions.table.iter().map(age).collect();
         let earlier_millis = millis(tenure.earlier_proofs_until);
-        let message = HoldMsg::Proofs { view, earlier_millis, proofs: proofs.into() };
+        let message = LeaseMessage::Proofs { view, earlier_millis, proofs: proofs.into() };
         self.outs.push(CoreOutput::Router { to, message });
     }
 
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -7,13 +7,13 @@
 use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
-use wire::{ChainMsg, HoldMsg, ItemLine, NodeId, Seat};
+use wire::{ChainMessage, ItemLine, LeaseMessage, NodeId, Seat};
 
 pub const TICK: Duration = Duration::from_millis(10);
 
 enum Frame {
-    Chain(ChainMsg),
-    Hold(HoldMsg),
+    Chain(ChainMessage),
+    Hold(LeaseMessage),
 }
 
 struct Envelope {
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -6,7 +6,7 @@
 use cluster::{change, fetch};
 use control::{ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::time::Duration;
-use wire::{ChainMsg, HoldMsg, ItemLine, NodeId, OpNo, Seat, View};
+use wire::{ChainMessage, ItemLine, LeaseMessage, NodeId, OpNo, Seat, View};
 
 fn seat(id: NodeId) -> Seat {
     Seat { id, address: format!("10.0.0.{id}:1").into() }
@@ -27,7 +27,7 @@
 
 fn entered(outputs: &[CoreOutput]) -> Option<(NodeId, OpNo)> {
     outputs.iter().find_map(|output| match output {
-        CoreOutput::Registry { to, message: ChainMsg::Enter { op, .. } } => Some((*to, *op)),
+        CoreOutput::Registry { to, message: ChainMessage::Enter { op, .. } } => Some((*to, *op)),
         _ => None,
     })
 }
@@ -41,13 +41,13 @@
 
 fn page_ask(outputs: &[CoreOutput]) -> Option<u64> {
     outputs.iter().find_map(|output| match output {
-        CoreOutput::Router { message: HoldMsg::FetchAll { ask, .. }, .. } => Some(*ask),
+        CoreOutput::Router { message: LeaseMessage::FetchAll { ask, .. }, .. } => Some(*ask),
         _ => None,
     })
 }
 
 fn not_entered(from: NodeId, op: OpNo) -> CoreInput {
-    CoreInput::Chain { from, message: ChainMsg::Done { op, entered: 0, receipt: Vec::new().into() } }
+    CoreInput::Chain { from, message: ChainMessage::Done { op, entered: 0, receipt: Vec::new().into() } }
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let (head, first) =
         entered(&core.step(now, CoreInput::Call { ask: 1, call: change("a", 0) })).expect("it is entered");
     assert_eq!(head, 1);
-    let decided = ChainMsg::Decided { view: view(2, &[2, 3]) };
+    let decided = ChainMessage::Decided { view: view(2, &[2, 3]) };
     let (head, second) =
         entered(&core.step(now, CoreInput::Chain { from: 2, message: decided })).expect("entered again");
     assert_eq!(head, 2);
@@ -79,7 +79,7 @@
 fn page(ask: u64, key: &str, next: &str) -> CoreInput {
     let items = vec![ItemLine { key: key.into(), gone: 0, value: b"{}".to_vec().into() }];
     let quorum = Vec::new().into();
-    let message = HoldMsg::Piece { ask, step: 4, revision: 9, quorum, items: items.into(), next: next.into() };
+    let message = LeaseMessage::Piece { ask, step: 4, revision: 9, quorum, items: items.into(), next: next.into() };
     CoreInput::Router { from: 1, incarnation: 0, message }
 }
 
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -5,7 +5,7 @@
 use crate::ask::Ask;
 use crate::connection::{Answer, Broken, Connection, Open};
 use crate::pool::{Pool, Taken};
-use crate::{DispatchOrder, DispatchReport, DispatcherMsg, Verdict, Words};
+use crate::{DispatchOrder, DispatchReport, DispatcherMessage, Verdict, Words};
 use kernel::Inbox;
 use std::io;
 use std::rc::Rc;
@@ -35,7 +35,7 @@
 }
 
 /// Runs a dispatcher on the current thread until its inbox is closed.
-pub async fn run(words: Words, mut orders: Inbox<DispatcherMsg>, report: Report) {
+pub async fn run(words: Words, mut orders: Inbox<DispatcherMessage>, report: Report) {
     let dispatcher = Dispatcher::new(words);
     let (mut swept, mut any_kept) = (Instant::now(), false);
     loop {
@@ -67,19 +67,19 @@
     }
 
     /// Takes a message; whether it may lead to connections that are kept.
-    fn take(&self, message: DispatcherMsg, report: &Report) -> bool {
+    fn take(&self, message: DispatcherMessage, report: &Report) -> bool {
         let (dispatcher, report) = (self.clone(), report.clone());
         match message {
-            DispatcherMsg::Send(order) => drop(spawn_local(async move {
+            DispatcherMessage::Send(order) => drop(spawn_local(async move {
                 let number = order.number;
                 let verdict = dispatcher.send(order).await;
                 report(DispatchReport::Dispatched { number, verdict });
             })),
-            DispatcherMsg::Probe { id, address, after, limit } => drop(spawn_local(async move {
+            DispatcherMessage::Probe { id, address, after, limit } => drop(spawn_local(async move {
                 let ready = dispatcher.probe(&id, &address, after, limit).await;
                 report(DispatchReport::Probed { id, ready });
             })),
-            DispatcherMsg::Forget { id } => {
+            DispatcherMessage::Forget { id } => {
                 self.pool.forget(&id);
                 return false;
             }
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -23,7 +23,7 @@
 
 /// What the dispatcher can be asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DispatcherMsg {
+pub enum DispatcherMessage {
     /// Send a request.
     Send(DispatchOrder),
     /// Try whether an instance takes connections.
--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -3,7 +3,7 @@
 use crate::passing::Silence;
 use crate::world::World;
 use std::fmt::{Display, Formatter};
-use wire::{ChainMsg, NodeId};
+use wire::{ChainMessage, NodeId};
 
 /// One step of a run. Machines are named by their index.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -109,7 +109,7 @@
     fn fault_choices(&self, choices: &mut Vec<Choice>) {
         if self.budget.drops > 0 {
             for ((from, to), messages) in &self.frames {
-                let droppable = |message: &ChainMsg| !matches!(message, ChainMsg::Done { .. });
+                let droppable = |message: &ChainMessage| !matches!(message, ChainMessage::Done { .. });
                 let places = (0..messages.len()).filter(|place| droppable(&messages[*place]));
                 choices.extend(places.map(|place| Choice::Drop { from: *from, to: *to, place }));
             }
@@ -212,7 +212,7 @@
         self.check();
     }
 
-    fn unsend(&mut self, from: NodeId, to: NodeId, place: usize) -> ChainMsg {
+    fn unsend(&mut self, from: NodeId, to: NodeId, place: usize) -> ChainMessage {
         let Some(messages) = self.frames.get_mut(&(from, to)) else { panic!("no message from {from} to {to}") };
         messages.remove(place)
     }
--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::world::{World, machine_of};
 use chain::Input;
-use wire::{ChainMsg, NodeId, Seat};
+use wire::{ChainMessage, NodeId, Seat};
 
 /// A fault planted to see that the explorer finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -139,14 +139,14 @@
     }
 
     /// Sends the answer to a message that its receiver has not given.
-    pub(crate) fn forge(&mut self, from: NodeId, to: NodeId, message: &ChainMsg) {
+    pub(crate) fn forge(&mut self, from: NodeId, to: NodeId, message: &ChainMessage) {
         let forged = match (self.plant, message) {
-            (Plant::ForgedVote, ChainMsg::Accept { slot, ballot, .. }) => {
-                ChainMsg::Accepted { slot: *slot, ballot: *ballot }
+            (Plant::ForgedVote, ChainMessage::Accept { slot, ballot, .. }) => {
+                ChainMessage::Accepted { slot: *slot, ballot: *ballot }
             }
-            (Plant::ForgedCopy, ChainMsg::Append { view, entries, .. }) => {
+            (Plant::ForgedCopy, ChainMessage::Append { view, entries, .. }) => {
                 let Some(last) = entries.as_slice().last() else { return };
-                ChainMsg::Synced { view: *view, seq: last.seq, committed: last.seq }
+                ChainMessage::Synced { view: *view, seq: last.seq, committed: last.seq }
             }
             _ => return,
         };
@@ -167,7 +167,7 @@
         for seat in view.voters.clone().iter() {
             self.feed(
                 machine_of(seat.id),
-                Input::Frame { from: learner, message: ChainMsg::Decided { view: view.clone() } },
+                Input::Frame { from: learner, message: ChainMessage::Decided { view: view.clone() } },
             );
         }
     }
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId, OpNo, Seat, View, to_bytes};
+use wire::{ChainMessage, NodeId, OpNo, Seat, View, to_bytes};
 
 /// How many of each kind of event a run may still have.
 #[derive(Clone, Debug, Hash)]
@@ -50,7 +50,7 @@
 pub struct World {
     pub machines: Vec<Machine>,
     /// Messages under way, by sender and receiver, in the order sent.
-    pub frames: BTreeMap<(NodeId, NodeId), Vec<ChainMsg>>,
+    pub frames: BTreeMap<(NodeId, NodeId), Vec<ChainMessage>>,
     pub now: Duration,
     pub losses: usize,
     pub budget: Budget,
@@ -160,8 +160,8 @@
         }
     }
 
-    fn send(&mut self, from: NodeId, to: NodeId, message: ChainMsg) {
-        let heartbeat = matches!(message, ChainMsg::Beat { .. } | ChainMsg::BeatReceipt { .. });
+    fn send(&mut self, from: NodeId, to: NodeId, message: ChainMessage) {
+        let heartbeat = matches!(message, ChainMessage::Beat { .. } | ChainMessage::BeatReceipt { .. });
         if self.passing && heartbeat {
             return self.deliver(from, to, message);
         }
@@ -173,7 +173,7 @@
     }
 
     /// A message goes to an address: whichever process runs there now gets it.
-    pub fn deliver(&mut self, from: NodeId, to: NodeId, message: ChainMsg) {
+    pub fn deliver(&mut self, from: NodeId, to: NodeId, message: ChainMessage) {
         let (sender, receiver) = (machine_of(from), machine_of(to));
         if self.passing && (self.silent == Some(sender) || self.silent == Some(receiver)) {
             return;
--- a/crates/holds/src/fetch.rs
+++ b/crates/holds/src/fetch.rs
@@ -6,7 +6,7 @@
 use crate::parts::Arriving;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{HoldMsg, ItemLine, NodeId, Text};
+use wire::{ItemLine, LeaseMessage, NodeId, Text};
 
 pub struct Fetch {
     pub ask: u64,
@@ -20,7 +20,7 @@
     pub(crate) fn begin_fetch(&mut self, from: NodeId) {
         let ask = self.ask_number();
         self.fetch = Some(Fetch { ask, step: None, pairs: BTreeMap::new(), parts: None, moved: self.now });
-        self.tell_registry(Some(from), HoldMsg::PartAsk { ask, whole: 1, number: 0, offset: 0 });
+        self.tell_registry(Some(from), LeaseMessage::PartAsk { ask, whole: 1, number: 0, offset: 0 });
     }
 
     #[allow(clippy::too_many_arguments)]
@@ -46,7 +46,7 @@
             fetch.pairs.insert(item.key.as_str().to_owned(), item.value.into_vec());
         }
         if !next.as_str().is_empty() {
-            return self.tell_registry(Some(from), HoldMsg::FetchAll { ask, from: next });
+            return self.tell_registry(Some(from), LeaseMessage::FetchAll { ask, from: next });
         }
         let pairs = std::mem::take(&mut fetch.pairs);
         self.install(step, revision, quorum, pairs);
--- a/crates/holds/src/follower.rs
+++ b/crates/holds/src/follower.rs
@@ -9,7 +9,7 @@
 use crate::standing::{Standing, StandingEvent, Standings};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{Capacity, HoldMsg, NodeId, StepLine};
+use wire::{Capacity, LeaseMessage, NodeId, StepLine};
 
 #[derive(Clone, Debug)]
 pub struct FollowerTiming {
@@ -39,15 +39,15 @@
 #[derive(Clone, Debug)]
 pub enum FollowerInput {
     Tick,
-    Registry { from: NodeId, message: HoldMsg },
-    Peer { from: NodeId, message: HoldMsg },
+    Registry { from: NodeId, message: LeaseMessage },
+    Peer { from: NodeId, message: LeaseMessage },
     Leave,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowerOutput {
-    ToRegistry { to: Option<NodeId>, message: HoldMsg },
-    ToPeer { to: NodeId, message: HoldMsg },
+    ToRegistry { to: Option<NodeId>, message: LeaseMessage },
+    ToPeer { to: NodeId, message: LeaseMessage },
     Activated { step: u64, revision: u64 },
     Rostered { number: u64 },
     Seats { addresses: Vec<String> },
@@ -57,7 +57,7 @@
 
 pub struct Follower {
     pub(crate) me: NodeId,
-    pub(crate) joining: HoldMsg,
+    pub(crate) joining: LeaseMessage,
     pub(crate) timing: FollowerTiming,
     pub(crate) now: Duration,
     pub(crate) outs: Vec<FollowerOutput>,
@@ -96,7 +96,7 @@
         let (address, zone, ops) = (address.into(), zone.into(), ops.into());
         Follower {
             me,
-            joining: HoldMsg::Enrol { address, zone, ops, hashing: HASHING, capacity: Capacity::default() },
+            joining: LeaseMessage::Enrol { address, zone, ops, hashing: HASHING, capacity: Capacity::default() },
             timing,
             now: Duration::ZERO,
             outs: Vec::new(),
@@ -127,7 +127,7 @@
 
     /// What this machine can carry, as it is told on joining.
     pub fn able_to_own(mut self, able: Capacity) -> Self {
-        if let HoldMsg::Enrol { capacity, .. } = &mut self.joining {
+        if let LeaseMessage::Enrol { capacity, .. } = &mut self.joining {
             *capacity = able;
         }
         self
@@ -206,7 +206,7 @@
         self.staged_number().max(self.latest_known) > self.step
     }
 
-    pub(crate) fn tell_registry(&mut self, to: Option<NodeId>, message: HoldMsg) {
+    pub(crate) fn tell_registry(&mut self, to: Option<NodeId>, message: LeaseMessage) {
         self.outs.push(FollowerOutput::ToRegistry { to, message });
     }
 
--- a/crates/holds/src/parts.rs
+++ b/crates/holds/src/parts.rs
@@ -4,7 +4,7 @@
 
 use crate::follower::Follower;
 use std::time::Duration;
-use wire::{Blob, HoldMsg, NodeId, StepLine};
+use wire::{Blob, LeaseMessage, NodeId, StepLine};
 
 const AGAIN: Duration = Duration::from_millis(500);
 
@@ -55,8 +55,8 @@
         Taken::Whole(raw.and_then(|raw| wire::from_bytes::<StepLine>(&raw)).filter(|step| step.number == number))
     }
 
-    fn ask(&self, ask: u64, whole: bool) -> HoldMsg {
-        HoldMsg::PartAsk { ask, whole: whole as u8, number: self.number, offset: self.bytes.len() as u32 }
+    fn ask(&self, ask: u64, whole: bool) -> LeaseMessage {
+        LeaseMessage::PartAsk { ask, whole: whole as u8, number: self.number, offset: self.bytes.len() as u32 }
     }
 }
 
@@ -65,7 +65,7 @@
         if !self.takes(part.number) {
             self.latest_known = self.latest_known.max(part.number);
             let number = self.staged_number();
-            return self.tell_registry(Some(from), HoldMsg::Staged { number });
+            return self.tell_registry(Some(from), LeaseMessage::Staged { number });
         }
         match Arriving::take(&mut self.arriving, self.now, from, part) {
             Taken::Whole(Some(step)) => self.on_stage(from, step),
--- a/crates/holds/src/peers.rs
+++ b/crates/holds/src/peers.rs
@@ -9,7 +9,7 @@
 use crate::follower::{Follower, FollowerOutput};
 use std::collections::BTreeSet;
 use std::time::Duration;
-use wire::{HoldMsg, NodeId};
+use wire::{LeaseMessage, NodeId};
 
 const EVERY: Duration = Duration::from_millis(50);
 /// Rounds for others begin no sooner after one another, so that many share each.
@@ -110,7 +110,8 @@
         if to == self.me {
             self.collect(to, ask, self.step);
         } else {
-            self.outs.push(FollowerOutput::ToPeer { to, message: HoldMsg::PeerCollect { ask, active: self.step } });
+            self.outs
+                .push(FollowerOutput::ToPeer { to, message: LeaseMessage::PeerCollect { ask, active: self.step } });
         }
     }
 
@@ -142,21 +143,21 @@
         self.peers.answering.retain(|id| !asked.contains(id));
         self.peers.round = Some(PeerRound { ask, asked: now, agreeing: [self.me].into(), done: false });
         for to in asked {
-            let message = HoldMsg::PeerAsk { ask, active: self.step };
+            let message = LeaseMessage::PeerAsk { ask, active: self.step };
             self.outs.push(FollowerOutput::ToPeer { to, message });
         }
     }
 
-    pub(crate) fn peer(&mut self, from: NodeId, message: HoldMsg) {
+    pub(crate) fn peer(&mut self, from: NodeId, message: LeaseMessage) {
         match message {
-            HoldMsg::PeerAsk { ask, .. } if self.ready => {
+            LeaseMessage::PeerAsk { ask, .. } if self.ready => {
                 let latest = self.staged_number().max(self.latest_known);
-                let message = HoldMsg::PeerReceipt { ask, active: self.step, latest };
+                let message = LeaseMessage::PeerReceipt { ask, active: self.step, latest };
                 self.outs.push(FollowerOutput::ToPeer { to: from, message });
             }
-            HoldMsg::PeerReceipt { ask, latest, .. } => self.on_peer_receipt(from, ask, latest),
-            HoldMsg::PeerCollect { ask, active } => self.collect(from, ask, active),
-            HoldMsg::PeerMajority { ask, active } if active == self.step && !self.is_guarded() => {
+            LeaseMessage::PeerReceipt { ask, latest, .. } => self.on_peer_receipt(from, ask, latest),
+            LeaseMessage::PeerCollect { ask, active } => self.collect(from, ask, active),
+            LeaseMessage::PeerMajority { ask, active } if active == self.step && !self.is_guarded() => {
                 if let Some((_, asked)) = self.peers.relayed.filter(|(number, _)| *number == ask) {
                     self.peers.unanswered = 0;
                     self.peer_proof = self.peer_proof.max(Some(asked));
@@ -182,7 +183,7 @@
         self.peer_proof = self.peer_proof.max(Some(asked));
         let active = self.step;
         for (to, ask, _) in self.peers.waiting.extract_if(.., |(_, _, came)| *came <= asked).collect::<Vec<_>>() {
-            let message = HoldMsg::PeerMajority { ask, active };
+            let message = LeaseMessage::PeerMajority { ask, active };
             if to == self.me {
                 self.peers.unanswered = 0;
             } else {
--- a/crates/holds/src/steps.rs
+++ b/crates/holds/src/steps.rs
@@ -3,22 +3,24 @@
 use crate::follower::{Follower, FollowerOutput};
 use crate::parts::Part;
 use crate::roster::{Roster, RosterChange};
-use wire::{Blob, HoldMsg, NodeId, StepLine};
+use wire::{Blob, LeaseMessage, NodeId, StepLine};
 
 impl Follower {
-    pub(crate) fn registry(&mut self, from: NodeId, message: HoldMsg) {
+    pub(crate) fn registry(&mut self, from: NodeId, message: LeaseMessage) {
         match message {
-            HoldMsg::Proof { ask, active, latest, member } => self.on_proof(from, ask, active, latest, member != 0),
-            HoldMsg::NotTail { seats, .. } | HoldMsg::Seats { seats } => {
+            LeaseMessage::Proof { ask, active, latest, member } => {
+                self.on_proof(from, ask, active, latest, member != 0)
+            }
+            LeaseMessage::NotTail { seats, .. } | LeaseMessage::Seats { seats } => {
                 self.forget_tail(from);
                 let addresses: Vec<String> = seats.iter().map(|seat| seat.as_str().to_owned()).collect();
                 if !addresses.is_empty() {
                     self.outs.push(FollowerOutput::Seats { addresses });
                 }
             }
-            HoldMsg::Stage { step } => self.on_stage(from, step),
-            HoldMsg::Activate { number } => self.activate_to(number),
-            HoldMsg::Roster { number, body } => {
+            LeaseMessage::Stage { step } => self.on_stage(from, step),
+            LeaseMessage::Activate { number } => self.activate_to(number),
+            LeaseMessage::Roster { number, body } => {
                 if number > self.roster.number
                     && let Some(roster) = Roster::read(body.as_slice())
                 {
@@ -26,12 +28,14 @@
                     self.outs.push(FollowerOutput::Rostered { number });
                 }
             }
-            HoldMsg::RosterChange { since, number, size, body } => self.on_roster_change(since, number, size, &body),
-            HoldMsg::Part { ask, whole, number, size, packed, offset, bytes } => {
+            LeaseMessage::RosterChange { since, number, size, body } => {
+                self.on_roster_change(since, number, size, &body)
+            }
+            LeaseMessage::Part { ask, whole, number, size, packed, offset, bytes } => {
                 let part = Part { number, size, packed, offset, bytes };
                 if whole != 0 { self.on_whole_part(from, ask, part) } else { self.on_step_part(from, part) }
             }
-            HoldMsg::Piece { ask, step, revision, quorum, items, next } => {
+            LeaseMessage::Piece { ask, step, revision, quorum, items, next } => {
                 self.on_piece(from, ask, step, revision, quorum.into_vec(), items.into_vec(), next)
             }
             _ => {}
@@ -90,7 +94,7 @@
             self.staged.insert(step.number, step);
         }
         let number = self.staged_number();
-        self.tell_registry(Some(from), HoldMsg::Staged { number });
+        self.tell_registry(Some(from), LeaseMessage::Staged { number });
     }
 
     /// Whether it is the next step after what is held here.
--- a/crates/holds/src/ticks.rs
+++ b/crates/holds/src/ticks.rs
@@ -3,7 +3,7 @@
 
 use crate::follower::Follower;
 use std::time::Duration;
-use wire::{HoldMsg, NodeId};
+use wire::{LeaseMessage, NodeId};
 
 /// While no registry is known to be the tail, all are asked, and not as often.
 const ASK_ALL: Duration = Duration::from_millis(100);
@@ -14,7 +14,7 @@
     pub(crate) fn say_leaving(&mut self) {
         let shown = self.roster.member(self.me).is_none_or(|line| line.leaving != 0);
         if self.leaving && !shown {
-            self.tell_registry(None, HoldMsg::Leaving);
+            self.tell_registry(None, LeaseMessage::Leaving);
         }
     }
 
@@ -49,7 +49,7 @@
             self.asks.retain(|_, asked| now < *asked + hold);
             let (staged, active, roster) = (self.staged_number(), self.step, self.roster.number);
             self.say_leaving();
-            self.tell_registry(heard, HoldMsg::Renew { ask, staged, active, roster });
+            self.tell_registry(heard, LeaseMessage::Renew { ask, staged, active, roster });
         }
         self.tick_parts();
         self.tick_peers();
--- a/crates/holds/tests/follower.rs
+++ b/crates/holds/tests/follower.rs
@@ -2,7 +2,7 @@
 
 use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, MemberLine, Roster, Standing};
 use std::time::Duration;
-use wire::{Capacity, HoldMsg, ItemLine, StepLine};
+use wire::{Capacity, ItemLine, LeaseMessage, StepLine};
 
 const ME: u64 = 9;
 const TAIL: u64 = 1;
@@ -17,7 +17,7 @@
 
 fn renewals(outputs: &[FollowerOutput]) -> Vec<u64> {
     let ask = |output: &FollowerOutput| match output {
-        FollowerOutput::ToRegistry { message: HoldMsg::Renew { ask, .. }, .. } => Some(*ask),
+        FollowerOutput::ToRegistry { message: LeaseMessage::Renew { ask, .. }, .. } => Some(*ask),
         _ => None,
     };
     outputs.iter().filter_map(ask).collect()
@@ -27,18 +27,18 @@
     follower.step(ms(at), FollowerInput::Tick)
 }
 
-fn tell(follower: &mut Follower, at: u64, message: HoldMsg) -> Vec<FollowerOutput> {
+fn tell(follower: &mut Follower, at: u64, message: LeaseMessage) -> Vec<FollowerOutput> {
     follower.step(ms(at), FollowerInput::Registry { from: TAIL, message })
 }
 
-fn proof(ask: u64, active: u64, latest: u64) -> HoldMsg {
-    HoldMsg::Proof { ask, active, latest, member: 1 }
+fn proof(ask: u64, active: u64, latest: u64) -> LeaseMessage {
+    LeaseMessage::Proof { ask, active, latest, member: 1 }
 }
 
-fn step(number: u64) -> HoldMsg {
+fn step(number: u64) -> LeaseMessage {
     let item = ItemLine { key: "headcount-plans/t/f".into(), gone: 0, value: b"{}".to_vec().into() };
     let step = StepLine { number, revision: number, quorum: vec![ME, 8, 7].into(), items: vec![item].into() };
-    HoldMsg::Stage { step }
+    LeaseMessage::Stage { step }
 }
 
 #[test]
@@ -73,13 +73,13 @@
 fn leaving_is_said_again_until_the_roster_shows_it() {
     let mut one = follower(1);
     let says = |outputs: &[FollowerOutput]| {
-        outputs.iter().any(|o| matches!(o, FollowerOutput::ToRegistry { message: HoldMsg::Leaving, .. }))
+        outputs.iter().any(|o| matches!(o, FollowerOutput::ToRegistry { message: LeaseMessage::Leaving, .. }))
     };
     let roster = |number: u64, leaving: u8| {
         let (address, zone, ops, capacity) = ("".into(), "a".into(), "".into(), Capacity::default());
         let line = MemberLine { id: ME, incarnation: 1, address, zone, ops, leaving, hashing: HASHING, capacity };
         let body = wire::to_bytes(&Roster { number, members: vec![line].into() });
-        HoldMsg::Roster { number, body: body.into() }
+        LeaseMessage::Roster { number, body: body.into() }
     };
     tell(&mut one, 0, roster(1, 0));
     assert!(says(&one.step(ms(10), FollowerInput::Leave)));
@@ -94,19 +94,19 @@
     let ask = renewals(&tick(&mut one, 0))[0];
     tell(&mut one, 5, proof(ask, 0, 0));
     tell(&mut one, 6, step(1));
-    tell(&mut one, 7, HoldMsg::Activate { number: 1 });
+    tell(&mut one, 7, LeaseMessage::Activate { number: 1 });
     let ask = renewals(&tick(&mut one, 10))[0];
     tell(&mut one, 15, proof(ask, 1, 1));
     let mut last_ask = |at: u64| {
         let outputs = tick(&mut one, at);
         let peer = outputs.iter().find_map(|o| match o {
-            FollowerOutput::ToPeer { message: HoldMsg::PeerAsk { ask, .. }, .. } => Some(*ask),
+            FollowerOutput::ToPeer { message: LeaseMessage::PeerAsk { ask, .. }, .. } => Some(*ask),
             _ => None,
         });
         peer.expect("without the core, peers are asked")
     };
     let first = last_ask(3000);
-    let answer = |ask, latest| HoldMsg::PeerReceipt { ask, active: 1, latest };
+    let answer = |ask, latest| LeaseMessage::PeerReceipt { ask, active: 1, latest };
     one.step(ms(3001), FollowerInput::Peer { from: 8, message: answer(first, 2) });
     assert_eq!(one.standing_at(ms(3002)), Standing::Waiting);
     one.step(ms(3003), FollowerInput::Peer { from: 55, message: answer(first, 1) });
@@ -122,11 +122,11 @@
     let asked = renewals(&tick(&mut follower, 0));
     tell(&mut follower, 5, proof(asked[0], 0, 0));
     assert_eq!(renewals(&tick(&mut follower, 10)), [], "the next renewal is not due");
-    tell(&mut follower, 20, HoldMsg::Seats { seats: Vec::new().into() });
+    tell(&mut follower, 20, LeaseMessage::Seats { seats: Vec::new().into() });
     let to_all = tick(&mut follower, 30)
         .into_iter()
-        .any(|output| matches!(output, FollowerOutput::ToRegistry { to: None, message: HoldMsg::Renew { .. } }));
+        .any(|output| matches!(output, FollowerOutput::ToRegistry { to: None, message: LeaseMessage::Renew { .. } }));
     assert!(to_all);
-    tell(&mut follower, 40, HoldMsg::Seats { seats: Vec::new().into() });
+    tell(&mut follower, 40, LeaseMessage::Seats { seats: Vec::new().into() });
     assert_eq!(renewals(&tick(&mut follower, 50)), [], "said again, it makes no more renewals");
 }
--- a/crates/holds/tests/parts.rs
+++ b/crates/holds/tests/parts.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
-use wire::{HoldMsg, ItemLine, Packed, StepLine, pack, to_bytes};
+use wire::{ItemLine, LeaseMessage, Packed, StepLine, pack, to_bytes};
 
 const TAIL: u64 = 1;
 const PART: usize = 700;
@@ -18,14 +18,14 @@
     pack(&to_bytes(&StepLine { number, revision: number, quorum: vec![9].into(), items: items.into() }))
 }
 
-fn part(ask: u64, whole: bool, number: u64, packed: &Packed, offset: u32) -> HoldMsg {
+fn part(ask: u64, whole: bool, number: u64, packed: &Packed, offset: u32) -> LeaseMessage {
     let bytes = packed.bytes.part(offset as usize, PART);
     let (size, total) = (packed.size, packed.bytes.len() as u32);
-    HoldMsg::Part { ask, whole: whole as u8, number, size, packed: total, offset, bytes }
+    LeaseMessage::Part { ask, whole: whole as u8, number, size, packed: total, offset, bytes }
 }
 
 /// The core's side over a bad network: answers what is asked, drops a fifth, says a fifth twice.
-fn play(dice: &mut ChaCha8Rng, one: &mut Follower, first: Option<HoldMsg>, number: u64, packed: &Packed) -> u64 {
+fn play(dice: &mut ChaCha8Rng, one: &mut Follower, first: Option<LeaseMessage>, number: u64, packed: &Packed) -> u64 {
     let mut coming = Vec::new();
     for at in (0..20_000).step_by(10) {
         let now = Duration::from_millis(at);
@@ -39,14 +39,14 @@
         for out in outs {
             let FollowerOutput::ToRegistry { message, .. } = out else { continue };
             match message {
-                HoldMsg::PartAsk { ask, whole, offset, .. } => {
+                LeaseMessage::PartAsk { ask, whole, offset, .. } => {
                     asked += 1;
                     let times = [0, 2, 1, 1, 1][dice.random_range(0..5)];
                     coming.extend((0..times).map(|_| part(ask, whole != 0, number, packed, offset)));
                 }
-                HoldMsg::Staged { number: staged } if staged == number => return at,
-                HoldMsg::Renew { ask, .. } => {
-                    coming.push(HoldMsg::Proof { ask, active: number - 1, latest: number, member: 1 })
+                LeaseMessage::Staged { number: staged } if staged == number => return at,
+                LeaseMessage::Renew { ask, .. } => {
+                    coming.push(LeaseMessage::Proof { ask, active: number - 1, latest: number, member: 1 })
                 }
                 _ => {}
             }
@@ -70,7 +70,7 @@
         assert_eq!(one.staged_number(), 1, "seed {seed}");
         one.step(
             Duration::from_secs(30),
-            FollowerInput::Registry { from: TAIL, message: HoldMsg::Activate { number: 1 } },
+            FollowerInput::Registry { from: TAIL, message: LeaseMessage::Activate { number: 1 } },
         );
         assert_eq!(one.pairs().count(), 100, "seed {seed}");
     }
@@ -85,13 +85,15 @@
         // The first proof names a step it has not: it begins to fetch.
         let renewed = one.step(Duration::ZERO, FollowerInput::Tick);
         let ask = renewed.iter().find_map(|out| match out {
-            FollowerOutput::ToRegistry { message: HoldMsg::Renew { ask, .. }, .. } => Some(*ask),
+            FollowerOutput::ToRegistry { message: LeaseMessage::Renew { ask, .. }, .. } => Some(*ask),
             _ => None,
         });
-        let message = HoldMsg::Proof { ask: ask.expect("it renews at once"), active: 7, latest: 7, member: 1 };
+        let message = LeaseMessage::Proof { ask: ask.expect("it renews at once"), active: 7, latest: 7, member: 1 };
         let outs = one.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message });
         let fetch = outs.iter().find_map(|out| match out {
-            FollowerOutput::ToRegistry { message: HoldMsg::PartAsk { ask, whole: 1, offset: 0, .. }, .. } => Some(*ask),
+            FollowerOutput::ToRegistry { message: LeaseMessage::PartAsk { ask, whole: 1, offset: 0, .. }, .. } => {
+                Some(*ask)
+            }
             _ => None,
         });
         let first = part(fetch.expect("it fetches"), true, 7, &whole, 0);
--- a/crates/holds/tests/relays.rs
+++ b/crates/holds/tests/relays.rs
@@ -7,14 +7,14 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{Capacity, HoldMsg, NodeId, StepLine};
+use wire::{Capacity, LeaseMessage, NodeId, StepLine};
 
 const COUNT: NodeId = 79;
 const TAIL: NodeId = 1000;
 
 struct Fleet {
     members: BTreeMap<NodeId, Follower>,
-    frames: Vec<(Duration, NodeId, NodeId, HoldMsg)>,
+    frames: Vec<(Duration, NodeId, NodeId, LeaseMessage)>,
     due: BTreeMap<NodeId, Duration>,
     lost: Vec<NodeId>,
     core: bool,
@@ -23,8 +23,8 @@
     dice: ChaCha8Rng,
 }
 
-fn stage(number: u64) -> HoldMsg {
-    HoldMsg::Stage {
+fn stage(number: u64) -> LeaseMessage {
+    LeaseMessage::Stage {
         step: StepLine {
             number,
             revision: number,
@@ -62,15 +62,15 @@
             let change = roster.change_since(&Roster::default());
             let packed = wire::pack(&wire::to_bytes(&change));
             let (size, body) = (packed.size, packed.bytes);
-            fleet.tell(id, TAIL, HoldMsg::RosterChange { since: 0, number: 1, size, body });
+            fleet.tell(id, TAIL, LeaseMessage::RosterChange { since: 0, number: 1, size, body });
             fleet.tell(id, TAIL, stage(1));
-            fleet.tell(id, TAIL, HoldMsg::Activate { number: 1 });
+            fleet.tell(id, TAIL, LeaseMessage::Activate { number: 1 });
         }
         fleet.pass(600);
         fleet
     }
 
-    fn tell(&mut self, to: NodeId, from: NodeId, message: HoldMsg) {
+    fn tell(&mut self, to: NodeId, from: NodeId, message: LeaseMessage) {
         let input = match message.is_from_peer() {
             true => FollowerInput::Peer { from, message },
             false => FollowerInput::Registry { from, message },
@@ -88,8 +88,8 @@
                     self.words += 1;
                     self.frames.push((now + wait, id, to, message));
                 }
-                FollowerOutput::ToRegistry { message: HoldMsg::Renew { ask, .. }, .. } if self.core => {
-                    let proof = HoldMsg::Proof { ask, active: 1, latest: 1, member: 1 };
+                FollowerOutput::ToRegistry { message: LeaseMessage::Renew { ask, .. }, .. } if self.core => {
+                    let proof = LeaseMessage::Proof { ask, active: 1, latest: 1, member: 1 };
                     self.frames.push((now + wait, TAIL, id, proof));
                 }
                 _ => {}
--- a/crates/hollow/src/fleet.rs
+++ b/crates/hollow/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::line::Order;
 use crate::node::identity;
 use crate::node_group::{self, NodeGroupOrder, Plan};
-use crate::node_slot::{NodeMsg, NodeSlot};
+use crate::node_slot::{NodeMessage, NodeSlot};
 use crate::opening::{Open, RelayView, Relayed, listen_all, on_thread, relay_thread};
 use crate::processes::{CLUSTER, Process, REGISTRIES, TOKEN, address, registry, router, zone};
 use heron::{Answer, Call, ask};
@@ -113,7 +113,7 @@
             listener.set_nonblocking(true).map_err(|fault| fault.to_string())?;
             let address = address(&listener);
             let id = identity(CLUSTER, &address);
-            let (post, taken) = inbox::<NodeMsg>(16_384);
+            let (post, taken) = inbox::<NodeMessage>(16_384);
             peers.insert(id, post);
             addresses.insert(address.clone());
             let zone = zone(number, order.zones);
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use supply::ProviderReport;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{HoldMsg, Message, NodeId, PlanMsg};
+use wire::{LeaseMessage, Message, NodeId, PlanMessage};
 
 const NEAR: Duration = Duration::from_millis(2500);
 const TELL: Duration = Duration::from_millis(500);
@@ -116,15 +116,15 @@
         match message {
             Message::Forward(message) if message.is_for_home() => self.feed_home(HomeInput::Forward { from, message }),
             Message::Plan(message) => self.feed_home(HomeInput::Plan { message }),
-            Message::Hold(message @ (HoldMsg::EnterReceipt { .. } | HoldMsg::ReadReceipt { .. })) => {
+            Message::Hold(message @ (LeaseMessage::EnterReceipt { .. } | LeaseMessage::ReadReceipt { .. })) => {
                 self.feed_home(HomeInput::Ledger { message });
             }
-            Message::Hold(message @ (HoldMsg::PeerAsk { .. } | HoldMsg::PeerReceipt { .. })) => {
+            Message::Hold(message @ (LeaseMessage::PeerAsk { .. } | LeaseMessage::PeerReceipt { .. })) => {
                 self.follow(FollowerInput::Peer { from, message });
             }
             Message::Hold(message) => {
                 self.registries.insert(from);
-                if matches!(message, HoldMsg::Proof { .. }) {
+                if matches!(message, LeaseMessage::Proof { .. }) {
                     self.heard = Some(self.now);
                 }
                 self.follow(FollowerInput::Registry { from, message });
@@ -174,16 +174,16 @@
         for output in self.home.step(self.now, may_serve, input) {
             match output {
                 HomeOutput::Forward { to, message } => self.send(to, Message::Forward(message)),
-                HomeOutput::Enter { ask, body } => self.tell_core(HoldMsg::Enter { ask, body: body.into() }),
+                HomeOutput::Enter { ask, body } => self.tell_core(LeaseMessage::Enter { ask, body: body.into() }),
                 HomeOutput::Read { ask, prefix } => {
-                    self.tell_core(HoldMsg::Read { ask, prefix: prefix.into(), from: "".into() });
+                    self.tell_core(LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() });
                 }
                 HomeOutput::PlanAsk { message } => self.tell_registries(Message::Plan(message)),
                 HomeOutput::Samples { lines } => {
-                    self.tell_registries(Message::Plan(PlanMsg::Samples { lines: lines.into() }));
+                    self.tell_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
                 }
                 HomeOutput::Measures { lines } => {
-                    self.tell_registries(Message::Plan(PlanMsg::Measures { lines: lines.into() }));
+                    self.tell_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
                 }
                 HomeOutput::Supply(_) => self.outs.push(NodeOutput::Ordered),
                 _ => {}
@@ -191,7 +191,7 @@
         }
     }
 
-    fn tell_core(&mut self, message: HoldMsg) {
+    fn tell_core(&mut self, message: LeaseMessage) {
         if let Some(to) = self.follower.tail() {
             self.send(to, Message::Hold(message));
         }
--- a/crates/hollow/src/node_group.rs
+++ b/crates/hollow/src/node_group.rs
@@ -3,7 +3,7 @@
 
 use crate::assign;
 use crate::node::{Node, NodeInput, NodeOutput};
-use crate::node_slot::{NodeMsg, NodeSlot, ReturnOnDrop};
+use crate::node_slot::{NodeMessage, NodeSlot, ReturnOnDrop};
 use crate::relay::HOLLOW;
 use crate::tally::{Tally, Way};
 use crate::workload::Workload;
@@ -46,7 +46,7 @@
     pub workload: Workload,
     pub mesh: bool,
     pub start_every: Duration,
-    pub peers: Arc<BTreeMap<NodeId, InboxSender<NodeMsg>>>,
+    pub peers: Arc<BTreeMap<NodeId, InboxSender<NodeMessage>>>,
     pub addresses: Arc<BTreeSet<String>>,
     /// The real routers, whose links to hollow nodes pass no relay.
     pub routers: Arc<BTreeMap<NodeId, String>>,
@@ -165,7 +165,7 @@
         let events = events.clone();
         Box::pin(async move {
             if let Some(events) = events {
-                events.send_waiting(NodeMsg::Link(event)).await;
+                events.send_waiting(NodeMessage::Link(event)).await;
             }
         })
     });
@@ -180,15 +180,15 @@
             biased;
             _ = ticks.tick() => NodeInput::Tick,
             message = taken.inbox.next() => match message {
-                Some(NodeMsg::Link(LinkEvent::Up { id, address, .. })) => NodeInput::Up { id, address },
-                Some(NodeMsg::Link(LinkEvent::Down { id })) => NodeInput::Down { id },
-                Some(NodeMsg::Link(LinkEvent::Frame { from, message, .. })) => {
+                Some(NodeMessage::Link(LinkEvent::Up { id, address, .. })) => NodeInput::Up { id, address },
+                Some(NodeMessage::Link(LinkEvent::Down { id })) => NodeInput::Down { id },
+                Some(NodeMessage::Link(LinkEvent::Frame { from, message, .. })) => {
                     if let Some(name) = plan.routers.get(&from) {
                         shared.count((from, name), HOLLOW, &message);
                     }
                     NodeInput::Frame { from, message }
                 }
-                Some(NodeMsg::Peer { from, message }) => NodeInput::Frame { from, message },
+                Some(NodeMessage::Peer { from, message }) => NodeInput::Frame { from, message },
                 None => return,
             },
         };
@@ -208,7 +208,7 @@
                         if self.plan.mesh {
                             let _ = links.send(LinkOrder::Send { to, message });
                         } else if !matches!(message, Message::Forward(ForwardMessage::Beat)) {
-                            let _ = peer.send(NodeMsg::Peer { from: me, message });
+                            let _ = peer.send(NodeMessage::Peer { from: me, message });
                         }
                     }
                     None => {
--- a/crates/hollow/src/node_slot.rs
+++ b/crates/hollow/src/node_slot.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use wire::{Message, NodeId};
 
-pub enum NodeMsg {
+pub enum NodeMessage {
     Link(LinkEvent),
     Peer { from: NodeId, message: Message },
 }
@@ -18,7 +18,7 @@
     pub address: String,
     pub zone: String,
     pub listener: TcpListener,
-    pub inbox: Inbox<NodeMsg>,
+    pub inbox: Inbox<NodeMessage>,
 }
 
 /// Gives a slot back when its node ends, however it ends.
--- a/crates/hollow/src/offline_home.rs
+++ b/crates/hollow/src/offline_home.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use supply::{Listing, ProviderReport};
 use traffic::{Home, HomeInput, HomeTiming};
-use wire::{Message, PlanMsg};
+use wire::{Message, PlanMessage};
 
 const TICK: Duration = Duration::from_millis(10);
 const ROUNDS: u32 = 1000;
@@ -65,7 +65,7 @@
 fn sample_bytes(home: &mut Home, from: Duration, schedulers: usize) -> f64 {
     let outputs = home.step(from + Duration::from_secs(60), true, HomeInput::Tick);
     let told = outputs.into_iter().find_map(|output| match output {
-        traffic::HomeOutput::Samples { lines } => Some(PlanMsg::Samples { lines: lines.into() }),
+        traffic::HomeOutput::Samples { lines } => Some(PlanMessage::Samples { lines: lines.into() }),
         _ => None,
     });
     told.map_or(0.0, |message| round(wire::to_bytes(&Message::Plan(message)).len() as f64 / schedulers as f64))
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use test_case::test_case;
-use wire::{ForwardMessage, HoldMsg, Message, NodeId, PlanMsg};
+use wire::{ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 const TAIL: NodeId = 2;
 const ME: NodeId = 11;
@@ -41,7 +41,9 @@
     node.step(now, NodeInput::Up { id: TAIL, address: SEED.into() });
     let step = wire::StepLine { number: 1, revision: 1, quorum: Vec::new().into(), items: Vec::new().into() };
     let body = wire::to_bytes(&roster).into();
-    for message in [HoldMsg::Stage { step }, HoldMsg::Activate { number: 1 }, HoldMsg::Roster { number: 1, body }] {
+    for message in
+        [LeaseMessage::Stage { step }, LeaseMessage::Activate { number: 1 }, LeaseMessage::Roster { number: 1, body }]
+    {
         node.step(now, NodeInput::Frame { from: TAIL, message: Message::Hold(message) });
     }
     node.step(now, NodeInput::Assigned { roster: Rc::new(roster), routes: Rc::new(routes) });
@@ -51,15 +53,15 @@
         let outputs = node.step(now, NodeInput::Tick);
         for output in outputs {
             let NodeOutput::Send { message, .. } = output else { continue };
-            if let Message::Hold(HoldMsg::Renew { ask, .. }) = &message {
-                let proof = HoldMsg::Proof { ask: *ask, active: 1, latest: 1, member: 1 };
+            if let Message::Hold(LeaseMessage::Renew { ask, .. }) = &message {
+                let proof = LeaseMessage::Proof { ask: *ask, active: 1, latest: 1, member: 1 };
                 node.step(now, NodeInput::Frame { from: TAIL, message: Message::Hold(proof) });
             }
             let kind = match &message {
-                Message::Hold(HoldMsg::Renew { .. }) => "renewals",
+                Message::Hold(LeaseMessage::Renew { .. }) => "renewals",
                 Message::Hold(_) => "other words to the core",
                 Message::Forward(ForwardMessage::Beat) => "beats",
-                Message::Plan(PlanMsg::Ask { .. }) => "plan asks",
+                Message::Plan(PlanMessage::Ask { .. }) => "plan asks",
                 _ => "others",
             };
             if tick >= 200 {
--- a/crates/links/tests/demand.rs
+++ b/crates/links/tests/demand.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
-use wire::{HoldMsg, Message, NodeId};
+use wire::{LeaseMessage, Message, NodeId};
 
 struct Peer {
     orders: InboxSender<LinkOrder>,
@@ -31,7 +31,7 @@
 }
 
 fn staged(number: u64) -> Message {
-    Message::Hold(HoldMsg::Staged { number })
+    Message::Hold(LeaseMessage::Staged { number })
 }
 
 async fn frame(peer: &mut Peer) -> Message {
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -7,7 +7,7 @@
 use control::{Core, CoreInput, CoreOutput, CoreTiming, Planner};
 use rand::RngExt;
 use std::time::Duration;
-use wire::{Message, NodeId, PlanMsg, Seat};
+use wire::{Message, NodeId, PlanMessage, Seat};
 
 const SOLVE: Duration = Duration::from_secs(60);
 
@@ -156,7 +156,7 @@
         }
     }
 
-    fn optimize(&mut self, n: usize, from: NodeId, message: PlanMsg) {
+    fn optimize(&mut self, n: usize, from: NodeId, message: PlanMessage) {
         let now = self.registry_now(n);
         let node = &mut self.registries[n];
         for planned in node.planner.step(now, node.id, from, message, SOLVE) {
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use traffic::{Front, FrontInput, FrontLimits, Home, HomeInput, HomeTiming};
-use wire::{Capacity, ForwardMessage, HoldMsg, Message, NodeId, PlanMsg};
+use wire::{Capacity, ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 pub struct Machines {
     pub follower: Follower,
@@ -178,11 +178,11 @@
         let now = self.router_now(n);
         match message {
             Message::Hold(message) if message.is_from_peer() => self.follow(n, FollowerInput::Peer { from, message }),
-            Message::Hold(message @ (HoldMsg::EnterReceipt { .. } | HoldMsg::ReadReceipt { .. })) => {
+            Message::Hold(message @ (LeaseMessage::EnterReceipt { .. } | LeaseMessage::ReadReceipt { .. })) => {
                 self.turn(n, Turn::Home(HomeInput::Ledger { message }))
             }
             Message::Hold(message) => {
-                if let (HoldMsg::Proof { .. }, Some(machines)) = (&message, &mut self.routers[n].machines) {
+                if let (LeaseMessage::Proof { .. }, Some(machines)) = (&message, &mut self.routers[n].machines) {
                     machines.heard = Some(now);
                 }
                 self.follow(n, FollowerInput::Registry { from, message });
@@ -193,7 +193,7 @@
         }
     }
 
-    pub fn ask_registries(&mut self, n: usize, message: PlanMsg) {
+    pub fn ask_registries(&mut self, n: usize, message: PlanMessage) {
         for registry in 0..self.registries.len() {
             self.send_place(Place::Router(n), Place::Registry(registry), Message::Plan(message.clone()));
         }
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -5,7 +5,7 @@
 use crate::world::{Place, World};
 use std::collections::VecDeque;
 use traffic::{FrontOutput, HomeOutput};
-use wire::{ForwardMessage, HoldMsg, Message, NodeId, PlanMsg};
+use wire::{ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 impl World {
     pub fn turn(&mut self, n: usize, first: Turn) {
@@ -45,11 +45,11 @@
                                 self.send(Place::Router(n), to, Message::Forward(message));
                             }
                             HomeOutput::Enter { ask, body } => {
-                                let message = HoldMsg::Enter { ask, body: body.into() };
+                                let message = LeaseMessage::Enter { ask, body: body.into() };
                                 self.ask_tail(n, tail, message);
                             }
                             HomeOutput::Read { ask, prefix } => {
-                                let message = HoldMsg::Read { ask, prefix: prefix.into(), from: "".into() };
+                                let message = LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() };
                                 self.ask_tail(n, tail, message);
                             }
                             HomeOutput::Dispatch(order) => {
@@ -61,10 +61,10 @@
                             HomeOutput::Forget { .. } => {}
                             HomeOutput::PlanAsk { message } => self.ask_registries(n, message),
                             HomeOutput::Measures { lines } => {
-                                self.ask_registries(n, PlanMsg::Measures { lines: lines.into() });
+                                self.ask_registries(n, PlanMessage::Measures { lines: lines.into() });
                             }
                             HomeOutput::Samples { lines } => {
-                                self.ask_registries(n, PlanMsg::Samples { lines: lines.into() });
+                                self.ask_registries(n, PlanMessage::Samples { lines: lines.into() });
                             }
                         }
                     }
@@ -73,7 +73,7 @@
         }
     }
 
-    fn ask_tail(&mut self, n: usize, tail: Option<NodeId>, message: HoldMsg) {
+    fn ask_tail(&mut self, n: usize, tail: Option<NodeId>, message: LeaseMessage) {
         if let Some(tail) = tail {
             self.send(Place::Router(n), tail, Message::Hold(message));
         }
--- a/crates/traffic/src/caller_server.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -2,7 +2,7 @@
 //! writes the answer, with the outcome in a header of its own where the dialect has one.
 
 use crate::caller_limits::CallerLimits;
-use crate::data_plane::TrafficMsg;
+use crate::data_plane::TrafficMessage;
 use crate::front_types::{Call, Reply};
 use axum::Router;
 use axum::body::{Body, HttpBody};
@@ -22,7 +22,7 @@
 
 #[derive(Clone)]
 pub struct CallerServer {
-    pub traffic: InboxSender<TrafficMsg>,
+    pub traffic: InboxSender<TrafficMessage>,
     pub words: Arc<Words>,
     pub limits: watch::Receiver<CallerLimits>,
 }
@@ -46,7 +46,7 @@
         return server.own(400, "Idempotency-Key is 1 to 128 plain characters", false);
     };
     let (reply, told) = oneshot::channel();
-    if server.traffic.send(TrafficMsg::Task { call, reply }).is_err() {
+    if server.traffic.send(TrafficMessage::Task { call, reply }).is_err() {
         let busy = Reply::own(503, Some(Outcome::NotRun), "this router is busy");
         return server.answer(busy.again(Duration::from_millis(500)));
     }
@@ -108,7 +108,7 @@
             return self.own(404, "no such task", false);
         }
         let (reply, told) = oneshot::channel();
-        if self.traffic.send(TrafficMsg::Status { id: id.to_owned(), reply }).is_err() {
+        if self.traffic.send(TrafficMessage::Status { id: id.to_owned(), reply }).is_err() {
             return self.own(503, "this router is busy", false);
         }
         match timeout(Duration::from_secs(4), told).await {
--- a/crates/traffic/src/caller_server_tests.rs
+++ b/crates/traffic/src/caller_server_tests.rs
@@ -29,7 +29,7 @@
     }
 }
 
-fn server(words: Words) -> (CallerServer, Inbox<TrafficMsg>, watch::Sender<CallerLimits>) {
+fn server(words: Words) -> (CallerServer, Inbox<TrafficMessage>, watch::Sender<CallerLimits>) {
     let (traffic, taken) = inbox(8);
     let (bounds, limits) = watch::channel(limits());
     (CallerServer { traffic, words: Arc::new(words), limits }, taken, bounds)
@@ -43,7 +43,7 @@
         let service = TowerToHyperService::new(router(server));
         let serve = async {
             match taken.next().await {
-                Some(TrafficMsg::Task { call, reply: tell }) => {
+                Some(TrafficMessage::Task { call, reply: tell }) => {
                     let _ = tell.send(reply);
                     Some(call)
                 }
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -2,7 +2,7 @@
 //! written before anything it returns is sent, so a staged step is never acknowledged while the
 //! traffic thread still holds a longer pass.
 
-use crate::data_plane::TrafficMsg;
+use crate::data_plane::TrafficMessage;
 use crate::pass_cell::PassCell;
 use bindings::RouteTable;
 use events::event;
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
-use wire::{HoldMsg, Message, NodeId};
+use wire::{LeaseMessage, Message, NodeId};
 
 /// Ticks come when something is due, no closer together than the first and no further apart than the other.
 const TICK: Duration = Duration::from_millis(10);
@@ -21,7 +21,7 @@
 const NEAR: Duration = Duration::from_millis(2500);
 const LAST_CALLS: Duration = Duration::from_millis(700);
 
-pub enum ControlMsg {
+pub enum ControlMessage {
     Link(LinkEvent),
     Seeds(Result<Vec<String>, String>),
     Stop,
@@ -32,7 +32,7 @@
     pub follower: Follower,
     pub pass: PassCell,
     pub links: InboxSender<LinkOrder>,
-    pub traffic: InboxSender<TrafficMsg>,
+    pub traffic: InboxSender<TrafficMessage>,
     pub seeds: Vec<String>,
     pub seats: Vec<String>,
     pub registries: BTreeSet<NodeId>,
@@ -51,7 +51,7 @@
 }
 
 impl Control {
-    pub async fn run(mut self, mut inbox: Inbox<ControlMsg>, stop: watch::Sender<bool>) {
+    pub async fn run(mut self, mut inbox: Inbox<ControlMessage>, stop: watch::Sender<bool>) {
         self.dial();
         let mut ticked = Instant::now();
         let mut leaving: Option<(Instant, oneshot::Receiver<()>)> = None;
@@ -65,16 +65,16 @@
                     self.tell_standing();
                 }
                 message = inbox.next() => match message {
-                    Some(ControlMsg::Link(event)) => self.link_event(event),
-                    Some(ControlMsg::Stop) if leaving.is_none() => {
+                    Some(ControlMessage::Link(event)) => self.link_event(event),
+                    Some(ControlMessage::Stop) if leaving.is_none() => {
                         event!(stopping);
                         self.feed(FollowerInput::Leave);
                         let (done, finished) = oneshot::channel();
-                        let _ = self.traffic.send(TrafficMsg::Leave { done });
+                        let _ = self.traffic.send(TrafficMessage::Leave { done });
                         leaving = Some((Instant::now(), finished));
                     }
-                    Some(ControlMsg::Stop) => {}
-                    Some(ControlMsg::Seeds(told)) => self.follow_seeds(told),
+                    Some(ControlMessage::Stop) => {}
+                    Some(ControlMessage::Seeds(told)) => self.follow_seeds(told),
                     None => return,
                 },
             }
@@ -122,7 +122,7 @@
                     return self.feed(FollowerInput::Peer { from, message });
                 }
                 self.registries.insert(from);
-                if let HoldMsg::Proof { .. } = &message {
+                if let LeaseMessage::Proof { .. } = &message {
                     self.heard = Some(Instant::now());
                 }
                 self.feed(FollowerInput::Registry { from, message });
@@ -153,17 +153,17 @@
                 FollowerOutput::Activated { step, revision } => {
                     event!(step_activated, "step {step} revision {revision}");
                     if self.booked == Some(revision) {
-                        self.tell(TrafficMsg::Step(step));
+                        self.tell(TrafficMessage::Step(step));
                     } else {
                         self.booked = Some(revision);
                         let routes = RouteTable::build(step, revision, self.follower.pairs());
                         let routes = if self.viewed { routes.showing(self.follower.pairs()) } else { routes };
-                        self.tell(TrafficMsg::RouteTable(Box::new(routes)));
+                        self.tell(TrafficMessage::RouteTable(Box::new(routes)));
                     }
                     self.show();
                 }
                 FollowerOutput::Rostered { .. } => {
-                    self.tell(TrafficMsg::Roster(Box::new(self.follower.roster().clone())));
+                    self.tell(TrafficMessage::Roster(Box::new(self.follower.roster().clone())));
                     self.dial();
                     self.show();
                 }
@@ -173,7 +173,7 @@
                         self.dial();
                     }
                 }
-                FollowerOutput::Lapsed => self.tell(TrafficMsg::Lapsed),
+                FollowerOutput::Lapsed => self.tell(TrafficMessage::Lapsed),
                 FollowerOutput::Standing { standing } => {
                     self.standing = standing;
                     self.stood_at = Instant::now();
@@ -196,13 +196,13 @@
         }
     }
 
-    fn send(&self, to: NodeId, message: HoldMsg) {
+    fn send(&self, to: NodeId, message: LeaseMessage) {
         if self.links.send(LinkOrder::Send { to, message: Message::Hold(message) }).is_err() {
             event!(inbox_full, "links");
         }
     }
 
-    fn tell(&self, message: TrafficMsg) {
+    fn tell(&self, message: TrafficMessage) {
         if self.traffic.send(message).is_err() {
             event!(inbox_full, "traffic");
         }
@@ -215,7 +215,7 @@
             self.told = known;
             self.told_at = Instant::now();
             let registries = self.registries.iter().copied().collect();
-            self.tell(TrafficMsg::Core { tail: self.follower.tail(), near, registries });
+            self.tell(TrafficMessage::Core { tail: self.follower.tail(), near, registries });
             self.show();
         }
     }
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -9,7 +9,7 @@
 use crate::home_types::HomeInput;
 use crate::pass_cell::PassCell;
 use bindings::RouteTable;
-use dispatch::{DispatchReport, DispatcherMsg};
+use dispatch::{DispatchReport, DispatcherMessage};
 use holds::Roster;
 use kernel::{Inbox, InboxSender};
 use links::{LinkEvent, LinkOrder};
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use supply::{ProviderOrder, ProviderReport};
 use tokio::sync::{oneshot, watch};
-use wire::{DeferredRecord, ForwardMessage, HoldMsg, Message, NodeId, StoredAnswer};
+use wire::{DeferredRecord, ForwardMessage, LeaseMessage, Message, NodeId, StoredAnswer};
 
 const TICK: Duration = Duration::from_millis(20);
 /// Between two looks while nothing waits here; what comes in is worked at once all the same.
@@ -26,7 +26,7 @@
 const SHOW: Duration = Duration::from_millis(500);
 const STATUS_BIT: u64 = 1 << 62;
 
-pub enum TrafficMsg {
+pub enum TrafficMessage {
     Task {
         call: Call,
         reply: oneshot::Sender<Reply>,
@@ -60,7 +60,7 @@
     pub front: Front,
     pub home: Home,
     pub links: InboxSender<LinkOrder>,
-    pub dispatcher: InboxSender<DispatcherMsg>,
+    pub dispatcher: InboxSender<DispatcherMessage>,
     pub platform: InboxSender<ProviderOrder>,
     pub view: watch::Sender<String>,
     pub limits: (CallerLimits, watch::Sender<CallerLimits>),
@@ -91,7 +91,7 @@
 }
 
 impl DataPlane {
-    pub async fn run(mut self, mut inbox: Inbox<TrafficMsg>) {
+    pub async fn run(mut self, mut inbox: Inbox<TrafficMessage>) {
         let tick = tokio::time::sleep(TICK);
         tokio::pin!(tick);
         let mut calm = false;
@@ -137,40 +137,40 @@
         }
     }
 
-    fn take(&mut self, message: TrafficMsg) {
+    fn take(&mut self, message: TrafficMessage) {
         match message {
-            TrafficMsg::Task { call, reply } => {
+            TrafficMessage::Task { call, reply } => {
                 self.next += 1;
                 self.replies.insert(self.next, reply);
                 self.turn(Turn::Front(FrontInput::Task { ask: self.next, call }));
             }
-            TrafficMsg::Status { id, reply } => {
+            TrafficMessage::Status { id, reply } => {
                 self.next += 1;
                 let due = self.begun.elapsed() + Duration::from_secs(4);
                 self.statuses.insert(self.next, (reply, due));
                 let ask = self.next | STATUS_BIT;
-                let message = HoldMsg::Read { ask, prefix: format!("d/{id}").into(), from: "".into() };
+                let message = LeaseMessage::Read { ask, prefix: format!("d/{id}").into(), from: "".into() };
                 self.to_core(message);
             }
-            TrafficMsg::Link(LinkEvent::Up { id, .. }) => self.turn(Turn::Front(FrontInput::Link { id, up: true })),
-            TrafficMsg::Link(LinkEvent::Down { id }) => self.turn(Turn::Front(FrontInput::Link { id, up: false })),
-            TrafficMsg::Link(LinkEvent::Frame { from, message, .. }) => match message {
+            TrafficMessage::Link(LinkEvent::Up { id, .. }) => self.turn(Turn::Front(FrontInput::Link { id, up: true })),
+            TrafficMessage::Link(LinkEvent::Down { id }) => self.turn(Turn::Front(FrontInput::Link { id, up: false })),
+            TrafficMessage::Link(LinkEvent::Frame { from, message, .. }) => match message {
                 Message::Forward(message) => self.turn(Turn::forwarded(from, message)),
                 Message::Plan(message) => self.turn(Turn::Home(HomeInput::Plan { message })),
-                Message::Hold(HoldMsg::ReadReceipt { ask, items, .. }) if ask & STATUS_BIT != 0 => {
+                Message::Hold(LeaseMessage::ReadReceipt { ask, items, .. }) if ask & STATUS_BIT != 0 => {
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
                     self.tell_status(ask & !STATUS_BIT, first);
                 }
                 Message::Hold(message) => self.turn(Turn::Home(HomeInput::Ledger { message })),
                 _ => {}
             },
-            TrafficMsg::Dispatcher(DispatchReport::Dispatched { number, verdict }) => {
+            TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, verdict }) => {
                 self.turn(Turn::Home(HomeInput::Dispatched { number, verdict }))
             }
-            TrafficMsg::Dispatcher(DispatchReport::Probed { id, ready }) => {
+            TrafficMessage::Dispatcher(DispatchReport::Probed { id, ready }) => {
                 self.turn(Turn::Home(HomeInput::Probed { id, ready }))
             }
-            TrafficMsg::Platform(report) => {
+            TrafficMessage::Platform(report) => {
                 let listed_at = match &report {
                     ProviderReport::Listed { asked, .. } | ProviderReport::Workers { asked, .. } => {
                         asked.saturating_duration_since(self.begun)
@@ -179,7 +179,7 @@
                 };
                 self.turn(Turn::Home(HomeInput::Platform { report, listed_at }));
             }
-            TrafficMsg::RouteTable(routes) => {
+            TrafficMessage::RouteTable(routes) => {
                 self.step = routes.step;
                 let routes = Rc::new(*routes);
                 if let Some(shelving) = &mut self.shelving {
@@ -190,19 +190,19 @@
                 self.turn(Turn::Home(HomeInput::RouteTable { routes: routes.clone() }));
                 self.turn(Turn::Front(FrontInput::RouteTable { routes }));
             }
-            TrafficMsg::Step(step) => self.step = step,
-            TrafficMsg::Roster(roster) => {
+            TrafficMessage::Step(step) => self.step = step,
+            TrafficMessage::Roster(roster) => {
                 let roster = Rc::new(*roster);
                 self.turn(Turn::Home(HomeInput::Roster { roster: roster.clone() }));
                 self.turn(Turn::Front(FrontInput::Roster { roster }));
             }
-            TrafficMsg::Core { tail, near, registries } => {
+            TrafficMessage::Core { tail, near, registries } => {
                 self.tail = tail;
                 self.registries = registries;
                 self.turn(Turn::Home(HomeInput::Core { near }));
             }
-            TrafficMsg::Lapsed => self.turn(Turn::Home(HomeInput::Lapsed)),
-            TrafficMsg::Leave { done } => self.done = Some(done),
+            TrafficMessage::Lapsed => self.turn(Turn::Home(HomeInput::Lapsed)),
+            TrafficMessage::Leave { done } => self.done = Some(done),
         }
     }
 
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -4,11 +4,11 @@
 use crate::data_plane::{DataPlane, Turn};
 use crate::front_types::{FrontOutput, Reply};
 use crate::home_types::{HomeInput, HomeOutput};
-use dispatch::{DispatcherMsg, Verdict};
+use dispatch::{DispatcherMessage, Verdict};
 use events::event;
 use links::LinkOrder;
 use std::collections::VecDeque;
-use wire::{HoldMsg, Message, PlanMsg};
+use wire::{LeaseMessage, Message, PlanMessage};
 
 impl DataPlane {
     pub(crate) fn link(&self, order: LinkOrder) {
@@ -17,7 +17,7 @@
         }
     }
 
-    pub(crate) fn to_core(&self, message: HoldMsg) {
+    pub(crate) fn to_core(&self, message: LeaseMessage) {
         if let Some(to) = self.tail {
             self.link(LinkOrder::Send { to, message: Message::Hold(message) });
         }
@@ -59,24 +59,24 @@
             HomeOutput::Forward { to, message } => {
                 self.link(LinkOrder::Send { to, message: Message::Forward(message) })
             }
-            HomeOutput::Enter { ask, body } => self.to_core(HoldMsg::Enter { ask, body: body.into() }),
+            HomeOutput::Enter { ask, body } => self.to_core(LeaseMessage::Enter { ask, body: body.into() }),
             HomeOutput::Read { ask, prefix } => {
-                self.to_core(HoldMsg::Read { ask, prefix: prefix.into(), from: "".into() });
+                self.to_core(LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() });
             }
             HomeOutput::Dispatch(order) => {
                 let number = order.number;
-                if !self.to_dispatcher(DispatcherMsg::Send(order)) {
+                if !self.to_dispatcher(DispatcherMessage::Send(order)) {
                     return Some(Turn::Home(HomeInput::Dispatched { number, verdict: Verdict::Crowded }));
                 }
             }
             HomeOutput::Probe { id, address, after, limit } => {
-                let probe = DispatcherMsg::Probe { id: id.clone(), address, after, limit };
+                let probe = DispatcherMessage::Probe { id: id.clone(), address, after, limit };
                 if !self.to_dispatcher(probe) {
                     return Some(Turn::Home(HomeInput::Probed { id, ready: false }));
                 }
             }
             HomeOutput::Forget { id } => {
-                self.to_dispatcher(DispatcherMsg::Forget { id });
+                self.to_dispatcher(DispatcherMessage::Forget { id });
             }
             HomeOutput::Supply(order) => {
                 if self.platform.send(order).is_err() {
@@ -85,16 +85,16 @@
             }
             HomeOutput::PlanAsk { message } => self.to_registries(Message::Plan(message)),
             HomeOutput::Measures { lines } => {
-                self.to_registries(Message::Plan(PlanMsg::Measures { lines: lines.into() }));
+                self.to_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
             }
             HomeOutput::Samples { lines } => {
-                self.to_registries(Message::Plan(PlanMsg::Samples { lines: lines.into() }));
+                self.to_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
             }
         }
         None
     }
 
-    fn to_dispatcher(&self, message: DispatcherMsg) -> bool {
+    fn to_dispatcher(&self, message: DispatcherMessage) -> bool {
         let taken = self.dispatcher.send(message).is_ok();
         if !taken {
             event!(inbox_full, "dispatcher");
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use supply::{ProviderOrder, ProviderReport};
-use wire::{ForwardMessage, HoldMsg, MeasureLine, NodeId, Outcome, PlanMsg, SampleLine};
+use wire::{ForwardMessage, LeaseMessage, MeasureLine, NodeId, Outcome, PlanMessage, SampleLine};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
@@ -18,10 +18,10 @@
 pub enum HomeInput {
     Forward { from: NodeId, message: ForwardMessage },
     Dispatched { number: u64, verdict: Verdict },
-    Ledger { message: HoldMsg },
+    Ledger { message: LeaseMessage },
     Platform { report: ProviderReport, listed_at: Duration },
     Probed { id: String, ready: bool },
-    Plan { message: PlanMsg },
+    Plan { message: PlanMessage },
     RouteTable { routes: Rc<RouteTable> },
     Roster { roster: Rc<Roster> },
     Core { near: bool },
@@ -57,7 +57,7 @@
         id: String,
     },
     PlanAsk {
-        message: PlanMsg,
+        message: PlanMessage,
     },
     Samples {
         lines: Vec<SampleLine>,
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -5,7 +5,7 @@
 use crate::home::Home;
 use crate::home_types::{Ledger, Place};
 use std::time::Duration;
-use wire::{ClaimState, Command, HoldMsg, Outcome, Receipt, StoredAnswer, StoredTask};
+use wire::{ClaimState, Command, LeaseMessage, Outcome, Receipt, StoredAnswer, StoredTask};
 
 const LASTING: Duration = Duration::from_secs(60);
 
@@ -106,10 +106,10 @@
         })
     }
 
-    pub(crate) fn ledger_receipt(&mut self, message: HoldMsg) {
+    pub(crate) fn ledger_receipt(&mut self, message: LeaseMessage) {
         let (ask, state, body) = match message {
-            HoldMsg::EnterReceipt { ask, state, body } => (ask, state, body),
-            HoldMsg::ReadReceipt { ask, items, .. } => return self.take_deferred(ask, items.into_vec()),
+            LeaseMessage::EnterReceipt { ask, state, body } => (ask, state, body),
+            LeaseMessage::ReadReceipt { ask, items, .. } => return self.take_deferred(ask, items.into_vec()),
             _ => return,
         };
         if state != 1 {
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -9,7 +9,7 @@
 use scaler::Situation;
 use std::time::Duration;
 use supply::ProviderOrder;
-use wire::{PlanMsg, SampleLine};
+use wire::{PlanMessage, SampleLine};
 
 const EVERY: Duration = Duration::from_millis(100);
 const BURST: f64 = 8.0;
@@ -86,7 +86,7 @@
             scheduler.desired = if bound { verdict.desired } else { 0 };
             asks_left -= usize::from(verdict.ask);
             if verdict.ask && bound {
-                let message = PlanMsg::Ask {
+                let message = PlanMessage::Ask {
                     ask,
                     function: name.as_str().into(),
                     current: ready + starting,
@@ -217,11 +217,11 @@
         }
     }
 
-    pub(crate) fn plan_receipt(&mut self, message: PlanMsg) {
-        if let PlanMsg::Tuned { fence, lines } = message {
+    pub(crate) fn plan_receipt(&mut self, message: PlanMessage) {
+        if let PlanMessage::Tuned { fence, lines } = message {
             return self.take_tuned(fence, lines.into_vec());
         }
-        let PlanMsg::Receipt { ask, fence, step_ms, desired, .. } = message else { return };
+        let PlanMessage::Receipt { ask, fence, step_ms, desired, .. } = message else { return };
         let Some(name) = self.plan_asks.remove(&ask) else { return };
         let now = self.now;
         if let Some(scheduler) = self.schedulers.get_mut(&name) {
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -4,8 +4,8 @@
 
 use crate::caller_limits::CallerLimits;
 use crate::caller_server::{self, CallerServer};
-use crate::control_loop::{Control, ControlMsg};
-use crate::data_plane::{DataPlane, TrafficMsg};
+use crate::control_loop::{Control, ControlMessage};
+use crate::data_plane::{DataPlane, TrafficMessage};
 use crate::declared_views::DeclaredViews;
 use crate::dialect::Dialect;
 use crate::faults::RunFault;
@@ -16,7 +16,7 @@
 use crate::ops::{Views, ops_router};
 use crate::pass_cell::PassCell;
 use crate::settings::RouterEnv;
-use dispatch::{DispatchReport, DispatcherMsg};
+use dispatch::{DispatchReport, DispatcherMessage};
 use doors::{ResourceIndex, ServerLimits, Tokens};
 use events::event;
 use holds::{Follower, FollowerTiming, Standing, mix};
@@ -29,7 +29,7 @@
 use supply::{InstanceProvider, OwnInstanceProvider, ProviderOrder};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
-use wire::{HoldMsg, Message, NodeId};
+use wire::{LeaseMessage, Message, NodeId};
 
 /// From a lapse until the next home has looked at what runs.
 const TAKING_OVER: Duration = Duration::from_millis(400);
@@ -50,10 +50,10 @@
     );
 
     let mut directory = Directory::default();
-    let control_inbox = directory.announce::<ControlMsg>("control", 16_384);
-    let traffic_inbox = directory.announce::<TrafficMsg>("traffic", 16_384);
+    let control_inbox = directory.announce::<ControlMessage>("control", 16_384);
+    let traffic_inbox = directory.announce::<TrafficMessage>("traffic", 16_384);
     let links_inbox = directory.announce::<LinkOrder>("links", 65_536);
-    let dispatch_inbox = directory.announce::<DispatcherMsg>("dispatcher", 8192);
+    let dispatch_inbox = directory.announce::<DispatcherMessage>("dispatcher", 8192);
     let platform_inbox = directory.announce::<ProviderOrder>("platform", 4096);
     let (view, shown) = watch::channel(String::from("{}"));
     let (control_view, control_shown) = watch::channel(String::from("{}"));
@@ -74,10 +74,10 @@
     let provider = dialect.provider;
     let (names, address) = (directory.clone(), settings.platform.clone());
     thread("platform", move || {
-        let traffic = find::<TrafficMsg>(&names, "traffic");
+        let traffic = find::<TrafficMessage>(&names, "traffic");
         let report: Rc<dyn Fn(supply::ProviderReport)> = Rc::new(move |report| {
             let traffic = traffic.clone();
-            spawn_local(async move { traffic.send_waiting(TrafficMsg::Platform(report)).await });
+            spawn_local(async move { traffic.send_waiting(TrafficMessage::Platform(report)).await });
         });
         let provider = provider
             .map_or_else(|| Rc::new(OwnInstanceProvider::new(&address)) as Rc<dyn InstanceProvider>, |make| make());
@@ -120,7 +120,7 @@
             done: None,
             counts: BTreeMap::new(),
         };
-        let traffic = find::<TrafficMsg>(&names, "traffic");
+        let traffic = find::<TrafficMessage>(&names, "traffic");
         let report: dispatch::Report = Rc::new(move |report| tell(&traffic, report));
         let limits = move || bounded.borrow().server;
         local(async move {
@@ -164,17 +164,17 @@
         booked: None,
         viewed,
     };
-    let post = find::<ControlMsg>(&directory, "control");
+    let post = find::<ControlMessage>(&directory, "control");
     local(async move {
         if let Some(reread) = dialect.reread {
             let (post, read) = (post.clone(), move || reread().map(|settings| settings.seeds));
             spawn_local(kernel::follow(settings.seeds, read, async move |told| {
-                post.send_waiting(ControlMsg::Seeds(told)).await;
+                post.send_waiting(ControlMessage::Seeds(told)).await;
             }));
         }
         spawn_local(async move {
             wait_for_signal().await;
-            post.send_waiting(ControlMsg::Stop).await;
+            post.send_waiting(ControlMessage::Stop).await;
         });
         control.run(control_inbox, stop).await;
     });
@@ -195,41 +195,41 @@
     CallerLimits { server, body_bytes: settings.body, body_time: settings.body_time, keep_alive: None }
 }
 
-fn tell(traffic: &InboxSender<TrafficMsg>, report: DispatchReport) {
-    if let Err(SendFault::Full(message)) = traffic.send(TrafficMsg::Dispatcher(report)) {
+fn tell(traffic: &InboxSender<TrafficMessage>, report: DispatchReport) {
+    if let Err(SendFault::Full(message)) = traffic.send(TrafficMessage::Dispatcher(report)) {
         let traffic = traffic.clone();
         spawn_local(async move { traffic.send_waiting(message).await });
     }
 }
 
 fn deliver(names: Directory) -> links::Deliver {
-    let control = find::<ControlMsg>(&names, "control");
-    let traffic = find::<TrafficMsg>(&names, "traffic");
+    let control = find::<ControlMessage>(&names, "control");
+    let traffic = find::<TrafficMessage>(&names, "traffic");
     Rc::new(move |event| {
         let (control, traffic) = (control.clone(), traffic.clone());
         Box::pin(async move {
             match event {
                 LinkEvent::Up { id, incarnation, address } => {
                     let copy = LinkEvent::Up { id, incarnation, address: address.clone() };
-                    traffic.send_waiting(TrafficMsg::Link(copy)).await;
-                    control.send_waiting(ControlMsg::Link(LinkEvent::Up { id, incarnation, address })).await;
+                    traffic.send_waiting(TrafficMessage::Link(copy)).await;
+                    control.send_waiting(ControlMessage::Link(LinkEvent::Up { id, incarnation, address })).await;
                 }
                 LinkEvent::Down { id } => {
-                    traffic.send_waiting(TrafficMsg::Link(LinkEvent::Down { id })).await;
-                    control.send_waiting(ControlMsg::Link(LinkEvent::Down { id })).await;
+                    traffic.send_waiting(TrafficMessage::Link(LinkEvent::Down { id })).await;
+                    control.send_waiting(ControlMessage::Link(LinkEvent::Down { id })).await;
                 }
                 LinkEvent::Frame { from, incarnation, message } => {
                     let for_traffic = matches!(
                         message,
                         Message::Forward(_)
                             | Message::Plan(_)
-                            | Message::Hold(HoldMsg::EnterReceipt { .. } | HoldMsg::ReadReceipt { .. })
+                            | Message::Hold(LeaseMessage::EnterReceipt { .. } | LeaseMessage::ReadReceipt { .. })
                     );
                     let event = LinkEvent::Frame { from, incarnation, message };
                     if for_traffic {
-                        traffic.send_waiting(TrafficMsg::Link(event)).await;
+                        traffic.send_waiting(TrafficMessage::Link(event)).await;
                     } else {
-                        control.send_waiting(ControlMsg::Link(event)).await;
+                        control.send_waiting(ControlMessage::Link(event)).await;
                     }
                 }
             }
--- a/crates/wire/src/chain.rs
+++ b/crates/wire/src/chain.rs
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
-pub enum ChainMsg {
+pub enum ChainMessage {
     #[deku(id = "1")]
     Beat { view: u64, round: u64, unwell: u8 },
     #[deku(id = "2")]
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -2,7 +2,7 @@
 //! another format, a bad checksum or too great a length is a fault, after which the connection
 //! is of no more use.
 
-use crate::{ChainMsg, ForwardMessage, HoldMsg, NodeId, PlanMsg, Text, from_bytes, to_bytes};
+use crate::{ChainMessage, ForwardMessage, LeaseMessage, NodeId, PlanMessage, Text, from_bytes, to_bytes};
 use deku::prelude::*;
 use derive_more::{Display, Error, From};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -20,13 +20,13 @@
 #[deku(id_type = "u8")]
 pub enum Message {
     #[deku(id = "1")]
-    Chain(ChainMsg),
+    Chain(ChainMessage),
     #[deku(id = "2")]
-    Hold(HoldMsg),
+    Hold(LeaseMessage),
     #[deku(id = "3")]
     Forward(ForwardMessage),
     #[deku(id = "4")]
-    Plan(PlanMsg),
+    Plan(PlanMessage),
     #[deku(id = "5")]
     Hello { address: Text },
 }
@@ -111,7 +111,7 @@
     use super::*;
 
     fn frame() -> Frame {
-        let message = Message::Chain(ChainMsg::Beat { view: 3, round: 9, unwell: 0 });
+        let message = Message::Chain(ChainMessage::Beat { view: 3, round: 9, unwell: 0 });
         Frame { format: FORMAT, cluster: "posta".into(), sender: 7, incarnation: 2, message }
     }
 
--- a/crates/wire/src/hold.rs
+++ b/crates/wire/src/lease.rs
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
-pub enum HoldMsg {
+pub enum LeaseMessage {
     #[deku(id = "1")]
     Join { address: Text, zone: Text, ops: Text },
     #[deku(id = "2")]
@@ -93,10 +93,10 @@
     Proofs { view: u64, earlier_millis: u64, proofs: List<ProofAge> },
 }
 
-impl HoldMsg {
+impl LeaseMessage {
     /// Said among routers, not by a registry.
     pub fn is_from_peer(&self) -> bool {
-        use HoldMsg::{PeerAsk, PeerCollect, PeerMajority, PeerReceipt};
+        use LeaseMessage::{PeerAsk, PeerCollect, PeerMajority, PeerReceipt};
         matches!(self, PeerAsk { .. } | PeerReceipt { .. } | PeerCollect { .. } | PeerMajority { .. })
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,14 +5,14 @@
 mod chain;
 mod codec;
 mod forward;
-mod hold;
+mod lease;
 mod ledger;
 mod packed;
 mod parts;
 mod plan;
 mod spoken;
 
-pub use chain::{ChainMsg, EntryLine, OpNo, PairLine, Seat, View};
+pub use chain::{ChainMessage, EntryLine, OpNo, PairLine, Seat, View};
 pub use codec::{
     ATTEMPTS, CAPACITY, FORMAT, Frame, FrameFault, LIMIT, Message, OLDEST, decode, encode, read_frame, write_frame,
 };
@@ -20,11 +20,11 @@
     AnswerHead, ForwardMessage, ForwardRequest, HeaderLine, HomeTable, InventoryChange, Outcome, RequestHead, SlotLine,
     StockLine, StoredAnswer, StoredTask, WorkerRecord,
 };
-pub use hold::{HoldMsg, ItemLine, ProofAge, StepLine};
+pub use lease::{ItemLine, LeaseMessage, ProofAge, StepLine};
 pub use ledger::{Capacity, ClaimRecord, ClaimState, Command, DeferredRecord, OpRecord, Receipt};
 pub use packed::{Packed, pack, unpack};
 pub use parts::{Blob, List, Text, from_bytes, to_bytes};
-pub use plan::{MeasureLine, PlanMsg, SampleLine, TunedLine};
+pub use plan::{MeasureLine, PlanMessage, SampleLine, TunedLine};
 pub use spoken::spoken;
 
 pub type NodeId = u64;
--- a/crates/wire/src/plan.rs
+++ b/crates/wire/src/plan.rs
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
-pub enum PlanMsg {
+pub enum PlanMessage {
     #[deku(id = "1")]
     Samples { lines: List<SampleLine> },
     #[deku(id = "2")]
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -11,7 +11,7 @@
 //! voter's report on when it last answered the tail of the view before, and what that tail tells the next of the proofs it granted.
 
 use crate::codec::ATTEMPTS;
-use crate::{ChainMsg, ForwardMessage, ForwardRequest, HoldMsg, Message, PlanMsg, Text};
+use crate::{ChainMessage, ForwardMessage, ForwardRequest, LeaseMessage, Message, PlanMessage, Text};
 
 pub fn spoken(message: Message, format: u16) -> Option<Message> {
     let message = match message {
@@ -19,24 +19,26 @@
         Message::Forward(ForwardMessage::Forward { request }) => Message::Forward(uncounted(*request)),
         Message::Forward(ForwardMessage::Returned { task, .. }) => Message::Forward(ForwardMessage::NotHome { task }),
         Message::Forward(ForwardMessage::AttemptAsk { .. } | ForwardMessage::AttemptGrant { .. }) => return None,
-        Message::Chain(ChainMsg::LastAnswered { .. }) | Message::Hold(HoldMsg::Proofs { .. }) => return None,
+        Message::Chain(ChainMessage::LastAnswered { .. }) | Message::Hold(LeaseMessage::Proofs { .. }) => return None,
         message => message,
     };
     let message = match message {
         message if format >= 4 => return Some(message),
-        Message::Hold(HoldMsg::Enrol { address, zone, ops, .. }) => Message::Hold(HoldMsg::Join { address, zone, ops }),
+        Message::Hold(LeaseMessage::Enrol { address, zone, ops, .. }) => {
+            Message::Hold(LeaseMessage::Join { address, zone, ops })
+        }
         Message::Forward(ForwardMessage::Watch | ForwardMessage::Inventory { .. } | ForwardMessage::InventoryAsk) => {
             return None;
         }
-        Message::Hold(HoldMsg::PartAsk { ask, whole, offset: 0, .. }) if whole != 0 => {
-            Message::Hold(HoldMsg::FetchAll { ask, from: Text::default() })
+        Message::Hold(LeaseMessage::PartAsk { ask, whole, offset: 0, .. }) if whole != 0 => {
+            Message::Hold(LeaseMessage::FetchAll { ask, from: Text::default() })
         }
         Message::Hold(
-            HoldMsg::PartAsk { .. }
-            | HoldMsg::Part { .. }
-            | HoldMsg::RosterChange { .. }
-            | HoldMsg::PeerCollect { .. }
-            | HoldMsg::PeerMajority { .. },
+            LeaseMessage::PartAsk { .. }
+            | LeaseMessage::Part { .. }
+            | LeaseMessage::RosterChange { .. }
+            | LeaseMessage::PeerCollect { .. }
+            | LeaseMessage::PeerMajority { .. },
         ) => return None,
         message => message,
     };
@@ -50,10 +52,14 @@
     };
     match message {
         message if format >= 2 => Some(message),
-        Message::Hold(HoldMsg::Seats { seats }) => Some(Message::Hold(HoldMsg::NotTail { tail: 0, view: 0, seats })),
-        Message::Hold(HoldMsg::Leaving) => Some(Message::Hold(HoldMsg::Leave { successor: 0 })),
-        Message::Chain(ChainMsg::SuffixAsk { .. }) => Some(Message::Chain(ChainMsg::CopyAsk { copy: 0, piece: 0 })),
-        Message::Plan(PlanMsg::Measures { .. } | PlanMsg::Tuned { .. }) => None,
+        Message::Hold(LeaseMessage::Seats { seats }) => {
+            Some(Message::Hold(LeaseMessage::NotTail { tail: 0, view: 0, seats }))
+        }
+        Message::Hold(LeaseMessage::Leaving) => Some(Message::Hold(LeaseMessage::Leave { successor: 0 })),
+        Message::Chain(ChainMessage::SuffixAsk { .. }) => {
+            Some(Message::Chain(ChainMessage::CopyAsk { copy: 0, piece: 0 }))
+        }
+        Message::Plan(PlanMessage::Measures { .. } | PlanMessage::Tuned { .. }) => None,
         Message::Forward(ForwardMessage::Beat) => None,
         Message::Forward(ForwardMessage::Table { table }) if table.kept != 0 => None,
         Message::Forward(ForwardMessage::Table { table }) => Some(Message::Forward(ForwardMessage::Handover {
@@ -90,9 +96,9 @@
             matches!(handed, Some(Message::Forward(ForwardMessage::Handover { roster: 4, requests: 9, .. }))),
             "{handed:?}"
         );
-        let seats = Message::Hold(HoldMsg::Seats { seats: vec!["a:1".into()].into() });
-        assert!(matches!(old(seats.clone()), Some(Message::Hold(HoldMsg::NotTail { .. }))));
-        assert!(matches!(old(Message::Hold(HoldMsg::Leaving)), Some(Message::Hold(HoldMsg::Leave { .. }))));
+        let seats = Message::Hold(LeaseMessage::Seats { seats: vec!["a:1".into()].into() });
+        assert!(matches!(old(seats.clone()), Some(Message::Hold(LeaseMessage::NotTail { .. }))));
+        assert!(matches!(old(Message::Hold(LeaseMessage::Leaving)), Some(Message::Hold(LeaseMessage::Leave { .. }))));
         assert_eq!(spoken(seats.clone(), 2), Some(seats));
     }
 
@@ -123,8 +129,8 @@
 
     #[test]
     fn formats_before_four_fetch_the_configuration_unpacked() {
-        let ask = |offset| Message::Hold(HoldMsg::PartAsk { ask: 7, whole: 1, number: 0, offset });
-        let fetch = Message::Hold(HoldMsg::FetchAll { ask: 7, from: Text::default() });
+        let ask = |offset| Message::Hold(LeaseMessage::PartAsk { ask: 7, whole: 1, number: 0, offset });
+        let fetch = Message::Hold(LeaseMessage::FetchAll { ask: 7, from: Text::default() });
         assert_eq!([spoken(ask(0), 3), spoken(ask(9), 3), spoken(ask(9), 4)], [Some(fetch), None, Some(ask(9))]);
     }
 
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -3,8 +3,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wire::{
-    ChainMsg, EntryLine, FORMAT, ForwardMessage, ForwardRequest, Frame, HoldMsg, ItemLine, Message, OpNo, PlanMsg,
-    Seat, StepLine, View, decode, encode, from_bytes, to_bytes,
+    ChainMessage, EntryLine, FORMAT, ForwardMessage, ForwardRequest, Frame, ItemLine, LeaseMessage, Message, OpNo,
+    PlanMessage, Seat, StepLine, View, decode, encode, from_bytes, to_bytes,
 };
 
 fn forward() -> ForwardRequest {
@@ -34,14 +34,20 @@
     let item = ItemLine { key: "function-bindings/a/b".into(), gone: 0, value: b"{}".to_vec().into() };
     let step = StepLine { number: 4, revision: 2, quorum: vec![1, 2, 3].into(), items: vec![item.clone()].into() };
     vec![
-        Message::Chain(ChainMsg::Decided { view }),
-        Message::Chain(ChainMsg::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
-        Message::Hold(HoldMsg::Stage { step }),
-        Message::Hold(HoldMsg::ReadReceipt { ask: 1, state: 1, items: vec![item].into() }),
+        Message::Chain(ChainMessage::Decided { view }),
+        Message::Chain(ChainMessage::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
+        Message::Hold(LeaseMessage::Stage { step }),
+        Message::Hold(LeaseMessage::ReadReceipt { ask: 1, state: 1, items: vec![item].into() }),
         Message::Forward(ForwardMessage::NotHome { task: 5 }),
         Message::Forward(ForwardMessage::Forward { request: Box::new(forward()) }),
         Message::Forward(ForwardMessage::AttemptGrant { task: 5, attempts: 2 }),
-        Message::Plan(PlanMsg::Receipt { ask: 1, fence: 2, state: 1, step_ms: 15_000, desired: vec![1, 2, 3].into() }),
+        Message::Plan(PlanMessage::Receipt {
+            ask: 1,
+            fence: 2,
+            state: 1,
+            step_ms: 15_000,
+            desired: vec![1, 2, 3].into(),
+        }),
     ]
 }
 
