--- a/crates/chain/src/digest.rs
+++ b/crates/chain/src/digest.rs
@@ -68,7 +68,7 @@
             }
         }
         (self.age(self.propose_after), self.age(self.accepted_at), self.seen_ballot).hash(hasher);
-        (self.age(self.ticked), self.age(self.beaten)).hash(hasher);
+        (self.age(self.ticked), self.age(self.heartbeat_sent)).hash(hasher);
         let round = &self.round;
         (round.number, round.running, round.wanted, round.needs, &round.receipts).hash(hasher);
         self.age(round.begun).hash(hasher);
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -30,7 +30,7 @@
     pub(crate) apply: Apply,
     pub(crate) now: Duration,
     pub(crate) ticked: Duration,
-    pub(crate) beaten: Duration,
+    pub(crate) heartbeat_sent: Duration,
     pub(crate) outs: Vec<Output>,
     pub(crate) state: State,
     pub(crate) synced_state: State,
@@ -50,7 +50,7 @@
     pub(crate) writing: Option<Writing>,
     pub(crate) faulted: bool,
     pub(crate) leaving: bool,
-    /// When each voter last answered a beat, and whether it said that it is unwell.
+    /// When each voter last answered a heartbeat, and whether it said that it is unwell.
     pub(crate) heard: BTreeMap<NodeId, (Duration, bool)>,
     /// Since when a member of the chain has been suspected without a break.
     pub(crate) suspecting: Option<Duration>,
@@ -93,7 +93,7 @@
             apply,
             now,
             ticked: now,
-            beaten: Duration::ZERO,
+            heartbeat_sent: Duration::ZERO,
             outs: Vec::new(),
             synced_state: stored.state.clone(),
             committed_state: State::new(),
@@ -183,9 +183,9 @@
 
     fn frame(&mut self, from: NodeId, message: ChainMessage) {
         match message {
-            ChainMessage::Beat { view, round, unwell } => self.on_beat(from, view, round, unwell != 0),
-            ChainMessage::BeatReceipt { view, round, holds_next } => {
-                self.on_beat_receipt(from, view, round, holds_next != 0)
+            ChainMessage::Heartbeat { view, round, unwell } => self.on_heartbeat(from, view, round, unwell != 0),
+            ChainMessage::HeartbeatAck { view, round, holds_next } => {
+                self.on_heartbeat_ack(from, view, round, holds_next != 0)
             }
             ChainMessage::Prepare { slot, ballot } => self.on_prepare(from, slot, ballot),
             ChainMessage::Promise { slot, ballot, accepted_ballot, accepted } => {
@@ -227,12 +227,12 @@
         if self.meta.view.number == 0 {
             self.found();
         }
-        if self.round.running && self.now > self.round.begun + self.timing.beat * 2 {
+        if self.round.running && self.now > self.round.begun + self.timing.heartbeat * 2 {
             self.begin_round();
         }
-        if self.now >= self.beaten + self.timing.beat {
-            self.beaten = self.now;
-            self.beat();
+        if self.now >= self.heartbeat_sent + self.timing.heartbeat {
+            self.heartbeat_sent = self.now;
+            self.heartbeat();
         }
         self.resend();
         self.finish_leaving();
--- a/crates/chain/src/register.rs
+++ b/crates/chain/src/register.rs
@@ -147,7 +147,7 @@
         let outbid = |proposal: &Proposal| proposal.slot == slot && ballot > proposal.ballot;
         if self.proposal.as_ref().is_some_and(outbid) {
             self.proposal = None;
-            let wait = self.timing.beat.as_millis() as u64 * (1 + (self.meta.seat.id ^ ballot) % 5);
+            let wait = self.timing.heartbeat.as_millis() as u64 * (1 + (self.meta.seat.id ^ ballot) % 5);
             self.propose_after = self.now + Duration::from_millis(wait);
         }
     }
--- a/crates/chain/src/seats.rs
+++ b/crates/chain/src/seats.rs
@@ -50,7 +50,7 @@
 
     /// Whether several heartbeats of a voter are missing.
     fn is_quiet(&self, id: NodeId) -> bool {
-        let quiet = |(heard, _): &(Duration, bool)| self.now > *heard + self.timing.beat * 3;
+        let quiet = |(heard, _): &(Duration, bool)| self.now > *heard + self.timing.heartbeat * 3;
         id != self.meta.seat.id && self.heard.get(&id).is_none_or(quiet)
     }
 
--- a/crates/chain/src/tenure.rs
+++ b/crates/chain/src/tenure.rs
@@ -57,7 +57,7 @@
         self.is_tail().then_some(self.tenure.first_view)
     }
 
-    /// Notes that a beat of the tail was answered in a way that may confirm its round.
+    /// Notes that a heartbeat of the tail was answered in a way that may confirm its round.
     pub(crate) fn note_answer(&mut self, to: NodeId) {
         if tail_of(&self.meta.view) == Some(to) {
             self.tail_answered = self.now;
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Timing {
-    pub beat: Duration,
+    pub heartbeat: Duration,
     pub suspect: Duration,
     pub stall: Duration,
     pub resend: Duration,
@@ -26,7 +26,7 @@
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            beat: Duration::from_millis(100),
+            heartbeat: Duration::from_millis(100),
             suspect: Duration::from_millis(900),
             stall: Duration::from_millis(1500),
             resend: Duration::from_millis(300),
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -1,4 +1,4 @@
-//! Keeping the view true to the machines: beats, suspicion, taking a silent or unwell member out,
+//! Keeping the view true to the machines: heartbeats, suspicion, taking a silent or unwell member out,
 //! adopting what was decided, and confirming by a majority that no newer view has begun.
 
 use crate::member::Member;
@@ -46,7 +46,7 @@
         }
     }
 
-    pub(crate) fn on_beat(&mut self, from: NodeId, view: u64, round: u64, unwell: bool) {
+    pub(crate) fn on_heartbeat(&mut self, from: NodeId, view: u64, round: u64, unwell: bool) {
         if let Some((_, known)) = self.heard.get_mut(&from) {
             *known = unwell;
         }
@@ -58,12 +58,12 @@
         if holds_next == 0 {
             self.note_answer(from);
         }
-        self.send(from, ChainMessage::BeatReceipt { view: self.meta.view.number, round, holds_next });
+        self.send(from, ChainMessage::HeartbeatAck { view: self.meta.view.number, round, holds_next });
     }
 
     /// Only an answer shows that a member is there: one that still sends but receives nothing would hold
     /// up every entry and every confirmation of the view.
-    pub(crate) fn on_beat_receipt(&mut self, from: NodeId, view: u64, round: u64, holds_next: bool) {
+    pub(crate) fn on_heartbeat_ack(&mut self, from: NodeId, view: u64, round: u64, holds_next: bool) {
         if let Some((heard, _)) = self.heard.get_mut(&from) {
             *heard = self.now;
         }
@@ -114,11 +114,11 @@
         self.round.receipts.clear();
         self.round.running = true;
         self.round.begun = self.now;
-        self.beat();
+        self.heartbeat();
     }
 
-    pub(crate) fn beat(&mut self) {
-        let message = ChainMessage::Beat {
+    pub(crate) fn heartbeat(&mut self) {
+        let message = ChainMessage::Heartbeat {
             view: self.meta.view.number,
             round: self.round.number,
             unwell: self.is_unwell() as u8,
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -101,7 +101,7 @@
         net.now += Duration::from_millis(50);
         (1..=3).for_each(|id| net.feed(id, chain::Input::Tick));
         while let Some((from, to, message)) = net.frames.pop_front() {
-            let heartbeat = matches!(message, ChainMessage::Beat { .. } | ChainMessage::BeatReceipt { .. });
+            let heartbeat = matches!(message, ChainMessage::Heartbeat { .. } | ChainMessage::HeartbeatAck { .. });
             match heartbeat {
                 true if from == 2 || to == 2 => {}
                 true => net.feed(to, chain::Input::Frame { from, message }),
--- a/crates/chain/tests/tenure.rs
+++ b/crates/chain/tests/tenure.rs
@@ -21,8 +21,8 @@
     net.pass(2000);
     assert_eq!(net.chain(2), vec![1, 2]);
     let until = bound(&net, 2).expect("both survivors reported");
-    let beat = Duration::from_millis(150);
-    assert!(until + beat >= killed && until <= killed, "{until:?} for a kill at {killed:?}");
+    let heartbeat = Duration::from_millis(150);
+    assert!(until + heartbeat >= killed && until <= killed, "{until:?} for a kill at {killed:?}");
 }
 
 #[test]
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -161,7 +161,7 @@
     }
 
     fn send(&mut self, from: NodeId, to: NodeId, message: ChainMessage) {
-        let heartbeat = matches!(message, ChainMessage::Beat { .. } | ChainMessage::BeatReceipt { .. });
+        let heartbeat = matches!(message, ChainMessage::Heartbeat { .. } | ChainMessage::HeartbeatAck { .. });
         if self.passing && heartbeat {
             return self.deliver(from, to, message);
         }
--- a/crates/hollow/src/node_group.rs
+++ b/crates/hollow/src/node_group.rs
@@ -116,8 +116,8 @@
     }
 
     fn count(&self, (from, out): (NodeId, &str), into: &str, message: &Message) {
-        let beat = matches!(message, Message::Forward(ForwardMessage::Beat));
-        let mut bytes = if beat { self.heartbeat_bytes.get() } else { 0 };
+        let heartbeat = matches!(message, Message::Forward(ForwardMessage::Heartbeat));
+        let mut bytes = if heartbeat { self.heartbeat_bytes.get() } else { 0 };
         let mut kind = "carry.beat";
         if bytes == 0 {
             let cluster = self.plan.cluster.as_str().into();
@@ -125,7 +125,7 @@
             let raw = wire::encode(&frame);
             bytes = raw.len() as u64;
             kind = crate::kinds::kind(&raw[8..]);
-            if beat {
+            if heartbeat {
                 self.heartbeat_bytes.set(bytes);
             }
         }
@@ -207,7 +207,7 @@
                         self.count((me, HOLLOW), HOLLOW, &message);
                         if self.plan.mesh {
                             let _ = links.send(LinkOrder::Send { to, message });
-                        } else if !matches!(message, Message::Forward(ForwardMessage::Beat)) {
+                        } else if !matches!(message, Message::Forward(ForwardMessage::Heartbeat)) {
                             let _ = peer.send(NodeMessage::Peer { from: me, message });
                         }
                     }
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -60,7 +60,7 @@
             let kind = match &message {
                 Message::Hold(LeaseMessage::Renew { .. }) => "renewals",
                 Message::Hold(_) => "other words to the core",
-                Message::Forward(ForwardMessage::Beat) => "beats",
+                Message::Forward(ForwardMessage::Heartbeat) => "beats",
                 Message::Plan(PlanMessage::Ask { .. }) => "plan asks",
                 _ => "others",
             };
--- a/crates/links/src/stream.rs
+++ b/crates/links/src/stream.rs
@@ -19,7 +19,7 @@
 
 /// How long the first frame may take.
 const GREETING: Duration = Duration::from_secs(3);
-/// Beats and proofs go over a link in use several times in this time.
+/// Heartbeats and proofs go over a link in use several times in this time.
 const PATIENCE: Duration = Duration::from_millis(1500);
 /// A link over which nothing goes for so long is greeted, or closed if it was dialled on demand.
 const QUIET: Duration = Duration::from_secs(4);
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -69,7 +69,7 @@
         self.may_serve = may_serve;
         match input {
             FrontInput::Task { ask, call } => self.admit(ask, call),
-            FrontInput::Forwarded { from, message: ForwardMessage::Beat } => self.heard(from),
+            FrontInput::Forwarded { from, message: ForwardMessage::Heartbeat } => self.heard(from),
             FrontInput::Forwarded { from, message } => {
                 self.heard(from);
                 self.forwarded(from, message)
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -61,7 +61,7 @@
     pub per_tenant: usize,
     pub margin: Duration,
     pub slack: Duration,
-    /// From a home's last beat until it or another is home again, as a rule.
+    /// From a home's last heartbeat until it or another is home again, as a rule.
     pub back: Duration,
 }
 
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -42,7 +42,7 @@
     pub(crate) sampled: Duration,
     pub(crate) gave_way: Duration,
     pub(crate) tuned: (u64, Vec<TunedLine>),
-    pub(crate) beaten: Duration,
+    pub(crate) heartbeat_sent: Duration,
     pub(crate) kept_at: Duration,
     pub(crate) kept: BTreeMap<String, Kept>,
     pub(crate) no_growth: Duration,
@@ -83,7 +83,7 @@
             sampled: Duration::ZERO,
             gave_way: Duration::ZERO,
             tuned: (0, Vec::new()),
-            beaten: Duration::ZERO,
+            heartbeat_sent: Duration::ZERO,
             kept_at: Duration::ZERO,
             kept: BTreeMap::new(),
             no_growth: Duration::ZERO,
@@ -109,9 +109,9 @@
             HomeInput::Forward { from, message: ForwardMessage::AttemptGrant { task, attempts } } => {
                 self.attempts_granted(from, task, attempts);
             }
-            HomeInput::Forward { from, message: ForwardMessage::Watch } => {
+            HomeInput::Forward { from, message: ForwardMessage::HeartbeatRequest } => {
                 if may_serve {
-                    self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::Beat });
+                    self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::Heartbeat });
                 }
             }
             HomeInput::Forward {
--- a/crates/traffic/src/owner_liveness.rs
+++ b/crates/traffic/src/owner_liveness.rs
@@ -1,6 +1,6 @@
 //! Whether a home is there to be forwarded to. While a home has tasks of a front it beats that front, and
-//! any frame of its counts as a beat; so one not heard for a while since a forward is silent. Nothing
-//! more is forwarded there, and it is asked to beat, as is one not linked yet, until it is heard.
+//! any frame of its counts as a heartbeat; so one not heard for a while since a forward is silent. Nothing
+//! more is forwarded there, and it is asked to send a heartbeat, as is one not linked yet, until it is heard.
 
 use crate::front::Front;
 use crate::front_types::{FrontOutput, Stage};
@@ -40,7 +40,7 @@
         }
         if watched.asked.is_none_or(|at| now >= at + ASK_AGAIN) {
             watched.asked = Some(now);
-            self.outs.push(FrontOutput::Forward { to: home, message: ForwardMessage::Watch });
+            self.outs.push(FrontOutput::Forward { to: home, message: ForwardMessage::HeartbeatRequest });
         }
         false
     }
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -14,7 +14,7 @@
 
 const EVERY: Duration = Duration::from_millis(500);
 const LASTS: Duration = Duration::from_secs(6);
-const BEAT: Duration = Duration::from_millis(100);
+const HEARTBEAT: Duration = Duration::from_millis(100);
 const FOREIGN: Duration = Duration::from_millis(600);
 const BEGUN_MOST: usize = 256;
 const KEPT_MOST: usize = 20_000;
@@ -59,17 +59,17 @@
         })
     }
 
-    /// Beats to the fronts whose tasks are here, and to those that count on beats, while this home may
+    /// Heartbeats to the fronts whose tasks are here, and to those that count on heartbeats, while this home may
     /// serve, and tables to those who keep them.
     pub(crate) fn keeping_pass(&mut self) {
         let now = self.now;
-        if self.may_serve && now >= self.beaten + BEAT {
-            self.beaten = now;
+        if self.may_serve && now >= self.heartbeat_sent + HEARTBEAT {
+            self.heartbeat_sent = now;
             let older = self.roster.members.iter().filter(|line| line.hashing < 2).map(|line| line.id);
             let waiting = self.tasks.values().filter(|task| task.caller).map(|task| task.id.from);
             let fronts: BTreeSet<NodeId> = waiting.chain(older).collect();
             let others = fronts.into_iter().filter(|id| *id != self.me);
-            self.outs.extend(others.map(|to| HomeOutput::Forward { to, message: ForwardMessage::Beat }));
+            self.outs.extend(others.map(|to| HomeOutput::Forward { to, message: ForwardMessage::Heartbeat }));
         }
         if now < self.kept_at + EVERY {
             return;
--- a/crates/traffic/tests/common/forwards.rs
+++ b/crates/traffic/tests/common/forwards.rs
@@ -22,7 +22,9 @@
 
 pub fn to_front(outputs: &[HomeOutput]) -> Option<ForwardMessage> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Forward { to: ME, message } if !matches!(message, ForwardMessage::Beat) => Some(message.clone()),
+        HomeOutput::Forward { to: ME, message } if !matches!(message, ForwardMessage::Heartbeat) => {
+            Some(message.clone())
+        }
         _ => None,
     })
 }
--- a/crates/traffic/tests/owner_liveness.rs
+++ b/crates/traffic/tests/owner_liveness.rs
@@ -1,4 +1,4 @@
-//! Whom a home beats, and when a front takes a home as silent.
+//! Whom a home sends heartbeats to, and when a front takes a home as silent.
 
 mod common;
 
@@ -6,9 +6,9 @@
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::ForwardMessage;
 
-fn beaten(outputs: &[HomeOutput]) -> Vec<u64> {
+fn heartbeats_to(outputs: &[HomeOutput]) -> Vec<u64> {
     let to = |output: &HomeOutput| match output {
-        HomeOutput::Forward { to, message: ForwardMessage::Beat } => Some(*to),
+        HomeOutput::Forward { to, message: ForwardMessage::Heartbeat } => Some(*to),
         _ => None,
     };
     outputs.iter().filter_map(to).collect()
@@ -17,7 +17,7 @@
 fn watches(outputs: &[FrontOutput]) -> usize {
     outputs
         .iter()
-        .filter(|output| matches!(output, FrontOutput::Forward { message: ForwardMessage::Watch, .. }))
+        .filter(|output| matches!(output, FrontOutput::Forward { message: ForwardMessage::HeartbeatRequest, .. }))
         .count()
 }
 
@@ -35,18 +35,30 @@
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER, 3, 4, 5, 6]) });
     let homes = roster(1, &[OTHER]);
     home.step(ms(0), true, HomeInput::Roster { roster: homes });
-    assert!(beaten(&home.step(ms(200), true, HomeInput::Tick)).is_empty());
-    assert_eq!(beaten(&home.step(ms(210), true, HomeInput::Forward { from: 3, message: ForwardMessage::Watch })), [3]);
+    assert!(heartbeats_to(&home.step(ms(200), true, HomeInput::Tick)).is_empty());
+    assert_eq!(
+        heartbeats_to(&home.step(
+            ms(210),
+            true,
+            HomeInput::Forward { from: 3, message: ForwardMessage::HeartbeatRequest }
+        )),
+        [3]
+    );
     assert!(
-        beaten(&home.step(ms(215), false, HomeInput::Forward { from: 3, message: ForwardMessage::Watch })).is_empty()
+        heartbeats_to(&home.step(
+            ms(215),
+            false,
+            HomeInput::Forward { from: 3, message: ForwardMessage::HeartbeatRequest }
+        ))
+        .is_empty()
     );
     let (_, message) = forward(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
     home.step(ms(220), true, HomeInput::Forward { from: 4, message });
-    assert_eq!(beaten(&home.step(ms(400), true, HomeInput::Tick)), [4]);
-    assert!(beaten(&home.step(ms(600), false, HomeInput::Tick)).is_empty(), "without a proof");
+    assert_eq!(heartbeats_to(&home.step(ms(400), true, HomeInput::Tick)), [4]);
+    assert!(heartbeats_to(&home.step(ms(600), false, HomeInput::Tick)).is_empty(), "without a proof");
     let answered = |o: &HomeOutput| matches!(o, HomeOutput::Forward { message: ForwardMessage::Answer { .. }, .. });
     let given_up = (7..80).map(|n| home.step(ms(n * 100), true, HomeInput::Tick)).any(|o| o.iter().any(answered));
-    assert!(given_up && beaten(&home.step(ms(8100), true, HomeInput::Tick)).is_empty(), "nothing is open");
+    assert!(given_up && heartbeats_to(&home.step(ms(8100), true, HomeInput::Tick)).is_empty(), "nothing is open");
 }
 
 #[test]
@@ -76,8 +88,8 @@
             "silent until heard"
         );
     }
-    front.step(ms(65_100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Beat });
+    front.step(ms(65_100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
     forward(&ask(&mut front, 65_200, true, "/t/f"));
-    front.step(ms(65_300), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Beat });
+    front.step(ms(65_300), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
     forward(&ask(&mut front, 80_000, true, "/t/f"));
 }
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -96,13 +96,13 @@
 }
 
 fn only_asks_to_beat(outputs: &[FrontOutput], home: u64) -> bool {
-    matches!(outputs, [FrontOutput::Forward { to, message: ForwardMessage::Watch }] if *to == home)
+    matches!(outputs, [FrontOutput::Forward { to, message: ForwardMessage::HeartbeatRequest }] if *to == home)
 }
 
 #[test]
 fn a_silent_home_is_carried_nothing_and_its_tasks_are_never_in_doubt() {
     let mut front = front(1, OTHER);
-    front.step(ms(100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Beat });
+    front.step(ms(100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
     forward(&ask(&mut front, 200, true, "/t/f"));
     assert!(only_asks_to_beat(&ask(&mut front, 600, true, "/t/f"), OTHER), "no beat for half a second");
     let moved = front.step(ms(2000), true, FrontInput::Roster { roster: roster(2, &[3]) });
--- a/crates/wire/src/chain.rs
+++ b/crates/wire/src/chain.rs
@@ -1,4 +1,4 @@
-//! What registries say to each other: beats and confirmations, the agreement on views, entries
+//! What registries say to each other: heartbeats and confirmations, the agreement on views, entries
 //! travelling down the chain, checkpoints copied to a joiner, and the founding of a cluster.
 
 use crate::{Blob, List, NodeId, Text};
@@ -42,9 +42,9 @@
 #[deku(id_type = "u8")]
 pub enum ChainMessage {
     #[deku(id = "1")]
-    Beat { view: u64, round: u64, unwell: u8 },
+    Heartbeat { view: u64, round: u64, unwell: u8 },
     #[deku(id = "2")]
-    BeatReceipt { view: u64, round: u64, holds_next: u8 },
+    HeartbeatAck { view: u64, round: u64, holds_next: u8 },
     #[deku(id = "3")]
     Prepare { slot: u64, ballot: u64 },
     #[deku(id = "4")]
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -111,7 +111,7 @@
     use super::*;
 
     fn frame() -> Frame {
-        let message = Message::Chain(ChainMessage::Beat { view: 3, round: 9, unwell: 0 });
+        let message = Message::Chain(ChainMessage::Heartbeat { view: 3, round: 9, unwell: 0 });
         Frame { format: FORMAT, cluster: "posta".into(), sender: 7, incarnation: 2, message }
     }
 
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -167,15 +167,15 @@
     #[deku(id = "5")]
     GiveWay { function: Text, memory_mb: u32 },
     #[deku(id = "6")]
-    Beat,
+    Heartbeat,
     #[deku(id = "7")]
     Table { table: HomeTable },
     /// `AnswerInSeconds` with the time to come back in milliseconds.
     #[deku(id = "8")]
     Answer { task: u64, outcome: Outcome, status: u16, again_ms: u32, head: Blob, body: Blob },
-    /// Asks a home to beat.
+    /// Asks a home to send a heartbeat.
     #[deku(id = "9")]
-    Watch,
+    HeartbeatRequest,
     #[deku(id = "10")]
     Inventory { inventory: InventoryChange },
     /// Asks for the inventory whole.
@@ -205,7 +205,7 @@
                 | ForwardMessage::NotHome { .. }
                 | ForwardMessage::Returned { .. }
                 | ForwardMessage::AttemptAsk { .. }
-                | ForwardMessage::Beat
+                | ForwardMessage::Heartbeat
         )
     }
 
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -1,6 +1,6 @@
 //! One message in an older format, while a fleet rolls from one program revision to the next. Format 2
 //! put away what nobody read (who the tail is and its view, in `NotTail`; the successor in `Leave`) and
-//! brought beats between routers, whole home tables and the entries a registry missed. Who understands only the format before hears
+//! brought heartbeats between routers, whole home tables and the entries a registry missed. Who understands only the format before hears
 //! the older word, or nothing where it had none. Format 3 brought the
 //! entry of a change with a declared revision, which a registry enters only where all speak it, and
 //! answers that tell the time to come back in milliseconds. Format 4 brought steps and the whole
@@ -27,7 +27,9 @@
         Message::Hold(LeaseMessage::Enrol { address, zone, ops, .. }) => {
             Message::Hold(LeaseMessage::Join { address, zone, ops })
         }
-        Message::Forward(ForwardMessage::Watch | ForwardMessage::Inventory { .. } | ForwardMessage::InventoryAsk) => {
+        Message::Forward(
+            ForwardMessage::HeartbeatRequest | ForwardMessage::Inventory { .. } | ForwardMessage::InventoryAsk,
+        ) => {
             return None;
         }
         Message::Hold(LeaseMessage::PartAsk { ask, whole, offset: 0, .. }) if whole != 0 => {
@@ -60,7 +62,7 @@
             Some(Message::Chain(ChainMessage::CopyAsk { copy: 0, piece: 0 }))
         }
         Message::Plan(PlanMessage::Measures { .. } | PlanMessage::Tuned { .. }) => None,
-        Message::Forward(ForwardMessage::Beat) => None,
+        Message::Forward(ForwardMessage::Heartbeat) => None,
         Message::Forward(ForwardMessage::Table { table }) if table.kept != 0 => None,
         Message::Forward(ForwardMessage::Table { table }) => Some(Message::Forward(ForwardMessage::Handover {
             function: table.function,
@@ -87,7 +89,7 @@
     #[test]
     fn format_one_hears_only_its_own_words() {
         let old = |message| spoken(message, 1);
-        assert_eq!(old(Message::Forward(ForwardMessage::Beat)), None);
+        assert_eq!(old(Message::Forward(ForwardMessage::Heartbeat)), None);
         let table = HomeTable { function: "t/f".into(), roster: 4, requests: 9, turned: 3, ..HomeTable::default() };
         let kept = HomeTable { kept: 1, ..table.clone() };
         assert_eq!(old(Message::Forward(ForwardMessage::Table { table: kept })), None);
