--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -5,7 +5,7 @@
 use crate::ask::Ask;
 use crate::connection::{Answer, Broken, Connection, Open};
 use crate::pool::{Pool, Taken};
-use crate::{DispatchOrder, DispatchReport, DispatcherMessage, Verdict, Words};
+use crate::{DispatchOrder, DispatchOutcome, DispatchReport, DispatcherMessage, Words};
 use kernel::Inbox;
 use std::io;
 use std::rc::Rc;
@@ -56,7 +56,7 @@
 }
 
 /// One order on a connection of its own, in the product's own dialect.
-pub async fn send_to_instance(order: DispatchOrder) -> Verdict {
+pub async fn send_to_instance(order: DispatchOrder) -> DispatchOutcome {
     Dispatcher::new(Words::default()).send(order).await
 }
 
@@ -72,8 +72,8 @@
         match message {
             DispatcherMessage::Send(order) => drop(spawn_local(async move {
                 let number = order.number;
-                let verdict = dispatcher.send(order).await;
-                report(DispatchReport::Dispatched { number, verdict });
+                let outcome = dispatcher.send(order).await;
+                report(DispatchReport::Dispatched { number, outcome });
             })),
             DispatcherMessage::Probe { id, address, after, limit } => drop(spawn_local(async move {
                 let ready = dispatcher.probe(&id, &address, after, limit).await;
@@ -89,35 +89,35 @@
 
     /// Sends one request and tells what its answer may be believed to say, soon after the order's limit at the
     /// latest.
-    pub async fn send(&self, order: DispatchOrder) -> Verdict {
+    pub async fn send(&self, order: DispatchOrder) -> DispatchOutcome {
         let Some(ask) = Ask::new(&order, &self.words) else {
-            return Verdict::Whole { status: 400, head: Vec::new(), body: Vec::new(), turned_away: false };
+            return DispatchOutcome::Whole { status: 400, head: Vec::new(), body: Vec::new(), turned_away: false };
         };
         match timeout(order.limit + LAST_WORD, self.exchange(&order, &ask)).await {
-            Ok(verdict) => verdict,
-            Err(_) => Verdict::InDoubt { told: "no whole answer in time".into(), late: true },
+            Ok(outcome) => outcome,
+            Err(_) => DispatchOutcome::InDoubt { told: "no whole answer in time".into(), late: true },
         }
     }
 
-    async fn exchange(&self, order: &DispatchOrder, ask: &Ask) -> Verdict {
+    async fn exchange(&self, order: &DispatchOrder, ask: &Ask) -> DispatchOutcome {
         loop {
             let taken = match ask.id {
                 Some(_) => self.pool.take(Instant::now(), &order.instance, &order.address, order.connections),
                 None => Taken::ToOpen(self.pool.open_apart()),
             };
             let (mut connection, kept) = match taken {
-                Taken::Full => return Verdict::Crowded,
+                Taken::Full => return DispatchOutcome::Crowded,
                 Taken::Kept(connection) => (connection, true),
                 Taken::ToOpen(open) => match connect(&order.address, open, order.limit).await {
                     Ok(connection) => (connection, false),
-                    Err(fault) if is_absent(&fault) => return Verdict::NotSent,
-                    Err(_) => return Verdict::Crowded,
+                    Err(fault) if is_absent(&fault) => return DispatchOutcome::NotSent,
+                    Err(_) => return DispatchOutcome::Crowded,
                 },
             };
             match connection.exchange(ask, &self.words).await {
                 Err(Broken::Unsent) if kept => {}
-                Err(Broken::Unsent) => return Verdict::Crowded,
-                Err(Broken::Doubt(told)) => return Verdict::InDoubt { told, late: false },
+                Err(Broken::Unsent) => return DispatchOutcome::Crowded,
+                Err(Broken::Doubt(told)) => return DispatchOutcome::InDoubt { told, late: false },
                 Ok(Answer { start, body, reusable }) => {
                     if reusable {
                         self.pool.put(Instant::now(), &order.instance, connection, Some(start.keep));
@@ -128,23 +128,26 @@
         }
     }
 
-    fn judge(&self, start: Start, body: Vec<u8>) -> Verdict {
+    fn judge(&self, start: Start, body: Vec<u8>) -> DispatchOutcome {
         let words = &self.words;
         let refuses = matches!(start.status, 408 | 429 | 503);
         match start.status {
-            421 if words.pinned.is_some() => return Verdict::NotRun { wrong_instance: true },
-            408 | 429 | 500..600 if start.not_run => return Verdict::NotRun { wrong_instance: false },
+            421 if words.pinned.is_some() => return DispatchOutcome::NotRun { wrong_instance: true },
+            408 | 429 | 500..600 if start.not_run => return DispatchOutcome::NotRun { wrong_instance: false },
             100..400 if start.not_run => {
-                return Verdict::InDoubt { told: "not run and yet answered".into(), late: false };
+                return DispatchOutcome::InDoubt { told: "not run and yet answered".into(), late: false };
             }
             // Passed on, it would be a promise that the instance did not give.
             status if words.not_run.is_some() && !start.not_run && refuses => {
-                return Verdict::InDoubt { told: format!("{status} without a word that it was not run"), late: false };
+                return DispatchOutcome::InDoubt {
+                    told: format!("{status} without a word that it was not run"),
+                    late: false,
+                };
             }
             _ => {}
         }
         let turned_away = words.not_run.is_none() && matches!(start.status, 429 | 503);
-        Verdict::Whole { status: start.status, head: start.head, body, turned_away }
+        DispatchOutcome::Whole { status: start.status, head: start.head, body, turned_away }
     }
 
     /// Whether the instance took a connection within the limit; one that it took is kept.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -16,5 +16,5 @@
 
 pub use dispatcher::{Dispatcher, Report, run, send_to_instance};
 pub use head::{answer_lines, fill, lines};
-pub use order::{DispatchOrder, DispatchReport, DispatcherMessage, Verdict};
+pub use order::{DispatchOrder, DispatchOutcome, DispatchReport, DispatcherMessage};
 pub use words::Words;
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -46,7 +46,7 @@
 
 /// What may be believed about a request that was ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum DispatchOutcome {
     /// `turned_away` is a guess by the status, where the dialect has no word for it.
     Whole {
         /// The status of the answer.
@@ -84,7 +84,7 @@
         /// The order's number.
         number: u64,
         /// What came of it.
-        verdict: Verdict,
+        outcome: DispatchOutcome,
     },
     /// Of a probe.
     Probed {
--- a/crates/dispatch/tests/kept.rs
+++ b/crates/dispatch/tests/kept.rs
@@ -2,15 +2,15 @@
 
 mod stand_in;
 
-use dispatch::Verdict;
+use dispatch::DispatchOutcome;
 use stand_in::{Act, StandIn, answer, dispatcher, last, run, status};
 use std::time::Duration;
 use test_case::test_case;
 
 const GOOD: &str = "HTTP/1.1 200 OK\nx-id: {id}\nkeep-alive: timeout=5\ncontent-length: 4\n\ndone";
 
-fn in_doubt(verdict: &Verdict) -> bool {
-    matches!(verdict, Verdict::InDoubt { late: false, .. })
+fn in_doubt(outcome: &DispatchOutcome) -> bool {
+    matches!(outcome, DispatchOutcome::InDoubt { late: false, .. })
 }
 
 #[test]
@@ -38,7 +38,7 @@
         let instance = StandIn::start(vec![vec![answer(first)], vec![answer(GOOD)]]).await;
         let dispatcher = dispatcher();
         for id in ["a", "b"] {
-            let Verdict::Whole { status: 200, body, .. } = dispatcher.send(instance.order(id)).await else {
+            let DispatchOutcome::Whole { status: 200, body, .. } = dispatcher.send(instance.order(id)).await else {
                 panic!("{id} is answered")
             };
             assert_eq!(body, b"done");
@@ -120,7 +120,7 @@
             dispatcher.send(order("b")).await
         };
         let told = tokio::select! { biased; told = silent => told, told = second => told };
-        assert_eq!(told, Verdict::Crowded);
+        assert_eq!(told, DispatchOutcome::Crowded);
     });
 }
 
--- a/crates/dispatch/tests/verdicts.rs
+++ b/crates/dispatch/tests/outcomes.rs
@@ -2,13 +2,13 @@
 
 mod stand_in;
 
-use dispatch::{DispatchOrder, Verdict, send_to_instance};
+use dispatch::{DispatchOrder, DispatchOutcome, send_to_instance};
 use stand_in::{Act, StandIn, answer, dispatcher, last, run, status};
 use std::time::Duration;
 use test_case::test_case;
 use tokio::net::TcpListener;
 
-fn verdict(act: Act) -> Verdict {
+fn outcome(act: Act) -> DispatchOutcome {
     run(async {
         let instance = StandIn::start(vec![vec![act]]).await;
         dispatcher().send(instance.order("a")).await
@@ -21,14 +21,14 @@
 #[test_case("HTTP/1.1 200 OK\nx-id: {id}\ntransfer-encoding: chunked\n\n2\nok\n0\n\n", 200; "chunks")]
 #[test_case("HTTP/1.1 100 Go on\n\nHTTP/1.1 200 OK\nx-id: {id}\ncontent-length: 0\n\n", 200; "after an interim one")]
 fn a_whole_answer_is_passed_on(words: &str, wanted: u16) {
-    assert_eq!(status(&verdict(answer(words))), wanted);
+    assert_eq!(status(&outcome(answer(words))), wanted);
 }
 
 #[test_case("HTTP/1.1 503 Full\nx-id: {id}\nx-not-run: 1\ncontent-length: 0\n\n", false; "full")]
 #[test_case("HTTP/1.1 429 Many\nx-id: {id}\nx-not-run: 1\ncontent-length: 0\n\n", false; "too many")]
 #[test_case("HTTP/1.1 421 Other\nx-id: {id}\ncontent-length: 0\n\n", true; "another instance")]
 fn an_instances_own_word_says_that_it_did_not_run(words: &str, wrong_instance: bool) {
-    assert_eq!(verdict(answer(words)), Verdict::NotRun { wrong_instance });
+    assert_eq!(outcome(answer(words)), DispatchOutcome::NotRun { wrong_instance });
 }
 
 #[test_case("HTTP/1.1 503 Full\nx-id: {id}\ncontent-length: 0\n\n"; "a promise without the word")]
@@ -41,8 +41,8 @@
 #[test_case("HTTP/1.1 200 OK\nx-id: {id}\ncontent-length: +1\n\nx"; "a length that is no number")]
 #[test_case("HTTP/1.1 101 Switch\nx-id: {id}\n\n"; "another protocol")]
 fn what_falls_short_is_in_doubt(words: &str) {
-    let told = verdict(answer(words));
-    assert!(matches!(told, Verdict::InDoubt { late: false, .. }), "{told:?}");
+    let told = outcome(answer(words));
+    assert!(matches!(told, DispatchOutcome::InDoubt { late: false, .. }), "{told:?}");
 }
 
 #[test_case(last("HTTP/1.1 200 OK\nx-id: {id}\ncontent-length: 9\n\ncut"); "a body cut")]
@@ -51,8 +51,8 @@
 #[test_case(last("\u{1}garbage\n\n"); "garbage")]
 #[test_case(Act::Close; "closed without a byte")]
 fn what_is_cut_is_in_doubt(act: Act) {
-    let told = verdict(act);
-    assert!(matches!(told, Verdict::InDoubt { late: false, .. }), "{told:?}");
+    let told = outcome(act);
+    assert!(matches!(told, DispatchOutcome::InDoubt { late: false, .. }), "{told:?}");
 }
 
 #[test]
@@ -62,7 +62,7 @@
         let limit = Duration::from_millis(30);
         dispatcher().send(DispatchOrder { limit, ..instance.order("a") }).await
     });
-    assert!(matches!(told, Verdict::InDoubt { late: true, .. }), "{told:?}");
+    assert!(matches!(told, DispatchOutcome::InDoubt { late: true, .. }), "{told:?}");
 }
 
 #[test]
@@ -74,7 +74,7 @@
         drop(listener);
         dispatcher().send(order).await
     });
-    assert_eq!(told, Verdict::NotSent);
+    assert_eq!(told, DispatchOutcome::NotSent);
 }
 
 #[test]
--- a/crates/dispatch/tests/stand_in/mod.rs
+++ b/crates/dispatch/tests/stand_in/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use dispatch::{DispatchOrder, Dispatcher, Verdict, Words};
+use dispatch::{DispatchOrder, DispatchOutcome, Dispatcher, Words};
 use hyper::header::HeaderName;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -127,9 +127,9 @@
     LocalSet::new().block_on(&runtime, work)
 }
 
-pub fn status(verdict: &Verdict) -> u16 {
-    match verdict {
-        Verdict::Whole { status, .. } => *status,
+pub fn status(outcome: &DispatchOutcome) -> u16 {
+    match outcome {
+        DispatchOutcome::Whole { status, .. } => *status,
         _ => 0,
     }
 }
--- a/crates/hollow/src/offline_tasks.rs
+++ b/crates/hollow/src/offline_tasks.rs
@@ -8,7 +8,7 @@
 use crate::workload::Workload;
 use serde_json::{Value, json};
 use std::time::Duration;
-use traffic::{HomeInput, HomeOutput, Verdict};
+use traffic::{DispatchOutcome, HomeInput, HomeOutput};
 use wire::{FORMAT, ForwardMessage, Frame, HeaderLine, Message, Outcome, RequestHead, decode, encode};
 
 const TASKS: u64 = 500;
@@ -55,8 +55,12 @@
     let (there, back) = (frame(forward(1)), frame(forwarded.clone()));
     let mut now = from;
     let (mut next, mut answered) = (0, 0);
-    let whole =
-        |head: &[u8]| Verdict::Whole { status: 200, head: head.to_vec(), body: vec![b'b'; bytes], turned_away: false };
+    let whole = |head: &[u8]| DispatchOutcome::Whole {
+        status: 200,
+        head: head.to_vec(),
+        body: vec![b'b'; bytes],
+        turned_away: false,
+    };
     let steps = timed(5, || {
         for _ in 0..TASKS {
             now += APART;
@@ -64,8 +68,8 @@
             let outputs = home.step(now, true, HomeInput::Forward { from: 9, message: forward(next) });
             for output in outputs {
                 let HomeOutput::Dispatch(order) = output else { continue };
-                let verdict = whole(&head);
-                let outputs = home.step(now, true, HomeInput::Dispatched { number: order.number, verdict });
+                let outcome = whole(&head);
+                let outputs = home.step(now, true, HomeInput::Dispatched { number: order.number, outcome });
                 answered += outputs.iter().filter(|output| matches!(output, HomeOutput::Forward { .. })).count();
             }
         }
--- a/crates/scaler/src/lib.rs
+++ b/crates/scaler/src/lib.rs
@@ -18,6 +18,6 @@
 pub use forecast::{Forecast, Model, persistence};
 pub use optimizer::{Optimizer, Planned};
 pub use plan::{Plan, PlanFault, PlanTask, plan};
-pub use player::{Player, PlayerTiming, Situation, Verdict, fallback};
+pub use player::{Decision, Player, PlayerTiming, Situation, fallback};
 pub use tuner::{Measure, Tuned, Tuner};
 pub use window::{Sample, Window};
--- a/crates/scaler/src/player.rs
+++ b/crates/scaler/src/player.rs
@@ -57,7 +57,7 @@
 
 /// What to do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct Decision {
     /// How many instances there should be.
     pub desired: u32,
     /// Whether a plan is to be asked for.
@@ -123,10 +123,10 @@
     }
 
     /// Says what the count should be now, and whether a plan is to be asked for under `ask`.
-    pub fn step(&mut self, now: Duration, ask: u64, situation: Situation, timing: &PlayerTiming) -> Verdict {
+    pub fn step(&mut self, now: Duration, ask: u64, situation: Situation, timing: &PlayerTiming) -> Decision {
         let Situation { running, starting, held, in_flight, capacity, min, max, fixed, may_ask, live } = situation;
         if let Some(count) = fixed {
-            return Verdict { desired: count, ask: false };
+            return Decision { desired: count, ask: false };
         }
         if let Some(PendingAsk { asked_at, .. }) = self.asked
             && now > asked_at + timing.timeout
@@ -156,7 +156,7 @@
         let demand = held + in_flight > 0;
         let desired = played.unwrap_or_else(|| fallback(count, demand, min, max));
         let woken = if held > 0 { desired.max(1) } else { desired };
-        Verdict { desired: woken.max(live).clamp(min.min(max), max), ask: asks }
+        Decision { desired: woken.max(live).clamp(min.min(max), max), ask: asks }
     }
 
     /// Takes a plan asked for under `ask`, unless a later host has already been heard.
@@ -187,11 +187,11 @@
     #[test]
     fn plans_are_played_by_elapsed_step_and_asked_for_when_they_run_out() {
         let (timing, mut player) = (PlayerTiming::default(), Player::default());
-        assert_eq!(player.step(S, 1, situation(4, 0), &timing), Verdict { desired: 4, ask: true });
+        assert_eq!(player.step(S, 1, situation(4, 0), &timing), Decision { desired: 4, ask: true });
         assert!(player.take(S, 1, 5, vec![3, 6], 15 * S));
-        assert_eq!(player.step(10 * S, 2, situation(4, 0), &timing), Verdict { desired: 3, ask: false });
-        assert_eq!(player.step(17 * S, 3, situation(3, 0), &timing), Verdict { desired: 6, ask: false });
-        assert_eq!(player.step(32 * S, 4, situation(6, 0), &timing), Verdict { desired: 6, ask: true });
+        assert_eq!(player.step(10 * S, 2, situation(4, 0), &timing), Decision { desired: 3, ask: false });
+        assert_eq!(player.step(17 * S, 3, situation(3, 0), &timing), Decision { desired: 6, ask: false });
+        assert_eq!(player.step(32 * S, 4, situation(6, 0), &timing), Decision { desired: 6, ask: true });
         assert!(!player.take(32 * S, 4, 4, vec![1], 15 * S), "a fenced-off host's plan");
         assert!(!player.take(32 * S, 3, 6, vec![1], 15 * S), "an answer to an older ask");
     }
@@ -215,8 +215,8 @@
         player.step(S, 1, situation(1, 0), &timing);
         player.take(S, 1, 1, vec![9; 4], 15 * S);
         let fixed = Situation { fixed: Some(3), ..situation(1, 50) };
-        assert_eq!(player.step(2 * S, 2, fixed, &timing), Verdict { desired: 3, ask: false });
-        assert_eq!(player.step(99 * S, 3, fixed, &timing), Verdict { desired: 3, ask: false });
+        assert_eq!(player.step(2 * S, 2, fixed, &timing), Decision { desired: 3, ask: false });
+        assert_eq!(player.step(99 * S, 3, fixed, &timing), Decision { desired: 3, ask: false });
     }
 
     #[test]
@@ -238,8 +238,8 @@
         let mut asks = 0;
         for tenth in 0..30u32 {
             let now = 2 * S + tenth * S / 10;
-            let verdict = player.step(now, u64::from(100 + tenth), situation(1, 7), &timing);
-            if verdict.ask {
+            let decision = player.step(now, u64::from(100 + tenth), situation(1, 7), &timing);
+            if decision.ask {
                 asks += 1;
                 player.take(now, u64::from(100 + tenth), 1, vec![1; 8], 15 * S);
             }
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -7,7 +7,7 @@
 use crate::yard::Work;
 use rand::RngExt;
 use std::time::Duration;
-use traffic::{DispatchOrder, HomeInput, Verdict};
+use traffic::{DispatchOrder, DispatchOutcome, HomeInput};
 use wire::{AnswerHead, RequestHead};
 
 impl World {
@@ -34,14 +34,14 @@
         let now = self.now;
         let declared = self.plan.limit;
         let limit = |service: &String| limits.get(service).copied().unwrap_or(declared);
-        let verdict = match self.yard.instances.get_mut(&order.address) {
-            None => Verdict::NotSent,
-            Some(instance) if instance.ready_at > now => Verdict::NotSent,
+        let outcome = match self.yard.instances.get_mut(&order.address) {
+            None => DispatchOutcome::NotSent,
+            Some(instance) if instance.ready_at > now => DispatchOutcome::NotSent,
             Some(instance) if instance.busy >= limit(&instance.service) || turned => {
                 let service = instance.service.clone();
                 let over = instance.busy >= declared;
                 self.rules.turned_away(now, &service, over);
-                Verdict::Whole { status: 503, head: empty(), body: b"at its limit".to_vec(), turned_away: true }
+                DispatchOutcome::Whole { status: 503, head: empty(), body: b"at its limit".to_vec(), turned_away: true }
             }
             Some(instance) => {
                 instance.busy += 1;
@@ -49,20 +49,25 @@
                 self.rules.ran(now, &label, &service);
                 if lost || garbled {
                     let told = if lost { "lost" } else { "bytes after the answer's declared end" };
-                    Verdict::InDoubt { told: told.into(), late: false }
+                    DispatchOutcome::InDoubt { told: told.into(), late: false }
                 } else {
-                    Verdict::Whole { status: 200, head: empty(), body: label.clone().into_bytes(), turned_away: false }
+                    DispatchOutcome::Whole {
+                        status: 200,
+                        head: empty(),
+                        body: label.clone().into_bytes(),
+                        turned_away: false,
+                    }
                 }
             }
         };
-        let ran = matches!(&verdict, Verdict::Whole { status: 200, .. } | Verdict::InDoubt { .. });
+        let ran = matches!(&outcome, DispatchOutcome::Whole { status: 200, .. } | DispatchOutcome::InDoubt { .. });
         if !ran {
             took = Duration::from_millis(self.dice.random_range(1..15));
         }
         self.yard.next += 1;
         let number = self.yard.next;
         let instance = if ran { order.address } else { String::new() };
-        let work = Work { router: n, life: self.routers[n].life, order: order.number, instance, verdict };
+        let work = Work { router: n, life: self.routers[n].life, order: order.number, instance, outcome };
         self.yard.work.insert(number, work);
         self.after(took, Event::InstanceDone { number });
     }
@@ -89,11 +94,12 @@
             }
             None => work.instance.is_empty(),
         };
-        let verdict = if alive { work.verdict } else { Verdict::InDoubt { told: "crashed".into(), late: false } };
+        let outcome =
+            if alive { work.outcome } else { DispatchOutcome::InDoubt { told: "crashed".into(), late: false } };
         if self.routers[work.router].life != work.life {
             return;
         }
-        self.turn(work.router, Turn::Home(HomeInput::Dispatched { number: work.order, verdict }));
+        self.turn(work.router, Turn::Home(HomeInput::Dispatched { number: work.order, outcome }));
     }
 }
 
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/yard.rs
@@ -10,7 +10,7 @@
     InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReceipt, StopReceipt,
     WorkerLine,
 };
-use traffic::{HomeInput, Verdict};
+use traffic::{DispatchOutcome, HomeInput};
 
 const ORDERS: usize = 80;
 const WORKERS: usize = 6;
@@ -31,7 +31,7 @@
     pub life: u64,
     pub order: u64,
     pub instance: String,
-    pub verdict: Verdict,
+    pub outcome: DispatchOutcome,
 }
 
 #[derive(Default)]
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -164,8 +164,8 @@
                 Message::Hold(message) => self.turn(Turn::Home(HomeInput::Ledger { message })),
                 _ => {}
             },
-            TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, verdict }) => {
-                self.turn(Turn::Home(HomeInput::Dispatched { number, verdict }))
+            TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, outcome }) => {
+                self.turn(Turn::Home(HomeInput::Dispatched { number, outcome }))
             }
             TrafficMessage::Dispatcher(DispatchReport::Probed { id, ready }) => {
                 self.turn(Turn::Home(HomeInput::Probed { id, ready }))
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -4,7 +4,7 @@
 use crate::data_plane::{DataPlane, Turn};
 use crate::front_types::{FrontOutput, Reply};
 use crate::home_types::{HomeInput, HomeOutput};
-use dispatch::{DispatcherMessage, Verdict};
+use dispatch::{DispatchOutcome, DispatcherMessage};
 use events::event;
 use links::LinkOrder;
 use std::collections::VecDeque;
@@ -66,7 +66,7 @@
             HomeOutput::Dispatch(order) => {
                 let number = order.number;
                 if !self.to_dispatcher(DispatcherMessage::Send(order)) {
-                    return Some(Turn::Home(HomeInput::Dispatched { number, verdict: Verdict::Crowded }));
+                    return Some(Turn::Home(HomeInput::Dispatched { number, outcome: DispatchOutcome::Crowded }));
                 }
             }
             HomeOutput::Probe { id, address, after, limit } => {
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -6,7 +6,7 @@
 use crate::home_types::{Failure, HomeOutput};
 use crate::instance::InstanceEvent;
 use bindings::Class;
-use dispatch::Verdict;
+use dispatch::DispatchOutcome;
 use events::event;
 use std::time::Duration;
 use wire::{Outcome, StoredAnswer};
@@ -16,15 +16,15 @@
 const PAUSE: Duration = Duration::from_millis(300);
 
 impl Home {
-    pub(crate) fn dispatched(&mut self, order: u64, verdict: Verdict) {
+    pub(crate) fn dispatched(&mut self, order: u64, outcome: DispatchOutcome) {
         let now = self.now;
         let Some((number, name, instance_id, begun, level)) = self.running.remove(&order) else { return };
-        self.note(&name, &instance_id, order, (begun, level), &verdict);
+        self.note(&name, &instance_id, order, (begun, level), &outcome);
         let Some(task) = self.tasks.get_mut(&number) else { return };
         let class = task.class;
         task.avoid = instance_id;
-        match (verdict, class) {
-            (Verdict::NotSent | Verdict::Crowded, _) => {
+        match (outcome, class) {
+            (DispatchOutcome::NotSent | DispatchOutcome::Crowded, _) => {
                 task.dispatches -= 1;
                 task.not_before = now;
                 if task.is_first()
@@ -37,23 +37,23 @@
                     || !self.is_home(&name);
                 if leaves { self.send_back(number) } else { self.hold(number) }
             }
-            (Verdict::NotRun { .. }, Class::Ordinary | Class::Single | Class::Once) => {
+            (DispatchOutcome::NotRun { .. }, Class::Ordinary | Class::Single | Class::Once) => {
                 let wait = |scheduler: &FunctionScheduler| scheduler.expected_wait(now, scheduler.held.len());
                 let wait = self.schedulers.get(&name).map_or(Duration::ZERO, wait);
                 let again = self.time_to_come_back(number, wait);
                 self.try_again(number, false, Failure::not_run(again));
             }
-            (Verdict::Whole { status, head, body, .. }, Class::Once) => {
+            (DispatchOutcome::Whole { status, head, body, .. }, Class::Once) => {
                 let answer = stored(status, &head, &body);
                 self.settle(number, &answer);
                 self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
             }
-            (Verdict::InDoubt { .. }, Class::Once) => {
+            (DispatchOutcome::InDoubt { .. }, Class::Once) => {
                 let answer = StoredAnswer { outcome: Outcome::Unknown, ..stored(504, &[], &[]) };
                 self.settle(number, &answer);
                 self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO);
             }
-            (Verdict::Whole { status, head, body, turned_away }, Class::Ordinary | Class::Single) => {
+            (DispatchOutcome::Whole { status, head, body, turned_away }, Class::Ordinary | Class::Single) => {
                 let failed = status >= 500 && status != 504;
                 if class == Class::Ordinary && (turned_away || failed) {
                     self.try_again(number, !turned_away, Failure::answered(status, head, body));
@@ -61,14 +61,16 @@
                     self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
                 }
             }
-            (Verdict::InDoubt { late, .. }, Class::Ordinary | Class::Single) => {
+            (DispatchOutcome::InDoubt { late, .. }, Class::Ordinary | Class::Single) => {
                 let status = if late { 504 } else { 502 };
                 match class {
                     Class::Single => self.answer_own(number, Outcome::Unknown, status, Duration::ZERO),
                     _ => self.try_again(number, true, Failure::unknown(status)),
                 }
             }
-            (Verdict::Whole { status, head, body, turned_away }, Class::Deferred) if status < 500 && !turned_away => {
+            (DispatchOutcome::Whole { status, head, body, turned_away }, Class::Deferred)
+                if status < 500 && !turned_away =>
+            {
                 self.finish(number, &stored(status, &head, &body));
                 if let Some(id) = self.tasks.get(&number).and_then(|task| task.stored.clone()) {
                     self.finished.insert(id, now);
@@ -84,41 +86,50 @@
         }
     }
 
-    /// What the scheduler learns of its instance from a verdict.
-    fn note(&mut self, name: &str, instance_id: &str, order: u64, (begun, level): (Duration, u32), verdict: &Verdict) {
+    /// What the scheduler learns of its instance from an outcome.
+    fn note(
+        &mut self,
+        name: &str,
+        instance_id: &str,
+        order: u64,
+        (begun, level): (Duration, u32),
+        outcome: &DispatchOutcome,
+    ) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
-        let turned_away =
-            matches!(verdict, Verdict::Whole { turned_away: true, .. } | Verdict::NotRun { wrong_instance: false });
+        let turned_away = matches!(
+            outcome,
+            DispatchOutcome::Whole { turned_away: true, .. } | DispatchOutcome::NotRun { wrong_instance: false }
+        );
         scheduler.in_flight = scheduler.in_flight.saturating_sub(1);
         scheduler.risk.ended(now, order, begun, turned_away);
         if let Some(instance) = scheduler.instances.get_mut(instance_id) {
             instance.busy = instance.busy.saturating_sub(1);
             instance.used = now;
-            match verdict {
-                Verdict::Whole { .. } if !turned_away => instance.proven = instance.proven.max(level),
-                Verdict::NotSent | Verdict::Crowded => instance.paused_until = now + PAUSE,
-                Verdict::InDoubt { late: true, .. } => {
+            match outcome {
+                DispatchOutcome::Whole { .. } if !turned_away => instance.proven = instance.proven.max(level),
+                DispatchOutcome::NotSent | DispatchOutcome::Crowded => instance.paused_until = now + PAUSE,
+                DispatchOutcome::InDoubt { late: true, .. } => {
                     instance.foreign = if now < instance.foreign_until { instance.foreign + 1 } else { 1 };
                     instance.foreign_until = now + Duration::from_secs(2);
                 }
                 _ => {}
             }
         }
-        match verdict {
+        match outcome {
             _ if turned_away => {
                 event!(turned_away, "{instance_id}");
                 scheduler.turned_away(now, instance_id);
                 scheduler.budget.turned_away(now);
                 scheduler.seen.turned += 1;
             }
-            Verdict::Whole { .. } => scheduler.took(now.saturating_sub(begun)),
-            Verdict::NotRun { .. } => event!(instance_doubted, "{instance_id}: another answers at its address"),
-            Verdict::InDoubt { told, .. } => event!(instance_doubted, "{instance_id}: {told}"),
-            Verdict::NotSent | Verdict::Crowded => {}
+            DispatchOutcome::Whole { .. } => scheduler.took(now.saturating_sub(begun)),
+            DispatchOutcome::NotRun { .. } => event!(instance_doubted, "{instance_id}: another answers at its address"),
+            DispatchOutcome::InDoubt { told, .. } => event!(instance_doubted, "{instance_id}: {told}"),
+            DispatchOutcome::NotSent | DispatchOutcome::Crowded => {}
         }
-        let replaced = *verdict == Verdict::NotRun { wrong_instance: true };
-        if replaced || *verdict == Verdict::NotSent {
+        let replaced = *outcome == DispatchOutcome::NotRun { wrong_instance: true };
+        if replaced || *outcome == DispatchOutcome::NotSent {
             self.outs.push(HomeOutput::Forget { id: instance_id.to_owned() });
             if replaced { self.replaced(name, instance_id) } else { self.lose(name, instance_id) }
         }
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -130,7 +130,7 @@
             HomeInput::Forward { from, message: ForwardMessage::InventoryAsk } => self.inventory_asked(from),
             HomeInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
             HomeInput::Forward { .. } => {}
-            HomeInput::Dispatched { number, verdict } => self.dispatched(number, verdict),
+            HomeInput::Dispatched { number, outcome } => self.dispatched(number, outcome),
             HomeInput::Ledger { message } => self.ledger_receipt(message),
             HomeInput::Platform { report, listed_at } => self.platform(report, listed_at),
             HomeInput::Probed { id, ready } => self.probed(&id, ready),
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -2,7 +2,7 @@
 
 use crate::allowances::Allowances;
 use bindings::{Class, RouteTable};
-use dispatch::{DispatchOrder, Verdict};
+use dispatch::{DispatchOrder, DispatchOutcome};
 use holds::Roster;
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 pub enum HomeInput {
     Forward { from: NodeId, message: ForwardMessage },
-    Dispatched { number: u64, verdict: Verdict },
+    Dispatched { number: u64, outcome: DispatchOutcome },
     Ledger { message: LeaseMessage },
     Platform { report: ProviderReport, listed_at: Duration },
     Probed { id: String, ready: bool },
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -56,7 +56,7 @@
 pub use allowances::{Allowances, Most};
 pub use budget::{Budget, Spent, Window};
 pub use dialect::{Dialect, MakePages};
-pub use dispatch::{DispatchOrder, Verdict, Words, send_to_instance};
+pub use dispatch::{DispatchOrder, DispatchOutcome, Words, send_to_instance};
 pub use faults::RunFault;
 pub use front::Front;
 pub use front_types::{Call, FrontInput, FrontLimits, FrontOutput, Reply};
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -79,13 +79,13 @@
                 live: scheduler.live(now),
             };
             let before = scheduler.player.fallbacks;
-            let verdict = scheduler.player.step(now, ask, situation, &self.timing.player);
+            let decision = scheduler.player.step(now, ask, situation, &self.timing.player);
             if scheduler.player.fallbacks > before {
                 event!(plan_fallback, "{name}");
             }
-            scheduler.desired = if bound { verdict.desired } else { 0 };
-            asks_left -= usize::from(verdict.ask);
-            if verdict.ask && bound {
+            scheduler.desired = if bound { decision.desired } else { 0 };
+            asks_left -= usize::from(decision.ask);
+            if decision.ask && bound {
                 let message = PlanMessage::Ask {
                     ask,
                     function: name.as_str().into(),
--- a/crates/traffic/tests/answers.rs
+++ b/crates/traffic/tests/answers.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
-use traffic::{DispatchOrder, Verdict, send_to_instance};
+use traffic::{DispatchOrder, DispatchOutcome, send_to_instance};
 use wire::RequestHead;
 
 fn order(address: String) -> DispatchOrder {
@@ -16,7 +16,7 @@
     DispatchOrder { number: 1, instance: "i-1".into(), address, head, body, limit, connections: u32::MAX }
 }
 
-fn verdict(answer: Vec<u8>) -> Verdict {
+fn outcome(answer: Vec<u8>) -> DispatchOutcome {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -44,8 +44,8 @@
 #[test_case("HTTP/1.1 204 No Content\n\n", 204, ""; "no content")]
 #[test_case("HTTP/1.1 503 Busy\ncontent-length: 0\n\n", 503, ""; "its own refusal")]
 fn a_whole_answer_is_passed_on(words: &str, wanted: u16, text: &str) {
-    match verdict(http(words)) {
-        Verdict::Whole { status, body, turned_away, .. } => {
+    match outcome(http(words)) {
+        DispatchOutcome::Whole { status, body, turned_away, .. } => {
             assert_eq!((status, body, turned_away), (wanted, text.as_bytes().to_vec(), wanted == 503));
         }
         other => panic!("{other:?}"),
@@ -63,15 +63,15 @@
 #[test_case("\u{1}\u{2}garbage\n\n"; "garbage")]
 #[test_case(""; "nothing")]
 fn anything_less_is_in_doubt(words: &str) {
-    let told = verdict(http(words));
-    assert!(matches!(told, Verdict::InDoubt { .. }), "{told:?}");
+    let told = outcome(http(words));
+    assert!(matches!(told, DispatchOutcome::InDoubt { .. }), "{told:?}");
 }
 
 #[test]
 fn an_oversized_answer_is_in_doubt_and_a_closed_door_was_never_sent_to() {
     let mut long = http("HTTP/1.1 200 OK\ncontent-length: 5000000\n\n");
     long.extend(std::iter::repeat_n(b'x', 5_000_000));
-    assert!(matches!(verdict(long), Verdict::InDoubt { .. }));
+    assert!(matches!(outcome(long), DispatchOutcome::InDoubt { .. }));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let told = LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -79,5 +79,5 @@
         drop(listener);
         send_to_instance(order(address)).await
     });
-    assert_eq!(told, Verdict::NotSent);
+    assert_eq!(told, DispatchOutcome::NotSent);
 }
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -7,7 +7,7 @@
 use common::{ME, OTHER, ms, reply, roster};
 use std::rc::Rc;
 use test_case::test_case;
-use traffic::{Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming, Verdict};
+use traffic::{DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ForwardMessage, HomeTable, NodeId, Outcome, SlotLine};
 
 const THIRD: NodeId = 3;
@@ -50,17 +50,17 @@
     home.step(ms(at), true, HomeInput::Forward { from: ME, message })
 }
 
-fn fails(home: &mut Home, at: u64, outputs: &[HomeOutput], verdict: Verdict) -> Vec<HomeOutput> {
+fn fails(home: &mut Home, at: u64, outputs: &[HomeOutput], outcome: DispatchOutcome) -> Vec<HomeOutput> {
     let number = sent(outputs).expect("sent to an instance");
-    home.step(ms(at), true, HomeInput::Dispatched { number, verdict })
+    home.step(ms(at), true, HomeInput::Dispatched { number, outcome })
 }
 
-fn garbled() -> Verdict {
-    Verdict::InDoubt { told: "garbled".into(), late: false }
+fn garbled() -> DispatchOutcome {
+    DispatchOutcome::InDoubt { told: "garbled".into(), late: false }
 }
 
-fn failed() -> Verdict {
-    Verdict::Whole { status: 500, head: Vec::new(), body: b"first".to_vec(), turned_away: false }
+fn failed() -> DispatchOutcome {
+    DispatchOutcome::Whole { status: 500, head: Vec::new(), body: b"first".to_vec(), turned_away: false }
 }
 
 fn tell(front: &mut Front, from: NodeId, at: u64, message: ForwardMessage) -> Vec<FrontOutput> {
@@ -168,7 +168,7 @@
     let mut home = home(OTHER, 2);
     let outputs = give(&mut home, 6, message);
     home.step(ms(10), true, HomeInput::Roster { roster: roster(3, &[THIRD]) });
-    let outputs = fails(&mut home, 20, &outputs, Verdict::NotRun { wrong_instance: false });
+    let outputs = fails(&mut home, 20, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
     assert_eq!(to_front(&outputs), Some(ForwardMessage::Returned { task, attempts: 1 }));
 }
 
@@ -194,7 +194,7 @@
     let outputs = give(&mut home, 6, message);
     fails(&mut home, 20, &outputs, garbled());
     let outputs = give(&mut home, 21, grant(task, 2));
-    let outputs = fails(&mut home, 30, &outputs, Verdict::NotRun { wrong_instance: false });
+    let outputs = fails(&mut home, 30, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
     let answer = to_front(&outputs);
     assert!(
         matches!(answer, Some(ForwardMessage::Answer { outcome: Outcome::Unknown, status: 504, .. })),
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -77,7 +77,7 @@
 #[test]
 fn a_task_that_cannot_be_served_in_time_is_refused_at_once_not_near_its_deadline() {
     use supply::{ProviderReport, StartReceipt};
-    use traffic::Verdict;
+    use traffic::DispatchOutcome;
     let mut home = Home::new(OTHER, 1, HomeTiming::default());
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","max":1}"#;
     let one = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
@@ -99,8 +99,9 @@
         }
         let done = running.iter().position(|(_, due)| at >= *due).map(|place| running.remove(place));
         if let Some((number, _)) = done {
-            let verdict = Verdict::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
-            inputs.push(HomeInput::Dispatched { number, verdict });
+            let outcome =
+                DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+            inputs.push(HomeInput::Dispatched { number, outcome });
         }
         for output in inputs.into_iter().flat_map(|input| home.step(ms(at), true, input)).collect::<Vec<_>>() {
             if let HomeOutput::Forward { message, .. } = &output {
--- a/crates/traffic/tests/lapse.rs
+++ b/crates/traffic/tests/lapse.rs
@@ -4,7 +4,7 @@
 
 use common::deferred::{FUNCTION, forward, granted, handed, home, read, sent};
 use common::{ME, OTHER, ms, roster};
-use traffic::{Home, HomeInput, HomeOutput, Verdict};
+use traffic::{DispatchOutcome, Home, HomeInput, HomeOutput};
 use wire::ForwardMessage;
 
 #[test]
@@ -74,8 +74,8 @@
         _ => None,
     });
     read(&mut home, 20, &[]);
-    let verdict = Verdict::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
-    home.step(ms(50), true, HomeInput::Dispatched { number: order.expect("sent"), verdict });
+    let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+    home.step(ms(50), true, HomeInput::Dispatched { number: order.expect("sent"), outcome });
     let outputs = home.step(ms(60), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
     let told = outputs.iter().any(|output| {
         matches!(output, HomeOutput::Forward { message: ForwardMessage::Table { table }, .. }
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -5,7 +5,7 @@
 
 use common::ME;
 use common::supplied::{FUNCTION, Supplied, six_workers};
-use traffic::{HomeInput, HomeOutput, Verdict};
+use traffic::{DispatchOutcome, HomeInput, HomeOutput};
 use wire::{ForwardMessage, PlanMessage, RequestHead};
 
 /// A plan made before the crowd: one instance at every step.
@@ -19,8 +19,9 @@
         home.pass(10);
         let at = home.at;
         for (number, _) in open.extract_if(.., |(_, due)| *due <= at).collect::<Vec<_>>() {
-            let verdict = Verdict::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
-            home.feed(HomeInput::Dispatched { number, verdict });
+            let outcome =
+                DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+            home.feed(HomeInput::Dispatched { number, outcome });
         }
         for _ in 0..rate / 100 {
             *next += 1;
--- a/crates/traffic/tests/order.rs
+++ b/crates/traffic/tests/order.rs
@@ -6,7 +6,7 @@
 use common::ME;
 use common::supplied::{FUNCTION, Supplied, six_workers};
 use std::rc::Rc;
-use traffic::{HomeInput, HomeOutput, Verdict};
+use traffic::{DispatchOutcome, HomeInput, HomeOutput};
 use wire::{ForwardMessage, RequestHead};
 
 fn forward(home: &mut Supplied, task: u64, left_ms: u32) {
@@ -54,8 +54,8 @@
     forward(&mut home, 3, 4000);
     forward(&mut home, 4, 2600);
     for expected in [4, 3, 2] {
-        let verdict = Verdict::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
-        home.feed(HomeInput::Dispatched { number: last[0].1, verdict });
+        let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+        home.feed(HomeInput::Dispatched { number: last[0].1, outcome });
         last = sent(&mut home);
         assert_eq!(last.iter().map(|(task, _)| *task).collect::<Vec<_>>(), [expected]);
     }
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -8,7 +8,7 @@
 };
 use common::{ME, OTHER, ms, roster};
 use std::collections::BTreeSet;
-use traffic::{Home, HomeInput, HomeOutput, Verdict};
+use traffic::{DispatchOutcome, Home, HomeInput, HomeOutput};
 use wire::{ForwardMessage, HomeTable};
 
 const BACKLOG: [u64; 6] = [1, 2, 3, 4, 5, 6];
@@ -86,9 +86,9 @@
     read(&mut home, 20, &[]);
     let outputs = home.step(ms(30), true, forward(7));
     let outputs = home.step(ms(31), true, granted(&outputs));
-    let verdict = Verdict::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+    let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
     let number = order(&outputs).expect("sent");
-    let outputs = home.step(ms(40), true, HomeInput::Dispatched { number, verdict });
+    let outputs = home.step(ms(40), true, HomeInput::Dispatched { number, outcome });
     let kept = told(&home.step(ms(600), true, HomeInput::Roster { roster: roster(2, &[OTHER]) })).expect("a table");
     assert_eq!(begun(&kept), ids(&[7]), "the store may not have heard of it");
     home.step(ms(610), true, granted(&outputs));
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -7,7 +7,7 @@
 use common::{ME, OTHER, forward, ms, reply, roster};
 use std::rc::Rc;
 use test_case::test_case;
-use traffic::{Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming, Verdict};
+use traffic::{DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ForwardMessage, HomeTable, Outcome, RequestHead, SlotLine};
 
 fn single(attempts: u32) -> Rc<RouteTable> {
@@ -60,20 +60,20 @@
     })
 }
 
-fn verdict(home: &mut Home, outputs: &[HomeOutput], verdict: Verdict) -> Vec<HomeOutput> {
+fn outcome(home: &mut Home, outputs: &[HomeOutput], outcome: DispatchOutcome) -> Vec<HomeOutput> {
     let (number, _) = sent(outputs).expect("it is sent without a claim, and the core away");
-    home.step(ms(20), true, HomeInput::Dispatched { number, verdict })
+    home.step(ms(20), true, HomeInput::Dispatched { number, outcome })
 }
 
-fn doubt(late: bool) -> Verdict {
-    Verdict::InDoubt { told: "closed".into(), late }
+fn doubt(late: bool) -> DispatchOutcome {
+    DispatchOutcome::InDoubt { told: "closed".into(), late }
 }
 
 #[test_case(doubt(false), 502; "no whole answer")]
 #[test_case(doubt(true), 504; "out of time")]
-fn in_doubt_it_is_told_at_once_and_never_sent_again(came: Verdict, status: u16) {
+fn in_doubt_it_is_told_at_once_and_never_sent_again(came: DispatchOutcome, status: u16) {
     let (mut home, first) = home(3);
-    let outputs = verdict(&mut home, &first, came);
+    let outputs = outcome(&mut home, &first, came);
     assert_eq!((told(&outputs), sent(&outputs)), (Some((Outcome::Unknown, status, 0)), None));
     assert_eq!(home.depths(), (0, 0, 0), "no ledger, and nothing kept");
 }
@@ -81,16 +81,16 @@
 #[test]
 fn an_instances_own_failure_is_its_answer() {
     let (mut home, first) = home(3);
-    let failed = Verdict::Whole { status: 500, head: Vec::new(), body: b"no".to_vec(), turned_away: false };
-    let outputs = verdict(&mut home, &first, failed);
+    let failed = DispatchOutcome::Whole { status: 500, head: Vec::new(), body: b"no".to_vec(), turned_away: false };
+    let outputs = outcome(&mut home, &first, failed);
     assert_eq!((told(&outputs), sent(&outputs)), (Some((Outcome::Answered, 500, 0)), None));
 }
 
-#[test_case(Verdict::NotSent; "nobody listens")]
-#[test_case(Verdict::Crowded; "no connection")]
-fn an_instance_that_never_got_it_does_not_count(came: Verdict) {
+#[test_case(DispatchOutcome::NotSent; "nobody listens")]
+#[test_case(DispatchOutcome::Crowded; "no connection")]
+fn an_instance_that_never_got_it_does_not_count(came: DispatchOutcome) {
     let (mut home, first) = home(1);
-    let outputs = verdict(&mut home, &first, came);
+    let outputs = outcome(&mut home, &first, came);
     let (before, after) = (sent(&first).map(|order| order.1), sent(&outputs).map(|order| order.1));
     assert!(after.is_some() && before != after, "{outputs:?}");
 }
@@ -99,7 +99,7 @@
 #[test_case(true; "another instance")]
 fn turned_away_by_the_only_one_it_may_go_to_it_is_refused_with_a_time(wrong_instance: bool) {
     let (mut home, first) = home(1);
-    let outputs = verdict(&mut home, &first, Verdict::NotRun { wrong_instance });
+    let outputs = outcome(&mut home, &first, DispatchOutcome::NotRun { wrong_instance });
     let (outcome, status, again) = told(&outputs).expect("told at once");
     assert_eq!((outcome, status, sent(&outputs)), (Outcome::NotRun, 503, None));
     assert!((100..2000).contains(&again), "{again}");
@@ -108,9 +108,9 @@
 #[test]
 fn turned_away_it_goes_to_another_where_it_may() {
     let (mut home, first) = home(2);
-    let second = verdict(&mut home, &first, Verdict::NotRun { wrong_instance: false });
+    let second = outcome(&mut home, &first, DispatchOutcome::NotRun { wrong_instance: false });
     assert_ne!(sent(&first).map(|order| order.1), sent(&second).map(|order| order.1));
-    let outputs = verdict(&mut home, &second, Verdict::NotRun { wrong_instance: false });
+    let outputs = outcome(&mut home, &second, DispatchOutcome::NotRun { wrong_instance: false });
     assert_eq!(told(&outputs).map(|told| (told.0, told.1)), Some((Outcome::NotRun, 503)));
 }
 
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -5,7 +5,7 @@
 use common::supplied::{FUNCTION, Supplied, line, six_workers};
 use common::{ME, OTHER, roster};
 use supply::{InstanceState, StartReceipt, StopReceipt};
-use traffic::{DispatchOrder, HomeInput, HomeOutput, Verdict};
+use traffic::{DispatchOrder, DispatchOutcome, HomeInput, HomeOutput};
 use wire::{ForwardMessage, RequestHead};
 
 fn accepted_one() -> Supplied {
@@ -123,7 +123,7 @@
     home.probed("i1", true);
     home.feed(HomeInput::Forward { from: OTHER, message: task(1) });
     let number = last_dispatch(&home).expect("a dispatch").number;
-    home.feed(HomeInput::Dispatched { number, verdict: Verdict::NotSent });
+    home.feed(HomeInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
     home.list(vec![line("i1", "w0", InstanceState::Running)]);
     home.pass(100);
     assert_eq!((home.count("ready"), home.count("starting"), home.starts.len()), (0, 1, 2));
@@ -140,7 +140,7 @@
         home.list(vec![line("i1", "w0", InstanceState::Running)]);
         home.feed(HomeInput::Forward { from: OTHER, message: task(1) });
         let number = last_dispatch(&home).expect("a dispatch").number;
-        home.feed(HomeInput::Dispatched { number, verdict: Verdict::NotSent });
+        home.feed(HomeInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
         for _ in 0..6 {
             home.pass(1000);
             home.list(if listed { vec![line("i1", "w0", InstanceState::Running)] } else { Vec::new() });
