--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -3,7 +3,7 @@
 //! traffic thread still holds a longer pass.
 
 use crate::data_plane::TrafficMessage;
-use crate::pass_cell::PassCell;
+use crate::serving_lease::ServingLease;
 use bindings::RouteTable;
 use events::event;
 use holds::{Follower, FollowerInput, FollowerOutput, Standing};
@@ -30,7 +30,7 @@
 pub struct Control {
     pub begun: Instant,
     pub follower: Follower,
-    pub pass: PassCell,
+    pub pass: ServingLease,
     pub links: InboxSender<LinkOrder>,
     pub traffic: InboxSender<TrafficMessage>,
     pub seeds: Vec<String>,
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -7,7 +7,7 @@
 use crate::front_types::{Call, FrontInput, Reply};
 use crate::home::Home;
 use crate::home_types::HomeInput;
-use crate::pass_cell::PassCell;
+use crate::serving_lease::ServingLease;
 use bindings::RouteTable;
 use dispatch::{DispatchReport, DispatcherMessage};
 use holds::Roster;
@@ -56,7 +56,7 @@
 pub struct DataPlane {
     pub me: NodeId,
     pub begun: Instant,
-    pub pass: PassCell,
+    pub pass: ServingLease,
     pub front: Front,
     pub home: Home,
     pub links: InboxSender<LinkOrder>,
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -14,7 +14,7 @@
 use crate::home::Home;
 use crate::home_types::HomeTiming;
 use crate::ops::{Views, ops_router};
-use crate::pass_cell::PassCell;
+use crate::serving_lease::ServingLease;
 use crate::settings::RouterEnv;
 use dispatch::{DispatchReport, DispatcherMessage};
 use doors::{ResourceIndex, ServerLimits, Tokens};
@@ -61,7 +61,7 @@
     let viewed = !tokens.is_empty();
     let (index, shelved) = watch::channel(ResourceIndex::new(incarnation));
     let (stop, stopping) = watch::channel(false);
-    let pass = PassCell::default();
+    let pass = ServingLease::default();
 
     let myself = LocalNode {
         id: me,
--- a/crates/traffic/src/pass_cell.rs
+++ b/crates/traffic/src/serving_lease.rs
@@ -11,11 +11,11 @@
 const STEP_MASK: u64 = (1 << (64 - TIME_BITS)) - 1;
 
 #[derive(Clone, Default)]
-pub struct PassCell {
+pub struct ServingLease {
     word: Arc<AtomicU64>,
 }
 
-impl PassCell {
+impl ServingLease {
     pub fn set(&self, step: u64, until: Duration) {
         let millis = (until.as_millis() as u64).min((1 << TIME_BITS) - 1);
         self.word.store(((step & STEP_MASK) << TIME_BITS) | millis, Ordering::SeqCst);
@@ -34,7 +34,7 @@
 
     #[test]
     fn a_pass_fits_one_step_and_ends_on_time() {
-        let cell = PassCell::default();
+        let cell = ServingLease::default();
         let ms = Duration::from_millis;
         assert!(!cell.holds(ms(0), 0));
         cell.set(7, ms(1500));
