--- a/crates/bindings/src/check.rs
+++ b/crates/bindings/src/check.rs
@@ -11,7 +11,7 @@
 
 /// One thing wrong in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Fault {
+pub struct ConfigurationError {
     /// Where: kind/tenant/name, and the field if it is one field's.
     pub path: String,
     /// What is wrong, and what is allowed.
@@ -21,8 +21,8 @@
 /// Limit, memory, least and most instances: the same for all bindings of one function.
 type Shape = (u32, u32, u32, u32);
 
-pub(crate) fn fault(path: &str, words: impl Into<String>) -> Fault {
-    Fault { path: path.to_owned(), fault: words.into() }
+pub(crate) fn fault(path: &str, words: impl Into<String>) -> ConfigurationError {
+    ConfigurationError { path: path.to_owned(), fault: words.into() }
 }
 
 pub(crate) const NAME: &str = "1 to 128 letters, digits, '.', '_' or '-'";
@@ -35,7 +35,7 @@
 
 #[derive(Default)]
 struct Check<'a> {
-    faults: Vec<Fault>,
+    faults: Vec<ConfigurationError>,
     routes: HashMap<(String, String), &'a str>,
     shapes: HashMap<String, (&'a str, Shape)>,
     declared: HashSet<&'a str>,
@@ -45,7 +45,7 @@
 }
 
 /// Checks a configuration whole, by kind/tenant/name; it is in order if nothing is returned.
-pub fn check<'a>(pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> Vec<Fault> {
+pub fn check<'a>(pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> Vec<ConfigurationError> {
     let mut check = Check::default();
     pairs.for_each(|(key, value)| check.resource(key, value));
     for (function, key) in std::mem::take(&mut check.needed) {
@@ -56,7 +56,7 @@
     check.faults
 }
 
-fn read<T: DeserializeOwned>(key: &str, value: &[u8], faults: &mut Vec<Fault>) -> Option<T> {
+fn read<T: DeserializeOwned>(key: &str, value: &[u8], faults: &mut Vec<ConfigurationError>) -> Option<T> {
     serde_json::from_slice(value).map_err(|told| faults.push(fault(key, told.to_string()))).ok()
 }
 
--- a/crates/bindings/src/check_fields.rs
+++ b/crates/bindings/src/check_fields.rs
@@ -1,11 +1,11 @@
 //! What is allowed in each field of a declared resource, looked at on its own.
 
-use crate::check::{Fault, NAME, check_name, fault};
+use crate::check::{ConfigurationError, NAME, check_name, fault};
 use crate::declarations::{CallerBounds, FunctionDeclaration};
 use crate::resources::{FunctionBinding, HeadcountPlan, WeightSheet};
 use crate::tuning;
 
-pub fn check_binding(key: &str, binding: &FunctionBinding, faults: &mut Vec<Fault>) {
+pub fn check_binding(key: &str, binding: &FunctionBinding, faults: &mut Vec<ConfigurationError>) {
     let mut want = |field: &str, good: bool, allowed: &str| {
         if !good {
             faults.push(fault(&format!("{key}/{field}"), allowed));
@@ -45,7 +45,7 @@
     want("player_weight", (0.0..=10.0).contains(&binding.player_weight), "0 to 10");
 }
 
-pub fn check_sheet(key: &str, sheet: &WeightSheet, faults: &mut Vec<Fault>) {
+pub fn check_sheet(key: &str, sheet: &WeightSheet, faults: &mut Vec<ConfigurationError>) {
     let mut want = |field: &str, good: bool, allowed: &str| {
         if !good {
             faults.push(fault(&format!("{key}/{field}"), allowed));
@@ -74,7 +74,7 @@
     tuning::faults(&sheet.tuning).iter().for_each(|(field, allowed)| want(field, false, allowed));
 }
 
-pub fn check_plan(key: &str, plan: &HeadcountPlan, faults: &mut Vec<Fault>) {
+pub fn check_plan(key: &str, plan: &HeadcountPlan, faults: &mut Vec<ConfigurationError>) {
     if let (Some(min), Some(max)) = (plan.min, plan.max)
         && min > max
     {
@@ -87,7 +87,7 @@
     }
 }
 
-pub fn check_function(key: &str, function: &FunctionDeclaration, faults: &mut Vec<Fault>) {
+pub fn check_function(key: &str, function: &FunctionDeclaration, faults: &mut Vec<ConfigurationError>) {
     let mut want = |field: &str, good: bool, allowed: &str| {
         if !good {
             faults.push(fault(&format!("{key}/{field}"), allowed));
@@ -101,7 +101,7 @@
     want("min", function.min <= function.max, "no more than max");
 }
 
-pub fn check_bounds(key: &str, bounds: &CallerBounds, faults: &mut Vec<Fault>) {
+pub fn check_bounds(key: &str, bounds: &CallerBounds, faults: &mut Vec<ConfigurationError>) {
     let mut want = |field: &str, good: bool| {
         if !good {
             faults.push(fault(&format!("{key}/{field}"), "1 or more"));
--- a/crates/bindings/src/lib.rs
+++ b/crates/bindings/src/lib.rs
@@ -12,7 +12,7 @@
 mod routing;
 mod tuning;
 
-pub use check::{Fault, check, check_name};
+pub use check::{ConfigurationError, check, check_name};
 pub use declarations::{CallerBounds, FunctionDeclaration};
 pub use resources::{Class, FunctionBinding, HeadcountPlan, Kind, WeightSheet};
 pub use routing::{Function, RouteTable};
--- a/crates/chain/src/disk.rs
+++ b/crates/chain/src/disk.rs
@@ -2,7 +2,7 @@
 //! batches in order and reports each ticket when its batch is synced. After a fault it takes no more;
 //! if the disk was merely full, it opens the file anew until there is room, and reports what it holds.
 
-use crate::store::{Store, StoreFault};
+use crate::store::{Store, StoreError};
 use crate::types::{Batch, Stored};
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError};
 use std::time::Duration;
@@ -15,7 +15,7 @@
     Written {
         ticket: u64,
     },
-    Fault(StoreFault),
+    Fault(StoreError),
     /// A disk that was full takes writes again, and this is what it holds.
     Back {
         stored: Box<Stored>,
@@ -30,7 +30,7 @@
     /// `reopen` opens the same file once more, or tells why it cannot be opened yet.
     pub fn start(
         store: Store,
-        reopen: impl Fn() -> Result<(Store, Stored), StoreFault> + Send + 'static,
+        reopen: impl Fn() -> Result<(Store, Stored), StoreError> + Send + 'static,
         report: impl Fn(DiskReport) + Send + 'static,
     ) -> std::io::Result<Disk> {
         let (batches, inbox) = mpsc::sync_channel::<(u64, Batch)>(4);
@@ -60,7 +60,7 @@
     mut store: Store,
     inbox: &Receiver<(u64, Batch)>,
     report: &impl Fn(DiskReport),
-) -> Option<StoreFault> {
+) -> Option<StoreError> {
     while let Ok((ticket, batch)) = inbox.recv() {
         match store.write(&batch) {
             Ok(()) => report(DiskReport::Written { ticket }),
@@ -73,7 +73,7 @@
 /// Tries again and again; batches from before the fault are passed over.
 fn reopen_when_possible(
     inbox: &Receiver<(u64, Batch)>,
-    reopen: &impl Fn() -> Result<(Store, Stored), StoreFault>,
+    reopen: &impl Fn() -> Result<(Store, Stored), StoreError>,
 ) -> Option<(Store, Stored)> {
     loop {
         match inbox.recv_timeout(REOPEN_EVERY) {
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -22,5 +22,5 @@
 pub use digest::{digest_batch, digest_entries, digest_meta, digest_state};
 pub use disk::{Disk, DiskReport};
 pub use member::Member;
-pub use store::{Store, StoreFault};
+pub use store::{Store, StoreError};
 pub use types::{Apply, Batch, Effect, Input, Meta, Output, State, Stored, Timing, Value, apply_batch};
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -151,7 +151,7 @@
             Input::Tick => self.tick(),
             Input::Frame { from, message } => self.frame(from, message),
             Input::Written { ticket } => self.written(ticket),
-            Input::DiskFault => self.faulted = true,
+            Input::DiskError => self.faulted = true,
             Input::DiskBack { stored } => self.start_again(stored),
             Input::Enter { op, body } => self.enter(op, body),
             Input::Confirm => {
--- a/crates/chain/src/store.rs
+++ b/crates/chain/src/store.rs
@@ -27,7 +27,7 @@
 }
 
 #[derive(Debug, Display, Error, From)]
-pub enum StoreFault {
+pub enum StoreError {
     #[display("the data file cannot be used: {_0}")]
     #[from(
         redb::Error,
@@ -46,12 +46,12 @@
     Damaged,
 }
 
-impl StoreFault {
+impl StoreError {
     /// The disk has no room, and nothing else is wrong with it. After other faults what a read brings back
     /// need not be what the disk holds, so only a full disk is ever written to again by the same process.
     pub fn is_disk_full(&self) -> bool {
         use std::io::ErrorKind::{QuotaExceeded, StorageFull};
-        matches!(self, StoreFault::File(redb::Error::Io(fault)) if matches!(fault.kind(), StorageFull | QuotaExceeded))
+        matches!(self, StoreError::File(redb::Error::Io(fault)) if matches!(fault.kind(), StorageFull | QuotaExceeded))
     }
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Store {
-    pub fn open(path: &Path, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreFault> {
+    pub fn open(path: &Path, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreError> {
         // One that was closed cleanly is looked at without a byte of it being written.
         if let Some(base) = path.exists().then(|| ReadOnlyDatabase::open(path).ok()).flatten() {
             kept_meta(&base, cluster)?;
@@ -71,23 +71,23 @@
 
     /// Opens a file that is there already and is this member's own, and proves by a write that the disk takes
     /// one.
-    pub fn reopen(path: &Path, cluster: &str, seat: &Seat) -> Result<(Store, Stored), StoreFault> {
+    pub fn reopen(path: &Path, cluster: &str, seat: &Seat) -> Result<(Store, Stored), StoreError> {
         let base = Database::builder().set_cache_size(CACHE).open(path)?;
         let mut store = Store { base, cluster: cluster.to_owned() };
-        let stored = store.load()?.ok_or(StoreFault::Damaged)?;
+        let stored = store.load()?.ok_or(StoreError::Damaged)?;
         if stored.meta.seat.id != seat.id {
-            return Err(StoreFault::Damaged);
+            return Err(StoreError::Damaged);
         }
         store.write(&Batch { last: stored.last, settled: stored.settled, ..Batch::default() })?;
         Ok((store, stored))
     }
 
     /// On a disk of another kind, such as one that loses its power.
-    pub fn open_on(disk: impl StorageBackend, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreFault> {
+    pub fn open_on(disk: impl StorageBackend, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreError> {
         Store::begin(Database::builder().create_with_backend(disk)?, cluster, seat)
     }
 
-    fn begin(base: Database, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreFault> {
+    fn begin(base: Database, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreError> {
         let mut store = Store { base, cluster: cluster.to_owned() };
         let stored = match store.load()? {
             Some(stored) => stored,
@@ -100,7 +100,7 @@
         Ok((store, stored))
     }
 
-    fn load(&self) -> Result<Option<Stored>, StoreFault> {
+    fn load(&self) -> Result<Option<Stored>, StoreError> {
         let Some(record) = kept_meta(&self.base, &self.cluster)? else { return Ok(None) };
         let read = self.base.begin_read()?;
         let meta = read.open_table(META)?;
@@ -114,8 +114,8 @@
             },
             ..Stored::default()
         };
-        let last = meta.get("last")?.ok_or(StoreFault::Damaged)?;
-        let number = |raw: &[u8]| raw.try_into().map(u64::from_le_bytes).map_err(|_| StoreFault::Damaged);
+        let last = meta.get("last")?.ok_or(StoreError::Damaged)?;
+        let number = |raw: &[u8]| raw.try_into().map(u64::from_le_bytes).map_err(|_| StoreError::Damaged);
         stored.last = number(last.value())?;
         stored.settled = meta.get("settled")?.map_or(Ok(0), |raw| number(raw.value()))?;
         for pair in read.open_table(STATE)?.iter()? {
@@ -123,13 +123,13 @@
             stored.state.insert(key.value().to_owned(), value.value().into());
         }
         for line in read.open_table(LOG)?.iter()? {
-            let entry: EntryLine = wire::from_bytes(line?.1.value()).ok_or(StoreFault::Damaged)?;
+            let entry: EntryLine = wire::from_bytes(line?.1.value()).ok_or(StoreError::Damaged)?;
             stored.entries.push(entry);
         }
         Ok(Some(stored))
     }
 
-    pub fn write(&mut self, batch: &Batch) -> Result<(), StoreFault> {
+    pub fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let write = self.base.begin_write()?;
         {
             if batch.replace {
@@ -170,21 +170,21 @@
 }
 
 /// The record that says whose file this is, if anything was ever written to it.
-fn kept_meta(base: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreFault> {
+fn kept_meta(base: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
     let read = base.begin_read()?;
     let meta = match read.open_table(META) {
         Ok(table) => table,
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
         Err(fault) => return Err(fault.into()),
     };
-    let raw = meta.get("meta")?.ok_or(StoreFault::Damaged)?.value().to_vec();
-    let format = raw.get(..2).map(|b| u16::from_le_bytes([b[0], b[1]])).ok_or(StoreFault::Damaged)?;
+    let raw = meta.get("meta")?.ok_or(StoreError::Damaged)?.value().to_vec();
+    let format = raw.get(..2).map(|b| u16::from_le_bytes([b[0], b[1]])).ok_or(StoreError::Damaged)?;
     if format != RECORD_FORMAT {
-        return Err(StoreFault::Format(format));
+        return Err(StoreError::Format(format));
     }
-    let record: MetaRecord = wire::from_bytes(&raw).ok_or(StoreFault::Damaged)?;
+    let record: MetaRecord = wire::from_bytes(&raw).ok_or(StoreError::Damaged)?;
     if record.cluster.as_str() != cluster {
-        return Err(StoreFault::Foreign(record.cluster.as_str().to_owned()));
+        return Err(StoreError::Foreign(record.cluster.as_str().to_owned()));
     }
     Ok(Some(record))
 }
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -75,7 +75,7 @@
     Written {
         ticket: u64,
     },
-    DiskFault,
+    DiskError,
     /// The disk takes writes again and holds this: the member starts again from it.
     DiskBack {
         stored: Stored,
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -146,7 +146,7 @@
             let Some(place) = self.writes.iter().position(|(id, ..)| !self.stalled.contains(id)) else { return };
             let (id, ticket, batch) = self.writes.remove(place);
             if self.full.contains(&id) {
-                self.feed(id, Input::DiskFault);
+                self.feed(id, Input::DiskError);
                 continue;
             }
             if let Some(disk) = self.disks.get_mut(&id) {
--- a/crates/chain/tests/store.rs
+++ b/crates/chain/tests/store.rs
@@ -1,7 +1,7 @@
 //! The data file: what was synced comes back; a damaged, foreign or newer file is refused with a
 //! clear word and left as it was.
 
-use chain::{Batch, Store, StoreFault};
+use chain::{Batch, Store, StoreError};
 use redb::{Database, ReadableTable, TableDefinition};
 use std::path::PathBuf;
 use wire::{EntryLine, OpNo, Seat};
@@ -51,7 +51,7 @@
     let path = folder.join("registry.redb");
     write_some(&path);
     let whole = std::fs::read(&path).unwrap();
-    assert!(matches!(Store::open(&path, "pixel", seat()), Err(StoreFault::Foreign(name)) if name == "posta"));
+    assert!(matches!(Store::open(&path, "pixel", seat()), Err(StoreError::Foreign(name)) if name == "posta"));
     assert!(std::fs::read(&path).unwrap() == whole, "a foreign file was written to");
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("garbage", vec![0x5a; 8192]),
@@ -84,7 +84,7 @@
     }
     let before = std::fs::read(&path).unwrap();
     let refused = Store::open(&path, "posta", seat()).map(drop);
-    assert!(matches!(refused, Err(StoreFault::Format(9))), "{refused:?}");
+    assert!(matches!(refused, Err(StoreError::Format(9))), "{refused:?}");
     assert!(std::fs::read(&path).unwrap() == before, "the file was written to");
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -4,7 +4,7 @@
 use crate::api_calls::ApiReply;
 use crate::apply::Draft;
 use crate::keys;
-use bindings::Fault;
+use bindings::ConfigurationError;
 use chain::State;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -104,7 +104,7 @@
 type Refusal = (u16, String);
 
 fn refusal(status: u16, path: &str, fault: impl Into<String>) -> Refusal {
-    let told = Fault { path: path.to_owned(), fault: fault.into() };
+    let told = ConfigurationError { path: path.to_owned(), fault: fault.into() };
     (status, serde_json::to_string(&[told]).unwrap_or_default())
 }
 
@@ -143,10 +143,10 @@
     }
     let mut faults = bindings::check(pairs.iter().map(|(key, value)| (*key, *value)));
     if pairs.len() > RESOURCES {
-        faults.push(Fault { path: String::new(), fault: format!("no more than {RESOURCES} resources") });
+        faults.push(ConfigurationError { path: String::new(), fault: format!("no more than {RESOURCES} resources") });
     }
     if !faults.is_empty() {
-        let taken = |fault: &Fault| fault.fault.contains("is taken by") && !scope.is_empty();
+        let taken = |fault: &ConfigurationError| fault.fault.contains("is taken by") && !scope.is_empty();
         let status = if faults.iter().all(taken) { 409 } else { 422 };
         return Err((status, serde_json::to_string(&faults).unwrap_or_default()));
     }
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -82,7 +82,7 @@
             ControlMessage::Disk(DiskReport::Written { ticket }) => Some(CoreInput::Written { ticket }),
             ControlMessage::Disk(DiskReport::Fault(fault)) => {
                 event!(disk_fault, "{fault}");
-                Some(CoreInput::DiskFault)
+                Some(CoreInput::DiskError)
             }
             ControlMessage::Disk(DiskReport::Back { stored }) => {
                 event!(disk_back, "at entry {}", stored.last);
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -53,7 +53,7 @@
     Tick,
     Chain { from: NodeId, message: ChainMessage },
     Written { ticket: u64 },
-    DiskFault,
+    DiskError,
     DiskBack { stored: Box<Stored> },
     Router { from: NodeId, incarnation: u64, message: LeaseMessage },
     Call { ask: u64, call: ApiCall },
@@ -189,7 +189,7 @@
             }
             CoreInput::Chain { from, message } => self.chain(Input::Frame { from, message }),
             CoreInput::Written { ticket } => self.chain(Input::Written { ticket }),
-            CoreInput::DiskFault => self.chain(Input::DiskFault),
+            CoreInput::DiskError => self.chain(Input::DiskError),
             CoreInput::DiskBack { stored } => {
                 self.tail_since = None;
                 self.chain(Input::DiskBack { stored: *stored });
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -7,17 +7,17 @@
 use crate::control_loop::Control;
 use crate::core::{Core, CoreTiming};
 use crate::dialect::{ControlDialect, Operators};
-use crate::faults::RunFault;
+use crate::errors::RunError;
 use crate::membership::Membership;
 use crate::optimizer::{self, Host, OptimizerMessage};
 use crate::reading::stored_document;
 use crate::settings::RegistryEnv;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
-use chain::{Disk, DiskReport, Member, Store, StoreFault, Stored, Timing};
+use chain::{Disk, DiskReport, Member, Store, StoreError, Stored, Timing};
 use doors::{ResourceIndex, ServerLimits, Tokens, Views};
 use events::event;
-use kernel::{Directory, Inbox, SendFault, adopt, behind, find, listen, local, thread};
+use kernel::{Directory, Inbox, SendError, adopt, behind, find, listen, local, thread};
 use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -39,19 +39,19 @@
     Stop,
 }
 
-pub fn run(settings: RegistryEnv, dialect: ControlDialect) -> Result<(), RunFault> {
+pub fn run(settings: RegistryEnv, dialect: ControlDialect) -> Result<(), RunError> {
     let incarnation = rand::random::<u64>() >> 8;
     let file = settings.data.join("registry.redb");
     if settings.show && !file.exists() {
-        return Err(RunFault::NoFile { path: file });
+        return Err(RunError::NoFile { path: file });
     }
-    std::fs::create_dir_all(&settings.data).map_err(|fault| RunFault::Folder { path: settings.data.clone(), fault })?;
+    std::fs::create_dir_all(&settings.data).map_err(|fault| RunError::Folder { path: settings.data.clone(), fault })?;
     let newcomer = Seat { id: rand::random::<u64>() | 1, address: settings.address.as_str().into() };
     let (store, stored) = open_when_possible(&file, &settings.cluster, newcomer)
-        .map_err(|fault| RunFault::Store { path: file.clone(), fault })?;
+        .map_err(|fault| RunError::Store { path: file.clone(), fault })?;
     if settings.show {
         let page = format!("{:#}\n", stored_document(&stored.state));
-        return std::io::stdout().write_all(page.as_bytes()).map_err(RunFault::Print);
+        return std::io::stdout().write_all(page.as_bytes()).map_err(RunError::Print);
     }
     let peers = listen(behind(&settings.bind, &settings.address))?;
     let operators = listen(&settings.api)?;
@@ -112,7 +112,7 @@
     let disk = Disk::start(store, reopen, move |report| {
         written.send_blocking(ControlMessage::Disk(report));
     })
-    .map_err(RunFault::Disk)?;
+    .map_err(RunError::Disk)?;
     let founds = settings.found && settings.seeds.contains(&settings.address);
     let seats = if founds { settings.seeds.len() } else { 0 };
     let member = Member::new(seat, stored, Timing::default(), apply, Duration::ZERO);
@@ -151,7 +151,7 @@
 }
 
 /// A disk that is full at the start is waited for: it has room again sooner or later.
-fn open_when_possible(file: &Path, cluster: &str, newcomer: Seat) -> Result<(Store, Stored), StoreFault> {
+fn open_when_possible(file: &Path, cluster: &str, newcomer: Seat) -> Result<(Store, Stored), StoreError> {
     loop {
         match Store::open(file, cluster, newcomer.clone()) {
             Err(fault) if fault.is_disk_full() => {
@@ -169,7 +169,7 @@
     pages: Router,
     limits: ServerLimits,
     stop: watch::Receiver<bool>,
-) -> Result<JoinHandle<()>, RunFault> {
+) -> Result<JoinHandle<()>, RunError> {
     Ok(thread(name, move || local(async move { doors::serve(adopt(listener), pages, limits, stop).await }))?)
 }
 
@@ -181,7 +181,7 @@
         Box::pin(async move {
             match event {
                 LinkEvent::Frame { from, message: Message::Plan(message), .. } => {
-                    if let Err(SendFault::Full(_)) = optimizer.send(OptimizerMessage::Frame { from, message }) {
+                    if let Err(SendError::Full(_)) = optimizer.send(OptimizerMessage::Frame { from, message }) {
                         event!(inbox_full, "optimizer");
                     }
                 }
--- a/crates/doors/src/lib.rs
+++ b/crates/doors/src/lib.rs
@@ -12,5 +12,5 @@
 pub use kinds::kinds;
 pub use resource_index::{Filter, ResourceIndex, in_scope};
 pub use serve::{ServerLimits, serve, serve_within};
-pub use tokens::{Tokens, TokensFault, well_formed};
+pub use tokens::{Tokens, TokensError, well_formed};
 pub use views::{Views, views};
--- a/crates/doors/src/tokens.rs
+++ b/crates/doors/src/tokens.rs
@@ -8,7 +8,7 @@
 
 /// Why the tokens file cannot be used.
 #[derive(Debug, Display, Error)]
-pub enum TokensFault {
+pub enum TokensError {
     /// The file cannot be read.
     #[display("tokens file {}: {fault}", path.display())]
     Unread {
@@ -61,14 +61,14 @@
 
     /// The tokens given as a setting and those of a file, one to a line; blank lines and those that
     /// begin with `#` are passed over. A fault never tells a secret.
-    pub fn read(given: &[String], file: &Path) -> Result<Tokens, TokensFault> {
+    pub fn read(given: &[String], file: &Path) -> Result<Tokens, TokensError> {
         let mut all = given.to_vec();
         if !file.as_os_str().is_empty() {
             let text =
-                std::fs::read_to_string(file).map_err(|fault| TokensFault::Unread { path: file.to_owned(), fault })?;
+                std::fs::read_to_string(file).map_err(|fault| TokensError::Unread { path: file.to_owned(), fault })?;
             let lines = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#'));
             all.extend(lines.map(str::to_owned));
-            well_formed(&all).map_err(|allowed| TokensFault::Malformed { path: file.to_owned(), allowed })?;
+            well_formed(&all).map_err(|allowed| TokensError::Malformed { path: file.to_owned(), allowed })?;
         }
         Ok(Tokens::new(&all))
     }
--- a/crates/env/src/lib.rs
+++ b/crates/env/src/lib.rs
@@ -20,7 +20,7 @@
 /// A setting that cannot be used.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("setting {name} = {value}: {allowed}")]
-pub struct SettingFault {
+pub struct SettingError {
     /// The setting's name.
     pub name: String,
     /// What it was given as; never a secret.
@@ -37,7 +37,7 @@
 /// A program's settings, as declared with [`settings!`].
 pub trait Settings: Sized {
     /// Reads and checks every setting; the first wrong one is the error.
-    fn read(source: &Source) -> Result<Self, SettingFault>;
+    fn read(source: &Source) -> Result<Self, SettingError>;
     /// Name, default and help line of each.
     fn help() -> Vec<(&'static str, String, &'static str)>;
     /// Name and value of each, as given.
@@ -56,17 +56,17 @@
         pub struct $name { $( #[doc = $help] pub $field: $type, )* }
 
         impl $crate::Settings for $name {
-            fn read(source: &$crate::Source) -> Result<Self, $crate::SettingFault> {
+            fn read(source: &$crate::Source) -> Result<Self, $crate::SettingError> {
                 source.only(&[$( stringify!($field), )*])?;
                 Ok($name { $( $field: {
                     let value: $type = match source.find(stringify!($field)) {
                         Some(words) => <$type as $crate::FromWords>::from_words(&words).map_err(|allowed| {
-                            $crate::SettingFault { name: stringify!($field).into(), value: words.clone(), allowed }
+                            $crate::SettingError { name: stringify!($field).into(), value: words.clone(), allowed }
                         })?,
                         None => $default,
                     };
                     let check = $check;
-                    check(&value).map_err(|allowed| $crate::SettingFault {
+                    check(&value).map_err(|allowed| $crate::SettingError {
                         name: stringify!($field).into(),
                         value: $crate::told(stringify!($field), $crate::FromWords::to_words(&value)),
                         allowed,
--- a/crates/env/src/line.rs
+++ b/crates/env/src/line.rs
@@ -1,7 +1,7 @@
 //! The command line every daemon shares: `--env FILE`, `--check`, `--help`, `--version`, and a
 //! flag for each setting. What it comes to is a value; the thin programs turn it into an exit code.
 
-use crate::{SettingFault, Settings, Source};
+use crate::{SettingError, Settings, Source};
 use lexopt::prelude::*;
 use std::ffi::OsString;
 use std::process::ExitCode;
@@ -103,7 +103,7 @@
     let settings = Source::new(&file, flags)
         .map(|source| source.below(given))
         .and_then(|source| S::read(&source))
-        .map_err(|f: SettingFault| f.to_string())?;
+        .map_err(|f: SettingError| f.to_string())?;
     if check {
         let lines: Vec<String> = settings.shown().iter().map(|(name, value)| shown(name, value)).collect();
         return Ok(Opening::Say { words: format!("settings are in order\n{}", lines.join("\n")), code: 0 });
--- a/crates/env/src/parse.rs
+++ b/crates/env/src/parse.rs
@@ -1,7 +1,7 @@
 //! Words into values: numbers, durations such as `1500ms` or `4s`, byte sizes such as `256KiB`,
 //! lists parted by commas. The file's values and the flags' values go through the same reading.
 
-use crate::SettingFault;
+use crate::SettingError;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -101,8 +101,8 @@
 
 impl Source {
     /// Takes a TOML file's text and the flags, which go before it.
-    pub fn new(file: &str, flags: Vec<(String, String)>) -> Result<Source, SettingFault> {
-        let table: toml::Table = file.parse().map_err(|fault: toml::de::Error| SettingFault {
+    pub fn new(file: &str, flags: Vec<(String, String)>) -> Result<Source, SettingError> {
+        let table: toml::Table = file.parse().map_err(|fault: toml::de::Error| SettingError {
             name: "file".into(),
             value: "the settings file".into(),
             allowed: format!("it cannot be read: {}", fault.message()),
@@ -138,10 +138,10 @@
     }
 
     /// Refuses settings that are not among the known ones.
-    pub fn only(&self, known: &[&str]) -> Result<(), SettingFault> {
+    pub fn only(&self, known: &[&str]) -> Result<(), SettingError> {
         match self.words.iter().find(|(name, _)| !known.contains(&name.as_str())) {
             None => Ok(()),
-            Some((name, value)) => Err(SettingFault {
+            Some((name, value)) => Err(SettingError {
                 name: name.clone(),
                 value: value.clone(),
                 allowed: format!("no such setting; there are {}", known.join(", ")),
--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -5,7 +5,7 @@
 mod setup;
 
 pub use list::{EVENTS, Event};
-pub use setup::{SetupFault, setup};
+pub use setup::{SetupError, setup};
 
 /// Writes an event's line; use [`event!`].
 pub fn emit(event: &Event, detail: std::fmt::Arguments<'_>) {
--- a/crates/events/src/setup.rs
+++ b/crates/events/src/setup.rs
@@ -11,7 +11,7 @@
 use log4rs::encode::pattern::PatternEncoder;
 
 /// Why logging could not be set up.
-pub type SetupFault = Box<dyn std::error::Error + Send + Sync>;
+pub type SetupError = Box<dyn std::error::Error + Send + Sync>;
 
 /// The size at which a log file is rolled over.
 const FILE_BYTES: u64 = 16 * 1024 * 1024;
@@ -19,7 +19,7 @@
 const FILES: u32 = 4;
 
 /// Sends log lines of a level and above to standard error, or to a file if one is named. Once in a process.
-pub fn setup(level: &str, file: &str) -> Result<(), SetupFault> {
+pub fn setup(level: &str, file: &str) -> Result<(), SetupError> {
     let level: LevelFilter = level.parse()?;
     let encoder = Box::new(PatternEncoder::new("{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {m}{n}"));
     let appender: Box<dyn Append> = if file.is_empty() {
--- a/crates/heron/src/client.rs
+++ b/crates/heron/src/client.rs
@@ -15,7 +15,7 @@
 
 /// Why a call has no answer.
 #[derive(Debug, Display, Error)]
-pub enum CallFault {
+pub enum CallError {
     /// The request could not be built from what was given.
     #[display("a call that cannot be made: {_0}")]
     Malformed(hyper::http::Error),
@@ -72,7 +72,7 @@
     pub body: Vec<u8>,
 }
 
-fn request(call: &Call) -> Result<Request<Full<Bytes>>, CallFault> {
+fn request(call: &Call) -> Result<Request<Full<Bytes>>, CallError> {
     let mut request = Request::builder()
         .method(call.method.clone())
         .uri(format!("http://{}{}", call.address, call.path))
@@ -89,11 +89,11 @@
     for (name, value) in &call.headers {
         request = request.header(name, value);
     }
-    request.body(Full::new(Bytes::from(call.body.clone()))).map_err(CallFault::Malformed)
+    request.body(Full::new(Bytes::from(call.body.clone()))).map_err(CallError::Malformed)
 }
 
-fn unreached(call: &Call, fault: impl std::fmt::Display) -> CallFault {
-    CallFault::Unreached { address: call.address.clone(), told: fault.to_string() }
+fn unreached(call: &Call, fault: impl std::fmt::Display) -> CallError {
+    CallError::Unreached { address: call.address.clone(), told: fault.to_string() }
 }
 
 fn http() -> Client<HttpConnector, Full<Bytes>> {
@@ -101,7 +101,7 @@
 }
 
 /// Makes a call and reads its answer whole.
-pub async fn ask(call: &Call) -> Result<Answer, CallFault> {
+pub async fn ask(call: &Call) -> Result<Answer, CallError> {
     let work = async {
         let answer = http().request(request(call)?).await.map_err(|fault| unreached(call, fault))?;
         let status = answer.status().as_u16();
@@ -111,11 +111,11 @@
             Limited::new(answer.into_body(), ANSWER_BYTES).collect().await.map_err(|fault| unreached(call, fault))?;
         Ok(Answer { status, revision: tag.and_then(|tag| tag.parse().ok()), body: body.to_bytes().to_vec() })
     };
-    tokio::time::timeout(call.limit, work).await.map_err(|_| CallFault::Late { address: call.address.clone() })?
+    tokio::time::timeout(call.limit, work).await.map_err(|_| CallError::Late { address: call.address.clone() })?
 }
 
 /// Prints each line of a live watch until the other side ends it; false if it was refused.
-pub async fn watch(call: &Call) -> Result<bool, CallFault> {
+pub async fn watch(call: &Call) -> Result<bool, CallError> {
     let answer = http().request(request(call)?).await.map_err(|fault| unreached(call, fault))?;
     let good = answer.status().is_success();
     let mut body = answer.into_body();
@@ -123,7 +123,7 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|fault| unreached(call, fault))?;
         if let Some(data) = frame.data_ref() {
-            out.write_all(data).and_then(|()| out.flush()).map_err(CallFault::Print)?;
+            out.write_all(data).and_then(|()| out.flush()).map_err(CallError::Print)?;
         }
     }
     Ok(good)
--- a/crates/heron/src/folder.rs
+++ b/crates/heron/src/folder.rs
@@ -14,7 +14,7 @@
 
 /// Why files are no configuration.
 #[derive(Debug, Display, Error)]
-pub enum FolderFault {
+pub enum FolderError {
     /// A file or folder cannot be read.
     #[display("{}: {fault}", path.display())]
     Unread {
@@ -61,7 +61,7 @@
 pub type Declared = BTreeMap<String, Value>;
 
 /// Reads one file, or all `.json` files of a folder at any depth up to 8.
-pub fn read(path: &Path) -> Result<Declared, FolderFault> {
+pub fn read(path: &Path) -> Result<Declared, FolderError> {
     let mut files = Vec::new();
     if path.is_dir() {
         find(path, 0, &mut files)?;
@@ -70,14 +70,14 @@
         files.push(path.to_owned());
     }
     if files.is_empty() {
-        return Err(FolderFault::Empty { path: path.to_owned() });
+        return Err(FolderError::Empty { path: path.to_owned() });
     }
     let mut declared = Declared::new();
     let mut from: BTreeMap<String, PathBuf> = BTreeMap::new();
     for file in files {
         for (key, value) in read_one(&file)? {
             if let Some(first) = from.insert(key.clone(), file.clone()) {
-                return Err(FolderFault::Twice { key, first, second: file });
+                return Err(FolderError::Twice { key, first, second: file });
             }
             declared.insert(key, value);
         }
@@ -85,8 +85,8 @@
     Ok(declared)
 }
 
-fn find(folder: &Path, depth: usize, files: &mut Vec<PathBuf>) -> Result<(), FolderFault> {
-    let unread = |fault| FolderFault::Unread { path: folder.to_owned(), fault };
+fn find(folder: &Path, depth: usize, files: &mut Vec<PathBuf>) -> Result<(), FolderError> {
+    let unread = |fault| FolderError::Unread { path: folder.to_owned(), fault };
     for entry in std::fs::read_dir(folder).map_err(unread)? {
         let path = entry.map_err(unread)?.path();
         let hidden = path.file_name().is_some_and(|name| name.to_string_lossy().starts_with('.'));
@@ -99,11 +99,11 @@
     Ok(())
 }
 
-fn read_one(path: &Path) -> Result<Declared, FolderFault> {
-    let raw = std::fs::read(path).map_err(|fault| FolderFault::Unread { path: path.to_owned(), fault })?;
+fn read_one(path: &Path) -> Result<Declared, FolderError> {
+    let raw = std::fs::read(path).map_err(|fault| FolderError::Unread { path: path.to_owned(), fault })?;
     let whole: Value =
-        serde_json::from_slice(&raw).map_err(|fault| FolderFault::NotJson { path: path.to_owned(), fault })?;
-    let shape = |told: String| FolderFault::Shape { path: path.to_owned(), told };
+        serde_json::from_slice(&raw).map_err(|fault| FolderError::NotJson { path: path.to_owned(), fault })?;
+    let shape = |told: String| FolderError::Shape { path: path.to_owned(), told };
     let kinds = whole.as_object().ok_or_else(|| shape("allowed is an object of kinds".into()))?;
     let mut declared = Declared::new();
     for (kind, list) in kinds.iter().filter(|(kind, _)| *kind != "revision") {
@@ -184,7 +184,7 @@
         assert!(read(&broken).unwrap_err().to_string().contains("b.json"));
         let odd = folder("odd", &[("a.json", r#"{"plans": {}}"#)]);
         assert!(read(&odd).unwrap_err().to_string().contains("kinds are"));
-        assert!(matches!(read(&folder("none", &[])), Err(FolderFault::Empty { .. })));
+        assert!(matches!(read(&folder("none", &[])), Err(FolderError::Empty { .. })));
         [good, twice, broken, odd].iter().for_each(|folder| _ = std::fs::remove_dir_all(folder));
     }
 
--- a/crates/heron/src/lib.rs
+++ b/crates/heron/src/lib.rs
@@ -5,5 +5,5 @@
 mod client;
 mod folder;
 
-pub use client::{Answer, Call, CallFault, ask, watch};
-pub use folder::{Declared, FolderFault, differences, document, read, resources};
+pub use client::{Answer, Call, CallError, ask, watch};
+pub use folder::{Declared, FolderError, differences, document, read, resources};
--- a/crates/kernel/src/directory.rs
+++ b/crates/kernel/src/directory.rs
@@ -35,7 +35,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::SendFault;
+    use crate::SendError;
 
     #[test]
     fn a_service_is_found_by_name_and_type_and_its_inbox_refuses_past_its_bound() {
@@ -44,7 +44,7 @@
         assert!(directory.find::<String>("counter").is_none());
         let post = directory.find::<u32>("counter").unwrap();
         assert_eq!(post.send(7), Ok(()));
-        assert_eq!(post.send(8), Err(SendFault::Full(8)));
+        assert_eq!(post.send(8), Err(SendError::Full(8)));
         assert_eq!((post.refused(), post.depth(), inbox.ready()), (1, 1, Some(7)));
     }
 }
--- a/crates/kernel/src/inbox.rs
+++ b/crates/kernel/src/inbox.rs
@@ -6,7 +6,7 @@
 
 /// Why a message was not queued; it is handed back to the sender.
 #[derive(Debug, PartialEq, Eq)]
-pub enum SendFault<M> {
+pub enum SendError<M> {
     /// The inbox holds as many messages as it may.
     Full(M),
     /// The receiving end is gone.
@@ -60,13 +60,13 @@
 
 impl<M> InboxSender<M> {
     /// Queues a message without waiting. A full queue refuses it and counts the refusal.
-    pub fn send(&self, message: M) -> Result<(), SendFault<M>> {
+    pub fn send(&self, message: M) -> Result<(), SendError<M>> {
         self.queue.try_send(message).map_err(|fault| match fault {
             mpsc::error::TrySendError::Full(message) => {
                 self.refused.fetch_add(1, Ordering::Relaxed);
-                SendFault::Full(message)
+                SendError::Full(message)
             }
-            mpsc::error::TrySendError::Closed(message) => SendFault::Closed(message),
+            mpsc::error::TrySendError::Closed(message) => SendError::Closed(message),
         })
     }
 
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -10,7 +10,7 @@
 mod silence;
 
 pub use directory::Directory;
-pub use inbox::{Inbox, InboxSender, SendFault, inbox};
-pub use program::{StartFault, adopt, behind, find, listen, local, thread, wait_for_signal};
+pub use inbox::{Inbox, InboxSender, SendError, inbox};
+pub use program::{StartError, adopt, behind, find, listen, local, thread, wait_for_signal};
 pub use settings_watch::follow;
 pub use silence::give_up_after;
--- a/crates/kernel/src/program.rs
+++ b/crates/kernel/src/program.rs
@@ -13,7 +13,7 @@
 
 /// Why a program could not be put together.
 #[derive(Debug, Display, Error)]
-pub enum StartFault {
+pub enum StartError {
     /// A thread could not be started.
     #[display("thread {name}: {fault}")]
     Thread {
@@ -39,18 +39,18 @@
 }
 
 /// Starts a named thread.
-pub fn thread<F: FnOnce() + Send + 'static>(name: &str, work: F) -> Result<JoinHandle<()>, StartFault> {
+pub fn thread<F: FnOnce() + Send + 'static>(name: &str, work: F) -> Result<JoinHandle<()>, StartError> {
     let started = std::thread::Builder::new().name(name.into()).spawn(work);
-    started.map_err(|fault| StartFault::Thread { name: name.to_owned(), fault })
+    started.map_err(|fault| StartError::Thread { name: name.to_owned(), fault })
 }
 
 /// Binds a TCP listener, ready to be taken into a runtime with [`adopt`].
-pub fn listen(address: &str) -> Result<std::net::TcpListener, StartFault> {
+pub fn listen(address: &str) -> Result<std::net::TcpListener, StartError> {
     let bound = std::net::TcpListener::bind(address).and_then(|listener| {
         listener.set_nonblocking(true)?;
         Ok(listener)
     });
-    bound.map_err(|fault| StartFault::Listen { address: address.to_owned(), fault })
+    bound.map_err(|fault| StartError::Listen { address: address.to_owned(), fault })
 }
 
 /// The address to listen at: the one bound to if there is one, else the one others are told.
--- a/crates/links/src/service.rs
+++ b/crates/links/src/service.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
-use wire::{FrameFault, Message, NodeId};
+use wire::{FrameError, Message, NodeId};
 
 /// The most connections taken in at a time; more are closed at once.
 const CONNECTIONS: usize = 1024;
@@ -190,9 +190,9 @@
     }
 }
 
-pub fn report(ended: Result<(), FrameFault>, address: &str) {
+pub fn report(ended: Result<(), FrameError>, address: &str) {
     match ended {
-        Err(FrameFault::Connection(_)) | Ok(()) => {}
+        Err(FrameError::Connection(_)) | Ok(()) => {}
         Err(fault) => event!(frame_refused, "{address}: {fault}"),
     }
 }
--- a/crates/links/src/stream.rs
+++ b/crates/links/src/stream.rs
@@ -15,7 +15,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use wire::{Frame, FrameFault, Message, spoken};
+use wire::{Frame, FrameError, Message, spoken};
 
 /// How long the first frame may take.
 const GREETING: Duration = Duration::from_secs(3);
@@ -34,8 +34,8 @@
 /// Bytes buffered each way.
 const BUFFER: usize = 16 * 1024;
 
-fn late() -> FrameFault {
-    FrameFault::Connection(ErrorKind::TimedOut.into())
+fn late() -> FrameError {
+    FrameError::Connection(ErrorKind::TimedOut.into())
 }
 
 fn frame(me: &LocalNode, message: Message) -> Frame {
@@ -52,7 +52,7 @@
     frame(me, Message::Hello { address: me.address.as_str().into() })
 }
 
-pub async fn run(inner: Rc<Inner>, stream: TcpStream, dialled: Option<String>) -> Result<(), FrameFault> {
+pub async fn run(inner: Rc<Inner>, stream: TcpStream, dialled: Option<String>) -> Result<(), FrameError> {
     stream.set_nodelay(true)?;
     kernel::give_up_after(&stream, PATIENCE)?;
     let me = inner.me.clone();
@@ -62,7 +62,7 @@
     wire::write_frame(&mut write, &hello(&me)).await?;
     write.flush().await?;
     let first = timeout(GREETING, wire::read_frame(&me.cluster, &mut read)).await.map_err(|_| late())??;
-    let Message::Hello { address } = &first.message else { return Err(FrameFault::Malformed) };
+    let Message::Hello { address } = &first.message else { return Err(FrameError::Malformed) };
     let (id, incarnation, address) = (first.sender, first.incarnation, address.as_str().to_owned());
     if id == me.id {
         return Ok(());
@@ -74,7 +74,7 @@
         loop {
             let got = timeout(SILENT, wire::read_frame(&me.cluster, &mut read)).await.map_err(|_| late())??;
             if got.sender != id || got.incarnation != incarnation {
-                return Err(FrameFault::Malformed);
+                return Err(FrameError::Malformed);
             }
             if !matches!(got.message, Message::Hello { .. }) {
                 heard.set(Instant::now());
@@ -95,7 +95,7 @@
             fault => fault,
         },
         end = &mut reader => match end {
-            Err(FrameFault::Connection(fault)) if fault.kind() == ErrorKind::UnexpectedEof => {
+            Err(FrameError::Connection(fault)) if fault.kind() == ErrorKind::UnexpectedEof => {
                 inner.remove(id, number).await;
                 timeout(LAST, writer).await.unwrap_or(Ok(()))
             }
@@ -112,7 +112,7 @@
     write: &mut BufWriter<OwnedWriteHalf>,
     mut queue: mpsc::Receiver<Message>,
     idle: impl Fn() -> bool,
-) -> Result<(), FrameFault> {
+) -> Result<(), FrameError> {
     loop {
         let message = match timeout(QUIET, queue.recv()).await {
             Ok(Some(message)) => spoken(message, me.format).map(|message| frame(me, message)),
@@ -130,7 +130,7 @@
                 }
             }
             write.flush().await?;
-            Ok::<(), FrameFault>(())
+            Ok::<(), FrameError>(())
         };
         timeout(WRITE, send).await.map_err(|_| late())??;
     }
--- a/crates/scaler/src/lib.rs
+++ b/crates/scaler/src/lib.rs
@@ -17,7 +17,7 @@
 pub use demand::{Level, capacity, demand};
 pub use forecast::{Forecast, Model, persistence};
 pub use optimizer::{Optimizer, Planned};
-pub use plan::{Plan, PlanFault, PlanTask, plan};
+pub use plan::{Plan, PlanError, PlanTask, plan};
 pub use player::{Decision, Player, PlayerTiming, Situation, fallback};
 pub use tuner::{Measure, Tuned, Tuner};
 pub use window::{Sample, Window};
--- a/crates/scaler/src/plan.rs
+++ b/crates/scaler/src/plan.rs
@@ -40,7 +40,7 @@
 
 /// Why there is no plan.
 #[derive(Debug, Display, PartialEq, Eq)]
-pub enum PlanFault {
+pub enum PlanError {
     /// The capacity is zero, negative or not finite.
     #[display("the capacity of an instance is not a positive number")]
     Capacity,
@@ -50,9 +50,9 @@
 }
 
 /// Solves the program.
-pub fn plan(task: &PlanTask) -> Result<Plan, PlanFault> {
+pub fn plan(task: &PlanTask) -> Result<Plan, PlanError> {
     if !task.capacity.is_finite() || task.capacity <= 0.0 {
-        return Err(PlanFault::Capacity);
+        return Err(PlanError::Capacity);
     }
     let steps = task.coverage.len();
     let sheet = task.sheet;
@@ -95,8 +95,8 @@
             problem.add_constraint([(counts[last], 1.0)], ComparisonOp::Ge, f64::from(wanted));
         }
     }
-    let solved = problem.solve().map_err(|fault| PlanFault::Solver(fault.to_string()))?;
-    let solution = solved.into_solution().map_err(|_| PlanFault::Solver("time ran out".into()))?;
+    let solved = problem.solve().map_err(|fault| PlanError::Solver(fault.to_string()))?;
+    let solution = solved.into_solution().map_err(|_| PlanError::Solver("time ran out".into()))?;
     let found: Vec<u32> = counts.iter().map(|count| solution.var_value(*count).round().max(0.0) as u32).collect();
     Ok(Plan { counts: found, cost: solution.objective() })
 }
@@ -199,6 +199,6 @@
         (task.demand, task.coverage) = (&[7.0; 3], &[7.0; 3]);
         assert_eq!(plan(&task).unwrap().counts, vec![2, 7, 7]);
         task.capacity = f64::NAN;
-        assert_eq!(plan(&task), Err(PlanFault::Capacity));
+        assert_eq!(plan(&task), Err(PlanError::Capacity));
     }
 }
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -175,7 +175,7 @@
         }
         if node.full {
             node.refused_write = true;
-            return self.feed_registry(n, CoreInput::DiskFault);
+            return self.feed_registry(n, CoreInput::DiskError);
         }
         if let Some((_, batch)) = node.pending.take_if(|(known, _)| *known == ticket) {
             apply_batch(&mut node.disk, &batch);
--- a/crates/supply/src/service.rs
+++ b/crates/supply/src/service.rs
@@ -63,9 +63,9 @@
         asked: Instant,
     },
     /// The list of instances could not be read.
-    ListFault,
+    ListError,
     /// The list of workers could not be read.
-    WorkersFault,
+    WorkersError,
 }
 
 /// Takes what came of an order.
@@ -91,12 +91,12 @@
                 ProviderOrder::List => {
                     let asked = Instant::now();
                     let told = timeout(LIMIT, provider.list()).await.ok().flatten();
-                    report(told.map_or(ProviderReport::ListFault, |listing| ProviderReport::Listed { listing, asked }));
+                    report(told.map_or(ProviderReport::ListError, |listing| ProviderReport::Listed { listing, asked }));
                 }
                 ProviderOrder::Workers => {
                     let asked = Instant::now();
                     let told = timeout(LIMIT, provider.workers()).await.ok().flatten();
-                    report(told.map_or(ProviderReport::WorkersFault, |lines| ProviderReport::Workers { lines, asked }));
+                    report(told.map_or(ProviderReport::WorkersError, |lines| ProviderReport::Workers { lines, asked }));
                 }
             }
         });
--- a/crates/swarm/src/check.rs
+++ b/crates/swarm/src/check.rs
@@ -1,6 +1,6 @@
 //! The checker's reading of both records.
 
-use crate::faults::{WorkFault, at};
+use crate::errors::{WorkError, at};
 use crate::fresh::{Change, freshness};
 use crate::rules::{Run, broken};
 use crate::spans::{self, Span};
@@ -9,13 +9,13 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-fn read<T: DeserializeOwned>(path: &Path) -> Result<Vec<T>, WorkFault> {
+fn read<T: DeserializeOwned>(path: &Path) -> Result<Vec<T>, WorkError> {
     let file = std::fs::File::open(path).map_err(at(path))?;
     let mut list = Vec::new();
     for line in BufReader::new(file).lines() {
         let line = line.map_err(at(path))?;
         let read = serde_json::from_str(&line);
-        list.push(read.map_err(|fault| WorkFault::Line { path: path.to_owned(), fault, line })?);
+        list.push(read.map_err(|fault| WorkError::Line { path: path.to_owned(), fault, line })?);
     }
     Ok(list)
 }
@@ -30,7 +30,7 @@
     pub refusals: Option<usize>,
 }
 
-pub fn run(order: &CheckOrder) -> Result<bool, WorkFault> {
+pub fn run(order: &CheckOrder) -> Result<bool, WorkError> {
     let attempts: Vec<Attempt> = read(&order.tasks)?;
     let lines: Vec<Run> = read(&order.runs)?;
     let mut broken = broken(&attempts, &lines, order.refusals);
--- a/crates/swarm/src/faults.rs
+++ b/crates/swarm/src/errors.rs
@@ -1,12 +1,12 @@
 //! What may keep the load generator or the checker from its work.
 
-use crate::replay::ReplayFault;
+use crate::replay::ReplayError;
 use derive_more::{Display, Error, From};
 use std::io;
 use std::path::{Path, PathBuf};
 
 #[derive(Debug, Display, Error, From)]
-pub enum WorkFault {
+pub enum WorkError {
     #[display("{}: {fault}", path.display())]
     File { path: PathBuf, fault: io::Error },
     #[display("{}: {fault}: {line}", path.display())]
@@ -19,9 +19,9 @@
     #[display("the load broke off: {_0}")]
     Broken(tokio::task::JoinError),
     #[from]
-    Replay(ReplayFault),
+    Replay(ReplayError),
 }
 
-pub fn at(path: &Path) -> impl Fn(io::Error) -> WorkFault {
-    move |fault| WorkFault::File { path: path.to_owned(), fault }
+pub fn at(path: &Path) -> impl Fn(io::Error) -> WorkError {
+    move |fault| WorkError::File { path: path.to_owned(), fault }
 }
--- a/crates/swarm/src/load.rs
+++ b/crates/swarm/src/load.rs
@@ -2,7 +2,7 @@
 //! attempt is recorded with its own label, which the instance echoes and records.
 
 use crate::attempt::{Ask, Http, attempt, client};
-use crate::faults::{WorkFault, at};
+use crate::errors::{WorkError, at};
 use crate::mix::{self, Route};
 use crate::tally::{self, Attempt};
 use rand::{RngExt, SeedableRng};
@@ -54,16 +54,16 @@
     }
 }
 
-pub fn run(order: LoadOrder) -> Result<bool, WorkFault> {
+pub fn run(order: LoadOrder) -> Result<bool, WorkError> {
     let routes = mix::load(&order.configuration, &order.services, order.factor)?;
     let file = std::fs::File::create(&order.out).map_err(at(&order.out))?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(WorkFault::Runtime)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(WorkError::Runtime)?;
     let attempts = LocalSet::new().block_on(&runtime, drive(order, routes, file))?;
     println!("{}", tally::summary(&attempts));
     Ok(true)
 }
 
-async fn drive(order: LoadOrder, routes: Vec<Route>, file: std::fs::File) -> Result<Vec<Attempt>, WorkFault> {
+async fn drive(order: LoadOrder, routes: Vec<Route>, file: std::fs::File) -> Result<Vec<Attempt>, WorkError> {
     let http: Http = client();
     let (sender, mut inbox) = mpsc::channel::<Attempt>(65_536);
     let writer = spawn_local(async move {
@@ -99,13 +99,13 @@
         sleep_until((begun + Duration::from_secs_f64(at)).into()).await;
         while open.try_join_next().is_some() {}
         if open.len() >= AT_ONCE {
-            return Err(WorkFault::TooMany(AT_ONCE));
+            return Err(WorkError::TooMany(AT_ONCE));
         }
         open.spawn_local(caller(http.clone(), route, task, targets, repeats, eager, sender.clone()));
     }
     while open.join_next().await.is_some() {}
     drop(sender);
-    writer.await.map_err(WorkFault::Broken)
+    writer.await.map_err(WorkError::Broken)
 }
 
 async fn caller(
--- a/crates/swarm/src/main.rs
+++ b/crates/swarm/src/main.rs
@@ -4,7 +4,7 @@
 
 mod attempt;
 mod check;
-mod faults;
+mod errors;
 mod fresh;
 mod line;
 mod load;
@@ -36,13 +36,13 @@
     }
 }
 
-fn end(result: Result<bool, faults::WorkFault>) -> ExitCode {
+fn end(result: Result<bool, errors::WorkError>) -> ExitCode {
     match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(fault) => {
             eprintln!("swarm: {fault}");
-            ExitCode::from(if matches!(fault, faults::WorkFault::Replay(_)) { 2 } else { 1 })
+            ExitCode::from(if matches!(fault, errors::WorkError::Replay(_)) { 2 } else { 1 })
         }
     }
 }
--- a/crates/swarm/src/mix.rs
+++ b/crates/swarm/src/mix.rs
@@ -1,6 +1,6 @@
 //! The mix: which binding the next task goes to and when, from the services' rates and crowds.
 
-use crate::faults::{WorkFault, at};
+use crate::errors::{WorkError, at};
 use crate::load::Crowd;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -35,13 +35,13 @@
     rate: f64,
 }
 
-fn read<T: DeserializeOwned>(path: &Path) -> Result<T, WorkFault> {
+fn read<T: DeserializeOwned>(path: &Path) -> Result<T, WorkError> {
     let raw = std::fs::read(path).map_err(at(path))?;
-    let wrong = |fault| WorkFault::Line { path: path.to_owned(), fault, line: String::new() };
+    let wrong = |fault| WorkError::Line { path: path.to_owned(), fault, line: String::new() };
     serde_json::from_slice(&raw).map_err(wrong)
 }
 
-pub fn load(configuration: &Path, services: &Path, factor: f64) -> Result<Vec<Route>, WorkFault> {
+pub fn load(configuration: &Path, services: &Path, factor: f64) -> Result<Vec<Route>, WorkError> {
     let whole: Whole = read(configuration)?;
     let shapes: BTreeMap<String, Shape> = read(services)?;
     let mut routes = Vec::new();
--- a/crates/swarm/src/replay.rs
+++ b/crates/swarm/src/replay.rs
@@ -3,7 +3,7 @@
 //! taken from stay behind.
 
 use crate::attempt::{Ask, Http, attempt, client};
-use crate::faults::{WorkFault, at};
+use crate::errors::{WorkError, at};
 use crate::tally::{self, Attempt};
 use derive_more::{Display, Error};
 use serde_json::Value;
@@ -17,7 +17,7 @@
     ["host", "connection", "content-length", "transfer-encoding", "cookie", "te", "upgrade", "keep-alive"];
 
 #[derive(Debug, Display, Error)]
-pub enum ReplayFault {
+pub enum ReplayError {
     #[display("{}: not a whole HTTP archive: {told}", path.display())]
     Unread { path: PathBuf, told: String },
     #[display("{}: there are no requests in it", path.display())]
@@ -45,20 +45,20 @@
     pub body: String,
 }
 
-pub fn read(path: &Path) -> Result<Vec<Taken>, ReplayFault> {
-    let unread = |told: String| ReplayFault::Unread { path: path.to_owned(), told };
+pub fn read(path: &Path) -> Result<Vec<Taken>, ReplayError> {
+    let unread = |told: String| ReplayError::Unread { path: path.to_owned(), told };
     let archive = har::from_path(path).map_err(|fault| unread(fault.to_string()))?;
     let whole = serde_json::to_value(&archive).map_err(|fault| unread(fault.to_string()))?;
     let entries = whole["log"]["entries"].as_array().map(Vec::as_slice).unwrap_or_default();
     if entries.is_empty() {
-        return Err(ReplayFault::Empty { path: path.to_owned() });
+        return Err(ReplayError::Empty { path: path.to_owned() });
     }
     if entries.len() > MOST {
-        return Err(ReplayFault::TooMany { path: path.to_owned() });
+        return Err(ReplayError::TooMany { path: path.to_owned() });
     }
     let mut list = Vec::new();
     for (place, entry) in entries.iter().enumerate() {
-        let wrong = |told: String| ReplayFault::Request { number: place + 1, told };
+        let wrong = |told: String| ReplayError::Request { number: place + 1, told };
         let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
         let at: jiff::Timestamp =
             text(&entry["startedDateTime"]).parse().map_err(|fault: jiff::Error| wrong(fault.to_string()))?;
@@ -83,9 +83,9 @@
     Ok(list.into_iter().map(|(at, taken)| Taken { after: since(at), ..taken }).collect())
 }
 
-pub fn run(order: &ReplayOrder) -> Result<bool, WorkFault> {
+pub fn run(order: &ReplayOrder) -> Result<bool, WorkError> {
     let list = read(&order.har)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(WorkFault::Runtime)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(WorkError::Runtime)?;
     let attempts = LocalSet::new().block_on(&runtime, drive(order, list));
     let lines: String = attempts.iter().filter_map(|a| serde_json::to_string(a).ok()).map(|line| line + "\n").collect();
     std::fs::write(&order.out, lines).map_err(at(&order.out))?;
@@ -158,9 +158,9 @@
     fn an_archive_that_is_cut_or_empty_is_refused_with_one_message() {
         let text = whole(&[entry("2026-01-02T09:00:00Z", "/a")]);
         let cut = archive("cut", &text[..text.len() / 2]);
-        assert!(matches!(read(&cut), Err(ReplayFault::Unread { .. })));
+        assert!(matches!(read(&cut), Err(ReplayError::Unread { .. })));
         let empty = archive("empty", &whole(&[]));
-        assert!(matches!(read(&empty), Err(ReplayFault::Empty { .. })));
+        assert!(matches!(read(&empty), Err(ReplayError::Empty { .. })));
         let odd = archive("odd", &whole(&[entry("yesterday", "/a")]));
         let told = read(&odd).unwrap_err().to_string();
         assert!(told.starts_with("request 1: ") && !told.contains('\n'), "{told}");
--- a/crates/traffic/src/faults.rs
+++ b/crates/traffic/src/errors.rs
@@ -1,11 +1,11 @@
 //! What may keep a router from running.
 
 use derive_more::{Display, Error, From};
-use doors::TokensFault;
-use kernel::StartFault;
+use doors::TokensError;
+use kernel::StartError;
 
 #[derive(Debug, Display, Error, From)]
-pub enum RunFault {
-    Start(StartFault),
-    Tokens(TokensFault),
+pub enum RunError {
+    Start(StartError),
+    Tokens(TokensError),
 }
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -26,8 +26,8 @@
             ProviderReport::Stopped { id, receipt } => self.stop_told(&id, receipt),
             ProviderReport::Listed { listing, .. } => self.read(listing, listed_at),
             ProviderReport::Workers { lines, .. } => self.workers_read(lines, listed_at),
-            ProviderReport::ListFault => event!(platform_refused, "list"),
-            ProviderReport::WorkersFault => event!(platform_refused, "workers"),
+            ProviderReport::ListError => event!(platform_refused, "list"),
+            ProviderReport::WorkersError => event!(platform_refused, "workers"),
         }
     }
 
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -8,7 +8,7 @@
 use crate::data_plane::{DataPlane, TrafficMessage};
 use crate::declared_views::DeclaredViews;
 use crate::dialect::Dialect;
-use crate::faults::RunFault;
+use crate::errors::RunError;
 use crate::front::Front;
 use crate::front_types::FrontLimits;
 use crate::home::Home;
@@ -20,7 +20,7 @@
 use doors::{ResourceIndex, ServerLimits, Tokens};
 use events::event;
 use holds::{Follower, FollowerTiming, Standing, mix};
-use kernel::{Directory, InboxSender, SendFault, adopt, behind, find, listen, local, thread, wait_for_signal};
+use kernel::{Directory, InboxSender, SendError, adopt, behind, find, listen, local, thread, wait_for_signal};
 use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -34,7 +34,7 @@
 /// From a lapse until the next home has looked at what runs.
 const TAKING_OVER: Duration = Duration::from_millis(400);
 
-pub fn run(settings: RouterEnv, dialect: Dialect) -> Result<(), RunFault> {
+pub fn run(settings: RouterEnv, dialect: Dialect) -> Result<(), RunError> {
     let begun = Instant::now();
     let incarnation = rand::random::<u64>() >> 8;
     let me: NodeId = mix(&[b"router", settings.cluster.as_bytes(), settings.address.as_bytes()]) | 1;
@@ -196,7 +196,7 @@
 }
 
 fn tell(traffic: &InboxSender<TrafficMessage>, report: DispatchReport) {
-    if let Err(SendFault::Full(message)) = traffic.send(TrafficMessage::Dispatcher(report)) {
+    if let Err(SendError::Full(message)) = traffic.send(TrafficMessage::Dispatcher(report)) {
         let traffic = traffic.clone();
         spawn_local(async move { traffic.send_waiting(message).await });
     }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Display, Error, From)]
-pub enum FrameFault {
+pub enum FrameError {
     #[display("connection: {_0}")]
     #[from]
     Connection(std::io::Error),
@@ -66,41 +66,41 @@
     bytes
 }
 
-pub fn decode(cluster: &str, checksum: u32, record: &[u8]) -> Result<Frame, FrameFault> {
+pub fn decode(cluster: &str, checksum: u32, record: &[u8]) -> Result<Frame, FrameError> {
     if crc32fast::hash(record) != checksum {
-        return Err(FrameFault::Checksum);
+        return Err(FrameError::Checksum);
     }
-    let format = record.get(..2).map(|b| u16::from_le_bytes([b[0], b[1]])).ok_or(FrameFault::Malformed)?;
+    let format = record.get(..2).map(|b| u16::from_le_bytes([b[0], b[1]])).ok_or(FrameError::Malformed)?;
     if !(OLDEST..=FORMAT).contains(&format) {
-        return Err(FrameFault::Format(format));
+        return Err(FrameError::Format(format));
     }
-    let frame: Frame = from_bytes(record).ok_or(FrameFault::Malformed)?;
+    let frame: Frame = from_bytes(record).ok_or(FrameError::Malformed)?;
     if frame.cluster.as_str() != cluster {
-        return Err(FrameFault::Foreign(frame.cluster.as_str().chars().take(64).collect()));
+        return Err(FrameError::Foreign(frame.cluster.as_str().chars().take(64).collect()));
     }
     Ok(frame)
 }
 
-pub async fn read_frame<R: AsyncRead + Unpin>(cluster: &str, stream: &mut R) -> Result<Frame, FrameFault> {
+pub async fn read_frame<R: AsyncRead + Unpin>(cluster: &str, stream: &mut R) -> Result<Frame, FrameError> {
     let mut head = [0u8; 8];
     stream.read_exact(&mut head).await?;
     let len = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
     let checksum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
     if len > LIMIT {
-        return Err(FrameFault::TooLong(len));
+        return Err(FrameError::TooLong(len));
     }
     let mut record = Vec::new();
     let got = (&mut *stream).take(len as u64).read_to_end(&mut record).await?;
     if got < len {
-        return Err(FrameFault::Connection(std::io::ErrorKind::UnexpectedEof.into()));
+        return Err(FrameError::Connection(std::io::ErrorKind::UnexpectedEof.into()));
     }
     decode(cluster, checksum, &record)
 }
 
-pub async fn write_frame<W: AsyncWrite + Unpin>(stream: &mut W, frame: &Frame) -> Result<(), FrameFault> {
+pub async fn write_frame<W: AsyncWrite + Unpin>(stream: &mut W, frame: &Frame) -> Result<(), FrameError> {
     let bytes = encode(frame);
     if bytes.len() > LIMIT {
-        return Err(FrameFault::TooLong(bytes.len()));
+        return Err(FrameError::TooLong(bytes.len()));
     }
     stream.write_all(&bytes).await?;
     Ok(())
@@ -125,10 +125,10 @@
             damaged[place] ^= 0x10;
             assert!(decode("posta", checksum, &damaged[8..]).is_err());
         }
-        assert!(matches!(decode("pixel", checksum, &bytes[8..]), Err(FrameFault::Foreign(_))));
+        assert!(matches!(decode("pixel", checksum, &bytes[8..]), Err(FrameError::Foreign(_))));
         let later = encode(&Frame { format: FORMAT + 1, ..frame() });
         let checksum = u32::from_le_bytes(later[4..8].try_into().unwrap());
-        assert!(matches!(decode("posta", checksum, &later[8..]), Err(FrameFault::Format(_))));
+        assert!(matches!(decode("posta", checksum, &later[8..]), Err(FrameError::Format(_))));
     }
 
     #[test]
@@ -137,6 +137,6 @@
         // The length of the cluster's name, which follows the two bytes of the format.
         let lie = 2 + record[2..].iter().position(|b| *b == 5).unwrap();
         record[lie..lie + 4].copy_from_slice(&u32::MAX.to_le_bytes());
-        assert!(matches!(decode("posta", crc32fast::hash(&record), &record), Err(FrameFault::Malformed)));
+        assert!(matches!(decode("posta", crc32fast::hash(&record), &record), Err(FrameError::Malformed)));
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use chain::{ChainMessage, EntryLine, OpNo, PairLine, Seat, View};
 pub use codec::{
-    ATTEMPTS, CAPACITY, FORMAT, Frame, FrameFault, LIMIT, Message, OLDEST, decode, encode, read_frame, write_frame,
+    ATTEMPTS, CAPACITY, FORMAT, Frame, FrameError, LIMIT, Message, OLDEST, decode, encode, read_frame, write_frame,
 };
 pub use forward::{
     AnswerHead, ForwardMessage, ForwardRequest, HeaderLine, HomeTable, InventoryChange, Outcome, RequestHead, SlotLine,
