--- a/crates/chain/src/disk.rs
+++ b/crates/chain/src/disk.rs
@@ -36,9 +36,9 @@
         let (batches, inbox) = mpsc::sync_channel::<(u64, Batch)>(4);
         std::thread::Builder::new().name("disk".into()).spawn(move || {
             let mut store = store;
-            while let Some(fault) = write_until_fault(store, &inbox, &report) {
-                let is_full = fault.is_disk_full();
-                report(DiskReport::Fault(fault));
+            while let Some(error) = write_until_fault(store, &inbox, &report) {
+                let is_full = error.is_disk_full();
+                report(DiskReport::Fault(error));
                 if !is_full {
                     return;
                 }
@@ -64,7 +64,7 @@
     while let Ok((ticket, batch)) = inbox.recv() {
         match store.write(&batch) {
             Ok(()) => report(DiskReport::Written { ticket }),
-            Err(fault) => return Some(fault),
+            Err(error) => return Some(error),
         }
     }
     None
--- a/crates/chain/src/store.rs
+++ b/crates/chain/src/store.rs
@@ -51,7 +51,7 @@
     /// need not be what the disk holds, so only a full disk is ever written to again by the same process.
     pub fn is_disk_full(&self) -> bool {
         use std::io::ErrorKind::{QuotaExceeded, StorageFull};
-        matches!(self, StoreError::File(redb::Error::Io(fault)) if matches!(fault.kind(), StorageFull | QuotaExceeded))
+        matches!(self, StoreError::File(redb::Error::Io(error)) if matches!(error.kind(), StorageFull | QuotaExceeded))
     }
 }
 
@@ -175,7 +175,7 @@
     let meta = match read.open_table(META) {
         Ok(table) => table,
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
-        Err(fault) => return Err(fault.into()),
+        Err(error) => return Err(error.into()),
     };
     let raw = meta.get("meta")?.ok_or(StoreError::Damaged)?.value().to_vec();
     let format = raw.get(..2).map(|b| u16::from_le_bytes([b[0], b[1]])).ok_or(StoreError::Damaged)?;
--- a/crates/chain/tests/full.rs
+++ b/crates/chain/tests/full.rs
@@ -46,7 +46,7 @@
             }
             platter.0.lock().unwrap().full = true;
             disk.write(acknowledged + 1, batch(acknowledged + 1));
-            assert!(matches!(reported.recv(), Ok(DiskReport::Fault(fault)) if fault.is_disk_full()), "round {round}");
+            assert!(matches!(reported.recv(), Ok(DiskReport::Fault(error)) if error.is_disk_full()), "round {round}");
             platter.0.lock().unwrap().full = false;
             let Ok(DiskReport::Back { stored }) = reported.recv() else { panic!("it does not come back") };
             assert!((acknowledged..=acknowledged + 1).contains(&stored.last), "{} of {acknowledged}", stored.last);
@@ -64,13 +64,13 @@
     let image = platter.0.lock().unwrap().synced.clone();
     let broken = Platter::new(image, 12);
     let (disk, reported) = start(&broken);
-    let fault = (1..50u64).find_map(|seq| {
+    let error = (1..50u64).find_map(|seq| {
         disk.write(seq, batch(seq));
         match reported.recv() {
-            Ok(DiskReport::Fault(fault)) => Some(fault),
+            Ok(DiskReport::Fault(error)) => Some(error),
             _ => None,
         }
     });
-    assert!(fault.is_some_and(|fault| !fault.is_disk_full()));
+    assert!(error.is_some_and(|error| !error.is_disk_full()));
     assert!(reported.recv().is_err(), "the disk's thread has ended");
 }
--- a/crates/chain/tests/store.rs
+++ b/crates/chain/tests/store.rs
@@ -61,7 +61,7 @@
     for (name, bytes) in cases {
         std::fs::write(&path, &bytes).unwrap();
         let opened = std::panic::catch_unwind(|| Store::open(&path, "posta", seat()).map(drop));
-        let refused = matches!(&opened, Ok(Err(fault)) if fault.to_string().contains("data file"));
+        let refused = matches!(&opened, Ok(Err(error)) if error.to_string().contains("data file"));
         assert!(refused, "{name}: {opened:?}");
         assert!(std::fs::read(&path).unwrap() == bytes, "{name}: the file was written to");
     }
--- a/crates/dispatch/src/connection.rs
+++ b/crates/dispatch/src/connection.rs
@@ -71,7 +71,7 @@
     /// Neither closed nor with bytes on it that nobody asked for.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [0u8; 1];
-        matches!(self.stream.try_read(&mut byte), Err(fault) if fault.kind() == io::ErrorKind::WouldBlock)
+        matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
     pub async fn exchange(&mut self, ask: &Ask, words: &Words) -> Result<Answer, Broken> {
@@ -140,7 +140,7 @@
         match self.stream.read_buf(bytes).await {
             Ok(0) => doubt("closed before the answer's end"),
             Ok(_) => Ok(()),
-            Err(fault) => doubt(format!("no whole answer: {fault}")),
+            Err(error) => doubt(format!("no whole answer: {error}")),
         }
     }
 
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -110,7 +110,7 @@
                 Taken::Kept(connection) => (connection, true),
                 Taken::ToOpen(open) => match connect(&order.address, open, order.limit).await {
                     Ok(connection) => (connection, false),
-                    Err(fault) if is_absent(&fault) => return DispatchOutcome::NotSent,
+                    Err(error) if is_absent(&error) => return DispatchOutcome::NotSent,
                     Err(_) => return DispatchOutcome::Crowded,
                 },
             };
@@ -188,7 +188,7 @@
     timeout(CONNECT.min(left), Connection::open(address, open)).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
 }
 
-fn is_absent(fault: &io::Error) -> bool {
+fn is_absent(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, HostUnreachable, InvalidInput, NetworkUnreachable};
-    matches!(fault.kind(), ConnectionRefused | HostUnreachable | NetworkUnreachable | InvalidInput)
+    matches!(error.kind(), ConnectionRefused | HostUnreachable | NetworkUnreachable | InvalidInput)
 }
--- a/crates/doors/src/tokens.rs
+++ b/crates/doors/src/tokens.rs
@@ -10,12 +10,12 @@
 #[derive(Debug, Display, Error)]
 pub enum TokensError {
     /// The file cannot be read.
-    #[display("tokens file {}: {fault}", path.display())]
+    #[display("tokens file {}: {error}", path.display())]
     Unread {
         /// The file.
         path: PathBuf,
         /// What the system answered.
-        fault: io::Error,
+        error: io::Error,
     },
     /// A line is no `tenant=SECRET`.
     #[display("tokens file {}: {allowed}", path.display())]
@@ -65,7 +65,7 @@
         let mut all = given.to_vec();
         if !file.as_os_str().is_empty() {
             let text =
-                std::fs::read_to_string(file).map_err(|fault| TokensError::Unread { path: file.to_owned(), fault })?;
+                std::fs::read_to_string(file).map_err(|error| TokensError::Unread { path: file.to_owned(), error })?;
             let lines = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#'));
             all.extend(lines.map(str::to_owned));
             well_formed(&all).map_err(|allowed| TokensError::Malformed { path: file.to_owned(), allowed })?;
--- a/crates/env/src/lib.rs
+++ b/crates/env/src/lib.rs
@@ -103,11 +103,11 @@
         let sample = Sample::read(&source).unwrap();
         assert_eq!((sample.zone.as_str(), sample.hold), ("c", Duration::from_secs(2)));
         let source = Source::new("hold = \"1ms\"", vec![]).unwrap();
-        let fault = Sample::read(&source).unwrap_err();
-        assert_eq!(fault.to_string(), "setting hold = 1ms: allowed is 500ms to 10s");
+        let error = Sample::read(&source).unwrap_err();
+        assert_eq!(error.to_string(), "setting hold = 1ms: allowed is 500ms to 10s");
         let source = Source::new("", vec![("tokens".into(), "sesame".into())]).unwrap();
-        let fault = Sample::read(&source).unwrap_err();
-        assert_eq!(fault.to_string(), "setting tokens = (not shown): longer ones");
+        let error = Sample::read(&source).unwrap_err();
+        assert_eq!(error.to_string(), "setting tokens = (not shown): longer ones");
         let source = Source::new("hodl = \"1s\"", vec![]).unwrap();
         assert!(Sample::read(&source).unwrap_err().to_string().starts_with("setting hodl = 1s: no such setting"));
     }
--- a/crates/env/src/line.rs
+++ b/crates/env/src/line.rs
@@ -45,8 +45,8 @@
             };
             match work(settings, Box::new(again)) {
                 Ok(()) => ExitCode::SUCCESS,
-                Err((code, fault)) => {
-                    eprintln!("{name}: {fault}");
+                Err((code, error)) => {
+                    eprintln!("{name}: {error}");
                     ExitCode::from(code)
                 }
             }
@@ -59,8 +59,8 @@
             eprintln!("{words}");
             ExitCode::from(code)
         }
-        Err(fault) => {
-            eprintln!("{name}: {fault}");
+        Err(error) => {
+            eprintln!("{name}: {error}");
             ExitCode::from(2)
         }
     }
@@ -77,7 +77,7 @@
     let mut file = String::new();
     let mut flags = Vec::new();
     let mut check = false;
-    while let Some(arg) = line.next().map_err(|fault| fault.to_string())? {
+    while let Some(arg) = line.next().map_err(|error| error.to_string())? {
         match arg {
             Short('h') | Long("help") => return Ok(Opening::Say { words: help::<S>(program, about), code: 0 }),
             Short('V') | Long("version") => {
@@ -85,16 +85,16 @@
             }
             Long("check") => check = true,
             Short('e') | Long("env") => {
-                let path = line.value().map_err(|fault| fault.to_string())?;
+                let path = line.value().map_err(|error| error.to_string())?;
                 file = std::fs::read_to_string(&path)
-                    .map_err(|fault| format!("settings file {}: {fault}", path.display()))?;
+                    .map_err(|error| format!("settings file {}: {error}", path.display()))?;
             }
             Long(flag) => {
                 let name = flag.replace('-', "_");
                 if !names.contains(&name.as_str()) {
                     return Err(format!("no flag --{flag}; see --help"));
                 }
-                let value = line.value().and_then(|v| v.string()).map_err(|fault| fault.to_string())?;
+                let value = line.value().and_then(|v| v.string()).map_err(|error| error.to_string())?;
                 flags.push((name, value));
             }
             other => return Err(other.unexpected().to_string()),
--- a/crates/env/src/parse.rs
+++ b/crates/env/src/parse.rs
@@ -102,10 +102,10 @@
 impl Source {
     /// Takes a TOML file's text and the flags, which go before it.
     pub fn new(file: &str, flags: Vec<(String, String)>) -> Result<Source, SettingError> {
-        let table: toml::Table = file.parse().map_err(|fault: toml::de::Error| SettingError {
+        let table: toml::Table = file.parse().map_err(|error: toml::de::Error| SettingError {
             name: "file".into(),
             value: "the settings file".into(),
-            allowed: format!("it cannot be read: {}", fault.message()),
+            allowed: format!("it cannot be read: {}", error.message()),
         })?;
         let mut words = BTreeMap::new();
         for (name, value) in table {
--- a/crates/heron/src/client.rs
+++ b/crates/heron/src/client.rs
@@ -92,8 +92,8 @@
     request.body(Full::new(Bytes::from(call.body.clone()))).map_err(CallError::Malformed)
 }
 
-fn unreached(call: &Call, fault: impl std::fmt::Display) -> CallError {
-    CallError::Unreached { address: call.address.clone(), told: fault.to_string() }
+fn unreached(call: &Call, error: impl std::fmt::Display) -> CallError {
+    CallError::Unreached { address: call.address.clone(), told: error.to_string() }
 }
 
 fn http() -> Client<HttpConnector, Full<Bytes>> {
@@ -103,12 +103,12 @@
 /// Makes a call and reads its answer whole.
 pub async fn ask(call: &Call) -> Result<Answer, CallError> {
     let work = async {
-        let answer = http().request(request(call)?).await.map_err(|fault| unreached(call, fault))?;
+        let answer = http().request(request(call)?).await.map_err(|error| unreached(call, error))?;
         let status = answer.status().as_u16();
         let tag =
             answer.headers().get("etag").and_then(|value| value.to_str().ok()).map(|t| t.trim_matches('"').to_owned());
         let body =
-            Limited::new(answer.into_body(), ANSWER_BYTES).collect().await.map_err(|fault| unreached(call, fault))?;
+            Limited::new(answer.into_body(), ANSWER_BYTES).collect().await.map_err(|error| unreached(call, error))?;
         Ok(Answer { status, revision: tag.and_then(|tag| tag.parse().ok()), body: body.to_bytes().to_vec() })
     };
     tokio::time::timeout(call.limit, work).await.map_err(|_| CallError::Late { address: call.address.clone() })?
@@ -116,12 +116,12 @@
 
 /// Prints each line of a live watch until the other side ends it; false if it was refused.
 pub async fn watch(call: &Call) -> Result<bool, CallError> {
-    let answer = http().request(request(call)?).await.map_err(|fault| unreached(call, fault))?;
+    let answer = http().request(request(call)?).await.map_err(|error| unreached(call, error))?;
     let good = answer.status().is_success();
     let mut body = answer.into_body();
     let mut out = std::io::stdout();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|fault| unreached(call, fault))?;
+        let frame = frame.map_err(|error| unreached(call, error))?;
         if let Some(data) = frame.data_ref() {
             out.write_all(data).and_then(|()| out.flush()).map_err(CallError::Print)?;
         }
--- a/crates/heron/src/folder.rs
+++ b/crates/heron/src/folder.rs
@@ -16,20 +16,20 @@
 #[derive(Debug, Display, Error)]
 pub enum FolderError {
     /// A file or folder cannot be read.
-    #[display("{}: {fault}", path.display())]
+    #[display("{}: {error}", path.display())]
     Unread {
         /// The file or folder.
         path: PathBuf,
         /// What the system answered.
-        fault: std::io::Error,
+        error: std::io::Error,
     },
     /// A file is no JSON.
-    #[display("{}: {fault}", path.display())]
+    #[display("{}: {error}", path.display())]
     NotJson {
         /// The file.
         path: PathBuf,
         /// Where and why reading failed.
-        fault: serde_json::Error,
+        error: serde_json::Error,
     },
     /// A file is no object of kinds.
     #[display("{}: {told}", path.display())]
@@ -86,7 +86,7 @@
 }
 
 fn find(folder: &Path, depth: usize, files: &mut Vec<PathBuf>) -> Result<(), FolderError> {
-    let unread = |fault| FolderError::Unread { path: folder.to_owned(), fault };
+    let unread = |error| FolderError::Unread { path: folder.to_owned(), error };
     for entry in std::fs::read_dir(folder).map_err(unread)? {
         let path = entry.map_err(unread)?.path();
         let hidden = path.file_name().is_some_and(|name| name.to_string_lossy().starts_with('.'));
@@ -100,9 +100,9 @@
 }
 
 fn read_one(path: &Path) -> Result<Declared, FolderError> {
-    let raw = std::fs::read(path).map_err(|fault| FolderError::Unread { path: path.to_owned(), fault })?;
+    let raw = std::fs::read(path).map_err(|error| FolderError::Unread { path: path.to_owned(), error })?;
     let whole: Value =
-        serde_json::from_slice(&raw).map_err(|fault| FolderError::NotJson { path: path.to_owned(), fault })?;
+        serde_json::from_slice(&raw).map_err(|error| FolderError::NotJson { path: path.to_owned(), error })?;
     let shape = |told: String| FolderError::Shape { path: path.to_owned(), told };
     let kinds = whole.as_object().ok_or_else(|| shape("allowed is an object of kinds".into()))?;
     let mut declared = Declared::new();
--- a/crates/heron/src/main.rs
+++ b/crates/heron/src/main.rs
@@ -82,7 +82,7 @@
         words: Vec::new(),
     };
     let mut line = lexopt::Parser::from_env();
-    while let Some(arg) = line.next().map_err(|fault| fault.to_string())? {
+    while let Some(arg) = line.next().map_err(|error| error.to_string())? {
         match arg {
             Short('h') | Long("help") => {
                 println!("{HELP}");
@@ -92,16 +92,16 @@
                 println!("heron {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
-            Value(word) => found.words.push(word.string().map_err(|fault| fault.to_string())?),
+            Value(word) => found.words.push(word.string().map_err(|error| error.to_string())?),
             Long("dry-run") => found.dry_run = true,
             Long(name) => {
                 let name = name.to_owned();
-                let value = line.value().and_then(|v| v.string()).map_err(|fault| fault.to_string())?;
+                let value = line.value().and_then(|v| v.string()).map_err(|error| error.to_string())?;
                 match name.as_str() {
                     "api" => found.api = value,
                     "token" => found.token = value,
                     "token-file" => {
-                        let text = std::fs::read_to_string(&value).map_err(|fault| format!("{value}: {fault}"))?;
+                        let text = std::fs::read_to_string(&value).map_err(|error| format!("{value}: {error}"))?;
                         found.token = text.trim().to_owned();
                     }
                     "from" => found.from = Some(value),
@@ -130,8 +130,8 @@
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(fault) => {
-            eprintln!("heron: {fault}");
+        Err(error) => {
+            eprintln!("heron: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -158,7 +158,7 @@
         limit: CALL_LIMIT,
         ..Call::default()
     };
-    let file = |path: &str| std::fs::read(path).map_err(|fault| wrong_use(format!("{path}: {fault}")));
+    let file = |path: &str| std::fs::read(path).map_err(|error| wrong_use(format!("{path}: {error}")));
     match words[..] {
         ["get"] => show(call(Method::GET, "/v1/configuration".into(), Vec::new())).await,
         ["get", part] => show(call(Method::GET, format!("/v1/{part}"), Vec::new())).await,
@@ -221,7 +221,7 @@
     }
     let lines = differences(&resources(&now), wanted);
     let page: String = lines.iter().map(|line| format!("{line}\n")).collect();
-    std::io::stdout().write_all(page.as_bytes()).map_err(|fault| not_reached(format!("cannot print: {fault}")))?;
+    std::io::stdout().write_all(page.as_bytes()).map_err(|error| not_reached(format!("cannot print: {error}")))?;
     Ok(if lines.is_empty() { exit_code::DONE } else { exit_code::REFUSED })
 }
 
@@ -231,7 +231,7 @@
         Ok(value) => format!("{value:#}\n"),
         Err(_) => format!("{}\n", String::from_utf8_lossy(&answer.body)),
     };
-    std::io::stdout().write_all(page.as_bytes()).map_err(|fault| not_reached(format!("cannot print: {fault}")))?;
+    std::io::stdout().write_all(page.as_bytes()).map_err(|error| not_reached(format!("cannot print: {error}")))?;
     Ok(match answer.status {
         200..=299 => exit_code::DONE,
         504 => exit_code::OUTCOME_NOT_KNOWN,
--- a/crates/hollow/src/fleet.rs
+++ b/crates/hollow/src/fleet.rs
@@ -110,7 +110,7 @@
         let mut addresses = BTreeSet::new();
         let mut parts: Vec<Vec<NodeSlot>> = (0..threads).map(|_| Vec::new()).collect();
         for (number, listener) in listeners.into_iter().enumerate() {
-            listener.set_nonblocking(true).map_err(|fault| fault.to_string())?;
+            listener.set_nonblocking(true).map_err(|error| error.to_string())?;
             let address = address(&listener);
             let id = identity(CLUSTER, &address);
             let (post, taken) = inbox::<NodeMessage>(16_384);
@@ -153,7 +153,7 @@
             limit: Duration::from_secs(20),
             ..Call::default()
         };
-        ask(&call).await.map_err(|fault| fault.to_string())
+        ask(&call).await.map_err(|error| error.to_string())
     }
 
     /// Each registry's own page, empty where it does not answer.
--- a/crates/hollow/src/main.rs
+++ b/crates/hollow/src/main.rs
@@ -70,11 +70,11 @@
     );
     for nodes in &order.nodes {
         let part: PathBuf = folder.join(format!("{nodes}"));
-        std::fs::create_dir_all(&part).map_err(|fault| format!("{}: {fault}", part.display()))?;
+        std::fs::create_dir_all(&part).map_err(|error| format!("{}: {error}", part.display()))?;
         match point(order, *nodes, &part).await {
             Ok(told) => {
-                if let Some(fault) = told["fault"].as_str() {
-                    ended = Err(format!("{nodes} nodes: {fault}"));
+                if let Some(error) = told["fault"].as_str() {
+                    ended = Err(format!("{nodes} nodes: {error}"));
                 }
                 points.push(told);
                 tell(&title, &points, &series(&points), order.out.as_deref())?;
--- a/crates/hollow/src/offline.rs
+++ b/crates/hollow/src/offline.rs
@@ -82,7 +82,7 @@
 
 /// This program once more, for one size alone.
 fn again(order: &Order, flag: &str, size: usize) -> Result<Value, String> {
-    let itself = std::env::current_exe().map_err(|fault| fault.to_string())?;
+    let itself = std::env::current_exe().map_err(|error| error.to_string())?;
     let word = format!("{:?}", order.what).to_lowercase();
     let mut command = Command::new(itself);
     command.args([&word, "--one", "--seed", &order.seed.to_string()]);
@@ -91,8 +91,8 @@
         command.args([format!("--{name}"), list[0].to_string()]);
     }
     command.args([format!("--{flag}"), size.to_string()]).stdin(Stdio::null()).stderr(Stdio::inherit());
-    let output = command.output().map_err(|fault| fault.to_string())?;
-    serde_json::from_slice(&output.stdout).map_err(|fault| format!("{word} of {size}: {fault}"))
+    let output = command.output().map_err(|error| error.to_string())?;
+    serde_json::from_slice(&output.stdout).map_err(|error| format!("{word} of {size}: {error}"))
 }
 
 fn tables(order: &Order) -> Value {
--- a/crates/hollow/src/opening.rs
+++ b/crates/hollow/src/opening.rs
@@ -83,5 +83,5 @@
 }
 
 pub fn on_thread<F: FnOnce() + Send + 'static>(name: &str, work: F) -> Result<JoinHandle<()>, String> {
-    kernel::thread(name, work).map_err(|fault| fault.to_string())
+    kernel::thread(name, work).map_err(|error| error.to_string())
 }
--- a/crates/hollow/src/processes.rs
+++ b/crates/hollow/src/processes.rs
@@ -51,7 +51,7 @@
 
 fn spawn(order: &Order, folder: &Path, program: &str, drawn: &Drawn, more: &[&str]) -> Result<Process, String> {
     let log = folder.join(format!("{}.log", drawn.name));
-    let log = File::create(&log).map_err(|fault| format!("{}: {fault}", log.display()))?;
+    let log = File::create(&log).map_err(|error| format!("{}: {error}", log.display()))?;
     let path = order.programs.join(program);
     let child = Command::new(&path)
         .args(["--cluster", CLUSTER, "--address", &drawn.address, "--bind", &drawn.behind, "--log-level", "warn"])
@@ -60,7 +60,7 @@
         .stdout(Stdio::null())
         .stderr(log)
         .spawn()
-        .map_err(|fault| format!("{}: {fault}", path.display()))?;
+        .map_err(|error| format!("{}: {error}", path.display()))?;
     Ok(Process { name: drawn.name.clone(), api: drawn.api.clone(), child })
 }
 
--- a/crates/hollow/src/report.rs
+++ b/crates/hollow/src/report.rs
@@ -65,7 +65,7 @@
     let slopes: Vec<Value> = series.iter().map(Series::to_json).collect();
     let whole = json!({"title": title, "points": points, "slopes": slopes});
     let write = |path: &Path, words: String| {
-        std::fs::write(path, words).map_err(|fault| format!("{}: {fault}", path.display()))
+        std::fs::write(path, words).map_err(|error| format!("{}: {error}", path.display()))
     };
     write(out, format!("{whole:#}\n"))?;
     write(&out.with_extension("txt"), format!("{title}\n{text}"))?;
--- a/crates/kernel/src/inbox.rs
+++ b/crates/kernel/src/inbox.rs
@@ -61,7 +61,7 @@
 impl<M> InboxSender<M> {
     /// Queues a message without waiting. A full queue refuses it and counts the refusal.
     pub fn send(&self, message: M) -> Result<(), SendError<M>> {
-        self.queue.try_send(message).map_err(|fault| match fault {
+        self.queue.try_send(message).map_err(|error| match error {
             mpsc::error::TrySendError::Full(message) => {
                 self.refused.fetch_add(1, Ordering::Relaxed);
                 SendError::Full(message)
--- a/crates/kernel/src/program.rs
+++ b/crates/kernel/src/program.rs
@@ -15,20 +15,20 @@
 #[derive(Debug, Display, Error)]
 pub enum StartError {
     /// A thread could not be started.
-    #[display("thread {name}: {fault}")]
+    #[display("thread {name}: {error}")]
     Thread {
         /// The thread's name.
         name: String,
         /// What the system answered.
-        fault: io::Error,
+        error: io::Error,
     },
     /// An address could not be bound to.
-    #[display("cannot listen on {address}: {fault}")]
+    #[display("cannot listen on {address}: {error}")]
     Listen {
         /// The address to bind to.
         address: String,
         /// What the system answered.
-        fault: io::Error,
+        error: io::Error,
     },
 }
 
@@ -41,7 +41,7 @@
 /// Starts a named thread.
 pub fn thread<F: FnOnce() + Send + 'static>(name: &str, work: F) -> Result<JoinHandle<()>, StartError> {
     let started = std::thread::Builder::new().name(name.into()).spawn(work);
-    started.map_err(|fault| StartError::Thread { name: name.to_owned(), fault })
+    started.map_err(|error| StartError::Thread { name: name.to_owned(), error })
 }
 
 /// Binds a TCP listener, ready to be taken into a runtime with [`adopt`].
@@ -50,7 +50,7 @@
         listener.set_nonblocking(true)?;
         Ok(listener)
     });
-    bound.map_err(|fault| StartError::Listen { address: address.to_owned(), fault })
+    bound.map_err(|error| StartError::Listen { address: address.to_owned(), error })
 }
 
 /// The address to listen at: the one bound to if there is one, else the one others are told.
--- a/crates/links/src/stream.rs
+++ b/crates/links/src/stream.rs
@@ -92,10 +92,10 @@
                 inner.remove(id, number).await;
                 timeout(LAST, reader).await.unwrap_or(Ok(()))
             }
-            fault => fault,
+            error => error,
         },
         end = &mut reader => match end {
-            Err(FrameError::Connection(fault)) if fault.kind() == ErrorKind::UnexpectedEof => {
+            Err(FrameError::Connection(error)) if error.kind() == ErrorKind::UnexpectedEof => {
                 inner.remove(id, number).await;
                 timeout(LAST, writer).await.unwrap_or(Ok(()))
             }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -8,8 +8,8 @@
 fn main() -> ExitCode {
     env::program("router", ABOUT, env!("CARGO_PKG_VERSION"), |settings: RouterEnv, reread| {
         events::setup(&settings.log_level, &settings.log_file)
-            .map_err(|fault| (2, format!("setting log_file = {}: {fault}", settings.log_file)))?;
+            .map_err(|error| (2, format!("setting log_file = {}: {error}", settings.log_file)))?;
         traffic::run(settings, Dialect { reread: Some(reread), ..Dialect::default() })
-            .map_err(|fault| (1, fault.to_string()))
+            .map_err(|error| (1, error.to_string()))
     })
 }
--- a/crates/swarm/src/attempt.rs
+++ b/crates/swarm/src/attempt.rs
@@ -55,11 +55,11 @@
     let Ok(request) = request.body(Full::new(Bytes::from(ask.body))) else { return attempt };
     let begun = Instant::now();
     let work = async {
-        let answer = http.request(request).await.map_err(|fault| format!("{fault:?}"))?;
+        let answer = http.request(request).await.map_err(|error| format!("{error:?}"))?;
         let status = answer.status().as_u16();
         let text = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
         let (outcome, retry_after) = (text("heronlink-outcome"), !text("retry-after").is_empty());
-        let body = Limited::new(answer.into_body(), 1 << 20).collect().await.map_err(|fault| fault.to_string())?;
+        let body = Limited::new(answer.into_body(), 1 << 20).collect().await.map_err(|error| error.to_string())?;
         Ok::<_, String>((status, outcome, retry_after, body.to_bytes()))
     };
     match timeout(PATIENCE, work).await {
--- a/crates/swarm/src/check.rs
+++ b/crates/swarm/src/check.rs
@@ -15,7 +15,7 @@
     for line in BufReader::new(file).lines() {
         let line = line.map_err(at(path))?;
         let read = serde_json::from_str(&line);
-        list.push(read.map_err(|fault| WorkError::Line { path: path.to_owned(), fault, line })?);
+        list.push(read.map_err(|error| WorkError::Line { path: path.to_owned(), error, line })?);
     }
     Ok(list)
 }
--- a/crates/swarm/src/errors.rs
+++ b/crates/swarm/src/errors.rs
@@ -7,10 +7,10 @@
 
 #[derive(Debug, Display, Error, From)]
 pub enum WorkError {
-    #[display("{}: {fault}", path.display())]
-    File { path: PathBuf, fault: io::Error },
-    #[display("{}: {fault}: {line}", path.display())]
-    Line { path: PathBuf, fault: serde_json::Error, line: String },
+    #[display("{}: {error}", path.display())]
+    File { path: PathBuf, error: io::Error },
+    #[display("{}: {error}: {line}", path.display())]
+    Line { path: PathBuf, error: serde_json::Error, line: String },
     #[display("no runtime: {_0}")]
     Runtime(io::Error),
     #[display("more than {_0} tasks are open at once; the load ends here")]
@@ -23,5 +23,5 @@
 }
 
 pub fn at(path: &Path) -> impl Fn(io::Error) -> WorkError {
-    move |fault| WorkError::File { path: path.to_owned(), fault }
+    move |error| WorkError::File { path: path.to_owned(), error }
 }
--- a/crates/swarm/src/main.rs
+++ b/crates/swarm/src/main.rs
@@ -40,9 +40,9 @@
     match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(fault) => {
-            eprintln!("swarm: {fault}");
-            ExitCode::from(if matches!(fault, errors::WorkError::Replay(_)) { 2 } else { 1 })
+        Err(error) => {
+            eprintln!("swarm: {error}");
+            ExitCode::from(if matches!(error, errors::WorkError::Replay(_)) { 2 } else { 1 })
         }
     }
 }
--- a/crates/swarm/src/mix.rs
+++ b/crates/swarm/src/mix.rs
@@ -37,7 +37,7 @@
 
 fn read<T: DeserializeOwned>(path: &Path) -> Result<T, WorkError> {
     let raw = std::fs::read(path).map_err(at(path))?;
-    let wrong = |fault| WorkError::Line { path: path.to_owned(), fault, line: String::new() };
+    let wrong = |error| WorkError::Line { path: path.to_owned(), error, line: String::new() };
     serde_json::from_slice(&raw).map_err(wrong)
 }
 
--- a/crates/swarm/src/replay.rs
+++ b/crates/swarm/src/replay.rs
@@ -47,8 +47,8 @@
 
 pub fn read(path: &Path) -> Result<Vec<Taken>, ReplayError> {
     let unread = |told: String| ReplayError::Unread { path: path.to_owned(), told };
-    let archive = har::from_path(path).map_err(|fault| unread(fault.to_string()))?;
-    let whole = serde_json::to_value(&archive).map_err(|fault| unread(fault.to_string()))?;
+    let archive = har::from_path(path).map_err(|error| unread(error.to_string()))?;
+    let whole = serde_json::to_value(&archive).map_err(|error| unread(error.to_string()))?;
     let entries = whole["log"]["entries"].as_array().map(Vec::as_slice).unwrap_or_default();
     if entries.is_empty() {
         return Err(ReplayError::Empty { path: path.to_owned() });
@@ -61,10 +61,10 @@
         let wrong = |told: String| ReplayError::Request { number: place + 1, told };
         let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
         let at: jiff::Timestamp =
-            text(&entry["startedDateTime"]).parse().map_err(|fault: jiff::Error| wrong(fault.to_string()))?;
+            text(&entry["startedDateTime"]).parse().map_err(|error: jiff::Error| wrong(error.to_string()))?;
         let url: hyper::Uri = text(&entry["request"]["url"])
             .parse()
-            .map_err(|fault: hyper::http::uri::InvalidUri| wrong(fault.to_string()))?;
+            .map_err(|error: hyper::http::uri::InvalidUri| wrong(error.to_string()))?;
         let headers = entry["request"]["headers"].as_array().into_iter().flatten();
         let headers = headers.map(|line| (text(&line["name"]).to_lowercase(), text(&line["value"])));
         let headers = headers.filter(|(name, _)| !name.starts_with(':') && !STAYS.contains(&name.as_str())).collect();
--- a/crates/traffic/src/caller_server.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -67,7 +67,7 @@
         };
         match timeout(time, Limited::new(body, bytes).collect()).await {
             Err(_) => Err(self.own(408, "the request's body came too slowly", true)),
-            Ok(Err(fault)) if fault.downcast_ref::<LengthLimitError>().is_some() => {
+            Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
                 Err(self.own(413, "the request's body is too long", true))
             }
             Ok(Err(_)) => Err(self.own(400, "the request's body was cut", true)),
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -105,7 +105,7 @@
                 self.seeds = seeds;
                 self.dial();
             }
-            Err(fault) => event!(settings_refused, "{fault}"),
+            Err(error) => event!(settings_refused, "{error}"),
         }
     }
 
--- a/crates/yard/src/api.rs
+++ b/crates/yard/src/api.rs
@@ -31,7 +31,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind(&settings.address)
             .await
-            .map_err(|fault| format!("cannot listen on {}: {fault}", settings.address))?;
+            .map_err(|error| format!("cannot listen on {}: {error}", settings.address))?;
         let (orders, inbox) = mpsc::channel(4096);
         let router = Router::new()
             .route("/v1/instances", get(list).post(start))
@@ -57,7 +57,7 @@
             instance_seconds: 0.0,
         };
         tokio::task::spawn_local(own(emulator, record, orders, inbox));
-        axum::serve(listener, router).await.map_err(|fault| fault.to_string())
+        axum::serve(listener, router).await.map_err(|error| error.to_string())
     })
 }
 
--- a/crates/yard/src/main.rs
+++ b/crates/yard/src/main.rs
@@ -14,6 +14,6 @@
 fn main() -> ExitCode {
     let about = "stands in for the platform and its instances";
     env::program("yard", about, env!("CARGO_PKG_VERSION"), |settings: state::YardEnv, _| {
-        api::run(settings).map_err(|fault| (1, fault))
+        api::run(settings).map_err(|error| (1, error))
     })
 }
--- a/crates/yard/src/record.rs
+++ b/crates/yard/src/record.rs
@@ -17,7 +17,7 @@
             .create(true)
             .append(true)
             .open(path)
-            .map_err(|fault| format!("record {}: {fault}", path.display()))?;
+            .map_err(|error| format!("record {}: {error}", path.display()))?;
         let (lines, inbox) = mpsc::channel::<Value>();
         std::thread::spawn(move || {
             let mut file = BufWriter::new(file);
--- a/crates/yard/src/services.rs
+++ b/crates/yard/src/services.rs
@@ -14,6 +14,6 @@
 pub type Services = BTreeMap<String, Service>;
 
 pub fn load(path: &std::path::Path) -> Result<Services, String> {
-    let raw = std::fs::read(path).map_err(|fault| format!("services file {}: {fault}", path.display()))?;
-    serde_json::from_slice(&raw).map_err(|fault| format!("services file {}: {fault}", path.display()))
+    let raw = std::fs::read(path).map_err(|error| format!("services file {}: {error}", path.display()))?;
+    serde_json::from_slice(&raw).map_err(|error| format!("services file {}: {error}", path.display()))
 }
