--- a/crates/chain/src/copy.rs
+++ b/crates/chain/src/copy.rs
@@ -1,4 +1,4 @@
-//! Copying the state to a member that has been away or comes up empty: it pulls a checkpoint
+//! Copying the state to a member that has been away or comes up empty: it pulls a snapshot
 //! piece by piece, writes it in one go, and only then is added to the chain by a view of its own.
 
 use crate::member::Member;
--- a/crates/chain/src/suffix.rs
+++ b/crates/chain/src/suffix.rs
@@ -1,8 +1,8 @@
-//! Bringing back a member that was away for a while without a whole checkpoint. What was once known
+//! Bringing back a member that was away for a while without a whole snapshot. What was once known
 //! to be committed is part of every later history; it is kept on disk with each write. If the member's
 //! log reaches back that far, and what follows in it is entry for entry what the source holds, then
 //! its log is a prefix of the source's, and the entries it missed are all it needs. Otherwise it copies
-//! a checkpoint as before.
+//! a snapshot as before.
 
 use crate::copy::Source;
 use crate::member::Member;
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -119,7 +119,7 @@
     Told {
         view: View,
     },
-    /// Brought up to the others, by so many entries it missed or by a whole checkpoint.
+    /// Brought up to the others, by so many entries it missed or by a whole snapshot.
     Installed {
         missed: Option<usize>,
     },
--- a/crates/chain/tests/power.rs
+++ b/crates/chain/tests/power.rs
@@ -75,7 +75,7 @@
     println!("{writes} moments, {torn} landed though not acknowledged");
 }
 
-/// A whole checkpoint in the place of what was there: 600 pairs, each with the same mark.
+/// A whole snapshot in the place of what was there: 600 pairs, each with the same mark.
 fn checkpoint(mark: u8, last: u64) -> Batch {
     let pairs = (0..600).map(|n| (format!("pair {n:03}"), Some(vec![mark; 200 + n % 90].into()))).collect();
     Batch { replace: true, pairs, trim_below: last + 1, last, settled: last, ..Batch::default() }
--- a/crates/control/src/entering.rs
+++ b/crates/control/src/entering.rs
@@ -56,7 +56,7 @@
         match wait {
             Wait::Duty(duty) => drop(self.open.remove(&duty)),
             Wait::Router { to, ask } => {
-                let message = LeaseMessage::EnterReceipt { ask, state: entered as u8, body: receipt.into() };
+                let message = LeaseMessage::ProposalAck { ask, state: entered as u8, body: receipt.into() };
                 self.outs.push(CoreOutput::Router { to, message });
             }
             Wait::Change { ask, op, again, .. } => self.change_done(ask, op, again, entered, &receipt),
--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -17,7 +17,7 @@
         for op in late {
             match self.waits.remove(&op) {
                 Some((Wait::Router { to, ask }, _)) => {
-                    let message = LeaseMessage::EnterReceipt { ask, state: 2, body: Vec::new().into() };
+                    let message = LeaseMessage::ProposalAck { ask, state: 2, body: Vec::new().into() };
                     self.outs.push(CoreOutput::Router { to, message });
                 }
                 Some((Wait::Change { ask, op, .. }, _)) => self.unknown(ask, &op),
--- a/crates/control/src/pushes.rs
+++ b/crates/control/src/pushes.rs
@@ -38,7 +38,7 @@
         self.align();
         let number = self.rosters.newest(now, &state);
         let mut outs = Vec::new();
-        for (id, session) in self.sessions.table.iter_mut().filter(|(_, session)| !session.ghost) {
+        for (id, session) in self.sessions.table.iter_mut().filter(|(_, session)| !session.departed) {
             if let Some(next) = next_step(now, session, active, latest) {
                 let step = match self.format {
                     ..PARTS => keys::step(&state, next).map(|step| LeaseMessage::Stage { step }),
--- a/crates/control/src/routers.rs
+++ b/crates/control/src/routers.rs
@@ -57,7 +57,7 @@
             }
             LeaseMessage::Enter { ask, body } => {
                 if self.waits.len() >= WAITS {
-                    let message = LeaseMessage::EnterReceipt { ask, state: 0, body: Vec::new().into() };
+                    let message = LeaseMessage::ProposalAck { ask, state: 0, body: Vec::new().into() };
                     return self.outs.push(CoreOutput::Router { to: from, message });
                 }
                 self.enter_raw(Wait::Router { to: from, ask }, body.into_vec());
@@ -91,7 +91,7 @@
                 LeaseMessage::FetchAll { ask, from: start } => self.piece(from, ask, start.as_str()),
                 LeaseMessage::Read { ask, prefix, from: start } => {
                     let (items, _) = keys::page(self.state(), prefix.as_str(), start.as_str(), false);
-                    let message = LeaseMessage::ReadReceipt { ask, state: 1, items: items.into() };
+                    let message = LeaseMessage::ReadReply { ask, state: 1, items: items.into() };
                     self.outs.push(CoreOutput::Router { to: from, message });
                 }
                 _ => {}
--- a/crates/holds/src/peers.rs
+++ b/crates/holds/src/peers.rs
@@ -152,10 +152,10 @@
         match message {
             LeaseMessage::PeerAsk { ask, .. } if self.ready => {
                 let latest = self.staged_number().max(self.latest_known);
-                let message = LeaseMessage::PeerReceipt { ask, active: self.step, latest };
+                let message = LeaseMessage::PeerReply { ask, active: self.step, latest };
                 self.outs.push(FollowerOutput::ToPeer { to: from, message });
             }
-            LeaseMessage::PeerReceipt { ask, latest, .. } => self.on_peer_receipt(from, ask, latest),
+            LeaseMessage::PeerReply { ask, latest, .. } => self.on_peer_receipt(from, ask, latest),
             LeaseMessage::PeerCollect { ask, active } => self.collect(from, ask, active),
             LeaseMessage::PeerMajority { ask, active } if active == self.step && !self.is_guarded() => {
                 if let Some((_, asked)) = self.peers.relayed.filter(|(number, _)| *number == ask) {
--- a/crates/holds/src/sessions.rs
+++ b/crates/holds/src/sessions.rs
@@ -15,7 +15,7 @@
     pub staged: u64,
     pub active: u64,
     pub roster: u64,
-    pub ghost: bool,
+    pub departed: bool,
     pub pushed: u64,
     pub pushed_at: Duration,
     pub told: u64,
@@ -32,12 +32,12 @@
 
 impl Sessions {
     /// Brings the table in line with the members the chain's state names. One that is named no
-    /// longer but was given a proof not long ago stays as a ghost until that proof has run out.
+    /// longer but was given a proof not long ago stays as a departed member until that proof has run out.
     pub fn align(&mut self, now: Duration, members: &BTreeMap<NodeId, u64>, after: Duration) {
         for (id, session) in &mut self.table {
-            session.ghost = members.get(id) != Some(&session.incarnation);
+            session.departed = members.get(id) != Some(&session.incarnation);
         }
-        self.table.retain(|_, session| !session.ghost || now <= session.proved + after);
+        self.table.retain(|_, session| !session.departed || now <= session.proved + after);
         for (id, incarnation) in members {
             match self.table.get_mut(id) {
                 Some(session) if session.incarnation == *incarnation => {}
@@ -59,7 +59,7 @@
     }
 
     pub fn lapsed(&self, now: Duration, after: Duration) -> Vec<(NodeId, u64)> {
-        let silent = |session: &&Session| !session.ghost && now > session.proved + after;
+        let silent = |session: &&Session| !session.departed && now > session.proved + after;
         self.table.iter().filter(|(_, s)| silent(s)).map(|(id, s)| (*id, s.incarnation)).collect()
     }
 
@@ -89,7 +89,7 @@
                 incarnation: *incarnation,
                 proved: *asked,
                 proof_asked_until: *asked,
-                ghost: true,
+                departed: true,
                 ..Session::default()
             });
         }
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -116,10 +116,10 @@
         match message {
             Message::Forward(message) if message.is_for_home() => self.feed_home(HomeInput::Forward { from, message }),
             Message::Plan(message) => self.feed_home(HomeInput::Plan { message }),
-            Message::Hold(message @ (LeaseMessage::EnterReceipt { .. } | LeaseMessage::ReadReceipt { .. })) => {
+            Message::Hold(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
                 self.feed_home(HomeInput::Ledger { message });
             }
-            Message::Hold(message @ (LeaseMessage::PeerAsk { .. } | LeaseMessage::PeerReceipt { .. })) => {
+            Message::Hold(message @ (LeaseMessage::PeerAsk { .. } | LeaseMessage::PeerReply { .. })) => {
                 self.follow(FollowerInput::Peer { from, message });
             }
             Message::Hold(message) => {
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -178,7 +178,7 @@
         let now = self.router_now(n);
         match message {
             Message::Hold(message) if message.is_from_peer() => self.follow(n, FollowerInput::Peer { from, message }),
-            Message::Hold(message @ (LeaseMessage::EnterReceipt { .. } | LeaseMessage::ReadReceipt { .. })) => {
+            Message::Hold(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
                 self.turn(n, Turn::Home(HomeInput::Ledger { message }))
             }
             Message::Hold(message) => {
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/yard.rs
@@ -7,8 +7,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 use supply::{
-    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReceipt, StopReceipt,
-    WorkerLine,
+    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReply, StopReply, WorkerLine,
 };
 use traffic::{DispatchOutcome, HomeInput};
 
@@ -88,17 +87,17 @@
         let report = match order {
             ProviderOrder::Start(order) => {
                 let nonce = order.nonce.clone();
-                let receipt = if taken { self.begin(order, boot) } else { StartReceipt::Limited };
-                let receipt = if lost { StartReceipt::Unanswered } else { receipt };
+                let receipt = if taken { self.begin(order, boot) } else { StartReply::Limited };
+                let receipt = if lost { StartReply::Unanswered } else { receipt };
                 ProviderReport::Started { nonce, receipt }
             }
             ProviderOrder::Stop { id, .. } => {
                 let known = taken.then(|| self.yard.instances.remove(&id).is_some());
                 let receipt = match known {
-                    _ if lost => StopReceipt::Unanswered,
-                    Some(true) => StopReceipt::Taken,
-                    Some(false) => StopReceipt::Unknown,
-                    None => StopReceipt::Limited,
+                    _ if lost => StopReply::Unanswered,
+                    Some(true) => StopReply::Taken,
+                    Some(false) => StopReply::Unknown,
+                    None => StopReply::Limited,
                 };
                 ProviderReport::Stopped { id, receipt }
             }
@@ -121,17 +120,17 @@
         self.after(wait, Event::Platform { router: n, life, report, listed_at });
     }
 
-    fn begin(&mut self, order: StartOrder, boot: Duration) -> StartReceipt {
+    fn begin(&mut self, order: StartOrder, boot: Duration) -> StartReply {
         let key = (order.service.clone(), order.nonce);
         if let Some(id) = self.yard.nonces.get(&key) {
-            return StartReceipt::Accepted { id: id.clone(), address: id.clone() };
+            return StartReply::Accepted { id: id.clone(), address: id.clone() };
         }
         let free = self.free_places();
         let named = order.worker.map(|name| name.trim_start_matches('w').parse::<usize>().unwrap_or(WORKERS));
         let roomiest = || (0..WORKERS).max_by_key(|worker| free[*worker]).unwrap_or_default();
         let worker = named.unwrap_or_else(roomiest);
         if free.get(worker).is_none_or(|free| *free == 0) {
-            return StartReceipt::NoRoom;
+            return StartReply::NoRoom;
         }
         self.yard.starts += 1;
         let id = format!("i{}", self.yard.starts);
@@ -139,7 +138,7 @@
         let instance = SimInstance { service: order.service, worker, ready_at, busy: 0, leaving: false };
         self.yard.instances.insert(id.clone(), instance);
         self.yard.nonces.insert(key, id.clone());
-        StartReceipt::Accepted { id: id.clone(), address: id }
+        StartReply::Accepted { id: id.clone(), address: id }
     }
 
     /// How many more instances each worker has room for.
--- a/crates/supply/src/lib.rs
+++ b/crates/supply/src/lib.rs
@@ -11,7 +11,6 @@
 pub use caller::Caller;
 pub use own::OwnInstanceProvider;
 pub use port::{
-    Call, InstanceLine, InstanceProvider, InstanceState, Listing, Start, StartOrder, StartReceipt, StopReceipt,
-    WorkerLine,
+    Call, InstanceLine, InstanceProvider, InstanceState, Listing, Start, StartOrder, StartReply, StopReply, WorkerLine,
 };
 pub use service::{ProviderOrder, ProviderReport, Report, run};
--- a/crates/supply/src/own.rs
+++ b/crates/supply/src/own.rs
@@ -1,7 +1,7 @@
 //! The provider of the product's own dialect.
 
 use crate::caller::Caller;
-use crate::port::{Call, InstanceProvider, Listing, StartOrder, StartReceipt, StopReceipt, WorkerLine};
+use crate::port::{Call, InstanceProvider, Listing, StartOrder, StartReply, StopReply, WorkerLine};
 use hyper::{Method, StatusCode};
 use serde::Deserialize;
 use serde_json::json;
@@ -30,31 +30,31 @@
 }
 
 impl InstanceProvider for OwnInstanceProvider {
-    fn start(&self, order: StartOrder) -> Call<'_, StartReceipt> {
+    fn start(&self, order: StartOrder) -> Call<'_, StartReply> {
         Box::pin(async move {
             let StartOrder { nonce, service, worker, memory_mb, fence } = order;
             let body =
                 json!({"nonce": nonce, "service": service, "worker": worker, "memory_mb": memory_mb, "fence": fence});
             match self.caller.call(Method::POST, "/v1/instances", &[], body.to_string().into_bytes()).await {
                 Some((StatusCode::ACCEPTED, body)) => match serde_json::from_slice::<Started>(&body) {
-                    Ok(started) => StartReceipt::Accepted { id: started.id, address: started.address },
-                    Err(_) => StartReceipt::Unanswered,
+                    Ok(started) => StartReply::Accepted { id: started.id, address: started.address },
+                    Err(_) => StartReply::Unanswered,
                 },
-                Some((StatusCode::INSUFFICIENT_STORAGE, _)) => StartReceipt::NoRoom,
-                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StartReceipt::Limited,
-                Some((StatusCode::BAD_REQUEST, _)) => StartReceipt::Refused,
-                _ => StartReceipt::Unanswered,
+                Some((StatusCode::INSUFFICIENT_STORAGE, _)) => StartReply::NoRoom,
+                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StartReply::Limited,
+                Some((StatusCode::BAD_REQUEST, _)) => StartReply::Refused,
+                _ => StartReply::Unanswered,
             }
         })
     }
 
-    fn stop(&self, id: String, _fence: u64) -> Call<'_, StopReceipt> {
+    fn stop(&self, id: String, _fence: u64) -> Call<'_, StopReply> {
         Box::pin(async move {
             match self.caller.call(Method::DELETE, &format!("/v1/instances/{id}"), &[], Vec::new()).await {
-                Some((StatusCode::ACCEPTED, _)) => StopReceipt::Taken,
-                Some((StatusCode::NOT_FOUND, _)) => StopReceipt::Unknown,
-                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StopReceipt::Limited,
-                _ => StopReceipt::Unanswered,
+                Some((StatusCode::ACCEPTED, _)) => StopReply::Taken,
+                Some((StatusCode::NOT_FOUND, _)) => StopReply::Unknown,
+                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StopReply::Limited,
+                _ => StopReply::Unanswered,
             }
         })
     }
--- a/crates/supply/src/port.rs
+++ b/crates/supply/src/port.rs
@@ -76,7 +76,7 @@
 
 /// The platform's reply to a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StartReceipt {
+pub enum StartReply {
     /// The instance is coming up.
     Accepted {
         /// The platform's id of it.
@@ -96,7 +96,7 @@
 
 /// The platform's reply to a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopReceipt {
+pub enum StopReply {
     /// The instance is leaving.
     Taken,
     /// There is no such instance.
@@ -113,9 +113,9 @@
 /// Whoever starts, stops and lists instances.
 pub trait InstanceProvider {
     /// Orders one instance.
-    fn start(&self, order: StartOrder) -> Call<'_, StartReceipt>;
+    fn start(&self, order: StartOrder) -> Call<'_, StartReply>;
     /// Orders an instance stopped, under the number of the membership.
-    fn stop(&self, id: String, fence: u64) -> Call<'_, StopReceipt>;
+    fn stop(&self, id: String, fence: u64) -> Call<'_, StopReply>;
     /// Reads the list of instances; none if it could not be read.
     fn list(&self) -> Call<'_, Option<Listing>>;
     /// Reads the list of workers; none if it could not be read.
--- a/crates/supply/src/service.rs
+++ b/crates/supply/src/service.rs
@@ -1,6 +1,6 @@
 //! The service around a provider: orders side by side within a bound, each within a time limit.
 
-use crate::port::{InstanceProvider, Listing, StartOrder, StartReceipt, StopReceipt, WorkerLine};
+use crate::port::{InstanceProvider, Listing, StartOrder, StartReply, StopReply, WorkerLine};
 use kernel::Inbox;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -39,14 +39,14 @@
         /// The wish it was ordered under.
         nonce: String,
         /// The platform's reply.
-        receipt: StartReceipt,
+        receipt: StartReply,
     },
     /// Of a stop.
     Stopped {
         /// The instance.
         id: String,
         /// The platform's reply.
-        receipt: StopReceipt,
+        receipt: StopReply,
     },
     /// The list of instances.
     Listed {
@@ -81,12 +81,12 @@
             match order {
                 ProviderOrder::Start(order) => {
                     let nonce = order.nonce.clone();
-                    let receipt = timeout(LIMIT, provider.start(order)).await.unwrap_or(StartReceipt::Unanswered);
+                    let receipt = timeout(LIMIT, provider.start(order)).await.unwrap_or(StartReply::Unanswered);
                     report(ProviderReport::Started { nonce, receipt });
                 }
                 ProviderOrder::Stop { id, fence } => {
                     let told = timeout(LIMIT, provider.stop(id.clone(), fence)).await;
-                    report(ProviderReport::Stopped { id, receipt: told.unwrap_or(StopReceipt::Unanswered) });
+                    report(ProviderReport::Stopped { id, receipt: told.unwrap_or(StopReply::Unanswered) });
                 }
                 ProviderOrder::List => {
                     let asked = Instant::now();
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -157,7 +157,7 @@
             TrafficMessage::Link(LinkEvent::Frame { from, message, .. }) => match message {
                 Message::Forward(message) => self.turn(Turn::forwarded(from, message)),
                 Message::Plan(message) => self.turn(Turn::Home(HomeInput::Plan { message })),
-                Message::Hold(LeaseMessage::ReadReceipt { ask, items, .. }) if ask & STATUS_BIT != 0 => {
+                Message::Hold(LeaseMessage::ReadReply { ask, items, .. }) if ask & STATUS_BIT != 0 => {
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
                     self.tell_status(ask & !STATUS_BIT, first);
                 }
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -108,8 +108,8 @@
 
     pub(crate) fn ledger_receipt(&mut self, message: LeaseMessage) {
         let (ask, state, body) = match message {
-            LeaseMessage::EnterReceipt { ask, state, body } => (ask, state, body),
-            LeaseMessage::ReadReceipt { ask, items, .. } => return self.take_deferred(ask, items.into_vec()),
+            LeaseMessage::ProposalAck { ask, state, body } => (ask, state, body),
+            LeaseMessage::ReadReply { ask, items, .. } => return self.take_deferred(ask, items.into_vec()),
             _ => return,
         };
         if state != 1 {
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -9,7 +9,7 @@
 use events::event;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use supply::{InstanceLine, InstanceState, ProviderOrder, ProviderReport, StopReceipt, WorkerLine};
+use supply::{InstanceLine, InstanceState, ProviderOrder, ProviderReport, StopReply, WorkerLine};
 
 const UNBOUND_LASTS: Duration = Duration::from_secs(15);
 const LIMITED: Duration = Duration::from_millis(300);
@@ -64,15 +64,15 @@
         self.outs.push(HomeOutput::Probe { id, address, after: REFUSED_AFTER, limit: REFUSED_LIMIT });
     }
 
-    fn stop_told(&mut self, id: &str, receipt: StopReceipt) {
+    fn stop_told(&mut self, id: &str, receipt: StopReply) {
         let now = self.now;
         for scheduler in self.schedulers.values_mut() {
             let Some(instance) = scheduler.instances.get_mut(id) else { continue };
             match receipt {
-                StopReceipt::Taken | StopReceipt::Unknown if instance.busy == 0 => drop(scheduler.instances.remove(id)),
-                StopReceipt::Taken | StopReceipt::Unknown => {}
-                StopReceipt::Limited => instance.stop_again = now + LIMITED,
-                StopReceipt::Unanswered => instance.stop_again = now + UNANSWERED,
+                StopReply::Taken | StopReply::Unknown if instance.busy == 0 => drop(scheduler.instances.remove(id)),
+                StopReply::Taken | StopReply::Unknown => {}
+                StopReply::Limited => instance.stop_again = now + LIMITED,
+                StopReply::Unanswered => instance.stop_again = now + UNANSWERED,
             }
         }
     }
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -8,7 +8,7 @@
 use crate::placement::Placed;
 use events::event;
 use std::time::Duration;
-use supply::{ProviderOrder, StartOrder, StartReceipt};
+use supply::{ProviderOrder, StartOrder, StartReply};
 
 const NO_ROOM_PAUSE: Duration = Duration::from_millis(1000);
 const LIMITED_PAUSE: Duration = Duration::from_millis(250);
@@ -111,7 +111,7 @@
         }
     }
 
-    pub(crate) fn started(&mut self, nonce: &str, receipt: StartReceipt) {
+    pub(crate) fn started(&mut self, nonce: &str, receipt: StartReply) {
         let now = self.now;
         let found = self.schedulers.iter().find(|(_, scheduler)| scheduler.instances.contains_key(nonce));
         let Some(name) = found.map(|(name, _)| name.clone()) else { return };
@@ -121,9 +121,9 @@
         let Some(pending) = &mut instance.pending else { return };
         pending.asked = false;
         match receipt {
-            StartReceipt::Accepted { id, address } => self.accepted(&name, nonce, id, address),
+            StartReply::Accepted { id, address } => self.accepted(&name, nonce, id, address),
             _ if !wished => drop(scheduler.instances.remove(nonce)),
-            StartReceipt::Unanswered => {
+            StartReply::Unanswered => {
                 pending.tries += 1;
                 pending.again = now + AGAIN * 2u32.pow(pending.tries.min(4));
                 event!(platform_refused, "start {nonce} unanswered");
@@ -131,16 +131,16 @@
                     scheduler.instances.remove(nonce);
                 }
             }
-            StartReceipt::Limited => {
+            StartReply::Limited => {
                 event!(platform_refused, "start {nonce}: too many calls");
                 pending.again = now + LIMITED_PAUSE;
             }
-            StartReceipt::Refused => {
+            StartReply::Refused => {
                 event!(platform_refused, "start {nonce} refused");
                 scheduler.instances.remove(nonce);
                 scheduler.refused_until = now + REFUSED_PAUSE;
             }
-            StartReceipt::NoRoom => {
+            StartReply::NoRoom => {
                 event!(platform_refused, "start {nonce}: no room on {}", instance.worker);
                 pending.hops += 1;
                 let hops = pending.hops;
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -54,7 +54,7 @@
     });
     let receipt = wire::Receipt::Stored { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&receipt).into();
-    HomeInput::Ledger { message: LeaseMessage::EnterReceipt { ask: ask.expect("asked to store"), state: 1, body } }
+    HomeInput::Ledger { message: LeaseMessage::ProposalAck { ask: ask.expect("asked to store"), state: 1, body } }
 }
 
 /// A table with one instance that is ready.
@@ -106,7 +106,7 @@
         gone: 0,
     };
     let items: Vec<ItemLine> = numbers.iter().map(item).collect();
-    HomeInput::Ledger { message: LeaseMessage::ReadReceipt { ask, state: 1, items: items.into() } }
+    HomeInput::Ledger { message: LeaseMessage::ReadReply { ask, state: 1, items: items.into() } }
 }
 
 pub fn stored(number: u64) -> String {
--- a/crates/traffic/tests/common/supplied.rs
+++ b/crates/traffic/tests/common/supplied.rs
@@ -5,8 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use supply::{
-    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReceipt, StopReceipt,
-    WorkerLine,
+    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReply, StopReply, WorkerLine,
 };
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 
@@ -91,16 +90,16 @@
         self.report(ProviderReport::Listed { listing: Listing { instances }, asked: Instant::now() });
     }
 
-    pub fn started(&mut self, nonce: &str, receipt: StartReceipt) {
+    pub fn started(&mut self, nonce: &str, receipt: StartReply) {
         self.report(ProviderReport::Started { nonce: nonce.into(), receipt });
     }
 
     pub fn accepted(&mut self, nonce: &str, id: &str) {
         let address = format!("10.0.0.9:{}", 1000 + id.len());
-        self.started(nonce, StartReceipt::Accepted { id: id.into(), address });
+        self.started(nonce, StartReply::Accepted { id: id.into(), address });
     }
 
-    pub fn stopped(&mut self, id: &str, receipt: StopReceipt) {
+    pub fn stopped(&mut self, id: &str, receipt: StopReply) {
         self.report(ProviderReport::Stopped { id: id.into(), receipt });
     }
 
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_task_that_cannot_be_served_in_time_is_refused_at_once_not_near_its_deadline() {
-    use supply::{ProviderReport, StartReceipt};
+    use supply::{ProviderReport, StartReply};
     use traffic::DispatchOutcome;
     let mut home = Home::new(OTHER, 1, HomeTiming::default());
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","max":1}"#;
@@ -93,7 +93,7 @@
         }
         let report = |report| HomeInput::Platform { report, listed_at: ms(at) };
         if let Some(nonce) = instance.take() {
-            let receipt = StartReceipt::Accepted { id: "i1".into(), address: "10.9.9.9:1".into() };
+            let receipt = StartReply::Accepted { id: "i1".into(), address: "10.9.9.9:1".into() };
             inputs.push(report(ProviderReport::Started { nonce, receipt }));
             inputs.push(HomeInput::Probed { id: "i1".into(), ready: true });
         }
--- a/crates/traffic/tests/placement.rs
+++ b/crates/traffic/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use common::supplied::{Supplied, line, six_workers, worker};
 use std::collections::BTreeSet;
-use supply::{InstanceState, StartReceipt};
+use supply::{InstanceState, StartReply};
 
 fn places(home: &Supplied) -> Vec<String> {
     home.starts.iter().map(|order| order.worker.clone().unwrap_or_default()).collect()
@@ -53,12 +53,12 @@
     home.pass(100);
     let nonce = home.starts[0].nonce.clone();
     for _ in 0..3 {
-        home.started(&nonce, StartReceipt::NoRoom);
+        home.started(&nonce, StartReply::NoRoom);
     }
     let places = places(&home);
     assert_eq!(places.iter().collect::<BTreeSet<_>>().len(), 4, "{places:?}");
     assert!(home.starts.iter().all(|order| order.nonce == nonce));
-    home.started(&nonce, StartReceipt::NoRoom);
+    home.started(&nonce, StartReply::NoRoom);
     assert_eq!((home.starts.len(), home.count("starting")), (4, 0), "after four it rests");
     home.pass(1200);
     assert_ne!(home.starts[4].nonce, nonce, "then it is wished anew");
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -135,7 +135,7 @@
     });
     let granted = wire::Receipt::Claim { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&granted).into();
-    let message = wire::LeaseMessage::EnterReceipt { ask: ask.expect("a claim"), state: 1, body };
+    let message = wire::LeaseMessage::ProposalAck { ask: ask.expect("a claim"), state: 1, body };
     home.step(ms(2), true, HomeInput::Ledger { message });
     home.step(ms(3), false, HomeInput::Lapsed);
     let outputs = home.step(ms(4), true, HomeInput::Forward { from: OTHER, message: table(1, 0, "i1") });
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -4,7 +4,7 @@
 
 use common::supplied::{FUNCTION, Supplied, line, six_workers};
 use common::{ME, OTHER, roster};
-use supply::{InstanceState, StartReceipt, StopReceipt};
+use supply::{InstanceState, StartReply, StopReply};
 use traffic::{DispatchOrder, DispatchOutcome, HomeInput, HomeOutput};
 use wire::{ForwardMessage, RequestHead};
 
@@ -32,7 +32,7 @@
     home.pass(100);
     let first = home.starts[0].clone();
     for tries in 1..5 {
-        home.started(&first.nonce, StartReceipt::Unanswered);
+        home.started(&first.nonce, StartReply::Unanswered);
         home.pass(1700);
         assert_eq!(home.starts.len(), tries + 1);
     }
@@ -47,7 +47,7 @@
     let mut home = Supplied::new(1, six_workers());
     home.pass(100);
     let nonce = home.starts[0].nonce.clone();
-    home.started(&nonce, StartReceipt::Unanswered);
+    home.started(&nonce, StartReply::Unanswered);
     home.list(vec![line("i1", "w0", InstanceState::Running)]);
     assert_eq!((home.count("ready"), home.count("starting")), (1, 1));
     home.pass(100);
@@ -62,7 +62,7 @@
     home.pass(100);
     let nonce = home.starts[0].nonce.clone();
     while home.starts.last().is_some_and(|order| order.nonce == nonce) && home.at < 20_000 {
-        home.started(&nonce, StartReceipt::Unanswered);
+        home.started(&nonce, StartReply::Unanswered);
         home.pass(1700);
     }
     assert_eq!(home.starts.len(), 7, "six under the first nonce");
@@ -77,7 +77,7 @@
     let mut home = Supplied::new(1, six_workers());
     home.pass(100);
     let nonce = home.starts[0].nonce.clone();
-    home.started(&nonce, StartReceipt::Limited);
+    home.started(&nonce, StartReply::Limited);
     home.pass(200);
     assert_eq!(home.starts.len(), 1);
     home.pass(200);
@@ -155,7 +155,7 @@
     home.probed("i1", true);
     home.list(vec![line("i1", "w0", InstanceState::Leaving)]);
     home.pass(100);
-    for (times, receipt) in [(1, StopReceipt::Limited), (2, StopReceipt::Unanswered), (3, StopReceipt::Unknown)] {
+    for (times, receipt) in [(1, StopReply::Limited), (2, StopReply::Unanswered), (3, StopReply::Unknown)] {
         assert_eq!(home.stops.len(), times);
         home.stopped("i1", receipt);
         home.pass(1000);
--- a/crates/wire/src/chain.rs
+++ b/crates/wire/src/chain.rs
@@ -1,5 +1,5 @@
 //! What registries say to each other: heartbeats and confirmations, the agreement on views, entries
-//! travelling down the chain, checkpoints copied to a joiner, and the founding of a cluster.
+//! travelling down the chain, snapshots copied to a joiner, and the founding of a cluster.
 
 use crate::{Blob, List, NodeId, Text};
 use deku::prelude::*;
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -54,17 +54,17 @@
     #[deku(id = "11")]
     Enter { ask: u64, body: Blob },
     #[deku(id = "12")]
-    EnterReceipt { ask: u64, state: u8, body: Blob },
+    ProposalAck { ask: u64, state: u8, body: Blob },
     #[deku(id = "13")]
     Read { ask: u64, prefix: Text, from: Text },
     #[deku(id = "14")]
-    ReadReceipt { ask: u64, state: u8, items: List<ItemLine> },
+    ReadReply { ask: u64, state: u8, items: List<ItemLine> },
     #[deku(id = "15")]
     Leave { successor: NodeId },
     #[deku(id = "16")]
     PeerAsk { ask: u64, active: u64 },
     #[deku(id = "17")]
-    PeerReceipt { ask: u64, active: u64, latest: u64 },
+    PeerReply { ask: u64, active: u64, latest: u64 },
     #[deku(id = "18")]
     Seats { seats: List<Text> },
     #[deku(id = "19")]
@@ -96,7 +96,7 @@
 impl LeaseMessage {
     /// Said among routers, not by a registry.
     pub fn is_from_peer(&self) -> bool {
-        use LeaseMessage::{PeerAsk, PeerCollect, PeerMajority, PeerReceipt};
-        matches!(self, PeerAsk { .. } | PeerReceipt { .. } | PeerCollect { .. } | PeerMajority { .. })
+        use LeaseMessage::{PeerAsk, PeerCollect, PeerMajority, PeerReply};
+        matches!(self, PeerAsk { .. } | PeerReply { .. } | PeerCollect { .. } | PeerMajority { .. })
     }
 }
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -37,7 +37,7 @@
         Message::Chain(ChainMessage::Decided { view }),
         Message::Chain(ChainMessage::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
         Message::Hold(LeaseMessage::Stage { step }),
-        Message::Hold(LeaseMessage::ReadReceipt { ask: 1, state: 1, items: vec![item].into() }),
+        Message::Hold(LeaseMessage::ReadReply { ask: 1, state: 1, items: vec![item].into() }),
         Message::Forward(ForwardMessage::NotHome { task: 5 }),
         Message::Forward(ForwardMessage::Forward { request: Box::new(forward()) }),
         Message::Forward(ForwardMessage::AttemptGrant { task: 5, attempts: 2 }),
