--- a/crates/chain/src/line.rs
+++ b/crates/chain/src/line.rs
@@ -62,7 +62,7 @@
         self.settle();
     }
 
-    pub(crate) fn enter(&mut self, op: OpNo, body: Vec<u8>) {
+    pub(crate) fn propose_entry(&mut self, op: OpNo, body: Vec<u8>) {
         let head = self.meta.view.chain.as_slice().first().copied();
         match head {
             Some(head) if head == self.meta.seat.id => {
@@ -73,7 +73,7 @@
                 let entry = EntryLine { seq: self.last + 1, op, body: body.into() };
                 self.take(entry);
             }
-            Some(head) => self.send(head, ChainMessage::Enter { op, body: body.into() }),
+            Some(head) => self.send(head, ChainMessage::Propose { op, body: body.into() }),
             None => self.done(op, false, Vec::new()),
         }
     }
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -153,7 +153,7 @@
             Input::Written { ticket } => self.written(ticket),
             Input::DiskError => self.faulted = true,
             Input::DiskBack { stored } => self.start_again(stored),
-            Input::Enter { op, body } => self.enter(op, body),
+            Input::Propose { op, body } => self.propose_entry(op, body),
             Input::Confirm => {
                 if !self.round.running && self.round.wanted > self.round.number {
                     self.begin_round();
@@ -195,9 +195,9 @@
             ChainMessage::Accepted { slot, ballot } => self.on_accepted(from, slot, ballot),
             ChainMessage::Refused { slot, ballot } => self.on_refused(slot, ballot),
             ChainMessage::Decided { view } => self.on_decided(view),
-            ChainMessage::Enter { op, body } => {
+            ChainMessage::Propose { op, body } => {
                 if self.is_head() {
-                    self.enter(op, body.into_vec());
+                    self.propose_entry(op, body.into_vec());
                 } else {
                     self.done(op, false, Vec::new());
                 }
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -80,7 +80,7 @@
     DiskBack {
         stored: Stored,
     },
-    Enter {
+    Propose {
         op: OpNo,
         body: Vec<u8>,
     },
--- a/crates/chain/tests/catch_up.rs
+++ b/crates/chain/tests/catch_up.rs
@@ -19,18 +19,18 @@
 fn a_member_away_for_hundreds_of_changes_is_sent_these_and_no_more_while_new_ones_go_on() {
     for missed in [30, 120, 400] {
         let mut net = Net::founded();
-        (0..300).for_each(|n| _ = net.enter(1, &words(&format!("before {n}"))));
+        (0..300).for_each(|n| _ = net.propose_entry(1, &words(&format!("before {n}"))));
         net.pass(500);
         net.members.remove(&2);
         net.pass(3000);
         for n in 0..missed {
-            net.enter(1, &words(&format!("missed {n}")));
+            net.propose_entry(1, &words(&format!("missed {n}")));
             net.settle();
         }
         net.start(2);
         let mut waited = 0;
         while net.members[&2].committed_state().len() < 300 + missed + waited && waited < 60 {
-            net.enter(net.chain(1)[0], &words(&format!("meanwhile {waited}")));
+            net.propose_entry(net.chain(1)[0], &words(&format!("meanwhile {waited}")));
             net.pass(100);
             waited += 1;
         }
@@ -49,15 +49,15 @@
 fn a_member_whose_disk_was_full_is_back_without_being_started_anew() {
     for full in [1, 2, 3] {
         let mut net = Net::founded();
-        (0..40).for_each(|n| _ = net.enter(1, &format!("before {n}")));
+        (0..40).for_each(|n| _ = net.propose_entry(1, &format!("before {n}")));
         net.pass(500);
         net.full = vec![full];
         let head = net.chain(1)[0];
-        net.enter(head, "while it fills");
+        net.propose_entry(head, "while it fills");
         net.pass(3000);
         let other: NodeId = if full == 1 { 2 } else { 1 };
         assert_eq!(net.chain(other).len(), 2, "a full disk is out of the chain");
-        (0..200).for_each(|n| _ = net.enter(net.chain(other)[0], &format!("missed {n}")));
+        (0..200).for_each(|n| _ = net.propose_entry(net.chain(other)[0], &format!("missed {n}")));
         net.pass(500);
         net.free_disk(full);
         net.pass(4000);
@@ -66,7 +66,7 @@
         assert!(states.iter().all(|state| *state == states[0] && state.len() >= 240), "member {full}");
         net.members.remove(&other);
         net.pass(3000);
-        let op = net.enter(full, "after a second loss");
+        let op = net.propose_entry(full, "after a second loss");
         net.pass(500);
         assert!(net.done.contains(&(full, op, true)), "what came back bears the next loss");
     }
@@ -75,7 +75,7 @@
 #[test]
 fn a_chain_too_short_to_take_entries_lets_a_joiner_in_whatever_waits() {
     let mut net = Net::founded();
-    (0..5).for_each(|n| _ = net.enter(1, &format!("before {n}")));
+    (0..5).for_each(|n| _ = net.propose_entry(1, &format!("before {n}")));
     net.pass(500);
     net.members.remove(&2);
     net.pass(3000);
@@ -91,13 +91,13 @@
 #[test]
 fn an_old_answer_to_a_round_begun_before_the_disk_was_full_confirms_nothing() {
     let mut net = Net::founded();
-    (0..5).for_each(|n| _ = net.enter(1, &format!("before {n}")));
+    (0..5).for_each(|n| _ = net.propose_entry(1, &format!("before {n}")));
     net.pass(500);
     net.members.get_mut(&3).unwrap().ask_confirm();
     net.feed(3, chain::Input::Confirm);
     let held: Vec<_> = net.frames.drain(..).filter(|(from, ..)| *from == 3).collect();
     net.full = vec![3];
-    net.enter(1, "fills it");
+    net.propose_entry(1, "fills it");
     net.settle();
     net.free_disk(3);
     net.pass(500);
@@ -115,7 +115,7 @@
 fn a_member_brought_up_by_one_that_is_lost_meanwhile_starts_over_with_another() {
     for (lost, comes) in [(2, 5), (1, 5)] {
         let mut net = Net::founded();
-        (0..1500).for_each(|n| _ = net.enter(1, &words(&format!("before {n}"))));
+        (0..1500).for_each(|n| _ = net.propose_entry(1, &words(&format!("before {n}"))));
         net.pass(1000);
         net.members.remove(&3);
         net.pass(3000);
@@ -149,19 +149,19 @@
 fn a_member_with_old_state_that_is_up_first_has_no_role_and_answers_nothing() {
     for old in [1, 2, 3] {
         let mut net = Net::founded();
-        (0..10).for_each(|n| _ = net.enter(1, &format!("before {n}")));
+        (0..10).for_each(|n| _ = net.propose_entry(1, &format!("before {n}")));
         net.pass(500);
         net.members.remove(&old);
         net.pass(3000);
         let head = net.chain(if old == 1 { 2 } else { 1 })[0];
-        (0..300).for_each(|n| _ = net.enter(head, &format!("missed {n}")));
+        (0..300).for_each(|n| _ = net.propose_entry(head, &format!("missed {n}")));
         net.pass(1000);
         net.members.clear();
         net.done.clear();
         net.confirmed.clear();
         net.start(old);
         for _ in 0..60 {
-            let op = net.enter(old, "an order to one that knows nothing new");
+            let op = net.propose_entry(old, "an order to one that knows nothing new");
             net.members.get_mut(&old).unwrap().ask_confirm();
             net.feed(old, chain::Input::Confirm);
             net.pass(100);
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -15,7 +15,7 @@
 /// Three founders, and a fourth machine that joined them with a seat of its own.
 fn with_successor() -> Net {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     net.seeds.insert(4, vec![1, 2, 3]);
     net.start_founding(4, 0);
@@ -37,7 +37,7 @@
 
 fn assert_takes_changes(net: &mut Net, at: NodeId) {
     let head = net.chain(at)[0];
-    let op = net.enter(head, "after the loss");
+    let op = net.propose_entry(head, "after the loss");
     net.pass(1000);
     assert!(net.done.iter().any(|(_, done, entered)| *done == op && *entered), "no majority is left");
     assert!(net.members[&at].committed_state().contains_key("kept"), "a copy is missing");
@@ -94,7 +94,7 @@
 #[test]
 fn a_member_that_hears_no_majority_takes_nobody_out_once_its_messages_arrive() {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     let mut late = Vec::new();
     for _ in 0..28 {
@@ -158,7 +158,7 @@
 #[test]
 fn a_newcomer_does_not_take_the_seat_of_a_member_that_is_about_to_return() {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     net.cut = vec![3];
     net.pass(1500);
@@ -192,7 +192,7 @@
 #[test]
 fn a_member_told_to_leave_while_it_copies_does_not_join() {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     net.seeds.insert(4, vec![1, 2, 3]);
     net.start_founding(4, 0);
@@ -210,7 +210,7 @@
 #[test]
 fn a_newcomer_gets_no_seat_beside_that_of_a_machine_just_lost() {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     net.seeds.insert(4, vec![1, 2, 3]);
     net.start_founding(4, 0);
--- a/crates/chain/tests/founding.rs
+++ b/crates/chain/tests/founding.rs
@@ -8,7 +8,7 @@
 fn a_member_that_may_not_found_waits_and_joins_through_whichever_seed_lives() {
     for seed in [1, 2, 3] {
         let mut net = Net::founded();
-        net.enter(1, "a");
+        net.propose_entry(1, "a");
         net.settle();
         net.seeds.insert(4, vec![seed, 8, 9]);
         let gone = if seed == 2 { 3 } else { 2 };
@@ -53,7 +53,7 @@
         (1..=seats).for_each(|id| net.start_founding(id, seats as usize));
         net.pass(3000);
         assert_eq!(net.chain(1), (1..=seats).collect::<Vec<_>>());
-        let op = net.enter(1, "kept");
+        let op = net.propose_entry(1, "kept");
         net.pass(500);
         assert!(net.done.contains(&(1, op, true)));
         net.members.remove(&seats);
--- a/crates/chain/tests/members.rs
+++ b/crates/chain/tests/members.rs
@@ -11,7 +11,7 @@
     for lost in [1, 2, 3] {
         let mut net = Net::founded();
         net.stalled = vec![2];
-        let op = net.enter(2, "a");
+        let op = net.propose_entry(2, "a");
         net.settle();
         assert!(net.done.is_empty(), "acknowledged while one member had not synced");
         net.stalled.clear();
@@ -34,7 +34,7 @@
     net.pass(2000);
     net.members.remove(&3);
     net.pass(3000);
-    let op = net.enter(1, "b");
+    let op = net.propose_entry(1, "b");
     net.pass(2000);
     assert!(!net.done.contains(&(1, op, true)));
 }
@@ -42,16 +42,16 @@
 #[test]
 fn what_was_synced_by_a_member_taken_out_is_not_answered_from_after_it_returns() {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     net.cut = vec![1];
-    net.enter(1, "lost");
+    net.propose_entry(1, "lost");
     net.settle();
     assert!(!net.members[&1].committed_state().contains_key("lost"));
     net.pass(3000);
     assert_eq!(net.chain(2), vec![2, 3]);
     for n in 0..5 {
-        net.enter(2, &format!("after {n}"));
+        net.propose_entry(2, &format!("after {n}"));
         net.settle();
     }
     net.cut.clear();
@@ -102,7 +102,7 @@
 #[test]
 fn a_wiped_machine_joins_and_never_founds_a_second_cluster() {
     let mut net = Net::founded();
-    net.enter(1, "a");
+    net.propose_entry(1, "a");
     net.settle();
     net.members.remove(&3);
     net.start(4);
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -181,10 +181,10 @@
         }
     }
 
-    pub fn enter(&mut self, at: NodeId, words: &str) -> OpNo {
+    pub fn propose_entry(&mut self, at: NodeId, words: &str) -> OpNo {
         self.next_op += 1;
         let op = OpNo { origin: at, number: self.next_op };
-        self.feed(at, Input::Enter { op, body: words.as_bytes().to_vec() });
+        self.feed(at, Input::Propose { op, body: words.as_bytes().to_vec() });
         op
     }
 
--- a/crates/chain/tests/rejoin.rs
+++ b/crates/chain/tests/rejoin.rs
@@ -7,11 +7,11 @@
 #[test]
 fn a_member_out_for_seconds_is_sent_what_it_missed_and_one_with_another_history_a_checkpoint() {
     let mut net = Net::founded();
-    (0..50).for_each(|n| _ = net.enter(1, &format!("before {n}")));
+    (0..50).for_each(|n| _ = net.propose_entry(1, &format!("before {n}")));
     net.pass(500);
     net.members.remove(&2);
     net.pass(3000);
-    (0..7).for_each(|n| _ = net.enter(1, &format!("missed {n}")));
+    (0..7).for_each(|n| _ = net.propose_entry(1, &format!("missed {n}")));
     net.pass(300);
     net.start(2);
     net.pass(4000);
@@ -20,11 +20,11 @@
     net.installed.clear();
     let head = net.chain(1)[0];
     net.cut = vec![head];
-    net.enter(head, "never went on");
+    net.propose_entry(head, "never went on");
     net.pass(4000);
     net.cut.clear();
     let other = net.chain(net.chain(if head == 1 { 3 } else { 1 })[0])[0];
-    net.enter(other, "went on without it");
+    net.propose_entry(other, "went on without it");
     net.pass(5000);
     assert_eq!(net.installed, [(head, None)], "its log is no prefix of what is committed");
     let (one, two) = (net.members[&head].state().clone(), net.members[&other].state().clone());
@@ -40,7 +40,7 @@
     let mut taken = 0;
     for n in 0..150 {
         let head = net.chain(3)[0];
-        let op = net.enter(head, &format!("entry {n}"));
+        let op = net.propose_entry(head, &format!("entry {n}"));
         net.pass(100);
         taken += usize::from(net.done.iter().any(|(_, done, entered)| *done == op && *entered));
     }
--- a/crates/chain/tests/seats.rs
+++ b/crates/chain/tests/seats.rs
@@ -37,7 +37,7 @@
 fn what_was_acknowledged_outlives_any_two_disks() {
     for lost in [[1, 2], [2, 6], [4, 5], [1, 6]] {
         let mut net = grown(6);
-        let op = net.enter(1, "kept");
+        let op = net.propose_entry(1, "kept");
         net.pass(500);
         assert!(net.done.contains(&(1, op, true)));
         for id in lost {
@@ -58,7 +58,7 @@
         expected.sort_unstable();
         assert_eq!(voters(&net, left), expected, "lost {lost:?}");
         assert!(all.iter().all(|id| net.members[id].committed_state().contains_key("kept")), "lost {lost:?}");
-        let op = net.enter(left, "more");
+        let op = net.propose_entry(left, "more");
         net.pass(500);
         assert!(net.done.contains(&(left, op, true)), "lost {lost:?}");
     }
@@ -71,7 +71,7 @@
         net.members.remove(&id);
     }
     net.pass(3000);
-    let op = net.enter(1, "thin");
+    let op = net.propose_entry(1, "thin");
     net.pass(3000);
     assert!(!net.done.contains(&(1, op, true)), "two of six voters acknowledge nothing");
 }
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -3,11 +3,11 @@
 //! sockets and disks, the simulator from seeded ones.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::entering::Duty;
 use crate::judging::BehindCall;
 use crate::keys;
 use crate::operators::Activation;
 use crate::parts::PackedSteps;
+use crate::proposals::Duty;
 use crate::reading::ReadJob;
 use crate::rosters::Rosters;
 use crate::tenure::{Tenure, ToldProofs};
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -3,8 +3,8 @@
 //! and tick the chain's clock.
 
 use crate::core::Core;
-use crate::entering::Duty;
 use crate::keys;
+use crate::proposals::Duty;
 use std::time::Duration;
 use wire::Command;
 use wire::NodeId;
--- a/crates/control/src/entering.rs
+++ b/crates/control/src/proposals.rs
@@ -33,7 +33,7 @@
             self.next_op += 1;
             let number = self.next_op;
             self.waits.insert(number, (wait, due));
-            self.chain(Input::Enter { op: OpNo { origin: self.me(), number }, body });
+            self.chain(Input::Propose { op: OpNo { origin: self.me(), number }, body });
         }
     }
 
@@ -48,7 +48,7 @@
         let number = self.next_op;
         let due = self.now + if matches!(wait, Wait::Duty(_)) { DUTY } else { self.timing.call };
         self.waits.insert(number, (wait, due));
-        self.chain(Input::Enter { op: OpNo { origin: self.me(), number }, body });
+        self.chain(Input::Propose { op: OpNo { origin: self.me(), number }, body });
     }
 
     pub(crate) fn done(&mut self, op: OpNo, entered: bool, receipt: Vec<u8>) {
--- a/crates/control/src/routers.rs
+++ b/crates/control/src/routers.rs
@@ -3,8 +3,8 @@
 //! after it was asked; renewals that come close together share one.
 
 use crate::core::{Core, CoreOutput, Wait};
-use crate::entering::Duty;
 use crate::keys;
+use crate::proposals::Duty;
 use std::time::Duration;
 use wire::{LeaseMessage, List, NodeId};
 
@@ -55,7 +55,7 @@
                     self.push_due = true;
                 }
             }
-            LeaseMessage::Enter { ask, body } => {
+            LeaseMessage::Propose { ask, body } => {
                 if self.waits.len() >= WAITS {
                     let message = LeaseMessage::ProposalAck { ask, state: 0, body: Vec::new().into() };
                     return self.outs.push(CoreOutput::Router { to: from, message });
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -4,7 +4,7 @@
 use control::{apply, number};
 use wire::{Command, ItemLine, Receipt, from_bytes, to_bytes};
 
-fn enter(state: &mut State, command: &Command) -> Receipt {
+fn propose(state: &mut State, command: &Command) -> Receipt {
     let effect = apply(state, 1, &to_bytes(command));
     for (key, value) in effect.changes {
         match value {
@@ -38,15 +38,15 @@
     for (step, (base, declared, revision)) in
         [(0, 5, 5), (5, 0, 6), (6, 1_000_000, 1_000_000), (1_000_000, 1_000_001, 1_000_001)].into_iter().enumerate()
     {
-        let receipt = enter(&mut state, &declare(&format!("op{step}"), Some(base), declared, 1));
+        let receipt = propose(&mut state, &declare(&format!("op{step}"), Some(base), declared, 1));
         assert_eq!(receipt, Receipt::Changed { step: step as u64 + 1, revision });
     }
     for declared in [1, 1_000_000, 1_000_001] {
-        assert_eq!(refused(enter(&mut state, &declare("low", None, declared, 2))), 422);
+        assert_eq!(refused(propose(&mut state, &declare("low", None, declared, 2))), 422);
     }
-    assert_eq!(refused(enter(&mut state, &declare("stale", Some(6), 2_000_000, 2))), 412);
+    assert_eq!(refused(propose(&mut state, &declare("stale", Some(6), 2_000_000, 2))), 412);
     assert_eq!(number(&state, "c/latest-revision"), 1_000_001);
-    enter(&mut state, &Command::Activate { step: 4 });
+    propose(&mut state, &Command::Activate { step: 4 });
     assert_eq!(number(&state, "c/revision"), 1_000_001);
 }
 
@@ -54,14 +54,14 @@
 fn a_taken_change_is_remembered_and_a_refused_one_is_looked_at_anew() {
     let mut state = State::new();
     let early = declare("early", Some(3), 9, 1);
-    assert_eq!(refused(enter(&mut state, &early)), 412);
-    assert_eq!(enter(&mut state, &declare("first", Some(0), 3, 2)), Receipt::Changed { step: 1, revision: 3 });
-    let taken = enter(&mut state, &early);
+    assert_eq!(refused(propose(&mut state, &early)), 412);
+    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), Receipt::Changed { step: 1, revision: 3 });
+    let taken = propose(&mut state, &early);
     assert_eq!(taken, Receipt::Changed { step: 2, revision: 9 });
-    enter(&mut state, &declare("later", Some(9), 10, 3));
+    propose(&mut state, &declare("later", Some(9), 10, 3));
     let before = state.clone();
-    assert_eq!(enter(&mut state, &early), taken);
-    assert_eq!(enter(&mut state, &declare("first", Some(0), 3, 2)), Receipt::Changed { step: 1, revision: 3 });
+    assert_eq!(propose(&mut state, &early), taken);
+    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), Receipt::Changed { step: 1, revision: 3 });
     assert!(state == before, "asked again, nothing changes");
 }
 
@@ -69,16 +69,16 @@
 fn a_taken_change_is_remembered_for_its_whole_time_however_often_it_was_refused() {
     let mut state = State::new();
     let early = declare("early", Some(3), 9, 1);
-    (1..=100).for_each(|number| _ = enter(&mut state, &Command::Tick { number }));
-    assert_eq!(refused(enter(&mut state, &early)), 412);
-    (101..=200).for_each(|number| _ = enter(&mut state, &Command::Tick { number }));
-    enter(&mut state, &declare("first", Some(0), 3, 2));
-    let taken = enter(&mut state, &early);
-    (201..=86_500).for_each(|number| _ = enter(&mut state, &Command::Tick { number }));
+    (1..=100).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
+    assert_eq!(refused(propose(&mut state, &early)), 412);
+    (101..=200).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
+    propose(&mut state, &declare("first", Some(0), 3, 2));
+    let taken = propose(&mut state, &early);
+    (201..=86_500).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
     assert!(!state.contains_key("q/early"), "the refusal is forgotten by now");
-    assert_eq!(enter(&mut state, &early), taken);
-    (86_501..=86_600).for_each(|number| _ = enter(&mut state, &Command::Tick { number }));
-    assert_eq!(refused(enter(&mut state, &early)), 412, "and the change a day after it was taken");
+    assert_eq!(propose(&mut state, &early), taken);
+    (86_501..=86_600).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
+    assert_eq!(refused(propose(&mut state, &early)), 412, "and the change a day after it was taken");
 }
 
 #[test]
@@ -92,10 +92,10 @@
         scope: "".into(),
         items: plan(1).into(),
     };
-    assert_eq!(refused(enter(&mut state, &entry("early", 1))), 412);
-    assert_eq!(enter(&mut state, &entry("first", 0)), Receipt::Changed { step: 1, revision: 1 });
-    assert_eq!(refused(enter(&mut state, &entry("early", 1))), 412, "its refusal stands");
+    assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412);
+    assert_eq!(propose(&mut state, &entry("first", 0)), Receipt::Changed { step: 1, revision: 1 });
+    assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412, "its refusal stands");
     let again = declare("early", Some(1), 0, 1);
-    assert_eq!(enter(&mut state, &again), Receipt::Changed { step: 2, revision: 2 }, "but not for the new entry");
-    assert_eq!(enter(&mut state, &declare("first", Some(0), 0, 1)), Receipt::Changed { step: 1, revision: 1 });
+    assert_eq!(propose(&mut state, &again), Receipt::Changed { step: 2, revision: 2 }, "but not for the new entry");
+    assert_eq!(propose(&mut state, &declare("first", Some(0), 0, 1)), Receipt::Changed { step: 1, revision: 1 });
 }
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -62,10 +62,10 @@
         self.feed(Input::Tick);
     }
 
-    fn enter(&mut self, command: &Command) {
+    fn propose(&mut self, command: &Command) {
         self.entered += 1;
         let op = OpNo { origin: 5, number: self.entered };
-        self.feed(Input::Enter { op, body: to_bytes(command) });
+        self.feed(Input::Propose { op, body: to_bytes(command) });
         self.pass();
     }
 
@@ -75,8 +75,8 @@
         let op = format!("change {number}").as_str().into();
         let command =
             Command::Declare { op, base: 0, any: 1, whole: 1, revision: 0, scope: "main".into(), items: items.into() };
-        self.enter(&command);
-        self.enter(&Command::Activate { step: number });
+        self.propose(&command);
+        self.propose(&Command::Activate { step: number });
     }
 }
 
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -27,7 +27,7 @@
 
 fn entered(outputs: &[CoreOutput]) -> Option<(NodeId, OpNo)> {
     outputs.iter().find_map(|output| match output {
-        CoreOutput::Registry { to, message: ChainMessage::Enter { op, .. } } => Some((*to, *op)),
+        CoreOutput::Registry { to, message: ChainMessage::Propose { op, .. } } => Some((*to, *op)),
         _ => None,
     })
 }
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -4,7 +4,7 @@
 use control::{MemberChange, Membership, apply};
 use wire::{Command, to_bytes};
 
-fn enter(state: &mut State, command: &Command) {
+fn propose(state: &mut State, command: &Command) {
     for (key, value) in apply(state, 1, &to_bytes(command)).changes {
         match value {
             Some(value) => state.insert(key, value),
@@ -26,25 +26,25 @@
 fn joins_leaves_and_lapses_are_told_once_each() {
     let (mut state, mut membership) = (State::new(), Membership::default());
     assert_eq!(told(&mut membership, &state), []);
-    enter(&mut state, &join(1, 1));
+    propose(&mut state, &join(1, 1));
     assert_eq!(told(&mut membership, &state), [], "what is found at the first look is no change");
-    enter(&mut state, &join(2, 1));
+    propose(&mut state, &join(2, 1));
     assert_eq!(told(&mut membership, &state), [(MemberChange::Joined, 2)]);
     assert_eq!(told(&mut membership, &state), []);
-    enter(&mut state, &Command::Leaving { id: 1, incarnation: 1 });
-    enter(&mut state, &Command::Lapse { id: 2, incarnation: 1 });
+    propose(&mut state, &Command::Leaving { id: 1, incarnation: 1 });
+    propose(&mut state, &Command::Lapse { id: 2, incarnation: 1 });
     assert_eq!(told(&mut membership, &state), [(MemberChange::Lapsed, 2), (MemberChange::Leaving, 1)]);
-    enter(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
+    propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
     assert_eq!(told(&mut membership, &state), [], "that it leaves was told before");
 }
 
 #[test]
 fn a_router_started_again_is_told_as_joined_and_its_old_lapse_as_nothing() {
     let (mut state, mut membership) = (State::new(), Membership::default());
-    enter(&mut state, &join(1, 1));
+    propose(&mut state, &join(1, 1));
     assert_eq!(told(&mut membership, &state), [], "what is found at the first look is no change");
-    enter(&mut state, &join(1, 2));
+    propose(&mut state, &join(1, 2));
     assert_eq!(told(&mut membership, &state), [(MemberChange::Joined, 1)]);
-    enter(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
+    propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
     assert_eq!(told(&mut membership, &state), []);
 }
--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -28,7 +28,7 @@
     Pass(Silence),
     /// Three half suspicion times pass with all messages and writes finished in between.
     Calm(Silence),
-    Enter(usize),
+    Propose(usize),
     Confirm(usize),
     /// The process dies; its unsynced write is lost, or lands unreported.
     Crash {
@@ -79,7 +79,7 @@
                 choices.push(Choice::Land(index));
             }
             if machine.member.is_some() && self.budget.entries > 0 {
-                choices.push(Choice::Enter(index));
+                choices.push(Choice::Propose(index));
             }
             if machine.member.as_ref().is_some_and(|member| member.is_tail()) && self.budget.confirms > 0 {
                 choices.push(Choice::Confirm(index));
@@ -177,9 +177,9 @@
             Choice::Settle => self.settle(Silence::None),
             Choice::Pass(silence) => self.pass(silence, false),
             Choice::Calm(silence) => self.pass(silence, true),
-            Choice::Enter(index) => {
+            Choice::Propose(index) => {
                 self.budget.entries -= 1;
-                self.enter(index);
+                self.propose(index);
             }
             Choice::Confirm(index) => {
                 self.budget.confirms -= 1;
--- a/crates/explore/src/probe.rs
+++ b/crates/explore/src/probe.rs
@@ -36,7 +36,7 @@
         let before = world.history.committed.len();
         for _ in 0..ENTRY_STEPS {
             if let Some(head) = world.head() {
-                world.enter(head);
+                world.propose(head);
             }
             world.advance(Silence::None);
             world.settle(Silence::None);
--- a/crates/explore/src/scenario.rs
+++ b/crates/explore/src/scenario.rs
@@ -54,7 +54,7 @@
             return world;
         }
         world.run_calm(FORMING_STEPS);
-        world.enter(0);
+        world.propose(0);
         world.run_calm(2);
         match self {
             Scenario::Wiped => world.wipe(2),
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -191,10 +191,10 @@
         self.feed(index, Input::Written { ticket });
     }
 
-    pub fn enter(&mut self, index: usize) {
+    pub fn propose(&mut self, index: usize) {
         self.next_operation += 1;
         let op = OpNo { origin: self.machines[index].id, number: self.next_operation };
-        self.feed(index, Input::Enter { op, body: op.number.to_string().into_bytes() });
+        self.feed(index, Input::Propose { op, body: op.number.to_string().into_bytes() });
     }
 
     pub fn confirm(&mut self, index: usize) {
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -174,7 +174,7 @@
         for output in self.home.step(self.now, may_serve, input) {
             match output {
                 HomeOutput::Forward { to, message } => self.send(to, Message::Forward(message)),
-                HomeOutput::Enter { ask, body } => self.tell_core(LeaseMessage::Enter { ask, body: body.into() }),
+                HomeOutput::Propose { ask, body } => self.tell_core(LeaseMessage::Propose { ask, body: body.into() }),
                 HomeOutput::Read { ask, prefix } => {
                     self.tell_core(LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() });
                 }
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -44,8 +44,8 @@
                             HomeOutput::Forward { to, message } => {
                                 self.send(Place::Router(n), to, Message::Forward(message));
                             }
-                            HomeOutput::Enter { ask, body } => {
-                                let message = LeaseMessage::Enter { ask, body: body.into() };
+                            HomeOutput::Propose { ask, body } => {
+                                let message = LeaseMessage::Propose { ask, body: body.into() };
                                 self.ask_tail(n, tail, message);
                             }
                             HomeOutput::Read { ask, prefix } => {
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -59,7 +59,7 @@
             HomeOutput::Forward { to, message } => {
                 self.link(LinkOrder::Send { to, message: Message::Forward(message) })
             }
-            HomeOutput::Enter { ask, body } => self.to_core(LeaseMessage::Enter { ask, body: body.into() }),
+            HomeOutput::Propose { ask, body } => self.to_core(LeaseMessage::Propose { ask, body: body.into() }),
             HomeOutput::Read { ask, prefix } => {
                 self.to_core(LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() });
             }
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -221,7 +221,7 @@
         let due = self.now + lasts;
         let record = LedgerAsk { kind, task, function: function.to_owned(), body: body.clone(), sent: self.now, due };
         self.asks.insert(ask, record);
-        self.outs.push(HomeOutput::Enter { ask, body });
+        self.outs.push(HomeOutput::Propose { ask, body });
         ask
     }
 }
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -35,7 +35,7 @@
         to: NodeId,
         message: ForwardMessage,
     },
-    Enter {
+    Propose {
         ask: u64,
         body: Vec<u8>,
     },
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -228,7 +228,7 @@
             true
         });
         for (ask, body) in again {
-            self.outs.push(crate::home_types::HomeOutput::Enter { ask, body });
+            self.outs.push(crate::home_types::HomeOutput::Propose { ask, body });
         }
     }
 }
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -49,7 +49,7 @@
 
 pub fn granted(outputs: &[HomeOutput]) -> HomeInput {
     let ask = outputs.iter().find_map(|output| match output {
-        HomeOutput::Enter { ask, .. } => Some(*ask),
+        HomeOutput::Propose { ask, .. } => Some(*ask),
         _ => None,
     });
     let receipt = wire::Receipt::Stored { state: wire::ClaimState::Granted, answer: Vec::new().into() };
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -130,7 +130,7 @@
     home.step(ms(0), true, HomeInput::Core { near: true });
     let outputs = home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: task(7) });
     let ask = outputs.iter().find_map(|output| match output {
-        HomeOutput::Enter { ask, .. } => Some(*ask),
+        HomeOutput::Propose { ask, .. } => Some(*ask),
         _ => None,
     });
     let granted = wire::Receipt::Claim { state: wire::ClaimState::Granted, answer: Vec::new().into() };
--- a/crates/wire/src/chain.rs
+++ b/crates/wire/src/chain.rs
@@ -58,7 +58,7 @@
     #[deku(id = "8")]
     Decided { view: View },
     #[deku(id = "9")]
-    Enter { op: OpNo, body: Blob },
+    Propose { op: OpNo, body: Blob },
     #[deku(id = "10")]
     Append { view: u64, fence: u64, entries: List<EntryLine> },
     #[deku(id = "11")]
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -52,7 +52,7 @@
     #[deku(id = "10")]
     Piece { ask: u64, step: u64, revision: u64, quorum: List<NodeId>, items: List<ItemLine>, next: Text },
     #[deku(id = "11")]
-    Enter { ask: u64, body: Blob },
+    Propose { ask: u64, body: Blob },
     #[deku(id = "12")]
     ProposalAck { ask: u64, state: u8, body: Blob },
     #[deku(id = "13")]
