--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -3,7 +3,7 @@
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::service::ControlMessage;
-use crate::settings::RegistryEnv;
+use crate::settings::RegistrySettings;
 use axum::Router;
 use kernel::InboxSender;
 use serde_json::{Value, json};
@@ -17,7 +17,7 @@
     pub pages: Option<MakePages>,
     pub pages_address: Option<String>,
     /// Reads the settings again; without it they stay as they were at the start.
-    pub reread: Option<env::Reread<RegistryEnv>>,
+    pub reread: Option<env::Reread<RegistrySettings>>,
 }
 
 /// What operators' pages ask of a registry.
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -41,4 +41,4 @@
 pub use membership::{MemberChange, Membership};
 pub use planner::{Planned, Planner};
 pub use service::{ControlMessage, run};
-pub use settings::RegistryEnv;
+pub use settings::RegistrySettings;
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -11,7 +11,7 @@
 use crate::membership::Membership;
 use crate::optimizer::{self, Host, OptimizerMessage};
 use crate::reading::stored_document;
-use crate::settings::RegistryEnv;
+use crate::settings::RegistrySettings;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
 use chain::{Disk, DiskReport, Member, Store, StoreError, Stored, Timing};
@@ -39,7 +39,7 @@
     Stop,
 }
 
-pub fn run(settings: RegistryEnv, dialect: ControlDialect) -> Result<(), RunError> {
+pub fn run(settings: RegistrySettings, dialect: ControlDialect) -> Result<(), RunError> {
     let incarnation = rand::random::<u64>() >> 8;
     let file = settings.data.join("registry.redb");
     if settings.show && !file.exists() {
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -10,7 +10,7 @@
 }
 
 env::settings! {
-    pub struct RegistryEnv {
+    pub struct RegistrySettings {
         cluster: String = "heronlink".into(), word, "name of the cluster; frames and data files of another are refused";
         zone: String = "a".into(), word, "zone this machine stands in";
         address: String = String::new(), address, "IP number and port for heronlink's own processes";
--- a/crates/traffic/src/dialect.rs
+++ b/crates/traffic/src/dialect.rs
@@ -1,7 +1,7 @@
 //! How a router is made to speak words other than the product's own, and to serve further pages.
 
 use crate::ops::Views;
-use crate::settings::RouterEnv;
+use crate::settings::RouterSettings;
 use axum::Router;
 use dispatch::Words;
 use supply::Start;
@@ -18,5 +18,5 @@
     pub pages: Option<MakePages>,
     pub pages_address: Option<String>,
     /// Reads the settings again; without it they stay as they were at the start.
-    pub reread: Option<env::Reread<RouterEnv>>,
+    pub reread: Option<env::Reread<RouterSettings>>,
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -66,5 +66,5 @@
 pub use ops::Views;
 pub use recent_homes::{EarlierHomes, RosterHistory};
 pub use service::run;
-pub use settings::RouterEnv;
+pub use settings::RouterSettings;
 pub use unproven::Risk;
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -15,7 +15,7 @@
 use crate::home_types::HomeTiming;
 use crate::ops::{Views, ops_router};
 use crate::serving_lease::ServingLease;
-use crate::settings::RouterEnv;
+use crate::settings::RouterSettings;
 use dispatch::{DispatchReport, DispatcherMessage};
 use doors::{ResourceIndex, ServerLimits, Tokens};
 use events::event;
@@ -34,7 +34,7 @@
 /// From a lapse until the next home has looked at what runs.
 const TAKING_OVER: Duration = Duration::from_millis(400);
 
-pub fn run(settings: RouterEnv, dialect: Dialect) -> Result<(), RunError> {
+pub fn run(settings: RouterSettings, dialect: Dialect) -> Result<(), RunError> {
     let begun = Instant::now();
     let incarnation = rand::random::<u64>() >> 8;
     let me: NodeId = mix(&[b"router", settings.cluster.as_bytes(), settings.address.as_bytes()]) | 1;
@@ -183,7 +183,7 @@
     Ok(())
 }
 
-fn caller_limits(settings: &RouterEnv) -> CallerLimits {
+fn caller_limits(settings: &RouterSettings) -> CallerLimits {
     let server = ServerLimits {
         connections: settings.connections,
         head_bytes: settings.head_bytes,
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -8,7 +8,7 @@
 use wire::Capacity;
 
 env::settings! {
-    pub struct RouterEnv {
+    pub struct RouterSettings {
         cluster: String = "heronlink".into(), word, "name of the cluster; frames of another are refused";
         zone: String = "a".into(), word, "zone this machine stands in";
         address: String = String::new(), address, "IP number and port for heronlink's own processes";
@@ -43,7 +43,7 @@
     }
 }
 
-impl RouterEnv {
+impl RouterSettings {
     pub fn capacity(&self) -> Capacity {
         let milli = |of: f64| (of * 1000.0).round() as u32;
         Capacity { processor_milli: milli(self.processor_share), link_kbit: milli(self.link_mbps) }
--- a/crates/yard/src/api.rs
+++ b/crates/yard/src/api.rs
@@ -4,7 +4,7 @@
 use crate::record::Record;
 use crate::services::load;
 use crate::starting::start_instance;
-use crate::state::{Emulator, Misbehaviour, YardEnv};
+use crate::state::{Emulator, EmulatorSettings, Misbehaviour};
 use axum::extract::{Path, State};
 use axum::http::StatusCode;
 use axum::routing::{get, post};
@@ -24,7 +24,7 @@
     Ready { id: String },
 }
 
-pub fn run(settings: YardEnv) -> Result<(), String> {
+pub fn run(settings: EmulatorSettings) -> Result<(), String> {
     let services = load(&settings.services)?;
     let record = Record::open(&settings.record)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|f| f.to_string())?;
--- a/crates/yard/src/state.rs
+++ b/crates/yard/src/state.rs
@@ -12,7 +12,7 @@
 use tokio::task::AbortHandle;
 
 env::settings! {
-    pub struct YardEnv {
+    pub struct EmulatorSettings {
         address: String = String::new(), address, "where the platform's API listens";
         services: PathBuf = PathBuf::new(), any, "JSON file of services";
         record: PathBuf = PathBuf::from("runs.jsonl"), any, "file for the instances' record";
@@ -55,7 +55,7 @@
 }
 
 pub struct Emulator {
-    pub settings: YardEnv,
+    pub settings: EmulatorSettings,
     pub services: Services,
     pub instances: BTreeMap<String, RunningInstance>,
     pub nonces: BTreeMap<(String, String), Started>,
