--- a/crates/judge/tests/linearizable.rs
+++ b/crates/checker/tests/linearizable.rs
@@ -1,6 +1,6 @@
 //! The checker of operators' histories passes what is right and finds each fault planted for it.
 
-use judge::{Anomaly, Invocation, Read, Response, anomalies};
+use checker::{Anomaly, Invocation, Read, Response, anomalies};
 use std::time::Duration;
 
 fn ms(millis: u64) -> Duration {
--- a/crates/env/tests/tool.rs
+++ b/crates/config/tests/tool.rs
@@ -1,9 +1,9 @@
 //! The command line of a tool, part by part.
 
-use env::{ToolArgument, ToolLine};
+use config::{ToolArgument, ToolLine};
 
 fn read(words: &str) -> Result<Vec<ToolArgument>, String> {
-    let mut line = ToolLine::new(env::lexopt::Parser::from_args(words.split_whitespace()), &["quick"]);
+    let mut line = ToolLine::new(config::lexopt::Parser::from_args(words.split_whitespace()), &["quick"]);
     let mut read = Vec::new();
     while let Some(argument) = line.next_argument()? {
         read.push(argument);
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -11,7 +11,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, put};
 use bindings::Kind;
-use doors::Tokens;
+use http_server::Tokens;
 use serde_json::{Map, Value, json};
 use wire::ItemLine;
 
@@ -78,7 +78,7 @@
             },
         };
         let op = text("operation-id").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
-        if env::word(&op).is_err() {
+        if config::word(&op).is_err() {
             return refuse(400, "Operation-Id is 1 to 64 letters, digits, '-', '_' or '.'");
         }
         let revision = match text("revision").map(|number| number.trim().parse::<u64>()) {
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -6,7 +6,7 @@
 use crate::apply_task::{claim, finish, release, settle, store};
 use crate::keys;
 use chain::{Effect, State, Value};
-use holds::MemberLine;
+use leases::MemberLine;
 use wire::{Capacity, Command, Receipt};
 
 pub struct Draft<'a> {
--- a/crates/control/src/apply_member.rs
+++ b/crates/control/src/apply_member.rs
@@ -3,7 +3,7 @@
 
 use crate::apply::Draft;
 use crate::keys;
-use holds::MemberLine;
+use leases::MemberLine;
 use wire::NodeId;
 use wire::{ClaimRecord, Receipt};
 
--- a/crates/control/src/apply_task.rs
+++ b/crates/control/src/apply_task.rs
@@ -4,7 +4,7 @@
 
 use crate::apply::Draft;
 use crate::keys;
-use holds::MemberLine;
+use leases::MemberLine;
 use wire::{Blob, NodeId, Text};
 use wire::{ClaimRecord, ClaimState, DeferredRecord, Receipt};
 
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -12,7 +12,7 @@
 use crate::rosters::Rosters;
 use crate::tenure::{Tenure, ToldProofs};
 use chain::{Batch, Input, Member, Output, State, Stored};
-use holds::Sessions;
+use leases::Sessions;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -17,7 +17,7 @@
     pub pages: Option<MakePages>,
     pub pages_address: Option<String>,
     /// Reads the settings again; without it they stay as they were at the start.
-    pub reread: Option<env::Reread<RegistrySettings>>,
+    pub reread: Option<config::Reread<RegistrySettings>>,
 }
 
 /// What operators' pages ask of a registry.
--- a/crates/control/src/errors.rs
+++ b/crates/control/src/errors.rs
@@ -2,7 +2,7 @@
 
 use chain::StoreError;
 use derive_more::{Display, Error, From};
-use doors::TokensError;
+use http_server::TokensError;
 use kernel::StartError;
 use std::io;
 use std::path::PathBuf;
--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -1,7 +1,7 @@
 //! Where things stand in the chain's state, and small readings of it.
 
 use chain::{State, Value};
-use holds::{MemberLine, Roster};
+use leases::{MemberLine, Roster};
 use std::collections::BTreeMap;
 use wire::{ItemLine, NodeId, StepLine};
 
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -5,7 +5,7 @@
 use crate::keys;
 use chain::State;
 use events::event;
-use holds::{MemberLine, Roster};
+use leases::{MemberLine, Roster};
 use wire::NodeId;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -5,8 +5,8 @@
 use crate::planner::Planner;
 use bindings::RouteTable;
 use chain::Value;
-use doors::ResourceIndex;
 use events::event;
+use http_server::ResourceIndex;
 use kernel::{Inbox, InboxSender};
 use links::LinkOrder;
 use scaler::Optimizer;
@@ -82,7 +82,7 @@
     let sheets: Vec<String> = tuned.iter().map(|line| format!("weight-sheets/{}", line.function.as_str())).collect();
     let fresh = |(key, raw): &(&String, &Value)| before.get(*key) != Some(*raw) || sheets.contains(*key);
     let changed = pairs.iter().filter(fresh).map(|(key, raw)| (key.as_str(), &raw[..]));
-    let items = doors::kinds(changed, fence, tuned);
+    let items = http_server::kinds(changed, fence, tuned);
     index.send_if_modified(|index| {
         let put = items.iter().fold(false, |any, (key, value)| index.put(key, *revision, value) || any);
         index.keep_only(*revision, |key| pairs.contains_key(key) || items.contains_key(key)) || put
--- a/crates/control/src/pushes.rs
+++ b/crates/control/src/pushes.rs
@@ -3,7 +3,7 @@
 
 use crate::core::{Core, CoreOutput};
 use crate::keys;
-use holds::Session;
+use leases::Session;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/control/src/rosters.rs
+++ b/crates/control/src/rosters.rs
@@ -3,7 +3,7 @@
 
 use crate::keys;
 use chain::State;
-use holds::Roster;
+use leases::Roster;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wire::{LeaseMessage, Packed};
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -15,8 +15,8 @@
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
 use chain::{Disk, DiskReport, Member, Store, StoreError, Stored, Timing};
-use doors::{ResourceIndex, ServerLimits, Tokens, Views};
 use events::event;
+use http_server::{ResourceIndex, ServerLimits, Tokens, Views};
 use kernel::{Directory, Inbox, SendError, adopt, behind, find, listen, local, thread};
 use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::BTreeMap;
@@ -78,7 +78,7 @@
     let control = find::<ControlMessage>(&directory, "control");
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
     let (index, shelved) = watch::channel(ResourceIndex::new(incarnation));
-    let kinds = doors::views(Views { index: shelved, tokens: tokens.clone() });
+    let kinds = http_server::views(Views { index: shelved, tokens: tokens.clone() });
     let (body, life) = (settings.body, Duration::from_secs(3600));
     let limits = ServerLimits {
         connections: 256,
@@ -170,7 +170,7 @@
     limits: ServerLimits,
     stop: watch::Receiver<bool>,
 ) -> Result<JoinHandle<()>, RunError> {
-    Ok(thread(name, move || local(async move { doors::serve(adopt(listener), pages, limits, stop).await }))?)
+    Ok(thread(name, move || local(async move { http_server::serve(adopt(listener), pages, limits, stop).await }))?)
 }
 
 async fn run_links(names: Directory, me: LocalNode, listener: TcpListener, orders: Inbox<LinkOrder>) {
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,7 +1,7 @@
 //! The registry's settings.
 
-use doors::well_formed;
-use env::{address, address_or_none, any, in_range, non_empty, seeds, word};
+use config::{address, address_or_none, any, in_range, non_empty, seeds, word};
+use http_server::well_formed;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     if path.as_os_str().is_empty() { Err("it must be given".into()) } else { Ok(()) }
 }
 
-env::settings! {
+config::settings! {
     pub struct RegistrySettings {
         cluster: String = "heronlink".into(), word, "name of the cluster; frames and data files of another are refused";
         zone: String = "a".into(), word, "zone this machine stands in";
--- a/crates/control/src/tenure.rs
+++ b/crates/control/src/tenure.rs
@@ -3,7 +3,7 @@
 
 use crate::core::Core;
 use crate::core::CoreOutput;
-use holds::Sessions;
+use leases::Sessions;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{LeaseMessage, NodeId, ProofAge};
@@ -63,7 +63,7 @@
             return;
         };
         let millis = |asked: Duration| now.saturating_sub(asked).as_millis() as u64;
-        let age = |(id, session): (&NodeId, &holds::Session)| ProofAge {
+        let age = |(id, session): (&NodeId, &leases::Session)| ProofAge {
             id: *id,
             incarnation: session.incarnation,
             millis: millis(session.proof_asked_until),
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -5,7 +5,7 @@
 
 use chain::{Batch, Member, Stored, Timing, apply_batch};
 use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
-use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Standing};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Standing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wire::{ItemLine, Message, NodeId, Seat};
--- a/crates/yard/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -1,7 +1,7 @@
 //! The emulator's state, owned by one thread: workers, instances, the call limit, and the late list.
 
 use crate::services::Services;
-use env::{address, any, in_range};
+use config::{address, any, in_range};
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::task::AbortHandle;
 
-env::settings! {
+config::settings! {
     pub struct EmulatorSettings {
         address: String = String::new(), address, "where the platform's API listens";
         services: PathBuf = PathBuf::new(), any, "JSON file of services";
--- a/crates/fleet/src/line.rs
+++ b/crates/fleet/src/line.rs
@@ -1,7 +1,7 @@
 //! The command line of the fleet runner.
 
 use crate::faults::{Timed, parse_faults};
-use env::{ToolArgument, ToolLine};
+use config::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
 pub const HELP: &str = "fleet: a whole deployment on one machine
--- a/crates/hollow/src/assign.rs
+++ b/crates/hollow/src/assign.rs
@@ -6,11 +6,11 @@
 use crate::node_group::Shared;
 use crate::workload::Workload;
 use bindings::RouteTable;
-use holds::Roster;
+use instance_provider::{Listing, ProviderReport};
+use leases::Roster;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{Listing, ProviderReport};
 use wire::NodeId;
 
 const LOOK: Duration = Duration::from_millis(250);
--- a/crates/hollow/src/line.rs
+++ b/crates/hollow/src/line.rs
@@ -2,7 +2,7 @@
 
 use crate::proc::{files_allowed, memory_mb};
 use crate::workload::Workload;
-use env::{ToolArgument, ToolLine};
+use config::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
 pub const HELP: &str = "hollow: a core and a few routers among many hollow nodes in one process
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -2,11 +2,11 @@
 //! instances. It takes ticks and frames and returns frames, as the router's threads do around them.
 
 use bindings::RouteTable;
-use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Roster, mix};
+use instance_provider::ProviderReport;
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Roster, mix};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
-use supply::ProviderReport;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{LeaseMessage, Message, NodeId, PlanMessage};
 
--- a/crates/hollow/src/offline.rs
+++ b/crates/hollow/src/offline.rs
@@ -10,7 +10,7 @@
 use crate::tally::round;
 use crate::workload::Workload;
 use bindings::{Function, RouteTable};
-use holds::{MemberLine, Roster};
+use leases::{MemberLine, Roster};
 use rand::{RngExt, SeedableRng};
 use scaler::{Optimizer, Sample};
 use serde_json::{Map, Value, json};
@@ -113,13 +113,13 @@
 
 pub fn roster(members: usize) -> Roster {
     let line = |n: usize| MemberLine {
-        id: holds::mix(&[&n.to_le_bytes()]),
+        id: leases::mix(&[&n.to_le_bytes()]),
         incarnation: 1,
         address: format!("10.0.{}.{}:7000", n / 250, n % 250).as_str().into(),
         zone: format!("z{}", n % 5).as_str().into(),
         ops: format!("10.0.{}.{}:7001", n / 250, n % 250).as_str().into(),
         leaving: 0,
-        hashing: holds::HASHING,
+        hashing: leases::HASHING,
         capacity: Capacity::default(),
     };
     Roster { number: 1, members: (0..members).map(line).collect::<Vec<_>>().into() }
--- a/crates/hollow/src/offline_home.rs
+++ b/crates/hollow/src/offline_home.rs
@@ -5,10 +5,10 @@
 use crate::tally::round;
 use crate::workload::Workload;
 use bindings::RouteTable;
+use instance_provider::{Listing, ProviderReport};
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{Listing, ProviderReport};
 use traffic::{Home, HomeInput, HomeTiming};
 use wire::{Message, PlanMessage};
 
--- a/crates/hollow/src/workload.rs
+++ b/crates/hollow/src/workload.rs
@@ -1,8 +1,8 @@
 //! The configuration a hollow fleet is given, and the instances its awake functions are said to
 //! have. Every kind of text the platform or the operators would send is made here alone.
 
+use instance_provider::{InstanceLine, InstanceState, Listing};
 use serde_json::{Map, Value, json};
-use supply::{InstanceLine, InstanceState, Listing};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Workload {
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -2,8 +2,8 @@
 //! time, answered by a tail at once.
 
 use bindings::RouteTable;
-use holds::{MemberLine, Roster};
 use hollow::{Node, NodeInput, NodeOutput, Workload};
+use leases::{MemberLine, Roster};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
         zone: ["a", "b", "c"][(n % 3) as usize].into(),
         ops: "".into(),
         leaving: 0,
-        hashing: holds::HASHING,
+        hashing: leases::HASHING,
         capacity: wire::Capacity::default(),
     };
     Roster { number: 1, members: (0..members).map(line).collect::<Vec<_>>().into() }
--- a/crates/holds/tests/follower.rs
+++ b/crates/leases/tests/follower.rs
@@ -1,6 +1,6 @@
 //! The follower's promises, one by one.
 
-use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, MemberLine, Roster, Standing};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, MemberLine, Roster, Standing};
 use std::time::Duration;
 use wire::{Capacity, ItemLine, LeaseMessage, StepLine};
 
--- a/crates/holds/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -1,7 +1,7 @@
 //! Packed parts as a follower takes them: lost, twice, late or of another step, by seed; what is staged in
 //! the end is what was packed, and no more than one part is ever asked for ahead.
 
-use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
--- a/crates/holds/tests/relays.rs
+++ b/crates/leases/tests/relays.rs
@@ -2,7 +2,7 @@
 //! than if all asked all, whoever of the relays is lost; and nobody serves once a newer step is held by
 //! more than half.
 
-use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, MemberLine, Roster, Standing};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, MemberLine, Roster, Standing};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
--- a/crates/holds/tests/roster.rs
+++ b/crates/leases/tests/roster.rs
@@ -1,6 +1,6 @@
 //! The roster as a list of members with a number: homes picked from it, and what differs between two.
 
-use holds::{HASHING, MemberLine, Roster};
+use leases::{HASHING, MemberLine, Roster};
 use std::collections::BTreeMap;
 use wire::{Capacity, NodeId};
 
--- a/crates/holds/tests/sessions.rs
+++ b/crates/leases/tests/sessions.rs
@@ -1,6 +1,6 @@
 //! The tail's table: which members a step still waits for.
 
-use holds::Sessions;
+use leases::Sessions;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/swarm/src/fresh.rs
+++ b/crates/loadgen/src/fresh.rs
@@ -5,7 +5,7 @@
 
 use crate::rules::Run;
 use crate::tally::Attempt;
-use judge::{Invocation, Response, anomalies};
+use checker::{Invocation, Response, anomalies};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/swarm/src/line.rs
+++ b/crates/loadgen/src/line.rs
@@ -3,7 +3,7 @@
 use crate::check::CheckOrder;
 use crate::load::{Crowd, LoadOrder};
 use crate::replay::ReplayOrder;
-use env::{ToolArgument, ToolLine};
+use config::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
 pub const HELP: &str = "swarm: load generator and checker
--- a/crates/swarm/src/spans.rs
+++ b/crates/loadgen/src/spans.rs
@@ -24,14 +24,14 @@
     attempt.outcome == "not-run" && attempt.status == 503 || attempt.outcome == "unknown"
 }
 
-pub fn recovery(attempts: &[Attempt], spans: &[Span]) -> judge::Recovery {
-    let Some(begun) = attempts.iter().map(|attempt| attempt.at).min() else { return judge::Recovery::default() };
+pub fn recovery(attempts: &[Attempt], spans: &[Span]) -> checker::Recovery {
+    let Some(begun) = attempts.iter().map(|attempt| attempt.at).min() else { return checker::Recovery::default() };
     let since = |at: u64| Duration::from_millis(at.saturating_sub(begun));
     let last = attempts.iter().map(|attempt| attempt.at).max().unwrap_or(begun);
     let good: Vec<Duration> = attempts.iter().filter(|a| is_good(a)).map(|a| since(a.at + a.took)).collect();
     let faults: Vec<(Duration, Duration)> =
         spans.iter().filter(|span| !span.planned).map(|span| (since(span.from), since(span.to))).collect();
-    judge::recovery(&good, &faults, Duration::from_secs(5), since(last))
+    checker::recovery(&good, &faults, Duration::from_secs(5), since(last))
 }
 
 /// Attempts in stretches without a failure or its aftermath that were cut, unanswered, or refused
--- a/crates/sim/src/failing.rs
+++ b/crates/sim/src/failing.rs
@@ -17,7 +17,7 @@
         }
         self.say(|| format!("router {n} is asked to leave"));
         self.routers[n].leaving_since = Some(self.now);
-        self.follow(n, holds::FollowerInput::Leave);
+        self.follow(n, leases::FollowerInput::Leave);
     }
 
     /// A planned stop of a registry, one at a time: the chain goes on without it at once.
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -4,8 +4,8 @@
 use crate::chances::Sort;
 use crate::resending::Order;
 use crate::world::{Event, World};
+use checker::{Invocation, Response};
 use control::{ApiCall, ApiReply, CoreInput};
-use judge::{Invocation, Response};
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
--- a/crates/sim/src/resending.rs
+++ b/crates/sim/src/resending.rs
@@ -4,8 +4,8 @@
 
 use crate::operators::{Asked, mark_line};
 use crate::world::{Event, World};
+use checker::{Response, anomalies};
 use control::{ApiCall, CoreInput};
-use judge::{Response, anomalies};
 use rand::RngExt;
 use std::time::Duration;
 use wire::ItemLine;
--- a/crates/sim/src/rolling.rs
+++ b/crates/sim/src/rolling.rs
@@ -34,7 +34,7 @@
             self.say(|| format!("router {next} is asked to leave, busy: {busy}"));
             self.rules.faulty(self.now, self.now + Duration::from_secs(12));
             self.routers[next].leaving_since = Some(self.now);
-            self.follow(next, holds::FollowerInput::Leave);
+            self.follow(next, leases::FollowerInput::Leave);
         }
         self.follow_up(LOOK, FollowUp::Roll { next: next + 1, at_a_time, waited: Duration::ZERO });
     }
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -3,7 +3,7 @@
 use crate::chances::Sort;
 use crate::world::{Event, Place, TICK, World};
 use bindings::RouteTable;
-use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, mix};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, mix};
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -145,7 +145,7 @@
     /// Service must be above a quarter of its earlier level in every second that lies more than 12 s
     /// after all machines returned and before anything fails anew. Says what was judged.
     pub fn recovered(&mut self, from: Duration, until: Duration) -> usize {
-        let recovery = judge::recovery(&self.good, &self.faults, from, until);
+        let recovery = checker::recovery(&self.good, &self.faults, from, until);
         for low in &recovery.low {
             let (served, second, level) = (low.served, low.second, low.level);
             let told = format!("{served} tasks served in second {second}, {level} a second before anything failed");
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -31,7 +31,7 @@
     Tick { at: Place, life: u64 },
     Frame { to: Place, life: u64, from: NodeId, incarnation: u64, message: Message },
     Written { registry: usize, life: u64, ticket: u64 },
-    Platform { router: usize, life: u64, report: supply::ProviderReport, listed_at: Duration },
+    Platform { router: usize, life: u64, report: instance_provider::ProviderReport, listed_at: Duration },
     Probed { router: usize, life: u64, id: String, ready: bool },
     InstanceDone { number: u64 },
     Listing,
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/yard.rs
@@ -3,12 +3,12 @@
 
 use crate::router_node::Turn;
 use crate::world::{Event, World};
+use instance_provider::{
+    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReply, StopReply, WorkerLine,
+};
 use rand::RngExt;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
-use supply::{
-    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReply, StopReply, WorkerLine,
-};
 use traffic::{DispatchOutcome, HomeInput};
 
 const ORDERS: usize = 80;
--- a/crates/traffic/src/caller_limits.rs
+++ b/crates/traffic/src/caller_limits.rs
@@ -3,7 +3,7 @@
 
 use axum::http::HeaderValue;
 use bindings::CallerBounds;
-use doors::ServerLimits;
+use http_server::ServerLimits;
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
--- a/crates/traffic/src/caller_server_tests.rs
+++ b/crates/traffic/src/caller_server_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use axum::http::{HeaderMap, HeaderName};
-use doors::ServerLimits;
+use http_server::ServerLimits;
 use hyper::service::Service;
 use hyper_util::service::TowerToHyperService;
 use kernel::{Inbox, inbox};
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -10,13 +10,13 @@
 use crate::serving_lease::ServingLease;
 use bindings::RouteTable;
 use dispatch::{DispatchReport, DispatcherMessage};
-use holds::Roster;
+use instance_provider::{ProviderOrder, ProviderReport};
 use kernel::{Inbox, InboxSender};
+use leases::Roster;
 use links::{LinkEvent, LinkOrder};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{ProviderOrder, ProviderReport};
 use tokio::sync::{oneshot, watch};
 use wire::{DeferredRecord, ForwardMessage, LeaseMessage, Message, NodeId, StoredAnswer};
 
--- a/crates/traffic/src/declared_views.rs
+++ b/crates/traffic/src/declared_views.rs
@@ -4,7 +4,7 @@
 use crate::home::Home;
 use crate::status::Played;
 use bindings::RouteTable;
-use doors::ResourceIndex;
+use http_server::ResourceIndex;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
         let told = (*fence, sum, lines.len());
         if self.news || told != self.told {
             (self.news, self.told) = (false, told);
-            self.items = doors::kinds(routes.declared(), *fence, lines);
+            self.items = http_server::kinds(routes.declared(), *fence, lines);
             self.plans.clear();
         }
         let mut changed: Vec<(String, Value)> = Vec::new();
--- a/crates/traffic/src/dialect.rs
+++ b/crates/traffic/src/dialect.rs
@@ -4,7 +4,7 @@
 use crate::settings::RouterSettings;
 use axum::Router;
 use dispatch::Words;
-use supply::Start;
+use instance_provider::Start;
 
 pub type MakePages = Box<dyn FnOnce(Views) -> Router + Send>;
 
@@ -18,5 +18,5 @@
     pub pages: Option<MakePages>,
     pub pages_address: Option<String>,
     /// Reads the settings again; without it they stay as they were at the start.
-    pub reread: Option<env::Reread<RouterSettings>>,
+    pub reread: Option<config::Reread<RouterSettings>>,
 }
--- a/crates/traffic/src/errors.rs
+++ b/crates/traffic/src/errors.rs
@@ -1,7 +1,7 @@
 //! What may keep a router from running.
 
 use derive_more::{Display, Error, From};
-use doors::TokensError;
+use http_server::TokensError;
 use kernel::StartError;
 
 #[derive(Debug, Display, Error, From)]
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -6,7 +6,7 @@
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
 use crate::owner_liveness::Watched;
 use bindings::{Class, RouteTable};
-use holds::{Roster, first_number};
+use leases::{Roster, first_number};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -218,5 +218,5 @@
 
 /// Evenly spread, and the same each time for the same task.
 fn dice(seed: u64) -> u64 {
-    holds::mix(&[&seed.to_le_bytes()])
+    leases::mix(&[&seed.to_le_bytes()])
 }
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt_count::AttemptCount;
 use bindings::{Class, RouteTable};
-use holds::Roster;
+use leases::Roster;
 use std::rc::Rc;
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome, RequestHead};
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -10,7 +10,7 @@
 use crate::recent_homes::RosterHistory;
 use crate::standby::Kept;
 use bindings::RouteTable;
-use holds::{Roster, first_number};
+use leases::{Roster, first_number};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -3,10 +3,10 @@
 use crate::allowances::Allowances;
 use bindings::{Class, RouteTable};
 use dispatch::{DispatchOrder, DispatchOutcome};
-use holds::Roster;
+use instance_provider::{ProviderOrder, ProviderReport};
+use leases::Roster;
 use std::rc::Rc;
 use std::time::Duration;
-use supply::{ProviderOrder, ProviderReport};
 use wire::{ForwardMessage, LeaseMessage, MeasureLine, NodeId, Outcome, PlanMessage, SampleLine};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -6,9 +6,9 @@
 use crate::home::Home;
 use crate::home_types::HomeOutput;
 use crate::inventory_records::{change_of, changed, from_record, from_worker_record, gone, worker_record};
+use instance_provider::{InstanceLine, InstanceState, Listing, ProviderOrder, WorkerLine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use supply::{InstanceLine, InstanceState, Listing, ProviderOrder, WorkerLine};
 use wire::{ForwardMessage, InventoryChange, NodeId};
 
 /// How long after the list was due the next in turn waits before it reads in the other's place.
--- a/crates/traffic/src/inventory_records.rs
+++ b/crates/traffic/src/inventory_records.rs
@@ -1,7 +1,7 @@
 //! The provider's lines as the homes tell them to one another, and what differs between two lists.
 
+use instance_provider::{InstanceLine, InstanceState, WorkerLine};
 use std::collections::BTreeMap;
-use supply::{InstanceLine, InstanceState, WorkerLine};
 use wire::{InventoryChange, StockLine, Text, WorkerRecord};
 
 pub(crate) fn record(line: &InstanceLine) -> StockLine {
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -11,7 +11,7 @@
 
 /// The name a deferred task is stored under, by its binding and key: a repeat finds the same one.
 pub fn stored_id(scope: &str) -> String {
-    let halves = [holds::mix(&[scope.as_bytes(), b"1"]), holds::mix(&[b"2", scope.as_bytes()])];
+    let halves = [leases::mix(&[scope.as_bytes(), b"1"]), leases::mix(&[b"2", scope.as_bytes()])];
     halves.iter().flat_map(|half| half.to_le_bytes()).map(|byte| format!("{byte:02x}")).collect()
 }
 
--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -2,9 +2,9 @@
 //! so that no one worker's or zone's crash takes them all; after that the home's own zone, then memory.
 //! The list of workers lags, so what this home ordered lately is taken off its free memory.
 
+use instance_provider::WorkerLine;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use supply::WorkerLine;
 
 /// How far the list of workers may be behind.
 const LAG: Duration = Duration::from_millis(1000);
@@ -83,7 +83,7 @@
             let in_zone = others.iter().filter(|(_, zone)| *zone == line.zone).count();
             let on_it = others.iter().filter(|(worker, _)| *worker == line.name).count();
             let whole = self.free(line) / memory_mb.max(1) / 4;
-            let spread = holds::mix(&[function.as_bytes(), line.name.as_bytes()]);
+            let spread = leases::mix(&[function.as_bytes(), line.name.as_bytes()]);
             (in_zone, on_it, line.zone != zone, std::cmp::Reverse(whole), spread)
         };
         let fits = lines.iter().filter(open).filter(|line| self.free(line) >= memory_mb).min_by_key(rank);
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -7,9 +7,9 @@
 use crate::instance::{Instance, InstanceEvent, Phase};
 use crate::starting::look_limit;
 use events::event;
+use instance_provider::{InstanceLine, InstanceState, ProviderOrder, ProviderReport, StopReply, WorkerLine};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use supply::{InstanceLine, InstanceState, ProviderOrder, ProviderReport, StopReply, WorkerLine};
 
 const UNBOUND_LASTS: Duration = Duration::from_secs(15);
 const LIMITED: Duration = Duration::from_millis(300);
--- a/crates/traffic/src/recent_homes.rs
+++ b/crates/traffic/src/recent_homes.rs
@@ -1,7 +1,7 @@
 //! How many homes a function may have had lately, as its rosters tell: what a home may spend that does
 //! not know what the homes before it spent depends on how many of those there may have been.
 
-use holds::Roster;
+use leases::Roster;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -6,9 +6,9 @@
 use crate::home_types::HomeOutput;
 use crate::instance::{InstanceEvent, Phase};
 use events::event;
+use instance_provider::ProviderOrder;
 use scaler::Situation;
 use std::time::Duration;
-use supply::ProviderOrder;
 use wire::{PlanMessage, SampleLine};
 
 const EVERY: Duration = Duration::from_millis(100);
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -17,16 +17,16 @@
 use crate::serving_lease::ServingLease;
 use crate::settings::RouterSettings;
 use dispatch::{DispatchReport, DispatcherMessage};
-use doors::{ResourceIndex, ServerLimits, Tokens};
 use events::event;
-use holds::{Follower, FollowerTiming, Standing, mix};
+use http_server::{ResourceIndex, ServerLimits, Tokens};
+use instance_provider::{InstanceProvider, OwnInstanceProvider, ProviderOrder};
 use kernel::{Directory, InboxSender, SendError, adopt, behind, find, listen, local, thread, wait_for_signal};
+use leases::{Follower, FollowerTiming, Standing, mix};
 use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use supply::{InstanceProvider, OwnInstanceProvider, ProviderOrder};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use wire::{LeaseMessage, Message, NodeId};
@@ -75,13 +75,13 @@
     let (names, address) = (directory.clone(), settings.platform.clone());
     thread("platform", move || {
         let traffic = find::<TrafficMessage>(&names, "traffic");
-        let report: Rc<dyn Fn(supply::ProviderReport)> = Rc::new(move |report| {
+        let report: Rc<dyn Fn(instance_provider::ProviderReport)> = Rc::new(move |report| {
             let traffic = traffic.clone();
             spawn_local(async move { traffic.send_waiting(TrafficMessage::Platform(report)).await });
         });
         let provider = provider
             .map_or_else(|| Rc::new(OwnInstanceProvider::new(&address)) as Rc<dyn InstanceProvider>, |make| make());
-        local(async move { supply::run(provider, platform_inbox, report).await });
+        local(async move { instance_provider::run(provider, platform_inbox, report).await });
     })?;
     let limits = caller_limits(&settings);
     let (bounds, bounded) = watch::channel(limits.clone());
@@ -127,18 +127,18 @@
             spawn_local(links::start(myself, adopt(peers), links_inbox, deliver(link_names)));
             spawn_local(dispatch::run(words, dispatch_inbox, report));
             spawn_local(plane.run(traffic_inbox));
-            doors::serve_within(adopt(callers), callers_pages, limits, servers_stop).await;
+            http_server::serve_within(adopt(callers), callers_pages, limits, servers_stop).await;
         });
     })?;
     let ops_limits = ServerLimits { connections: 64, life: Duration::from_secs(86_400), ..server_limits };
-    let kinds = doors::views(doors::Views { index: shelved, tokens });
+    let kinds = http_server::views(http_server::Views { index: shelved, tokens });
     let (views, ops_stop) = (Views { traffic: shown, control: control_shown }, stopping);
     thread("operations", move || {
         local(async move {
             if let (Some(make), Some(listener)) = (dialect.pages, pages) {
-                spawn_local(doors::serve(adopt(listener), make(views.clone()), ops_limits, ops_stop.clone()));
+                spawn_local(http_server::serve(adopt(listener), make(views.clone()), ops_limits, ops_stop.clone()));
             }
-            doors::serve(adopt(ops), ops_router(views).merge(kinds), ops_limits, ops_stop).await;
+            http_server::serve(adopt(ops), ops_router(views).merge(kinds), ops_limits, ops_stop).await;
         })
     })?;
 
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -1,13 +1,13 @@
 //! The router's settings.
 
 use crate::allowances::Allowances;
-use doors::well_formed;
-use env::{address, address_or_none, any, in_range, seeds, word};
+use config::{address, address_or_none, any, in_range, seeds, word};
+use http_server::well_formed;
 use std::path::PathBuf;
 use std::time::Duration;
 use wire::Capacity;
 
-env::settings! {
+config::settings! {
     pub struct RouterSettings {
         cluster: String = "heronlink".into(), word, "name of the cluster; frames of another are refused";
         zone: String = "a".into(), word, "zone this machine stands in";
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -7,8 +7,8 @@
 use crate::instance::{Instance, InstanceEvent, Pending, Phase};
 use crate::placement::Placed;
 use events::event;
+use instance_provider::{ProviderOrder, StartOrder, StartReply};
 use std::time::Duration;
-use supply::{ProviderOrder, StartOrder, StartReply};
 
 const NO_ROOM_PAUSE: Duration = Duration::from_millis(1000);
 const LIMITED_PAUSE: Duration = Duration::from_millis(250);
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -1,7 +1,7 @@
 //! A home of one deferred function, the tasks sent to it, and the store as it reads it.
 
 use super::{ME, OTHER, ms, roster};
-use holds::Roster;
+use leases::Roster;
 use std::rc::Rc;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ForwardMessage, HomeTable, ItemLine, LeaseMessage, RequestHead, SlotLine, StoredTask};
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -7,7 +7,7 @@
 pub mod supplied;
 
 use bindings::RouteTable;
-use holds::{HASHING, MemberLine, Roster};
+use leases::{HASHING, MemberLine, Roster};
 use std::rc::Rc;
 use std::time::Duration;
 use traffic::{Call, Front, FrontInput, FrontLimits, FrontOutput, Reply};
--- a/crates/traffic/tests/common/supplied.rs
+++ b/crates/traffic/tests/common/supplied.rs
@@ -2,11 +2,11 @@
 
 use super::{ME, ms, roster};
 use bindings::RouteTable;
-use std::rc::Rc;
-use std::time::{Duration, Instant};
-use supply::{
+use instance_provider::{
     InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReply, StopReply, WorkerLine,
 };
+use std::rc::Rc;
+use std::time::{Duration, Instant};
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 
 pub const FUNCTION: &str = "t/f";
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_task_that_cannot_be_served_in_time_is_refused_at_once_not_near_its_deadline() {
-    use supply::{ProviderReport, StartReply};
+    use instance_provider::{ProviderReport, StartReply};
     use traffic::DispatchOutcome;
     let mut home = Home::new(OTHER, 1, HomeTiming::default());
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","max":1}"#;
@@ -109,7 +109,7 @@
             }
             match output {
                 HomeOutput::Dispatch(order) => running.push((order.number, at + 500)),
-                HomeOutput::Supply(supply::ProviderOrder::Start(order)) => instance = Some(order.nonce),
+                HomeOutput::Supply(instance_provider::ProviderOrder::Start(order)) => instance = Some(order.nonce),
                 HomeOutput::Forward {
                     message: ForwardMessage::Answer { outcome: Outcome::NotRun, again_ms, .. },
                     ..
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -4,10 +4,10 @@
 
 use common::supplied::{line, routes_of, worker};
 use common::{ms, roster};
+use instance_provider::{InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport};
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ForwardMessage, NodeId};
 
--- a/crates/traffic/tests/placement.rs
+++ b/crates/traffic/tests/placement.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::supplied::{Supplied, line, six_workers, worker};
+use instance_provider::{InstanceState, StartReply};
 use std::collections::BTreeSet;
-use supply::{InstanceState, StartReply};
 
 fn places(home: &Supplied) -> Vec<String> {
     home.starts.iter().map(|order| order.worker.clone().unwrap_or_default()).collect()
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -4,7 +4,7 @@
 
 use common::supplied::{FUNCTION, Supplied, line, six_workers};
 use common::{ME, OTHER, roster};
-use supply::{InstanceState, StartReply, StopReply};
+use instance_provider::{InstanceState, StartReply, StopReply};
 use traffic::{DispatchOrder, DispatchOutcome, HomeInput, HomeOutput};
 use wire::{ForwardMessage, RequestHead};
 
