--- a/crates/sim/src/core_rules.rs
+++ b/crates/sim/src/core_rules.rs
@@ -95,9 +95,6 @@
 
     /// Where a registry asks while it knows no view: its seeds, and whom they told of.
     pub(crate) fn seeds_of(&self, n: usize) -> Vec<String> {
-        if !self.plan.sort.is_on_control() {
-            return self.seeds.clone();
-        }
         let node = &self.registries[n];
         let seeds = if node.seeds.is_empty() { &self.seeds } else { &node.seeds };
         seeds.iter().chain(&node.told).cloned().collect()
