--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -3,8 +3,10 @@
 //! what it writes in redb. Nothing here reads a clock or a socket.
 
 mod copy;
+mod digest;
 mod disk;
 mod found;
+mod leave;
 mod line;
 mod member;
 mod register;
@@ -12,10 +14,12 @@
 mod seats;
 mod store;
 mod suffix;
+mod tenure;
 mod types;
 mod view;
 mod writes;
 
+pub use digest::{digest_batch, digest_entries, digest_meta, digest_state};
 pub use disk::Disk;
 pub use member::Member;
 pub use store::{Store, StoreFault};
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -6,12 +6,14 @@
 use crate::found::Founding;
 use crate::register::Proposal;
 use crate::returns::Return;
+use crate::tenure::{AnswerReports, Tenure};
 use crate::types::{Apply, Batch, Input, Meta, Output, State, Stored, Timing};
 use crate::view::Round;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wire::{ChainMsg, EntryLine, NodeId, OpNo, Seat};
 
+#[derive(Clone)]
 pub struct Writing {
     pub ticket: u64,
     pub up_to: u64,
@@ -21,6 +23,7 @@
     pub installs: bool,
 }
 
+#[derive(Clone)]
 pub struct Member {
     pub(crate) meta: Meta,
     pub(crate) timing: Timing,
@@ -47,7 +50,10 @@
     pub(crate) writing: Option<Writing>,
     pub(crate) faulted: bool,
     pub(crate) leaving: bool,
+    /// When each voter last answered a beat, and whether it said that it is unwell.
     pub(crate) heard: BTreeMap<NodeId, (Duration, bool)>,
+    /// Since when a member of the chain has been suspected without a break.
+    pub(crate) suspecting: Option<Duration>,
     pub(crate) proposal: Option<Proposal>,
     pub(crate) propose_after: Duration,
     pub(crate) accepted_at: Duration,
@@ -71,6 +77,10 @@
     /// Who asked to join in no one's place, from when to when.
     pub(crate) newcomers: BTreeMap<NodeId, (Duration, Duration)>,
     pub(crate) log_bytes: usize,
+    pub(crate) tenure: Tenure,
+    pub(crate) answer_reports: AnswerReports,
+    /// When this voter last answered the tail of its view, or adopted that view, or started.
+    pub(crate) tail_answered: Duration,
 }
 
 impl Member {
@@ -104,6 +114,7 @@
             faulted: false,
             leaving: false,
             heard: BTreeMap::new(),
+            suspecting: None,
             proposal: None,
             propose_after: Duration::ZERO,
             accepted_at: now,
@@ -124,6 +135,9 @@
             newcomers: BTreeMap::new(),
             seeking: None,
             log_bytes: 0,
+            tenure: Tenure::default(),
+            answer_reports: AnswerReports::default(),
+            tail_answered: now,
         };
         member.log_bytes = member.log.iter().map(|entry| entry.body.len()).sum();
         member.next.trim_below = member.log.front().map_or(0, |entry| entry.seq);
@@ -199,6 +213,7 @@
             ChainMsg::Suffix { copy, entries } => self.on_suffix(from, copy, entries.into_vec()),
             ChainMsg::JoinAsk { seat, ready, seq } => self.on_join_ask(seat, ready != 0, seq),
             ChainMsg::FoundAsk { seat, bound } => self.on_found_ask(seat, bound),
+            ChainMsg::LastAnswered { view, millis } => self.on_last_answered(from, view, millis),
             ChainMsg::Done { op, entered, receipt } => self.on_done(op, entered != 0, receipt),
         }
     }
@@ -219,6 +234,7 @@
             self.beat();
         }
         self.resend();
+        self.finish_leaving();
         self.mend();
         self.seek_to_join();
         self.finish_joining();
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use wire::{ChainMsg, EntryLine, NodeId, Seat, View};
 
-#[derive(Default)]
+#[derive(Clone, Default)]
 pub struct Round {
     pub number: u64,
     pub begun: std::time::Duration,
@@ -25,14 +25,16 @@
             return;
         }
         self.note_returns(&view);
+        let report = self.change_tail(&view);
         self.meta.view = view.clone();
         self.meta.promised = 0;
         self.meta.accepted_ballot = 0;
         self.meta.accepted = View::default();
         self.seen_ballot = 0;
         self.proposal = None;
+        self.suspecting = None;
         self.heard_from_all();
-        self.keep_meta(Vec::new());
+        self.keep_meta(report.into_iter().collect());
         self.enter_line();
         self.outs.push(Output::Viewed { view });
     }
@@ -45,16 +47,26 @@
     }
 
     pub(crate) fn on_beat(&mut self, from: NodeId, view: u64, round: u64, unwell: bool) {
-        self.heard.insert(from, (self.now, unwell));
+        if let Some((_, known)) = self.heard.get_mut(&from) {
+            *known = unwell;
+        }
         if view < self.meta.view.number {
             let view = self.meta.view.clone();
             return self.send(from, ChainMsg::Decided { view });
         }
         let holds_next = (self.meta.accepted_ballot > 0) as u8;
+        if holds_next == 0 {
+            self.note_answer(from);
+        }
         self.send(from, ChainMsg::BeatReceipt { view: self.meta.view.number, round, holds_next });
     }
 
+    /// Only an answer shows that a member is there: one that still sends but receives nothing would hold
+    /// up every entry and every confirmation of the view.
     pub(crate) fn on_beat_receipt(&mut self, from: NodeId, view: u64, round: u64, holds_next: bool) {
+        if let Some((heard, _)) = self.heard.get_mut(&from) {
+            *heard = self.now;
+        }
         if !self.round.running || round != self.round.number || view != self.meta.view.number || holds_next {
             return;
         }
@@ -139,15 +151,25 @@
         }
         let left: Vec<NodeId> = chain.iter().copied().filter(|id| *id == me || !self.is_suspect(*id)).collect();
         let chosen_mender = left.iter().copied().find(|id| *id != view.fresh);
-        if chosen_mender != Some(me) {
+        if !self.hears_majority() {
             return;
         }
         if left.len() == chain.len() {
-            if let Some(next) = self.without_empty_seat() {
+            self.suspecting = None;
+            if chosen_mender == Some(me)
+                && let Some(next) = self.without_empty_seat()
+            {
                 self.propose(next);
             }
             return;
         }
+        // The first of those left may be in touch with all of them while a link between two others is
+        // lost: then whoever misses one proposes, the nearer to the head the sooner.
+        let place = chain.iter().position(|id| *id == me).unwrap_or_default() as u32;
+        let since = *self.suspecting.get_or_insert(self.now);
+        if chosen_mender != Some(me) && self.now < since + self.timing.suspect * place {
+            return;
+        }
         let mut next = view.clone();
         next.number += 1;
         next.fresh = if left.contains(&view.fresh) { view.fresh } else { 0 };
@@ -156,22 +178,13 @@
         self.propose(next);
     }
 
-    /// A planned stop: names the view without this member, and with it the optimizer's next host,
-    /// while enough are left to keep the copies it takes. It does not ask to join again.
-    pub(crate) fn leave(&mut self) {
-        self.leaving = true;
+    /// Who hears no majority may be the one that is cut off; it takes nobody out, lest its messages do so
+    /// once they arrive after all.
+    fn hears_majority(&self) -> bool {
+        let voters = self.meta.view.voters.as_slice();
         let me = self.meta.seat.id;
-        let view = &self.meta.view;
-        let left: Vec<NodeId> = view.chain.iter().copied().filter(|id| *id != me).collect();
-        let chained = left.len() < view.chain.as_slice().len();
-        if !chained || left.len() < self.copies().max(2) || view.fresh != 0 || self.proposal.is_some() {
-            return;
-        }
-        let mut next = view.clone();
-        next.number += 1;
-        next.optimizer = optimizer_for(&left, view.optimizer);
-        next.chain = left.into();
-        self.propose(next);
+        let heard = voters.iter().filter(|seat| seat.id == me || !self.is_suspect(seat.id)).count();
+        is_majority(heard, voters.len())
     }
 }
 
