--- a/crates/chain/src/copy.rs
+++ b/crates/chain/src/copy.rs
@@ -1,10 +1,10 @@
-//! Copying the state to a member that has been away or comes up empty: it pulls a checkpoint
+//! Copying the state to a member that has been away or comes up empty: it pulls a snapshot
 //! piece by piece, writes it in one go, and only then is added to the chain by a view of its own.
 
 use crate::member::Member;
 use crate::types::{Batch, State, Value};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId, PairLine, Seat};
+use wire::{ChainMessage, NodeId, PairLine, Seat};
 
 const PIECE_BYTES: usize = 512 * 1024;
 const PIECE_PAIRS: usize = 4096;
@@ -41,7 +41,7 @@
             } else if now > copying.asked + RETRY {
                 copying.asked = now;
                 let (from, copy, piece) = (copying.from, copying.copy, copying.piece);
-                let ask = if copy == 0 { self.first_ask() } else { ChainMsg::CopyAsk { copy, piece } };
+                let ask = if copy == 0 { self.first_ask() } else { ChainMessage::CopyAsk { copy, piece } };
                 self.send(from, ask);
             }
             return;
@@ -49,12 +49,13 @@
         if self.is_chained() {
             self.seeking = None;
         }
-        if self.is_chained() || self.faulted || self.leaving || now < self.asked_at + RETRY {
+        let held_up = self.faulted || self.is_leaving() || self.misses_a_member();
+        if self.is_chained() || held_up || now < self.asked_at + RETRY {
             return;
         }
         self.asked_at = now;
         let waited = (now - *self.seeking.get_or_insert(now)).as_millis() as u64;
-        let message = ChainMsg::JoinAsk { seat: self.meta.seat.clone(), ready: 0, seq: waited };
+        let message = ChainMessage::JoinAsk { seat: self.meta.seat.clone(), ready: 0, seq: waited };
         if self.meta.view.number == 0 {
             self.outs.push(crate::Output::SendSeeds { message });
         } else {
@@ -66,16 +67,16 @@
         self.note_newcomer(seat.id, Duration::from_millis(if ready { 0 } else { copy }));
         let view = self.meta.view.clone();
         if !self.is_current_tail() && self.is_chained() && !view.chain.as_slice().contains(&seat.id) {
-            return self.send(seat.id, ChainMsg::Decided { view });
+            return self.send(seat.id, ChainMessage::Decided { view });
         }
         if !self.is_current_tail() || view.chain.as_slice().contains(&seat.id) || !self.may_return(seat.id) {
             return;
         }
-        if self.joins_wait || self.is_bringing_in_other(seat.id) || !self.has_seat_for(&seat) {
+        if (self.joins_wait && self.keeps_copies()) || self.is_bringing_in_other(seat.id) || !self.has_seat_for(&seat) {
             return;
         }
         if !ready {
-            return self.send(seat.id, ChainMsg::TakeCopy { view: view.number });
+            return self.send(seat.id, ChainMessage::TakeCopy { view: view.number });
         }
         let served = self.source.as_ref().is_some_and(|source| source.number == copy && source.joiner == seat.id);
         if served
@@ -148,7 +149,7 @@
             source.starts.push(key);
         }
         let (copy, seq) = (source.number, source.seq);
-        self.send(from, ChainMsg::CopyPiece { copy, piece, last, seq, pairs: pairs.into() });
+        self.send(from, ChainMessage::CopyPiece { copy, piece, last, seq, pairs: pairs.into() });
     }
 
     pub(crate) fn on_copy_piece(
@@ -173,7 +174,7 @@
         copying.pairs.extend(pairs.into_iter().map(|p| (p.key.as_str().to_owned(), p.value.into_vec().into())));
         if !last {
             let piece = copying.piece;
-            return self.send(from, ChainMsg::CopyAsk { copy, piece });
+            return self.send(from, ChainMessage::CopyAsk { copy, piece });
         }
         let pairs = std::mem::take(&mut copying.pairs);
         self.state = pairs.iter().cloned().collect();
@@ -200,10 +201,10 @@
         self.snapshots = [(self.synced, self.synced_state.clone())].into();
         if self.is_chained() {
             self.enter_line();
-        } else if !self.leaving {
+        } else if !self.is_leaving() {
             let seat = self.meta.seat.clone();
             self.asked_at = self.now;
-            self.send(copying.from, ChainMsg::JoinAsk { seat, ready: 1, seq: copying.copy });
+            self.send(copying.from, ChainMessage::JoinAsk { seat, ready: 1, seq: copying.copy });
         }
     }
 
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -11,7 +11,7 @@
 use crate::view::Round;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use wire::{ChainMsg, EntryLine, NodeId, OpNo, Seat};
+use wire::{ChainMessage, EntryLine, NodeId, OpNo, Seat};
 
 #[derive(Clone)]
 pub struct Writing {
@@ -30,7 +30,7 @@
     pub(crate) apply: Apply,
     pub(crate) now: Duration,
     pub(crate) ticked: Duration,
-    pub(crate) beaten: Duration,
+    pub(crate) heartbeat_sent: Duration,
     pub(crate) outs: Vec<Output>,
     pub(crate) state: State,
     pub(crate) synced_state: State,
@@ -49,8 +49,9 @@
     pub(crate) ticket: u64,
     pub(crate) writing: Option<Writing>,
     pub(crate) faulted: bool,
-    pub(crate) leaving: bool,
-    /// When each voter last answered a beat, and whether it said that it is unwell.
+    /// Since when it is told to leave.
+    pub(crate) leaving_since: Option<Duration>,
+    /// When each voter last answered a heartbeat, and whether it said that it is unwell.
     pub(crate) heard: BTreeMap<NodeId, (Duration, bool)>,
     /// Since when a member of the chain has been suspected without a break.
     pub(crate) suspecting: Option<Duration>,
@@ -93,7 +94,7 @@
             apply,
             now,
             ticked: now,
-            beaten: Duration::ZERO,
+            heartbeat_sent: Duration::ZERO,
             outs: Vec::new(),
             synced_state: stored.state.clone(),
             committed_state: State::new(),
@@ -112,7 +113,7 @@
             ticket: 0,
             writing: None,
             faulted: false,
-            leaving: false,
+            leaving_since: None,
             heard: BTreeMap::new(),
             suspecting: None,
             proposal: None,
@@ -151,8 +152,9 @@
             Input::Tick => self.tick(),
             Input::Frame { from, message } => self.frame(from, message),
             Input::Written { ticket } => self.written(ticket),
-            Input::DiskFault => self.faulted = true,
-            Input::Enter { op, body } => self.enter(op, body),
+            Input::DiskError => self.faulted = true,
+            Input::DiskBack { stored } => self.start_again(stored),
+            Input::Propose { op, body } => self.propose_entry(op, body),
             Input::Confirm => {
                 if !self.round.running && self.round.wanted > self.round.number {
                     self.begin_round();
@@ -176,45 +178,45 @@
         }
     }
 
-    pub(crate) fn send(&mut self, to: NodeId, message: ChainMsg) {
+    pub(crate) fn send(&mut self, to: NodeId, message: ChainMessage) {
         self.outs.push(Output::Send { to, message });
     }
 
-    fn frame(&mut self, from: NodeId, message: ChainMsg) {
+    fn frame(&mut self, from: NodeId, message: ChainMessage) {
         match message {
-            ChainMsg::Beat { view, round, unwell } => self.on_beat(from, view, round, unwell != 0),
-            ChainMsg::BeatReceipt { view, round, holds_next } => {
-                self.on_beat_receipt(from, view, round, holds_next != 0)
+            ChainMessage::Heartbeat { view, round, unwell } => self.on_heartbeat(from, view, round, unwell != 0),
+            ChainMessage::HeartbeatAck { view, round, holds_next } => {
+                self.on_heartbeat_ack(from, view, round, holds_next != 0)
             }
-            ChainMsg::Prepare { slot, ballot } => self.on_prepare(from, slot, ballot),
-            ChainMsg::Promise { slot, ballot, accepted_ballot, accepted } => {
+            ChainMessage::Prepare { slot, ballot } => self.on_prepare(from, slot, ballot),
+            ChainMessage::Promise { slot, ballot, accepted_ballot, accepted } => {
                 self.on_promise(from, slot, ballot, accepted_ballot, accepted)
             }
-            ChainMsg::Accept { slot, ballot, view } => self.on_accept(from, slot, ballot, view),
-            ChainMsg::Accepted { slot, ballot } => self.on_accepted(from, slot, ballot),
-            ChainMsg::Refused { slot, ballot } => self.on_refused(slot, ballot),
-            ChainMsg::Decided { view } => self.on_decided(view),
-            ChainMsg::Enter { op, body } => {
+            ChainMessage::Accept { slot, ballot, view } => self.on_accept(from, slot, ballot, view),
+            ChainMessage::Accepted { slot, ballot } => self.on_accepted(from, slot, ballot),
+            ChainMessage::Refused { slot, ballot } => self.on_refused(slot, ballot),
+            ChainMessage::Decided { view } => self.on_decided(view),
+            ChainMessage::Propose { op, body } => {
                 if self.is_head() {
-                    self.enter(op, body.into_vec());
+                    self.propose_entry(op, body.into_vec());
                 } else {
                     self.done(op, false, Vec::new());
                 }
             }
-            ChainMsg::Append { view, fence, entries } => self.on_append(from, view, fence, entries.into_vec()),
-            ChainMsg::Synced { view, seq, committed } => self.on_synced(from, view, seq, committed),
-            ChainMsg::Position { view, seq } => self.on_position(from, view, seq),
-            ChainMsg::TakeCopy { view } => self.on_take_copy(from, view),
-            ChainMsg::CopyAsk { copy, piece } => self.on_copy_ask(from, copy, piece),
-            ChainMsg::CopyPiece { copy, piece, last, seq, pairs } => {
+            ChainMessage::Append { view, fence, entries } => self.on_append(from, view, fence, entries.into_vec()),
+            ChainMessage::Synced { view, seq, committed } => self.on_synced(from, view, seq, committed),
+            ChainMessage::Position { view, seq } => self.on_position(from, view, seq),
+            ChainMessage::TakeCopy { view } => self.on_take_copy(from, view),
+            ChainMessage::CopyAsk { copy, piece } => self.on_copy_ask(from, copy, piece),
+            ChainMessage::CopyPiece { copy, piece, last, seq, pairs } => {
                 self.on_copy_piece(from, copy, piece, last != 0, seq, pairs.into_vec())
             }
-            ChainMsg::SuffixAsk { since, last, digest } => self.on_suffix_ask(from, since, last, digest),
-            ChainMsg::Suffix { copy, entries } => self.on_suffix(from, copy, entries.into_vec()),
-            ChainMsg::JoinAsk { seat, ready, seq } => self.on_join_ask(seat, ready != 0, seq),
-            ChainMsg::FoundAsk { seat, bound } => self.on_found_ask(seat, bound),
-            ChainMsg::LastAnswered { view, millis } => self.on_last_answered(from, view, millis),
-            ChainMsg::Done { op, entered, receipt } => self.on_done(op, entered != 0, receipt),
+            ChainMessage::SuffixAsk { since, last, digest } => self.on_suffix_ask(from, since, last, digest),
+            ChainMessage::Suffix { copy, entries } => self.on_suffix(from, copy, entries.into_vec()),
+            ChainMessage::JoinAsk { seat, ready, seq } => self.on_join_ask(seat, ready != 0, seq),
+            ChainMessage::FoundAsk { seat, bound } => self.on_found_ask(seat, bound),
+            ChainMessage::LastAnswered { view, millis } => self.on_last_answered(from, view, millis),
+            ChainMessage::Done { op, entered, receipt } => self.on_done(op, entered != 0, receipt),
         }
     }
 
@@ -226,12 +228,12 @@
         if self.meta.view.number == 0 {
             self.found();
         }
-        if self.round.running && self.now > self.round.begun + self.timing.beat * 2 {
+        if self.round.running && self.now > self.round.begun + self.timing.heartbeat * 2 {
             self.begin_round();
         }
-        if self.now >= self.beaten + self.timing.beat {
-            self.beaten = self.now;
-            self.beat();
+        if self.now >= self.heartbeat_sent + self.timing.heartbeat {
+            self.heartbeat_sent = self.now;
+            self.heartbeat();
         }
         self.resend();
         self.finish_leaving();
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{ChainMsg, EntryLine, NodeId, OpNo, Seat, View};
+use wire::{ChainMessage, EntryLine, NodeId, OpNo, Seat, View};
 
 pub type Value = Arc<[u8]>;
 pub type State = im::OrdMap<String, Value>;
@@ -16,7 +16,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Timing {
-    pub beat: Duration,
+    pub heartbeat: Duration,
     pub suspect: Duration,
     pub stall: Duration,
     pub resend: Duration,
@@ -26,7 +26,7 @@
 impl Default for Timing {
     fn default() -> Self {
         Timing {
-            beat: Duration::from_millis(100),
+            heartbeat: Duration::from_millis(100),
             suspect: Duration::from_millis(900),
             stall: Duration::from_millis(1500),
             resend: Duration::from_millis(300),
@@ -68,10 +68,22 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     Tick,
-    Frame { from: NodeId, message: ChainMsg },
-    Written { ticket: u64 },
-    DiskFault,
-    Enter { op: OpNo, body: Vec<u8> },
+    Frame {
+        from: NodeId,
+        message: ChainMessage,
+    },
+    Written {
+        ticket: u64,
+    },
+    DiskError,
+    /// The disk takes writes again and holds this: the member starts again from it.
+    DiskBack {
+        stored: Stored,
+    },
+    Propose {
+        op: OpNo,
+        body: Vec<u8>,
+    },
     Confirm,
     Leave,
 }
@@ -80,10 +92,10 @@
 pub enum Output {
     Send {
         to: NodeId,
-        message: ChainMsg,
+        message: ChainMessage,
     },
     SendSeeds {
-        message: ChainMsg,
+        message: ChainMessage,
     },
     Write {
         ticket: u64,
@@ -107,7 +119,7 @@
     Told {
         view: View,
     },
-    /// Brought up to the others, by so many entries it missed or by a whole checkpoint.
+    /// Brought up to the others, by so many entries it missed or by a whole snapshot.
     Installed {
         missed: Option<usize>,
     },
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -1,11 +1,11 @@
-//! Keeping the view true to the machines: beats, suspicion, taking a silent or unwell member out,
+//! Keeping the view true to the machines: heartbeats, suspicion, taking a silent or unwell member out,
 //! adopting what was decided, and confirming by a majority that no newer view has begun.
 
 use crate::member::Member;
 use crate::register::is_majority;
 use crate::types::{Output, State};
 use std::collections::BTreeSet;
-use wire::{ChainMsg, EntryLine, NodeId, Seat, View};
+use wire::{ChainMessage, EntryLine, NodeId, Seat, View};
 
 #[derive(Clone, Default)]
 pub struct Round {
@@ -46,24 +46,24 @@
         }
     }
 
-    pub(crate) fn on_beat(&mut self, from: NodeId, view: u64, round: u64, unwell: bool) {
+    pub(crate) fn on_heartbeat(&mut self, from: NodeId, view: u64, round: u64, unwell: bool) {
         if let Some((_, known)) = self.heard.get_mut(&from) {
             *known = unwell;
         }
         if view < self.meta.view.number {
             let view = self.meta.view.clone();
-            return self.send(from, ChainMsg::Decided { view });
+            return self.send(from, ChainMessage::Decided { view });
         }
         let holds_next = (self.meta.accepted_ballot > 0) as u8;
         if holds_next == 0 {
             self.note_answer(from);
         }
-        self.send(from, ChainMsg::BeatReceipt { view: self.meta.view.number, round, holds_next });
+        self.send(from, ChainMessage::HeartbeatAck { view: self.meta.view.number, round, holds_next });
     }
 
     /// Only an answer shows that a member is there: one that still sends but receives nothing would hold
     /// up every entry and every confirmation of the view.
-    pub(crate) fn on_beat_receipt(&mut self, from: NodeId, view: u64, round: u64, holds_next: bool) {
+    pub(crate) fn on_heartbeat_ack(&mut self, from: NodeId, view: u64, round: u64, holds_next: bool) {
         if let Some((heard, _)) = self.heard.get_mut(&from) {
             *heard = self.now;
         }
@@ -96,6 +96,14 @@
         }
     }
 
+    /// Rounds of confirmation are numbered from here, differently by each process of a member: a receipt
+    /// of a round that an earlier process began must not count for one of this.
+    pub fn numbering_rounds_from(mut self, first: u64) -> Self {
+        self.round.wanted = first;
+        self.round.number = first;
+        self
+    }
+
     pub fn ask_confirm(&mut self) -> u64 {
         self.round.wanted = self.round.number + 1;
         self.round.wanted
@@ -106,12 +114,15 @@
         self.round.receipts.clear();
         self.round.running = true;
         self.round.begun = self.now;
-        self.beat();
+        self.heartbeat();
     }
 
-    pub(crate) fn beat(&mut self) {
-        let message =
-            ChainMsg::Beat { view: self.meta.view.number, round: self.round.number, unwell: self.is_unwell() as u8 };
+    pub(crate) fn heartbeat(&mut self) {
+        let message = ChainMessage::Heartbeat {
+            view: self.meta.view.number,
+            round: self.round.number,
+            unwell: self.is_unwell() as u8,
+        };
         self.send_voters(message);
     }
 
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -4,7 +4,7 @@
 
 use net::{Net, seat};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId};
+use wire::{ChainMessage, NodeId};
 
 fn voters(net: &Net, id: NodeId) -> Vec<NodeId> {
     let mut voters: Vec<NodeId> = net.members[&id].view().voters.iter().map(|seat| seat.id).collect();
@@ -15,7 +15,7 @@
 /// Three founders, and a fourth machine that joined them with a seat of its own.
 fn with_successor() -> Net {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     net.seeds.insert(4, vec![1, 2, 3]);
     net.start_founding(4, 0);
@@ -37,7 +37,7 @@
 
 fn assert_takes_changes(net: &mut Net, at: NodeId) {
     let head = net.chain(at)[0];
-    let op = net.enter(head, "after the loss");
+    let op = net.propose_entry(head, "after the loss");
     net.pass(1000);
     assert!(net.done.iter().any(|(_, done, entered)| *done == op && *entered), "no majority is left");
     assert!(net.members[&at].committed_state().contains_key("kept"), "a copy is missing");
@@ -94,14 +94,14 @@
 #[test]
 fn a_member_that_hears_no_majority_takes_nobody_out_once_its_messages_arrive() {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     let mut late = Vec::new();
     for _ in 0..28 {
         net.now += Duration::from_millis(50);
         (1..=3).for_each(|id| net.feed(id, chain::Input::Tick));
         while let Some((from, to, message)) = net.frames.pop_front() {
-            let heartbeat = matches!(message, ChainMsg::Beat { .. } | ChainMsg::BeatReceipt { .. });
+            let heartbeat = matches!(message, ChainMessage::Heartbeat { .. } | ChainMessage::HeartbeatAck { .. });
             match heartbeat {
                 true if from == 2 || to == 2 => {}
                 true => net.feed(to, chain::Input::Frame { from, message }),
@@ -145,7 +145,7 @@
         net.now += Duration::from_millis(50);
         [1, 2].into_iter().for_each(|id| net.feed(id, chain::Input::Tick));
         while let Some((from, to, message)) = net.frames.pop_front() {
-            if matches!(message, ChainMsg::Prepare { .. }) {
+            if matches!(message, ChainMessage::Prepare { .. }) {
                 net.feed(to, chain::Input::Frame { from, message: message.clone() });
             }
             net.feed(to, chain::Input::Frame { from, message });
@@ -158,7 +158,7 @@
 #[test]
 fn a_newcomer_does_not_take_the_seat_of_a_member_that_is_about_to_return() {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     net.cut = vec![3];
     net.pass(1500);
@@ -192,7 +192,7 @@
 #[test]
 fn a_member_told_to_leave_while_it_copies_does_not_join() {
     let mut net = Net::founded();
-    net.enter(1, "kept");
+    net.propose_entry(1, "kept");
     net.settle();
     net.seeds.insert(4, vec![1, 2, 3]);
     net.start_founding(4, 0);
@@ -201,6 +201,45 @@
     assert!(net.writes.iter().any(|(id, ..)| *id == 4), "its copy is being written");
     net.feed(4, chain::Input::Leave);
     net.stalled.clear();
+    for _ in 0..60 {
+        net.pass(50);
+        assert_eq!((net.chain(1), voters(&net, 1)), (vec![1, 2, 3], vec![1, 2, 3]));
+    }
+}
+
+#[test]
+fn a_newcomer_gets_no_seat_beside_that_of_a_machine_just_lost() {
+    let mut net = Net::founded();
+    net.propose_entry(1, "kept");
+    net.settle();
+    net.seeds.insert(4, vec![1, 2, 3]);
+    net.start_founding(4, 0);
+    net.pass(2600);
+    net.members.remove(&1);
+    for _ in 0..80 {
+        net.pass(50);
+        assert_eq!(voters(&net, 2).len(), 3, "of four voters with one gone two may not be lost");
+    }
+    assert_eq!(voters(&net, 2), vec![2, 3, 4]);
+}
+
+#[test]
+fn a_confirmation_of_an_earlier_process_does_not_count_for_the_next() {
+    let mut net = Net::founded();
+    let round = net.members.get_mut(&3).unwrap().ask_confirm();
+    net.feed(3, chain::Input::Confirm);
+    let (_, _, heartbeat) = net.frames.iter().find(|(_, to, _)| *to == 1).cloned().unwrap();
+    net.frames.clear();
+    net.feed(1, chain::Input::Frame { from: 3, message: heartbeat });
+    let (_, _, receipt) = net.frames.pop_back().unwrap();
+    net.restart_numbering_from(3, round + 1000);
+    net.pass(500);
+    assert!(net.members[&3].is_current_tail());
+    net.cut = vec![3];
     net.pass(3000);
-    assert_eq!((net.chain(1), voters(&net, 1)), (vec![1, 2, 3], vec![1, 2, 3]));
+    assert_eq!((net.chain(1), net.chain(3)), (vec![1, 2], vec![1, 2, 3]));
+    net.members.get_mut(&3).unwrap().ask_confirm();
+    net.feed(3, chain::Input::Confirm);
+    net.feed(3, chain::Input::Frame { from: 1, message: receipt });
+    assert!(net.confirmed.is_empty(), "it is not the tail any more, and does not know");
 }
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -5,7 +5,7 @@
 use chain::{Batch, Effect, Input, Member, Output, State, Stored, Timing, apply_batch};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId, OpNo, Seat};
+use wire::{ChainMessage, NodeId, OpNo, Seat};
 
 pub fn apply(_: &State, seq: u64, body: &[u8]) -> Effect {
     let key = String::from_utf8_lossy(body).into_owned();
@@ -15,7 +15,7 @@
 pub struct Net {
     pub members: BTreeMap<NodeId, Member>,
     pub disks: BTreeMap<NodeId, Stored>,
-    pub frames: VecDeque<(NodeId, NodeId, ChainMsg)>,
+    pub frames: VecDeque<(NodeId, NodeId, ChainMessage)>,
     pub writes: Vec<(NodeId, u64, Batch)>,
     pub cut: Vec<NodeId>,
     pub pairs: Vec<(NodeId, NodeId)>,
@@ -32,6 +32,10 @@
     pub told: BTreeMap<NodeId, Vec<NodeId>>,
     /// Where a member is met, if not at an address of its own.
     pub addresses: BTreeMap<NodeId, wire::Text>,
+    /// Whose disk refuses every write.
+    pub full: Vec<NodeId>,
+    /// Messages of a copy or of missed entries that reached a member, and their bytes.
+    pub caught_up_by: BTreeMap<NodeId, (usize, usize)>,
 }
 
 pub fn seat(id: NodeId) -> Seat {
@@ -57,6 +61,8 @@
             seeds: BTreeMap::new(),
             told: BTreeMap::new(),
             addresses: BTreeMap::new(),
+            full: Vec::new(),
+            caught_up_by: BTreeMap::new(),
         };
         ids.iter().for_each(|id| net.start(*id));
         net
@@ -79,6 +85,14 @@
         self.members.insert(id, member.founding_with(seats).bearing(losses));
     }
 
+    /// Starts a member anew, with a process whose confirmation rounds begin at a number of its own.
+    pub fn restart_numbering_from(&mut self, id: NodeId, round: u64) {
+        self.start(id);
+        if let Some(member) = self.members.remove(&id) {
+            self.members.insert(id, member.numbering_rounds_from(round));
+        }
+    }
+
     pub fn feed(&mut self, id: NodeId, input: Input) {
         let Some(member) = self.members.get_mut(&id) else { return };
         for output in member.step(self.now, input) {
@@ -114,17 +128,27 @@
     }
 
     pub fn settle(&mut self) {
-        loop {
+        self.steps(usize::MAX);
+    }
+
+    /// Carries so many frames and writes, or all there are.
+    pub fn steps(&mut self, count: usize) {
+        for _ in 0..count {
             if let Some((from, to, message)) = self.frames.pop_front() {
                 let pair = self.pairs.contains(&(from, to)) || self.pairs.contains(&(to, from));
-                let starved = matches!(message, ChainMsg::Append { .. }) && self.starved.contains(&to);
+                let starved = matches!(message, ChainMessage::Append { .. }) && self.starved.contains(&to);
                 if !self.cut.contains(&from) && !self.cut.contains(&to) && !pair && !starved {
+                    self.count(to, &message);
                     self.feed(to, Input::Frame { from, message });
                 }
                 continue;
             }
             let Some(place) = self.writes.iter().position(|(id, ..)| !self.stalled.contains(id)) else { return };
             let (id, ticket, batch) = self.writes.remove(place);
+            if self.full.contains(&id) {
+                self.feed(id, Input::DiskError);
+                continue;
+            }
             if let Some(disk) = self.disks.get_mut(&id) {
                 apply_batch(disk, &batch);
             }
@@ -132,6 +156,22 @@
         }
     }
 
+    fn count(&mut self, to: NodeId, message: &ChainMessage) {
+        if matches!(message, ChainMessage::CopyPiece { .. } | ChainMessage::Suffix { .. }) {
+            let (messages, bytes) = self.caught_up_by.entry(to).or_default();
+            *messages += 1;
+            *bytes += wire::to_bytes(message).len();
+        }
+    }
+
+    /// The disk has room again, and the member starts from what it holds.
+    pub fn free_disk(&mut self, id: NodeId) {
+        self.full.retain(|full| *full != id);
+        let stored = self.disks[&id].clone();
+        self.feed(id, Input::DiskBack { stored });
+        self.settle();
+    }
+
     pub fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 50 {
             self.now += Duration::from_millis(50);
@@ -141,10 +181,10 @@
         }
     }
 
-    pub fn enter(&mut self, at: NodeId, words: &str) -> OpNo {
+    pub fn propose_entry(&mut self, at: NodeId, words: &str) -> OpNo {
         self.next_op += 1;
         let op = OpNo { origin: at, number: self.next_op };
-        self.feed(at, Input::Enter { op, body: words.as_bytes().to_vec() });
+        self.feed(at, Input::Propose { op, body: words.as_bytes().to_vec() });
         op
     }
 
--- a/crates/judge/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -2,6 +2,8 @@
 
 #![warn(missing_docs)]
 
+mod linearizable;
 mod recovery;
 
+pub use linearizable::{Anomaly, Invocation, Read, Response, anomalies};
 pub use recovery::{Low, Recovery, recovery};
--- a/crates/env/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,18 +7,20 @@
 mod line;
 mod parse;
 mod rules;
+mod tool;
 
 pub use lexopt;
 pub use line::{Reread, program, program_given};
 pub use parse::{FromWords, Source};
 pub use rules::{address, address_or_none, addresses, any, in_range, non_empty, seeds, word};
+pub use tool::{ToolArgument, ToolLine};
 
 use derive_more::{Display, Error};
 
 /// A setting that cannot be used.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("setting {name} = {value}: {allowed}")]
-pub struct SettingFault {
+pub struct SettingError {
     /// The setting's name.
     pub name: String,
     /// What it was given as; never a secret.
@@ -35,7 +37,7 @@
 /// A program's settings, as declared with [`settings!`].
 pub trait Settings: Sized {
     /// Reads and checks every setting; the first wrong one is the error.
-    fn read(source: &Source) -> Result<Self, SettingFault>;
+    fn read(source: &Source) -> Result<Self, SettingError>;
     /// Name, default and help line of each.
     fn help() -> Vec<(&'static str, String, &'static str)>;
     /// Name and value of each, as given.
@@ -54,17 +56,17 @@
         pub struct $name { $( #[doc = $help] pub $field: $type, )* }
 
         impl $crate::Settings for $name {
-            fn read(source: &$crate::Source) -> Result<Self, $crate::SettingFault> {
+            fn read(source: &$crate::Source) -> Result<Self, $crate::SettingError> {
                 source.only(&[$( stringify!($field), )*])?;
                 Ok($name { $( $field: {
                     let value: $type = match source.find(stringify!($field)) {
                         Some(words) => <$type as $crate::FromWords>::from_words(&words).map_err(|allowed| {
-                            $crate::SettingFault { name: stringify!($field).into(), value: words.clone(), allowed }
+                            $crate::SettingError { name: stringify!($field).into(), value: words.clone(), allowed }
                         })?,
                         None => $default,
                     };
                     let check = $check;
-                    check(&value).map_err(|allowed| $crate::SettingFault {
+                    check(&value).map_err(|allowed| $crate::SettingError {
                         name: stringify!($field).into(),
                         value: $crate::told(stringify!($field), $crate::FromWords::to_words(&value)),
                         allowed,
@@ -101,11 +103,11 @@
         let sample = Sample::read(&source).unwrap();
         assert_eq!((sample.zone.as_str(), sample.hold), ("c", Duration::from_secs(2)));
         let source = Source::new("hold = \"1ms\"", vec![]).unwrap();
-        let fault = Sample::read(&source).unwrap_err();
-        assert_eq!(fault.to_string(), "setting hold = 1ms: allowed is 500ms to 10s");
+        let error = Sample::read(&source).unwrap_err();
+        assert_eq!(error.to_string(), "setting hold = 1ms: allowed is 500ms to 10s");
         let source = Source::new("", vec![("tokens".into(), "sesame".into())]).unwrap();
-        let fault = Sample::read(&source).unwrap_err();
-        assert_eq!(fault.to_string(), "setting tokens = (not shown): longer ones");
+        let error = Sample::read(&source).unwrap_err();
+        assert_eq!(error.to_string(), "setting tokens = (not shown): longer ones");
         let source = Source::new("hodl = \"1s\"", vec![]).unwrap();
         assert!(Sample::read(&source).unwrap_err().to_string().starts_with("setting hodl = 1s: no such setting"));
     }
--- a/crates/env/src/line.rs
+++ b/crates/config/src/line.rs
@@ -1,7 +1,7 @@
 //! The command line every daemon shares: `--env FILE`, `--check`, `--help`, `--version`, and a
 //! flag for each setting. What it comes to is a value; the thin programs turn it into an exit code.
 
-use crate::{SettingFault, Settings, Source};
+use crate::{SettingError, Settings, Source};
 use lexopt::prelude::*;
 use std::ffi::OsString;
 use std::process::ExitCode;
@@ -45,8 +45,8 @@
             };
             match work(settings, Box::new(again)) {
                 Ok(()) => ExitCode::SUCCESS,
-                Err((code, fault)) => {
-                    eprintln!("{name}: {fault}");
+                Err((code, error)) => {
+                    eprintln!("{name}: {error}");
                     ExitCode::from(code)
                 }
             }
@@ -59,8 +59,8 @@
             eprintln!("{words}");
             ExitCode::from(code)
         }
-        Err(fault) => {
-            eprintln!("{name}: {fault}");
+        Err(error) => {
+            eprintln!("{name}: {error}");
             ExitCode::from(2)
         }
     }
@@ -77,7 +77,7 @@
     let mut file = String::new();
     let mut flags = Vec::new();
     let mut check = false;
-    while let Some(arg) = line.next().map_err(|fault| fault.to_string())? {
+    while let Some(arg) = line.next().map_err(|error| error.to_string())? {
         match arg {
             Short('h') | Long("help") => return Ok(Opening::Say { words: help::<S>(program, about), code: 0 }),
             Short('V') | Long("version") => {
@@ -85,16 +85,16 @@
             }
             Long("check") => check = true,
             Short('e') | Long("env") => {
-                let path = line.value().map_err(|fault| fault.to_string())?;
+                let path = line.value().map_err(|error| error.to_string())?;
                 file = std::fs::read_to_string(&path)
-                    .map_err(|fault| format!("settings file {}: {fault}", path.display()))?;
+                    .map_err(|error| format!("settings file {}: {error}", path.display()))?;
             }
             Long(flag) => {
                 let name = flag.replace('-', "_");
                 if !names.contains(&name.as_str()) {
                     return Err(format!("no flag --{flag}; see --help"));
                 }
-                let value = line.value().and_then(|v| v.string()).map_err(|fault| fault.to_string())?;
+                let value = line.value().and_then(|v| v.string()).map_err(|error| error.to_string())?;
                 flags.push((name, value));
             }
             other => return Err(other.unexpected().to_string()),
@@ -103,7 +103,7 @@
     let settings = Source::new(&file, flags)
         .map(|source| source.below(given))
         .and_then(|source| S::read(&source))
-        .map_err(|f: SettingFault| f.to_string())?;
+        .map_err(|f: SettingError| f.to_string())?;
     if check {
         let lines: Vec<String> = settings.shown().iter().map(|(name, value)| shown(name, value)).collect();
         return Ok(Opening::Say { words: format!("settings are in order\n{}", lines.join("\n")), code: 0 });
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -3,23 +3,26 @@
 //! sockets and disks, the simulator from seeded ones.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::entering::Duty;
+use crate::judging::BehindCall;
 use crate::keys;
-use crate::operators::{Activation, ReadJob};
+use crate::operators::Activation;
 use crate::parts::PackedSteps;
+use crate::proposals::Duty;
+use crate::reading::ReadJob;
 use crate::rosters::Rosters;
-use crate::tenure::Tenure;
-use chain::{Batch, Input, Member, Output, State};
-use holds::Sessions;
+use crate::tenure::{Tenure, ToldProofs};
+use chain::{Batch, Input, Member, Output, State, Stored};
+use leases::Sessions;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{ChainMsg, HoldMsg, NodeId, View};
+use wire::{ChainMessage, LeaseMessage, NodeId, View};
 
 #[derive(Clone, Debug)]
 pub struct CoreTiming {
     pub lapse: Duration,
-    pub settle: Duration,
+    /// How long after it was asked for no proof can still hold.
+    pub proof_over: Duration,
     pub call: Duration,
     pub tick: Duration,
     pub calm: Duration,
@@ -32,12 +35,12 @@
 }
 
 impl CoreTiming {
-    /// A router's hold lapses here a sixth later than it can have lapsed there, whatever the clocks'
-    /// drift; a new tail waits as long after the last proof the tail before can have granted.
+    /// A router's lease lapses here a sixth later than it can have lapsed there. A proof is taken to be over a
+    /// fifteenth after it has run out, which allows for clocks that run apart by so much.
     pub fn for_hold(hold: Duration) -> Self {
         CoreTiming {
             lapse: hold + hold / 6,
-            settle: hold + hold / 5,
+            proof_over: hold + hold / 15,
             call: Duration::from_secs(10),
             tick: Duration::from_secs(1),
             calm: Duration::from_secs(2),
@@ -48,20 +51,21 @@
 #[derive(Debug)]
 pub enum CoreInput {
     Tick,
-    Chain { from: NodeId, message: ChainMsg },
+    Chain { from: NodeId, message: ChainMessage },
     Written { ticket: u64 },
-    DiskFault,
-    Router { from: NodeId, incarnation: u64, message: HoldMsg },
+    DiskError,
+    DiskBack { stored: Box<Stored> },
+    Router { from: NodeId, incarnation: u64, message: LeaseMessage },
     Call { ask: u64, call: ApiCall },
     Leave,
 }
 
 #[derive(Debug)]
 pub enum CoreOutput {
-    Registry { to: NodeId, message: ChainMsg },
-    Seeds { message: ChainMsg },
+    Registry { to: NodeId, message: ChainMessage },
+    Seeds { message: ChainMessage },
     Write { ticket: u64, batch: Batch },
-    Router { to: NodeId, message: HoldMsg },
+    Router { to: NodeId, message: LeaseMessage },
     Reply { ask: u64, reply: ApiReply },
     Viewed { view: View },
     Told { view: View },
@@ -71,8 +75,17 @@
 
 pub enum Wait {
     Duty(Duty),
-    Router { to: NodeId, ask: u64 },
-    Change { ask: u64, op: String, body: Vec<u8> },
+    Router {
+        to: NodeId,
+        ask: u64,
+    },
+    /// `again`: it was entered before, in an earlier view, and may be in the log already.
+    Change {
+        ask: u64,
+        op: String,
+        body: Vec<u8>,
+        again: bool,
+    },
 }
 
 pub struct Core {
@@ -85,14 +98,16 @@
     pub(crate) tail_since: Option<Duration>,
     /// The unbroken run of views as the tail that the sessions belong to.
     pub(crate) tenure: Option<Tenure>,
-    pub(crate) jobs: VecDeque<(u64, NodeId, u64, HoldMsg)>,
+    pub(crate) told_proofs: Option<ToldProofs>,
+    pub(crate) jobs: VecDeque<(u64, NodeId, u64, LeaseMessage)>,
     /// Renewals that wait for the next round of confirmation.
-    pub(crate) renewals: Vec<(NodeId, u64, HoldMsg)>,
+    pub(crate) renewals: Vec<(NodeId, u64, LeaseMessage)>,
     pub(crate) rounded: Duration,
     pub(crate) waits: BTreeMap<u64, (Wait, Duration)>,
     pub(crate) open: BTreeSet<Duty>,
     pub(crate) next_op: u64,
     pub(crate) reads: BTreeMap<u64, ReadJob>,
+    pub(crate) behind: Vec<BehindCall>,
     pub(crate) activations: Vec<Activation>,
     pub(crate) effective: u64,
     pub(crate) ticked: Duration,
@@ -111,7 +126,7 @@
 impl Core {
     pub fn new(member: Member, timing: CoreTiming, first_op: u64) -> Self {
         Core {
-            member,
+            member: member.numbering_rounds_from(first_op),
             timing,
             format: wire::FORMAT,
             now: Duration::ZERO,
@@ -119,6 +134,7 @@
             sessions: Sessions::default(),
             tail_since: None,
             tenure: None,
+            told_proofs: None,
             jobs: VecDeque::new(),
             renewals: Vec::new(),
             rounded: Duration::ZERO,
@@ -126,6 +142,7 @@
             open: BTreeSet::new(),
             next_op: first_op,
             reads: BTreeMap::new(),
+            behind: Vec::new(),
             activations: Vec::new(),
             effective: 0,
             ticked: Duration::ZERO,
@@ -172,7 +189,11 @@
             }
             CoreInput::Chain { from, message } => self.chain(Input::Frame { from, message }),
             CoreInput::Written { ticket } => self.chain(Input::Written { ticket }),
-            CoreInput::DiskFault => self.chain(Input::DiskFault),
+            CoreInput::DiskError => self.chain(Input::DiskError),
+            CoreInput::DiskBack { stored } => {
+                self.tail_since = None;
+                self.chain(Input::DiskBack { stored: *stored });
+            }
             CoreInput::Router { from, incarnation, message } => self.router(from, incarnation, message),
             CoreInput::Call { ask, call } => self.call(ask, call),
             CoreInput::Leave => self.chain(Input::Leave),
@@ -215,6 +236,7 @@
             }
         }
         if reviewed {
+            self.hand_over_proofs();
             self.enter_again();
         }
     }
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -2,10 +2,10 @@
 //! what makes them, and they ask the core through a handle that can be cloned.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::service::ControlMsg;
-use crate::settings::RegistryEnv;
+use crate::service::ControlMessage;
+use crate::settings::RegistrySettings;
 use axum::Router;
-use kernel::Post;
+use kernel::InboxSender;
 use serde_json::{Value, json};
 use tokio::sync::{oneshot, watch};
 
@@ -17,24 +17,24 @@
     pub pages: Option<MakePages>,
     pub pages_address: Option<String>,
     /// Reads the settings again; without it they stay as they were at the start.
-    pub reread: Option<env::Reread<RegistryEnv>>,
+    pub reread: Option<config::Reread<RegistrySettings>>,
 }
 
 /// What operators' pages ask of a registry.
 #[derive(Clone)]
 pub struct Operators {
-    pub(crate) control: Post<ControlMsg>,
+    pub(crate) control: InboxSender<ControlMessage>,
     pub(crate) view: watch::Receiver<String>,
 }
 
 impl Operators {
-    pub fn new(control: Post<ControlMsg>, view: watch::Receiver<String>) -> Operators {
+    pub fn new(control: InboxSender<ControlMessage>, view: watch::Receiver<String>) -> Operators {
         Operators { control, view }
     }
 
     pub async fn ask(&self, call: ApiCall) -> ApiReply {
         let (reply, told) = oneshot::channel();
-        if self.control.send(ControlMsg::Call { call, reply }).is_err() {
+        if self.control.send(ControlMessage::Call { call, reply }).is_err() {
             let mut reply = ApiReply::new(503, json!({"outcome": "not-run", "fault": "too busy"}));
             reply.retry_after = Some(1);
             return reply;
--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -3,11 +3,11 @@
 use crate::core::{Core, CoreOutput, Wait};
 use crate::keys;
 use std::time::Duration;
-use wire::HoldMsg;
+use wire::LeaseMessage;
 
 /// A registry that joins becomes the tail, and a new tail lets no step come into force for a while: one
 /// that is pending goes first, if it can at all.
-const JOINS_WAIT: Duration = Duration::from_secs(4);
+const JOINS_WAIT: Duration = Duration::from_secs(1);
 const PUSH_EVERY: Duration = Duration::from_millis(40);
 
 impl Core {
@@ -17,7 +17,7 @@
         for op in late {
             match self.waits.remove(&op) {
                 Some((Wait::Router { to, ask }, _)) => {
-                    let message = HoldMsg::EnterReceipt { ask, state: 2, body: Vec::new().into() };
+                    let message = LeaseMessage::ProposalAck { ask, state: 2, body: Vec::new().into() };
                     self.outs.push(CoreOutput::Router { to, message });
                 }
                 Some((Wait::Change { ask, op, .. }, _)) => self.unknown(ask, &op),
@@ -42,6 +42,7 @@
             self.outs.push(CoreOutput::Activated { step: active });
             self.activated(active);
         }
+        self.judge_behind();
         let tail = self.member.is_current_tail();
         self.follow_tenure();
         let due = self.push_due || committed != self.pushed_commit || self.now >= self.pushed_at + PUSH_EVERY;
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -1,22 +1,22 @@
 //! The optimizer's thread, which no heartbeat waits for. Every registry keeps the samples, so that a
 //! moved duty has history. What a configuration means is read here too, as it takes long where it is large:
-//! the book for plans, and the kinds as they are shown, with what is tuned beside what was declared.
+//! the route table for plans, and the kinds as they are shown, with what is tuned beside what was declared.
 
 use crate::planner::Planner;
-use bindings::Book;
+use bindings::RouteTable;
 use chain::Value;
-use doors::Shelf;
 use events::event;
-use kernel::{Inbox, Post};
+use http_server::ResourceIndex;
+use kernel::{Inbox, InboxSender};
 use links::LinkOrder;
 use scaler::Optimizer;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
-use wire::{Message, NodeId, PlanMsg, View};
+use wire::{Message, NodeId, PlanMessage, View};
 
-pub enum OptimizerMsg {
-    Frame { from: NodeId, message: PlanMsg },
+pub enum OptimizerMessage {
+    Frame { from: NodeId, message: PlanMessage },
     Active { step: u64, revision: u64, pairs: BTreeMap<String, Value> },
     Viewed { view: View },
 }
@@ -28,26 +28,30 @@
     pub fits: f64,
     pub plans: bool,
     pub tuning: bool,
-    pub shelf: watch::Sender<Shelf>,
-    pub links: Post<LinkOrder>,
+    pub index: watch::Sender<ResourceIndex>,
+    pub links: InboxSender<LinkOrder>,
 }
 
-pub fn run(host: Host, mut inbox: Inbox<OptimizerMsg>) {
+pub fn run(host: Host, mut inbox: Inbox<OptimizerMessage>) {
     let begun = Instant::now();
     let mut planner = Planner::new(host.tuning, Optimizer::new(host.step, host.fits));
     let mut told = (0, 0);
     let mut active = (0, BTreeMap::new());
     while let Some(message) = inbox.next_blocking() {
         match message {
-            OptimizerMsg::Viewed { view } => planner.viewed(view),
-            OptimizerMsg::Active { step, revision, pairs } => {
-                planner.book(&Book::build(step, revision, pairs.iter().map(|(key, raw)| (key.as_str(), &raw[..]))));
+            OptimizerMessage::Viewed { view } => planner.viewed(view),
+            OptimizerMessage::Active { step, revision, pairs } => {
+                planner.routes(&RouteTable::build(
+                    step,
+                    revision,
+                    pairs.iter().map(|(key, raw)| (key.as_str(), &raw[..])),
+                ));
                 let before = std::mem::replace(&mut active, (revision, pairs)).1;
-                show(&host.shelf, &active, &before, &planner);
+                show(&host.index, &active, &before, &planner);
             }
-            OptimizerMsg::Frame { message: PlanMsg::Ask { .. }, .. } if !host.plans => {}
-            OptimizerMsg::Frame { from, message } => {
-                let tunes = matches!(message, PlanMsg::Measures { .. } | PlanMsg::Tuned { .. });
+            OptimizerMessage::Frame { message: PlanMessage::Ask { .. }, .. } if !host.plans => {}
+            OptimizerMessage::Frame { from, message } => {
+                let tunes = matches!(message, PlanMessage::Measures { .. } | PlanMessage::Tuned { .. });
                 for planned in planner.step(begun.elapsed(), host.me, from, message, host.solve) {
                     if let Some(fault) = planned.fault {
                         event!(plan_fault, "{fault}");
@@ -60,16 +64,16 @@
                 let (fence, lines) = planner.in_force();
                 if tunes && (!lines.is_empty() || told != (fence, lines.len())) {
                     told = (fence, lines.len());
-                    show(&host.shelf, &active, &active.1, &planner);
+                    show(&host.index, &active, &active.1, &planner);
                 }
             }
         }
     }
 }
 
-/// Puts the kinds that are other than before, and those that are tuned, in their place on the shelf.
+/// Puts the kinds that are other than before, and those that are tuned, in their place on the index.
 fn show(
-    shelf: &watch::Sender<Shelf>,
+    index: &watch::Sender<ResourceIndex>,
     (revision, pairs): &(u64, BTreeMap<String, Value>),
     before: &BTreeMap<String, Value>,
     planner: &Planner,
@@ -78,9 +82,9 @@
     let sheets: Vec<String> = tuned.iter().map(|line| format!("weight-sheets/{}", line.function.as_str())).collect();
     let fresh = |(key, raw): &(&String, &Value)| before.get(*key) != Some(*raw) || sheets.contains(*key);
     let changed = pairs.iter().filter(fresh).map(|(key, raw)| (key.as_str(), &raw[..]));
-    let items = doors::kinds(changed, fence, tuned);
-    shelf.send_if_modified(|shelf| {
-        let put = items.iter().fold(false, |any, (key, value)| shelf.put(key, *revision, value) || any);
-        shelf.keep_only(*revision, |key| pairs.contains_key(key) || items.contains_key(key)) || put
+    let items = http_server::kinds(changed, fence, tuned);
+    index.send_if_modified(|index| {
+        let put = items.iter().fold(false, |any, (key, value)| index.put(key, *revision, value) || any);
+        index.keep_only(*revision, |key| pairs.contains_key(key) || items.contains_key(key)) || put
     });
 }
--- a/crates/control/src/entering.rs
+++ b/crates/control/src/proposals.rs
@@ -3,7 +3,7 @@
 use crate::core::{Core, CoreOutput, Wait};
 use chain::Input;
 use std::time::Duration;
-use wire::{Command, HoldMsg, NodeId, OpNo};
+use wire::{Command, LeaseMessage, NodeId, OpNo};
 
 /// What the tail enters by itself. Of each, one entry at a time is on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,13 +26,14 @@
         self.waits.retain(|_, (wait, _)| !matches!(wait, Wait::Duty(_)));
         self.open.clear();
         let again = self.waits.extract_if(.., |_, (wait, _)| matches!(wait, Wait::Change { .. }));
-        for (_, (wait, due)) in again.collect::<Vec<_>>() {
-            let Wait::Change { body, .. } = &wait else { continue };
+        for (_, (mut wait, due)) in again.collect::<Vec<_>>() {
+            let Wait::Change { body, again, .. } = &mut wait else { continue };
+            *again = true;
             let body = body.clone();
             self.next_op += 1;
             let number = self.next_op;
             self.waits.insert(number, (wait, due));
-            self.chain(Input::Enter { op: OpNo { origin: self.me(), number }, body });
+            self.chain(Input::Propose { op: OpNo { origin: self.me(), number }, body });
         }
     }
 
@@ -47,7 +48,7 @@
         let number = self.next_op;
         let due = self.now + if matches!(wait, Wait::Duty(_)) { DUTY } else { self.timing.call };
         self.waits.insert(number, (wait, due));
-        self.chain(Input::Enter { op: OpNo { origin: self.me(), number }, body });
+        self.chain(Input::Propose { op: OpNo { origin: self.me(), number }, body });
     }
 
     pub(crate) fn done(&mut self, op: OpNo, entered: bool, receipt: Vec<u8>) {
@@ -55,10 +56,10 @@
         match wait {
             Wait::Duty(duty) => drop(self.open.remove(&duty)),
             Wait::Router { to, ask } => {
-                let message = HoldMsg::EnterReceipt { ask, state: entered as u8, body: receipt.into() };
+                let message = LeaseMessage::ProposalAck { ask, state: entered as u8, body: receipt.into() };
                 self.outs.push(CoreOutput::Router { to, message });
             }
-            Wait::Change { ask, op, .. } => self.change_done(ask, op, entered, &receipt),
+            Wait::Change { ask, op, again, .. } => self.change_done(ask, op, again, entered, &receipt),
         }
     }
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -7,48 +7,51 @@
 use crate::control_loop::Control;
 use crate::core::{Core, CoreTiming};
 use crate::dialect::{ControlDialect, Operators};
-use crate::faults::RunFault;
+use crate::errors::RunError;
 use crate::membership::Membership;
-use crate::operators::stored_document;
-use crate::optimizer::{self, Host, OptimizerMsg};
-use crate::settings::RegistryEnv;
+use crate::optimizer::{self, Host, OptimizerMessage};
+use crate::reading::stored_document;
+use crate::settings::RegistrySettings;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
-use chain::{Disk, Member, Store, StoreFault, Timing};
-use doors::{DoorLimits, Shelf, Tokens, Views};
+use chain::{Disk, DiskReport, Member, Store, StoreError, Stored, Timing};
 use events::event;
-use kernel::{Directory, Inbox, SendFault, adopt, behind, find, listen, local, thread};
-use links::{LinkEvent, LinkOrder, Me};
+use http_server::{ResourceIndex, ServerLimits, Tokens, Views};
+use kernel::{Directory, Inbox, SendError, adopt, behind, find, listen, local, thread};
+use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::TcpListener;
+use std::path::Path;
 use std::rc::Rc;
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
 use wire::{Message, Seat};
 
-pub enum ControlMsg {
+const OPEN_EVERY: Duration = Duration::from_millis(500);
+
+pub enum ControlMessage {
     Link(LinkEvent),
-    Written(Result<u64, StoreFault>),
+    Disk(DiskReport),
     Call { call: ApiCall, reply: oneshot::Sender<ApiReply> },
     Seeds(Result<Vec<String>, String>),
     Stop,
 }
 
-pub fn run(settings: RegistryEnv, dialect: ControlDialect) -> Result<(), RunFault> {
+pub fn run(settings: RegistrySettings, dialect: ControlDialect) -> Result<(), RunError> {
     let incarnation = rand::random::<u64>() >> 8;
     let file = settings.data.join("registry.redb");
     if settings.show && !file.exists() {
-        return Err(RunFault::NoFile { path: file });
+        return Err(RunError::NoFile { path: file });
     }
-    std::fs::create_dir_all(&settings.data).map_err(|fault| RunFault::Folder { path: settings.data.clone(), fault })?;
+    std::fs::create_dir_all(&settings.data).map_err(|fault| RunError::Folder { path: settings.data.clone(), fault })?;
     let newcomer = Seat { id: rand::random::<u64>() | 1, address: settings.address.as_str().into() };
-    let (store, stored) = Store::open(&file, &settings.cluster, newcomer)
-        .map_err(|fault| RunFault::Store { path: file.clone(), fault })?;
+    let (store, stored) = open_when_possible(&file, &settings.cluster, newcomer)
+        .map_err(|fault| RunError::Store { path: file.clone(), fault })?;
     if settings.show {
         let page = format!("{:#}\n", stored_document(&stored.state));
-        return std::io::stdout().write_all(page.as_bytes()).map_err(RunFault::Print);
+        return std::io::stdout().write_all(page.as_bytes()).map_err(RunError::Print);
     }
     let peers = listen(behind(&settings.bind, &settings.address))?;
     let operators = listen(&settings.api)?;
@@ -58,26 +61,26 @@
     event!(started, "registry {me:016x} at {}, operators at {}", settings.address, settings.api);
 
     let mut directory = Directory::default();
-    let control_inbox = directory.announce::<ControlMsg>("control", 16_384);
-    let optimizer_inbox = directory.announce::<OptimizerMsg>("optimizer", 8192);
+    let control_inbox = directory.announce::<ControlMessage>("control", 16_384);
+    let optimizer_inbox = directory.announce::<OptimizerMessage>("optimizer", 8192);
     let links_inbox = directory.announce::<LinkOrder>("links", 65_536);
     let (view, shown) = watch::channel(String::from("{}"));
     let (stop, stopping) = watch::channel(false);
 
     let names = directory.clone();
-    let myself = Me {
+    let myself = LocalNode {
         id: me,
         incarnation,
         cluster: settings.cluster.clone(),
         address: settings.address.clone(),
         format: settings.format,
     };
-    let control = find::<ControlMsg>(&directory, "control");
+    let control = find::<ControlMessage>(&directory, "control");
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
-    let (shelf, shelved) = watch::channel(Shelf::new(incarnation));
-    let kinds = doors::views(Views { shelf: shelved, tokens: tokens.clone() });
+    let (index, shelved) = watch::channel(ResourceIndex::new(incarnation));
+    let kinds = http_server::views(Views { index: shelved, tokens: tokens.clone() });
     let (body, life) = (settings.body, Duration::from_secs(3600));
-    let limits = DoorLimits {
+    let limits = ServerLimits {
         connections: 256,
         head_bytes: 16 * 1024,
         headers: 64,
@@ -87,10 +90,10 @@
     };
     let asking = Operators::new(control.clone(), shown);
     let own = api::router(Api { operators: asking.clone(), tokens }, body).merge(kinds);
-    let mut doors = vec![serve("api", operators, own, limits, stopping.clone())?];
+    let mut servers = vec![serve("api", operators, own, limits, stopping.clone())?];
     if let (Some(make), Some(listener)) = (dialect.pages, dialect_listener) {
         let pages = make(asking).layer(DefaultBodyLimit::max(body));
-        doors.push(serve("pages", listener, pages, limits, stopping)?);
+        servers.push(serve("pages", listener, pages, limits, stopping)?);
     }
     let host = Host {
         me,
@@ -99,15 +102,17 @@
         fits: settings.fits,
         plans: settings.plans,
         tuning: settings.tuning,
-        shelf,
+        index,
         links: find(&directory, "links"),
     };
     thread("optimizer", move || optimizer::run(host, optimizer_inbox))?;
     let written = control.clone();
-    let disk = Disk::start(store, move |result| {
-        written.send_blocking(ControlMsg::Written(result));
+    let (cluster, own) = (settings.cluster.clone(), seat.clone());
+    let reopen = move || Store::reopen(&file, &cluster, &own);
+    let disk = Disk::start(store, reopen, move |report| {
+        written.send_blocking(ControlMessage::Disk(report));
     })
-    .map_err(RunFault::Disk)?;
+    .map_err(RunError::Disk)?;
     let founds = settings.found && settings.seeds.contains(&settings.address);
     let seats = if founds { settings.seeds.len() } else { 0 };
     let member = Member::new(seat, stored, Timing::default(), apply, Duration::ZERO);
@@ -132,7 +137,7 @@
         if let Some(reread) = dialect.reread {
             let (post, read) = (control.clone(), move || reread().map(|settings| settings.seeds));
             tokio::task::spawn_local(kernel::follow(settings.seeds, read, async move |told| {
-                post.send_waiting(ControlMsg::Seeds(told)).await;
+                post.send_waiting(ControlMessage::Seeds(told)).await;
             }));
         }
         // On the same thread: between threads each frame costs a wake-up each way.
@@ -140,34 +145,47 @@
         work.run(control, control_inbox).await
     });
     let _ = stop.send(true);
-    doors.into_iter().for_each(|door| _ = door.join());
+    servers.into_iter().for_each(|server| _ = server.join());
     event!(stopped);
     Ok(())
 }
 
+/// A disk that is full at the start is waited for: it has room again sooner or later.
+fn open_when_possible(file: &Path, cluster: &str, newcomer: Seat) -> Result<(Store, Stored), StoreError> {
+    loop {
+        match Store::open(file, cluster, newcomer.clone()) {
+            Err(fault) if fault.is_disk_full() => {
+                event!(disk_waited, "{fault}");
+                std::thread::sleep(OPEN_EVERY);
+            }
+            opened => return opened,
+        }
+    }
+}
+
 fn serve(
     name: &str,
     listener: TcpListener,
     pages: Router,
-    limits: DoorLimits,
+    limits: ServerLimits,
     stop: watch::Receiver<bool>,
-) -> Result<JoinHandle<()>, RunFault> {
-    Ok(thread(name, move || local(async move { doors::serve(adopt(listener), pages, limits, stop).await }))?)
+) -> Result<JoinHandle<()>, RunError> {
+    Ok(thread(name, move || local(async move { http_server::serve(adopt(listener), pages, limits, stop).await }))?)
 }
 
-async fn run_links(names: Directory, me: Me, listener: TcpListener, orders: Inbox<LinkOrder>) {
-    let control = find::<ControlMsg>(&names, "control");
-    let optimizer = find::<OptimizerMsg>(&names, "optimizer");
+async fn run_links(names: Directory, me: LocalNode, listener: TcpListener, orders: Inbox<LinkOrder>) {
+    let control = find::<ControlMessage>(&names, "control");
+    let optimizer = find::<OptimizerMessage>(&names, "optimizer");
     let deliver: links::Deliver = Rc::new(move |event| {
         let (control, optimizer) = (control.clone(), optimizer.clone());
         Box::pin(async move {
             match event {
                 LinkEvent::Frame { from, message: Message::Plan(message), .. } => {
-                    if let Err(SendFault::Full(_)) = optimizer.send(OptimizerMsg::Frame { from, message }) {
+                    if let Err(SendError::Full(_)) = optimizer.send(OptimizerMessage::Frame { from, message }) {
                         event!(inbox_full, "optimizer");
                     }
                 }
-                other => drop(control.send_waiting(ControlMsg::Link(other)).await),
+                other => drop(control.send_waiting(ControlMessage::Link(other)).await),
             }
         })
     });
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -7,7 +7,7 @@
 pub struct DispatchOrder {
     /// The order's number, unique in this process.
     pub number: u64,
-    /// The supplier's id of the instance, to which the request is pinned.
+    /// The provider's id of the instance, to which the request is pinned.
     pub instance: String,
     /// Where the instance takes requests, as `IP:port`.
     pub address: String,
@@ -23,7 +23,7 @@
 
 /// What the dispatcher can be asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DispatcherMsg {
+pub enum DispatcherMessage {
     /// Send a request.
     Send(DispatchOrder),
     /// Try whether an instance takes connections.
@@ -46,7 +46,7 @@
 
 /// What may be believed about a request that was ordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum DispatchOutcome {
     /// `turned_away` is a guess by the status, where the dialect has no word for it.
     Whole {
         /// The status of the answer.
@@ -84,7 +84,7 @@
         /// The order's number.
         number: u64,
         /// What came of it.
-        verdict: Verdict,
+        outcome: DispatchOutcome,
     },
     /// Of a probe.
     Probed {
--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -3,7 +3,7 @@
 use crate::passing::Silence;
 use crate::world::World;
 use std::fmt::{Display, Formatter};
-use wire::{ChainMsg, NodeId};
+use wire::{ChainMessage, NodeId};
 
 /// One step of a run. Machines are named by their index.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     Pass(Silence),
     /// Three half suspicion times pass with all messages and writes finished in between.
     Calm(Silence),
-    Enter(usize),
+    Propose(usize),
     Confirm(usize),
     /// The process dies; its unsynced write is lost, or lands unreported.
     Crash {
@@ -79,7 +79,7 @@
                 choices.push(Choice::Land(index));
             }
             if machine.member.is_some() && self.budget.entries > 0 {
-                choices.push(Choice::Enter(index));
+                choices.push(Choice::Propose(index));
             }
             if machine.member.as_ref().is_some_and(|member| member.is_tail()) && self.budget.confirms > 0 {
                 choices.push(Choice::Confirm(index));
@@ -109,7 +109,7 @@
     fn fault_choices(&self, choices: &mut Vec<Choice>) {
         if self.budget.drops > 0 {
             for ((from, to), messages) in &self.frames {
-                let droppable = |message: &ChainMsg| !matches!(message, ChainMsg::Done { .. });
+                let droppable = |message: &ChainMessage| !matches!(message, ChainMessage::Done { .. });
                 let places = (0..messages.len()).filter(|place| droppable(&messages[*place]));
                 choices.extend(places.map(|place| Choice::Drop { from: *from, to: *to, place }));
             }
@@ -177,9 +177,9 @@
             Choice::Settle => self.settle(Silence::None),
             Choice::Pass(silence) => self.pass(silence, false),
             Choice::Calm(silence) => self.pass(silence, true),
-            Choice::Enter(index) => {
+            Choice::Propose(index) => {
                 self.budget.entries -= 1;
-                self.enter(index);
+                self.propose(index);
             }
             Choice::Confirm(index) => {
                 self.budget.confirms -= 1;
@@ -199,8 +199,7 @@
             }
             Choice::EndLeaving(index) => {
                 self.machines[index].removed = self.machines[index].successor.is_some();
-                let spare = self.newest_view().is_some_and(|view| view.voters.as_slice().len() > self.losses * 2 + 1);
-                self.machines[index].left_in_order = self.may_stop(index) && !(spare && self.has_seat(index));
+                self.machines[index].left_in_order = self.may_stop(index) && self.has_left(index);
                 self.stop(index);
             }
             Choice::Join { replaces } => {
@@ -213,7 +212,7 @@
         self.check();
     }
 
-    fn unsend(&mut self, from: NodeId, to: NodeId, place: usize) -> ChainMsg {
+    fn unsend(&mut self, from: NodeId, to: NodeId, place: usize) -> ChainMessage {
         let Some(messages) = self.frames.get_mut(&(from, to)) else { panic!("no message from {from} to {to}") };
         messages.remove(place)
     }
--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::world::{World, machine_of};
 use chain::Input;
-use wire::{ChainMsg, NodeId, Seat};
+use wire::{ChainMessage, NodeId, Seat};
 
 /// A fault planted to see that the explorer finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -63,6 +63,15 @@
         self.newest_view().is_some_and(|view| view.voters.iter().any(own))
     }
 
+    /// Whether no identity of a machine is in the chain, or has a seat that could be spared.
+    pub(crate) fn has_left(&self, index: usize) -> bool {
+        let Some(newest) = self.newest_view() else { return true };
+        let chained = newest.chain.iter().any(|id| machine_of(*id) == index);
+        let spare = newest.voters.as_slice().len() > self.losses * 2 + 1;
+        let seat_to_give_up = spare && self.has_seat(index);
+        !chained && !seat_to_give_up
+    }
+
     /// A new machine that was never whole is not missed, for whom it replaces is, unless it has a seat
     /// and cannot vote.
     fn is_only_arriving(&self, index: usize) -> bool {
@@ -130,14 +139,14 @@
     }
 
     /// Sends the answer to a message that its receiver has not given.
-    pub(crate) fn forge(&mut self, from: NodeId, to: NodeId, message: &ChainMsg) {
+    pub(crate) fn forge(&mut self, from: NodeId, to: NodeId, message: &ChainMessage) {
         let forged = match (self.plant, message) {
-            (Plant::ForgedVote, ChainMsg::Accept { slot, ballot, .. }) => {
-                ChainMsg::Accepted { slot: *slot, ballot: *ballot }
+            (Plant::ForgedVote, ChainMessage::Accept { slot, ballot, .. }) => {
+                ChainMessage::Accepted { slot: *slot, ballot: *ballot }
             }
-            (Plant::ForgedCopy, ChainMsg::Append { view, entries, .. }) => {
+            (Plant::ForgedCopy, ChainMessage::Append { view, entries, .. }) => {
                 let Some(last) = entries.as_slice().last() else { return };
-                ChainMsg::Synced { view: *view, seq: last.seq, committed: last.seq }
+                ChainMessage::Synced { view: *view, seq: last.seq, committed: last.seq }
             }
             _ => return,
         };
@@ -158,7 +167,7 @@
         for seat in view.voters.clone().iter() {
             self.feed(
                 machine_of(seat.id),
-                Input::Frame { from: learner, message: ChainMsg::Decided { view: view.clone() } },
+                Input::Frame { from: learner, message: ChainMessage::Decided { view: view.clone() } },
             );
         }
     }
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
-use wire::{ChainMsg, NodeId, OpNo, Seat, View, to_bytes};
+use wire::{ChainMessage, NodeId, OpNo, Seat, View, to_bytes};
 
 /// How many of each kind of event a run may still have.
 #[derive(Clone, Debug, Hash)]
@@ -30,8 +30,9 @@
     pub disk: Stored,
     /// Writes handed to the disk that are not yet synced.
     pub pending: Vec<(u64, Batch)>,
-    /// How often its disk was lost.
+    /// How often its disk was lost, and its process started.
     pub wipes: u64,
+    pub starts: u64,
     /// Had a fault, and has not been back in the chain since.
     pub troubled: bool,
     /// Was in the chain at least once.
@@ -49,7 +50,7 @@
 pub struct World {
     pub machines: Vec<Machine>,
     /// Messages under way, by sender and receiver, in the order sent.
-    pub frames: BTreeMap<(NodeId, NodeId), Vec<ChainMsg>>,
+    pub frames: BTreeMap<(NodeId, NodeId), Vec<ChainMessage>>,
     pub now: Duration,
     pub losses: usize,
     pub budget: Budget,
@@ -93,6 +94,7 @@
             disk: Stored::default(),
             pending: Vec::new(),
             wipes: 0,
+            starts: 0,
             troubled: !may_found,
             arrived: false,
             leaving: false,
@@ -110,23 +112,25 @@
     pub fn start(&mut self, index: usize) {
         let machine = &mut self.machines[index];
         machine.id = index as NodeId + 1 + machine.wipes * 10;
+        machine.starts += 1;
         machine.leaving = false;
         machine.left_in_order = false;
         let seat = Seat { id: machine.id, address: address(index) };
         machine.disk.meta.seat = seat.clone();
         let seats = if machine.may_found { 3 } else { 0 };
         let member = Member::new(seat, machine.disk.clone(), Timing::default(), apply, self.now);
-        machine.member = Some(member.founding_with(seats).bearing(self.losses));
+        let member = member.founding_with(seats).bearing(self.losses);
+        machine.member = Some(member.numbering_rounds_from(machine.starts << 20));
     }
 
-    /// The process ends; what was not synced is gone, and so is what was on its way to it.
+    /// The process ends; what was not synced is gone. Messages on their way to it may still reach the
+    /// next process.
     pub fn stop(&mut self, index: usize) {
         self.machines[index].member = None;
         self.machines[index].pending.clear();
         self.machines[index].troubled = true;
         let id = self.machines[index].id;
         self.history.asked.retain(|(asked, _), _| *asked != id);
-        self.frames.retain(|(_, to), _| machine_of(*to) != index);
     }
 
     pub fn feed(&mut self, index: usize, input: Input) {
@@ -156,8 +160,8 @@
         }
     }
 
-    fn send(&mut self, from: NodeId, to: NodeId, message: ChainMsg) {
-        let heartbeat = matches!(message, ChainMsg::Beat { .. } | ChainMsg::BeatReceipt { .. });
+    fn send(&mut self, from: NodeId, to: NodeId, message: ChainMessage) {
+        let heartbeat = matches!(message, ChainMessage::Heartbeat { .. } | ChainMessage::HeartbeatAck { .. });
         if self.passing && heartbeat {
             return self.deliver(from, to, message);
         }
@@ -169,7 +173,7 @@
     }
 
     /// A message goes to an address: whichever process runs there now gets it.
-    pub fn deliver(&mut self, from: NodeId, to: NodeId, message: ChainMsg) {
+    pub fn deliver(&mut self, from: NodeId, to: NodeId, message: ChainMessage) {
         let (sender, receiver) = (machine_of(from), machine_of(to));
         if self.passing && (self.silent == Some(sender) || self.silent == Some(receiver)) {
             return;
@@ -187,10 +191,10 @@
         self.feed(index, Input::Written { ticket });
     }
 
-    pub fn enter(&mut self, index: usize) {
+    pub fn propose(&mut self, index: usize) {
         self.next_operation += 1;
         let op = OpNo { origin: self.machines[index].id, number: self.next_operation };
-        self.feed(index, Input::Enter { op, body: op.number.to_string().into_bytes() });
+        self.feed(index, Input::Propose { op, body: op.number.to_string().into_bytes() });
     }
 
     pub fn confirm(&mut self, index: usize) {
--- a/crates/heron/src/folder.rs
+++ b/crates/heron/src/folder.rs
@@ -7,27 +7,29 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
+/// How deep folders are read.
 const DEPTH: usize = 8;
+/// The kinds of resources, as they stand in documents and paths.
 const KINDS: [&str; 5] = ["function-bindings", "weight-sheets", "headcount-plans", "functions", "bounds"];
 
 /// Why files are no configuration.
 #[derive(Debug, Display, Error)]
-pub enum FolderFault {
+pub enum FolderError {
     /// A file or folder cannot be read.
-    #[display("{}: {fault}", path.display())]
+    #[display("{}: {error}", path.display())]
     Unread {
         /// The file or folder.
         path: PathBuf,
         /// What the system answered.
-        fault: std::io::Error,
+        error: std::io::Error,
     },
     /// A file is no JSON.
-    #[display("{}: {fault}", path.display())]
+    #[display("{}: {error}", path.display())]
     NotJson {
         /// The file.
         path: PathBuf,
         /// Where and why reading failed.
-        fault: serde_json::Error,
+        error: serde_json::Error,
     },
     /// A file is no object of kinds.
     #[display("{}: {told}", path.display())]
@@ -59,7 +61,7 @@
 pub type Declared = BTreeMap<String, Value>;
 
 /// Reads one file, or all `.json` files of a folder at any depth up to 8.
-pub fn read(path: &Path) -> Result<Declared, FolderFault> {
+pub fn read(path: &Path) -> Result<Declared, FolderError> {
     let mut files = Vec::new();
     if path.is_dir() {
         find(path, 0, &mut files)?;
@@ -68,14 +70,14 @@
         files.push(path.to_owned());
     }
     if files.is_empty() {
-        return Err(FolderFault::Empty { path: path.to_owned() });
+        return Err(FolderError::Empty { path: path.to_owned() });
     }
     let mut declared = Declared::new();
     let mut from: BTreeMap<String, PathBuf> = BTreeMap::new();
     for file in files {
         for (key, value) in read_one(&file)? {
             if let Some(first) = from.insert(key.clone(), file.clone()) {
-                return Err(FolderFault::Twice { key, first, second: file });
+                return Err(FolderError::Twice { key, first, second: file });
             }
             declared.insert(key, value);
         }
@@ -83,8 +85,8 @@
     Ok(declared)
 }
 
-fn find(folder: &Path, depth: usize, files: &mut Vec<PathBuf>) -> Result<(), FolderFault> {
-    let unread = |fault| FolderFault::Unread { path: folder.to_owned(), fault };
+fn find(folder: &Path, depth: usize, files: &mut Vec<PathBuf>) -> Result<(), FolderError> {
+    let unread = |error| FolderError::Unread { path: folder.to_owned(), error };
     for entry in std::fs::read_dir(folder).map_err(unread)? {
         let path = entry.map_err(unread)?.path();
         let hidden = path.file_name().is_some_and(|name| name.to_string_lossy().starts_with('.'));
@@ -97,11 +99,11 @@
     Ok(())
 }
 
-fn read_one(path: &Path) -> Result<Declared, FolderFault> {
-    let raw = std::fs::read(path).map_err(|fault| FolderFault::Unread { path: path.to_owned(), fault })?;
+fn read_one(path: &Path) -> Result<Declared, FolderError> {
+    let raw = std::fs::read(path).map_err(|error| FolderError::Unread { path: path.to_owned(), error })?;
     let whole: Value =
-        serde_json::from_slice(&raw).map_err(|fault| FolderFault::NotJson { path: path.to_owned(), fault })?;
-    let shape = |told: String| FolderFault::Shape { path: path.to_owned(), told };
+        serde_json::from_slice(&raw).map_err(|error| FolderError::NotJson { path: path.to_owned(), error })?;
+    let shape = |told: String| FolderError::Shape { path: path.to_owned(), told };
     let kinds = whole.as_object().ok_or_else(|| shape("allowed is an object of kinds".into()))?;
     let mut declared = Declared::new();
     for (kind, list) in kinds.iter().filter(|(kind, _)| *kind != "revision") {
@@ -182,7 +184,7 @@
         assert!(read(&broken).unwrap_err().to_string().contains("b.json"));
         let odd = folder("odd", &[("a.json", r#"{"plans": {}}"#)]);
         assert!(read(&odd).unwrap_err().to_string().contains("kinds are"));
-        assert!(matches!(read(&folder("none", &[])), Err(FolderFault::Empty { .. })));
+        assert!(matches!(read(&folder("none", &[])), Err(FolderError::Empty { .. })));
         [good, twice, broken, odd].iter().for_each(|folder| _ = std::fs::remove_dir_all(folder));
     }
 
--- a/crates/hollow/src/assign.rs
+++ b/crates/hollow/src/assign.rs
@@ -5,12 +5,12 @@
 use crate::node::NodeInput;
 use crate::node_group::Shared;
 use crate::workload::Workload;
-use bindings::Book;
-use holds::Roster;
+use bindings::RouteTable;
+use instance_provider::{Listing, ProviderReport};
+use leases::Roster;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{Listing, SupplyReport};
 use wire::NodeId;
 
 const LOOK: Duration = Duration::from_millis(250);
@@ -63,15 +63,15 @@
         parts.entry(home).or_default().push((key, value));
         homes.entry(home).or_default().push(name.to_owned());
     }
-    let books: BTreeMap<NodeId, Rc<Book>> = parts
+    let tables: BTreeMap<NodeId, Rc<RouteTable>> = parts
         .into_iter()
-        .map(|(id, pairs)| (id, Rc::new(Book::build(newest.1, revision, pairs.into_iter()))))
+        .map(|(id, pairs)| (id, Rc::new(RouteTable::build(newest.1, revision, pairs.into_iter()))))
         .collect();
     drop(source);
     for node in nodes {
         let id = node.borrow().follower.me();
-        let book = books.get(&id).cloned().unwrap_or_default();
-        give(shared, &node, NodeInput::Assigned { roster: roster.clone(), book });
+        let routes = tables.get(&id).cloned().unwrap_or_default();
+        give(shared, &node, NodeInput::Assigned { roster: roster.clone(), routes });
     }
     homes
 }
@@ -83,7 +83,7 @@
         let id = node.borrow().follower.me();
         let numbers = homes.get(&id).into_iter().flatten().filter_map(|name| Workload::number(name));
         let instances = numbers.flat_map(|number| shared.plan.workload.lines(number)).collect();
-        let report = SupplyReport::Listed { listing: Listing { instances }, asked: Instant::now() };
+        let report = ProviderReport::Listed { listing: Listing { instances }, asked: Instant::now() };
         give(shared, &node, NodeInput::Listed { report });
     }
 }
--- a/crates/hollow/src/fleet.rs
+++ b/crates/hollow/src/fleet.rs
@@ -4,12 +4,12 @@
 use crate::line::Order;
 use crate::node::identity;
 use crate::node_group::{self, NodeGroupOrder, Plan};
-use crate::node_slot::{NodeMsg, NodeSlot};
+use crate::node_slot::{NodeMessage, NodeSlot};
 use crate::opening::{Open, RelayView, Relayed, listen_all, on_thread, relay_thread};
 use crate::processes::{CLUSTER, Process, REGISTRIES, TOKEN, address, registry, router, zone};
 use heron::{Answer, Call, ask};
 use hyper::Method;
-use kernel::{Post, inbox, local};
+use kernel::{InboxSender, inbox, local};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::TcpListener;
@@ -25,8 +25,8 @@
 
 pub struct Fleet {
     pub processes: Vec<Process>,
-    pub groups: Vec<Post<NodeGroupOrder>>,
-    pub relays: Vec<Post<oneshot::Sender<RelayView>>>,
+    pub groups: Vec<InboxSender<NodeGroupOrder>>,
+    pub relays: Vec<InboxSender<oneshot::Sender<RelayView>>>,
     threads: Vec<JoinHandle<()>>,
     pub hollow: usize,
     pub total: usize,
@@ -110,10 +110,10 @@
         let mut addresses = BTreeSet::new();
         let mut parts: Vec<Vec<NodeSlot>> = (0..threads).map(|_| Vec::new()).collect();
         for (number, listener) in listeners.into_iter().enumerate() {
-            listener.set_nonblocking(true).map_err(|fault| fault.to_string())?;
+            listener.set_nonblocking(true).map_err(|error| error.to_string())?;
             let address = address(&listener);
             let id = identity(CLUSTER, &address);
-            let (post, taken) = inbox::<NodeMsg>(16_384);
+            let (post, taken) = inbox::<NodeMessage>(16_384);
             peers.insert(id, post);
             addresses.insert(address.clone());
             let zone = zone(number, order.zones);
@@ -153,7 +153,7 @@
             limit: Duration::from_secs(20),
             ..Call::default()
         };
-        ask(&call).await.map_err(|fault| fault.to_string())
+        ask(&call).await.map_err(|error| error.to_string())
     }
 
     /// Each registry's own page, empty where it does not answer.
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -1,14 +1,14 @@
 //! A hollow node: a router's own state machines, the follower and the home, without callers and
 //! instances. It takes ticks and frames and returns frames, as the router's threads do around them.
 
-use bindings::Book;
-use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Roster, mix};
+use bindings::RouteTable;
+use instance_provider::ProviderReport;
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Roster, mix};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
-use supply::SupplyReport;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{HoldMsg, Message, NodeId, PlanMsg};
+use wire::{LeaseMessage, Message, NodeId, PlanMessage};
 
 const NEAR: Duration = Duration::from_millis(2500);
 const TELL: Duration = Duration::from_millis(500);
@@ -26,13 +26,13 @@
         from: NodeId,
         message: Message,
     },
-    /// The part of the book whose functions are homed here, and the roster that says so.
+    /// The part of the route table whose functions are homed here, and the roster that says so.
     Assigned {
         roster: Rc<Roster>,
-        book: Rc<Book>,
+        routes: Rc<RouteTable>,
     },
     Listed {
-        report: SupplyReport,
+        report: ProviderReport,
     },
 }
 
@@ -103,9 +103,9 @@
             }
             NodeInput::Down { id } => drop(self.registries.remove(&id)),
             NodeInput::Frame { from, message } => self.frame(from, message),
-            NodeInput::Assigned { roster, book } => {
+            NodeInput::Assigned { roster, routes } => {
                 self.feed_home(HomeInput::Roster { roster });
-                self.feed_home(HomeInput::Book { book });
+                self.feed_home(HomeInput::RouteTable { routes });
             }
             NodeInput::Listed { report } => self.feed_home(HomeInput::Platform { report, listed_at: now }),
         }
@@ -114,17 +114,17 @@
 
     fn frame(&mut self, from: NodeId, message: Message) {
         match message {
-            Message::Carry(message) if message.is_for_home() => self.feed_home(HomeInput::Carry { from, message }),
+            Message::Forward(message) if message.is_for_home() => self.feed_home(HomeInput::Forward { from, message }),
             Message::Plan(message) => self.feed_home(HomeInput::Plan { message }),
-            Message::Hold(message @ (HoldMsg::EnterReceipt { .. } | HoldMsg::ReadReceipt { .. })) => {
+            Message::Hold(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
                 self.feed_home(HomeInput::Ledger { message });
             }
-            Message::Hold(message @ (HoldMsg::PeerAsk { .. } | HoldMsg::PeerReceipt { .. })) => {
+            Message::Hold(message @ (LeaseMessage::PeerAsk { .. } | LeaseMessage::PeerReply { .. })) => {
                 self.follow(FollowerInput::Peer { from, message });
             }
             Message::Hold(message) => {
                 self.registries.insert(from);
-                if matches!(message, HoldMsg::Proof { .. }) {
+                if matches!(message, LeaseMessage::Proof { .. }) {
                     self.heard = Some(self.now);
                 }
                 self.follow(FollowerInput::Registry { from, message });
@@ -173,17 +173,17 @@
         let may_serve = self.may_serve(self.now);
         for output in self.home.step(self.now, may_serve, input) {
             match output {
-                HomeOutput::Carry { to, message } => self.send(to, Message::Carry(message)),
-                HomeOutput::Enter { ask, body } => self.tell_core(HoldMsg::Enter { ask, body: body.into() }),
+                HomeOutput::Forward { to, message } => self.send(to, Message::Forward(message)),
+                HomeOutput::Propose { ask, body } => self.tell_core(LeaseMessage::Propose { ask, body: body.into() }),
                 HomeOutput::Read { ask, prefix } => {
-                    self.tell_core(HoldMsg::Read { ask, prefix: prefix.into(), from: "".into() });
+                    self.tell_core(LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() });
                 }
                 HomeOutput::PlanAsk { message } => self.tell_registries(Message::Plan(message)),
                 HomeOutput::Samples { lines } => {
-                    self.tell_registries(Message::Plan(PlanMsg::Samples { lines: lines.into() }));
+                    self.tell_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
                 }
                 HomeOutput::Measures { lines } => {
-                    self.tell_registries(Message::Plan(PlanMsg::Measures { lines: lines.into() }));
+                    self.tell_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
                 }
                 HomeOutput::Supply(_) => self.outs.push(NodeOutput::Ordered),
                 _ => {}
@@ -191,7 +191,7 @@
         }
     }
 
-    fn tell_core(&mut self, message: HoldMsg) {
+    fn tell_core(&mut self, message: LeaseMessage) {
         if let Some(to) = self.follower.tail() {
             self.send(to, Message::Hold(message));
         }
--- a/crates/hollow/src/node_group.rs
+++ b/crates/hollow/src/node_group.rs
@@ -3,12 +3,12 @@
 
 use crate::assign;
 use crate::node::{Node, NodeInput, NodeOutput};
-use crate::node_slot::{NodeMsg, NodeSlot, ReturnOnDrop};
+use crate::node_slot::{NodeMessage, NodeSlot, ReturnOnDrop};
 use crate::relay::HOLLOW;
 use crate::tally::{Tally, Way};
 use crate::workload::Workload;
-use kernel::{Inbox, Post};
-use links::{LinkEvent, LinkOrder, Me};
+use kernel::{Inbox, InboxSender};
+use links::{LinkEvent, LinkOrder, LocalNode};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
-use wire::{CarryMsg, FORMAT, Frame, Message, NodeId};
+use wire::{FORMAT, ForwardMessage, Frame, Message, NodeId};
 
 const TICK: Duration = Duration::from_millis(10);
 
@@ -46,7 +46,7 @@
     pub workload: Workload,
     pub mesh: bool,
     pub start_every: Duration,
-    pub peers: Arc<BTreeMap<NodeId, Post<NodeMsg>>>,
+    pub peers: Arc<BTreeMap<NodeId, InboxSender<NodeMessage>>>,
     pub addresses: Arc<BTreeSet<String>>,
     /// The real routers, whose links to hollow nodes pass no relay.
     pub routers: Arc<BTreeMap<NodeId, String>>,
@@ -116,8 +116,8 @@
     }
 
     fn count(&self, (from, out): (NodeId, &str), into: &str, message: &Message) {
-        let beat = matches!(message, Message::Carry(CarryMsg::Beat));
-        let mut bytes = if beat { self.heartbeat_bytes.get() } else { 0 };
+        let heartbeat = matches!(message, Message::Forward(ForwardMessage::Heartbeat));
+        let mut bytes = if heartbeat { self.heartbeat_bytes.get() } else { 0 };
         let mut kind = "carry.beat";
         if bytes == 0 {
             let cluster = self.plan.cluster.as_str().into();
@@ -125,7 +125,7 @@
             let raw = wire::encode(&frame);
             bytes = raw.len() as u64;
             kind = crate::kinds::kind(&raw[8..]);
-            if beat {
+            if heartbeat {
                 self.heartbeat_bytes.set(bytes);
             }
         }
@@ -148,8 +148,13 @@
     let Some(taken) = guard.taken.as_mut() else { return };
     let incarnation = rand::random::<u64>() >> 8;
     let plan = &shared.plan;
-    let me =
-        Me { id: taken.id, incarnation, cluster: plan.cluster.clone(), address: taken.address.clone(), format: FORMAT };
+    let me = LocalNode {
+        id: taken.id,
+        incarnation,
+        cluster: plan.cluster.clone(),
+        address: taken.address.clone(),
+        format: FORMAT,
+    };
     let node = Node::new(taken.id, incarnation, &taken.address, &taken.zone, &plan.seeds);
     let node = Rc::new(RefCell::new(node));
     shared.nodes.borrow_mut().insert(place, node.clone());
@@ -160,7 +165,7 @@
         let events = events.clone();
         Box::pin(async move {
             if let Some(events) = events {
-                events.send_waiting(NodeMsg::Link(event)).await;
+                events.send_waiting(NodeMessage::Link(event)).await;
             }
         })
     });
@@ -175,15 +180,15 @@
             biased;
             _ = ticks.tick() => NodeInput::Tick,
             message = taken.inbox.next() => match message {
-                Some(NodeMsg::Link(LinkEvent::Up { id, address, .. })) => NodeInput::Up { id, address },
-                Some(NodeMsg::Link(LinkEvent::Down { id })) => NodeInput::Down { id },
-                Some(NodeMsg::Link(LinkEvent::Frame { from, message, .. })) => {
+                Some(NodeMessage::Link(LinkEvent::Up { id, address, .. })) => NodeInput::Up { id, address },
+                Some(NodeMessage::Link(LinkEvent::Down { id })) => NodeInput::Down { id },
+                Some(NodeMessage::Link(LinkEvent::Frame { from, message, .. })) => {
                     if let Some(name) = plan.routers.get(&from) {
                         shared.count((from, name), HOLLOW, &message);
                     }
                     NodeInput::Frame { from, message }
                 }
-                Some(NodeMsg::Peer { from, message }) => NodeInput::Frame { from, message },
+                Some(NodeMessage::Peer { from, message }) => NodeInput::Frame { from, message },
                 None => return,
             },
         };
@@ -193,7 +198,7 @@
 }
 
 impl Shared {
-    pub fn carry_out(&self, me: NodeId, links: &Post<LinkOrder>, outputs: Vec<NodeOutput>) {
+    pub fn carry_out(&self, me: NodeId, links: &InboxSender<LinkOrder>, outputs: Vec<NodeOutput>) {
         for output in outputs {
             match output {
                 NodeOutput::Send { to, message } if to == me => drop((to, message)),
@@ -202,8 +207,8 @@
                         self.count((me, HOLLOW), HOLLOW, &message);
                         if self.plan.mesh {
                             let _ = links.send(LinkOrder::Send { to, message });
-                        } else if !matches!(message, Message::Carry(CarryMsg::Beat)) {
-                            let _ = peer.send(NodeMsg::Peer { from: me, message });
+                        } else if !matches!(message, Message::Forward(ForwardMessage::Heartbeat)) {
+                            let _ = peer.send(NodeMessage::Peer { from: me, message });
                         }
                     }
                     None => {
--- a/crates/hollow/src/offline.rs
+++ b/crates/hollow/src/offline.rs
@@ -1,4 +1,4 @@
-//! Measurements without sockets: books, homes, plans, a home's passes, the platform's list. Each point
+//! Measurements without sockets: route tables, homes, plans, a home's passes, the platform's list. Each point
 //! is taken in a process of its own, so that its memory is its own.
 
 use crate::line::{Order, What};
@@ -9,8 +9,8 @@
 use crate::slopes::Series;
 use crate::tally::round;
 use crate::workload::Workload;
-use bindings::{Book, Function};
-use holds::{MemberLine, Roster};
+use bindings::{Function, RouteTable};
+use leases::{MemberLine, Roster};
 use rand::{RngExt, SeedableRng};
 use scaler::{Optimizer, Sample};
 use serde_json::{Map, Value, json};
@@ -58,7 +58,7 @@
             What::Passes => passes(order),
             What::Lists => lists(order),
             What::Tasks => tasks(order),
-            _ => books(order),
+            _ => tables(order),
         };
         println!("{told}");
         return Ok(());
@@ -82,7 +82,7 @@
 
 /// This program once more, for one size alone.
 fn again(order: &Order, flag: &str, size: usize) -> Result<Value, String> {
-    let itself = std::env::current_exe().map_err(|fault| fault.to_string())?;
+    let itself = std::env::current_exe().map_err(|error| error.to_string())?;
     let word = format!("{:?}", order.what).to_lowercase();
     let mut command = Command::new(itself);
     command.args([&word, "--one", "--seed", &order.seed.to_string()]);
@@ -91,35 +91,35 @@
         command.args([format!("--{name}"), list[0].to_string()]);
     }
     command.args([format!("--{flag}"), size.to_string()]).stdin(Stdio::null()).stderr(Stdio::inherit());
-    let output = command.output().map_err(|fault| fault.to_string())?;
-    serde_json::from_slice(&output.stdout).map_err(|fault| format!("{word} of {size}: {fault}"))
+    let output = command.output().map_err(|error| error.to_string())?;
+    serde_json::from_slice(&output.stdout).map_err(|error| format!("{word} of {size}: {error}"))
 }
 
-fn books(order: &Order) -> Value {
+fn tables(order: &Order) -> Value {
     let workload = Workload { functions: order.functions[0], awake: 0, instances: 0 };
     let pairs = workload.pairs();
     let bytes: usize = pairs.iter().map(|(key, value)| key.len() + value.len()).sum();
     let each = || pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()));
     let before = resident_mb();
-    let book = Book::build(1, 1, each());
+    let routes = RouteTable::build(1, 1, each());
     let held = resident_mb() - before;
-    let build = timed(5, || drop(Book::build(1, 1, each())));
+    let build = timed(5, || drop(RouteTable::build(1, 1, each())));
     let check = timed(5, || drop(bindings::check(each())));
     json!({
         "configuration bytes": bytes, "book build ms": round(build), "whole check ms": round(check),
-        "book MB": round(held), "functions read": book.functions().count(),
+        "book MB": round(held), "functions read": routes.functions().count(),
     })
 }
 
 pub fn roster(members: usize) -> Roster {
     let line = |n: usize| MemberLine {
-        id: holds::mix(&[&n.to_le_bytes()]),
+        id: leases::mix(&[&n.to_le_bytes()]),
         incarnation: 1,
         address: format!("10.0.{}.{}:7000", n / 250, n % 250).as_str().into(),
         zone: format!("z{}", n % 5).as_str().into(),
         ops: format!("10.0.{}.{}:7001", n / 250, n % 250).as_str().into(),
         leaving: 0,
-        hashing: holds::HASHING,
+        hashing: leases::HASHING,
         capacity: Capacity::default(),
     };
     Roster { number: 1, members: (0..members).map(line).collect::<Vec<_>>().into() }
@@ -148,8 +148,8 @@
     let awake = order.awake[0];
     let workload = Workload { functions: awake, awake: 0, instances: 0 };
     let pairs = workload.pairs();
-    let book = Book::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
-    let functions: Vec<Function> = book.functions().cloned().collect();
+    let routes = RouteTable::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
+    let functions: Vec<Function> = routes.functions().cloned().collect();
     let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(order.seed);
     let before = resident_mb();
     let mut optimizer = Optimizer::new(STEP, 1e9);
--- a/crates/hollow/src/offline_home.rs
+++ b/crates/hollow/src/offline_home.rs
@@ -1,16 +1,16 @@
-//! A home alone: its tick against open desks, and the platform's list against instances.
+//! A home alone: its tick against open schedulers, and the platform's list against instances.
 
 use crate::line::Order;
 use crate::offline::{resident_mb, roster, timed};
 use crate::tally::round;
 use crate::workload::Workload;
-use bindings::Book;
+use bindings::RouteTable;
+use instance_provider::{Listing, ProviderReport};
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{Listing, SupplyReport};
 use traffic::{Home, HomeInput, HomeTiming};
-use wire::{Message, PlanMsg};
+use wire::{Message, PlanMessage};
 
 const TICK: Duration = Duration::from_millis(10);
 const ROUNDS: u32 = 1000;
@@ -20,9 +20,9 @@
     let roster = Rc::new(roster(members));
     let mut home = Home::new(roster.members.as_slice()[0].id, 1, HomeTiming::default());
     let pairs = workload.pairs();
-    let book = Rc::new(Book::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()))));
+    let routes = Rc::new(RouteTable::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()))));
     home.step(TICK, true, HomeInput::Roster { roster });
-    home.step(TICK, true, HomeInput::Book { book });
+    home.step(TICK, true, HomeInput::RouteTable { routes });
     let mut now = TICK;
     listed(&mut home, now, workload.listing());
     for _ in 0..200 {
@@ -33,13 +33,13 @@
 }
 
 fn listed(home: &mut Home, now: Duration, listing: Listing) {
-    let report = SupplyReport::Listed { listing, asked: Instant::now() };
+    let report = ProviderReport::Listed { listing, asked: Instant::now() };
     home.step(now, true, HomeInput::Platform { report, listed_at: now });
 }
 
 pub fn passes(order: &Order) -> Value {
-    let desks = order.functions[0];
-    let workload = |awake: usize| Workload { functions: desks, awake, instances: awake * 2 };
+    let schedulers = order.functions[0];
+    let workload = |awake: usize| Workload { functions: schedulers, awake, instances: awake * 2 };
     let before = resident_mb();
     let (mut asleep, from) = open(&workload(0), 1);
     let held = resident_mb() - before;
@@ -51,24 +51,24 @@
         begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
     };
     let all_asleep = tick(&mut asleep, from);
-    let (mut awake, from) = open(&workload(desks), 1);
+    let (mut awake, from) = open(&workload(schedulers), 1);
     let all_awake = tick(&mut awake, from);
     json!({
         "tick us, all asleep": round(all_asleep), "tick us, all awake": round(all_awake),
         "cores, all asleep": round(all_asleep / TICK.as_micros() as f64),
         "cores, all awake": round(all_awake / TICK.as_micros() as f64), "home asleep MB": round(held),
-        "sample bytes a desk": sample_bytes(&mut asleep, from, desks),
+        "sample bytes a desk": sample_bytes(&mut asleep, from, schedulers),
     })
 }
 
-/// The bytes of one round of samples, shared by the desks they tell of.
-fn sample_bytes(home: &mut Home, from: Duration, desks: usize) -> f64 {
+/// The bytes of one round of samples, shared by the schedulers they tell of.
+fn sample_bytes(home: &mut Home, from: Duration, schedulers: usize) -> f64 {
     let outputs = home.step(from + Duration::from_secs(60), true, HomeInput::Tick);
     let told = outputs.into_iter().find_map(|output| match output {
-        traffic::HomeOutput::Samples { lines } => Some(PlanMsg::Samples { lines: lines.into() }),
+        traffic::HomeOutput::Samples { lines } => Some(PlanMessage::Samples { lines: lines.into() }),
         _ => None,
     });
-    told.map_or(0.0, |message| round(wire::to_bytes(&Message::Plan(message)).len() as f64 / desks as f64))
+    told.map_or(0.0, |message| round(wire::to_bytes(&Message::Plan(message)).len() as f64 / schedulers as f64))
 }
 
 /// One reading of the list by one router of the target: its bytes, its parsing, and its taking in by a
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -1,14 +1,14 @@
 //! What does and does not grow with nodes, counted exactly: one hollow node for two seconds of its own
 //! time, answered by a tail at once.
 
-use bindings::Book;
-use holds::{MemberLine, Roster};
+use bindings::RouteTable;
 use hollow::{Node, NodeInput, NodeOutput, Workload};
+use leases::{MemberLine, Roster};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use test_case::test_case;
-use wire::{CarryMsg, HoldMsg, Message, NodeId, PlanMsg};
+use wire::{ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 const TAIL: NodeId = 2;
 const ME: NodeId = 11;
@@ -23,7 +23,7 @@
         zone: ["a", "b", "c"][(n % 3) as usize].into(),
         ops: "".into(),
         leaving: 0,
-        hashing: holds::HASHING,
+        hashing: leases::HASHING,
         capacity: wire::Capacity::default(),
     };
     Roster { number: 1, members: (0..members).map(line).collect::<Vec<_>>().into() }
@@ -35,31 +35,33 @@
     let pairs = workload.pairs();
     let roster = roster(members);
     let mine: Vec<&(String, Vec<u8>)> = pairs.iter().take(20).collect();
-    let book = Book::build(1, 1, mine.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
+    let routes = RouteTable::build(1, 1, mine.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
     let mut node = Node::new(ME, 1, "10.0.0.1:0", "a", &[SEED.to_owned()]);
     let mut now = TICK;
     node.step(now, NodeInput::Up { id: TAIL, address: SEED.into() });
     let step = wire::StepLine { number: 1, revision: 1, quorum: Vec::new().into(), items: Vec::new().into() };
     let body = wire::to_bytes(&roster).into();
-    for message in [HoldMsg::Stage { step }, HoldMsg::Activate { number: 1 }, HoldMsg::Roster { number: 1, body }] {
+    for message in
+        [LeaseMessage::Stage { step }, LeaseMessage::Activate { number: 1 }, LeaseMessage::Roster { number: 1, body }]
+    {
         node.step(now, NodeInput::Frame { from: TAIL, message: Message::Hold(message) });
     }
-    node.step(now, NodeInput::Assigned { roster: Rc::new(roster), book: Rc::new(book) });
+    node.step(now, NodeInput::Assigned { roster: Rc::new(roster), routes: Rc::new(routes) });
     let mut counts = BTreeMap::new();
     for tick in 0..400 {
         now += TICK;
         let outputs = node.step(now, NodeInput::Tick);
         for output in outputs {
             let NodeOutput::Send { message, .. } = output else { continue };
-            if let Message::Hold(HoldMsg::Renew { ask, .. }) = &message {
-                let proof = HoldMsg::Proof { ask: *ask, active: 1, latest: 1, member: 1 };
+            if let Message::Hold(LeaseMessage::Renew { ask, .. }) = &message {
+                let proof = LeaseMessage::Proof { ask: *ask, active: 1, latest: 1, member: 1 };
                 node.step(now, NodeInput::Frame { from: TAIL, message: Message::Hold(proof) });
             }
             let kind = match &message {
-                Message::Hold(HoldMsg::Renew { .. }) => "renewals",
+                Message::Hold(LeaseMessage::Renew { .. }) => "renewals",
                 Message::Hold(_) => "other words to the core",
-                Message::Carry(CarryMsg::Beat) => "beats",
-                Message::Plan(PlanMsg::Ask { .. }) => "plan asks",
+                Message::Forward(ForwardMessage::Heartbeat) => "beats",
+                Message::Plan(PlanMessage::Ask { .. }) => "plan asks",
                 _ => "others",
             };
             if tick >= 200 {
--- a/crates/supply/src/port.rs
+++ b/crates/instance_provider/src/port.rs
@@ -1,4 +1,4 @@
-//! The port: what the product asks of a supplier of instances, and what it is told. A supplier holds
+//! The port: what the product asks of a provider of instances, and what it is told. A provider holds
 //! conversations and decides nothing; a call may be dropped at any moment, and its effect is then open.
 
 use serde::{Deserialize, Serialize};
@@ -76,7 +76,7 @@
 
 /// The platform's reply to a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StartReceipt {
+pub enum StartReply {
     /// The instance is coming up.
     Accepted {
         /// The platform's id of it.
@@ -96,7 +96,7 @@
 
 /// The platform's reply to a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopReceipt {
+pub enum StopReply {
     /// The instance is leaving.
     Taken,
     /// There is no such instance.
@@ -111,16 +111,16 @@
 pub type Call<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// Whoever starts, stops and lists instances.
-pub trait Supplier {
+pub trait InstanceProvider {
     /// Orders one instance.
-    fn start(&self, order: StartOrder) -> Call<'_, StartReceipt>;
+    fn start(&self, order: StartOrder) -> Call<'_, StartReply>;
     /// Orders an instance stopped, under the number of the membership.
-    fn stop(&self, id: String, fence: u64) -> Call<'_, StopReceipt>;
+    fn stop(&self, id: String, fence: u64) -> Call<'_, StopReply>;
     /// Reads the list of instances; none if it could not be read.
     fn list(&self) -> Call<'_, Option<Listing>>;
     /// Reads the list of workers; none if it could not be read.
     fn workers(&self) -> Call<'_, Option<Vec<WorkerLine>>>;
 }
 
-/// Makes the supplier on the thread that uses it.
-pub type Start = Box<dyn FnOnce() -> Rc<dyn Supplier> + Send>;
+/// Makes the provider on the thread that uses it.
+pub type Start = Box<dyn FnOnce() -> Rc<dyn InstanceProvider> + Send>;
--- a/crates/kernel/src/directory.rs
+++ b/crates/kernel/src/directory.rs
@@ -1,7 +1,7 @@
 //! The names under which services are found. It is filled while a program is put together and
 //! cloned into each thread after that; a name announced twice is a broken invariant.
 
-use crate::inbox::{Inbox, Post, inbox};
+use crate::inbox::{Inbox, InboxSender, inbox};
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,8 +22,8 @@
     }
 
     /// The sending end of a service's inbox, or none if the name is unknown or its messages are of another type.
-    pub fn find<M: Send + 'static>(&self, name: &str) -> Option<Post<M>> {
-        self.posts.get(name)?.downcast_ref::<Post<M>>().cloned()
+    pub fn find<M: Send + 'static>(&self, name: &str) -> Option<InboxSender<M>> {
+        self.posts.get(name)?.downcast_ref::<InboxSender<M>>().cloned()
     }
 
     /// The names of all announced services, in order.
@@ -35,7 +35,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::SendFault;
+    use crate::SendError;
 
     #[test]
     fn a_service_is_found_by_name_and_type_and_its_inbox_refuses_past_its_bound() {
@@ -44,7 +44,7 @@
         assert!(directory.find::<String>("counter").is_none());
         let post = directory.find::<u32>("counter").unwrap();
         assert_eq!(post.send(7), Ok(()));
-        assert_eq!(post.send(8), Err(SendFault::Full(8)));
+        assert_eq!(post.send(8), Err(SendError::Full(8)));
         assert_eq!((post.refused(), post.depth(), inbox.ready()), (1, 1, Some(7)));
     }
 }
--- a/crates/kernel/src/inbox.rs
+++ b/crates/kernel/src/inbox.rs
@@ -6,7 +6,7 @@
 
 /// Why a message was not queued; it is handed back to the sender.
 #[derive(Debug, PartialEq, Eq)]
-pub enum SendFault<M> {
+pub enum SendError<M> {
     /// The inbox holds as many messages as it may.
     Full(M),
     /// The receiving end is gone.
@@ -19,21 +19,21 @@
 }
 
 /// A sending end of a bounded queue; clones share the queue and its count of refusals.
-pub struct Post<M> {
+pub struct InboxSender<M> {
     queue: mpsc::Sender<M>,
     refused: Arc<AtomicU64>,
 }
 
-impl<M> Clone for Post<M> {
+impl<M> Clone for InboxSender<M> {
     fn clone(&self) -> Self {
-        Post { queue: self.queue.clone(), refused: self.refused.clone() }
+        InboxSender { queue: self.queue.clone(), refused: self.refused.clone() }
     }
 }
 
 /// A queue of at most `bound` messages, as its sending and its receiving end.
-pub fn inbox<M>(bound: usize) -> (Post<M>, Inbox<M>) {
+pub fn inbox<M>(bound: usize) -> (InboxSender<M>, Inbox<M>) {
     let (sender, queue) = mpsc::channel(bound);
-    (Post { queue: sender, refused: Arc::default() }, Inbox { queue })
+    (InboxSender { queue: sender, refused: Arc::default() }, Inbox { queue })
 }
 
 impl<M> Inbox<M> {
@@ -58,15 +58,15 @@
     }
 }
 
-impl<M> Post<M> {
+impl<M> InboxSender<M> {
     /// Queues a message without waiting. A full queue refuses it and counts the refusal.
-    pub fn send(&self, message: M) -> Result<(), SendFault<M>> {
-        self.queue.try_send(message).map_err(|fault| match fault {
+    pub fn send(&self, message: M) -> Result<(), SendError<M>> {
+        self.queue.try_send(message).map_err(|error| match error {
             mpsc::error::TrySendError::Full(message) => {
                 self.refused.fetch_add(1, Ordering::Relaxed);
-                SendFault::Full(message)
+                SendError::Full(message)
             }
-            mpsc::error::TrySendError::Closed(message) => SendFault::Closed(message),
+            mpsc::error::TrySendError::Closed(message) => SendError::Closed(message),
         })
     }
 
--- a/crates/kernel/src/program.rs
+++ b/crates/kernel/src/program.rs
@@ -2,7 +2,7 @@
 //! bound before anything runs, services looked up by name, and the signal for a planned stop.
 
 use crate::directory::Directory;
-use crate::inbox::Post;
+use crate::inbox::InboxSender;
 use derive_more::{Display, Error};
 use std::io;
 use std::thread::JoinHandle;
@@ -13,22 +13,22 @@
 
 /// Why a program could not be put together.
 #[derive(Debug, Display, Error)]
-pub enum StartFault {
+pub enum StartError {
     /// A thread could not be started.
-    #[display("thread {name}: {fault}")]
+    #[display("thread {name}: {error}")]
     Thread {
         /// The thread's name.
         name: String,
         /// What the system answered.
-        fault: io::Error,
+        error: io::Error,
     },
     /// An address could not be bound to.
-    #[display("cannot listen on {address}: {fault}")]
+    #[display("cannot listen on {address}: {error}")]
     Listen {
         /// The address to bind to.
         address: String,
         /// What the system answered.
-        fault: io::Error,
+        error: io::Error,
     },
 }
 
@@ -39,18 +39,18 @@
 }
 
 /// Starts a named thread.
-pub fn thread<F: FnOnce() + Send + 'static>(name: &str, work: F) -> Result<JoinHandle<()>, StartFault> {
+pub fn thread<F: FnOnce() + Send + 'static>(name: &str, work: F) -> Result<JoinHandle<()>, StartError> {
     let started = std::thread::Builder::new().name(name.into()).spawn(work);
-    started.map_err(|fault| StartFault::Thread { name: name.to_owned(), fault })
+    started.map_err(|error| StartError::Thread { name: name.to_owned(), error })
 }
 
 /// Binds a TCP listener, ready to be taken into a runtime with [`adopt`].
-pub fn listen(address: &str) -> Result<std::net::TcpListener, StartFault> {
+pub fn listen(address: &str) -> Result<std::net::TcpListener, StartError> {
     let bound = std::net::TcpListener::bind(address).and_then(|listener| {
         listener.set_nonblocking(true)?;
         Ok(listener)
     });
-    bound.map_err(|fault| StartFault::Listen { address: address.to_owned(), fault })
+    bound.map_err(|error| StartError::Listen { address: address.to_owned(), error })
 }
 
 /// The address to listen at: the one bound to if there is one, else the one others are told.
@@ -64,7 +64,7 @@
 }
 
 /// The sending end of a service's inbox. Panics if the service was not announced.
-pub fn find<M: Send + 'static>(directory: &Directory, name: &str) -> Post<M> {
+pub fn find<M: Send + 'static>(directory: &Directory, name: &str) -> InboxSender<M> {
     directory.find(name).expect("every service is announced before any is started")
 }
 
--- a/crates/holds/src/sessions.rs
+++ b/crates/leases/src/sessions.rs
@@ -15,7 +15,7 @@
     pub staged: u64,
     pub active: u64,
     pub roster: u64,
-    pub ghost: bool,
+    pub departed: bool,
     pub pushed: u64,
     pub pushed_at: Duration,
     pub told: u64,
@@ -32,12 +32,12 @@
 
 impl Sessions {
     /// Brings the table in line with the members the chain's state names. One that is named no
-    /// longer but was given a proof not long ago stays as a ghost until that proof has run out.
+    /// longer but was given a proof not long ago stays as a departed member until that proof has run out.
     pub fn align(&mut self, now: Duration, members: &BTreeMap<NodeId, u64>, after: Duration) {
         for (id, session) in &mut self.table {
-            session.ghost = members.get(id) != Some(&session.incarnation);
+            session.departed = members.get(id) != Some(&session.incarnation);
         }
-        self.table.retain(|_, session| !session.ghost || now <= session.proved + after);
+        self.table.retain(|_, session| !session.departed || now <= session.proved + after);
         for (id, incarnation) in members {
             match self.table.get_mut(id) {
                 Some(session) if session.incarnation == *incarnation => {}
@@ -59,7 +59,7 @@
     }
 
     pub fn lapsed(&self, now: Duration, after: Duration) -> Vec<(NodeId, u64)> {
-        let silent = |session: &&Session| !session.ghost && now > session.proved + after;
+        let silent = |session: &&Session| !session.departed && now > session.proved + after;
         self.table.iter().filter(|(_, s)| silent(s)).map(|(id, s)| (*id, s.incarnation)).collect()
     }
 
@@ -77,12 +77,30 @@
         }
     }
 
-    /// Whether every member has staged the step or has no proof any more, `lapse` after it was asked for; and
+    /// Takes over from the tail before, which has told of everyone it had in its table. A member it did not tell
+    /// of was granted nothing by it; `earlier` bounds what tails before that one granted.
+    pub fn take_over(&mut self, begun: Duration, earlier: Duration, told: &BTreeMap<NodeId, (u64, Duration)>) {
+        for (id, session) in self.table.iter_mut().filter(|(_, session)| session.proved <= begun) {
+            let until = told.get(id).map_or(earlier, |(_, asked)| *asked);
+            session.proof_asked_until = session.proof_asked_until.min(until);
+        }
+        for (id, (incarnation, asked)) in told {
+            self.table.entry(*id).or_insert_with(|| Session {
+                incarnation: *incarnation,
+                proved: *asked,
+                proof_asked_until: *asked,
+                departed: true,
+                ..Session::default()
+            });
+        }
+    }
+
+    /// Whether every member has staged the step or has no proof any more, `over` after it was asked for; and
     /// the machines that have staged it are a majority of each quorum given. An empty quorum asks nothing.
-    pub fn staged_by_all(&self, step: u64, quorums: &[Vec<NodeId>], now: Duration, lapse: Duration) -> bool {
+    pub fn staged_by_all(&self, step: u64, quorums: &[Vec<NodeId>], now: Duration, over: Duration) -> bool {
         let has = |id: &NodeId| self.table.get(id).is_some_and(|session| session.staged >= step);
         let most = |quorum: &Vec<NodeId>| quorum.iter().filter(|id| has(id)).count() * 2 > quorum.len();
-        let unproved = |session: &Session| now > session.proof_asked_until + lapse;
+        let unproved = |session: &Session| now > session.proof_asked_until + over;
         self.table.values().all(|session| session.staged >= step || unproved(session))
             && quorums.iter().all(|quorum| quorum.is_empty() || most(quorum))
     }
--- a/crates/links/src/service.rs
+++ b/crates/links/src/service.rs
@@ -3,7 +3,7 @@
 //! know who is linked from the events and time out what went unanswered.
 
 use crate::demand::{self, Demand};
-use crate::order::{LinkEvent, LinkOrder, Me};
+use crate::order::{LinkEvent, LinkOrder, LocalNode};
 use crate::stream;
 use events::event;
 use kernel::Inbox;
@@ -17,10 +17,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
-use wire::{FrameFault, Message, NodeId};
+use wire::{FrameError, Message, NodeId};
 
+/// The most connections taken in at a time; more are closed at once.
 const CONNECTIONS: usize = 1024;
+/// The longest pause between two dials of one address.
 const PAUSE_MAX_MS: u64 = 800;
+/// How long a dial may take.
 const CONNECT: Duration = Duration::from_millis(900);
 
 /// Hands an event to its owner; awaiting it slows the connection's reader down.
@@ -34,7 +37,7 @@
 }
 
 pub struct Inner {
-    pub me: Me,
+    pub me: LocalNode,
     deliver: Deliver,
     connections: RefCell<BTreeMap<NodeId, Vec<Connection>>>,
     by_address: RefCell<BTreeMap<String, NodeId>>,
@@ -117,7 +120,7 @@
 }
 
 /// Runs the service on the current thread until its inbox of orders is closed.
-pub async fn start(me: Me, listener: TcpListener, mut orders: Inbox<LinkOrder>, deliver: Deliver) {
+pub async fn start(me: LocalNode, listener: TcpListener, mut orders: Inbox<LinkOrder>, deliver: Deliver) {
     let inner = Rc::new(Inner {
         me,
         deliver,
@@ -187,9 +190,9 @@
     }
 }
 
-pub fn report(ended: Result<(), FrameFault>, address: &str) {
+pub fn report(ended: Result<(), FrameError>, address: &str) {
     match ended {
-        Err(FrameFault::Connection(_)) | Ok(()) => {}
-        Err(fault) => event!(frame_refused, "{address}: {fault}"),
+        Err(FrameError::Connection(_)) | Ok(()) => {}
+        Err(error) => event!(frame_refused, "{address}: {error}"),
     }
 }
--- a/crates/links/src/stream.rs
+++ b/crates/links/src/stream.rs
@@ -3,7 +3,7 @@
 //! that was dialled on demand is closed by who dialled it once both sides are quiet. Either side first
 //! finishes what the other may have sent meanwhile.
 
-use crate::order::{LinkEvent, Me};
+use crate::order::{LinkEvent, LocalNode};
 use crate::service::Inner;
 use std::cell::Cell;
 use std::io::ErrorKind;
@@ -15,23 +15,30 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use wire::{Frame, FrameFault, Message, spoken};
+use wire::{Frame, FrameError, Message, spoken};
 
+/// How long the first frame may take.
 const GREETING: Duration = Duration::from_secs(3);
-/// Beats and proofs go over a link in use several times in this time.
+/// Heartbeats and proofs go over a link in use several times in this time.
 const PATIENCE: Duration = Duration::from_millis(1500);
+/// A link over which nothing goes for so long is greeted, or closed if it was dialled on demand.
 const QUIET: Duration = Duration::from_secs(4);
+/// A link over which nothing comes for so long is ended.
 const SILENT: Duration = Duration::from_secs(13);
+/// How long a write may take.
 const WRITE: Duration = Duration::from_secs(5);
+/// How long what the other side had sent is waited for when a link is closed.
 const LAST: Duration = Duration::from_secs(2);
+/// The most messages queued to one peer.
 const QUEUE: usize = 8192;
+/// Bytes buffered each way.
 const BUFFER: usize = 16 * 1024;
 
-fn late() -> FrameFault {
-    FrameFault::Connection(ErrorKind::TimedOut.into())
+fn late() -> FrameError {
+    FrameError::Connection(ErrorKind::TimedOut.into())
 }
 
-fn frame(me: &Me, message: Message) -> Frame {
+fn frame(me: &LocalNode, message: Message) -> Frame {
     Frame {
         format: me.format,
         cluster: me.cluster.as_str().into(),
@@ -41,11 +48,11 @@
     }
 }
 
-fn hello(me: &Me) -> Frame {
+fn hello(me: &LocalNode) -> Frame {
     frame(me, Message::Hello { address: me.address.as_str().into() })
 }
 
-pub async fn run(inner: Rc<Inner>, stream: TcpStream, dialled: Option<String>) -> Result<(), FrameFault> {
+pub async fn run(inner: Rc<Inner>, stream: TcpStream, dialled: Option<String>) -> Result<(), FrameError> {
     stream.set_nodelay(true)?;
     kernel::give_up_after(&stream, PATIENCE)?;
     let me = inner.me.clone();
@@ -55,7 +62,7 @@
     wire::write_frame(&mut write, &hello(&me)).await?;
     write.flush().await?;
     let first = timeout(GREETING, wire::read_frame(&me.cluster, &mut read)).await.map_err(|_| late())??;
-    let Message::Hello { address } = &first.message else { return Err(FrameFault::Malformed) };
+    let Message::Hello { address } = &first.message else { return Err(FrameError::Malformed) };
     let (id, incarnation, address) = (first.sender, first.incarnation, address.as_str().to_owned());
     if id == me.id {
         return Ok(());
@@ -67,7 +74,7 @@
         loop {
             let got = timeout(SILENT, wire::read_frame(&me.cluster, &mut read)).await.map_err(|_| late())??;
             if got.sender != id || got.incarnation != incarnation {
-                return Err(FrameFault::Malformed);
+                return Err(FrameError::Malformed);
             }
             if !matches!(got.message, Message::Hello { .. }) {
                 heard.set(Instant::now());
@@ -85,10 +92,10 @@
                 inner.remove(id, number).await;
                 timeout(LAST, reader).await.unwrap_or(Ok(()))
             }
-            fault => fault,
+            error => error,
         },
         end = &mut reader => match end {
-            Err(FrameFault::Connection(fault)) if fault.kind() == ErrorKind::UnexpectedEof => {
+            Err(FrameError::Connection(error)) if error.kind() == ErrorKind::UnexpectedEof => {
                 inner.remove(id, number).await;
                 timeout(LAST, writer).await.unwrap_or(Ok(()))
             }
@@ -101,11 +108,11 @@
 
 /// Ends well when the link is idle, or its queue is closed and written out.
 async fn write_out(
-    me: &Me,
+    me: &LocalNode,
     write: &mut BufWriter<OwnedWriteHalf>,
     mut queue: mpsc::Receiver<Message>,
     idle: impl Fn() -> bool,
-) -> Result<(), FrameFault> {
+) -> Result<(), FrameError> {
     loop {
         let message = match timeout(QUIET, queue.recv()).await {
             Ok(Some(message)) => spoken(message, me.format).map(|message| frame(me, message)),
@@ -123,7 +130,7 @@
                 }
             }
             write.flush().await?;
-            Ok::<(), FrameFault>(())
+            Ok::<(), FrameError>(())
         };
         timeout(WRITE, send).await.map_err(|_| late())??;
     }
--- a/crates/scaler/src/player.rs
+++ b/crates/scaler/src/player.rs
@@ -57,18 +57,37 @@
 
 /// What to do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct Decision {
     /// How many instances there should be.
     pub desired: u32,
     /// Whether a plan is to be asked for.
     pub ask: bool,
 }
 
+/// A plan from the moment it came.
+#[derive(Clone, Debug)]
+struct RunningPlan {
+    /// Instances in each step.
+    counts: Vec<u32>,
+    step: Duration,
+    begun: Duration,
+}
+
+/// A plan asked for and not yet answered.
+#[derive(Clone, Copy, Debug)]
+struct PendingAsk {
+    number: u64,
+    asked_at: Duration,
+}
+
+/// No plan is played by longer steps than this.
+const LONGEST_STEP: Duration = Duration::from_secs(3600);
+
 /// Plays one function's plan by the time that has passed, and falls back where there is none.
 #[derive(Clone, Debug, Default)]
 pub struct Player {
-    plan: Option<(Vec<u32>, Duration, Duration)>,
-    asked: Option<(u64, Duration)>,
+    plan: Option<RunningPlan>,
+    asked: Option<PendingAsk>,
     tries: u32,
     resting: Option<Duration>,
     early_at: Option<Duration>,
@@ -88,9 +107,9 @@
 impl Player {
     /// The plan's count for now; none without a plan.
     pub fn played(&self, now: Duration) -> Option<u32> {
-        let (counts, step, from) = self.plan.as_ref()?;
-        let place = now.saturating_sub(*from).as_millis() / step.as_millis().max(1);
-        counts.get(place as usize).copied()
+        let plan = self.plan.as_ref()?;
+        let place = now.saturating_sub(plan.begun).as_millis() / plan.step.as_millis().max(1);
+        plan.counts.get(place as usize).copied()
     }
 
     /// The number that named the host of the latest plan.
@@ -100,17 +119,17 @@
 
     /// The counts of the latest plan, one a step.
     pub fn plan(&self) -> &[u32] {
-        self.plan.as_ref().map_or(&[], |(counts, ..)| counts.as_slice())
+        self.plan.as_ref().map_or(&[], |plan| plan.counts.as_slice())
     }
 
     /// Says what the count should be now, and whether a plan is to be asked for under `ask`.
-    pub fn step(&mut self, now: Duration, ask: u64, situation: Situation, timing: &PlayerTiming) -> Verdict {
+    pub fn step(&mut self, now: Duration, ask: u64, situation: Situation, timing: &PlayerTiming) -> Decision {
         let Situation { running, starting, held, in_flight, capacity, min, max, fixed, may_ask, live } = situation;
         if let Some(count) = fixed {
-            return Verdict { desired: count, ask: false };
+            return Decision { desired: count, ask: false };
         }
-        if let Some((_, at)) = self.asked
-            && now > at + timing.timeout
+        if let Some(PendingAsk { asked_at, .. }) = self.asked
+            && now > asked_at + timing.timeout
         {
             self.asked = None;
             self.tries += 1;
@@ -128,7 +147,7 @@
         let wanted = played.is_none() || early;
         let asks = may_ask && wanted && rested && self.asked.is_none();
         if asks {
-            self.asked = Some((ask, now));
+            self.asked = Some(PendingAsk { number: ask, asked_at: now });
             if early {
                 self.early_at = Some(now);
                 self.early_asks += 1;
@@ -137,12 +156,12 @@
         let demand = held + in_flight > 0;
         let desired = played.unwrap_or_else(|| fallback(count, demand, min, max));
         let woken = if held > 0 { desired.max(1) } else { desired };
-        Verdict { desired: woken.max(live).clamp(min.min(max), max), ask: asks }
+        Decision { desired: woken.max(live).clamp(min.min(max), max), ask: asks }
     }
 
     /// Takes a plan asked for under `ask`, unless a later host has already been heard.
     pub fn take(&mut self, now: Duration, ask: u64, fence: u64, desired: Vec<u32>, step: Duration) -> bool {
-        let due = self.asked.is_some_and(|(known, _)| known == ask);
+        let due = self.asked.is_some_and(|asked| asked.number == ask);
         if !due || fence < self.fence || desired.is_empty() || step.is_zero() {
             return false;
         }
@@ -150,7 +169,7 @@
         self.asked = None;
         self.tries = 0;
         self.resting = None;
-        self.plan = Some((desired, step.min(Duration::from_secs(3600)), now));
+        self.plan = Some(RunningPlan { counts: desired, step: step.min(LONGEST_STEP), begun: now });
         true
     }
 }
@@ -168,11 +187,11 @@
     #[test]
     fn plans_are_played_by_elapsed_step_and_asked_for_when_they_run_out() {
         let (timing, mut player) = (PlayerTiming::default(), Player::default());
-        assert_eq!(player.step(S, 1, situation(4, 0), &timing), Verdict { desired: 4, ask: true });
+        assert_eq!(player.step(S, 1, situation(4, 0), &timing), Decision { desired: 4, ask: true });
         assert!(player.take(S, 1, 5, vec![3, 6], 15 * S));
-        assert_eq!(player.step(10 * S, 2, situation(4, 0), &timing), Verdict { desired: 3, ask: false });
-        assert_eq!(player.step(17 * S, 3, situation(3, 0), &timing), Verdict { desired: 6, ask: false });
-        assert_eq!(player.step(32 * S, 4, situation(6, 0), &timing), Verdict { desired: 6, ask: true });
+        assert_eq!(player.step(10 * S, 2, situation(4, 0), &timing), Decision { desired: 3, ask: false });
+        assert_eq!(player.step(17 * S, 3, situation(3, 0), &timing), Decision { desired: 6, ask: false });
+        assert_eq!(player.step(32 * S, 4, situation(6, 0), &timing), Decision { desired: 6, ask: true });
         assert!(!player.take(32 * S, 4, 4, vec![1], 15 * S), "a fenced-off host's plan");
         assert!(!player.take(32 * S, 3, 6, vec![1], 15 * S), "an answer to an older ask");
     }
@@ -196,8 +215,8 @@
         player.step(S, 1, situation(1, 0), &timing);
         player.take(S, 1, 1, vec![9; 4], 15 * S);
         let fixed = Situation { fixed: Some(3), ..situation(1, 50) };
-        assert_eq!(player.step(2 * S, 2, fixed, &timing), Verdict { desired: 3, ask: false });
-        assert_eq!(player.step(99 * S, 3, fixed, &timing), Verdict { desired: 3, ask: false });
+        assert_eq!(player.step(2 * S, 2, fixed, &timing), Decision { desired: 3, ask: false });
+        assert_eq!(player.step(99 * S, 3, fixed, &timing), Decision { desired: 3, ask: false });
     }
 
     #[test]
@@ -219,8 +238,8 @@
         let mut asks = 0;
         for tenth in 0..30u32 {
             let now = 2 * S + tenth * S / 10;
-            let verdict = player.step(now, u64::from(100 + tenth), situation(1, 7), &timing);
-            if verdict.ask {
+            let decision = player.step(now, u64::from(100 + tenth), situation(1, 7), &timing);
+            if decision.ask {
                 asks += 1;
                 player.take(now, u64::from(100 + tenth), 1, vec![1; 8], 15 * S);
             }
--- a/crates/sim/src/chances.rs
+++ b/crates/sim/src/chances.rs
@@ -2,8 +2,6 @@
 //! in two bouts with a calm after each, so that what service came back to can be judged second by
 //! second; every run ends with all registries losing power at once.
 
-use std::time::Duration;
-
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sort {
     Calm,
@@ -19,9 +17,15 @@
     Wake,
     Flood,
     Grown,
+    Resets,
+    Operators,
+    Cutoff,
+    Replacement,
+    Anything,
+    Changes,
 }
 
-const WORDS: [(&str, Sort); 13] = [
+const WORDS: [(&str, Sort); 19] = [
     ("calm", Sort::Calm),
     ("core", Sort::Core),
     ("routers", Sort::Routers),
@@ -35,6 +39,12 @@
     ("wake", Sort::Wake),
     ("flood", Sort::Flood),
     ("grown", Sort::Grown),
+    ("resets", Sort::Resets),
+    ("operators", Sort::Operators),
+    ("cutoff", Sort::Cutoff),
+    ("replacement", Sort::Replacement),
+    ("anything", Sort::Anything),
+    ("changes", Sort::Changes),
 ];
 
 /// One failure and its drawing by weight: a sort names what may happen in it.
@@ -45,6 +55,8 @@
     FreezeRegistry,
     StallDisk,
     FillDisk,
+    /// Full for a while, and free again under the same process.
+    FillDiskForAWhile,
     LoseDisk,
     KillRouter,
     KillZone,
@@ -71,6 +83,8 @@
     MoveSeeds,
     Wake,
     Flood,
+    ResetLinks,
+    Control(crate::control_faults::ControlFault),
 }
 
 impl Sort {
@@ -82,10 +96,15 @@
         WORDS.map(|(word, _)| word).join(", ")
     }
 
+    /// The sorts on the control plane's failures, with longer bouts and more registries.
+    pub fn is_on_control(self) -> bool {
+        matches!(self, Sort::Cutoff | Sort::Replacement | Sort::Anything)
+    }
+
     pub fn kinds(self) -> &'static [Kind] {
         use Kind::*;
         match self {
-            Sort::Calm => &[],
+            Sort::Calm | Sort::Cutoff | Sort::Replacement | Sort::Anything => &[],
             Sort::Core => &[
                 KillRegistry,
                 KillRegistry,
@@ -106,6 +125,48 @@
             Sort::Wake => &[Wake],
             Sort::Flood => &[Flood],
             Sort::Grown => &[Grow, KillRegistry, KillRouter, FreezeRouter, CutOne, LoseDisk],
+            Sort::Resets => &[
+                ResetLinks,
+                ResetLinks,
+                ResetLinks,
+                ResetLinks,
+                ResetLinks,
+                ResetLinks,
+                Garble,
+                Garble,
+                LoseAnswers,
+                KillRouter,
+                FreezeRouter,
+                LeaveRouter,
+                Worker,
+                Crowd,
+            ],
+            Sort::Operators => &[
+                KillRegistry,
+                KillCore,
+                FreezeRegistry,
+                StallDisk,
+                LoseDisk,
+                StopRegistry,
+                CutOne,
+                CutCore,
+                CutInside,
+                CutInside,
+                CutPair,
+                SlowLinks,
+            ],
+            Sort::Changes => &[
+                KillRegistry,
+                FreezeRegistry,
+                StallDisk,
+                FillDisk,
+                FillDiskForAWhile,
+                FillDiskForAWhile,
+                LoseDisk,
+                KillRouter,
+                CutOne,
+                Grow,
+            ],
             Sort::Mixed | Sort::Storm => &[
                 KillRegistry,
                 KillCore,
@@ -141,44 +202,3 @@
         }
     }
 }
-
-#[derive(Clone, Debug)]
-pub struct Plan {
-    pub sort: Sort,
-    pub routers: usize,
-    pub functions: usize,
-    pub limit: u32,
-    pub bouts: [(Duration, Duration); 2],
-    pub final_fault: Duration,
-    pub callers_end: Duration,
-    pub end: Duration,
-    pub rate: f64,
-    pub instances: usize,
-}
-
-impl Plan {
-    pub fn new(seed: u64, sort: Sort) -> Plan {
-        let seconds = Duration::from_secs;
-        Plan {
-            sort,
-            routers: if matches!(sort, Sort::Storm | Sort::Wake) { 5 } else { 3 + (seed % 3) as usize },
-            functions: if sort == Sort::Wake { 60 } else { 8 },
-            limit: if sort == Sort::Wake { 1 } else { 3 },
-            bouts: [(seconds(12), seconds(22)), (seconds(46), seconds(54))],
-            final_fault: seconds(76),
-            callers_end: seconds(80),
-            end: seconds(94),
-            rate: 25.0,
-            instances: match sort {
-                Sort::Crowd => 9,
-                Sort::Wake => 70,
-                Sort::Flood => 16,
-                _ => usize::MAX,
-            },
-        }
-    }
-
-    pub fn in_bout(&self, now: Duration) -> bool {
-        self.bouts.iter().any(|(from, to)| *from <= now && now < *to)
-    }
-}
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -1,12 +1,13 @@
 //! The instances in the simulator: they take tasks up to their limit, crash, turn away, or do the
 //! work and lose the answer.
 
+use crate::chances::Sort;
 use crate::router_node::Turn;
 use crate::world::{Event, World};
 use crate::yard::Work;
 use rand::RngExt;
 use std::time::Duration;
-use traffic::{DispatchOrder, HomeInput, Verdict};
+use traffic::{DispatchOrder, DispatchOutcome, HomeInput};
 use wire::{AnswerHead, RequestHead};
 
 impl World {
@@ -22,8 +23,10 @@
         let lost = self.dice.random_bool(self.yard.lose);
         let garbled = self.dice.random_bool(self.yard.garble);
         let turned = self.dice.random_bool(self.yard.turn_away);
+        self.count_instance(&label, &order.address);
         let limits = &self.yard.limits;
-        let mut took = Duration::from_millis(self.dice.random_range(20..120));
+        let longest = if self.plan.sort == Sort::Resets { 500 } else { 120 };
+        let mut took = Duration::from_millis(self.dice.random_range(20..longest));
         let told = self.yard.told_gone.get(&(n, order.address.clone())).copied();
         if told.is_some_and(|at| self.now > at + Duration::from_secs(3)) {
             self.rules.tell(self.now, format!("{label} was sent to {} long after it was known leaving", order.address));
@@ -31,14 +34,14 @@
         let now = self.now;
         let declared = self.plan.limit;
         let limit = |service: &String| limits.get(service).copied().unwrap_or(declared);
-        let verdict = match self.yard.instances.get_mut(&order.address) {
-            None => Verdict::NotSent,
-            Some(instance) if instance.ready_at > now => Verdict::NotSent,
+        let outcome = match self.yard.instances.get_mut(&order.address) {
+            None => DispatchOutcome::NotSent,
+            Some(instance) if instance.ready_at > now => DispatchOutcome::NotSent,
             Some(instance) if instance.busy >= limit(&instance.service) || turned => {
                 let service = instance.service.clone();
                 let over = instance.busy >= declared;
                 self.rules.turned_away(now, &service, over);
-                Verdict::Whole { status: 503, head: empty(), body: b"at its limit".to_vec(), turned_away: true }
+                DispatchOutcome::Whole { status: 503, head: empty(), body: b"at its limit".to_vec(), turned_away: true }
             }
             Some(instance) => {
                 instance.busy += 1;
@@ -46,24 +49,38 @@
                 self.rules.ran(now, &label, &service);
                 if lost || garbled {
                     let told = if lost { "lost" } else { "bytes after the answer's declared end" };
-                    Verdict::InDoubt { told: told.into(), late: false }
+                    DispatchOutcome::InDoubt { told: told.into(), late: false }
                 } else {
-                    Verdict::Whole { status: 200, head: empty(), body: label.clone().into_bytes(), turned_away: false }
+                    DispatchOutcome::Whole {
+                        status: 200,
+                        head: empty(),
+                        body: label.clone().into_bytes(),
+                        turned_away: false,
+                    }
                 }
             }
         };
-        let ran = matches!(&verdict, Verdict::Whole { status: 200, .. } | Verdict::InDoubt { .. });
+        let ran = matches!(&outcome, DispatchOutcome::Whole { status: 200, .. } | DispatchOutcome::InDoubt { .. });
         if !ran {
             took = Duration::from_millis(self.dice.random_range(1..15));
         }
         self.yard.next += 1;
         let number = self.yard.next;
         let instance = if ran { order.address } else { String::new() };
-        let work = Work { router: n, life: self.routers[n].life, order: order.number, instance, verdict };
+        let work = Work { router: n, life: self.routers[n].life, order: order.number, instance, outcome };
         self.yard.work.insert(number, work);
         self.after(took, Event::InstanceDone { number });
     }
 
+    /// Whoever is there gets what is sent to it, also where it turns it away.
+    fn count_instance(&mut self, label: &str, id: &str) {
+        let Some(instance) = self.yard.instances.get(id).filter(|instance| instance.ready_at <= self.now) else {
+            return;
+        };
+        let most = self.most_instances(&instance.service);
+        self.rules.sent_to(self.now, label, id, most);
+    }
+
     pub fn instance_done(&mut self, number: u64) {
         let router = self.yard.work.get(&number).map(|work| work.router);
         if let Some(until) = router.and_then(|n| self.frozen_until(crate::world::Place::Router(n))) {
@@ -77,11 +94,12 @@
             }
             None => work.instance.is_empty(),
         };
-        let verdict = if alive { work.verdict } else { Verdict::InDoubt { told: "crashed".into(), late: false } };
+        let outcome =
+            if alive { work.outcome } else { DispatchOutcome::InDoubt { told: "crashed".into(), late: false } };
         if self.routers[work.router].life != work.life {
             return;
         }
-        self.turn(work.router, Turn::Home(HomeInput::Dispatched { number: work.order, verdict }));
+        self.turn(work.router, Turn::Home(HomeInput::Dispatched { number: work.order, outcome }));
     }
 }
 
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -2,13 +2,13 @@
 
 use crate::chances::Sort;
 use crate::world::{Event, Place, TICK, World};
-use bindings::Book;
-use holds::{Follower, FollowerInput, FollowerOutput, FollowerTiming, mix};
+use bindings::RouteTable;
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, mix};
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
 use traffic::{Front, FrontInput, FrontLimits, Home, HomeInput, HomeTiming};
-use wire::{Capacity, CarryMsg, HoldMsg, Message, NodeId, PlanMsg};
+use wire::{Capacity, ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 pub struct Machines {
     pub follower: Follower,
@@ -52,10 +52,10 @@
 }
 
 impl Turn {
-    pub fn carried(from: NodeId, message: CarryMsg) -> Turn {
+    pub fn forwarded(from: NodeId, message: ForwardMessage) -> Turn {
         match message.is_for_home() {
-            true => Turn::Home(HomeInput::Carry { from, message }),
-            false => Turn::Front(FrontInput::Carried { from, message }),
+            true => Turn::Home(HomeInput::Forward { from, message }),
+            false => Turn::Front(FrontInput::Forwarded { from, message }),
         }
     }
 }
@@ -94,7 +94,7 @@
         let relay_above = if self.seed & 4 != 0 { 2 } else { 12 };
         let timing = FollowerTiming { relay_above, ..FollowerTiming::default() };
         node.machines = Some(Machines {
-            follower: Follower::new(node.id, life, &node.address, node.zone, "", timing).able_to_carry(capacity(n)),
+            follower: Follower::new(node.id, life, &node.address, node.zone, "", timing).able_to_own(capacity(n)),
             front: Front::new(node.id, life, FrontLimits::default()),
             home: Home::new(node.id, life, HomeTiming::default()),
             heard: None,
@@ -178,22 +178,22 @@
         let now = self.router_now(n);
         match message {
             Message::Hold(message) if message.is_from_peer() => self.follow(n, FollowerInput::Peer { from, message }),
-            Message::Hold(message @ (HoldMsg::EnterReceipt { .. } | HoldMsg::ReadReceipt { .. })) => {
+            Message::Hold(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
                 self.turn(n, Turn::Home(HomeInput::Ledger { message }))
             }
             Message::Hold(message) => {
-                if let (HoldMsg::Proof { .. }, Some(machines)) = (&message, &mut self.routers[n].machines) {
+                if let (LeaseMessage::Proof { .. }, Some(machines)) = (&message, &mut self.routers[n].machines) {
                     machines.heard = Some(now);
                 }
                 self.follow(n, FollowerInput::Registry { from, message });
             }
-            Message::Carry(message) => self.turn(n, Turn::carried(from, message)),
+            Message::Forward(message) => self.turn(n, Turn::forwarded(from, message)),
             Message::Plan(message) => self.turn(n, Turn::Home(HomeInput::Plan { message })),
             _ => {}
         }
     }
 
-    pub fn ask_registries(&mut self, n: usize, message: PlanMsg) {
+    pub fn ask_registries(&mut self, n: usize, message: PlanMessage) {
         for registry in 0..self.registries.len() {
             self.send_place(Place::Router(n), Place::Registry(registry), Message::Plan(message.clone()));
         }
@@ -223,9 +223,9 @@
             FollowerOutput::ToPeer { to, message } => self.send(place, to, Message::Hold(message)),
             FollowerOutput::Activated { step, revision } => {
                 let Some(machines) = &self.routers[n].machines else { return };
-                let book = Rc::new(Book::build(step, revision, machines.follower.pairs()));
-                self.turn(n, Turn::Home(HomeInput::Book { book: book.clone() }));
-                self.turn(n, Turn::Front(FrontInput::Book { book }));
+                let routes = Rc::new(RouteTable::build(step, revision, machines.follower.pairs()));
+                self.turn(n, Turn::Home(HomeInput::RouteTable { routes: routes.clone() }));
+                self.turn(n, Turn::Front(FrontInput::RouteTable { routes }));
             }
             FollowerOutput::Rostered { .. } => {
                 let Some(machines) = &self.routers[n].machines else { return };
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -1,11 +1,11 @@
 //! Turns of a simulated router's front and home until neither has anything more to do, with the
-//! rule on revisions checked at each carry and each dispatch.
+//! rule on revisions checked at each forward and each dispatch.
 
 use crate::router_node::Turn;
 use crate::world::{Place, World};
 use std::collections::VecDeque;
 use traffic::{FrontOutput, HomeOutput};
-use wire::{HoldMsg, Message, NodeId, PlanMsg};
+use wire::{ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 impl World {
     pub fn turn(&mut self, n: usize, first: Turn) {
@@ -21,12 +21,14 @@
                     for output in machines.front.step(now, may_serve, input) {
                         match output {
                             FrontOutput::Reply { ask, reply } => self.caller_reply(n, ask, reply),
-                            FrontOutput::Carry { to, message } => {
-                                self.rules.served(self.now, revision);
+                            FrontOutput::Forward { to, message } => {
+                                if !matches!(message, ForwardMessage::AttemptGrant { .. }) {
+                                    self.rules.served(self.now, revision);
+                                }
                                 if to == me {
-                                    turns.push_back(Turn::carried(to, message));
+                                    turns.push_back(Turn::forwarded(to, message));
                                 } else {
-                                    self.send(Place::Router(n), to, Message::Carry(message));
+                                    self.send(Place::Router(n), to, Message::Forward(message));
                                 }
                             }
                         }
@@ -36,18 +38,18 @@
                     let tail = machines.follower.tail();
                     for output in machines.home.step(now, may_serve, input) {
                         match output {
-                            HomeOutput::Carry { to, message } if to == me => {
-                                turns.push_back(Turn::carried(to, message))
+                            HomeOutput::Forward { to, message } if to == me => {
+                                turns.push_back(Turn::forwarded(to, message))
                             }
-                            HomeOutput::Carry { to, message } => {
-                                self.send(Place::Router(n), to, Message::Carry(message));
+                            HomeOutput::Forward { to, message } => {
+                                self.send(Place::Router(n), to, Message::Forward(message));
                             }
-                            HomeOutput::Enter { ask, body } => {
-                                let message = HoldMsg::Enter { ask, body: body.into() };
+                            HomeOutput::Propose { ask, body } => {
+                                let message = LeaseMessage::Propose { ask, body: body.into() };
                                 self.ask_tail(n, tail, message);
                             }
                             HomeOutput::Read { ask, prefix } => {
-                                let message = HoldMsg::Read { ask, prefix: prefix.into(), from: "".into() };
+                                let message = LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() };
                                 self.ask_tail(n, tail, message);
                             }
                             HomeOutput::Dispatch(order) => {
@@ -59,10 +61,10 @@
                             HomeOutput::Forget { .. } => {}
                             HomeOutput::PlanAsk { message } => self.ask_registries(n, message),
                             HomeOutput::Measures { lines } => {
-                                self.ask_registries(n, PlanMsg::Measures { lines: lines.into() });
+                                self.ask_registries(n, PlanMessage::Measures { lines: lines.into() });
                             }
                             HomeOutput::Samples { lines } => {
-                                self.ask_registries(n, PlanMsg::Samples { lines: lines.into() });
+                                self.ask_registries(n, PlanMessage::Samples { lines: lines.into() });
                             }
                         }
                     }
@@ -71,7 +73,7 @@
         }
     }
 
-    fn ask_tail(&mut self, n: usize, tail: Option<NodeId>, message: HoldMsg) {
+    fn ask_tail(&mut self, n: usize, tail: Option<NodeId>, message: LeaseMessage) {
         if let Some(tail) = tail {
             self.send(Place::Router(n), tail, Message::Hold(message));
         }
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -14,6 +14,8 @@
     runs: BTreeMap<String, u32>,
     by_key: BTreeMap<String, u32>,
     once: BTreeSet<String>,
+    once_per_try: BTreeSet<String>,
+    instances: BTreeMap<String, BTreeSet<String>>,
     not_run: BTreeSet<String>,
     accepted: BTreeMap<String, String>,
     pub newly_run: Duration,
@@ -41,6 +43,21 @@
         }
     }
 
+    /// A try that may run on one instance only, and once.
+    pub fn asked_once_per_try(&mut self, label: &str) {
+        self.once_per_try.insert(label.to_owned());
+    }
+
+    /// An instance was sent a try, whose route allows `most` of them.
+    pub fn sent_to(&mut self, now: Duration, label: &str, instance: &str, most: usize) {
+        let instances = self.instances.entry(label.to_owned()).or_default();
+        instances.insert(instance.to_owned());
+        let count = instances.len();
+        if count > most {
+            self.tell(now, format!("{label} was sent to {count} instances, {most} allowed"));
+        }
+    }
+
     pub fn ran(&mut self, now: Duration, label: &str, service: &str) {
         self.run_count += 1;
         let count = self.runs.entry(label.to_owned()).or_default();
@@ -55,6 +72,9 @@
         if *times > 1 && self.once.contains(&key) {
             self.tell(now, format!("run-once task {key} ran twice"));
         }
+        if second && self.once_per_try.contains(label) {
+            self.tell(now, format!("{label} ran twice, and may run once a try"));
+        }
         if self.not_run.contains(label) {
             self.tell(now, format!("{label} ran after its caller heard it never would"));
         }
@@ -108,6 +128,11 @@
         self.not_run.insert(label.to_owned());
     }
 
+    /// What is known to be committed at this place of the chain.
+    pub fn committed_op(&self, entry: u64) -> Option<(u64, u64)> {
+        self.chain.get(&entry).copied()
+    }
+
     /// Something is failing from one moment to the other, at the most.
     pub fn faulty(&mut self, from: Duration, to: Duration) {
         self.faults.push((from, to));
@@ -120,7 +145,7 @@
     /// Service must be above a quarter of its earlier level in every second that lies more than 12 s
     /// after all machines returned and before anything fails anew. Says what was judged.
     pub fn recovered(&mut self, from: Duration, until: Duration) -> usize {
-        let recovery = judge::recovery(&self.good, &self.faults, from, until);
+        let recovery = checker::recovery(&self.good, &self.faults, from, until);
         for low in &recovery.low {
             let (served, second, level) = (low.served, low.second, low.level);
             let told = format!("{served} tasks served in second {second}, {level} a second before anything failed");
@@ -133,7 +158,7 @@
         self.acked.push((now, revision));
     }
 
-    /// A task was carried or dispatched by this revision just now.
+    /// A task was forwarded or dispatched by this revision just now.
     pub fn served(&mut self, now: Duration, revision: u64) {
         if revision > self.newest_served {
             self.newest_served = revision;
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,12 +1,15 @@
 //! The world: nodes, a queue of timed events, and the loop that takes them one by one.
 
 use crate::callers::Callers;
-use crate::chances::{Plan, Sort};
+use crate::catch_up::CatchUp;
+use crate::chances::Sort;
 use crate::net::Net;
 use crate::operators::Operators;
+use crate::plan::Plan;
 use crate::registry_node::RegistryNode;
 use crate::router_node::RouterNode;
 use crate::rules::Rules;
+use crate::slowness::SLOW_MACHINE;
 use crate::yard::SimYard;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -28,7 +31,7 @@
     Tick { at: Place, life: u64 },
     Frame { to: Place, life: u64, from: NodeId, incarnation: u64, message: Message },
     Written { registry: usize, life: u64, ticket: u64 },
-    Platform { router: usize, life: u64, report: supply::SupplyReport, listed_at: Duration },
+    Platform { router: usize, life: u64, report: instance_provider::ProviderReport, listed_at: Duration },
     Probed { router: usize, life: u64, id: String, ready: bool },
     InstanceDone { number: u64 },
     Listing,
@@ -38,6 +41,7 @@
     Operator,
     Fault,
     Mend { what: crate::faults::Mending },
+    FollowUp(crate::follow_ups::FollowUp),
 }
 
 pub struct World {
@@ -60,6 +64,11 @@
     pub judged: usize,
     pub stood: (Duration, Vec<u64>),
     pub brought_back: [u64; 2],
+    /// The registry that is to stop for good, and its successor.
+    pub replacing: Option<(usize, usize)>,
+    pub armed: Vec<crate::strikes::Armed>,
+    pub core_standing: crate::core_rules::CoreStanding,
+    pub catch_up: CatchUp,
     pub trace: bool,
 }
 
@@ -92,10 +101,14 @@
             judged: 0,
             stood: (Duration::ZERO, Vec::new()),
             brought_back: [0; 2],
+            replacing: None,
+            armed: Vec::new(),
+            core_standing: crate::core_rules::CoreStanding::default(),
+            catch_up: CatchUp::default(),
             trace: false,
             plan,
         };
-        for n in 0..3 {
+        for n in 0..world.plan.registries {
             world.add_registry(n);
         }
         for n in 0..world.plan.routers {
@@ -148,6 +161,7 @@
             Event::Listing => {
                 self.listing();
                 self.check_members();
+                self.check_caught_up();
             }
             Event::Link { router, id, up } => self.link(router, id, up),
             Event::Caller => self.caller(),
@@ -155,8 +169,11 @@
             Event::Operator => self.operator(),
             Event::Fault => self.fault(),
             Event::Mend { what } => self.mend(what),
+            Event::FollowUp(step) => self.take_follow_up(step),
         }
         self.check_chain();
+        self.check_core();
+        self.check_roles();
         true
     }
 
@@ -174,7 +191,8 @@
             Place::Router(n) if self.routers[n].life == life => self.tick_router(n),
             _ => return,
         }
-        self.after(TICK, Event::Tick { at, life });
+        let pause = if self.is_slow(at) { TICK * SLOW_MACHINE } else { TICK };
+        self.after(pause, Event::Tick { at, life });
     }
 
     pub fn frozen_until(&self, at: Place) -> Option<Duration> {
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/yard.rs
@@ -3,13 +3,13 @@
 
 use crate::router_node::Turn;
 use crate::world::{Event, World};
+use instance_provider::{
+    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReply, StopReply, WorkerLine,
+};
 use rand::RngExt;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
-use supply::{
-    InstanceLine, InstanceState, Listing, StartOrder, StartReceipt, StopReceipt, SupplyOrder, SupplyReport, WorkerLine,
-};
-use traffic::{HomeInput, Verdict};
+use traffic::{DispatchOutcome, HomeInput};
 
 const ORDERS: usize = 80;
 const WORKERS: usize = 6;
@@ -30,7 +30,7 @@
     pub life: u64,
     pub order: u64,
     pub instance: String,
-    pub verdict: Verdict,
+    pub outcome: DispatchOutcome,
 }
 
 #[derive(Default)]
@@ -77,38 +77,38 @@
 }
 
 impl World {
-    pub fn platform_order(&mut self, n: usize, order: SupplyOrder) {
+    pub fn platform_order(&mut self, n: usize, order: ProviderOrder) {
         let lost = self.yard.unanswered > 0.0 && self.dice.random_bool(self.yard.unanswered);
         let wait = Duration::from_millis(self.dice.random_range(2..40));
         let boot = Duration::from_millis(self.dice.random_range(800..1500));
-        let look = matches!(order, SupplyOrder::List | SupplyOrder::Workers);
+        let look = matches!(order, ProviderOrder::List | ProviderOrder::Workers);
         let taken = look || self.yard.takes_order(self.now);
         let listed_at = self.router_now(n);
         let report = match order {
-            SupplyOrder::Start(order) => {
+            ProviderOrder::Start(order) => {
                 let nonce = order.nonce.clone();
-                let receipt = if taken { self.begin(order, boot) } else { StartReceipt::Limited };
-                let receipt = if lost { StartReceipt::Unanswered } else { receipt };
-                SupplyReport::Started { nonce, receipt }
+                let receipt = if taken { self.begin(order, boot) } else { StartReply::Limited };
+                let receipt = if lost { StartReply::Unanswered } else { receipt };
+                ProviderReport::Started { nonce, receipt }
             }
-            SupplyOrder::Stop { id, .. } => {
+            ProviderOrder::Stop { id, .. } => {
                 let known = taken.then(|| self.yard.instances.remove(&id).is_some());
                 let receipt = match known {
-                    _ if lost => StopReceipt::Unanswered,
-                    Some(true) => StopReceipt::Taken,
-                    Some(false) => StopReceipt::Unknown,
-                    None => StopReceipt::Limited,
+                    _ if lost => StopReply::Unanswered,
+                    Some(true) => StopReply::Taken,
+                    Some(false) => StopReply::Unknown,
+                    None => StopReply::Limited,
                 };
-                SupplyReport::Stopped { id, receipt }
+                ProviderReport::Stopped { id, receipt }
             }
-            SupplyOrder::List | SupplyOrder::Workers if lost => return,
-            SupplyOrder::List => {
+            ProviderOrder::List | ProviderOrder::Workers if lost => return,
+            ProviderOrder::List => {
                 let shown = self.yard.lists.front().map(|(_, listing, _)| listing.clone()).unwrap_or_default();
-                SupplyReport::Listed { listing: shown, asked: Instant::now() }
+                ProviderReport::Listed { listing: shown, asked: Instant::now() }
             }
-            SupplyOrder::Workers => {
+            ProviderOrder::Workers => {
                 let free = self.yard.lists.front().map(|(_, _, free)| free.clone()).unwrap_or_default();
-                SupplyReport::Workers {
+                ProviderReport::Workers {
                     lines: free.iter().enumerate().map(worker_line).collect(),
                     asked: Instant::now(),
                 }
@@ -120,17 +120,17 @@
         self.after(wait, Event::Platform { router: n, life, report, listed_at });
     }
 
-    fn begin(&mut self, order: StartOrder, boot: Duration) -> StartReceipt {
+    fn begin(&mut self, order: StartOrder, boot: Duration) -> StartReply {
         let key = (order.service.clone(), order.nonce);
         if let Some(id) = self.yard.nonces.get(&key) {
-            return StartReceipt::Accepted { id: id.clone(), address: id.clone() };
+            return StartReply::Accepted { id: id.clone(), address: id.clone() };
         }
         let free = self.free_places();
         let named = order.worker.map(|name| name.trim_start_matches('w').parse::<usize>().unwrap_or(WORKERS));
         let roomiest = || (0..WORKERS).max_by_key(|worker| free[*worker]).unwrap_or_default();
         let worker = named.unwrap_or_else(roomiest);
         if free.get(worker).is_none_or(|free| *free == 0) {
-            return StartReceipt::NoRoom;
+            return StartReply::NoRoom;
         }
         self.yard.starts += 1;
         let id = format!("i{}", self.yard.starts);
@@ -138,7 +138,7 @@
         let instance = SimInstance { service: order.service, worker, ready_at, busy: 0, leaving: false };
         self.yard.instances.insert(id.clone(), instance);
         self.yard.nonces.insert(key, id.clone());
-        StartReceipt::Accepted { id: id.clone(), address: id }
+        StartReply::Accepted { id: id.clone(), address: id }
     }
 
     /// How many more instances each worker has room for.
@@ -171,14 +171,14 @@
         self.turn(n, Turn::Home(HomeInput::Probed { id, ready }));
     }
 
-    pub fn reported(&mut self, n: usize, life: u64, report: SupplyReport, listed_at: Duration) {
+    pub fn reported(&mut self, n: usize, life: u64, report: ProviderReport, listed_at: Duration) {
         if self.routers[n].life != life {
             return;
         }
         if let Some(until) = self.frozen_until(crate::world::Place::Router(n)) {
             return self.at(until, Event::Platform { router: n, life, report, listed_at });
         }
-        if let SupplyReport::Listed { listing, .. } = &report {
+        if let ProviderReport::Listed { listing, .. } = &report {
             for line in listing.instances.iter().filter(|line| line.state == InstanceState::Leaving) {
                 self.yard.told_gone.entry((n, line.id.clone())).or_insert(self.now);
             }
--- a/crates/sim/tests/rules.rs
+++ b/crates/sim/tests/rules.rs
@@ -1,6 +1,6 @@
 //! Each of the simulator's own checks catches a fault planted for it, and passes what is right.
 
-use sim::Rules;
+use sim::{CoreCopies, Rules};
 use std::time::Duration;
 use test_case::test_case;
 
@@ -51,6 +51,18 @@
     (0..count).for_each(|n| rules.ran(ms(n), "9#1", "t0/f0"));
 }
 
+fn sent_to_three_instances(rules: &mut Rules, planted: bool) {
+    let instances = ["i1", "i2", "i2", if planted { "i3" } else { "i1" }];
+    instances.iter().for_each(|instance| rules.sent_to(ms(1), "5#1", instance, 2));
+    rules.sent_to(ms(2), "5#2", "i4", 2);
+}
+
+fn single_run_twice(rules: &mut Rules, planted: bool) {
+    rules.asked_once_per_try("6#1");
+    rules.ran(ms(1), "6#1", "t0/f3");
+    rules.ran(ms(2), if planted { "6#1" } else { "6#2" }, "t0/f3");
+}
+
 /// Ten tasks a second, a fault from 8 to 10 s, and service again from 23 s on, or too late.
 fn stays_low_after_the_return(rules: &mut Rules, planted: bool) {
     rules.faulty(ms(8_000), ms(10_000));
@@ -67,6 +79,47 @@
     rules.recovered(ms(2_000), ms(60_000));
 }
 
+fn too_few_copies(rules: &mut Rules, planted: bool) {
+    let synced = if planted { 2 } else { 3 };
+    rules.copies(ms(1), CoreCopies { entry: 7, synced, losses: 2, lost: 0 });
+}
+
+/// While two disks are lost one copy is enough, and there is never to be none.
+fn no_copy_after_losses(rules: &mut Rules, planted: bool) {
+    let synced = if planted { 0 } else { 1 };
+    rules.copies(ms(1), CoreCopies { entry: 7, synced, losses: 2, lost: 2 });
+}
+
+fn no_majority_after_losses(rules: &mut Rules, planted: bool) {
+    let running = if planted { 3 } else { 4 };
+    rules.bears_losses(ms(1), 4, running, 4, 1);
+}
+
+fn no_copy_left_after_losses(rules: &mut Rules, planted: bool) {
+    rules.bears_losses(ms(1), 3, 3, if planted { 1 } else { 2 }, 1);
+}
+
+fn disks_of_voters_gone(rules: &mut Rules, planted: bool) {
+    rules.keeps_majority(ms(1), 8, if planted { 6 } else { 7 }, 2);
+}
+
+fn not_back_in_the_chain(rules: &mut Rules, planted: bool) {
+    rules.all_back(ms(if planted { 25_001 } else { 25_000 }), ms(5_000), 1);
+    rules.all_back(ms(60_000), ms(5_000), 0);
+}
+
+fn acknowledged_alone(rules: &mut Rules, planted: bool) {
+    rules.acknowledged_by_one_alone(ms(3_000), Some(ms(if planted { 1_499 } else { 1_500 })));
+    rules.acknowledged_by_one_alone(ms(60_000), None);
+}
+
+#[test_case(too_few_copies; "an entry committed with a copy too few")]
+#[test_case(no_copy_after_losses; "an entry that no disk holds")]
+#[test_case(no_majority_after_losses; "voters of whom a loss leaves no majority")]
+#[test_case(no_copy_left_after_losses; "a chain of which a loss leaves none")]
+#[test_case(disks_of_voters_gone; "voters whose disks are gone")]
+#[test_case(not_back_in_the_chain; "a registry that does not come back")]
+#[test_case(acknowledged_alone; "an acknowledgement by one cut off")]
 #[test_case(stays_low_after_the_return; "service that does not come back in time")]
 #[test_case(low_while_another_fault_lasts; "service low with nothing failing any longer")]
 #[test_case(run_once_twice; "a run-once task that runs twice")]
@@ -76,6 +129,8 @@
 #[test_case(older_than_acknowledged; "an older revision three seconds on")]
 #[test_case(slipped_back; "a slip back after a quarter second")]
 #[test_case(turned_away_twelve_times; "a twelfth turn-away in five seconds")]
+#[test_case(sent_to_three_instances; "a try sent to more instances than its route allows")]
+#[test_case(single_run_twice; "a try that may run once runs twice")]
 #[test_case(second_tries; "second tries beyond their share")]
 fn a_planted_fault_is_caught_and_its_absence_is_not(plant: fn(&mut Rules, bool)) {
     for planted in [false, true] {
--- a/crates/traffic/src/letting_in.rs
+++ b/crates/traffic/src/admission.rs
@@ -1,38 +1,37 @@
-//! Letting a carried task in: is this its home, is there room, what does its class ask first. A
-//! carry has a number of its own and is let in once, however often its frame comes.
+//! Letting a forwarded request in: is this its home, is there room, what does its class ask first. A
+//! forwarded request has a number of its own and is admitted once, however often its frame comes.
 
-use crate::holding::LAST;
 use crate::home::Home;
 use crate::home_types::{HomeOutput, HomeTask, Place, TaskId};
+use crate::wait_queue::LAST;
 use bindings::Class;
 use sha2::{Digest, Sha256};
 use std::time::Duration;
-use wire::{CarryMsg, NodeId, Outcome};
+use wire::{ForwardMessage, ForwardRequest, NodeId, Outcome};
 
 impl Home {
-    pub(crate) fn let_in(&mut self, from: NodeId, carry: CarryMsg) {
-        let CarryMsg::Carry { task, function, binding, left_ms, tries, respond_async, key, head, body } = carry else {
-            return;
-        };
+    pub(crate) fn admit(&mut self, from: NodeId, request: ForwardRequest) {
+        let ForwardRequest { task, function, binding, left_ms, tries, attempts, respond_async, key, head, body } =
+            request;
         let id = TaskId { from, task };
         if self.seen.insert(id, self.now).is_some() {
             return;
         }
-        let bound = self.book.as_ref().and_then(|book| book.binding(binding.as_str())).cloned();
+        let bound = self.routes.as_ref().and_then(|routes| routes.binding(binding.as_str())).cloned();
         let service = function.as_str().split_once('/').map_or("", |(_, service)| service);
-        let (Some(bound), true, Some(desk)) =
-            (bound, self.is_home(function.as_str()), self.desks.get_mut(function.as_str()))
+        let (Some(bound), true, Some(scheduler)) =
+            (bound, self.is_home(function.as_str()), self.schedulers.get_mut(function.as_str()))
         else {
-            return self.outs.push(HomeOutput::Carry { to: from, message: CarryMsg::NotHome { task } });
+            return self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::NotHome { task } });
         };
-        if !bound.sends_to(service) || desk.leaving.is_some() {
-            return self.outs.push(HomeOutput::Carry { to: from, message: CarryMsg::NotHome { task } });
+        if !bound.sends_to(service) || scheduler.leaving.is_some() {
+            return self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::NotHome { task } });
         }
-        desk.arrivals += 1;
-        let full = desk.held.len() >= self.timing.function_inbox;
+        scheduler.arrivals += 1;
+        let full = scheduler.held.len() >= self.timing.function_inbox;
         let last = bound.class == Class::Deferred || bound.player_weight <= 0.0;
         let (keyless, again) = (matches!(bound.class, Class::Ordinary | Class::Single), tries > 0);
-        let spent = again && keyless && (bound.class == Class::Single || !desk.budget.try_second(self.now));
+        let spent = again && keyless && (bound.class == Class::Single || !scheduler.budget.try_second(self.now));
         let (scope, digest) = match keyless {
             true => (String::new(), Vec::new()),
             false => (format!("{}/{}", binding.as_str(), key.as_str()), digest(head.as_slice(), body.as_slice())),
@@ -58,6 +57,8 @@
             caller: true,
             dispatches: 0,
             attempts: bound.attempts.max(1),
+            granted: if attempts == ForwardRequest::UNCOUNTED { u32::MAX } else { attempts },
+            failure: None,
             avoid: String::new(),
             reached: again && keyless,
             rank: if last { LAST } else { bound.rank },
--- a/crates/traffic/src/caller_limits.rs
+++ b/crates/traffic/src/caller_limits.rs
@@ -1,14 +1,14 @@
 //! What a caller may send and how long it may take: the router's settings, made narrower by the
-//! bounds of the book in force. The doors read them at each connection and each request.
+//! bounds of the route table in force. The doors read them at each connection and each request.
 
 use axum::http::HeaderValue;
 use bindings::CallerBounds;
-use doors::DoorLimits;
+use http_server::ServerLimits;
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
 pub struct CallerLimits {
-    pub door: DoorLimits,
+    pub server: ServerLimits,
     pub body_bytes: usize,
     pub body_time: Duration,
     /// How long a connection may be idle, as callers are told it.
@@ -16,17 +16,17 @@
 }
 
 impl CallerLimits {
-    /// These limits within a book's bounds. A head and the pause before it have one time together.
+    /// These limits within a route table's bounds. A head and the pause before it have one time together.
     pub fn within(&self, bounds: Option<&CallerBounds>) -> CallerLimits {
         let Some(bounds) = bounds else { return self.clone() };
         let time = |ms: u32| Duration::from_millis(ms.into());
-        let idle = time(bounds.idle_ms.max(bounds.head_ms)).min(self.door.head_time);
+        let idle = time(bounds.idle_ms.max(bounds.head_ms)).min(self.server.head_time);
         let told = idle.as_secs().saturating_sub(1);
         CallerLimits {
-            door: DoorLimits {
-                head_bytes: self.door.head_bytes.min(bounds.head_bytes as usize),
+            server: ServerLimits {
+                head_bytes: self.server.head_bytes.min(bounds.head_bytes as usize),
                 head_time: idle,
-                ..self.door
+                ..self.server
             },
             body_bytes: self.body_bytes.min(bounds.body_bytes as usize),
             body_time: self.body_time,
--- a/crates/traffic/src/door.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -2,8 +2,8 @@
 //! writes the answer, with the outcome in a header of its own where the dialect has one.
 
 use crate::caller_limits::CallerLimits;
+use crate::data_plane::TrafficMessage;
 use crate::front_types::{Call, Reply};
-use crate::plane::TrafficMsg;
 use axum::Router;
 use axum::body::{Body, HttpBody};
 use axum::extract::{Request, State};
@@ -13,7 +13,7 @@
 use axum::routing::any;
 use dispatch::Words;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
-use kernel::Post;
+use kernel::InboxSender;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
@@ -21,42 +21,42 @@
 use wire::{AnswerHead, Outcome, RequestHead};
 
 #[derive(Clone)]
-pub struct Door {
-    pub traffic: Post<TrafficMsg>,
+pub struct CallerServer {
+    pub traffic: InboxSender<TrafficMessage>,
     pub words: Arc<Words>,
     pub limits: watch::Receiver<CallerLimits>,
 }
 
-pub fn router(door: Door) -> Router {
-    Router::new().fallback(any(meet)).with_state(door)
+pub fn router(server: CallerServer) -> Router {
+    Router::new().fallback(any(meet)).with_state(server)
 }
 
-async fn meet(State(door): State<Door>, request: Request) -> Response {
+async fn meet(State(server): State<CallerServer>, request: Request) -> Response {
     let begun = Instant::now();
     let (parts, body) = request.into_parts();
-    let body = match door.read(body).await {
+    let body = match server.read(body).await {
         Ok(body) => body,
         Err(refused) => return refused,
     };
     let path = parts.uri.path().to_owned();
-    if let Some(id) = door.words.task_path.and_then(|below| path.strip_prefix(below)) {
-        return door.status(id).await;
+    if let Some(id) = server.words.task_path.and_then(|below| path.strip_prefix(below)) {
+        return server.status(id).await;
     }
-    let Ok(call) = door.call(parts, path, body, begun) else {
-        return door.own(400, "Idempotency-Key is 1 to 128 plain characters", false);
+    let Ok(call) = server.call(parts, path, body, begun) else {
+        return server.own(400, "Idempotency-Key is 1 to 128 plain characters", false);
     };
     let (reply, told) = oneshot::channel();
-    if door.traffic.send(TrafficMsg::Task { call, reply }).is_err() {
+    if server.traffic.send(TrafficMessage::Task { call, reply }).is_err() {
         let busy = Reply::own(503, Some(Outcome::NotRun), "this router is busy");
-        return door.answer(busy.again(Duration::from_millis(500)));
+        return server.answer(busy.again(Duration::from_millis(500)));
     }
     match told.await {
-        Ok(reply) => door.answer(reply),
-        Err(_) => door.answer(Reply::own(504, Some(Outcome::Unknown), "the outcome is not known")),
+        Ok(reply) => server.answer(reply),
+        Err(_) => server.answer(Reply::own(504, Some(Outcome::Unknown), "the outcome is not known")),
     }
 }
 
-impl Door {
+impl CallerServer {
     async fn read(&self, body: Body) -> Result<Vec<u8>, Response> {
         if body.is_end_stream() {
             return Ok(Vec::new());
@@ -67,7 +67,7 @@
         };
         match timeout(time, Limited::new(body, bytes).collect()).await {
             Err(_) => Err(self.own(408, "the request's body came too slowly", true)),
-            Ok(Err(fault)) if fault.downcast_ref::<LengthLimitError>().is_some() => {
+            Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
                 Err(self.own(413, "the request's body is too long", true))
             }
             Ok(Err(_)) => Err(self.own(400, "the request's body was cut", true)),
@@ -108,7 +108,7 @@
             return self.own(404, "no such task", false);
         }
         let (reply, told) = oneshot::channel();
-        if self.traffic.send(TrafficMsg::Status { id: id.to_owned(), reply }).is_err() {
+        if self.traffic.send(TrafficMessage::Status { id: id.to_owned(), reply }).is_err() {
             return self.own(503, "this router is busy", false);
         }
         match timeout(Duration::from_secs(4), told).await {
@@ -164,5 +164,5 @@
 }
 
 #[cfg(test)]
-#[path = "door_tests.rs"]
+#[path = "caller_server_tests.rs"]
 mod tests;
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -2,17 +2,17 @@
 //! written before anything it returns is sent, so a staged step is never acknowledged while the
 //! traffic thread still holds a longer pass.
 
-use crate::pass_cell::PassCell;
-use crate::plane::TrafficMsg;
-use bindings::Book;
+use crate::data_plane::TrafficMessage;
+use crate::serving_lease::ServingLease;
+use bindings::RouteTable;
 use events::event;
-use holds::{Follower, FollowerInput, FollowerOutput, Standing};
-use kernel::{Inbox, Post};
+use kernel::{Inbox, InboxSender};
+use leases::{Follower, FollowerInput, FollowerOutput, Standing};
 use links::{LinkEvent, LinkOrder};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
-use wire::{HoldMsg, Message, NodeId};
+use wire::{LeaseMessage, Message, NodeId};
 
 /// Ticks come when something is due, no closer together than the first and no further apart than the other.
 const TICK: Duration = Duration::from_millis(10);
@@ -21,7 +21,7 @@
 const NEAR: Duration = Duration::from_millis(2500);
 const LAST_CALLS: Duration = Duration::from_millis(700);
 
-pub enum ControlMsg {
+pub enum ControlMessage {
     Link(LinkEvent),
     Seeds(Result<Vec<String>, String>),
     Stop,
@@ -30,9 +30,9 @@
 pub struct Control {
     pub begun: Instant,
     pub follower: Follower,
-    pub pass: PassCell,
-    pub links: Post<LinkOrder>,
-    pub traffic: Post<TrafficMsg>,
+    pub pass: ServingLease,
+    pub links: InboxSender<LinkOrder>,
+    pub traffic: InboxSender<TrafficMessage>,
     pub seeds: Vec<String>,
     pub seats: Vec<String>,
     pub registries: BTreeSet<NodeId>,
@@ -44,14 +44,14 @@
     pub stood_at: Instant,
     pub view: watch::Sender<String>,
     pub grace: Duration,
-    /// The revision of the book that traffic has.
+    /// The revision of the route table that traffic has.
     pub booked: Option<u64>,
     /// Whether somebody may read views of what was declared.
     pub viewed: bool,
 }
 
 impl Control {
-    pub async fn run(mut self, mut inbox: Inbox<ControlMsg>, stop: watch::Sender<bool>) {
+    pub async fn run(mut self, mut inbox: Inbox<ControlMessage>, stop: watch::Sender<bool>) {
         self.dial();
         let mut ticked = Instant::now();
         let mut leaving: Option<(Instant, oneshot::Receiver<()>)> = None;
@@ -65,16 +65,16 @@
                     self.tell_standing();
                 }
                 message = inbox.next() => match message {
-                    Some(ControlMsg::Link(event)) => self.link_event(event),
-                    Some(ControlMsg::Stop) if leaving.is_none() => {
+                    Some(ControlMessage::Link(event)) => self.link_event(event),
+                    Some(ControlMessage::Stop) if leaving.is_none() => {
                         event!(stopping);
                         self.feed(FollowerInput::Leave);
                         let (done, finished) = oneshot::channel();
-                        let _ = self.traffic.send(TrafficMsg::Leave { done });
+                        let _ = self.traffic.send(TrafficMessage::Leave { done });
                         leaving = Some((Instant::now(), finished));
                     }
-                    Some(ControlMsg::Stop) => {}
-                    Some(ControlMsg::Seeds(told)) => self.follow_seeds(told),
+                    Some(ControlMessage::Stop) => {}
+                    Some(ControlMessage::Seeds(told)) => self.follow_seeds(told),
                     None => return,
                 },
             }
@@ -105,7 +105,7 @@
                 self.seeds = seeds;
                 self.dial();
             }
-            Err(fault) => event!(settings_refused, "{fault}"),
+            Err(error) => event!(settings_refused, "{error}"),
         }
     }
 
@@ -122,7 +122,7 @@
                     return self.feed(FollowerInput::Peer { from, message });
                 }
                 self.registries.insert(from);
-                if let HoldMsg::Proof { .. } = &message {
+                if let LeaseMessage::Proof { .. } = &message {
                     self.heard = Some(Instant::now());
                 }
                 self.feed(FollowerInput::Registry { from, message });
@@ -153,17 +153,17 @@
                 FollowerOutput::Activated { step, revision } => {
                     event!(step_activated, "step {step} revision {revision}");
                     if self.booked == Some(revision) {
-                        self.tell(TrafficMsg::Step(step));
+                        self.tell(TrafficMessage::Step(step));
                     } else {
                         self.booked = Some(revision);
-                        let book = Book::build(step, revision, self.follower.pairs());
-                        let book = if self.viewed { book.showing(self.follower.pairs()) } else { book };
-                        self.tell(TrafficMsg::Book(Box::new(book)));
+                        let routes = RouteTable::build(step, revision, self.follower.pairs());
+                        let routes = if self.viewed { routes.showing(self.follower.pairs()) } else { routes };
+                        self.tell(TrafficMessage::RouteTable(Box::new(routes)));
                     }
                     self.show();
                 }
                 FollowerOutput::Rostered { .. } => {
-                    self.tell(TrafficMsg::Roster(Box::new(self.follower.roster().clone())));
+                    self.tell(TrafficMessage::Roster(Box::new(self.follower.roster().clone())));
                     self.dial();
                     self.show();
                 }
@@ -173,7 +173,7 @@
                         self.dial();
                     }
                 }
-                FollowerOutput::Lapsed => self.tell(TrafficMsg::Lapsed),
+                FollowerOutput::Lapsed => self.tell(TrafficMessage::Lapsed),
                 FollowerOutput::Standing { standing } => {
                     self.standing = standing;
                     self.stood_at = Instant::now();
@@ -196,13 +196,13 @@
         }
     }
 
-    fn send(&self, to: NodeId, message: HoldMsg) {
+    fn send(&self, to: NodeId, message: LeaseMessage) {
         if self.links.send(LinkOrder::Send { to, message: Message::Hold(message) }).is_err() {
             event!(inbox_full, "links");
         }
     }
 
-    fn tell(&self, message: TrafficMsg) {
+    fn tell(&self, message: TrafficMessage) {
         if self.traffic.send(message).is_err() {
             event!(inbox_full, "traffic");
         }
@@ -215,7 +215,7 @@
             self.told = known;
             self.told_at = Instant::now();
             let registries = self.registries.iter().copied().collect();
-            self.tell(TrafficMsg::Core { tail: self.follower.tail(), near, registries });
+            self.tell(TrafficMessage::Core { tail: self.follower.tail(), near, registries });
             self.show();
         }
     }
--- a/crates/traffic/src/plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -2,23 +2,23 @@
 //! carries out what they return. Tasks a router carries to itself go round here and nowhere else.
 
 use crate::caller_limits::CallerLimits;
+use crate::declared_views::DeclaredViews;
 use crate::front::Front;
 use crate::front_types::{Call, FrontInput, Reply};
 use crate::home::Home;
 use crate::home_types::HomeInput;
-use crate::pass_cell::PassCell;
-use crate::shelving::Shelving;
-use bindings::Book;
-use dispatch::{DispatchReport, DispatcherMsg};
-use holds::Roster;
-use kernel::{Inbox, Post};
+use crate::serving_lease::ServingLease;
+use bindings::RouteTable;
+use dispatch::{DispatchReport, DispatcherMessage};
+use instance_provider::{ProviderOrder, ProviderReport};
+use kernel::{Inbox, InboxSender};
+use leases::Roster;
 use links::{LinkEvent, LinkOrder};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{SupplyOrder, SupplyReport};
 use tokio::sync::{oneshot, watch};
-use wire::{CarryMsg, DeferredRecord, HoldMsg, Message, NodeId, StoredAnswer};
+use wire::{DeferredRecord, ForwardMessage, LeaseMessage, Message, NodeId, StoredAnswer};
 
 const TICK: Duration = Duration::from_millis(20);
 /// Between two looks while nothing waits here; what comes in is worked at once all the same.
@@ -26,7 +26,7 @@
 const SHOW: Duration = Duration::from_millis(500);
 const STATUS_BIT: u64 = 1 << 62;
 
-pub enum TrafficMsg {
+pub enum TrafficMessage {
     Task {
         call: Call,
         reply: oneshot::Sender<Reply>,
@@ -37,9 +37,9 @@
     },
     Link(LinkEvent),
     Dispatcher(DispatchReport),
-    Platform(SupplyReport),
-    Book(Box<Book>),
-    /// A later step under which the book stays as it is.
+    Platform(ProviderReport),
+    RouteTable(Box<RouteTable>),
+    /// A later step under which the route table stays as it is.
     Step(u64),
     Roster(Box<Roster>),
     Core {
@@ -53,19 +53,19 @@
     },
 }
 
-pub struct Plane {
+pub struct DataPlane {
     pub me: NodeId,
     pub begun: Instant,
-    pub pass: PassCell,
+    pub pass: ServingLease,
     pub front: Front,
     pub home: Home,
-    pub links: Post<LinkOrder>,
-    pub dispatcher: Post<DispatcherMsg>,
-    pub platform: Post<SupplyOrder>,
+    pub links: InboxSender<LinkOrder>,
+    pub dispatcher: InboxSender<DispatcherMessage>,
+    pub platform: InboxSender<ProviderOrder>,
     pub view: watch::Sender<String>,
     pub limits: (CallerLimits, watch::Sender<CallerLimits>),
     /// Kept where somebody may read it.
-    pub shelving: Option<Shelving>,
+    pub shelving: Option<DeclaredViews>,
     pub step: u64,
     pub tail: Option<NodeId>,
     pub registries: Vec<NodeId>,
@@ -82,16 +82,16 @@
 }
 
 impl Turn {
-    pub(crate) fn carried(from: NodeId, message: CarryMsg) -> Turn {
+    pub(crate) fn forwarded(from: NodeId, message: ForwardMessage) -> Turn {
         match message.is_for_home() {
-            true => Turn::Home(HomeInput::Carry { from, message }),
-            false => Turn::Front(FrontInput::Carried { from, message }),
+            true => Turn::Home(HomeInput::Forward { from, message }),
+            false => Turn::Front(FrontInput::Forwarded { from, message }),
         }
     }
 }
 
-impl Plane {
-    pub async fn run(mut self, mut inbox: Inbox<TrafficMsg>) {
+impl DataPlane {
+    pub async fn run(mut self, mut inbox: Inbox<TrafficMessage>) {
         let tick = tokio::time::sleep(TICK);
         tokio::pin!(tick);
         let mut calm = false;
@@ -137,72 +137,72 @@
         }
     }
 
-    fn take(&mut self, message: TrafficMsg) {
+    fn take(&mut self, message: TrafficMessage) {
         match message {
-            TrafficMsg::Task { call, reply } => {
+            TrafficMessage::Task { call, reply } => {
                 self.next += 1;
                 self.replies.insert(self.next, reply);
                 self.turn(Turn::Front(FrontInput::Task { ask: self.next, call }));
             }
-            TrafficMsg::Status { id, reply } => {
+            TrafficMessage::Status { id, reply } => {
                 self.next += 1;
                 let due = self.begun.elapsed() + Duration::from_secs(4);
                 self.statuses.insert(self.next, (reply, due));
                 let ask = self.next | STATUS_BIT;
-                let message = HoldMsg::Read { ask, prefix: format!("d/{id}").into(), from: "".into() };
+                let message = LeaseMessage::Read { ask, prefix: format!("d/{id}").into(), from: "".into() };
                 self.to_core(message);
             }
-            TrafficMsg::Link(LinkEvent::Up { id, .. }) => self.turn(Turn::Front(FrontInput::Link { id, up: true })),
-            TrafficMsg::Link(LinkEvent::Down { id }) => self.turn(Turn::Front(FrontInput::Link { id, up: false })),
-            TrafficMsg::Link(LinkEvent::Frame { from, message, .. }) => match message {
-                Message::Carry(message) => self.turn(Turn::carried(from, message)),
+            TrafficMessage::Link(LinkEvent::Up { id, .. }) => self.turn(Turn::Front(FrontInput::Link { id, up: true })),
+            TrafficMessage::Link(LinkEvent::Down { id }) => self.turn(Turn::Front(FrontInput::Link { id, up: false })),
+            TrafficMessage::Link(LinkEvent::Frame { from, message, .. }) => match message {
+                Message::Forward(message) => self.turn(Turn::forwarded(from, message)),
                 Message::Plan(message) => self.turn(Turn::Home(HomeInput::Plan { message })),
-                Message::Hold(HoldMsg::ReadReceipt { ask, items, .. }) if ask & STATUS_BIT != 0 => {
+                Message::Hold(LeaseMessage::ReadReply { ask, items, .. }) if ask & STATUS_BIT != 0 => {
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
                     self.tell_status(ask & !STATUS_BIT, first);
                 }
                 Message::Hold(message) => self.turn(Turn::Home(HomeInput::Ledger { message })),
                 _ => {}
             },
-            TrafficMsg::Dispatcher(DispatchReport::Dispatched { number, verdict }) => {
-                self.turn(Turn::Home(HomeInput::Dispatched { number, verdict }))
+            TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, outcome }) => {
+                self.turn(Turn::Home(HomeInput::Dispatched { number, outcome }))
             }
-            TrafficMsg::Dispatcher(DispatchReport::Probed { id, ready }) => {
+            TrafficMessage::Dispatcher(DispatchReport::Probed { id, ready }) => {
                 self.turn(Turn::Home(HomeInput::Probed { id, ready }))
             }
-            TrafficMsg::Platform(report) => {
+            TrafficMessage::Platform(report) => {
                 let listed_at = match &report {
-                    SupplyReport::Listed { asked, .. } | SupplyReport::Workers { asked, .. } => {
+                    ProviderReport::Listed { asked, .. } | ProviderReport::Workers { asked, .. } => {
                         asked.saturating_duration_since(self.begun)
                     }
                     _ => Duration::ZERO,
                 };
                 self.turn(Turn::Home(HomeInput::Platform { report, listed_at }));
             }
-            TrafficMsg::Book(book) => {
-                self.step = book.step;
-                let book = Rc::new(*book);
+            TrafficMessage::RouteTable(routes) => {
+                self.step = routes.step;
+                let routes = Rc::new(*routes);
                 if let Some(shelving) = &mut self.shelving {
-                    shelving.book(book.clone());
+                    shelving.routes(routes.clone());
                 }
                 let (own, limits) = &self.limits;
-                limits.send_replace(own.within(book.bounds()));
-                self.turn(Turn::Home(HomeInput::Book { book: book.clone() }));
-                self.turn(Turn::Front(FrontInput::Book { book }));
+                limits.send_replace(own.within(routes.bounds()));
+                self.turn(Turn::Home(HomeInput::RouteTable { routes: routes.clone() }));
+                self.turn(Turn::Front(FrontInput::RouteTable { routes }));
             }
-            TrafficMsg::Step(step) => self.step = step,
-            TrafficMsg::Roster(roster) => {
+            TrafficMessage::Step(step) => self.step = step,
+            TrafficMessage::Roster(roster) => {
                 let roster = Rc::new(*roster);
                 self.turn(Turn::Home(HomeInput::Roster { roster: roster.clone() }));
                 self.turn(Turn::Front(FrontInput::Roster { roster }));
             }
-            TrafficMsg::Core { tail, near, registries } => {
+            TrafficMessage::Core { tail, near, registries } => {
                 self.tail = tail;
                 self.registries = registries;
                 self.turn(Turn::Home(HomeInput::Core { near }));
             }
-            TrafficMsg::Lapsed => self.turn(Turn::Home(HomeInput::Lapsed)),
-            TrafficMsg::Leave { done } => self.done = Some(done),
+            TrafficMessage::Lapsed => self.turn(Turn::Home(HomeInput::Lapsed)),
+            TrafficMessage::Leave { done } => self.done = Some(done),
         }
     }
 
--- a/crates/traffic/src/plane_out.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -1,23 +1,23 @@
 //! The plane's way out: turns of the two machines until neither has anything more to do, and
 //! their outputs carried to links, dispatcher, platform and waiting callers.
 
+use crate::data_plane::{DataPlane, Turn};
 use crate::front_types::{FrontOutput, Reply};
 use crate::home_types::{HomeInput, HomeOutput};
-use crate::plane::{Plane, Turn};
-use dispatch::{DispatcherMsg, Verdict};
+use dispatch::{DispatchOutcome, DispatcherMessage};
 use events::event;
 use links::LinkOrder;
 use std::collections::VecDeque;
-use wire::{HoldMsg, Message, PlanMsg};
+use wire::{LeaseMessage, Message, PlanMessage};
 
-impl Plane {
+impl DataPlane {
     pub(crate) fn link(&self, order: LinkOrder) {
         if self.links.send(order).is_err() {
             event!(inbox_full, "links");
         }
     }
 
-    pub(crate) fn to_core(&self, message: HoldMsg) {
+    pub(crate) fn to_core(&self, message: LeaseMessage) {
         if let Some(to) = self.tail {
             self.link(LinkOrder::Send { to, message: Message::Hold(message) });
         }
@@ -33,11 +33,11 @@
                     for output in self.front.step(now, may_serve, input) {
                         match output {
                             FrontOutput::Reply { ask, reply } => self.reply(ask, reply),
-                            FrontOutput::Carry { to, message } if to == self.me => {
-                                turns.push_back(Turn::carried(to, message));
+                            FrontOutput::Forward { to, message } if to == self.me => {
+                                turns.push_back(Turn::forwarded(to, message));
                             }
-                            FrontOutput::Carry { to, message } => {
-                                self.link(LinkOrder::Send { to, message: Message::Carry(message) });
+                            FrontOutput::Forward { to, message } => {
+                                self.link(LinkOrder::Send { to, message: Message::Forward(message) });
                             }
                         }
                     }
@@ -55,26 +55,28 @@
 
     fn carry_out(&mut self, output: HomeOutput) -> Option<Turn> {
         match output {
-            HomeOutput::Carry { to, message } if to == self.me => return Some(Turn::carried(to, message)),
-            HomeOutput::Carry { to, message } => self.link(LinkOrder::Send { to, message: Message::Carry(message) }),
-            HomeOutput::Enter { ask, body } => self.to_core(HoldMsg::Enter { ask, body: body.into() }),
+            HomeOutput::Forward { to, message } if to == self.me => return Some(Turn::forwarded(to, message)),
+            HomeOutput::Forward { to, message } => {
+                self.link(LinkOrder::Send { to, message: Message::Forward(message) })
+            }
+            HomeOutput::Propose { ask, body } => self.to_core(LeaseMessage::Propose { ask, body: body.into() }),
             HomeOutput::Read { ask, prefix } => {
-                self.to_core(HoldMsg::Read { ask, prefix: prefix.into(), from: "".into() });
+                self.to_core(LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() });
             }
             HomeOutput::Dispatch(order) => {
                 let number = order.number;
-                if !self.to_dispatcher(DispatcherMsg::Send(order)) {
-                    return Some(Turn::Home(HomeInput::Dispatched { number, verdict: Verdict::Crowded }));
+                if !self.to_dispatcher(DispatcherMessage::Send(order)) {
+                    return Some(Turn::Home(HomeInput::Dispatched { number, outcome: DispatchOutcome::Crowded }));
                 }
             }
             HomeOutput::Probe { id, address, after, limit } => {
-                let probe = DispatcherMsg::Probe { id: id.clone(), address, after, limit };
+                let probe = DispatcherMessage::Probe { id: id.clone(), address, after, limit };
                 if !self.to_dispatcher(probe) {
                     return Some(Turn::Home(HomeInput::Probed { id, ready: false }));
                 }
             }
             HomeOutput::Forget { id } => {
-                self.to_dispatcher(DispatcherMsg::Forget { id });
+                self.to_dispatcher(DispatcherMessage::Forget { id });
             }
             HomeOutput::Supply(order) => {
                 if self.platform.send(order).is_err() {
@@ -83,16 +85,16 @@
             }
             HomeOutput::PlanAsk { message } => self.to_registries(Message::Plan(message)),
             HomeOutput::Measures { lines } => {
-                self.to_registries(Message::Plan(PlanMsg::Measures { lines: lines.into() }));
+                self.to_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
             }
             HomeOutput::Samples { lines } => {
-                self.to_registries(Message::Plan(PlanMsg::Samples { lines: lines.into() }));
+                self.to_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
             }
         }
         None
     }
 
-    fn to_dispatcher(&self, message: DispatcherMsg) -> bool {
+    fn to_dispatcher(&self, message: DispatcherMessage) -> bool {
         let taken = self.dispatcher.send(message).is_ok();
         if !taken {
             event!(inbox_full, "dispatcher");
--- a/crates/traffic/src/dialect.rs
+++ b/crates/traffic/src/dialect.rs
@@ -1,10 +1,10 @@
 //! How a router is made to speak words other than the product's own, and to serve further pages.
 
 use crate::ops::Views;
-use crate::settings::RouterEnv;
+use crate::settings::RouterSettings;
 use axum::Router;
 use dispatch::Words;
-use supply::Start;
+use instance_provider::Start;
 
 pub type MakePages = Box<dyn FnOnce(Views) -> Router + Send>;
 
@@ -13,10 +13,10 @@
 pub struct Dialect {
     pub words: Words,
     /// Makes whoever runs the instances; by default that of the settings, in the product's own dialect.
-    pub supplier: Option<Start>,
+    pub provider: Option<Start>,
     /// Further pages, and the address they are served at.
     pub pages: Option<MakePages>,
     pub pages_address: Option<String>,
     /// Reads the settings again; without it they stay as they were at the start.
-    pub reread: Option<env::Reread<RouterEnv>>,
+    pub reread: Option<config::Reread<RouterSettings>>,
 }
