--- a/crates/traffic/src/giving_up.rs
+++ b/crates/traffic/src/expiry.rs
@@ -4,7 +4,7 @@
 use crate::home_types::{HomeOutput, HomeTask, Place};
 use bindings::Class;
 use std::time::Duration;
-use wire::{CarryMsg, Outcome};
+use wire::{ForwardMessage, Outcome};
 
 const SOON: Duration = Duration::from_millis(500);
 /// A task with an aim that was offered to no instance in this share of its time is told so while
@@ -20,8 +20,8 @@
 impl Home {
     /// A held task without the time its answer takes is given up now, not sent in vain.
     fn least_time(&self, task: &HomeTask) -> Duration {
-        match (&task.place, self.desks.get(&task.function)) {
-            (Place::Held, Some(desk)) => desk.least_time(),
+        match (&task.place, self.schedulers.get(&task.function)) {
+            (Place::Held, Some(scheduler)) => scheduler.least_time(),
             _ => Duration::ZERO,
         }
     }
@@ -42,6 +42,7 @@
             let Some(task) = self.tasks.get(&number) else { continue };
             let again = self.spread(number, SOON);
             match (task.class, &task.place) {
+                (_, Place::AwaitingGrant { .. }) => self.fail(number),
                 (Class::Deferred, Place::Storing) => {
                     if let Some(task) = self.tasks.get_mut(&number) {
                         task.stored = None;
@@ -66,11 +67,11 @@
         follow.into_iter().for_each(|number| self.claim(number));
     }
 
-    /// Gives a task that was never dispatched back to its front, which finds its home anew.
+    /// Gives a task that did not run back to its front, which finds its home anew.
     pub(crate) fn send_back(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        if let Some(desk) = self.desks.get_mut(&task.function) {
-            desk.held.retain(|held| *held != number);
+        if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
+            scheduler.held.retain(|held| *held != number);
         }
         if task.class == Class::Once && task.claim != 0 {
             task.place = Place::Releasing;
@@ -81,7 +82,7 @@
             return self.forget(number);
         }
         if task.reached {
-            return self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO);
+            return self.fail(number);
         }
         // The next home would not know of the instance that turned it away.
         if task.class == Class::Single && task.dispatches > 0 {
@@ -92,8 +93,13 @@
 
     pub(crate) fn not_home(&mut self, number: u64) {
         if let Some(task) = self.tasks.get(&number) {
-            let (to, id) = (task.id.from, task.id.task);
-            self.outs.push(HomeOutput::Carry { to, message: CarryMsg::NotHome { task: id } });
+            let (to, task, attempts) = (task.id.from, task.id.task, task.dispatches);
+            let message = if attempts == 0 {
+                ForwardMessage::NotHome { task }
+            } else {
+                ForwardMessage::Returned { task, attempts }
+            };
+            self.outs.push(HomeOutput::Forward { to, message });
             self.forget(number);
         }
     }
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -1,21 +1,22 @@
 //! Meeting callers: one record a task, worked by passes. A task waits while this router has no
-//! proof of its revision or no link to the home, is carried once it has, and is answered with the
-//! truth: what the home said, `not-run` only if it was never carried, `unknown` when in doubt.
+//! proof of its revision or no link to the home, is forwarded once it has, and is answered with the
+//! truth: what the home said, `not-run` only if it was never forwarded, `unknown` when in doubt.
 
+use crate::attempt_count::AttemptCount;
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
-use crate::watching::Watched;
-use bindings::Book;
-use holds::{Roster, first_number};
+use crate::owner_liveness::Watched;
+use bindings::{Class, RouteTable};
+use leases::{Roster, first_number};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{CarryMsg, NodeId, Outcome};
+use wire::{ForwardMessage, NodeId, Outcome};
 
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(4);
 pub(crate) const RETRY: Duration = Duration::from_millis(25);
 /// When to come back to a router that is full, or that waits for a proof or a home.
 pub(crate) const SOON: Duration = Duration::from_millis(300);
-/// A task with an aim waits to be carried for a quarter of it, or a little longer where that is short.
+/// A task with an aim waits to be forwarded for a quarter of it, or a little longer where that is short.
 const PATIENCE_LEAST: Duration = Duration::from_millis(120);
 
 pub struct Front {
@@ -24,11 +25,11 @@
     pub(crate) limits: FrontLimits,
     pub(crate) table: BTreeMap<u64, Record>,
     pub(crate) by_ask: BTreeMap<u64, u64>,
-    pub(crate) by_carry: BTreeMap<u64, u64>,
+    pub(crate) by_forward: BTreeMap<u64, u64>,
     pub(crate) per_tenant: BTreeMap<String, usize>,
     pub(crate) linked: BTreeSet<NodeId>,
     pub(crate) watched: BTreeMap<NodeId, Watched>,
-    pub(crate) book: Option<Rc<Book>>,
+    pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) roster: Rc<Roster>,
     pub(crate) next: u64,
     pub(crate) now: Duration,
@@ -45,11 +46,11 @@
             limits,
             table: BTreeMap::new(),
             by_ask: BTreeMap::new(),
-            by_carry: BTreeMap::new(),
+            by_forward: BTreeMap::new(),
             per_tenant: BTreeMap::new(),
             linked: BTreeSet::new(),
             watched: BTreeMap::new(),
-            book: None,
+            routes: None,
             roster: Rc::default(),
             next: first_number(incarnation),
             now: Duration::ZERO,
@@ -67,11 +68,11 @@
         self.now = now;
         self.may_serve = may_serve;
         match input {
-            FrontInput::Task { ask, call } => self.let_in(ask, call),
-            FrontInput::Carried { from, message: CarryMsg::Beat } => self.heard(from),
-            FrontInput::Carried { from, message } => {
+            FrontInput::Task { ask, call } => self.admit(ask, call),
+            FrontInput::Forwarded { from, message: ForwardMessage::Heartbeat } => self.heard(from),
+            FrontInput::Forwarded { from, message } => {
                 self.heard(from);
-                self.carried(from, message)
+                self.forwarded(from, message)
             }
             FrontInput::Link { id, up: true } => {
                 self.linked.insert(id);
@@ -82,8 +83,8 @@
                 self.watched.remove(&id);
                 self.doubt_home(|home| home == id);
             }
-            FrontInput::Book { book } => {
-                self.book = Some(book);
+            FrontInput::RouteTable { routes } => {
+                self.routes = Some(routes);
                 self.pass();
             }
             FrontInput::Roster { roster } => {
@@ -105,7 +106,7 @@
         std::mem::take(&mut self.outs)
     }
 
-    fn let_in(&mut self, ask: u64, call: Call) {
+    fn admit(&mut self, ask: u64, call: Call) {
         if self.table.len() >= self.limits.table {
             let reply = Reply::own(503, Some(Outcome::NotRun), "this router is full").again(self.spread(ask, SOON * 2));
             self.refusals += 1;
@@ -120,7 +121,7 @@
         let patience = self.patience(&call);
         let record = Record {
             ask,
-            carry: 0,
+            forward: 0,
             call,
             key,
             binding: String::new(),
@@ -134,6 +135,7 @@
             again_at: self.now,
             tries: 0,
             doubt: false,
+            attempts: AttemptCount::default(),
         };
         self.table.insert(task, record);
         self.by_ask.insert(ask, task);
@@ -143,7 +145,8 @@
     /// How long a task may wait here before its caller is told to come back. A call of a running task
     /// waits on: who made it does not come back, and what has run of its parent would be lost.
     fn patience(&self, call: &Call) -> Duration {
-        let binding = self.book.as_ref().and_then(|book| book.find_route(&call.host, &call.path)).map(|found| found.1);
+        let binding =
+            self.routes.as_ref().and_then(|routes| routes.find_route(&call.host, &call.path)).map(|found| found.1);
         let inherits = |most: u32| call.deadline.is_some_and(|left| left < Duration::from_millis(most.into()) * 7 / 8);
         let aim = binding.filter(|binding| !inherits(binding.deadline_ms)).and_then(|binding| binding.aim_ms);
         aim.map_or(Duration::MAX, |aim| self.now + PATIENCE_LEAST.max(Duration::from_millis(aim.into()) / 4))
@@ -157,7 +160,7 @@
     pub(crate) fn remove(&mut self, task: u64) {
         if let Some(record) = self.table.remove(&task) {
             self.by_ask.remove(&record.ask);
-            self.by_carry.remove(&record.carry);
+            self.by_forward.remove(&record.forward);
             if let Some(count) = self.per_tenant.get_mut(&record.tenant) {
                 *count = count.saturating_sub(1);
             }
@@ -176,9 +179,9 @@
     }
 
     /// Looks the route up anew each time: a waiting task follows the newest revision.
-    fn resolve(&mut self, task: u64) -> bool {
-        let (Some(book), Some(record)) = (self.book.clone(), self.table.get_mut(&task)) else { return false };
-        let Some((name, binding)) = book.find_route(&record.call.host, &record.call.path) else {
+    pub(crate) fn resolve(&mut self, task: u64) -> bool {
+        let (Some(routes), Some(record)) = (self.routes.clone(), self.table.get_mut(&task)) else { return false };
+        let Some((name, binding)) = routes.find_route(&record.call.host, &record.call.path) else {
             if record.doubt {
                 return false;
             }
@@ -207,42 +210,13 @@
         }
         record.function = format!("{tenant}/{}", binding.function_for(dice(task)));
         record.class = Some(binding.class);
+        let counted = matches!(binding.class, Class::Ordinary | Class::Single);
+        record.attempts.allow(counted.then_some(binding.attempts.max(1)));
         true
     }
-
-    pub(crate) fn attempt(&mut self, task: u64) {
-        if !self.may_serve || !self.resolve(task) {
-            return;
-        }
-        let Some(record) = self.table.get_mut(&task) else { return };
-        let Some(home) = self.roster.home(&record.function) else { return };
-        let due = record.due <= self.now;
-        record.again_at = self.now + RETRY;
-        if due || !self.may_carry_to(home) {
-            return;
-        }
-        let Some(record) = self.table.get_mut(&task) else { return };
-        self.next += 1;
-        self.by_carry.remove(&record.carry);
-        self.by_carry.insert(self.next, task);
-        record.carry = self.next;
-        record.stage = Stage::Carried { home };
-        let message = CarryMsg::Carry {
-            task: record.carry,
-            function: record.function.as_str().into(),
-            binding: record.binding.as_str().into(),
-            left_ms: (record.due - self.now).as_millis() as u32,
-            tries: record.tries,
-            respond_async: record.call.respond_async as u8,
-            key: record.key.as_str().into(),
-            head: wire::to_bytes(&record.call.head).into(),
-            body: record.call.body.clone().into(),
-        };
-        self.outs.push(FrontOutput::Carry { to: home, message });
-    }
 }
 
 /// Evenly spread, and the same each time for the same task.
 fn dice(seed: u64) -> u64 {
-    holds::mix(&[&seed.to_le_bytes()])
+    leases::mix(&[&seed.to_le_bytes()])
 }
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -1,10 +1,11 @@
 //! What the front takes and returns, and the record it keeps of each task.
 
-use bindings::{Book, Class};
-use holds::Roster;
+use crate::attempt_count::AttemptCount;
+use bindings::{Class, RouteTable};
+use leases::Roster;
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{CarryMsg, NodeId, Outcome, RequestHead};
+use wire::{ForwardMessage, NodeId, Outcome, RequestHead};
 
 #[derive(Clone, Debug)]
 pub struct Call {
@@ -40,9 +41,9 @@
 
 pub enum FrontInput {
     Task { ask: u64, call: Call },
-    Carried { from: NodeId, message: CarryMsg },
+    Forwarded { from: NodeId, message: ForwardMessage },
     Link { id: NodeId, up: bool },
-    Book { book: Rc<Book> },
+    RouteTable { routes: Rc<RouteTable> },
     Roster { roster: Rc<Roster> },
     Gone { ask: u64 },
     Tick,
@@ -51,7 +52,7 @@
 #[derive(Debug, PartialEq)]
 pub enum FrontOutput {
     Reply { ask: u64, reply: Reply },
-    Carry { to: NodeId, message: CarryMsg },
+    Forward { to: NodeId, message: ForwardMessage },
 }
 
 #[derive(Clone, Debug)]
@@ -60,7 +61,7 @@
     pub per_tenant: usize,
     pub margin: Duration,
     pub slack: Duration,
-    /// From a home's last beat until it or another is home again, as a rule.
+    /// From a home's last heartbeat until it or another is home again, as a rule.
     pub back: Duration,
 }
 
@@ -79,12 +80,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     Waiting,
-    Carried { home: NodeId },
+    Forwarded { home: NodeId },
 }
 
 pub struct Record {
     pub ask: u64,
-    pub carry: u64,
+    pub forward: u64,
     pub call: Call,
     pub key: String,
     pub binding: String,
@@ -93,10 +94,11 @@
     pub class: Option<Class>,
     pub begun: Duration,
     pub due: Duration,
-    /// Until when it may wait to be carried.
+    /// Until when it may wait to be forwarded.
     pub patience: Duration,
     pub stage: Stage,
     pub again_at: Duration,
     pub tries: u8,
     pub doubt: bool,
+    pub attempts: AttemptCount,
 }
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -1,18 +1,20 @@
-//! A home as one state machine: a table of task records and a desk for each function it is home
+//! A home as one state machine: a table of task records and a scheduler for each function it is home
 //! to. Inputs change records; passes over the table decide what is dispatched, given up, started
 //! and stopped. Nothing is dispatched without a valid pass and the home's own place in the roster.
 
-use crate::desk::Desk;
+use crate::allowances::Allowances;
+use crate::function_scheduler::FunctionScheduler;
 use crate::home_types::{HomeInput, HomeOutput, HomeTask, HomeTiming, Ledger, LedgerAsk, TaskId};
 use crate::inventory::Inventory;
-use crate::keeping::Kept;
-use crate::placing::Workers;
-use bindings::Book;
-use holds::{Roster, first_number};
+use crate::placement::Workers;
+use crate::recent_homes::RosterHistory;
+use crate::standby::Kept;
+use bindings::RouteTable;
+use leases::{Roster, first_number};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{CarryMsg, HomeTable, NodeId, Outcome, TunedLine};
+use wire::{ForwardMessage, HomeTable, NodeId, Outcome, TunedLine};
 
 pub struct Home {
     pub(crate) me: NodeId,
@@ -21,11 +23,12 @@
     pub(crate) now: Duration,
     pub(crate) may_serve: bool,
     pub(crate) core_near: bool,
-    pub(crate) book: Option<Rc<Book>>,
+    pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) roster: Rc<Roster>,
+    pub(crate) history: RosterHistory,
     pub(crate) tasks: BTreeMap<u64, HomeTask>,
     pub(crate) seen: BTreeMap<TaskId, Duration>,
-    pub(crate) desks: BTreeMap<String, Desk>,
+    pub(crate) schedulers: BTreeMap<String, FunctionScheduler>,
     pub(crate) asks: BTreeMap<u64, LedgerAsk>,
     pub(crate) plan_asks: BTreeMap<u64, String>,
     pub(crate) running: BTreeMap<u64, (u64, String, String, Duration, u32)>,
@@ -39,7 +42,7 @@
     pub(crate) sampled: Duration,
     pub(crate) gave_way: Duration,
     pub(crate) tuned: (u64, Vec<TunedLine>),
-    pub(crate) beaten: Duration,
+    pub(crate) heartbeat_sent: Duration,
     pub(crate) kept_at: Duration,
     pub(crate) kept: BTreeMap<String, Kept>,
     pub(crate) no_growth: Duration,
@@ -53,6 +56,7 @@
 
 impl Home {
     pub fn new(me: NodeId, incarnation: u64, timing: HomeTiming) -> Self {
+        let window = Allowances::remembered(timing.allowances.retry_window);
         Home {
             me,
             incarnation,
@@ -60,11 +64,12 @@
             now: Duration::ZERO,
             may_serve: false,
             core_near: false,
-            book: None,
+            routes: None,
             roster: Rc::default(),
+            history: RosterHistory::new(window),
             tasks: BTreeMap::new(),
             seen: BTreeMap::new(),
-            desks: BTreeMap::new(),
+            schedulers: BTreeMap::new(),
             asks: BTreeMap::new(),
             plan_asks: BTreeMap::new(),
             running: BTreeMap::new(),
@@ -78,7 +83,7 @@
             sampled: Duration::ZERO,
             gave_way: Duration::ZERO,
             tuned: (0, Vec::new()),
-            beaten: Duration::ZERO,
+            heartbeat_sent: Duration::ZERO,
             kept_at: Duration::ZERO,
             kept: BTreeMap::new(),
             no_growth: Duration::ZERO,
@@ -95,37 +100,51 @@
         self.now = now;
         self.may_serve = may_serve;
         match input {
-            HomeInput::Carry { from, message: carry @ CarryMsg::Carry { .. } } => self.let_in(from, carry),
-            HomeInput::Carry { from, message: CarryMsg::Watch } => {
+            HomeInput::Forward {
+                from,
+                message: message @ (ForwardMessage::ForwardUncounted { .. } | ForwardMessage::Forward { .. }),
+            } => {
+                message.into_forwarded().into_iter().for_each(|request| self.admit(from, request));
+            }
+            HomeInput::Forward { from, message: ForwardMessage::AttemptGrant { task, attempts } } => {
+                self.attempts_granted(from, task, attempts);
+            }
+            HomeInput::Forward { from, message: ForwardMessage::HeartbeatRequest } => {
                 if may_serve {
-                    self.outs.push(HomeOutput::Carry { to: from, message: CarryMsg::Beat });
+                    self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::Heartbeat });
                 }
             }
-            HomeInput::Carry { message: CarryMsg::Handover { function, roster, slots, requests, seconds }, .. } => {
+            HomeInput::Forward {
+                message: ForwardMessage::Handover { function, roster, slots, requests, seconds },
+                ..
+            } => {
                 let table = HomeTable { function, roster, slots, requests, seconds, ..HomeTable::default() };
                 self.take_handover(table)
             }
-            HomeInput::Carry { message: CarryMsg::GiveWay { function, .. }, .. } => self.give_way(function.as_str()),
-            HomeInput::Carry { from, message: CarryMsg::Inventory { inventory } } => {
+            HomeInput::Forward { message: ForwardMessage::GiveWay { function, .. }, .. } => {
+                self.give_way(function.as_str())
+            }
+            HomeInput::Forward { from, message: ForwardMessage::Inventory { inventory } } => {
                 self.inventory_told(from, inventory)
             }
-            HomeInput::Carry { from, message: CarryMsg::InventoryAsk } => self.inventory_asked(from),
-            HomeInput::Carry { from, message: CarryMsg::Table { table } } => self.on_table(from, table),
-            HomeInput::Carry { .. } => {}
-            HomeInput::Dispatched { number, verdict } => self.dispatched(number, verdict),
+            HomeInput::Forward { from, message: ForwardMessage::InventoryAsk } => self.inventory_asked(from),
+            HomeInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
+            HomeInput::Forward { .. } => {}
+            HomeInput::Dispatched { number, outcome } => self.dispatched(number, outcome),
             HomeInput::Ledger { message } => self.ledger_receipt(message),
             HomeInput::Platform { report, listed_at } => self.platform(report, listed_at),
             HomeInput::Probed { id, ready } => self.probed(&id, ready),
             HomeInput::Plan { message } => self.plan_receipt(message),
-            HomeInput::Book { book } => {
-                let before = self.book.replace(book);
-                self.align_desks();
+            HomeInput::RouteTable { routes } => {
+                let before = self.routes.replace(routes);
+                self.align_schedulers();
                 self.open_new(before);
             }
             HomeInput::Roster { roster } => {
+                self.history.add(now, roster.clone());
                 self.roster = roster;
                 self.inventory_turn();
-                self.align_desks();
+                self.align_schedulers();
                 self.hand_back();
             }
             HomeInput::Lapsed => self.lapsed(),
@@ -172,16 +191,16 @@
         if task.caller {
             if outcome == Outcome::NotRun {
                 self.refusals += 1;
-                if let Some(desk) = self.desks.get_mut(&task.function) {
-                    desk.seen.refused += 1;
+                if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
+                    scheduler.seen.refused += 1;
                 }
             }
             let (to, id) = (task.id.from, task.id.task);
             task.caller = false;
             let again_ms = retry_after.as_millis() as u32;
             let message =
-                CarryMsg::Answer { task: id, outcome, status, again_ms, head: head.into(), body: body.into() };
-            self.outs.push(HomeOutput::Carry { to, message });
+                ForwardMessage::Answer { task: id, outcome, status, again_ms, head: head.into(), body: body.into() };
+            self.outs.push(HomeOutput::Forward { to, message });
         }
         let lives_on = task.stored.is_some() && outcome == Outcome::Accepted;
         if !lives_on {
@@ -191,9 +210,9 @@
 
     pub(crate) fn forget(&mut self, number: u64) {
         if let Some(task) = self.tasks.remove(&number)
-            && let Some(desk) = self.desks.get_mut(&task.function)
+            && let Some(scheduler) = self.schedulers.get_mut(&task.function)
         {
-            desk.held.retain(|held| *held != number);
+            scheduler.held.retain(|held| *held != number);
         }
     }
 
@@ -202,7 +221,7 @@
         let due = self.now + lasts;
         let record = LedgerAsk { kind, task, function: function.to_owned(), body: body.clone(), sent: self.now, due };
         self.asks.insert(ask, record);
-        self.outs.push(HomeOutput::Enter { ask, body });
+        self.outs.push(HomeOutput::Propose { ask, body });
         ask
     }
 }
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -1,13 +1,13 @@
 //! What a home takes and returns, the record it keeps of each task, and what it asked of the chain.
 
 use crate::allowances::Allowances;
-use bindings::{Book, Class};
-use dispatch::{DispatchOrder, Verdict};
-use holds::Roster;
+use bindings::{Class, RouteTable};
+use dispatch::{DispatchOrder, DispatchOutcome};
+use instance_provider::{ProviderOrder, ProviderReport};
+use leases::Roster;
 use std::rc::Rc;
 use std::time::Duration;
-use supply::{SupplyOrder, SupplyReport};
-use wire::{CarryMsg, HoldMsg, MeasureLine, NodeId, PlanMsg, SampleLine};
+use wire::{ForwardMessage, LeaseMessage, MeasureLine, NodeId, Outcome, PlanMessage, SampleLine};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
@@ -16,13 +16,13 @@
 }
 
 pub enum HomeInput {
-    Carry { from: NodeId, message: CarryMsg },
-    Dispatched { number: u64, verdict: Verdict },
-    Ledger { message: HoldMsg },
-    Platform { report: SupplyReport, listed_at: Duration },
+    Forward { from: NodeId, message: ForwardMessage },
+    Dispatched { number: u64, outcome: DispatchOutcome },
+    Ledger { message: LeaseMessage },
+    Platform { report: ProviderReport, listed_at: Duration },
     Probed { id: String, ready: bool },
-    Plan { message: PlanMsg },
-    Book { book: Rc<Book> },
+    Plan { message: PlanMessage },
+    RouteTable { routes: Rc<RouteTable> },
     Roster { roster: Rc<Roster> },
     Core { near: bool },
     Lapsed,
@@ -31,11 +31,11 @@
 
 #[derive(Debug)]
 pub enum HomeOutput {
-    Carry {
+    Forward {
         to: NodeId,
-        message: CarryMsg,
+        message: ForwardMessage,
     },
-    Enter {
+    Propose {
         ask: u64,
         body: Vec<u8>,
     },
@@ -44,7 +44,7 @@
         prefix: String,
     },
     Dispatch(DispatchOrder),
-    Supply(SupplyOrder),
+    Supply(ProviderOrder),
     /// Connect, from `after` on and for no longer than `limit`; `Probed` tells whether the instance took it.
     Probe {
         id: String,
@@ -57,7 +57,7 @@
         id: String,
     },
     PlanAsk {
-        message: PlanMsg,
+        message: PlanMessage,
     },
     Samples {
         lines: Vec<SampleLine>,
@@ -74,7 +74,7 @@
     pub follow: Duration,
     pub adopt: Duration,
     pub sample: Duration,
-    /// How often the supplier's list is read for all homes.
+    /// How often the provider's list is read for all homes.
     pub list_every: Duration,
     pub overlay: Duration,
     pub start_expiry: Duration,
@@ -112,9 +112,41 @@
     Claiming,
     Storing,
     Held,
-    Running { number: u64 },
-    Following { at: Duration },
+    Running {
+        number: u64,
+    },
+    Following {
+        at: Duration,
+    },
     Releasing,
+    /// Its attempt failed, and its front is asked for another.
+    AwaitingGrant {
+        until: Duration,
+    },
+}
+
+/// What a request is answered with if no further attempt is made.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Failure {
+    pub outcome: Outcome,
+    pub status: u16,
+    pub retry_after: Duration,
+    pub head: Vec<u8>,
+    pub body: Vec<u8>,
+}
+
+impl Failure {
+    pub fn answered(status: u16, head: Vec<u8>, body: Vec<u8>) -> Failure {
+        Failure { outcome: Outcome::Answered, status, retry_after: Duration::ZERO, head, body }
+    }
+
+    pub fn unknown(status: u16) -> Failure {
+        Failure { outcome: Outcome::Unknown, ..Failure::answered(status, Vec::new(), Vec::new()) }
+    }
+
+    pub fn not_run(retry_after: Duration) -> Failure {
+        Failure { outcome: Outcome::NotRun, retry_after, ..Failure::unknown(503) }
+    }
 }
 
 pub struct HomeTask {
@@ -138,6 +170,10 @@
     pub dispatches: u32,
     /// The most instances it may be sent to.
     pub attempts: u32,
+    /// To how many of them its front lets it be sent so far.
+    pub granted: u32,
+    /// Of the last attempt, while another is asked for.
+    pub failure: Option<Failure>,
     /// The instance it was last sent to, which others go before.
     pub avoid: String,
     /// It has run, or may have.
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -1,15 +1,15 @@
-//! The supplier's list and its workers, read by one home for all: the first in turn by the roster, or
+//! The provider's list and its workers, read by one home for all: the first in turn by the roster, or
 //! the next should nothing be heard from it. What it read goes to the other homes as changes, with the
 //! time since it was asked for; who missed some asks for the whole. A home that waits for a list asked
 //! for after its own beginning reads one itself, since no other's clock can tell that for sure.
 
 use crate::home::Home;
 use crate::home_types::HomeOutput;
-use crate::stock::{change_of, changed, from_record, from_worker_record, gone, worker_record};
+use crate::inventory_records::{change_of, changed, from_record, from_worker_record, gone, worker_record};
+use instance_provider::{InstanceLine, InstanceState, Listing, ProviderOrder, WorkerLine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use supply::{InstanceLine, InstanceState, Listing, SupplyOrder, WorkerLine};
-use wire::{CarryMsg, InventoryChange, NodeId};
+use wire::{ForwardMessage, InventoryChange, NodeId};
 
 /// How long after the list was due the next in turn waits before it reads in the other's place.
 const STAND_IN: Duration = Duration::from_secs(1);
@@ -53,7 +53,7 @@
         }
         let first = turn.first().copied().filter(|first| *first != self.me && turn.contains(&self.me));
         if let (None, Some(to)) = (inventory.source, first) {
-            self.outs.push(HomeOutput::Carry { to, message: CarryMsg::InventoryAsk });
+            self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::InventoryAsk });
         }
         inventory.turn = turn;
     }
@@ -66,19 +66,22 @@
         let for_all = place == 0 || silent;
         let pause = |ordered: Option<Duration>, pause: Duration| ordered.is_none_or(|at| now >= at + pause);
         let asked = self.inventory.ordered.unwrap_or_default();
-        let waits = self.desks.values().any(|desk| desk.adopting.is_some_and(|(since, told)| !told && asked <= since));
+        let waits = self
+            .schedulers
+            .values()
+            .any(|scheduler| scheduler.adopting.is_some_and(|(since, told)| !told && asked <= since));
         let own = waits && pause(self.inventory.ordered, OWN_PAUSE);
         if own || for_all && pause(self.inventory.ordered, every) {
             self.inventory.ordered = Some(now);
             self.inventory.for_all = for_all;
-            self.outs.push(HomeOutput::Supply(SupplyOrder::List));
+            self.outs.push(HomeOutput::Supply(ProviderOrder::List));
         }
         let calm = now > self.inventory.changed + CHANGES_LAST;
         let every = if calm { WORKERS_SELDOM } else { WORKERS_SOON };
         let unknown = !self.workers.are_known() && pause(self.inventory.workers_ordered, OWN_PAUSE);
         if unknown || for_all && pause(self.inventory.workers_ordered, every) {
             self.inventory.workers_ordered = Some(now);
-            self.outs.push(HomeOutput::Supply(SupplyOrder::Workers));
+            self.outs.push(HomeOutput::Supply(ProviderOrder::Workers));
         }
     }
 
@@ -134,8 +137,8 @@
         let inventory = self.with_ages(change);
         let others = self.inventory.turn.iter().filter(|id| **id != self.me);
         let message = |to: &NodeId| {
-            let message = CarryMsg::Inventory { inventory: inventory.clone() };
-            HomeOutput::Carry { to: *to, message }
+            let message = ForwardMessage::Inventory { inventory: inventory.clone() };
+            HomeOutput::Forward { to: *to, message }
         };
         self.outs.extend(others.map(message));
     }
@@ -144,7 +147,7 @@
     pub(crate) fn inventory_asked(&mut self, to: NodeId) {
         if let Some((_, number)) = self.inventory.source.filter(|(from, _)| *from == self.me) {
             let inventory = self.with_ages(self.whole_inventory(number));
-            self.outs.push(HomeOutput::Carry { to, message: CarryMsg::Inventory { inventory } });
+            self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::Inventory { inventory } });
         }
     }
 
@@ -181,7 +184,7 @@
         if change.since != 0 && self.inventory.source != Some((from, change.since)) {
             if self.inventory.missed.is_none_or(|at| now >= at + ASK_PAUSE) {
                 self.inventory.missed = Some(now);
-                self.outs.push(HomeOutput::Carry { to: from, message: CarryMsg::InventoryAsk });
+                self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::InventoryAsk });
             }
             return;
         }
@@ -211,8 +214,8 @@
         let functions: BTreeSet<&str> = lines.values().map(|line| line.service.as_str()).collect();
         self.leaving.extend(lines.keys().map(|id| (id.clone(), self.now)));
         for name in functions {
-            let Some(desk) = self.desks.get_mut(name) else { continue };
-            let known = desk.instances.iter_mut().filter(|(id, _)| lines.contains_key(*id));
+            let Some(scheduler) = self.schedulers.get_mut(name) else { continue };
+            let known = scheduler.instances.iter_mut().filter(|(id, _)| lines.contains_key(*id));
             known.for_each(|(_, instance)| instance.take(crate::instance::InstanceEvent::Drain));
         }
     }
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -5,13 +5,13 @@
 use crate::home::Home;
 use crate::home_types::{Ledger, Place};
 use std::time::Duration;
-use wire::{ClaimState, Command, HoldMsg, Outcome, Receipt, StoredAnswer, StoredTask};
+use wire::{ClaimState, Command, LeaseMessage, Outcome, Receipt, StoredAnswer, StoredTask};
 
 const LASTING: Duration = Duration::from_secs(60);
 
 /// The name a deferred task is stored under, by its binding and key: a repeat finds the same one.
 pub fn stored_id(scope: &str) -> String {
-    let halves = [holds::mix(&[scope.as_bytes(), b"1"]), holds::mix(&[b"2", scope.as_bytes()])];
+    let halves = [leases::mix(&[scope.as_bytes(), b"1"]), leases::mix(&[b"2", scope.as_bytes()])];
     halves.iter().flat_map(|half| half.to_le_bytes()).map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -106,10 +106,10 @@
         })
     }
 
-    pub(crate) fn ledger_receipt(&mut self, message: HoldMsg) {
+    pub(crate) fn ledger_receipt(&mut self, message: LeaseMessage) {
         let (ask, state, body) = match message {
-            HoldMsg::EnterReceipt { ask, state, body } => (ask, state, body),
-            HoldMsg::ReadReceipt { ask, items, .. } => return self.take_deferred(ask, items.into_vec()),
+            LeaseMessage::ProposalAck { ask, state, body } => (ask, state, body),
+            LeaseMessage::ReadReply { ask, items, .. } => return self.take_deferred(ask, items.into_vec()),
             _ => return,
         };
         if state != 1 {
@@ -138,10 +138,10 @@
 
     /// The store knows that the task is finished: the next home will not find it pending.
     fn finish_recorded(&mut self, function: &str, command: &[u8]) {
-        if let (Some(Command::Finish { id, .. }), Some(desk)) =
-            (wire::from_bytes(command), self.desks.get_mut(function))
+        if let (Some(Command::Finish { id, .. }), Some(scheduler)) =
+            (wire::from_bytes(command), self.schedulers.get_mut(function))
         {
-            desk.sent_tasks.remove(id.as_str());
+            scheduler.sent_tasks.remove(id.as_str());
         }
     }
 
@@ -228,7 +228,7 @@
             true
         });
         for (ask, body) in again {
-            self.outs.push(crate::home_types::HomeOutput::Enter { ask, body });
+            self.outs.push(crate::home_types::HomeOutput::Propose { ask, body });
         }
     }
 }
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -3,38 +3,38 @@
 //! more than the work; platform and operations on threads of their own. All are found by name.
 
 use crate::caller_limits::CallerLimits;
-use crate::control_loop::{Control, ControlMsg};
+use crate::caller_server::{self, CallerServer};
+use crate::control_loop::{Control, ControlMessage};
+use crate::data_plane::{DataPlane, TrafficMessage};
+use crate::declared_views::DeclaredViews;
 use crate::dialect::Dialect;
-use crate::door::{self, Door};
-use crate::faults::RunFault;
+use crate::errors::RunError;
 use crate::front::Front;
 use crate::front_types::FrontLimits;
 use crate::home::Home;
 use crate::home_types::HomeTiming;
 use crate::ops::{Views, ops_router};
-use crate::pass_cell::PassCell;
-use crate::plane::{Plane, TrafficMsg};
-use crate::settings::RouterEnv;
-use crate::shelving::Shelving;
-use dispatch::{DispatchReport, DispatcherMsg};
-use doors::{DoorLimits, Shelf, Tokens};
+use crate::serving_lease::ServingLease;
+use crate::settings::RouterSettings;
+use dispatch::{DispatchReport, DispatcherMessage};
 use events::event;
-use holds::{Follower, FollowerTiming, Standing, mix};
-use kernel::{Directory, Post, SendFault, adopt, behind, find, listen, local, thread, wait_for_signal};
-use links::{LinkEvent, LinkOrder, Me};
+use http_server::{ResourceIndex, ServerLimits, Tokens};
+use instance_provider::{InstanceProvider, OwnInstanceProvider, ProviderOrder};
+use kernel::{Directory, InboxSender, SendError, adopt, behind, find, listen, local, thread, wait_for_signal};
+use leases::{Follower, FollowerTiming, Standing, mix};
+use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use supply::{OwnSupplier, Supplier, SupplyOrder};
 use tokio::sync::watch;
 use tokio::task::spawn_local;
-use wire::{HoldMsg, Message, NodeId};
+use wire::{LeaseMessage, Message, NodeId};
 
 /// From a lapse until the next home has looked at what runs.
 const TAKING_OVER: Duration = Duration::from_millis(400);
 
-pub fn run(settings: RouterEnv, dialect: Dialect) -> Result<(), RunFault> {
+pub fn run(settings: RouterSettings, dialect: Dialect) -> Result<(), RunError> {
     let begun = Instant::now();
     let incarnation = rand::random::<u64>() >> 8;
     let me: NodeId = mix(&[b"router", settings.cluster.as_bytes(), settings.address.as_bytes()]) | 1;
@@ -50,20 +50,20 @@
     );
 
     let mut directory = Directory::default();
-    let control_inbox = directory.announce::<ControlMsg>("control", 16_384);
-    let traffic_inbox = directory.announce::<TrafficMsg>("traffic", 16_384);
+    let control_inbox = directory.announce::<ControlMessage>("control", 16_384);
+    let traffic_inbox = directory.announce::<TrafficMessage>("traffic", 16_384);
     let links_inbox = directory.announce::<LinkOrder>("links", 65_536);
-    let dispatch_inbox = directory.announce::<DispatcherMsg>("dispatcher", 8192);
-    let platform_inbox = directory.announce::<SupplyOrder>("platform", 4096);
+    let dispatch_inbox = directory.announce::<DispatcherMessage>("dispatcher", 8192);
+    let platform_inbox = directory.announce::<ProviderOrder>("platform", 4096);
     let (view, shown) = watch::channel(String::from("{}"));
     let (control_view, control_shown) = watch::channel(String::from("{}"));
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
     let viewed = !tokens.is_empty();
-    let (shelf, shelved) = watch::channel(Shelf::new(incarnation));
+    let (index, shelved) = watch::channel(ResourceIndex::new(incarnation));
     let (stop, stopping) = watch::channel(false);
-    let pass = PassCell::default();
+    let pass = ServingLease::default();
 
-    let myself = Me {
+    let myself = LocalNode {
         id: me,
         incarnation,
         cluster: settings.cluster.clone(),
@@ -71,20 +71,21 @@
         format: settings.format,
     };
     let (words, door_words) = (dialect.words.clone(), Arc::new(dialect.words));
-    let supplier = dialect.supplier;
+    let provider = dialect.provider;
     let (names, address) = (directory.clone(), settings.platform.clone());
     thread("platform", move || {
-        let traffic = find::<TrafficMsg>(&names, "traffic");
-        let report: Rc<dyn Fn(supply::SupplyReport)> = Rc::new(move |report| {
+        let traffic = find::<TrafficMessage>(&names, "traffic");
+        let report: Rc<dyn Fn(instance_provider::ProviderReport)> = Rc::new(move |report| {
             let traffic = traffic.clone();
-            spawn_local(async move { traffic.send_waiting(TrafficMsg::Platform(report)).await });
+            spawn_local(async move { traffic.send_waiting(TrafficMessage::Platform(report)).await });
         });
-        let supplier = supplier.map_or_else(|| Rc::new(OwnSupplier::new(&address)) as Rc<dyn Supplier>, |make| make());
-        local(async move { supply::run(supplier, platform_inbox, report).await });
+        let provider = provider
+            .map_or_else(|| Rc::new(OwnInstanceProvider::new(&address)) as Rc<dyn InstanceProvider>, |make| make());
+        local(async move { instance_provider::run(provider, platform_inbox, report).await });
     })?;
     let limits = caller_limits(&settings);
     let (bounds, bounded) = watch::channel(limits.clone());
-    let (own_limits, door_limits) = (limits.clone(), limits.door);
+    let (own_limits, server_limits) = (limits.clone(), limits.server);
     let (link_names, names, cell) = (directory.clone(), directory.clone(), pass.clone());
     let back = settings.hold + settings.hold / 6 + TAKING_OVER;
     let front_limits = FrontLimits { back, ..FrontLimits::default() };
@@ -95,10 +96,10 @@
         allowances: settings.allowances(),
         ..HomeTiming::default()
     };
-    let door = Door { traffic: find(&directory, "traffic"), words: door_words, limits: bounded.clone() };
-    let (callers_pages, doors_stop) = (door::router(door), stopping.clone());
+    let server = CallerServer { traffic: find(&directory, "traffic"), words: door_words, limits: bounded.clone() };
+    let (callers_pages, servers_stop) = (caller_server::router(server), stopping.clone());
     let traffic_thread = thread("traffic", move || {
-        let plane = Plane {
+        let plane = DataPlane {
             me,
             begun,
             pass: cell,
@@ -109,7 +110,7 @@
             platform: find(&names, "platform"),
             view,
             limits: (own_limits, bounds),
-            shelving: viewed.then(|| Shelving::new(shelf)),
+            shelving: viewed.then(|| DeclaredViews::new(index)),
             step: 0,
             tail: None,
             registries: Vec::new(),
@@ -119,25 +120,25 @@
             done: None,
             counts: BTreeMap::new(),
         };
-        let traffic = find::<TrafficMsg>(&names, "traffic");
+        let traffic = find::<TrafficMessage>(&names, "traffic");
         let report: dispatch::Report = Rc::new(move |report| tell(&traffic, report));
-        let limits = move || bounded.borrow().door;
+        let limits = move || bounded.borrow().server;
         local(async move {
             spawn_local(links::start(myself, adopt(peers), links_inbox, deliver(link_names)));
             spawn_local(dispatch::run(words, dispatch_inbox, report));
             spawn_local(plane.run(traffic_inbox));
-            doors::serve_within(adopt(callers), callers_pages, limits, doors_stop).await;
+            http_server::serve_within(adopt(callers), callers_pages, limits, servers_stop).await;
         });
     })?;
-    let ops_limits = DoorLimits { connections: 64, life: Duration::from_secs(86_400), ..door_limits };
-    let kinds = doors::views(doors::Views { shelf: shelved, tokens });
+    let ops_limits = ServerLimits { connections: 64, life: Duration::from_secs(86_400), ..server_limits };
+    let kinds = http_server::views(http_server::Views { index: shelved, tokens });
     let (views, ops_stop) = (Views { traffic: shown, control: control_shown }, stopping);
     thread("operations", move || {
         local(async move {
             if let (Some(make), Some(listener)) = (dialect.pages, pages) {
-                spawn_local(doors::serve(adopt(listener), make(views.clone()), ops_limits, ops_stop.clone()));
+                spawn_local(http_server::serve(adopt(listener), make(views.clone()), ops_limits, ops_stop.clone()));
             }
-            doors::serve(adopt(ops), ops_router(views).merge(kinds), ops_limits, ops_stop).await;
+            http_server::serve(adopt(ops), ops_router(views).merge(kinds), ops_limits, ops_stop).await;
         })
     })?;
 
@@ -145,7 +146,7 @@
     let timing = FollowerTiming { hold: settings.hold, ..FollowerTiming::default() };
     let control = Control {
         begun,
-        follower: Follower::new(me, incarnation, address, zone, ops, timing).able_to_carry(settings.capacity()),
+        follower: Follower::new(me, incarnation, address, zone, ops, timing).able_to_own(settings.capacity()),
         pass,
         links: find(&directory, "links"),
         traffic: find(&directory, "traffic"),
@@ -163,17 +164,17 @@
         booked: None,
         viewed,
     };
-    let post = find::<ControlMsg>(&directory, "control");
+    let post = find::<ControlMessage>(&directory, "control");
     local(async move {
         if let Some(reread) = dialect.reread {
             let (post, read) = (post.clone(), move || reread().map(|settings| settings.seeds));
             spawn_local(kernel::follow(settings.seeds, read, async move |told| {
-                post.send_waiting(ControlMsg::Seeds(told)).await;
+                post.send_waiting(ControlMessage::Seeds(told)).await;
             }));
         }
         spawn_local(async move {
             wait_for_signal().await;
-            post.send_waiting(ControlMsg::Stop).await;
+            post.send_waiting(ControlMessage::Stop).await;
         });
         control.run(control_inbox, stop).await;
     });
@@ -182,8 +183,8 @@
     Ok(())
 }
 
-fn caller_limits(settings: &RouterEnv) -> CallerLimits {
-    let door = DoorLimits {
+fn caller_limits(settings: &RouterSettings) -> CallerLimits {
+    let server = ServerLimits {
         connections: settings.connections,
         head_bytes: settings.head_bytes,
         headers: settings.headers,
@@ -191,44 +192,44 @@
         life: settings.life,
         grace: settings.grace,
     };
-    CallerLimits { door, body_bytes: settings.body, body_time: settings.body_time, keep_alive: None }
+    CallerLimits { server, body_bytes: settings.body, body_time: settings.body_time, keep_alive: None }
 }
 
-fn tell(traffic: &Post<TrafficMsg>, report: DispatchReport) {
-    if let Err(SendFault::Full(message)) = traffic.send(TrafficMsg::Dispatcher(report)) {
+fn tell(traffic: &InboxSender<TrafficMessage>, report: DispatchReport) {
+    if let Err(SendError::Full(message)) = traffic.send(TrafficMessage::Dispatcher(report)) {
         let traffic = traffic.clone();
         spawn_local(async move { traffic.send_waiting(message).await });
     }
 }
 
 fn deliver(names: Directory) -> links::Deliver {
-    let control = find::<ControlMsg>(&names, "control");
-    let traffic = find::<TrafficMsg>(&names, "traffic");
+    let control = find::<ControlMessage>(&names, "control");
+    let traffic = find::<TrafficMessage>(&names, "traffic");
     Rc::new(move |event| {
         let (control, traffic) = (control.clone(), traffic.clone());
         Box::pin(async move {
             match event {
                 LinkEvent::Up { id, incarnation, address } => {
                     let copy = LinkEvent::Up { id, incarnation, address: address.clone() };
-                    traffic.send_waiting(TrafficMsg::Link(copy)).await;
-                    control.send_waiting(ControlMsg::Link(LinkEvent::Up { id, incarnation, address })).await;
+                    traffic.send_waiting(TrafficMessage::Link(copy)).await;
+                    control.send_waiting(ControlMessage::Link(LinkEvent::Up { id, incarnation, address })).await;
                 }
                 LinkEvent::Down { id } => {
-                    traffic.send_waiting(TrafficMsg::Link(LinkEvent::Down { id })).await;
-                    control.send_waiting(ControlMsg::Link(LinkEvent::Down { id })).await;
+                    traffic.send_waiting(TrafficMessage::Link(LinkEvent::Down { id })).await;
+                    control.send_waiting(ControlMessage::Link(LinkEvent::Down { id })).await;
                 }
                 LinkEvent::Frame { from, incarnation, message } => {
                     let for_traffic = matches!(
                         message,
-                        Message::Carry(_)
+                        Message::Forward(_)
                             | Message::Plan(_)
-                            | Message::Hold(HoldMsg::EnterReceipt { .. } | HoldMsg::ReadReceipt { .. })
+                            | Message::Hold(LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })
                     );
                     let event = LinkEvent::Frame { from, incarnation, message };
                     if for_traffic {
-                        traffic.send_waiting(TrafficMsg::Link(event)).await;
+                        traffic.send_waiting(TrafficMessage::Link(event)).await;
                     } else {
-                        control.send_waiting(ControlMsg::Link(event)).await;
+                        control.send_waiting(ControlMessage::Link(event)).await;
                     }
                 }
             }
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -1,14 +1,14 @@
 //! The router's settings.
 
 use crate::allowances::Allowances;
-use doors::well_formed;
-use env::{address, address_or_none, any, in_range, seeds, word};
+use config::{address, address_or_none, any, in_range, seeds, word};
+use http_server::well_formed;
 use std::path::PathBuf;
 use std::time::Duration;
 use wire::Capacity;
 
-env::settings! {
-    pub struct RouterEnv {
+config::settings! {
+    pub struct RouterSettings {
         cluster: String = "heronlink".into(), word, "name of the cluster; frames of another are refused";
         zone: String = "a".into(), word, "zone this machine stands in";
         address: String = String::new(), address, "IP number and port for heronlink's own processes";
@@ -43,7 +43,7 @@
     }
 }
 
-impl RouterEnv {
+impl RouterSettings {
     pub fn capacity(&self) -> Capacity {
         let milli = |of: f64| (of * 1000.0).round() as u32;
         Capacity { processor_milli: milli(self.processor_share), link_kbit: milli(self.link_mbps) }
--- a/crates/traffic/src/holding.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -24,13 +24,13 @@
         let (order, refusable) = ((task.rank, task.due), task.stored.is_none() && !task.reached);
         let left = task.due.saturating_sub(now);
         let aim = task.aim.filter(|aim| !task.inherits && now <= task.arrived + *aim / EARLY);
-        let Some(desk) = self.desks.get_mut(&task.function) else { return };
+        let Some(scheduler) = self.schedulers.get_mut(&task.function) else { return };
         let before = |held: &&u64| self.tasks.get(held).is_some_and(|task| (task.rank, task.due) <= order);
-        let ahead = desk.held.iter().take_while(before).count();
-        let wait = desk.expected_wait(now, ahead);
-        desk.held.insert(ahead, number);
+        let ahead = scheduler.held.iter().take_while(before).count();
+        let wait = scheduler.expected_wait(now, ahead);
+        scheduler.held.insert(ahead, number);
         let worth = match aim {
-            Some(aim) if desk.has_any() => aim.saturating_sub(desk.mean_time).max(aim / 2).min(left),
+            Some(aim) if scheduler.has_any() => aim.saturating_sub(scheduler.mean_time).max(aim / 2).min(left),
             _ => left.mul_f64(HOPE),
         };
         if refusable && wait > worth {
@@ -40,7 +40,7 @@
 
     /// Up to half as long again, so that those told so together come back one by one.
     pub(crate) fn spread(&self, number: u64, least: Duration) -> Duration {
-        let dice = holds::mix(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
+        let dice = leases::mix(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
         least + least * (dice >> 55) as u32 / 1024
     }
 
@@ -53,10 +53,14 @@
         self.answer(number, outcome, status, retry_after, Vec::new(), Vec::new());
     }
 
+    pub(crate) fn time_to_come_back(&self, number: u64, wait: Duration) -> Duration {
+        self.spread(number, wait.max(SOON / 2))
+    }
+
     /// Tells at once that a task which was never run will not be, and when to come back: once those
     /// ahead of it are expected to be done.
     pub(crate) fn give_up(&mut self, number: u64, wait: Duration) {
-        let again = self.spread(number, wait.max(SOON / 2));
+        let again = self.time_to_come_back(number, wait);
         if self.tasks.get(&number).is_some_and(|task| task.class == bindings::Class::Once) {
             self.release(number);
         }
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -1,8 +1,10 @@
 //! A home of one deferred function, the tasks sent to it, and the store as it reads it.
 
 use super::{ME, OTHER, ms, roster};
+use leases::Roster;
+use std::rc::Rc;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{CarryMsg, HoldMsg, HomeTable, ItemLine, RequestHead, SlotLine, StoredTask};
+use wire::{ForwardMessage, HomeTable, ItemLine, LeaseMessage, RequestHead, SlotLine, StoredTask};
 
 pub const FUNCTION: &str = "t/f";
 
@@ -12,11 +14,16 @@
 }
 
 pub fn home_of(id: u64, roster_number: u64) -> Home {
+    router(id, roster(roster_number, &[id]))
+}
+
+/// A router that begins with this roster, home or not.
+pub fn router(id: u64, first: Rc<Roster>) -> Home {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"deferred"}"#;
-    let book = bindings::Book::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
+    let routes = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
     let mut home = Home::new(id, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::Book { book: std::rc::Rc::new(book) });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(roster_number, &[id]) });
+    home.step(ms(0), true, HomeInput::RouteTable { routes: Rc::new(routes) });
+    home.step(ms(0), true, HomeInput::Roster { roster: first });
     home.step(ms(0), true, HomeInput::Core { near: true });
     home
 }
@@ -25,8 +32,8 @@
     wire::to_bytes(&RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() })
 }
 
-pub fn carry(number: u64) -> HomeInput {
-    let message = CarryMsg::Carry {
+pub fn forward(number: u64) -> HomeInput {
+    let message = ForwardMessage::ForwardUncounted {
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
@@ -37,17 +44,17 @@
         head: head().into(),
         body: Vec::new().into(),
     };
-    HomeInput::Carry { from: OTHER, message }
+    HomeInput::Forward { from: OTHER, message }
 }
 
 pub fn granted(outputs: &[HomeOutput]) -> HomeInput {
     let ask = outputs.iter().find_map(|output| match output {
-        HomeOutput::Enter { ask, .. } => Some(*ask),
+        HomeOutput::Propose { ask, .. } => Some(*ask),
         _ => None,
     });
     let receipt = wire::Receipt::Stored { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&receipt).into();
-    HomeInput::Ledger { message: HoldMsg::EnterReceipt { ask: ask.expect("asked to store"), state: 1, body } }
+    HomeInput::Ledger { message: LeaseMessage::ProposalAck { ask: ask.expect("asked to store"), state: 1, body } }
 }
 
 /// A table with one instance that is ready.
@@ -61,12 +68,12 @@
 }
 
 pub fn given(table: HomeTable) -> HomeInput {
-    HomeInput::Carry { from: OTHER, message: CarryMsg::Table { table } }
+    HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table } }
 }
 
 pub fn told(outputs: &[HomeOutput]) -> Option<HomeTable> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Carry { message: CarryMsg::Table { table }, .. } => Some(table.clone()),
+        HomeOutput::Forward { message: ForwardMessage::Table { table }, .. } => Some(table.clone()),
         _ => None,
     })
 }
@@ -99,7 +106,7 @@
         gone: 0,
     };
     let items: Vec<ItemLine> = numbers.iter().map(item).collect();
-    HomeInput::Ledger { message: HoldMsg::ReadReceipt { ask, state: 1, items: items.into() } }
+    HomeInput::Ledger { message: LeaseMessage::ReadReply { ask, state: 1, items: items.into() } }
 }
 
 pub fn stored(number: u64) -> String {
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -1,16 +1,17 @@
-//! A small book, roster and front for the tests of one machine.
+//! A small route table, roster and front for the tests of one machine.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod deferred;
+pub mod forwards;
 pub mod supplied;
 
-use bindings::Book;
-use holds::{HASHING, MemberLine, Roster};
+use bindings::RouteTable;
+use leases::{HASHING, MemberLine, Roster};
 use std::rc::Rc;
 use std::time::Duration;
 use traffic::{Call, Front, FrontInput, FrontLimits, FrontOutput, Reply};
-use wire::{Capacity, CarryMsg, RequestHead};
+use wire::{Capacity, ForwardMessage, RequestHead};
 
 pub const ME: u64 = 1;
 pub const OTHER: u64 = 2;
@@ -19,9 +20,9 @@
     Duration::from_millis(millis)
 }
 
-pub fn book() -> Rc<Book> {
+pub fn routes() -> Rc<RouteTable> {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary"}"#;
-    Rc::new(Book::build(1, 1, [("function-bindings/t/f", binding)].into_iter()))
+    Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter()))
 }
 
 pub fn roster(number: u64, ids: &[u64]) -> Rc<Roster> {
@@ -41,7 +42,7 @@
 
 pub fn front(incarnation: u64, home: u64) -> Front {
     let mut front = Front::new(ME, incarnation, FrontLimits::default());
-    front.step(ms(0), true, FrontInput::Book { book: book() });
+    front.step(ms(0), true, FrontInput::RouteTable { routes: routes() });
     front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[home]) });
     front.step(ms(0), true, FrontInput::Link { id: home, up: true });
     front
@@ -54,9 +55,11 @@
     front.step(ms(at), may_serve, FrontInput::Task { ask: at, call })
 }
 
-pub fn carry(outputs: &[FrontOutput]) -> (u64, CarryMsg) {
+pub fn forward(outputs: &[FrontOutput]) -> (u64, ForwardMessage) {
     match &outputs[0] {
-        FrontOutput::Carry { message: message @ CarryMsg::Carry { task, .. }, .. } => (*task, message.clone()),
+        FrontOutput::Forward { message: message @ ForwardMessage::Forward { request }, .. } => {
+            (request.task, message.clone())
+        }
         other => panic!("not a carry: {other:?}"),
     }
 }
--- a/crates/traffic/tests/common/supplied.rs
+++ b/crates/traffic/tests/common/supplied.rs
@@ -1,12 +1,12 @@
-//! A home fed by a supplier: what it orders, and what it is told.
+//! A home fed by a provider: what it orders, and what it is told.
 
 use super::{ME, ms, roster};
-use bindings::Book;
+use bindings::RouteTable;
+use instance_provider::{
+    InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReply, StopReply, WorkerLine,
+};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{
-    InstanceLine, InstanceState, Listing, StartOrder, StartReceipt, StopReceipt, SupplyOrder, SupplyReport, WorkerLine,
-};
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 
 pub const FUNCTION: &str = "t/f";
@@ -31,10 +31,10 @@
     }
 }
 
-pub fn book_of(min: u32) -> Rc<Book> {
+pub fn routes_of(min: u32) -> Rc<RouteTable> {
     let binding =
         format!(r#"{{"route":"/t/f","function":"f","class":"ordinary","memory_mb":512,"min":{min},"max":40}}"#);
-    Rc::new(Book::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
+    Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
 }
 
 pub struct Supplied {
@@ -47,7 +47,7 @@
 }
 
 impl Supplied {
-    /// A home that has always had an empty book and now takes one whose function is to have so many.
+    /// A home that has always had an empty route table and now takes one whose function is to have so many.
     pub fn new(min: u32, workers: Vec<WorkerLine>) -> Supplied {
         Supplied::beside(ME, min, workers)
     }
@@ -57,50 +57,50 @@
         let home = Home::new(ME, 1, HomeTiming::default());
         let (starts, stops, probes, others) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let mut supplied = Supplied { home, at: 0, starts, stops, probes, others };
-        supplied.feed(HomeInput::Book { book: Rc::new(Book::default()) });
+        supplied.feed(HomeInput::RouteTable { routes: Rc::new(RouteTable::default()) });
         supplied.feed(HomeInput::Roster { roster: roster(7, &[member]) });
         if !workers.is_empty() {
             supplied.workers(workers);
         }
-        supplied.feed(HomeInput::Book { book: book_of(min) });
+        supplied.feed(HomeInput::RouteTable { routes: routes_of(min) });
         supplied
     }
 
     pub fn feed(&mut self, input: HomeInput) {
         for output in self.home.step(ms(self.at), true, input) {
             match output {
-                HomeOutput::Supply(SupplyOrder::Start(order)) => self.starts.push(order),
-                HomeOutput::Supply(SupplyOrder::Stop { id, .. }) => self.stops.push(id),
+                HomeOutput::Supply(ProviderOrder::Start(order)) => self.starts.push(order),
+                HomeOutput::Supply(ProviderOrder::Stop { id, .. }) => self.stops.push(id),
                 HomeOutput::Probe { id, after, .. } => self.probes.push((id, after)),
                 other => self.others.push(other),
             }
         }
     }
 
-    fn report(&mut self, report: SupplyReport) {
+    fn report(&mut self, report: ProviderReport) {
         let listed_at = ms(self.at);
         self.feed(HomeInput::Platform { report, listed_at });
     }
 
     pub fn workers(&mut self, lines: Vec<WorkerLine>) {
-        self.report(SupplyReport::Workers { lines, asked: Instant::now() });
+        self.report(ProviderReport::Workers { lines, asked: Instant::now() });
     }
 
     pub fn list(&mut self, instances: Vec<InstanceLine>) {
-        self.report(SupplyReport::Listed { listing: Listing { instances }, asked: Instant::now() });
+        self.report(ProviderReport::Listed { listing: Listing { instances }, asked: Instant::now() });
     }
 
-    pub fn started(&mut self, nonce: &str, receipt: StartReceipt) {
-        self.report(SupplyReport::Started { nonce: nonce.into(), receipt });
+    pub fn started(&mut self, nonce: &str, receipt: StartReply) {
+        self.report(ProviderReport::Started { nonce: nonce.into(), receipt });
     }
 
     pub fn accepted(&mut self, nonce: &str, id: &str) {
         let address = format!("10.0.0.9:{}", 1000 + id.len());
-        self.started(nonce, StartReceipt::Accepted { id: id.into(), address });
+        self.started(nonce, StartReply::Accepted { id: id.into(), address });
     }
 
-    pub fn stopped(&mut self, id: &str, receipt: StopReceipt) {
-        self.report(SupplyReport::Stopped { id: id.into(), receipt });
+    pub fn stopped(&mut self, id: &str, receipt: StopReply) {
+        self.report(ProviderReport::Stopped { id: id.into(), receipt });
     }
 
     pub fn probed(&mut self, id: &str, ready: bool) {
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -1,19 +1,19 @@
-//! One home reads the supplier's list for all.
+//! One home reads the provider's list for all.
 
 mod common;
 
-use common::supplied::{book_of, line, worker};
+use common::supplied::{line, routes_of, worker};
 use common::{ms, roster};
+use instance_provider::{InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use supply::{InstanceLine, InstanceState, Listing, SupplyOrder, SupplyReport};
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{CarryMsg, NodeId};
+use wire::{ForwardMessage, NodeId};
 
 const IDS: [NodeId; 4] = [3, 5, 7, 11];
 
-/// Homes that hear each other at once, and a supplier that answers at once.
+/// Homes that hear each other at once, and a provider that answers at once.
 struct Homes {
     homes: BTreeMap<NodeId, Home>,
     at: u64,
@@ -28,9 +28,9 @@
         let homes = IDS.map(|id| (id, Home::new(id, 1, HomeTiming::default()))).into();
         let mut all = Homes { homes, at: 0, list, looks: BTreeMap::new(), deaf: None, bytes: 0 };
         for id in IDS {
-            all.feed(id, HomeInput::Book { book: Rc::new(bindings::Book::default()) });
+            all.feed(id, HomeInput::RouteTable { routes: Rc::new(bindings::RouteTable::default()) });
             all.feed(id, HomeInput::Roster { roster: roster(7, &IDS) });
-            all.feed(id, HomeInput::Book { book: book_of(0) });
+            all.feed(id, HomeInput::RouteTable { routes: routes_of(0) });
         }
         all
     }
@@ -39,27 +39,27 @@
         let outputs = self.homes.get_mut(&id).unwrap().step(ms(self.at), true, input);
         for output in outputs {
             match output {
-                HomeOutput::Supply(SupplyOrder::List) => {
+                HomeOutput::Supply(ProviderOrder::List) => {
                     *self.looks.entry(id).or_default() += 1;
                     let listing = Listing { instances: self.list.clone() };
-                    self.tell(id, SupplyReport::Listed { listing, asked: Instant::now() });
+                    self.tell(id, ProviderReport::Listed { listing, asked: Instant::now() });
                 }
-                HomeOutput::Supply(SupplyOrder::Workers) => {
+                HomeOutput::Supply(ProviderOrder::Workers) => {
                     let lines = vec![worker("w0", "a", 4096, true)];
-                    self.tell(id, SupplyReport::Workers { lines, asked: Instant::now() });
+                    self.tell(id, ProviderReport::Workers { lines, asked: Instant::now() });
                 }
-                HomeOutput::Carry { to, message } if self.deaf != Some(to) && self.deaf != Some(id) => {
-                    if let CarryMsg::Inventory { inventory } = &message {
+                HomeOutput::Forward { to, message } if self.deaf != Some(to) && self.deaf != Some(id) => {
+                    if let ForwardMessage::Inventory { inventory } = &message {
                         self.bytes += wire::to_bytes(inventory).len();
                     }
-                    self.feed(to, HomeInput::Carry { from: id, message });
+                    self.feed(to, HomeInput::Forward { from: id, message });
                 }
                 _ => {}
             }
         }
     }
 
-    fn tell(&mut self, id: NodeId, report: SupplyReport) {
+    fn tell(&mut self, id: NodeId, report: ProviderReport) {
         let listed_at = ms(self.at);
         self.feed(id, HomeInput::Platform { report, listed_at });
     }
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -5,12 +5,12 @@
 
 use common::ME;
 use common::supplied::{FUNCTION, Supplied, six_workers};
-use traffic::{HomeInput, HomeOutput, Verdict};
-use wire::{CarryMsg, PlanMsg, RequestHead};
+use traffic::{DispatchOutcome, HomeInput, HomeOutput};
+use wire::{ForwardMessage, PlanMessage, RequestHead};
 
 /// A plan made before the crowd: one instance at every step.
-fn one(ask: u64) -> PlanMsg {
-    PlanMsg::Receipt { ask, fence: 1, state: 1, step_ms: 1000, desired: vec![1; 4].into() }
+fn one(ask: u64) -> PlanMessage {
+    PlanMessage::Receipt { ask, fence: 1, state: 1, step_ms: 1000, desired: vec![1; 4].into() }
 }
 
 /// Lets `rate` tasks a second come for so long, each answered 100 ms after it was sent.
@@ -19,12 +19,13 @@
         home.pass(10);
         let at = home.at;
         for (number, _) in open.extract_if(.., |(_, due)| *due <= at).collect::<Vec<_>>() {
-            let verdict = Verdict::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
-            home.feed(HomeInput::Dispatched { number, verdict });
+            let outcome =
+                DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+            home.feed(HomeInput::Dispatched { number, outcome });
         }
         for _ in 0..rate / 100 {
             *next += 1;
-            let message = CarryMsg::Carry {
+            let message = ForwardMessage::ForwardUncounted {
                 task: *next,
                 function: FUNCTION.into(),
                 binding: FUNCTION.into(),
@@ -35,12 +36,12 @@
                 head: wire::to_bytes(&RequestHead::default()).into(),
                 body: Vec::new().into(),
             };
-            home.feed(HomeInput::Carry { from: ME, message });
+            home.feed(HomeInput::Forward { from: ME, message });
         }
         for output in std::mem::take(&mut home.others) {
             match output {
                 HomeOutput::Dispatch(order) => open.push((order.number, at + 100)),
-                HomeOutput::PlanAsk { message: PlanMsg::Ask { ask, .. } } => {
+                HomeOutput::PlanAsk { message: PlanMessage::Ask { ask, .. } } => {
                     home.feed(HomeInput::Plan { message: one(ask) })
                 }
                 _ => {}
--- /dev/null
+++ b/crates/traffic/tests/owner_liveness.rs
@@ -0,0 +1,95 @@
+//! Whom a home sends heartbeats to, and when a front takes a home as silent.
+
+mod common;
+
+use common::{ME, OTHER, ask, forward, front, ms, roster, routes};
+use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
+use wire::ForwardMessage;
+
+fn heartbeats_to(outputs: &[HomeOutput]) -> Vec<u64> {
+    let to = |output: &HomeOutput| match output {
+        HomeOutput::Forward { to, message: ForwardMessage::Heartbeat } => Some(*to),
+        _ => None,
+    };
+    outputs.iter().filter_map(to).collect()
+}
+
+fn watches(outputs: &[FrontOutput]) -> usize {
+    outputs
+        .iter()
+        .filter(|output| matches!(output, FrontOutput::Forward { message: ForwardMessage::HeartbeatRequest, .. }))
+        .count()
+}
+
+fn unlinked() -> traffic::Front {
+    let mut front = traffic::Front::new(ME, 1, traffic::FrontLimits::default());
+    front.step(ms(0), true, FrontInput::RouteTable { routes: routes() });
+    front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[OTHER]) });
+    front
+}
+
+#[test]
+fn a_home_beats_the_fronts_whose_tasks_it_has_and_whoever_asks() {
+    let mut home = Home::new(OTHER, 1, HomeTiming::default());
+    home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
+    home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER, 3, 4, 5, 6]) });
+    let homes = roster(1, &[OTHER]);
+    home.step(ms(0), true, HomeInput::Roster { roster: homes });
+    assert!(heartbeats_to(&home.step(ms(200), true, HomeInput::Tick)).is_empty());
+    assert_eq!(
+        heartbeats_to(&home.step(
+            ms(210),
+            true,
+            HomeInput::Forward { from: 3, message: ForwardMessage::HeartbeatRequest }
+        )),
+        [3]
+    );
+    assert!(
+        heartbeats_to(&home.step(
+            ms(215),
+            false,
+            HomeInput::Forward { from: 3, message: ForwardMessage::HeartbeatRequest }
+        ))
+        .is_empty()
+    );
+    let (_, message) = forward(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
+    home.step(ms(220), true, HomeInput::Forward { from: 4, message });
+    assert_eq!(heartbeats_to(&home.step(ms(400), true, HomeInput::Tick)), [4]);
+    assert!(heartbeats_to(&home.step(ms(600), false, HomeInput::Tick)).is_empty(), "without a proof");
+    let answered = |o: &HomeOutput| matches!(o, HomeOutput::Forward { message: ForwardMessage::Answer { .. }, .. });
+    let given_up = (7..80).map(|n| home.step(ms(n * 100), true, HomeInput::Tick)).any(|o| o.iter().any(answered));
+    assert!(given_up && heartbeats_to(&home.step(ms(8100), true, HomeInput::Tick)).is_empty(), "nothing is open");
+}
+
+#[test]
+fn a_first_task_waits_for_the_link_and_goes_as_soon_as_it_is_up() {
+    let mut front = unlinked();
+    assert_eq!(watches(&ask(&mut front, 5, true, "/t/f")), 1);
+    assert_eq!(watches(&ask(&mut front, 6, true, "/t/f")), 0, "asked just now");
+    let forwarded = front.step(ms(9), true, FrontInput::Link { id: OTHER, up: true });
+    assert_eq!(forwarded.len(), 2);
+    assert!(
+        forwarded.iter().all(|o| matches!(o, FrontOutput::Forward { message: ForwardMessage::Forward { .. }, .. }))
+    );
+}
+
+#[test]
+fn a_home_is_good_until_it_was_silent_after_a_carry() {
+    let mut front = front(1, OTHER);
+    forward(&ask(&mut front, 60_000, true, "/t/f"));
+    forward(&ask(&mut front, 60_300, true, "/t/f"));
+    assert_eq!(watches(&ask(&mut front, 60_400, true, "/t/f")), 1);
+    for at in [62_000, 65_000] {
+        let outputs = ask(&mut front, at, true, "/t/f");
+        assert!(
+            outputs
+                .iter()
+                .all(|output| !matches!(output, FrontOutput::Forward { message: ForwardMessage::Forward { .. }, .. })),
+            "silent until heard"
+        );
+    }
+    front.step(ms(65_100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
+    forward(&ask(&mut front, 65_200, true, "/t/f"));
+    front.step(ms(65_300), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
+    forward(&ask(&mut front, 80_000, true, "/t/f"));
+}
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -4,9 +4,9 @@
 
 use common::supplied::{FUNCTION, Supplied, line, six_workers};
 use common::{ME, OTHER, roster};
-use supply::{InstanceState, StartReceipt, StopReceipt};
-use traffic::{DispatchOrder, HomeInput, HomeOutput, Verdict};
-use wire::{CarryMsg, RequestHead};
+use instance_provider::{InstanceState, StartReply, StopReply};
+use traffic::{DispatchOrder, DispatchOutcome, HomeInput, HomeOutput};
+use wire::{ForwardMessage, RequestHead};
 
 fn accepted_one() -> Supplied {
     let mut home = Supplied::new(1, six_workers());
@@ -32,7 +32,7 @@
     home.pass(100);
     let first = home.starts[0].clone();
     for tries in 1..5 {
-        home.started(&first.nonce, StartReceipt::Unanswered);
+        home.started(&first.nonce, StartReply::Unanswered);
         home.pass(1700);
         assert_eq!(home.starts.len(), tries + 1);
     }
@@ -47,7 +47,7 @@
     let mut home = Supplied::new(1, six_workers());
     home.pass(100);
     let nonce = home.starts[0].nonce.clone();
-    home.started(&nonce, StartReceipt::Unanswered);
+    home.started(&nonce, StartReply::Unanswered);
     home.list(vec![line("i1", "w0", InstanceState::Running)]);
     assert_eq!((home.count("ready"), home.count("starting")), (1, 1));
     home.pass(100);
@@ -62,7 +62,7 @@
     home.pass(100);
     let nonce = home.starts[0].nonce.clone();
     while home.starts.last().is_some_and(|order| order.nonce == nonce) && home.at < 20_000 {
-        home.started(&nonce, StartReceipt::Unanswered);
+        home.started(&nonce, StartReply::Unanswered);
         home.pass(1700);
     }
     assert_eq!(home.starts.len(), 7, "six under the first nonce");
@@ -77,7 +77,7 @@
     let mut home = Supplied::new(1, six_workers());
     home.pass(100);
     let nonce = home.starts[0].nonce.clone();
-    home.started(&nonce, StartReceipt::Limited);
+    home.started(&nonce, StartReply::Limited);
     home.pass(200);
     assert_eq!(home.starts.len(), 1);
     home.pass(200);
@@ -95,9 +95,9 @@
     assert_eq!(home.count("ready"), 1);
 }
 
-fn task(number: u64) -> CarryMsg {
+fn task(number: u64) -> ForwardMessage {
     let head = RequestHead { method: "GET".into(), target: "/t/f".into(), headers: Vec::new().into() };
-    CarryMsg::Carry {
+    ForwardMessage::ForwardUncounted {
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
@@ -121,9 +121,9 @@
 fn one_that_refuses_a_connection_is_not_taken_back_unless_it_takes_one_again() {
     let mut home = accepted_one();
     home.probed("i1", true);
-    home.feed(HomeInput::Carry { from: OTHER, message: task(1) });
+    home.feed(HomeInput::Forward { from: OTHER, message: task(1) });
     let number = last_dispatch(&home).expect("a dispatch").number;
-    home.feed(HomeInput::Dispatched { number, verdict: Verdict::NotSent });
+    home.feed(HomeInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
     home.list(vec![line("i1", "w0", InstanceState::Running)]);
     home.pass(100);
     assert_eq!((home.count("ready"), home.count("starting"), home.starts.len()), (0, 1, 2));
@@ -138,9 +138,9 @@
         let mut home = accepted_one();
         home.probed("i1", true);
         home.list(vec![line("i1", "w0", InstanceState::Running)]);
-        home.feed(HomeInput::Carry { from: OTHER, message: task(1) });
+        home.feed(HomeInput::Forward { from: OTHER, message: task(1) });
         let number = last_dispatch(&home).expect("a dispatch").number;
-        home.feed(HomeInput::Dispatched { number, verdict: Verdict::NotSent });
+        home.feed(HomeInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
         for _ in 0..6 {
             home.pass(1000);
             home.list(if listed { vec![line("i1", "w0", InstanceState::Running)] } else { Vec::new() });
@@ -155,7 +155,7 @@
     home.probed("i1", true);
     home.list(vec![line("i1", "w0", InstanceState::Leaving)]);
     home.pass(100);
-    for (times, receipt) in [(1, StopReceipt::Limited), (2, StopReceipt::Unanswered), (3, StopReceipt::Unknown)] {
+    for (times, receipt) in [(1, StopReply::Limited), (2, StopReply::Unanswered), (3, StopReply::Unknown)] {
         assert_eq!(home.stops.len(), times);
         home.stopped("i1", receipt);
         home.pass(1000);
@@ -171,12 +171,12 @@
     let nonce = home.starts[0].nonce.clone();
     home.feed(HomeInput::Roster { roster: roster(8, &[OTHER]) });
     let table = home.others.iter().find_map(|output| match output {
-        HomeOutput::Carry { message: CarryMsg::Table { table }, .. } if table.kept == 0 => Some(table.clone()),
+        HomeOutput::Forward { message: ForwardMessage::Table { table }, .. } if table.kept == 0 => Some(table.clone()),
         _ => None,
     });
     let mut next = Supplied::beside(OTHER, 1, six_workers());
     next.feed(HomeInput::Roster { roster: roster(8, &[ME]) });
-    next.feed(HomeInput::Carry { from: OTHER, message: CarryMsg::Table { table: table.expect("a table") } });
+    next.feed(HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table: table.expect("a table") } });
     next.pass(300);
     let nonces: Vec<&str> = next.starts.iter().map(|order| order.nonce.as_str()).collect();
     assert_eq!(nonces, [nonce.as_str()]);
--- a/crates/wire/src/chain.rs
+++ b/crates/wire/src/chain.rs
@@ -1,5 +1,5 @@
-//! What registries say to each other: beats and confirmations, the agreement on views, entries
-//! travelling down the chain, checkpoints copied to a joiner, and the founding of a cluster.
+//! What registries say to each other: heartbeats and confirmations, the agreement on views, entries
+//! travelling down the chain, snapshots copied to a joiner, and the founding of a cluster.
 
 use crate::{Blob, List, NodeId, Text};
 use deku::prelude::*;
@@ -40,11 +40,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
-pub enum ChainMsg {
+pub enum ChainMessage {
     #[deku(id = "1")]
-    Beat { view: u64, round: u64, unwell: u8 },
+    Heartbeat { view: u64, round: u64, unwell: u8 },
     #[deku(id = "2")]
-    BeatReceipt { view: u64, round: u64, holds_next: u8 },
+    HeartbeatAck { view: u64, round: u64, holds_next: u8 },
     #[deku(id = "3")]
     Prepare { slot: u64, ballot: u64 },
     #[deku(id = "4")]
@@ -58,7 +58,7 @@
     #[deku(id = "8")]
     Decided { view: View },
     #[deku(id = "9")]
-    Enter { op: OpNo, body: Blob },
+    Propose { op: OpNo, body: Blob },
     #[deku(id = "10")]
     Append { view: u64, fence: u64, entries: List<EntryLine> },
     #[deku(id = "11")]
--- a/crates/wire/src/carry.rs
+++ b/crates/wire/src/forward.rs
@@ -1,4 +1,4 @@
-//! What routers say to each other about tasks: carrying one to its function's home, the whole
+//! What routers say to each other about tasks: forwarding one to its function's home, the whole
 //! answer on the way back, and the table a leaving home hands to its successor.
 
 use crate::{Blob, List, Text};
@@ -85,7 +85,7 @@
     pub begun_whole: u8,
 }
 
-/// An instance as the supplier lists it.
+/// An instance as the provider lists it.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct StockLine {
     pub id: Text,
@@ -106,7 +106,7 @@
     pub ready: u8,
 }
 
-/// What the supplier's list shows otherwise than under an earlier number, or than nothing where that
+/// What the provider's list shows otherwise than under an earlier number, or than nothing where that
 /// is 0, and how long ago it was asked for; the workers likewise where they were read as well.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct InventoryChange {
@@ -121,11 +121,33 @@
     pub workers_gone: List<Text>,
 }
 
+/// A request forwarded to its function's home, with the number of attempts that its front grants.
+#[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
+pub struct ForwardRequest {
+    pub task: u64,
+    pub function: Text,
+    pub binding: Text,
+    pub left_ms: u32,
+    pub tries: u8,
+    /// To how many instances the home may send it before it asks for more; `UNCOUNTED` if the front
+    /// does not count.
+    pub attempts: u32,
+    pub respond_async: u8,
+    pub key: Text,
+    pub head: Blob,
+    pub body: Blob,
+}
+
+impl ForwardRequest {
+    /// As many attempts as the binding allows.
+    pub const UNCOUNTED: u32 = 0;
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
-pub enum CarryMsg {
+pub enum ForwardMessage {
     #[deku(id = "1")]
-    Carry {
+    ForwardUncounted {
         task: u64,
         function: Text,
         binding: Text,
@@ -137,7 +159,7 @@
         body: Blob,
     },
     #[deku(id = "2")]
-    Carried { task: u64, outcome: Outcome, status: u16, retry_after: u32, head: Blob, body: Blob },
+    AnswerInSeconds { task: u64, outcome: Outcome, status: u16, retry_after: u32, head: Blob, body: Blob },
     #[deku(id = "3")]
     NotHome { task: u64 },
     #[deku(id = "4")]
@@ -145,25 +167,79 @@
     #[deku(id = "5")]
     GiveWay { function: Text, memory_mb: u32 },
     #[deku(id = "6")]
-    Beat,
+    Heartbeat,
     #[deku(id = "7")]
     Table { table: HomeTable },
-    /// `Carried` with the time to come back in milliseconds.
+    /// `AnswerInSeconds` with the time to come back in milliseconds.
     #[deku(id = "8")]
     Answer { task: u64, outcome: Outcome, status: u16, again_ms: u32, head: Blob, body: Blob },
-    /// Asks a home to beat.
+    /// Asks a home to send a heartbeat.
     #[deku(id = "9")]
-    Watch,
+    HeartbeatRequest,
     #[deku(id = "10")]
     Inventory { inventory: InventoryChange },
     /// Asks for the inventory whole.
     #[deku(id = "11")]
     InventoryAsk,
+    /// `ForwardUncounted` with the attempts that the front grants.
+    #[deku(id = "12")]
+    Forward { request: Box<ForwardRequest> },
+    /// A home asks a front for so many attempts in all at what was forwarded under this number.
+    #[deku(id = "13")]
+    AttemptAsk { task: u64, attempts: u32 },
+    /// The attempts granted in all at what was forwarded under this number, whether or not more were asked for.
+    #[deku(id = "14")]
+    AttemptGrant { task: u64, attempts: u32 },
+    /// `NotHome` for what was sent to so many instances, none of which ran it.
+    #[deku(id = "15")]
+    Returned { task: u64, attempts: u32 },
 }
 
-impl CarryMsg {
+impl ForwardMessage {
     /// Whether it is meant for the receiver's home; if not, it answers the receiver's front.
     pub fn is_for_home(&self) -> bool {
-        !matches!(self, CarryMsg::Answer { .. } | CarryMsg::Carried { .. } | CarryMsg::NotHome { .. } | CarryMsg::Beat)
+        !matches!(
+            self,
+            ForwardMessage::Answer { .. }
+                | ForwardMessage::AnswerInSeconds { .. }
+                | ForwardMessage::NotHome { .. }
+                | ForwardMessage::Returned { .. }
+                | ForwardMessage::AttemptAsk { .. }
+                | ForwardMessage::Heartbeat
+        )
+    }
+
+    /// The request that is forwarded, if one is, by a front that counts its attempts or by an older one.
+    pub fn into_forwarded(self) -> Option<ForwardRequest> {
+        match self {
+            ForwardMessage::Forward { request } => Some(*request),
+            ForwardMessage::ForwardUncounted {
+                task,
+                function,
+                binding,
+                left_ms,
+                tries,
+                respond_async,
+                key,
+                head,
+                body,
+            } => {
+                let attempts = ForwardRequest::UNCOUNTED;
+                let request = ForwardRequest {
+                    task,
+                    function,
+                    binding,
+                    left_ms,
+                    tries,
+                    attempts,
+                    respond_async,
+                    key,
+                    head,
+                    body,
+                };
+                Some(request)
+            }
+            _ => None,
+        }
     }
 }
--- a/crates/wire/src/hold.rs
+++ b/crates/wire/src/lease.rs
@@ -20,9 +20,17 @@
     pub items: List<ItemLine>,
 }
 
+/// How long ago a router can last have asked for a proof that it was granted.
+#[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
+pub struct ProofAge {
+    pub id: NodeId,
+    pub incarnation: u64,
+    pub millis: u64,
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
-pub enum HoldMsg {
+pub enum LeaseMessage {
     #[deku(id = "1")]
     Join { address: Text, zone: Text, ops: Text },
     #[deku(id = "2")]
@@ -44,19 +52,19 @@
     #[deku(id = "10")]
     Piece { ask: u64, step: u64, revision: u64, quorum: List<NodeId>, items: List<ItemLine>, next: Text },
     #[deku(id = "11")]
-    Enter { ask: u64, body: Blob },
+    Propose { ask: u64, body: Blob },
     #[deku(id = "12")]
-    EnterReceipt { ask: u64, state: u8, body: Blob },
+    ProposalAck { ask: u64, state: u8, body: Blob },
     #[deku(id = "13")]
     Read { ask: u64, prefix: Text, from: Text },
     #[deku(id = "14")]
-    ReadReceipt { ask: u64, state: u8, items: List<ItemLine> },
+    ReadReply { ask: u64, state: u8, items: List<ItemLine> },
     #[deku(id = "15")]
     Leave { successor: NodeId },
     #[deku(id = "16")]
     PeerAsk { ask: u64, active: u64 },
     #[deku(id = "17")]
-    PeerReceipt { ask: u64, active: u64, latest: u64 },
+    PeerReply { ask: u64, active: u64, latest: u64 },
     #[deku(id = "18")]
     Seats { seats: List<Text> },
     #[deku(id = "19")]
@@ -79,12 +87,16 @@
     /// `Join` with the hashing of homes that is known and what the machine can carry.
     #[deku(id = "30")]
     Enrol { address: Text, zone: Text, ops: Text, hashing: u8, capacity: Capacity },
+    /// From the tail of one view to the tail of the next, on adopting it: whose proofs may still hold, and how
+    /// long ago tails before both can last have granted one.
+    #[deku(id = "31")]
+    Proofs { view: u64, earlier_millis: u64, proofs: List<ProofAge> },
 }
 
-impl HoldMsg {
+impl LeaseMessage {
     /// Said among routers, not by a registry.
     pub fn is_from_peer(&self) -> bool {
-        use HoldMsg::{PeerAsk, PeerCollect, PeerMajority, PeerReceipt};
-        matches!(self, PeerAsk { .. } | PeerReceipt { .. } | PeerCollect { .. } | PeerMajority { .. })
+        use LeaseMessage::{PeerAsk, PeerCollect, PeerMajority, PeerReply};
+        matches!(self, PeerAsk { .. } | PeerReply { .. } | PeerCollect { .. } | PeerMajority { .. })
     }
 }
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -3,10 +3,25 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wire::{
-    CarryMsg, ChainMsg, EntryLine, FORMAT, Frame, HoldMsg, ItemLine, Message, OpNo, PlanMsg, Seat, StepLine, View,
-    decode, encode, from_bytes, to_bytes,
+    ChainMessage, EntryLine, FORMAT, ForwardMessage, ForwardRequest, Frame, ItemLine, LeaseMessage, Message, OpNo,
+    PlanMessage, Seat, StepLine, View, decode, encode, from_bytes, to_bytes,
 };
 
+fn forward() -> ForwardRequest {
+    ForwardRequest {
+        task: 5,
+        function: "a/f".into(),
+        binding: "a/b".into(),
+        left_ms: 4000,
+        tries: 0,
+        attempts: 1,
+        respond_async: 0,
+        key: "k".into(),
+        head: vec![7; 9].into(),
+        body: vec![8; 9].into(),
+    }
+}
+
 fn samples() -> Vec<Message> {
     let view = View {
         number: 3,
@@ -19,12 +34,20 @@
     let item = ItemLine { key: "function-bindings/a/b".into(), gone: 0, value: b"{}".to_vec().into() };
     let step = StepLine { number: 4, revision: 2, quorum: vec![1, 2, 3].into(), items: vec![item.clone()].into() };
     vec![
-        Message::Chain(ChainMsg::Decided { view }),
-        Message::Chain(ChainMsg::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
-        Message::Hold(HoldMsg::Stage { step }),
-        Message::Hold(HoldMsg::ReadReceipt { ask: 1, state: 1, items: vec![item].into() }),
-        Message::Carry(CarryMsg::NotHome { task: 5 }),
-        Message::Plan(PlanMsg::Receipt { ask: 1, fence: 2, state: 1, step_ms: 15_000, desired: vec![1, 2, 3].into() }),
+        Message::Chain(ChainMessage::Decided { view }),
+        Message::Chain(ChainMessage::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
+        Message::Hold(LeaseMessage::Stage { step }),
+        Message::Hold(LeaseMessage::ReadReply { ask: 1, state: 1, items: vec![item].into() }),
+        Message::Forward(ForwardMessage::NotHome { task: 5 }),
+        Message::Forward(ForwardMessage::Forward { request: Box::new(forward()) }),
+        Message::Forward(ForwardMessage::AttemptGrant { task: 5, attempts: 2 }),
+        Message::Plan(PlanMessage::Receipt {
+            ask: 1,
+            fence: 2,
+            state: 1,
+            step_ms: 15_000,
+            desired: vec![1, 2, 3].into(),
+        }),
     ]
 }
 
@@ -37,7 +60,7 @@
     let mut dice = ChaCha8Rng::seed_from_u64(4);
     let (mut refused, mut read) = (0, 0);
     for round in 0..60_000 {
-        let whole = frame(samples()[round % 6].clone());
+        let whole = frame(samples()[round % 8].clone());
         let mut record = to_bytes(&whole);
         for _ in 0..dice.random_range(1..6) {
             let place = dice.random_range(0..record.len());
