--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,13 +1,15 @@
 //! `sim`: runs one seed with its story told, or sweeps many and names those that break a rule.
 
 use lexopt::prelude::*;
-use sim::{Sort, run};
+use sim::{Sort, fingerprint, run};
 use std::process::ExitCode;
 
 const HELP: &str = "sim: the simulator
 
 Usage: sim run --seed N [--sort SORT]
        sim sweep [--from N] [--count N] [--sort SORT] [--threads N]
+       sim fingerprint [--from N] [--count N] [--sort SORT] [--threads N]
+                       a line a seed; equal for two versions of the code that behave alike
 
 --sort: what fails [mixed]";
 
@@ -58,7 +60,11 @@
             Ok(outcome.broken.is_empty())
         }
         "sweep" => Ok(sweep(from, count, threads, sort)),
-        _ => Err("say run or sweep; see --help".into()),
+        "fingerprint" => {
+            fingerprints(from, count, threads, sort);
+            Ok(true)
+        }
+        _ => Err("say run, sweep or fingerprint; see --help".into()),
     }
 }
 
@@ -89,3 +95,19 @@
     println!("{count} seeds from {from}, {sort:?}: {steps} steps, {bad} with a broken rule");
     bad == 0
 }
+
+fn fingerprints(from: u64, count: u64, threads: u64, sort: Sort) {
+    let seeds_of = move |thread: u64| (from..from + count).filter(move |seed| seed % threads == thread);
+    let workers: Vec<_> = (0..threads)
+        .map(|thread| {
+            std::thread::spawn(move || -> Vec<_> {
+                seeds_of(thread).map(|seed| (seed, fingerprint(seed, sort))).collect()
+            })
+        })
+        .collect();
+    let mut lines: Vec<_> = workers.into_iter().flat_map(|worker| worker.join().unwrap_or_default()).collect();
+    lines.sort_unstable();
+    for (seed, (checksum, steps)) in lines {
+        println!("{sort:?} {seed}: {checksum:08x} after {steps} steps");
+    }
+}
--- a/crates/sim/src/net.rs
+++ b/crates/sim/src/net.rs
@@ -30,6 +30,7 @@
             return;
         }
         self.net.sent += 1;
+        self.fingerprint.add_frame(self.now, from, to, &message);
         let (id, incarnation) = self.identity(from);
         let life = match to {
             Place::Registry(n) => self.registries[n].life,
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -3,6 +3,7 @@
 use crate::callers::Callers;
 use crate::catch_up::CatchUp;
 use crate::chances::Sort;
+use crate::fingerprint::Fingerprint;
 use crate::net::Net;
 use crate::operators::Operators;
 use crate::plan::Plan;
@@ -70,6 +71,7 @@
     pub core_standing: crate::core_rules::CoreStanding,
     pub catch_up: CatchUp,
     pub trace: bool,
+    pub fingerprint: Fingerprint,
 }
 
 #[derive(Debug)]
@@ -106,6 +108,7 @@
             core_standing: crate::core_rules::CoreStanding::default(),
             catch_up: CatchUp::default(),
             trace: false,
+            fingerprint: Fingerprint::default(),
             plan,
         };
         for n in 0..world.plan.registries {
@@ -150,6 +153,7 @@
         }
         self.now = time;
         self.steps += 1;
+        self.fingerprint.add_step(time, number);
         let Some(event) = self.events.remove(&number) else { return true };
         match event {
             Event::Tick { at, life } => self.tick(at, life),
@@ -228,3 +232,11 @@
     let summary = world.summary();
     Outcome { seed, steps: world.steps, broken: world.rules.broken, summary }
 }
+
+/// Runs a seed and returns the fingerprint of the run beside its number of steps.
+pub fn fingerprint(seed: u64, sort: Sort) -> (u32, u64) {
+    let mut world = World::new(seed, Plan::new(seed, sort));
+    world.fingerprint.switch_on();
+    while world.step() {}
+    (world.fingerprint.value(), world.steps)
+}
--- /dev/null
+++ b/crates/wire/tests/samples/forward.rs
@@ -0,0 +1,142 @@
+//! Samples of what routers say to each other, and of samples and plans.
+
+use super::frame;
+use wire::{
+    ForwardMessage, ForwardRequest, HomeTable, InventoryChange, MeasureLine, Message, Outcome, PlanMessage, SampleLine,
+    SlotLine, StockLine, TunedLine, WorkerRecord,
+};
+
+fn slot() -> SlotLine {
+    SlotLine { instance: "i".into(), address: "a:1".into(), ready: 1, busy: 201 }
+}
+
+fn table() -> HomeTable {
+    HomeTable {
+        function: "t/f".into(),
+        roster: 202,
+        kept: 1,
+        slots: vec![slot()].into(),
+        requests: 203,
+        seconds: 204,
+        turned: 205,
+        begun: vec!["id".into()].into(),
+        begun_whole: 2,
+    }
+}
+
+fn inventory() -> InventoryChange {
+    let instance = StockLine {
+        id: "i".into(),
+        function: "t/f".into(),
+        address: "a:1".into(),
+        zone: "z".into(),
+        worker: "w".into(),
+        state: 2,
+    };
+    let worker = WorkerRecord { name: "w".into(), zone: "z".into(), memory_mb: 206, free_mb: 207, ready: 1 };
+    InventoryChange {
+        number: 208,
+        since: 209,
+        age_ms: 210,
+        instances: vec![instance].into(),
+        gone: vec!["j".into()].into(),
+        workers_read: 1,
+        workers_age_ms: 211,
+        workers: vec![worker].into(),
+        workers_gone: vec!["v".into()].into(),
+    }
+}
+
+fn request() -> ForwardRequest {
+    ForwardRequest {
+        task: 212,
+        function: "t/f".into(),
+        binding: "t/b".into(),
+        left_ms: 213,
+        tries: 3,
+        attempts: 214,
+        respond_async: 1,
+        key: "k".into(),
+        head: vec![215].into(),
+        body: vec![216].into(),
+    }
+}
+
+fn uncounted() -> ForwardMessage {
+    ForwardMessage::ForwardUncounted {
+        task: 217,
+        function: "t/f".into(),
+        binding: "t/b".into(),
+        left_ms: 218,
+        tries: 4,
+        respond_async: 1,
+        key: "k".into(),
+        head: vec![219].into(),
+        body: vec![220].into(),
+    }
+}
+
+pub fn forward_messages() -> Vec<Vec<u8>> {
+    use ForwardMessage::*;
+    let (head, body) = (vec![221].into(), vec![222].into());
+    let in_seconds =
+        AnswerInSeconds { task: 223, outcome: Outcome::Unknown, status: 224, retry_after: 225, head, body };
+    let (head, body) = (vec![226].into(), vec![227].into());
+    let answer = Answer { task: 228, outcome: Outcome::Accepted, status: 229, again_ms: 230, head, body };
+    [
+        uncounted(),
+        in_seconds,
+        NotHome { task: 231 },
+        Handover { function: "t/f".into(), roster: 232, slots: vec![slot()].into(), requests: 233, seconds: 234 },
+        GiveWay { function: "t/f".into(), memory_mb: 235 },
+        Heartbeat,
+        Table { table: table() },
+        answer,
+        HeartbeatRequest,
+        Inventory { inventory: inventory() },
+        InventoryAsk,
+        Forward { request: Box::new(request()) },
+        AttemptAsk { task: 236, attempts: 237 },
+        AttemptGrant { task: 238, attempts: 239 },
+        Returned { task: 240, attempts: 241 },
+    ]
+    .into_iter()
+    .map(|message| frame(Message::Forward(message)))
+    .collect()
+}
+
+pub fn plan_messages() -> Vec<Vec<u8>> {
+    let sample = SampleLine {
+        function: "t/f".into(),
+        rate_milli: 251,
+        response_micro: 252,
+        waiting_milli: 253,
+        held_milli: 254,
+    };
+    let measure = MeasureLine {
+        function: "t/f".into(),
+        boot_micro: 255,
+        boots: 256,
+        refused: 257,
+        turned: 258,
+        waiting_milli: 259,
+        usage_milli: 260,
+    };
+    let tuned = TunedLine {
+        function: "t/f".into(),
+        startup_delay_steps: 261,
+        usage_micro: 262,
+        hard_milli: 263,
+        why: "why".into(),
+    };
+    [
+        PlanMessage::Samples { lines: vec![sample].into() },
+        PlanMessage::Ask { ask: 264, function: "t/f".into(), current: 265, held: 266, waiting: 267 },
+        PlanMessage::Receipt { ask: 268, fence: 269, state: 1, step_ms: 270, desired: vec![271].into() },
+        PlanMessage::Measures { lines: vec![measure].into() },
+        PlanMessage::Tuned { fence: 272, lines: vec![tuned].into() },
+    ]
+    .into_iter()
+    .map(|message| frame(Message::Plan(message)))
+    .collect()
+}
