--- a/crates/chain/src/copy.rs
+++ b/crates/chain/src/copy.rs
@@ -4,7 +4,7 @@
 use crate::member::Member;
 use crate::types::{Batch, State, Value};
 use std::time::Duration;
-use wire::{ChainMessage, NodeId, PairLine, Seat};
+use wire::{ChainMessage, KeyValue, NodeAddress, NodeId};
 
 const PIECE_BYTES: usize = 512 * 1024;
 const PIECE_PAIRS: usize = 4096;
@@ -18,7 +18,7 @@
     pub state: State,
     pub seq: u64,
     pub starts: Vec<String>,
-    pub asked: Duration,
+    pub requested_at: Duration,
 }
 
 #[derive(Clone)]
@@ -28,7 +28,7 @@
     pub piece: u32,
     pub seq: u64,
     pub pairs: Vec<(String, Value)>,
-    pub asked: Duration,
+    pub requested_at: Duration,
     pub moved: Duration,
 }
 
@@ -38,11 +38,12 @@
         if let Some(copying) = &mut self.copying {
             if now > copying.moved + PATIENCE && !self.installs && self.writing.as_ref().is_none_or(|w| !w.installs) {
                 self.copying = None;
-            } else if now > copying.asked + RETRY {
-                copying.asked = now;
+            } else if now > copying.requested_at + RETRY {
+                copying.requested_at = now;
                 let (from, copy, piece) = (copying.from, copying.copy, copying.piece);
-                let ask = if copy == 0 { self.first_ask() } else { ChainMessage::CopyAsk { copy, piece } };
-                self.send(from, ask);
+                let request =
+                    if copy == 0 { self.first_request() } else { ChainMessage::SnapshotRequest { copy, piece } };
+                self.send(from, request);
             }
             return;
         }
@@ -50,12 +51,12 @@
             self.seeking = None;
         }
         let held_up = self.faulted || self.is_leaving() || self.misses_a_member();
-        if self.is_chained() || held_up || now < self.asked_at + RETRY {
+        if self.is_chained() || held_up || now < self.requested_at + RETRY {
             return;
         }
-        self.asked_at = now;
+        self.requested_at = now;
         let waited = (now - *self.seeking.get_or_insert(now)).as_millis() as u64;
-        let message = ChainMessage::JoinAsk { seat: self.meta.seat.clone(), ready: 0, seq: waited };
+        let message = ChainMessage::JoinRequest { node: self.meta.node.clone(), ready: 0, seq: waited };
         if self.meta.view.number == 0 {
             self.outs.push(crate::Output::SendSeeds { message });
         } else {
@@ -63,27 +64,27 @@
         }
     }
 
-    pub(crate) fn on_join_ask(&mut self, seat: Seat, ready: bool, copy: u64) {
-        self.note_newcomer(seat.id, Duration::from_millis(if ready { 0 } else { copy }));
+    pub(crate) fn on_join_ask(&mut self, node: NodeAddress, ready: bool, copy: u64) {
+        self.note_newcomer(node.id, Duration::from_millis(if ready { 0 } else { copy }));
         let view = self.meta.view.clone();
-        if !self.is_current_tail() && self.is_chained() && !view.chain.as_slice().contains(&seat.id) {
-            return self.send(seat.id, ChainMessage::Decided { view });
+        if !self.is_current_tail() && self.is_chained() && !view.chain.as_slice().contains(&node.id) {
+            return self.send(node.id, ChainMessage::Decided { view });
         }
-        if !self.is_current_tail() || view.chain.as_slice().contains(&seat.id) || !self.may_return(seat.id) {
+        if !self.is_current_tail() || view.chain.as_slice().contains(&node.id) || !self.may_return(node.id) {
             return;
         }
-        if (self.joins_wait && self.keeps_copies()) || self.is_bringing_in_other(seat.id) || !self.has_seat_for(&seat) {
+        if (self.joins_wait && self.keeps_copies()) || self.is_bringing_in_other(node.id) || !self.has_seat_for(&node) {
             return;
         }
         if !ready {
-            return self.send(seat.id, ChainMessage::TakeCopy { view: view.number });
+            return self.send(node.id, ChainMessage::SnapshotOffer { view: view.number });
         }
-        let served = self.source.as_ref().is_some_and(|source| source.number == copy && source.joiner == seat.id);
+        let served = self.source.as_ref().is_some_and(|source| source.number == copy && source.joiner == node.id);
         if served
-            && view.fresh == 0
+            && view.learner == 0
             && self.proposal.is_none()
             && self.now >= self.propose_after
-            && let Some(next) = self.with_joiner(seat)
+            && let Some(next) = self.with_joiner(node)
         {
             self.propose(next);
         }
@@ -97,10 +98,17 @@
         {
             return;
         }
-        self.copying =
-            Some(Copying { from, copy: 0, piece: 0, seq: 0, pairs: Vec::new(), asked: self.now, moved: self.now });
-        let ask = self.first_ask();
-        self.send(from, ask);
+        self.copying = Some(Copying {
+            from,
+            copy: 0,
+            piece: 0,
+            seq: 0,
+            pairs: Vec::new(),
+            requested_at: self.now,
+            moved: self.now,
+        });
+        let request = self.first_request();
+        self.send(from, request);
     }
 
     /// A joiner is served by the tail alone, and gets no answer from a member that is the tail no longer.
@@ -110,7 +118,7 @@
         let is_installing = self.installs || self.writing.as_ref().is_some_and(|writing| writing.installs);
         if is_waiting && !is_installing && !self.is_chained() {
             self.copying = None;
-            self.asked_at = Duration::ZERO;
+            self.requested_at = Duration::ZERO;
         }
     }
 
@@ -135,14 +143,14 @@
                 state: self.synced_state.clone(),
                 seq: self.synced,
                 starts: vec![String::new()],
-                asked: self.now,
+                requested_at: self.now,
             });
         }
         let Some(source) = self.source.as_mut() else { return };
         if source.joiner != from || (copy != 0 && source.number != copy) {
             return;
         }
-        source.asked = self.now;
+        source.requested_at = self.now;
         let Some(start) = source.starts.get(piece as usize).cloned() else { return };
         let mut bytes = 0;
         let mut pairs = Vec::new();
@@ -153,7 +161,7 @@
                 break;
             }
             bytes += key.len() + value.len();
-            pairs.push(PairLine { key: key.as_str().into(), value: value.to_vec().into() });
+            pairs.push(KeyValue { key: key.as_str().into(), value: value.to_vec().into() });
         }
         let last = follow.is_none() as u8;
         if let Some(key) = follow
@@ -162,7 +170,7 @@
             source.starts.push(key);
         }
         let (copy, seq) = (source.number, source.seq);
-        self.send(from, ChainMessage::CopyPiece { copy, piece, last, seq, pairs: pairs.into() });
+        self.send(from, ChainMessage::SnapshotChunk { copy, piece, last, seq, pairs: pairs.into() });
     }
 
     pub(crate) fn on_copy_piece(
@@ -172,7 +180,7 @@
         piece: u32,
         last: bool,
         seq: u64,
-        pairs: Vec<PairLine>,
+        pairs: Vec<KeyValue>,
     ) {
         let now = self.now;
         let Some(copying) = self.copying.as_mut() else { return };
@@ -182,18 +190,18 @@
         copying.copy = copy;
         copying.seq = seq;
         copying.piece += 1;
-        copying.asked = now;
+        copying.requested_at = now;
         copying.moved = now;
         copying.pairs.extend(pairs.into_iter().map(|p| (p.key.as_str().to_owned(), p.value.into_vec().into())));
         if !last {
             let piece = copying.piece;
-            return self.send(from, ChainMessage::CopyAsk { copy, piece });
+            return self.send(from, ChainMessage::SnapshotRequest { copy, piece });
         }
         let pairs = std::mem::take(&mut copying.pairs);
         self.state = pairs.iter().cloned().collect();
         self.log.clear();
         self.log_bytes = 0;
-        self.receipts.clear();
+        self.pending_replies.clear();
         self.last = seq;
         self.committed = 0;
         self.next = Batch {
@@ -215,16 +223,16 @@
         if self.is_chained() {
             self.enter_line();
         } else if !self.is_leaving() {
-            let seat = self.meta.seat.clone();
-            self.asked_at = self.now;
-            self.send(copying.from, ChainMessage::JoinAsk { seat, ready: 1, seq: copying.copy });
+            let node = self.meta.node.clone();
+            self.requested_at = self.now;
+            self.send(copying.from, ChainMessage::JoinRequest { node, ready: 1, seq: copying.copy });
         }
     }
 
     pub(crate) fn finish_joining(&mut self) {
         let view = &self.meta.view;
-        if view.fresh != self.meta.seat.id
-            || view.fresh == 0
+        if view.learner != self.meta.node.id
+            || view.learner == 0
             || self.proposal.is_some()
             || self.now < self.propose_after
         {
@@ -233,7 +241,7 @@
         if self.is_current_tail() {
             let mut next = view.clone();
             next.number += 1;
-            next.fresh = 0;
+            next.learner = 0;
             self.propose(next);
         }
     }
--- a/crates/chain/src/digest.rs
+++ b/crates/chain/src/digest.rs
@@ -5,7 +5,7 @@
 use crate::types::{Batch, Meta, Output, State};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
-use wire::{EntryLine, to_bytes};
+use wire::{LogEntry, to_bytes};
 
 /// Ages beyond this make no difference to any timer of a member.
 const OLDEST: Duration = Duration::from_secs(40);
@@ -34,8 +34,8 @@
 
     fn digest_log(&self, hasher: &mut impl Hasher) {
         digest_entries(self.log.iter(), hasher);
-        (self.last, self.synced, self.committed, self.settled).hash(hasher);
-        self.receipts.hash(hasher);
+        (self.last, self.synced, self.committed, self.known_committed).hash(hasher);
+        self.pending_replies.hash(hasher);
         for (seq, state) in &self.snapshots {
             seq.hash(hasher);
             digest_state(state, hasher);
@@ -56,22 +56,22 @@
     }
 
     fn digest_agreement(&self, hasher: &mut impl Hasher) {
-        for (id, (heard, unwell)) in &self.heard {
-            (id, self.age(*heard), unwell).hash(hasher);
+        for (id, (heard, unhealthy)) in &self.heard {
+            (id, self.age(*heard), unhealthy).hash(hasher);
         }
         self.proposal.is_some().hash(hasher);
         if let Some(proposal) = &self.proposal {
-            (proposal.slot, proposal.ballot, proposal.accepting, &proposal.accepts).hash(hasher);
+            (proposal.slot, proposal.proposal_number, proposal.accepting, &proposal.accepts).hash(hasher);
             self.age(proposal.begun).hash(hasher);
             to_bytes(&proposal.value).hash(hasher);
             for (id, (strength, view)) in &proposal.promises {
                 (id, strength, to_bytes(view)).hash(hasher);
             }
         }
-        (self.age(self.propose_after), self.age(self.accepted_at), self.seen_ballot).hash(hasher);
+        (self.age(self.propose_after), self.age(self.accepted_at), self.highest_seen_number).hash(hasher);
         (self.age(self.ticked), self.age(self.heartbeat_sent)).hash(hasher);
         let round = &self.round;
-        (round.number, round.running, round.wanted, round.needs, &round.receipts).hash(hasher);
+        (round.number, round.running, round.wanted, round.needs, &round.pending_replies).hash(hasher);
         self.age(round.begun).hash(hasher);
     }
 
@@ -88,10 +88,10 @@
     fn digest_joining(&self, hasher: &mut impl Hasher) {
         if let Some(copying) = &self.copying {
             (copying.from, copying.copy, copying.piece, copying.seq, &copying.pairs).hash(hasher);
-            (self.age(copying.asked), self.age(copying.moved)).hash(hasher);
+            (self.age(copying.requested_at), self.age(copying.moved)).hash(hasher);
         }
         if let Some(source) = &self.source {
-            (source.number, source.joiner, source.seq, &source.starts, self.age(source.asked)).hash(hasher);
+            (source.number, source.joiner, source.seq, &source.starts, self.age(source.requested_at)).hash(hasher);
             digest_state(&source.state, hasher);
         }
         for (id, returned) in &self.returns {
@@ -101,7 +101,7 @@
         for (id, (first, last)) in &self.newcomers {
             (id, self.age(*first), self.age(*last)).hash(hasher);
         }
-        (self.age(self.asked_at), self.seeking.map(|since| self.age(since)), self.joins_wait).hash(hasher);
+        (self.age(self.requested_at), self.seeking.map(|since| self.age(since)), self.joins_wait).hash(hasher);
         for (id, heard, bound) in self.founding.heard() {
             (id, self.age(heard), to_bytes(bound)).hash(hasher);
         }
@@ -110,9 +110,9 @@
 
 /// Feeds what a disk keeps of a member's identity and votes into a hasher.
 pub fn digest_meta(meta: &Meta, hasher: &mut impl Hasher) {
-    to_bytes(&meta.seat).hash(hasher);
+    to_bytes(&meta.node).hash(hasher);
     to_bytes(&meta.view).hash(hasher);
-    (meta.promised, meta.accepted_ballot).hash(hasher);
+    (meta.promised, meta.accepted_number).hash(hasher);
     to_bytes(&meta.accepted).hash(hasher);
 }
 
@@ -123,13 +123,13 @@
 }
 
 /// Feeds log entries into a hasher.
-pub fn digest_entries<'a>(entries: impl Iterator<Item = &'a EntryLine>, hasher: &mut impl Hasher) {
+pub fn digest_entries<'a>(entries: impl Iterator<Item = &'a LogEntry>, hasher: &mut impl Hasher) {
     entries.for_each(|entry| to_bytes(entry).hash(hasher));
 }
 
 /// Feeds a write that has not landed into a hasher.
 pub fn digest_batch(batch: &Batch, hasher: &mut impl Hasher) {
-    (batch.replace, &batch.pairs, batch.trim_below, batch.last, batch.settled).hash(hasher);
+    (batch.replace, &batch.pairs, batch.trim_below, batch.last, batch.known_committed).hash(hasher);
     digest_entries(batch.entries.iter(), hasher);
     batch.meta.is_some().hash(hasher);
     if let Some(meta) = &batch.meta {
--- a/crates/chain/src/found.rs
+++ b/crates/chain/src/found.rs
@@ -9,7 +9,7 @@
 use crate::view::optimizer_for;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{ChainMessage, NodeId, Seat, View};
+use wire::{ChainMessage, NodeAddress, NodeId, View};
 
 const EVERY: Duration = Duration::from_millis(250);
 const FRESH: Duration = Duration::from_millis(1500);
@@ -17,7 +17,7 @@
 
 #[derive(Clone)]
 pub struct Founding {
-    founders: BTreeMap<NodeId, (Seat, Duration, View)>,
+    founders: BTreeMap<NodeId, (NodeAddress, Duration, View)>,
     /// How many seats a cluster is founded with; 0 if this member may not found one.
     seats: usize,
 }
@@ -53,49 +53,49 @@
     }
 
     pub(crate) fn found(&mut self) {
-        if self.now < self.asked_at + EVERY || self.last > 0 || !self.may_found() {
+        if self.now < self.requested_at + EVERY || self.last > 0 || !self.may_found() {
             return;
         }
-        let seat = self.meta.seat.clone();
+        let node = self.meta.node.clone();
         let bound = self.meta.accepted.clone();
         if self.founding.seats == 1 {
-            return self.on_found_ask(seat, bound);
+            return self.on_found_ask(node, bound);
         }
-        self.outs.push(Output::SendSeeds { message: ChainMessage::FoundAsk { seat, bound } });
+        self.outs.push(Output::SendSeeds { message: ChainMessage::BootstrapRequest { node, bound } });
     }
 
     fn may_found(&self) -> bool {
-        self.founding.seats > 0 || self.meta.accepted_ballot > 0
+        self.founding.seats > 0 || self.meta.accepted_number > 0
     }
 
-    pub(crate) fn on_found_ask(&mut self, seat: Seat, bound: View) {
+    pub(crate) fn on_found_ask(&mut self, node: NodeAddress, bound: View) {
         if self.meta.view.number > 0 {
             let view = self.meta.view.clone();
-            return self.send(seat.id, ChainMessage::Decided { view });
+            return self.send(node.id, ChainMessage::Decided { view });
         }
         if !self.may_found() {
             return;
         }
-        self.founding.founders.insert(seat.id, (seat, self.now, bound));
-        let mine = (self.meta.seat.clone(), self.now, self.meta.accepted.clone());
-        self.founding.founders.insert(self.meta.seat.id, mine);
+        self.founding.founders.insert(node.id, (node, self.now, bound));
+        let mine = (self.meta.node.clone(), self.now, self.meta.accepted.clone());
+        self.founding.founders.insert(self.meta.node.id, mine);
         let now = self.now;
         self.founding.founders.retain(|_, (_, heard, _)| now < *heard + FRESH);
-        if self.meta.accepted_ballot == 0 {
+        if self.meta.accepted_number == 0 {
             if self.founding.founders.len() == self.founding.seats {
-                let voters: Vec<Seat> = self.founding.founders.values().map(|(seat, ..)| seat.clone()).collect();
-                let chain: Vec<u64> = voters.iter().map(|seat| seat.id).collect();
+                let voters: Vec<NodeAddress> = self.founding.founders.values().map(|(node, ..)| node.clone()).collect();
+                let chain: Vec<u64> = voters.iter().map(|node| node.id).collect();
                 let optimizer = optimizer_for(&chain, 0);
                 self.meta.accepted =
-                    View { number: 1, chain: chain.into(), voters: voters.into(), fresh: 0, optimizer };
-                self.meta.accepted_ballot = 1;
+                    View { number: 1, chain: chain.into(), voters: voters.into(), learner: 0, optimizer };
+                self.meta.accepted_number = 1;
                 self.keep_meta(Vec::new());
             }
             return;
         }
         let first = self.meta.accepted.clone();
         let agreed = first.chain.iter().all(|id| {
-            *id == self.meta.seat.id || self.founding.founders.get(id).is_some_and(|(_, _, bound)| *bound == first)
+            *id == self.meta.node.id || self.founding.founders.get(id).is_some_and(|(_, _, bound)| *bound == first)
         });
         if agreed && self.writing.is_none() {
             self.adopt(first);
@@ -104,8 +104,8 @@
 
     pub(crate) fn on_decided(&mut self, view: View) {
         // A view with this one in it was decided after it had said that it holds a copy.
-        let joined = view.chain.iter().any(|id| *id == self.meta.seat.id);
-        if self.meta.view.number == 0 && self.meta.accepted_ballot == 0 && !joined {
+        let joined = view.chain.iter().any(|id| *id == self.meta.node.id);
+        if self.meta.view.number == 0 && self.meta.accepted_number == 0 && !joined {
             return self.outs.push(Output::Told { view });
         }
         self.adopt(view);
--- a/crates/chain/src/leave.rs
+++ b/crates/chain/src/leave.rs
@@ -4,7 +4,7 @@
 use crate::member::Member;
 use crate::view::optimizer_for;
 use std::time::Duration;
-use wire::{NodeId, Seat, View};
+use wire::{NodeAddress, NodeId, View};
 
 /// How long a member that leaves waits for a newcomer to hold everything first.
 const SUCCESSOR_PATIENCE: Duration = Duration::from_millis(3200);
@@ -19,7 +19,7 @@
     /// Proposes the view without this member while enough are left to keep the copies it takes, and no
     /// other change of the membership is under way.
     pub(crate) fn finish_leaving(&mut self) {
-        let held_up = self.meta.view.fresh != 0 || self.proposal.is_some() || self.now < self.propose_after;
+        let held_up = self.meta.view.learner != 0 || self.proposal.is_some() || self.now < self.propose_after;
         if !self.is_leaving() || self.may_stop() || held_up || self.awaits_successor() {
             return;
         }
@@ -42,7 +42,7 @@
     /// Whether nothing that the others rely on is left to this member: it is out of the chain, and has no
     /// seat that would count against their majority once it is empty.
     pub fn may_stop(&self) -> bool {
-        let seat_to_give_up = self.is_voter(self.meta.seat.id) && self.has_spare_seats();
+        let seat_to_give_up = self.is_voter(self.meta.node.id) && self.has_spare_seats();
         !self.is_chained() && !seat_to_give_up
     }
 
@@ -52,7 +52,7 @@
 
     /// Its seat goes with it where the others are enough: an empty one would count against the majority.
     fn without_me(&self) -> Option<View> {
-        let me = self.meta.seat.id;
+        let me = self.meta.node.id;
         let view = &self.meta.view;
         let left: Vec<NodeId> = view.chain.iter().copied().filter(|id| *id != me).collect();
         if left.len() < self.copies().max(2) {
@@ -63,7 +63,7 @@
         next.optimizer = optimizer_for(&left, view.optimizer);
         next.chain = left.into();
         if self.has_spare_seats() {
-            let voters: Vec<Seat> = view.voters.iter().filter(|seat| seat.id != me).cloned().collect();
+            let voters: Vec<NodeAddress> = view.voters.iter().filter(|node| node.id != me).cloned().collect();
             next.voters = voters.into();
         }
         Some(next)
--- a/crates/chain/src/line.rs
+++ b/crates/chain/src/line.rs
@@ -4,7 +4,7 @@
 
 use crate::member::Member;
 use crate::types::Output;
-use wire::{Blob, ChainMessage, EntryLine, NodeId, OpNo};
+use wire::{Blob, ChainMessage, LogEntry, NodeId, ProposalId};
 
 const WINDOW: u64 = 2048;
 const PER_FRAME: usize = 256;
@@ -12,7 +12,7 @@
 
 impl Member {
     fn place(&self) -> Option<usize> {
-        self.meta.view.chain.iter().position(|id| *id == self.meta.seat.id)
+        self.meta.view.chain.iter().position(|id| *id == self.meta.node.id)
     }
 
     pub(crate) fn predecessor(&self) -> Option<NodeId> {
@@ -33,7 +33,7 @@
     }
 
     pub fn is_tail(&self) -> bool {
-        self.meta.view.chain.as_slice().last() == Some(&self.meta.seat.id)
+        self.meta.view.chain.as_slice().last() == Some(&self.meta.node.id)
     }
 
     pub fn is_current_tail(&self) -> bool {
@@ -62,15 +62,15 @@
         self.settle();
     }
 
-    pub(crate) fn propose_entry(&mut self, op: OpNo, body: Vec<u8>) {
+    pub(crate) fn propose_entry(&mut self, op: ProposalId, body: Vec<u8>) {
         let head = self.meta.view.chain.as_slice().first().copied();
         match head {
-            Some(head) if head == self.meta.seat.id => {
+            Some(head) if head == self.meta.node.id => {
                 let room = (self.last - self.committed) < WINDOW * 2;
                 if !self.keeps_copies() || !room || self.is_unwell() {
                     return self.done(op, false, Vec::new());
                 }
-                let entry = EntryLine { seq: self.last + 1, op, body: body.into() };
+                let entry = LogEntry { seq: self.last + 1, op, body: body.into() };
                 self.take(entry);
             }
             Some(head) => self.send(head, ChainMessage::Propose { op, body: body.into() }),
@@ -78,15 +78,15 @@
         }
     }
 
-    pub(crate) fn done(&mut self, op: OpNo, entered: bool, receipt: Vec<u8>) {
-        if op.origin == self.meta.seat.id {
-            self.outs.push(Output::Done { op, entered, receipt });
+    pub(crate) fn done(&mut self, op: ProposalId, appended: bool, reply: Vec<u8>) {
+        if op.origin == self.meta.node.id {
+            self.outs.push(Output::Done { op, appended, reply });
         } else {
-            self.send(op.origin, ChainMessage::Done { op, entered: entered as u8, receipt: receipt.into() });
+            self.send(op.origin, ChainMessage::Done { op, appended: appended as u8, reply: reply.into() });
         }
     }
 
-    pub(crate) fn take(&mut self, entry: EntryLine) {
+    pub(crate) fn take(&mut self, entry: LogEntry) {
         let effect = (self.apply)(&self.state, entry.seq, entry.body.as_slice());
         for (key, value) in effect.changes {
             match &value {
@@ -96,7 +96,7 @@
             self.next.pairs.push((key, value));
         }
         self.last = entry.seq;
-        self.receipts.insert(entry.seq, (entry.op, effect.receipt));
+        self.pending_replies.insert(entry.seq, (entry.op, effect.reply));
         self.log_bytes += entry.body.len();
         self.log.push_back(entry.clone());
         self.trim_log();
@@ -106,7 +106,7 @@
         self.dirty = true;
     }
 
-    pub(crate) fn on_append(&mut self, from: NodeId, view: u64, fence: u64, entries: Vec<EntryLine>) {
+    pub(crate) fn on_append(&mut self, from: NodeId, view: u64, fence: u64, entries: Vec<LogEntry>) {
         if view != self.meta.view.number || self.predecessor() != Some(from) || self.copying.is_some() {
             return;
         }
@@ -125,7 +125,7 @@
         }
         let oldest = self.log.front().map_or(self.last + 1, |kept| kept.seq);
         if seq + 1 < oldest || seq > self.last {
-            return self.send(from, ChainMessage::TakeCopy { view });
+            return self.send(from, ChainMessage::SnapshotOffer { view });
         }
         self.acked = seq;
         self.sent_to = seq;
@@ -161,7 +161,7 @@
             let skip = (self.sent_to + 1).saturating_sub(first) as usize;
             let mut bytes = 0;
             let synced = self.synced;
-            let entries: Vec<EntryLine> = self
+            let entries: Vec<LogEntry> = self
                 .log
                 .iter()
                 .skip(skip)
@@ -213,15 +213,15 @@
             return;
         }
         self.committed = seq;
-        self.settled = self.settled.max(seq);
+        self.known_committed = self.known_committed.max(seq);
         while let Some((_, state)) = self.snapshots.pop_front_if(|(at, _)| *at <= seq) {
             self.committed_state = state;
         }
-        let later = self.receipts.split_off(&(seq + 1));
-        let ready = std::mem::replace(&mut self.receipts, later);
+        let later = self.pending_replies.split_off(&(seq + 1));
+        let ready = std::mem::replace(&mut self.pending_replies, later);
         if self.is_tail() {
-            for (op, receipt) in ready.into_values() {
-                self.done(op, true, receipt);
+            for (op, reply) in ready.into_values() {
+                self.done(op, true, reply);
             }
         }
         self.outs.push(Output::Committed { seq });
@@ -237,7 +237,7 @@
         self.finish_joining();
     }
 
-    pub(crate) fn on_done(&mut self, op: OpNo, entered: bool, receipt: Blob) {
-        self.outs.push(Output::Done { op, entered, receipt: receipt.into_vec() });
+    pub(crate) fn on_done(&mut self, op: ProposalId, appended: bool, reply: Blob) {
+        self.outs.push(Output::Done { op, appended, reply: reply.into_vec() });
     }
 }
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -11,7 +11,7 @@
 use crate::view::Round;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use wire::{ChainMessage, EntryLine, NodeId, OpNo, Seat};
+use wire::{ChainMessage, LogEntry, NodeAddress, NodeId, ProposalId};
 
 #[derive(Clone)]
 pub struct Writing {
@@ -36,12 +36,12 @@
     pub(crate) synced_state: State,
     pub(crate) committed_state: State,
     pub(crate) snapshots: VecDeque<(u64, State)>,
-    pub(crate) log: VecDeque<EntryLine>,
+    pub(crate) log: VecDeque<LogEntry>,
     pub(crate) last: u64,
     pub(crate) synced: u64,
     pub(crate) committed: u64,
-    pub(crate) settled: u64,
-    pub(crate) receipts: BTreeMap<u64, (OpNo, Vec<u8>)>,
+    pub(crate) known_committed: u64,
+    pub(crate) pending_replies: BTreeMap<u64, (ProposalId, Vec<u8>)>,
     pub(crate) next: Batch,
     pub(crate) next_after: Vec<Output>,
     pub(crate) dirty: bool,
@@ -58,7 +58,7 @@
     pub(crate) proposal: Option<Proposal>,
     pub(crate) propose_after: Duration,
     pub(crate) accepted_at: Duration,
-    pub(crate) seen_ballot: u64,
+    pub(crate) highest_seen_number: u64,
     pub(crate) round: Round,
     pub(crate) fence: Option<u64>,
     pub(crate) view_fence: u64,
@@ -68,7 +68,7 @@
     pub(crate) copying: Option<Copying>,
     pub(crate) source: Option<Source>,
     pub(crate) returns: BTreeMap<NodeId, Return>,
-    pub(crate) asked_at: Duration,
+    pub(crate) requested_at: Duration,
     pub(crate) founding: Founding,
     /// How many disks may be lost at once with all that was acknowledged still kept.
     pub(crate) losses: usize,
@@ -85,9 +85,9 @@
 }
 
 impl Member {
-    pub fn new(seat: Seat, stored: Stored, timing: Timing, apply: Apply, now: Duration) -> Self {
+    pub fn new(node: NodeAddress, stored: Stored, timing: Timing, apply: Apply, now: Duration) -> Self {
         let mut meta = stored.meta;
-        meta.seat = seat;
+        meta.node = node;
         let mut member = Member {
             meta,
             timing,
@@ -104,8 +104,8 @@
             last: stored.last,
             synced: stored.last,
             committed: 0,
-            settled: stored.settled,
-            receipts: BTreeMap::new(),
+            known_committed: stored.known_committed,
+            pending_replies: BTreeMap::new(),
             next: Batch { last: stored.last, ..Batch::default() },
             next_after: Vec::new(),
             dirty: false,
@@ -119,7 +119,7 @@
             proposal: None,
             propose_after: Duration::ZERO,
             accepted_at: now,
-            seen_ballot: 0,
+            highest_seen_number: 0,
             round: Round::default(),
             fence: None,
             view_fence: stored.last,
@@ -129,7 +129,7 @@
             copying: None,
             source: None,
             returns: BTreeMap::new(),
-            asked_at: Duration::ZERO,
+            requested_at: Duration::ZERO,
             founding: Founding::default(),
             losses: 1,
             joins_wait: false,
@@ -171,7 +171,7 @@
             }
             for out in batch {
                 match out {
-                    Output::Send { to, message } if to == self.meta.seat.id => self.frame(to, message),
+                    Output::Send { to, message } if to == self.meta.node.id => self.frame(to, message),
                     other => outs.push(other),
                 }
             }
@@ -184,17 +184,17 @@
 
     fn frame(&mut self, from: NodeId, message: ChainMessage) {
         match message {
-            ChainMessage::Heartbeat { view, round, unwell } => self.on_heartbeat(from, view, round, unwell != 0),
-            ChainMessage::HeartbeatAck { view, round, holds_next } => {
-                self.on_heartbeat_ack(from, view, round, holds_next != 0)
+            ChainMessage::Heartbeat { view, round, unhealthy } => self.on_heartbeat(from, view, round, unhealthy != 0),
+            ChainMessage::HeartbeatAck { view, round, has_accepted_next } => {
+                self.on_heartbeat_ack(from, view, round, has_accepted_next != 0)
             }
-            ChainMessage::Prepare { slot, ballot } => self.on_prepare(from, slot, ballot),
-            ChainMessage::Promise { slot, ballot, accepted_ballot, accepted } => {
-                self.on_promise(from, slot, ballot, accepted_ballot, accepted)
+            ChainMessage::Prepare { slot, proposal_number } => self.on_prepare(from, slot, proposal_number),
+            ChainMessage::PrepareReply { slot, proposal_number, accepted_number, accepted } => {
+                self.on_promise(from, slot, proposal_number, accepted_number, accepted)
             }
-            ChainMessage::Accept { slot, ballot, view } => self.on_accept(from, slot, ballot, view),
-            ChainMessage::Accepted { slot, ballot } => self.on_accepted(from, slot, ballot),
-            ChainMessage::Refused { slot, ballot } => self.on_refused(slot, ballot),
+            ChainMessage::Accept { slot, proposal_number, view } => self.on_accept(from, slot, proposal_number, view),
+            ChainMessage::AcceptReply { slot, proposal_number } => self.on_accepted(from, slot, proposal_number),
+            ChainMessage::ProposalRejected { slot, proposal_number } => self.on_refused(slot, proposal_number),
             ChainMessage::Decided { view } => self.on_decided(view),
             ChainMessage::Propose { op, body } => {
                 if self.is_head() {
@@ -206,17 +206,17 @@
             ChainMessage::Append { view, fence, entries } => self.on_append(from, view, fence, entries.into_vec()),
             ChainMessage::Synced { view, seq, committed } => self.on_synced(from, view, seq, committed),
             ChainMessage::Position { view, seq } => self.on_position(from, view, seq),
-            ChainMessage::TakeCopy { view } => self.on_take_copy(from, view),
-            ChainMessage::CopyAsk { copy, piece } => self.on_copy_ask(from, copy, piece),
-            ChainMessage::CopyPiece { copy, piece, last, seq, pairs } => {
+            ChainMessage::SnapshotOffer { view } => self.on_take_copy(from, view),
+            ChainMessage::SnapshotRequest { copy, piece } => self.on_copy_ask(from, copy, piece),
+            ChainMessage::SnapshotChunk { copy, piece, last, seq, pairs } => {
                 self.on_copy_piece(from, copy, piece, last != 0, seq, pairs.into_vec())
             }
-            ChainMessage::SuffixAsk { since, last, digest } => self.on_suffix_ask(from, since, last, digest),
-            ChainMessage::Suffix { copy, entries } => self.on_suffix(from, copy, entries.into_vec()),
-            ChainMessage::JoinAsk { seat, ready, seq } => self.on_join_ask(seat, ready != 0, seq),
-            ChainMessage::FoundAsk { seat, bound } => self.on_found_ask(seat, bound),
-            ChainMessage::LastAnswered { view, millis } => self.on_last_answered(from, view, millis),
-            ChainMessage::Done { op, entered, receipt } => self.on_done(op, entered != 0, receipt),
+            ChainMessage::MissedEntriesRequest { since, last, digest } => self.on_suffix_ask(from, since, last, digest),
+            ChainMessage::MissedEntries { copy, entries } => self.on_suffix(from, copy, entries.into_vec()),
+            ChainMessage::JoinRequest { node, ready, seq } => self.on_join_ask(node, ready != 0, seq),
+            ChainMessage::BootstrapRequest { node, bound } => self.on_found_ask(node, bound),
+            ChainMessage::TailLastAnswered { view, millis } => self.on_last_answered(from, view, millis),
+            ChainMessage::Done { op, appended, reply } => self.on_done(op, appended != 0, reply),
         }
     }
 
--- a/crates/chain/src/register.rs
+++ b/crates/chain/src/register.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct Proposal {
     pub slot: u64,
-    pub ballot: u64,
+    pub proposal_number: u64,
     pub value: View,
     pub promises: BTreeMap<NodeId, (u64, View)>,
     pub accepts: BTreeSet<NodeId>,
@@ -24,26 +24,26 @@
 
 impl Member {
     pub(crate) fn is_voter(&self, id: NodeId) -> bool {
-        self.meta.view.voters.iter().any(|seat| seat.id == id)
+        self.meta.view.voters.iter().any(|node| node.id == id)
     }
 
     pub(crate) fn propose(&mut self, value: View) {
-        let Some(rank) = self.meta.view.voters.iter().position(|seat| seat.id == self.meta.seat.id) else {
+        let Some(rank) = self.meta.view.voters.iter().position(|node| node.id == self.meta.node.id) else {
             return;
         };
-        let round = (self.meta.promised.max(self.seen_ballot) >> 8) + 1;
-        let ballot = (round << 8) | rank as u64;
+        let round = (self.meta.promised.max(self.highest_seen_number) >> 8) + 1;
+        let proposal_number = (round << 8) | rank as u64;
         let slot = self.meta.view.number + 1;
         self.proposal = Some(Proposal {
             slot,
-            ballot,
+            proposal_number,
             value,
             promises: BTreeMap::new(),
             accepts: BTreeSet::new(),
             accepting: false,
             begun: self.now,
         });
-        self.send_voters(ChainMessage::Prepare { slot, ballot });
+        self.send_voters(ChainMessage::Prepare { slot, proposal_number });
     }
 
     pub(crate) fn keep_meta(&mut self, after: Vec<Output>) {
@@ -53,42 +53,42 @@
     }
 
     pub(crate) fn send_voters(&mut self, message: ChainMessage) {
-        for seat in self.meta.view.voters.clone().iter() {
-            self.send(seat.id, message.clone());
+        for node in self.meta.view.voters.clone().iter() {
+            self.send(node.id, message.clone());
         }
     }
 
-    pub(crate) fn on_prepare(&mut self, from: NodeId, slot: u64, ballot: u64) {
+    pub(crate) fn on_prepare(&mut self, from: NodeId, slot: u64, proposal_number: u64) {
         if !self.slot_is_next(from, slot) {
             return;
         }
-        if ballot <= self.meta.promised {
-            let ballot = self.meta.promised;
-            return self.send(from, ChainMessage::Refused { slot, ballot });
+        if proposal_number <= self.meta.promised {
+            let proposal_number = self.meta.promised;
+            return self.send(from, ChainMessage::ProposalRejected { slot, proposal_number });
         }
-        self.meta.promised = ballot;
-        let promise = ChainMessage::Promise {
+        self.meta.promised = proposal_number;
+        let promise = ChainMessage::PrepareReply {
             slot,
-            ballot,
-            accepted_ballot: self.meta.accepted_ballot,
+            proposal_number,
+            accepted_number: self.meta.accepted_number,
             accepted: self.meta.accepted.clone(),
         };
         self.keep_meta(vec![Output::Send { to: from, message: promise }]);
     }
 
-    pub(crate) fn on_accept(&mut self, from: NodeId, slot: u64, ballot: u64, view: View) {
+    pub(crate) fn on_accept(&mut self, from: NodeId, slot: u64, proposal_number: u64, view: View) {
         if !self.slot_is_next(from, slot) {
             return;
         }
-        if ballot < self.meta.promised {
-            let ballot = self.meta.promised;
-            return self.send(from, ChainMessage::Refused { slot, ballot });
+        if proposal_number < self.meta.promised {
+            let proposal_number = self.meta.promised;
+            return self.send(from, ChainMessage::ProposalRejected { slot, proposal_number });
         }
-        self.meta.promised = ballot;
-        self.meta.accepted_ballot = ballot;
+        self.meta.promised = proposal_number;
+        self.meta.accepted_number = proposal_number;
         self.meta.accepted = view;
         self.accepted_at = self.now;
-        self.keep_meta(vec![Output::Send { to: from, message: ChainMessage::Accepted { slot, ballot } }]);
+        self.keep_meta(vec![Output::Send { to: from, message: ChainMessage::AcceptReply { slot, proposal_number } }]);
     }
 
     fn slot_is_next(&mut self, from: NodeId, slot: u64) -> bool {
@@ -100,14 +100,21 @@
         number > 0 && slot == number + 1
     }
 
-    pub(crate) fn on_promise(&mut self, from: NodeId, slot: u64, ballot: u64, accepted_ballot: u64, accepted: View) {
+    pub(crate) fn on_promise(
+        &mut self,
+        from: NodeId,
+        slot: u64,
+        proposal_number: u64,
+        accepted_number: u64,
+        accepted: View,
+    ) {
         let voters = self.meta.view.voters.as_slice().len();
         let voter = self.is_voter(from);
         let Some(proposal) = self.proposal.as_mut() else { return };
-        if !voter || proposal.accepting || (proposal.slot, proposal.ballot) != (slot, ballot) {
+        if !voter || proposal.accepting || (proposal.slot, proposal.proposal_number) != (slot, proposal_number) {
             return;
         }
-        proposal.promises.insert(from, (accepted_ballot, accepted));
+        proposal.promises.insert(from, (accepted_number, accepted));
         if !is_majority(proposal.promises.len(), voters) {
             return;
         }
@@ -119,21 +126,21 @@
             proposal.value = view;
         }
         let view = proposal.value.clone();
-        self.send_voters(ChainMessage::Accept { slot, ballot, view });
+        self.send_voters(ChainMessage::Accept { slot, proposal_number, view });
     }
 
-    pub(crate) fn on_accepted(&mut self, from: NodeId, slot: u64, ballot: u64) {
+    pub(crate) fn on_accepted(&mut self, from: NodeId, slot: u64, proposal_number: u64) {
         let voters = self.meta.view.voters.as_slice().len();
         let voter = self.is_voter(from);
         let Some(proposal) = self.proposal.as_mut() else { return };
-        if !voter || (proposal.slot, proposal.ballot) != (slot, ballot) {
+        if !voter || (proposal.slot, proposal.proposal_number) != (slot, proposal_number) {
             return;
         }
         proposal.accepts.insert(from);
         if is_majority(proposal.accepts.len(), voters) {
             let view = proposal.value.clone();
             let told: BTreeSet<NodeId> =
-                self.meta.view.voters.iter().chain(view.voters.iter()).map(|seat| seat.id).collect();
+                self.meta.view.voters.iter().chain(view.voters.iter()).map(|node| node.id).collect();
             for id in told {
                 self.send(id, ChainMessage::Decided { view: view.clone() });
             }
@@ -141,13 +148,13 @@
         }
     }
 
-    pub(crate) fn on_refused(&mut self, slot: u64, ballot: u64) {
-        self.seen_ballot = self.seen_ballot.max(ballot);
+    pub(crate) fn on_refused(&mut self, slot: u64, proposal_number: u64) {
+        self.highest_seen_number = self.highest_seen_number.max(proposal_number);
         // A voter that has promised this very ballot, and was asked twice, has refused nothing.
-        let outbid = |proposal: &Proposal| proposal.slot == slot && ballot > proposal.ballot;
+        let outbid = |proposal: &Proposal| proposal.slot == slot && proposal_number > proposal.proposal_number;
         if self.proposal.as_ref().is_some_and(outbid) {
             self.proposal = None;
-            let wait = self.timing.heartbeat.as_millis() as u64 * (1 + (self.meta.seat.id ^ ballot) % 5);
+            let wait = self.timing.heartbeat.as_millis() as u64 * (1 + (self.meta.node.id ^ proposal_number) % 5);
             self.propose_after = self.now + Duration::from_millis(wait);
         }
     }
--- a/crates/chain/src/returns.rs
+++ b/crates/chain/src/returns.rs
@@ -26,7 +26,7 @@
     /// Whether a voter outside the chain hears nothing from a member of it: the two would take each other
     /// out again as soon as it returned.
     pub(crate) fn misses_a_member(&self) -> bool {
-        let me = self.meta.seat.id;
+        let me = self.meta.node.id;
         let is_silent = |id: &NodeId| {
             let heard = self.heard.get(id).map(|(heard, _)| *heard);
             *id != me && heard.is_some_and(|heard| self.now > heard + self.timing.suspect)
--- a/crates/chain/src/store.rs
+++ b/crates/chain/src/store.rs
@@ -6,7 +6,7 @@
 use derive_more::{Display, Error, From};
 use redb::{Database, ReadOnlyDatabase, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use std::path::Path;
-use wire::{EntryLine, Seat, Text, View};
+use wire::{LogEntry, NodeAddress, Text, View};
 
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
@@ -19,10 +19,10 @@
 struct MetaRecord {
     format: u16,
     cluster: Text,
-    seat: Seat,
+    node: NodeAddress,
     view: View,
     promised: u64,
-    accepted_ballot: u64,
+    accepted_number: u64,
     accepted: View,
 }
 
@@ -61,38 +61,38 @@
 }
 
 impl Store {
-    pub fn open(path: &Path, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreError> {
+    pub fn open(path: &Path, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
         // One that was closed cleanly is looked at without a byte of it being written.
         if let Some(base) = path.exists().then(|| ReadOnlyDatabase::open(path).ok()).flatten() {
-            kept_meta(&base, cluster)?;
+            stored_meta(&base, cluster)?;
         }
-        Store::begin(Database::builder().set_cache_size(CACHE).create(path)?, cluster, seat)
+        Store::begin(Database::builder().set_cache_size(CACHE).create(path)?, cluster, node)
     }
 
     /// Opens a file that is there already and is this member's own, and proves by a write that the disk takes
     /// one.
-    pub fn reopen(path: &Path, cluster: &str, seat: &Seat) -> Result<(Store, Stored), StoreError> {
+    pub fn reopen(path: &Path, cluster: &str, node: &NodeAddress) -> Result<(Store, Stored), StoreError> {
         let base = Database::builder().set_cache_size(CACHE).open(path)?;
         let mut store = Store { base, cluster: cluster.to_owned() };
         let stored = store.load()?.ok_or(StoreError::Damaged)?;
-        if stored.meta.seat.id != seat.id {
+        if stored.meta.node.id != node.id {
             return Err(StoreError::Damaged);
         }
-        store.write(&Batch { last: stored.last, settled: stored.settled, ..Batch::default() })?;
+        store.write(&Batch { last: stored.last, known_committed: stored.known_committed, ..Batch::default() })?;
         Ok((store, stored))
     }
 
     /// On a disk of another kind, such as one that loses its power.
-    pub fn open_on(disk: impl StorageBackend, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreError> {
-        Store::begin(Database::builder().create_with_backend(disk)?, cluster, seat)
+    pub fn open_on(disk: impl StorageBackend, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
+        Store::begin(Database::builder().create_with_backend(disk)?, cluster, node)
     }
 
-    fn begin(base: Database, cluster: &str, seat: Seat) -> Result<(Store, Stored), StoreError> {
+    fn begin(base: Database, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
         let mut store = Store { base, cluster: cluster.to_owned() };
         let stored = match store.load()? {
             Some(stored) => stored,
             None => {
-                let meta = Meta { seat, ..Meta::default() };
+                let meta = Meta { node, ..Meta::default() };
                 store.write(&Batch { meta: Some(meta.clone()), ..Batch::default() })?;
                 Stored { meta, ..Stored::default() }
             }
@@ -101,15 +101,15 @@
     }
 
     fn load(&self) -> Result<Option<Stored>, StoreError> {
-        let Some(record) = kept_meta(&self.base, &self.cluster)? else { return Ok(None) };
+        let Some(record) = stored_meta(&self.base, &self.cluster)? else { return Ok(None) };
         let read = self.base.begin_read()?;
         let meta = read.open_table(META)?;
         let mut stored = Stored {
             meta: Meta {
-                seat: record.seat,
+                node: record.node,
                 view: record.view,
                 promised: record.promised,
-                accepted_ballot: record.accepted_ballot,
+                accepted_number: record.accepted_number,
                 accepted: record.accepted,
             },
             ..Stored::default()
@@ -117,13 +117,13 @@
         let last = meta.get("last")?.ok_or(StoreError::Damaged)?;
         let number = |raw: &[u8]| raw.try_into().map(u64::from_le_bytes).map_err(|_| StoreError::Damaged);
         stored.last = number(last.value())?;
-        stored.settled = meta.get("settled")?.map_or(Ok(0), |raw| number(raw.value()))?;
+        stored.known_committed = meta.get("settled")?.map_or(Ok(0), |raw| number(raw.value()))?;
         for pair in read.open_table(STATE)?.iter()? {
             let (key, value) = pair?;
             stored.state.insert(key.value().to_owned(), value.value().into());
         }
         for line in read.open_table(LOG)?.iter()? {
-            let entry: EntryLine = wire::from_bytes(line?.1.value()).ok_or(StoreError::Damaged)?;
+            let entry: LogEntry = wire::from_bytes(line?.1.value()).ok_or(StoreError::Damaged)?;
             stored.entries.push(entry);
         }
         Ok(Some(stored))
@@ -150,15 +150,15 @@
             }
             log.retain_in(..batch.trim_below, |_, _| false)?;
             meta.insert("last", batch.last.to_le_bytes().as_slice())?;
-            meta.insert("settled", batch.settled.to_le_bytes().as_slice())?;
+            meta.insert("settled", batch.known_committed.to_le_bytes().as_slice())?;
             if let Some(kept) = &batch.meta {
                 let record = MetaRecord {
                     format: RECORD_FORMAT,
                     cluster: self.cluster.as_str().into(),
-                    seat: kept.seat.clone(),
+                    node: kept.node.clone(),
                     view: kept.view.clone(),
                     promised: kept.promised,
-                    accepted_ballot: kept.accepted_ballot,
+                    accepted_number: kept.accepted_number,
                     accepted: kept.accepted.clone(),
                 };
                 meta.insert("meta", wire::to_bytes(&record).as_slice())?;
@@ -170,7 +170,7 @@
 }
 
 /// The record that says whose file this is, if anything was ever written to it.
-fn kept_meta(base: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
+fn stored_meta(base: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
     let read = base.begin_read()?;
     let meta = match read.open_table(META) {
         Ok(table) => table,
--- a/crates/chain/src/suffix.rs
+++ b/crates/chain/src/suffix.rs
@@ -8,19 +8,19 @@
 use crate::member::Member;
 use crate::types::Output;
 use sha2::{Digest, Sha256};
-use wire::{ChainMessage, EntryLine, NodeId};
+use wire::{ChainMessage, LogEntry, NodeId};
 
 const MOST_BYTES: usize = 2 * 1024 * 1024;
 const LOG_BYTES: usize = 4 * 1024 * 1024;
 
-fn digest<'a>(entries: impl Iterator<Item = &'a EntryLine>) -> u64 {
+fn digest<'a>(entries: impl Iterator<Item = &'a LogEntry>) -> u64 {
     let mut hasher = Sha256::new();
     entries.for_each(|entry| hasher.update(wire::to_bytes(entry)));
     hasher.finalize().first_chunk::<8>().map_or(0, |bytes| u64::from_le_bytes(*bytes))
 }
 
 impl Member {
-    fn log_after(&self, seq: u64) -> Option<impl Iterator<Item = &EntryLine>> {
+    fn log_after(&self, seq: u64) -> Option<impl Iterator<Item = &LogEntry>> {
         let oldest = self.log.front().map_or(self.last + 1, |entry| entry.seq);
         (oldest <= seq + 1).then(|| self.log.iter().filter(move |entry| entry.seq > seq))
     }
@@ -36,11 +36,11 @@
     }
 
     /// What the member asks the source for: the entries it missed, or, where it can prove nothing, all.
-    pub(crate) fn first_ask(&self) -> ChainMessage {
-        let since = self.settled;
+    pub(crate) fn first_request(&self) -> ChainMessage {
+        let since = self.known_committed;
         match self.log_after(since) {
-            Some(entries) => ChainMessage::SuffixAsk { since, last: self.last, digest: digest(entries) },
-            None => ChainMessage::CopyAsk { copy: 0, piece: 0 },
+            Some(entries) => ChainMessage::MissedEntriesRequest { since, last: self.last, digest: digest(entries) },
+            None => ChainMessage::SnapshotRequest { copy: 0, piece: 0 },
         }
     }
 
@@ -51,7 +51,7 @@
         let same = last <= self.synced
             && self.log_after(since).is_some_and(|mine| digest(mine.take_while(|e| e.seq <= last)) == theirs);
         let synced = self.synced;
-        let missed: Option<Vec<EntryLine>> = self
+        let missed: Option<Vec<LogEntry>> = self
             .log_after(last)
             .filter(|_| same)
             .map(|entries| entries.take_while(|entry| entry.seq <= synced).cloned().collect());
@@ -61,21 +61,21 @@
         }
         let copy = self.copy_number();
         let (state, starts) = (self.synced_state.clone(), vec![String::new()]);
-        self.source = Some(Source { number: copy, joiner: from, state, seq: synced, starts, asked: self.now });
-        self.send(from, ChainMessage::Suffix { copy, entries: missed.into() });
+        self.source = Some(Source { number: copy, joiner: from, state, seq: synced, starts, requested_at: self.now });
+        self.send(from, ChainMessage::MissedEntries { copy, entries: missed.into() });
     }
 
-    pub(crate) fn on_suffix(&mut self, from: NodeId, copy: u64, entries: Vec<EntryLine>) {
+    pub(crate) fn on_suffix(&mut self, from: NodeId, copy: u64, entries: Vec<LogEntry>) {
         let now = self.now;
         let next = self.last + 1;
         let Some(copying) = self.copying.as_mut() else { return };
         if copying.from != from || copying.copy != 0 || entries.first().is_some_and(|entry| entry.seq != next) {
             return;
         }
-        (copying.copy, copying.asked, copying.moved) = (copy, now, now);
+        (copying.copy, copying.requested_at, copying.moved) = (copy, now, now);
         let count = entries.len();
         entries.into_iter().for_each(|entry| self.take(entry));
-        self.receipts.clear();
+        self.pending_replies.clear();
         self.installs = true;
         self.keep_meta(Vec::new());
         self.outs.push(Output::Installed { missed: Some(count) });
--- a/crates/chain/src/tenure.rs
+++ b/crates/chain/src/tenure.rs
@@ -68,17 +68,17 @@
     /// the adoption is on disk: else a voter that restarts could answer the tail before once more.
     pub(crate) fn change_tail(&mut self, next: &View) -> Option<Output> {
         let before = &self.meta.view;
-        let me = self.meta.seat.id;
+        let me = self.meta.node.id;
         let follows = before.number > 0 && next.number == before.number + 1;
         let (old_tail, new_tail) = (tail_of(before), tail_of(next));
         if new_tail == Some(me) && !(follows && old_tail == Some(me)) {
-            let voters = before.voters.iter().map(|seat| seat.id).filter(|_| follows);
+            let voters = before.voters.iter().map(|node| node.id).filter(|_| follows);
             self.tenure = Tenure { first_view: next.number, voters_before: voters.collect() };
         }
         let millis = self.now.saturating_sub(self.tail_answered).as_millis() as u64;
         self.tail_answered = self.now;
         let to = new_tail.filter(|_| follows && new_tail != old_tail && self.is_voter(me))?;
-        Some(Output::Send { to, message: ChainMessage::LastAnswered { view: next.number, millis } })
+        Some(Output::Send { to, message: ChainMessage::TailLastAnswered { view: next.number, millis } })
     }
 
     pub(crate) fn on_last_answered(&mut self, from: NodeId, view: u64, millis: u64) {
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -2,14 +2,14 @@
 
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{ChainMessage, EntryLine, NodeId, OpNo, Seat, View};
+use wire::{ChainMessage, LogEntry, NodeAddress, NodeId, ProposalId, View};
 
 pub type Value = Arc<[u8]>;
 pub type State = im::OrdMap<String, Value>;
 
 pub struct Effect {
     pub changes: Vec<(String, Option<Value>)>,
-    pub receipt: Vec<u8>,
+    pub reply: Vec<u8>,
 }
 
 pub type Apply = fn(&State, u64, &[u8]) -> Effect;
@@ -37,10 +37,10 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Meta {
-    pub seat: Seat,
+    pub node: NodeAddress,
     pub view: View,
     pub promised: u64,
-    pub accepted_ballot: u64,
+    pub accepted_number: u64,
     pub accepted: View,
 }
 
@@ -48,11 +48,11 @@
 pub struct Batch {
     pub replace: bool,
     pub pairs: Vec<(String, Option<Value>)>,
-    pub entries: Vec<EntryLine>,
+    pub entries: Vec<LogEntry>,
     pub trim_below: u64,
     pub last: u64,
     /// How far the log was known to be committed: part of every history after.
-    pub settled: u64,
+    pub known_committed: u64,
     pub meta: Option<Meta>,
 }
 
@@ -60,9 +60,9 @@
 pub struct Stored {
     pub meta: Meta,
     pub state: State,
-    pub entries: Vec<EntryLine>,
+    pub entries: Vec<LogEntry>,
     pub last: u64,
-    pub settled: u64,
+    pub known_committed: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -81,7 +81,7 @@
         stored: Stored,
     },
     Propose {
-        op: OpNo,
+        op: ProposalId,
         body: Vec<u8>,
     },
     Confirm,
@@ -102,9 +102,9 @@
         batch: Batch,
     },
     Done {
-        op: OpNo,
-        entered: bool,
-        receipt: Vec<u8>,
+        op: ProposalId,
+        appended: bool,
+        reply: Vec<u8>,
     },
     Committed {
         seq: u64,
@@ -140,7 +140,7 @@
     stored.entries.extend(batch.entries.iter().cloned());
     stored.entries.retain(|entry| entry.seq >= batch.trim_below);
     stored.last = batch.last;
-    stored.settled = batch.settled;
+    stored.known_committed = batch.known_committed;
     if let Some(meta) = &batch.meta {
         stored.meta = meta.clone();
     }
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -5,13 +5,13 @@
 use crate::register::is_majority;
 use crate::types::{Output, State};
 use std::collections::BTreeSet;
-use wire::{ChainMessage, EntryLine, NodeId, Seat, View};
+use wire::{ChainMessage, LogEntry, NodeAddress, NodeId, View};
 
 #[derive(Clone, Default)]
 pub struct Round {
     pub number: u64,
     pub begun: std::time::Duration,
-    pub receipts: BTreeSet<NodeId>,
+    pub pending_replies: BTreeSet<NodeId>,
     pub running: bool,
     pub wanted: u64,
     pub needs: Option<(u64, u64)>,
@@ -19,8 +19,8 @@
 
 impl Member {
     pub(crate) fn adopt(&mut self, view: View) {
-        let me = self.meta.seat.id;
-        let mine = view.voters.iter().any(|seat| seat.id == me);
+        let me = self.meta.node.id;
+        let mine = view.voters.iter().any(|node| node.id == me);
         if view.number <= self.meta.view.number || (self.meta.view.number == 0 && !mine) {
             return;
         }
@@ -28,9 +28,9 @@
         let report = self.change_tail(&view);
         self.meta.view = view.clone();
         self.meta.promised = 0;
-        self.meta.accepted_ballot = 0;
+        self.meta.accepted_number = 0;
         self.meta.accepted = View::default();
-        self.seen_ballot = 0;
+        self.highest_seen_number = 0;
         self.proposal = None;
         self.suspecting = None;
         self.heard_from_all();
@@ -42,39 +42,39 @@
 
     pub(crate) fn heard_from_all(&mut self) {
         let now = self.now;
-        for seat in self.meta.view.voters.clone().iter() {
-            self.heard.insert(seat.id, (now, false));
+        for node in self.meta.view.voters.clone().iter() {
+            self.heard.insert(node.id, (now, false));
         }
     }
 
-    pub(crate) fn on_heartbeat(&mut self, from: NodeId, view: u64, round: u64, unwell: bool) {
+    pub(crate) fn on_heartbeat(&mut self, from: NodeId, view: u64, round: u64, unhealthy: bool) {
         if let Some((_, known)) = self.heard.get_mut(&from) {
-            *known = unwell;
+            *known = unhealthy;
         }
         if view < self.meta.view.number {
             let view = self.meta.view.clone();
             return self.send(from, ChainMessage::Decided { view });
         }
-        let holds_next = (self.meta.accepted_ballot > 0) as u8;
-        if holds_next == 0 {
+        let has_accepted_next = (self.meta.accepted_number > 0) as u8;
+        if has_accepted_next == 0 {
             self.note_answer(from);
         }
-        self.send(from, ChainMessage::HeartbeatAck { view: self.meta.view.number, round, holds_next });
+        self.send(from, ChainMessage::HeartbeatAck { view: self.meta.view.number, round, has_accepted_next });
     }
 
     /// Only an answer shows that a member is there: one that still sends but receives nothing would hold
     /// up every entry and every confirmation of the view.
-    pub(crate) fn on_heartbeat_ack(&mut self, from: NodeId, view: u64, round: u64, holds_next: bool) {
+    pub(crate) fn on_heartbeat_ack(&mut self, from: NodeId, view: u64, round: u64, has_accepted_next: bool) {
         if let Some((heard, _)) = self.heard.get_mut(&from) {
             *heard = self.now;
         }
-        if !self.round.running || round != self.round.number || view != self.meta.view.number || holds_next {
+        if !self.round.running || round != self.round.number || view != self.meta.view.number || has_accepted_next {
             return;
         }
         if self.is_voter(from) {
-            self.round.receipts.insert(from);
+            self.round.pending_replies.insert(from);
         }
-        if !is_majority(self.round.receipts.len(), self.meta.view.voters.as_slice().len()) {
+        if !is_majority(self.round.pending_replies.len(), self.meta.view.voters.as_slice().len()) {
             return;
         }
         self.round.running = false;
@@ -112,7 +112,7 @@
 
     pub(crate) fn begin_round(&mut self) {
         self.round.number += 1;
-        self.round.receipts.clear();
+        self.round.pending_replies.clear();
         self.round.running = true;
         self.round.begun = self.now;
         self.heartbeat();
@@ -122,7 +122,7 @@
         let message = ChainMessage::Heartbeat {
             view: self.meta.view.number,
             round: self.round.number,
-            unwell: self.is_unwell() as u8,
+            unhealthy: self.is_unwell() as u8,
         };
         self.send_voters(message);
     }
@@ -134,7 +134,7 @@
 
     pub(crate) fn is_suspect(&self, id: NodeId) -> bool {
         match self.heard.get(&id) {
-            Some((heard, unwell)) => *unwell || self.now > *heard + self.timing.suspect,
+            Some((heard, unhealthy)) => *unhealthy || self.now > *heard + self.timing.suspect,
             None => true,
         }
     }
@@ -142,7 +142,7 @@
     /// Proposes the next view when it must: to finish a decision that was begun and left open, which
     /// else would hold up every confirmation, or to take silent and unwell members out.
     pub(crate) fn mend(&mut self) {
-        let me = self.meta.seat.id;
+        let me = self.meta.node.id;
         let view = &self.meta.view;
         let chain = view.chain.as_slice();
         if let Some(proposal) = &self.proposal {
@@ -151,18 +151,18 @@
             }
             return;
         }
-        let rank = view.voters.iter().position(|seat| seat.id == me).unwrap_or_default() as u32 + 1;
-        let left_open = self.meta.accepted_ballot > 0 && self.now > self.accepted_at + self.timing.suspect / 2 * rank;
+        let rank = view.voters.iter().position(|node| node.id == me).unwrap_or_default() as u32 + 1;
+        let left_open = self.meta.accepted_number > 0 && self.now > self.accepted_at + self.timing.suspect / 2 * rank;
         if left_open && self.now >= self.propose_after {
             let mut same = view.clone();
             same.number += 1;
             return self.propose(same);
         }
-        if !chain.contains(&me) || view.fresh == me || self.is_unwell() || self.now < self.propose_after {
+        if !chain.contains(&me) || view.learner == me || self.is_unwell() || self.now < self.propose_after {
             return;
         }
         let left: Vec<NodeId> = chain.iter().copied().filter(|id| *id == me || !self.is_suspect(*id)).collect();
-        let chosen_mender = left.iter().copied().find(|id| *id != view.fresh);
+        let chosen_mender = left.iter().copied().find(|id| *id != view.learner);
         if !self.hears_majority() {
             return;
         }
@@ -184,7 +184,7 @@
         }
         let mut next = view.clone();
         next.number += 1;
-        next.fresh = if left.contains(&view.fresh) { view.fresh } else { 0 };
+        next.learner = if left.contains(&view.learner) { view.learner } else { 0 };
         next.optimizer = optimizer_for(&left, view.optimizer);
         next.chain = left.into();
         self.propose(next);
@@ -194,8 +194,8 @@
     /// once they arrive after all.
     fn hears_majority(&self) -> bool {
         let voters = self.meta.view.voters.as_slice();
-        let me = self.meta.seat.id;
-        let heard = voters.iter().filter(|seat| seat.id == me || !self.is_suspect(seat.id)).count();
+        let me = self.meta.node.id;
+        let heard = voters.iter().filter(|node| node.id == me || !self.is_suspect(node.id)).count();
         is_majority(heard, voters.len())
     }
 }
@@ -212,14 +212,14 @@
     pub fn committed_state(&self) -> &State {
         &self.committed_state
     }
-    pub fn seat(&self) -> &Seat {
-        &self.meta.seat
+    pub fn node(&self) -> &NodeAddress {
+        &self.meta.node
     }
-    pub fn entries(&self) -> impl Iterator<Item = &EntryLine> {
+    pub fn entries(&self) -> impl Iterator<Item = &LogEntry> {
         self.log.iter()
     }
     pub fn suspects(&self) -> Vec<NodeId> {
-        self.meta.view.voters.iter().map(|seat| seat.id).filter(|id| self.is_suspect(*id)).collect()
+        self.meta.view.voters.iter().map(|node| node.id).filter(|id| self.is_suspect(*id)).collect()
     }
     pub fn positions(&self) -> (u64, u64, u64) {
         (self.last, self.synced, self.committed)
--- a/crates/chain/src/writes.rs
+++ b/crates/chain/src/writes.rs
@@ -11,7 +11,7 @@
         }
         self.dirty = false;
         self.ticket += 1;
-        self.next.settled = self.settled;
+        self.next.known_committed = self.known_committed;
         let follow = Batch { last: self.last, trim_below: self.next.trim_below, ..Batch::default() };
         let batch = std::mem::replace(&mut self.next, follow);
         self.writing = Some(Writing {
@@ -40,13 +40,13 @@
     /// Starts again from what the disk holds, as a new process would: nothing that was not synced is kept.
     /// Only the numbers of rounds, ballots and writes go on, since answers to earlier ones may still come.
     pub(crate) fn start_again(&mut self, stored: Stored) {
-        if !self.faulted || stored.meta.seat.id != self.meta.seat.id {
+        if !self.faulted || stored.meta.node.id != self.meta.node.id {
             return;
         }
-        let seat = self.meta.seat.clone();
-        let mut member = Member::new(seat, stored, self.timing.clone(), self.apply, self.now);
-        let proposed = self.proposal.as_ref().map_or(0, |proposal| proposal.ballot);
-        member.seen_ballot = self.seen_ballot.max(proposed);
+        let node = self.meta.node.clone();
+        let mut member = Member::new(node, stored, self.timing.clone(), self.apply, self.now);
+        let proposed = self.proposal.as_ref().map_or(0, |proposal| proposal.proposal_number);
+        member.highest_seen_number = self.highest_seen_number.max(proposed);
         member.round.number = self.round.number;
         member.ticket = self.ticket;
         member.leaving_since = self.leaving_since;
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -2,12 +2,12 @@
 
 mod net;
 
-use net::{Net, seat};
+use net::{Net, node};
 use std::time::Duration;
 use wire::{ChainMessage, NodeId};
 
 fn voters(net: &Net, id: NodeId) -> Vec<NodeId> {
-    let mut voters: Vec<NodeId> = net.members[&id].view().voters.iter().map(|seat| seat.id).collect();
+    let mut voters: Vec<NodeId> = net.members[&id].view().voters.iter().map(|node| node.id).collect();
     voters.sort_unstable();
     voters
 }
@@ -39,7 +39,7 @@
     let head = net.chain(at)[0];
     let op = net.propose_entry(head, "after the loss");
     net.pass(1000);
-    assert!(net.done.iter().any(|(_, done, entered)| *done == op && *entered), "no majority is left");
+    assert!(net.done.iter().any(|(_, done, appended)| *done == op && *appended), "no majority is left");
     assert!(net.members[&at].committed_state().contains_key("kept"), "a copy is missing");
 }
 
@@ -77,10 +77,10 @@
     let mut net = Net::founded();
     net.seeds.insert(4, vec![1, 2, 3]);
     net.start_founding(4, 0);
-    while net.members[&1].view().fresh == 0 {
+    while net.members[&1].view().learner == 0 {
         net.now += Duration::from_millis(50);
         (1..=4).for_each(|id| net.feed(id, chain::Input::Tick));
-        while net.members[&1].view().fresh == 0 && !net.frames.is_empty() {
+        while net.members[&1].view().learner == 0 && !net.frames.is_empty() {
             let (from, to, message) = net.frames.pop_front().unwrap();
             net.feed(to, chain::Input::Frame { from, message });
             (1..=4).for_each(|id| net.land(id));
@@ -126,12 +126,12 @@
     net.pass(2000);
     assert_eq!(net.chain(2).len(), 5, "one seat is empty");
     net.members.remove(&1);
-    net.addresses.insert(11, seat(1).address);
+    net.addresses.insert(11, node(1).address);
     net.seeds.insert(11, vec![2, 3]);
     net.start_bearing(11, 0, 2);
     for _ in 0..160 {
         net.pass(50);
-        let at_its_address = net.members[&2].view().voters.iter().filter(|voter| voter.address == seat(1).address);
+        let at_its_address = net.members[&2].view().voters.iter().filter(|voter| voter.address == node(1).address);
         assert!(at_its_address.count() <= 1, "{:?}", net.members[&2].view());
     }
     assert!(voters(&net, 2).contains(&11));
@@ -181,12 +181,12 @@
     net.seeds.insert(9, vec![1, 2, 3]);
     net.start_bearing(9, 0, 2);
     net.pass(3000);
-    assert_eq!((net.members[&1].view().fresh, voters(&net, 1).len()), (9, 8), "one seat is empty");
+    assert_eq!((net.members[&1].view().learner, voters(&net, 1).len()), (9, 8), "one seat is empty");
     net.pass(10_000);
-    assert_eq!((net.members[&1].view().fresh, voters(&net, 1).len()), (9, 8));
+    assert_eq!((net.members[&1].view().learner, voters(&net, 1).len()), (9, 8));
     net.starved.clear();
     net.pass(12_000);
-    assert_eq!((net.members[&1].view().fresh, voters(&net, 1).len()), (0, 7));
+    assert_eq!((net.members[&1].view().learner, voters(&net, 1).len()), (0, 7));
 }
 
 #[test]
@@ -231,7 +231,7 @@
     let (_, _, heartbeat) = net.frames.iter().find(|(_, to, _)| *to == 1).cloned().unwrap();
     net.frames.clear();
     net.feed(1, chain::Input::Frame { from: 3, message: heartbeat });
-    let (_, _, receipt) = net.frames.pop_back().unwrap();
+    let (_, _, reply) = net.frames.pop_back().unwrap();
     net.restart_numbering_from(3, round + 1000);
     net.pass(500);
     assert!(net.members[&3].is_current_tail());
@@ -240,6 +240,6 @@
     assert_eq!((net.chain(1), net.chain(3)), (vec![1, 2], vec![1, 2, 3]));
     net.members.get_mut(&3).unwrap().ask_confirm();
     net.feed(3, chain::Input::Confirm);
-    net.feed(3, chain::Input::Frame { from: 1, message: receipt });
+    net.feed(3, chain::Input::Frame { from: 1, message: reply });
     assert!(net.confirmed.is_empty(), "it is not the tail any more, and does not know");
 }
--- a/crates/chain/tests/founding.rs
+++ b/crates/chain/tests/founding.rs
@@ -34,7 +34,7 @@
 #[test]
 fn a_member_that_bound_itself_to_a_founding_goes_through_with_it() {
     let mut net = Net::new(&[1, 2, 3]);
-    while net.disks.values().all(|disk| disk.meta.accepted_ballot == 0) {
+    while net.disks.values().all(|disk| disk.meta.accepted_number == 0) {
         net.pass(50);
     }
     assert!(net.members.values().any(|member| member.view().number == 0), "not all have heard of it yet");
@@ -42,7 +42,7 @@
     (1..=3).for_each(|id| net.start_founding(id, 0));
     net.pass(3000);
     let views: Vec<u64> = net.members.values().map(|member| member.view().number).collect();
-    let bound = net.disks.values().filter(|disk| disk.meta.accepted_ballot > 0 || disk.meta.view.number > 0).count();
+    let bound = net.disks.values().filter(|disk| disk.meta.accepted_number > 0 || disk.meta.view.number > 0).count();
     assert!(bound == 3 && views.iter().all(|number| *number > 0), "{bound} bound, views {views:?}");
 }
 
--- a/crates/chain/tests/full.rs
+++ b/crates/chain/tests/full.rs
@@ -6,26 +6,26 @@
 use chain::{Batch, Disk, DiskReport, Store};
 use platter::Disk as Platter;
 use std::sync::mpsc;
-use wire::{EntryLine, OpNo, Seat};
+use wire::{LogEntry, NodeAddress, ProposalId};
 
-fn seat() -> Seat {
-    Seat { id: 5, address: "127.0.0.1:1".into() }
+fn node() -> NodeAddress {
+    NodeAddress { id: 5, address: "127.0.0.1:1".into() }
 }
 
 fn batch(seq: u64) -> Batch {
-    let entry = EntryLine { seq, op: OpNo { origin: 1, number: seq }, body: vec![seq as u8; 30_000].into() };
+    let entry = LogEntry { seq, op: ProposalId { origin: 1, number: seq }, body: vec![seq as u8; 30_000].into() };
     let pairs = vec![(format!("key {}", seq % 5), Some(vec![seq as u8; 50_000].into()))];
     Batch { pairs, entries: vec![entry], trim_below: seq.saturating_sub(4), last: seq, ..Batch::default() }
 }
 
 /// The disk's thread over a disk in memory, and what it reports.
 fn start(platter: &Platter) -> (Disk, mpsc::Receiver<DiskReport>) {
-    let (store, _) = Store::open_on(platter.clone(), "posta", seat()).unwrap();
+    let (store, _) = Store::open_on(platter.clone(), "posta", node()).unwrap();
     let (reports, reported) = mpsc::channel();
     let again = platter.clone();
     let reopen = move || {
-        let (mut store, stored) = Store::open_on(again.clone(), "posta", seat())?;
-        store.write(&Batch { last: stored.last, settled: stored.settled, ..Batch::default() })?;
+        let (mut store, stored) = Store::open_on(again.clone(), "posta", node())?;
+        store.write(&Batch { last: stored.last, known_committed: stored.known_committed, ..Batch::default() })?;
         Ok((store, stored))
     };
     let disk = Disk::start(store, reopen, move |report| _ = reports.send(report)).unwrap();
@@ -60,7 +60,7 @@
 #[test]
 fn after_a_fault_that_is_no_lack_of_room_the_file_is_not_touched_again() {
     let platter = Platter::new(Vec::new(), u64::MAX);
-    drop(Store::open_on(platter.clone(), "posta", seat()).unwrap());
+    drop(Store::open_on(platter.clone(), "posta", node()).unwrap());
     let image = platter.0.lock().unwrap().synced.clone();
     let broken = Platter::new(image, 12);
     let (disk, reported) = start(&broken);
--- a/crates/chain/tests/members.rs
+++ b/crates/chain/tests/members.rs
@@ -69,7 +69,7 @@
     let mut next = net.members[&1].view().clone();
     next.number += 1;
     next.chain = vec![1, 2].into();
-    let accept = ChainMessage::Accept { slot: next.number, ballot: 1 << 8, view: next };
+    let accept = ChainMessage::Accept { slot: next.number, proposal_number: 1 << 8, view: next };
     net.feed(2, Input::Frame { from: 1, message: accept.clone() });
     net.feed(3, Input::Frame { from: 1, message: accept });
     net.frames.clear();
@@ -110,7 +110,7 @@
     assert_eq!(net.members[&4].view().number, 0, "it waits to be taken in");
     net.pass(5000);
     assert_eq!(net.chain(4), vec![1, 2, 4]);
-    let voters: Vec<NodeId> = net.members[&4].view().voters.iter().map(|seat| seat.id).collect();
+    let voters: Vec<NodeId> = net.members[&4].view().voters.iter().map(|node| node.id).collect();
     assert_eq!(voters, vec![1, 2, 4]);
     assert!(net.members[&4].committed_state().contains_key("a"));
 }
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -5,11 +5,11 @@
 use chain::{Batch, Effect, Input, Member, Output, State, Stored, Timing, apply_batch};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use wire::{ChainMessage, NodeId, OpNo, Seat};
+use wire::{ChainMessage, NodeAddress, NodeId, ProposalId};
 
 pub fn apply(_: &State, seq: u64, body: &[u8]) -> Effect {
     let key = String::from_utf8_lossy(body).into_owned();
-    Effect { changes: vec![(key, Some(seq.to_le_bytes().to_vec().into()))], receipt: body.to_vec() }
+    Effect { changes: vec![(key, Some(seq.to_le_bytes().to_vec().into()))], reply: body.to_vec() }
 }
 
 pub struct Net {
@@ -22,7 +22,7 @@
     pub stalled: Vec<NodeId>,
     /// To whom no log entries get through.
     pub starved: Vec<NodeId>,
-    pub done: Vec<(NodeId, OpNo, bool)>,
+    pub done: Vec<(NodeId, ProposalId, bool)>,
     pub confirmed: Vec<NodeId>,
     pub installed: Vec<(NodeId, Option<usize>)>,
     pub now: Duration,
@@ -38,8 +38,8 @@
     pub caught_up_by: BTreeMap<NodeId, (usize, usize)>,
 }
 
-pub fn seat(id: NodeId) -> Seat {
-    Seat { id, address: format!("10.0.0.{id}:1").into() }
+pub fn node(id: NodeId) -> NodeAddress {
+    NodeAddress { id, address: format!("10.0.0.{id}:1").into() }
 }
 
 impl Net {
@@ -80,8 +80,8 @@
     /// One that bears so many losses.
     pub fn start_bearing(&mut self, id: NodeId, seats: usize, losses: usize) {
         let stored = self.disks.entry(id).or_default().clone();
-        let address = self.addresses.get(&id).cloned().unwrap_or(seat(id).address);
-        let member = Member::new(Seat { id, address }, stored, Timing::default(), apply, self.now);
+        let address = self.addresses.get(&id).cloned().unwrap_or(node(id).address);
+        let member = Member::new(NodeAddress { id, address }, stored, Timing::default(), apply, self.now);
         self.members.insert(id, member.founding_with(seats).bearing(losses));
     }
 
@@ -107,10 +107,10 @@
                     others.into_iter().for_each(|to| self.frames.push_back((id, to, message.clone())));
                 }
                 Output::Write { ticket, batch } => self.writes.push((id, ticket, batch)),
-                Output::Done { op, entered, .. } => self.done.push((id, op, entered)),
+                Output::Done { op, appended, .. } => self.done.push((id, op, appended)),
                 Output::Confirmed { .. } => self.confirmed.push(id),
                 Output::Installed { missed } => self.installed.push((id, missed)),
-                Output::Told { view } => drop(self.told.insert(id, view.voters.iter().map(|seat| seat.id).collect())),
+                Output::Told { view } => drop(self.told.insert(id, view.voters.iter().map(|node| node.id).collect())),
                 Output::Committed { .. } | Output::Viewed { .. } => {}
             }
         }
@@ -157,7 +157,7 @@
     }
 
     fn count(&mut self, to: NodeId, message: &ChainMessage) {
-        if matches!(message, ChainMessage::CopyPiece { .. } | ChainMessage::Suffix { .. }) {
+        if matches!(message, ChainMessage::SnapshotChunk { .. } | ChainMessage::MissedEntries { .. }) {
             let (messages, bytes) = self.caught_up_by.entry(to).or_default();
             *messages += 1;
             *bytes += wire::to_bytes(message).len();
@@ -181,9 +181,9 @@
         }
     }
 
-    pub fn propose_entry(&mut self, at: NodeId, words: &str) -> OpNo {
+    pub fn propose_entry(&mut self, at: NodeId, words: &str) -> ProposalId {
         self.next_op += 1;
-        let op = OpNo { origin: at, number: self.next_op };
+        let op = ProposalId { origin: at, number: self.next_op };
         self.feed(at, Input::Propose { op, body: words.as_bytes().to_vec() });
         op
     }
--- a/crates/chain/tests/planned.rs
+++ b/crates/chain/tests/planned.rs
@@ -40,7 +40,7 @@
     let head = net.chain(2)[0];
     let op = net.propose_entry(head, "after the loss");
     net.pass(1000);
-    assert!(net.done.iter().any(|(_, done, entered)| *done == op && *entered), "no majority or copy is left");
+    assert!(net.done.iter().any(|(_, done, appended)| *done == op && *appended), "no majority or copy is left");
     assert!(net.members[&2].committed_state().contains_key("kept"));
 }
 
--- a/crates/chain/tests/power.rs
+++ b/crates/chain/tests/power.rs
@@ -8,14 +8,14 @@
 use platter::Disk;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use wire::{EntryLine, OpNo, Seat};
+use wire::{LogEntry, NodeAddress, ProposalId};
 
-fn seat() -> Seat {
-    Seat { id: 5, address: "127.0.0.1:1".into() }
+fn node() -> NodeAddress {
+    NodeAddress { id: 5, address: "127.0.0.1:1".into() }
 }
 
 fn batch(seq: u64) -> Batch {
-    let entry = EntryLine { seq, op: OpNo { origin: 1, number: seq }, body: vec![seq as u8; 60].into() };
+    let entry = LogEntry { seq, op: ProposalId { origin: 1, number: seq }, body: vec![seq as u8; 60].into() };
     Batch {
         pairs: vec![
             (format!("key {}", seq % 3), Some(seq.to_le_bytes().to_vec().into())),
@@ -30,7 +30,7 @@
 
 /// Writes until the power is gone and says how many batches were acknowledged.
 fn until_the_loss(disk: &Disk, from: u64, batches: u64) -> Option<u64> {
-    let (mut store, _) = Store::open_on(disk.clone(), "posta", seat()).ok()?;
+    let (mut store, _) = Store::open_on(disk.clone(), "posta", node()).ok()?;
     let mut done = from;
     for seq in from + 1..=from + batches {
         if store.write(&batch(seq)).is_err() {
@@ -58,10 +58,10 @@
             let disk = Disk::new(image.clone(), moment);
             let acknowledged = until_the_loss(&disk, 2, BATCHES).unwrap_or(2);
             let again = Disk::new(disk.after_the_loss(&mut dice), u64::MAX);
-            let opened = Store::open_on(again, "posta", Seat { id: 99, address: "".into() });
+            let opened = Store::open_on(again, "posta", NodeAddress { id: 99, address: "".into() });
             let (_, stored) = opened.unwrap_or_else(|told| panic!("write {moment} seed {seed}: {told}"));
             let at = stored.last;
-            assert_eq!(stored.meta.seat.id, 5, "write {moment} seed {seed}: identity");
+            assert_eq!(stored.meta.node.id, 5, "write {moment} seed {seed}: identity");
             assert!(
                 (acknowledged..=acknowledged + 1).contains(&at),
                 "write {moment} seed {seed}: {at} of {acknowledged}"
@@ -78,20 +78,20 @@
 /// A whole snapshot in the place of what was there: 600 pairs, each with the same mark.
 fn checkpoint(mark: u8, last: u64) -> Batch {
     let pairs = (0..600).map(|n| (format!("pair {n:03}"), Some(vec![mark; 200 + n % 90].into()))).collect();
-    Batch { replace: true, pairs, trim_below: last + 1, last, settled: last, ..Batch::default() }
+    Batch { replace: true, pairs, trim_below: last + 1, last, known_committed: last, ..Batch::default() }
 }
 
 #[test]
 fn whatever_the_moment_in_the_installing_of_a_checkpoint_the_disk_holds_the_old_or_the_new_never_both() {
     let begun = Disk::new(Vec::new(), u64::MAX);
     {
-        let (mut store, _) = Store::open_on(begun.clone(), "posta", seat()).unwrap();
+        let (mut store, _) = Store::open_on(begun.clone(), "posta", node()).unwrap();
         store.write(&checkpoint(1, 100)).unwrap();
         (101..105).for_each(|seq| store.write(&batch(seq)).unwrap());
     }
     let image = begun.0.lock().unwrap().synced.clone();
     let install = |disk: &Disk| -> Option<bool> {
-        let (mut store, _) = Store::open_on(disk.clone(), "posta", seat()).ok()?;
+        let (mut store, _) = Store::open_on(disk.clone(), "posta", node()).ok()?;
         Some(store.write(&checkpoint(2, 900)).is_ok())
     };
     let whole = Disk::new(image.clone(), u64::MAX);
@@ -104,7 +104,7 @@
             let disk = Disk::new(image.clone(), moment);
             let acknowledged = install(&disk).unwrap_or(false);
             let again = Disk::new(disk.after_the_loss(&mut dice), u64::MAX);
-            let opened = Store::open_on(again, "posta", Seat { id: 99, address: "".into() });
+            let opened = Store::open_on(again, "posta", NodeAddress { id: 99, address: "".into() });
             let (_, stored) = opened.unwrap_or_else(|told| panic!("write {moment} seed {seed}: {told}"));
             let marks =
                 |mark: u8| stored.state.iter().filter(|(key, v)| key.starts_with("pair") && v[0] == mark).count();
--- a/crates/chain/tests/rejoin.rs
+++ b/crates/chain/tests/rejoin.rs
@@ -42,7 +42,7 @@
         let head = net.chain(3)[0];
         let op = net.propose_entry(head, &format!("entry {n}"));
         net.pass(100);
-        taken += usize::from(net.done.iter().any(|(_, done, entered)| *done == op && *entered));
+        taken += usize::from(net.done.iter().any(|(_, done, appended)| *done == op && *appended));
     }
     let views = net.members[&3].view().number - from;
     assert!(views <= 15, "{views} views in fifteen seconds");
--- a/crates/chain/tests/seats.rs
+++ b/crates/chain/tests/seats.rs
@@ -3,7 +3,7 @@
 
 mod net;
 
-use net::{Net, seat};
+use net::{Net, node};
 use wire::NodeId;
 
 fn grown(count: NodeId) -> Net {
@@ -17,7 +17,7 @@
 }
 
 fn voters(net: &Net, id: NodeId) -> Vec<NodeId> {
-    let mut voters: Vec<NodeId> = net.members[&id].view().voters.iter().map(|seat| seat.id).collect();
+    let mut voters: Vec<NodeId> = net.members[&id].view().voters.iter().map(|node| node.id).collect();
     voters.sort_unstable();
     voters
 }
@@ -47,7 +47,7 @@
         net.pass(3000);
         // Wiped machines come back under a new name at the address they had.
         for id in lost {
-            net.addresses.insert(id + 10, seat(id).address);
+            net.addresses.insert(id + 10, node(id).address);
             net.seeds.insert(id + 10, vec![1, 2, 3, 4, 5, 6]);
             net.start_bearing(id + 10, 0, 2);
         }
--- a/crates/chain/tests/store.rs
+++ b/crates/chain/tests/store.rs
@@ -4,7 +4,7 @@
 use chain::{Batch, Store, StoreError};
 use redb::{Database, ReadableTable, TableDefinition};
 use std::path::PathBuf;
-use wire::{EntryLine, OpNo, Seat};
+use wire::{LogEntry, NodeAddress, ProposalId};
 
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("heronlink-store-{name}-{}", std::process::id()));
@@ -13,15 +13,15 @@
     folder
 }
 
-fn seat() -> Seat {
-    Seat { id: 5, address: "127.0.0.1:1".into() }
+fn node() -> NodeAddress {
+    NodeAddress { id: 5, address: "127.0.0.1:1".into() }
 }
 
 fn write_some(path: &std::path::Path) {
-    let (mut store, stored) = Store::open(path, "posta", seat()).unwrap();
-    assert_eq!((stored.last, stored.meta.seat.id), (0, 5));
+    let (mut store, stored) = Store::open(path, "posta", node()).unwrap();
+    assert_eq!((stored.last, stored.meta.node.id), (0, 5));
     for seq in 1..=20u64 {
-        let entry = EntryLine { seq, op: OpNo { origin: 1, number: seq }, body: vec![seq as u8; 100].into() };
+        let entry = LogEntry { seq, op: ProposalId { origin: 1, number: seq }, body: vec![seq as u8; 100].into() };
         let batch = Batch {
             pairs: vec![(format!("key {}", seq % 7), Some(vec![seq as u8; 50].into()))],
             entries: vec![entry],
@@ -38,8 +38,8 @@
     let folder = folder("back");
     let path = folder.join("registry.redb");
     write_some(&path);
-    let (_, stored) = Store::open(&path, "posta", Seat { id: 99, address: "".into() }).unwrap();
-    assert_eq!((stored.last, stored.meta.seat.id, stored.state.len()), (20, 5, 7), "identity lives on the disk");
+    let (_, stored) = Store::open(&path, "posta", NodeAddress { id: 99, address: "".into() }).unwrap();
+    assert_eq!((stored.last, stored.meta.node.id, stored.state.len()), (20, 5, 7), "identity lives on the disk");
     assert_eq!(stored.entries.iter().map(|entry| entry.seq).collect::<Vec<_>>(), (15..=20).collect::<Vec<_>>());
     assert_eq!(stored.state.get("key 6").map(|value| value[0]), Some(20));
     let _ = std::fs::remove_dir_all(folder);
@@ -51,7 +51,7 @@
     let path = folder.join("registry.redb");
     write_some(&path);
     let whole = std::fs::read(&path).unwrap();
-    assert!(matches!(Store::open(&path, "pixel", seat()), Err(StoreError::Foreign(name)) if name == "posta"));
+    assert!(matches!(Store::open(&path, "pixel", node()), Err(StoreError::Foreign(name)) if name == "posta"));
     assert!(std::fs::read(&path).unwrap() == whole, "a foreign file was written to");
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("garbage", vec![0x5a; 8192]),
@@ -60,7 +60,7 @@
     ];
     for (name, bytes) in cases {
         std::fs::write(&path, &bytes).unwrap();
-        let opened = std::panic::catch_unwind(|| Store::open(&path, "posta", seat()).map(drop));
+        let opened = std::panic::catch_unwind(|| Store::open(&path, "posta", node()).map(drop));
         let refused = matches!(&opened, Ok(Err(error)) if error.to_string().contains("data file"));
         assert!(refused, "{name}: {opened:?}");
         assert!(std::fs::read(&path).unwrap() == bytes, "{name}: the file was written to");
@@ -83,7 +83,7 @@
         write.commit().unwrap();
     }
     let before = std::fs::read(&path).unwrap();
-    let refused = Store::open(&path, "posta", seat()).map(drop);
+    let refused = Store::open(&path, "posta", node()).map(drop);
     assert!(matches!(refused, Err(StoreError::Format(9))), "{refused:?}");
     assert!(std::fs::read(&path).unwrap() == before, "the file was written to");
     let _ = std::fs::remove_dir_all(folder);
--- a/crates/chain/tests/stored_format.rs
+++ b/crates/chain/tests/stored_format.rs
@@ -2,7 +2,7 @@
 
 use chain::{Batch, Meta, Store, Stored};
 use std::path::PathBuf;
-use wire::{EntryLine, OpNo, Seat, View};
+use wire::{LogEntry, NodeAddress, ProposalId, View};
 
 const CLUSTER: &str = "posta";
 const LAST: u64 = 6;
@@ -13,18 +13,18 @@
 }
 
 fn view() -> View {
-    let voters: Vec<Seat> =
-        (1..=3).map(|id| Seat { id, address: format!("10.0.0.{id}:7760").as_str().into() }).collect();
-    View { number: 4, chain: vec![1, 2, 3].into(), voters: voters.into(), fresh: 3, optimizer: 2 }
+    let voters: Vec<NodeAddress> =
+        (1..=3).map(|id| NodeAddress { id, address: format!("10.0.0.{id}:7760").as_str().into() }).collect();
+    View { number: 4, chain: vec![1, 2, 3].into(), voters: voters.into(), learner: 3, optimizer: 2 }
 }
 
 fn meta() -> Meta {
-    let seat = Seat { id: 1, address: "10.0.0.1:7760".into() };
-    Meta { seat, view: view(), promised: 515, accepted_ballot: 514, accepted: View { number: 5, ..view() } }
+    let node = NodeAddress { id: 1, address: "10.0.0.1:7760".into() };
+    Meta { node, view: view(), promised: 515, accepted_number: 514, accepted: View { number: 5, ..view() } }
 }
 
-fn entry(seq: u64) -> EntryLine {
-    EntryLine { seq, op: OpNo { origin: 2, number: seq + 100 }, body: vec![seq as u8; 30].into() }
+fn entry(seq: u64) -> LogEntry {
+    LogEntry { seq, op: ProposalId { origin: 2, number: seq + 100 }, body: vec![seq as u8; 30].into() }
 }
 
 /// Every kind of content a file holds: identity, view, an open proposal, pairs, one of them removed, and
@@ -35,7 +35,7 @@
         pairs: vec![pair("functions/a/f", 1), pair("claims/k", 2), pair("deferred/t", 3), pair("removed", 4)],
         entries: (1..=3).map(entry).collect(),
         last: 3,
-        settled: 2,
+        known_committed: 2,
         meta: Some(meta()),
         ..Batch::default()
     };
@@ -44,7 +44,7 @@
         entries: (4..=LAST).map(entry).collect(),
         trim_below: 2,
         last: LAST,
-        settled: COMMITTED,
+        known_committed: COMMITTED,
         ..Batch::default()
     };
     vec![first, second]
@@ -52,7 +52,7 @@
 
 fn check(stored: &Stored) {
     assert_eq!(stored.meta, meta());
-    assert_eq!((stored.last, stored.settled), (LAST, COMMITTED));
+    assert_eq!((stored.last, stored.known_committed), (LAST, COMMITTED));
     assert_eq!(stored.entries, (2..=LAST).map(entry).collect::<Vec<_>>());
     let pairs: Vec<(String, Vec<u8>)> = stored.state.iter().map(|(key, value)| (key.clone(), value.to_vec())).collect();
     let expected = [("claims/k", 5), ("deferred/t", 3), ("functions/a/f", 1)];
@@ -69,14 +69,14 @@
     }
     let packed = std::fs::read(data_file()).unwrap();
     std::fs::write(&path, miniz_oxide::inflate::decompress_to_vec(&packed).unwrap()).unwrap();
-    let (store, stored) = Store::open(&path, CLUSTER, Seat { id: 99, address: "".into() }).unwrap();
+    let (store, stored) = Store::open(&path, CLUSTER, NodeAddress { id: 99, address: "".into() }).unwrap();
     check(&stored);
     drop(store);
     let _ = std::fs::remove_dir_all(folder);
 }
 
 fn write_data_file(path: &std::path::Path) {
-    let (mut store, _) = Store::open(path, CLUSTER, meta().seat).unwrap();
+    let (mut store, _) = Store::open(path, CLUSTER, meta().node).unwrap();
     for batch in batches() {
         store.write(&batch).unwrap();
     }
--- a/crates/chain/tests/tenure.rs
+++ b/crates/chain/tests/tenure.rs
@@ -62,7 +62,7 @@
     net.stalled = vec![1];
     net.feed(1, Input::Frame { from: 2, message: ChainMessage::Decided { view: next } });
     let told =
-        |net: &Net| net.frames.iter().any(|(_, _, message)| matches!(message, ChainMessage::LastAnswered { .. }));
+        |net: &Net| net.frames.iter().any(|(_, _, message)| matches!(message, ChainMessage::TailLastAnswered { .. }));
     assert!(!told(&net), "not on disk yet");
     net.settle();
     assert_eq!(bound(&net, 2), None, "one of three voters is no majority");
--- a/crates/control/examples/change_cost.rs
+++ b/crates/control/examples/change_cost.rs
@@ -4,13 +4,13 @@
 use bindings::RouteTable;
 use chain::State;
 use std::time::Instant;
-use wire::{Command, ItemLine, Receipt, from_bytes, to_bytes};
+use wire::{Command, CommandReply, ConfigurationItem, from_bytes, to_bytes};
 
-fn line(key: String, value: String) -> ItemLine {
-    ItemLine { key: key.into(), gone: 0, value: value.into_bytes().into() }
+fn line(key: String, value: String) -> ConfigurationItem {
+    ConfigurationItem { key: key.into(), gone: 0, value: value.into_bytes().into() }
 }
 
-fn route(number: usize, deadline: u32) -> ItemLine {
+fn route(number: usize, deadline: u32) -> ConfigurationItem {
     let notes = format!(r#"{{"fields":{{"name":"r-{number}"}},"place":[7,{number}]}}"#);
     let binding = format!(
         r#"{{"host":"h{}.example","route":"/gowu{number}/fi14/","function":"s{}","class":"ordinary","deadline_ms":{deadline},"aim_ms":300,"attempts":2,"rank":2,"declared":true,"notes":{notes}}}"#,
@@ -20,7 +20,7 @@
     line(format!("function-bindings/main/r-{number}"), binding)
 }
 
-fn service(number: usize) -> ItemLine {
+fn service(number: usize) -> ConfigurationItem {
     let notes = r#"{"fields":{"health_path":null,"protocol":"h1","tls":false},"place":[7,1]}"#;
     let declaration =
         format!(r#"{{"memory_mb":768,"boot_ms":1400,"instance_limit":6,"connections":106,"notes":{notes}}}"#);
@@ -38,9 +38,9 @@
     let body = timed(&format!("{what}: written as an entry"), || to_bytes(&command));
     println!("{what}: {} bytes", body.len());
     let effect = timed(&format!("{what}: applied"), || control::apply(state, 1, &body));
-    match from_bytes::<Receipt>(&effect.receipt) {
-        Some(Receipt::Refused { body, .. }) => panic!("{}", String::from_utf8_lossy(body.as_slice())),
-        receipt => println!("{what}: {receipt:?}"),
+    match from_bytes::<CommandReply>(&effect.reply) {
+        Some(CommandReply::Refused { body, .. }) => panic!("{}", String::from_utf8_lossy(body.as_slice())),
+        reply => println!("{what}: {reply:?}"),
     }
     timed(&format!("{what}: put into the state"), || {
         for (key, value) in effect.changes {
@@ -52,7 +52,7 @@
     });
 }
 
-fn change(op: &str, base: u64, whole: bool, items: Vec<ItemLine>) -> Command {
+fn change(op: &str, base: u64, whole: bool, items: Vec<ConfigurationItem>) -> Command {
     let (op, scope, items) = (op.into(), "main".into(), items.into());
     Command::Declare { op, base, any: 0, whole: whole as u8, revision: base + 3, scope, items }
 }
@@ -60,7 +60,7 @@
 fn main() {
     let count = std::env::args().nth(1).and_then(|count| count.parse().ok()).unwrap_or(2000);
     let mut state = State::new();
-    let items: Vec<ItemLine> = (0..158).map(service).chain((0..count).map(|n| route(n, 4000))).collect();
+    let items: Vec<ConfigurationItem> = (0..158).map(service).chain((0..count).map(|n| route(n, 4000))).collect();
     take(&mut state, "whole", change("one", 0, true, items.clone()));
     take(&mut state, "activation", Command::Activate { step: 1 });
     take(&mut state, "patch", change("two", 3, false, vec![route(5, 900)]));
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -13,7 +13,7 @@
 use bindings::Kind;
 use http_server::Tokens;
 use serde_json::{Map, Value, json};
-use wire::ItemLine;
+use wire::ConfigurationItem;
 
 #[derive(Clone)]
 pub struct Api {
@@ -65,7 +65,7 @@
         self.tokens.scope(headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok()))
     }
 
-    async fn change(&self, headers: &HeaderMap, uri: &Uri, whole: bool, items: Vec<ItemLine>) -> Response {
+    async fn change(&self, headers: &HeaderMap, uri: &Uri, whole: bool, items: Vec<ConfigurationItem>) -> Response {
         let dry = uri.query().is_some_and(|query| query.split('&').any(|part| part == "dry-run=true"));
         let Some(scope) = self.scope(headers) else { return refuse(401, "a bearer token is needed") };
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
@@ -87,7 +87,7 @@
             Some(_) => return refuse(400, "Revision is the number the change declares, 1 or more"),
         };
         let call = ApiCall::Change { op: op.clone(), base, revision, whole, scope, items, dry };
-        let reply = self.operators.ask(call).await;
+        let reply = self.operators.call(call).await;
         if reply.status != 200 {
             events::event!(change_refused, "operation {op}: {}", reply.status);
         }
@@ -95,26 +95,26 @@
     }
 }
 
-fn item(key: &str, value: Option<&Value>) -> ItemLine {
+fn item(key: &str, value: Option<&Value>) -> ConfigurationItem {
     let raw = value.map(|value| value.to_string().into_bytes()).unwrap_or_default();
-    ItemLine { key: key.into(), gone: value.is_none() as u8, value: raw.into() }
+    ConfigurationItem { key: key.into(), gone: value.is_none() as u8, value: raw.into() }
 }
 
 async fn operation(State(api): State<Api>, Path(op): Path<String>, headers: HeaderMap) -> Response {
     if api.scope(&headers).is_none() {
         return refuse(401, "a bearer token is needed");
     }
-    answer(api.operators.ask(ApiCall::Operation { op }).await, None)
+    answer(api.operators.call(ApiCall::Operation { op }).await, None)
 }
 
 async fn read(State(api): State<Api>, headers: HeaderMap) -> Response {
     let Some(scope) = api.scope(&headers) else { return refuse(401, "a bearer token is needed") };
-    answer(api.operators.ask(ApiCall::Configuration { scope }).await, None)
+    answer(api.operators.call(ApiCall::Configuration { scope }).await, None)
 }
 
 async fn read_part(api: &Api, headers: &HeaderMap, pointer: &str) -> Response {
     let Some(scope) = api.scope(headers) else { return refuse(401, "a bearer token is needed") };
-    let mut reply = api.operators.ask(ApiCall::Configuration { scope }).await;
+    let mut reply = api.operators.call(ApiCall::Configuration { scope }).await;
     if reply.status == 200 {
         let whole: Value = serde_json::from_str(&reply.body).unwrap_or_default();
         match whole.pointer(pointer) {
--- a/crates/control/src/api_calls.rs
+++ b/crates/control/src/api_calls.rs
@@ -1,6 +1,6 @@
 //! What an operator can ask of a registry, and the reply as a status, a tag and a JSON body.
 
-use wire::ItemLine;
+use wire::ConfigurationItem;
 
 #[derive(Clone, Debug)]
 pub enum ApiCall {
@@ -11,7 +11,7 @@
         revision: Option<u64>,
         whole: bool,
         scope: String,
-        items: Vec<ItemLine>,
+        items: Vec<ConfigurationItem>,
         dry: bool,
     },
     /// The latest revision, in force or not, and some of its resources, as far as this registry knows
--- a/crates/control/src/api_views.rs
+++ b/crates/control/src/api_views.rs
@@ -48,7 +48,7 @@
     if api.scope(&headers).is_none() {
         return refuse(401, "a bearer token is needed");
     }
-    answer(api.operators.ask(ApiCall::Status).await, None)
+    answer(api.operators.call(ApiCall::Status).await, None)
 }
 
 pub async fn watch_view(State(api): State<Api>, headers: HeaderMap) -> Response {
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -7,7 +7,7 @@
 use crate::keys;
 use chain::{Effect, State, Value};
 use leases::MemberLine;
-use wire::{Capacity, Command, Receipt};
+use wire::{Capacity, Command, CommandReply};
 
 pub struct Draft<'a> {
     pub state: &'a State,
@@ -36,14 +36,14 @@
 
 pub fn apply(state: &State, _seq: u64, body: &[u8]) -> Effect {
     let mut draft = Draft { state, changes: Vec::new() };
-    let receipt = match wire::from_bytes::<Command>(body) {
+    let reply = match wire::from_bytes::<Command>(body) {
         Some(command) => carry_out(&mut draft, command),
-        None => Receipt::Refused { status: 400, body: b"\"an entry that cannot be read\"".to_vec().into() },
+        None => CommandReply::Refused { status: 400, body: b"\"an entry that cannot be read\"".to_vec().into() },
     };
-    Effect { changes: draft.changes, receipt: wire::to_bytes(&receipt) }
+    Effect { changes: draft.changes, reply: wire::to_bytes(&reply) }
 }
 
-fn carry_out(draft: &mut Draft, command: Command) -> Receipt {
+fn carry_out(draft: &mut Draft, command: Command) -> CommandReply {
     match command {
         Command::Change { op, base, any, whole, scope, items } => {
             let (base, whole, items) = ((any == 0).then_some(base), whole != 0, items.as_slice());
@@ -59,19 +59,19 @@
             let capacity = Capacity::default();
             join(draft, MemberLine { id, incarnation, address, zone, ops, leaving: 0, hashing: 1, capacity })
         }
-        Command::Enrol { id, incarnation, address, zone, ops, hashing, capacity } => {
+        Command::JoinWithCapacity { id, incarnation, address, zone, ops, hashing, capacity } => {
             join(draft, MemberLine { id, incarnation, address, zone, ops, leaving: 0, hashing, capacity })
         }
         Command::Lapse { id, incarnation } => lapse(draft, id, incarnation),
         Command::Leaving { id, incarnation } => leaving(draft, id, incarnation),
-        Command::Claim { scope, digest, member, incarnation, ask } => {
-            claim(draft, scope.as_str(), digest, (member, incarnation, ask))
+        Command::Claim { scope, digest, member, incarnation, request_id } => {
+            claim(draft, scope.as_str(), digest, (member, incarnation, request_id))
         }
-        Command::Settle { scope, member, incarnation, ask, answer } => {
-            settle(draft, scope.as_str(), (member, incarnation, ask), answer)
+        Command::Settle { scope, member, incarnation, request_id, answer } => {
+            settle(draft, scope.as_str(), (member, incarnation, request_id), answer)
         }
-        Command::Release { scope, member, incarnation, ask } => {
-            release(draft, scope.as_str(), (member, incarnation, ask))
+        Command::Release { scope, member, incarnation, request_id } => {
+            release(draft, scope.as_str(), (member, incarnation, request_id))
         }
         Command::Store { id, function, digest, task } => store(draft, id.as_str(), function, digest, task),
         Command::Finish { id, function, answer } => finish(draft, id.as_str(), function.as_str(), answer),
--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -8,8 +8,8 @@
 use chain::State;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use wire::{ItemLine, NodeId, StepLine};
-use wire::{OpRecord, Receipt};
+use wire::{CommandReply, OpRecord};
+use wire::{ConfigurationEpoch, ConfigurationItem, NodeId};
 
 const OP_TICKS: u64 = 86_400;
 /// Steps in force that are kept for routers a little behind, as many as these and no more than so many
@@ -26,56 +26,56 @@
     pub revision: u64,
     pub whole: bool,
     pub scope: &'a str,
-    pub items: &'a [ItemLine],
+    pub items: &'a [ConfigurationItem],
 }
 
-fn known(draft: &Draft, key: &str) -> Option<Receipt> {
-    draft.state.get(key).and_then(|raw| wire::from_bytes::<OpRecord>(raw)).map(|record| record.receipt)
+fn known(draft: &Draft, key: &str) -> Option<CommandReply> {
+    draft.state.get(key).and_then(|raw| wire::from_bytes::<OpRecord>(raw)).map(|record| record.reply)
 }
 
-fn carry_out(draft: &mut Draft, change: &Change) -> Receipt {
+fn carry_out(draft: &mut Draft, change: &Change) -> CommandReply {
     match draw_up(draft, change) {
         Ok(changed) => stage(draft, change.revision, changed),
-        Err((status, body)) => Receipt::Refused { status, body: body.into_bytes().into() },
+        Err((status, body)) => CommandReply::Refused { status, body: body.into_bytes().into() },
     }
 }
 
-fn remember(draft: &mut Draft, key: &str, receipt: Receipt) {
-    draft.put(key, wire::to_bytes(&OpRecord { receipt }));
+fn remember(draft: &mut Draft, key: &str, reply: CommandReply) {
+    draft.put(key, wire::to_bytes(&OpRecord { reply }));
     draft.expire(key, OP_TICKS);
 }
 
 /// An entry of format 2, whose refusal is remembered like a taken change.
-pub fn change(draft: &mut Draft, op: &str, change: &Change) -> Receipt {
+pub fn change(draft: &mut Draft, op: &str, change: &Change) -> CommandReply {
     let key = format!("{}{op}", keys::TAKEN);
-    if let Some(receipt) = known(draft, &key) {
-        return receipt;
+    if let Some(reply) = known(draft, &key) {
+        return reply;
     }
-    let receipt = carry_out(draft, change);
-    remember(draft, &key, receipt.clone());
-    receipt
+    let reply = carry_out(draft, change);
+    remember(draft, &key, reply.clone());
+    reply
 }
 
 /// Only a taken change is answered by what it was; one that was refused is looked at anew when it is
 /// asked again, since it may fit by then. That it was refused is kept for whoever looks it up.
-pub fn declare(draft: &mut Draft, op: &str, change: &Change) -> Receipt {
+pub fn declare(draft: &mut Draft, op: &str, change: &Change) -> CommandReply {
     let key = format!("{}{op}", keys::TAKEN);
-    if let Some(receipt @ Receipt::Changed { .. }) = known(draft, &key) {
-        return receipt;
+    if let Some(reply @ CommandReply::Changed { .. }) = known(draft, &key) {
+        return reply;
     }
-    let receipt = carry_out(draft, change);
-    match &receipt {
-        Receipt::Refused { status, .. } => {
-            let bare = Receipt::Refused { status: *status, body: Vec::new().into() };
+    let reply = carry_out(draft, change);
+    match &reply {
+        CommandReply::Refused { status, .. } => {
+            let bare = CommandReply::Refused { status: *status, body: Vec::new().into() };
             remember(draft, &format!("{}{op}", keys::REFUSED), bare);
         }
-        _ => remember(draft, &key, receipt.clone()),
+        _ => remember(draft, &key, reply.clone()),
     }
-    receipt
+    reply
 }
 
 /// What became of an operation, as far as it is known here.
-pub fn outcome(state: &State, op: &str) -> Option<Receipt> {
+pub fn outcome(state: &State, op: &str) -> Option<CommandReply> {
     let draft = Draft { state, changes: Vec::new() };
     known(&draft, &format!("{}{op}", keys::TAKEN)).or_else(|| known(&draft, &format!("{}{op}", keys::REFUSED)))
 }
@@ -108,7 +108,7 @@
     (status, serde_json::to_string(&[told]).unwrap_or_default())
 }
 
-fn draw_up(draft: &Draft, change: &Change) -> Result<Vec<ItemLine>, Refusal> {
+fn draw_up(draft: &Draft, change: &Change) -> Result<Vec<ConfigurationItem>, Refusal> {
     let Change { base, whole, scope, items, .. } = *change;
     let latest = draft.number(keys::LATEST_REVISION);
     if base.is_some_and(|base| base != latest) {
@@ -124,12 +124,12 @@
     let mut pairs: BTreeMap<&str, &[u8]> = keys::with_prefix(draft.state, keys::LATEST_PAIRS)
         .map(|(key, value)| (&key[keys::LATEST_PAIRS.len()..], &value[..]))
         .collect();
-    let mut changed: BTreeMap<&str, ItemLine> = BTreeMap::new();
+    let mut changed: BTreeMap<&str, ConfigurationItem> = BTreeMap::new();
     if whole {
         let dropped: Vec<&str> = pairs.keys().copied().filter(|key| in_scope(key)).collect();
         for key in dropped {
             pairs.remove(key);
-            changed.insert(key, ItemLine { key: key.into(), gone: 1, value: Vec::new().into() });
+            changed.insert(key, ConfigurationItem { key: key.into(), gone: 1, value: Vec::new().into() });
         }
     }
     for item in items {
@@ -162,7 +162,7 @@
     Ok(changed.into_values().collect())
 }
 
-fn stage(draft: &mut Draft, declared: u64, items: Vec<ItemLine>) -> Receipt {
+fn stage(draft: &mut Draft, declared: u64, items: Vec<ConfigurationItem>) -> CommandReply {
     let revision = if declared != 0 { declared } else { draft.number(keys::LATEST_REVISION).saturating_add(1) };
     for item in &items {
         let key = format!("{}{}", keys::LATEST_PAIRS, item.key.as_str());
@@ -176,30 +176,30 @@
     let latest = draft.number(keys::LATEST);
     let quorum = keys::quorum(draft.state, latest);
     let step = add_step(draft, revision, quorum, items);
-    Receipt::Changed { step, revision }
+    CommandReply::Changed { step, revision }
 }
 
-fn add_step(draft: &mut Draft, revision: u64, quorum: Vec<NodeId>, items: Vec<ItemLine>) -> u64 {
+fn add_step(draft: &mut Draft, revision: u64, quorum: Vec<NodeId>, items: Vec<ConfigurationItem>) -> u64 {
     let number = draft.number(keys::LATEST) + 1;
-    let step = StepLine { number, revision, quorum: quorum.into(), items: items.into() };
+    let step = ConfigurationEpoch { number, revision, quorum: quorum.into(), items: items.into() };
     draft.put(keys::step_key(number), wire::to_bytes(&step));
     draft.put_number(keys::LATEST, number);
     number
 }
 
-pub fn quorum(draft: &mut Draft, after: u64, members: Vec<NodeId>) -> Receipt {
+pub fn quorum(draft: &mut Draft, after: u64, members: Vec<NodeId>) -> CommandReply {
     let latest = draft.number(keys::LATEST);
     if latest == after && latest == draft.number(keys::ACTIVE) {
         let revision = draft.number(keys::LATEST_REVISION);
         add_step(draft, revision, members, Vec::new());
     }
-    Receipt::Plain
+    CommandReply::Plain
 }
 
-pub fn activate(draft: &mut Draft, to: u64) -> Receipt {
+pub fn activate(draft: &mut Draft, to: u64) -> CommandReply {
     let active = draft.number(keys::ACTIVE);
     if to <= active || to > draft.number(keys::LATEST) {
-        return Receipt::Plain;
+        return CommandReply::Plain;
     }
     for number in active + 1..=to {
         let Some(step) = keys::step(draft.state, number) else { continue };
@@ -215,7 +215,7 @@
     }
     draft.put_number(keys::ACTIVE, to);
     forget_steps(draft, to);
-    Receipt::Plain
+    CommandReply::Plain
 }
 
 /// Forgets the steps up to the active one that are beyond what is kept: each may be as large as a whole
--- a/crates/control/src/apply_member.rs
+++ b/crates/control/src/apply_member.rs
@@ -5,7 +5,7 @@
 use crate::keys;
 use leases::MemberLine;
 use wire::NodeId;
-use wire::{ClaimRecord, Receipt};
+use wire::{ClaimRecord, CommandReply};
 
 const FORGOTTEN_PER_TICK: usize = 2000;
 
@@ -14,13 +14,13 @@
     draft.put_number(keys::ROSTER, number);
 }
 
-pub fn join(draft: &mut Draft, line: MemberLine) -> Receipt {
+pub fn join(draft: &mut Draft, line: MemberLine) -> CommandReply {
     let (key, raw) = (keys::member_key(line.id), line.written());
     if draft.state.get(&key).is_none_or(|known| known[..] != raw[..]) {
         draft.put(key, raw);
         next_roster(draft);
     }
-    Receipt::Plain
+    CommandReply::Plain
 }
 
 fn known(draft: &Draft, id: NodeId, incarnation: u64) -> Option<MemberLine> {
@@ -28,15 +28,15 @@
     MemberLine::read(raw).filter(|line| line.incarnation == incarnation)
 }
 
-pub fn lapse(draft: &mut Draft, id: NodeId, incarnation: u64) -> Receipt {
+pub fn lapse(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
     if known(draft, id, incarnation).is_some() {
         draft.drop(keys::member_key(id));
         next_roster(draft);
     }
-    Receipt::Plain
+    CommandReply::Plain
 }
 
-pub fn leaving(draft: &mut Draft, id: NodeId, incarnation: u64) -> Receipt {
+pub fn leaving(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
     if let Some(mut line) = known(draft, id, incarnation)
         && line.leaving == 0
     {
@@ -44,13 +44,13 @@
         draft.put(keys::member_key(id), line.written());
         next_roster(draft);
     }
-    Receipt::Plain
+    CommandReply::Plain
 }
 
-pub fn tick(draft: &mut Draft, number: u64) -> Receipt {
+pub fn tick(draft: &mut Draft, number: u64) -> CommandReply {
     let ticks = draft.number(keys::TICKS);
     if number != ticks + 1 {
-        return Receipt::Plain;
+        return CommandReply::Plain;
     }
     draft.put_number(keys::TICKS, number);
     let end = format!("x/{number:012}/~");
@@ -73,7 +73,7 @@
         draft.put_number(keys::CLAIMS, draft.number(keys::CLAIMS).saturating_sub(claims));
         draft.put_number(keys::STORED, draft.number(keys::STORED).saturating_sub(stored));
     }
-    Receipt::Plain
+    CommandReply::Plain
 }
 
 /// A key claimed anew after a release outlives the mark its first claim left.
--- a/crates/control/src/apply_task.rs
+++ b/crates/control/src/apply_task.rs
@@ -6,7 +6,7 @@
 use crate::keys;
 use leases::MemberLine;
 use wire::{Blob, NodeId, Text};
-use wire::{ClaimRecord, ClaimState, DeferredRecord, Receipt};
+use wire::{ClaimRecord, ClaimState, CommandReply, DeferredRecord};
 
 const KEY_TICKS: u64 = 1800;
 const DONE_TICKS: u64 = 3600;
@@ -16,44 +16,44 @@
 type Asker = (NodeId, u64, u64);
 
 fn owner(record: &ClaimRecord) -> Asker {
-    (record.member, record.incarnation, record.ask)
+    (record.member, record.incarnation, record.request_id)
 }
 
-fn receipt(state: ClaimState, answer: Blob) -> Receipt {
-    Receipt::Claim { state, answer }
+fn reply(state: ClaimState, answer: Blob) -> CommandReply {
+    CommandReply::Claim { state, answer }
 }
 
-pub fn claim(draft: &mut Draft, scope: &str, digest: Blob, asker: Asker) -> Receipt {
+pub fn claim(draft: &mut Draft, scope: &str, digest: Blob, asker: Asker) -> CommandReply {
     let key = format!("k/{scope}");
     let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw)) else {
         let count = draft.number(keys::CLAIMS);
         if count >= CLAIMS {
-            return receipt(ClaimState::Full, Blob::default());
+            return reply(ClaimState::Full, Blob::default());
         }
-        let (member, incarnation, ask) = asker;
+        let (member, incarnation, request_id) = asker;
         let due = draft.number(keys::TICKS) + KEY_TICKS;
-        let record = ClaimRecord { digest, member, incarnation, ask, due, settled: 0, answer: Blob::default() };
+        let record = ClaimRecord { digest, member, incarnation, request_id, due, settled: 0, answer: Blob::default() };
         draft.put(key.clone(), wire::to_bytes(&record));
         draft.put_number(keys::CLAIMS, count + 1);
         draft.expire(&key, KEY_TICKS);
-        return receipt(ClaimState::Granted, Blob::default());
+        return reply(ClaimState::Granted, Blob::default());
     };
     if record.digest != digest {
-        return receipt(ClaimState::OtherBody, Blob::default());
+        return reply(ClaimState::OtherBody, Blob::default());
     }
     if record.settled != 0 {
-        return receipt(ClaimState::Settled, record.answer);
+        return reply(ClaimState::Settled, record.answer);
     }
     if owner(&record) == asker {
-        return receipt(ClaimState::Granted, Blob::default());
+        return reply(ClaimState::Granted, Blob::default());
     }
     let holder = draft.state.get(&keys::member_key(record.member));
     let lives = holder.and_then(|raw| MemberLine::read(raw)).is_some_and(|line| line.incarnation == record.incarnation);
     let state = if lives { ClaimState::Running } else { ClaimState::Unknown };
-    receipt(state, Blob::default())
+    reply(state, Blob::default())
 }
 
-pub fn settle(draft: &mut Draft, scope: &str, asker: Asker, answer: Blob) -> Receipt {
+pub fn settle(draft: &mut Draft, scope: &str, asker: Asker, answer: Blob) -> CommandReply {
     let key = format!("k/{scope}");
     if let Some(mut record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw))
         && owner(&record) == asker
@@ -63,10 +63,10 @@
         record.answer = answer;
         draft.put(key, wire::to_bytes(&record));
     }
-    Receipt::Plain
+    CommandReply::Plain
 }
 
-pub fn release(draft: &mut Draft, scope: &str, asker: Asker) -> Receipt {
+pub fn release(draft: &mut Draft, scope: &str, asker: Asker) -> CommandReply {
     let key = format!("k/{scope}");
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw))
         && owner(&record) == asker
@@ -76,10 +76,10 @@
         let count = draft.number(keys::CLAIMS);
         draft.put_number(keys::CLAIMS, count.saturating_sub(1));
     }
-    Receipt::Plain
+    CommandReply::Plain
 }
 
-pub fn store(draft: &mut Draft, id: &str, function: Text, digest: Blob, task: Blob) -> Receipt {
+pub fn store(draft: &mut Draft, id: &str, function: Text, digest: Blob, task: Blob) -> CommandReply {
     let key = format!("d/{id}");
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw)) {
         let state = match () {
@@ -87,20 +87,20 @@
             () if record.done != 0 => ClaimState::Settled,
             () => ClaimState::Running,
         };
-        return Receipt::Stored { state, answer: record.answer };
+        return CommandReply::Stored { state, answer: record.answer };
     }
     let count = draft.number(keys::STORED);
     if count >= DEFERRED {
-        return Receipt::Stored { state: ClaimState::Full, answer: Blob::default() };
+        return CommandReply::Stored { state: ClaimState::Full, answer: Blob::default() };
     }
     draft.put(format!("p/{}/{id}", function.as_str()), task.into_vec());
     let record = DeferredRecord { function, digest, done: 0, answer: Blob::default() };
     draft.put(key, wire::to_bytes(&record));
     draft.put_number(keys::STORED, count + 1);
-    Receipt::Stored { state: ClaimState::Granted, answer: Blob::default() }
+    CommandReply::Stored { state: ClaimState::Granted, answer: Blob::default() }
 }
 
-pub fn finish(draft: &mut Draft, id: &str, function: &str, answer: Blob) -> Receipt {
+pub fn finish(draft: &mut Draft, id: &str, function: &str, answer: Blob) -> CommandReply {
     let key = format!("d/{id}");
     if let Some(mut record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw))
         && record.done == 0
@@ -111,5 +111,5 @@
         draft.put(key.clone(), wire::to_bytes(&record));
         draft.expire(&key, DONE_TICKS);
     }
-    Receipt::Plain
+    CommandReply::Plain
 }
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -38,7 +38,7 @@
 }
 
 fn addresses(view: &View) -> Vec<String> {
-    view.voters.iter().map(|seat| seat.address.as_str().to_owned()).collect()
+    view.voters.iter().map(|node| node.address.as_str().to_owned()).collect()
 }
 
 impl Control {
@@ -75,7 +75,7 @@
         match message {
             ControlMessage::Link(LinkEvent::Frame { from, incarnation, message }) => match message {
                 Message::Chain(message) => Some(CoreInput::Chain { from, message }),
-                Message::Hold(message) => Some(CoreInput::Router { from, incarnation, message }),
+                Message::Lease(message) => Some(CoreInput::Router { from, incarnation, message }),
                 _ => None,
             },
             ControlMessage::Link(_) | ControlMessage::Stop => None,
@@ -102,7 +102,7 @@
             ControlMessage::Call { call, reply } => {
                 self.next_call += 1;
                 self.calls.insert(self.next_call, reply);
-                Some(CoreInput::Call { ask: self.next_call, call })
+                Some(CoreInput::Call { request_id: self.next_call, call })
             }
         }
     }
@@ -114,8 +114,8 @@
     }
 
     fn dial(&self, view: &View) {
-        let seats = addresses(view).into_iter().chain(self.told.iter().cloned());
-        self.order(LinkOrder::Dial { addresses: self.seeds.iter().cloned().chain(seats).collect() });
+        let addresses = addresses(view).into_iter().chain(self.told.iter().cloned());
+        self.order(LinkOrder::Dial { addresses: self.seeds.iter().cloned().chain(addresses).collect() });
     }
 
     fn carry_out(&mut self, outputs: Vec<CoreOutput>) {
@@ -125,7 +125,7 @@
                     self.order(LinkOrder::Send { to, message: Message::Chain(message) })
                 }
                 CoreOutput::Router { to, message } => {
-                    self.order(LinkOrder::Send { to, message: Message::Hold(message) })
+                    self.order(LinkOrder::Send { to, message: Message::Lease(message) })
                 }
                 CoreOutput::Seeds { message } => {
                     let told = self.told.iter().filter(|address| !self.seeds.contains(address));
@@ -138,15 +138,15 @@
                         event!(disk_fault, "the disk's thread takes no more writes");
                     }
                 }
-                CoreOutput::Reply { ask, reply } => {
-                    if let Some(waiting) = self.calls.remove(&ask) {
+                CoreOutput::Reply { request_id, reply } => {
+                    if let Some(waiting) = self.calls.remove(&request_id) {
                         let _ = waiting.send(reply);
                     }
                 }
                 CoreOutput::Told { view } => {
-                    let seats = addresses(&view);
-                    if seats != self.told {
-                        self.told = seats;
+                    let addresses = addresses(&view);
+                    if addresses != self.told {
+                        self.told = addresses;
                         self.dial(&view);
                     }
                 }
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -56,7 +56,7 @@
     DiskError,
     DiskBack { stored: Box<Stored> },
     Router { from: NodeId, incarnation: u64, message: LeaseMessage },
-    Call { ask: u64, call: ApiCall },
+    Call { request_id: u64, call: ApiCall },
     Leave,
 }
 
@@ -66,7 +66,7 @@
     Seeds { message: ChainMessage },
     Write { ticket: u64, batch: Batch },
     Router { to: NodeId, message: LeaseMessage },
-    Reply { ask: u64, reply: ApiReply },
+    Reply { request_id: u64, reply: ApiReply },
     Viewed { view: View },
     Told { view: View },
     Activated { step: u64 },
@@ -77,11 +77,11 @@
     Duty(Duty),
     Router {
         to: NodeId,
-        ask: u64,
+        request_id: u64,
     },
     /// `again`: it was entered before, in an earlier view, and may be in the log already.
     Change {
-        ask: u64,
+        request_id: u64,
         op: String,
         body: Vec<u8>,
         again: bool,
@@ -177,7 +177,7 @@
     }
 
     pub fn me(&self) -> NodeId {
-        self.member.seat().id
+        self.member.node().id
     }
 
     pub fn step(&mut self, now: Duration, input: CoreInput) -> Vec<CoreOutput> {
@@ -195,7 +195,7 @@
                 self.chain(Input::DiskBack { stored: *stored });
             }
             CoreInput::Router { from, incarnation, message } => self.router(from, incarnation, message),
-            CoreInput::Call { ask, call } => self.call(ask, call),
+            CoreInput::Call { request_id, call } => self.call(request_id, call),
             CoreInput::Leave => self.chain(Input::Leave),
         }
         self.after();
@@ -229,7 +229,7 @@
                     reviewed = true;
                 }
                 Output::Told { view } => self.outs.push(CoreOutput::Told { view }),
-                Output::Done { op, entered, receipt } => self.done(op, entered, receipt),
+                Output::Done { op, appended, reply } => self.done(op, appended, reply),
                 Output::Confirmed { round } => self.confirmed(round),
                 Output::Installed { missed } => self.outs.push(CoreOutput::Installed { missed }),
                 Output::Committed { .. } => {}
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/dialect.rs
@@ -32,7 +32,7 @@
         Operators { control, view }
     }
 
-    pub async fn ask(&self, call: ApiCall) -> ApiReply {
+    pub async fn call(&self, call: ApiCall) -> ApiReply {
         let (reply, told) = oneshot::channel();
         if self.control.send(ControlMessage::Call { call, reply }).is_err() {
             let mut reply = ApiReply::new(503, json!({"outcome": "not-run", "fault": "too busy"}));
--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -16,11 +16,11 @@
         let late: Vec<u64> = self.waits.iter().filter(|(_, (_, due))| now > *due).map(|(op, _)| *op).collect();
         for op in late {
             match self.waits.remove(&op) {
-                Some((Wait::Router { to, ask }, _)) => {
-                    let message = LeaseMessage::ProposalAck { ask, state: 2, body: Vec::new().into() };
+                Some((Wait::Router { to, request_id }, _)) => {
+                    let message = LeaseMessage::ProposalAck { request_id, state: 2, body: Vec::new().into() };
                     self.outs.push(CoreOutput::Router { to, message });
                 }
-                Some((Wait::Change { ask, op, .. }, _)) => self.unknown(ask, &op),
+                Some((Wait::Change { request_id, op, .. }, _)) => self.unknown(request_id, &op),
                 Some((Wait::Duty(duty), _)) => drop(self.open.remove(&duty)),
                 None => {}
             }
--- a/crates/control/src/judging.rs
+++ b/crates/control/src/judging.rs
@@ -13,7 +13,7 @@
 
 /// A call to be judged by this registry's state once that is new enough.
 pub struct BehindCall {
-    pub ask: u64,
+    pub request_id: u64,
     pub call: ApiCall,
     pub due: Duration,
 }
@@ -31,15 +31,17 @@
             match waiting.call {
                 ApiCall::Latest { keys, .. } if is_new_enough || self.now > waiting.due => {
                     let reply = self.latest(&keys);
-                    self.reply(waiting.ask, reply);
+                    self.reply(waiting.request_id, reply);
                 }
                 ApiCall::Change { base, revision, whole, scope, items, .. } if is_new_enough => {
                     let (revision, scope, items) = (revision.unwrap_or_default(), scope.as_str(), items.as_slice());
                     let change = Change { base, revision, whole, scope, items };
                     let reply = apply_change::dry_run(self.state(), &change);
-                    self.reply(waiting.ask, reply);
+                    self.reply(waiting.request_id, reply);
+                }
+                _ if self.now > waiting.due => {
+                    self.busy(waiting.request_id, "this registry does not know that revision")
                 }
-                _ if self.now > waiting.due => self.busy(waiting.ask, "this registry does not know that revision"),
                 call => self.behind.push(BehindCall { call, ..waiting }),
             }
         }
--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -3,7 +3,7 @@
 use chain::{State, Value};
 use leases::{MemberLine, Roster};
 use std::collections::BTreeMap;
-use wire::{ItemLine, NodeId, StepLine};
+use wire::{ConfigurationEpoch, ConfigurationItem, NodeId};
 
 pub const ACTIVE: &str = "c/active";
 pub const LATEST: &str = "c/latest";
@@ -40,7 +40,7 @@
     state.range(prefix.to_owned()..).take_while(move |(key, _)| key.starts_with(prefix))
 }
 
-pub fn step(state: &State, step: u64) -> Option<StepLine> {
+pub fn step(state: &State, step: u64) -> Option<ConfigurationEpoch> {
     state.get(&step_key(step)).and_then(|raw| wire::from_bytes(raw))
 }
 
@@ -60,8 +60,8 @@
     Roster { number: number(state, ROSTER), members: members(state).into() }
 }
 
-pub fn items(state: &State, prefix: &str) -> Vec<ItemLine> {
-    let item = |(key, value): (&String, &Value)| ItemLine {
+pub fn items(state: &State, prefix: &str) -> Vec<ConfigurationItem> {
+    let item = |(key, value): (&String, &Value)| ConfigurationItem {
         key: key[prefix.len()..].into(),
         gone: 0,
         value: value.to_vec().into(),
@@ -70,7 +70,7 @@
 }
 
 /// Up to about a mebibyte of pairs below a prefix from a key on, and the key to go on from.
-pub fn page(state: &State, prefix: &str, from: &str, strip: bool) -> (Vec<ItemLine>, String) {
+pub fn page(state: &State, prefix: &str, from: &str, strip: bool) -> (Vec<ConfigurationItem>, String) {
     let mut items = Vec::new();
     let mut bytes = 0;
     let start = if from.is_empty() { prefix.to_owned() } else { format!("{prefix}{from}") };
@@ -81,7 +81,7 @@
         }
         bytes += key.len() + value.len();
         let shown = if strip { name } else { key.as_str() };
-        items.push(ItemLine { key: shown.into(), gone: 0, value: value.to_vec().into() });
+        items.push(ConfigurationItem { key: shown.into(), gone: 0, value: value.to_vec().into() });
     }
     (items, String::new())
 }
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -10,14 +10,14 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{Command, Receipt};
+use wire::{Command, CommandReply};
 
 /// The format that first knew declared revisions.
 const DECLARES: u16 = 3;
 const CALLS: usize = 256;
 
 pub struct Activation {
-    pub ask: u64,
+    pub request_id: u64,
     pub op: String,
     pub step: u64,
     pub revision: u64,
@@ -25,36 +25,36 @@
 }
 
 impl Core {
-    pub(crate) fn reply(&mut self, ask: u64, reply: ApiReply) {
-        self.outs.push(CoreOutput::Reply { ask, reply });
+    pub(crate) fn reply(&mut self, request_id: u64, reply: ApiReply) {
+        self.outs.push(CoreOutput::Reply { request_id, reply });
     }
 
-    pub(crate) fn unknown(&mut self, ask: u64, op: &str) {
+    pub(crate) fn unknown(&mut self, request_id: u64, op: &str) {
         let told = format!(
             "the outcome is not known yet; ask for it at /v1/operations/{op}, or repeat the change under the same Operation-Id"
         );
-        self.reply(ask, ApiReply::new(504, json!({"outcome": "unknown", "operation": op, "fault": told})));
+        self.reply(request_id, ApiReply::new(504, json!({"outcome": "unknown", "operation": op, "fault": told})));
     }
 
-    pub(crate) fn busy(&mut self, ask: u64, told: &str) {
+    pub(crate) fn busy(&mut self, request_id: u64, told: &str) {
         let mut reply = ApiReply::new(503, json!({"outcome": "not-run", "fault": told}));
         reply.retry_after = Some(1);
-        self.reply(ask, reply);
+        self.reply(request_id, reply);
     }
 
-    pub(crate) fn call(&mut self, ask: u64, call: ApiCall) {
+    pub(crate) fn call(&mut self, request_id: u64, call: ApiCall) {
         if matches!(call, ApiCall::Status) {
             let body = self.status();
-            return self.reply(ask, ApiReply::new(200, body));
+            return self.reply(request_id, ApiReply::new(200, body));
         }
         if self.waits.len() + self.reads.len() + self.activations.len() + self.behind.len() >= CALLS * 16 {
-            return self.busy(ask, "too many calls at once");
+            return self.busy(request_id, "too many calls at once");
         }
         if !self.member.is_chained() {
-            return self.busy(ask, "this registry is not in the chain at present; ask another");
+            return self.busy(request_id, "this registry is not in the chain at present; ask another");
         }
         if call.builds_on().is_some() {
-            self.behind.push(BehindCall { ask, call, due: self.now + BEHIND });
+            self.behind.push(BehindCall { request_id, call, due: self.now + BEHIND });
             return self.judge_behind();
         }
         match call {
@@ -64,7 +64,8 @@
                 let command = match (self.format, revision) {
                     (..DECLARES, None) => Command::Change { op: name, base, any, whole, scope, items },
                     (..DECLARES, Some(_)) => {
-                        return self.busy(ask, "revisions are declared once every registry speaks the newest format");
+                        return self
+                            .busy(request_id, "revisions are declared once every registry speaks the newest format");
                     }
                     _ => {
                         let revision = revision.unwrap_or_default();
@@ -72,51 +73,55 @@
                     }
                 };
                 let body = wire::to_bytes(&command);
-                self.enter_raw(Wait::Change { ask, op, body: body.clone(), again: false }, body);
+                self.enter_raw(Wait::Change { request_id, op, body: body.clone(), again: false }, body);
             }
             ApiCall::Configuration { scope } => {
                 let due = self.now + self.timing.call;
-                let read = ReadJob { page_ask: 0, scope, step: None, pairs: BTreeMap::new(), asked: self.now, due };
-                self.reads.insert(ask, read);
-                self.read_on(ask, String::new());
+                let read =
+                    ReadJob { page_request_id: 0, scope, step: None, pairs: BTreeMap::new(), asked: self.now, due };
+                self.reads.insert(request_id, read);
+                self.read_on(request_id, String::new());
             }
             ApiCall::Operation { op } => {
                 let reply = match apply_change::outcome(self.state(), &op) {
-                    Some(Receipt::Changed { step, revision }) if step <= self.effective => {
+                    Some(CommandReply::Changed { step, revision }) if step <= self.effective => {
                         ApiReply::new(200, json!({"operation": op, "outcome": "in-force", "revision": revision}))
                     }
-                    Some(Receipt::Changed { revision, .. }) => {
+                    Some(CommandReply::Changed { revision, .. }) => {
                         ApiReply::new(200, json!({"operation": op, "outcome": "staged", "revision": revision}))
                     }
-                    Some(Receipt::Refused { status, .. }) => {
+                    Some(CommandReply::Refused { status, .. }) => {
                         ApiReply::new(200, json!({"operation": op, "outcome": "refused", "status": status}))
                     }
                     _ => ApiReply::new(404, json!({"operation": op, "outcome": "not-known-here"})),
                 };
-                self.reply(ask, reply);
+                self.reply(request_id, reply);
             }
             ApiCall::Latest { .. } | ApiCall::Status => {}
         }
     }
 
-    pub(crate) fn change_done(&mut self, ask: u64, op: String, again: bool, entered: bool, receipt: &[u8]) {
-        if !entered && again {
-            return self.unknown(ask, &op);
+    pub(crate) fn change_done(&mut self, request_id: u64, op: String, again: bool, appended: bool, reply: &[u8]) {
+        if !appended && again {
+            return self.unknown(request_id, &op);
         }
-        if !entered {
-            return self.busy(ask, "the chain takes no changes at the moment; nothing was changed");
+        if !appended {
+            return self.busy(request_id, "the chain takes no changes at the moment; nothing was changed");
         }
-        match wire::from_bytes::<Receipt>(receipt) {
-            Some(Receipt::Changed { step, revision }) => {
+        match wire::from_bytes::<CommandReply>(reply) {
+            Some(CommandReply::Changed { step, revision }) => {
                 let due = self.now + self.timing.call;
-                self.activations.push(Activation { ask, op, step, revision, due });
+                self.activations.push(Activation { request_id, op, step, revision, due });
                 self.activated(self.effective);
             }
-            Some(Receipt::Refused { status, body }) => {
+            Some(CommandReply::Refused { status, body }) => {
                 let told: Value = serde_json::from_slice(body.as_slice()).unwrap_or_default();
-                self.reply(ask, ApiReply::new(status, json!({"outcome": "refused", "operation": op, "faults": told})));
+                self.reply(
+                    request_id,
+                    ApiReply::new(status, json!({"outcome": "refused", "operation": op, "faults": told})),
+                );
             }
-            _ => self.unknown(ask, &op),
+            _ => self.unknown(request_id, &op),
         }
     }
 
@@ -129,7 +134,7 @@
             let body = json!({"outcome": "in-force", "operation": done.op, "revision": done.revision});
             let mut reply = ApiReply::new(200, body);
             reply.revision = Some(done.revision);
-            self.reply(done.ask, reply);
+            self.reply(done.request_id, reply);
         }
     }
 
@@ -138,7 +143,7 @@
         let list = std::mem::take(&mut self.activations);
         let (late, rest): (Vec<Activation>, Vec<Activation>) = list.into_iter().partition(|w| now > w.due);
         self.activations = rest;
-        late.into_iter().for_each(|waiting| self.unknown(waiting.ask, &waiting.op));
+        late.into_iter().for_each(|waiting| self.unknown(waiting.request_id, &waiting.op));
         self.judge_behind();
         self.tick_reads();
     }
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -49,7 +49,7 @@
                 let before = std::mem::replace(&mut active, (revision, pairs)).1;
                 show(&host.index, &active, &before, &planner);
             }
-            OptimizerMessage::Frame { message: PlanMessage::Ask { .. }, .. } if !host.plans => {}
+            OptimizerMessage::Frame { message: PlanMessage::Request { .. }, .. } if !host.plans => {}
             OptimizerMessage::Frame { from, message } => {
                 let tunes = matches!(message, PlanMessage::Measures { .. } | PlanMessage::Tuned { .. });
                 for planned in planner.step(begun.elapsed(), host.me, from, message, host.solve) {
@@ -80,8 +80,8 @@
 ) {
     let (fence, tuned) = planner.in_force();
     let sheets: Vec<String> = tuned.iter().map(|line| format!("weight-sheets/{}", line.function.as_str())).collect();
-    let fresh = |(key, raw): &(&String, &Value)| before.get(*key) != Some(*raw) || sheets.contains(*key);
-    let changed = pairs.iter().filter(fresh).map(|(key, raw)| (key.as_str(), &raw[..]));
+    let learner = |(key, raw): &(&String, &Value)| before.get(*key) != Some(*raw) || sheets.contains(*key);
+    let changed = pairs.iter().filter(learner).map(|(key, raw)| (key.as_str(), &raw[..]));
     let items = http_server::kinds(changed, fence, tuned);
     index.send_if_modified(|index| {
         let put = items.iter().fold(false, |any, (key, value)| index.put(key, *revision, value) || any);
--- a/crates/control/src/parts.rs
+++ b/crates/control/src/parts.rs
@@ -6,7 +6,7 @@
 use crate::keys;
 use chain::State;
 use std::collections::BTreeMap;
-use wire::{LeaseMessage, NodeId, Packed, StepLine};
+use wire::{ConfigurationEpoch, LeaseMessage, NodeId, Packed};
 
 /// A thin link of 2 Mbit/s takes 64 ms for one; a proof may wait so long.
 const PART: usize = 16 * 1024;
@@ -34,7 +34,7 @@
     fn whole(&mut self, state: &State) -> (u64, &Packed) {
         let number = keys::number(state, keys::ACTIVE);
         if self.whole.as_ref().is_none_or(|(packed, _)| *packed != number) {
-            let step = StepLine {
+            let step = ConfigurationEpoch {
                 number,
                 revision: keys::number(state, keys::ACTIVE_REVISION),
                 quorum: keys::quorum(state, number).into(),
@@ -49,7 +49,14 @@
         (*number, packed)
     }
 
-    pub fn part(&mut self, state: &State, ask: u64, whole: bool, number: u64, offset: u32) -> Option<LeaseMessage> {
+    pub fn part(
+        &mut self,
+        state: &State,
+        request_id: u64,
+        whole: bool,
+        number: u64,
+        offset: u32,
+    ) -> Option<LeaseMessage> {
         let (found, packed) = match whole {
             true => self.whole(state),
             false => (number, self.step(state, number)?),
@@ -59,12 +66,12 @@
         let bytes = packed.bytes.part(offset as usize, PART);
         let (size, total) = (packed.size, packed.bytes.len() as u32);
         let whole = whole as u8;
-        Some(LeaseMessage::Part { ask, whole, number: found, size, packed: total, offset, bytes })
+        Some(LeaseMessage::Part { request_id, whole, number: found, size, packed: total, offset, bytes })
     }
 }
 
 impl Core {
-    pub(crate) fn on_part_ask(&mut self, from: NodeId, ask: u64, whole: bool, number: u64, offset: u32) {
+    pub(crate) fn on_part_ask(&mut self, from: NodeId, request_id: u64, whole: bool, number: u64, offset: u32) {
         if self.tail_since.is_none() {
             return self.not_tail(from);
         }
@@ -73,7 +80,7 @@
             session.pushed_at = now;
         }
         let state = self.state().clone();
-        if let Some(message) = self.packed.part(&state, ask, whole, number, offset) {
+        if let Some(message) = self.packed.part(&state, request_id, whole, number, offset) {
             self.outs.push(CoreOutput::Router { to: from, message });
         }
     }
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -7,7 +7,7 @@
 use scaler::{Measure, Optimizer, Sample, Tuned};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{MeasureLine, NodeId, PlanMessage, TunedLine, View};
+use wire::{Measurement, NodeId, PlanMessage, TunedParameters, View};
 
 const TELL_EVERY: Duration = Duration::from_secs(5);
 
@@ -18,7 +18,7 @@
     tunes: bool,
     told: BTreeMap<NodeId, Duration>,
     fence: u64,
-    in_force: Vec<TunedLine>,
+    in_force: Vec<TunedParameters>,
 }
 
 pub struct Planned {
@@ -51,7 +51,7 @@
     }
 
     /// What is tuned at present, as far as this registry knows, and by which host's fence.
-    pub fn in_force(&self) -> (u64, &[TunedLine]) {
+    pub fn in_force(&self) -> (u64, &[TunedParameters]) {
         (self.fence, &self.in_force)
     }
 
@@ -76,12 +76,12 @@
                 }
                 Vec::new()
             }
-            PlanMessage::Ask { ask, function, current, held, waiting } if self.view.optimizer == me => {
+            PlanMessage::Request { request_id, function, current, held, waiting } if self.view.optimizer == me => {
                 let Some(function) = self.functions.get(function.as_str()) else { return Vec::new() };
                 let gauge = Sample { held: held.into(), waiting: waiting.into(), ..Sample::default() };
                 let planned = self.optimizer.plan(now, function, current, gauge, limit);
-                let message = PlanMessage::Receipt {
-                    ask,
+                let message = PlanMessage::Reply {
+                    request_id,
                     fence: self.view.number,
                     state: planned.fault.is_none() as u8,
                     step_ms: planned.step.as_millis() as u32,
@@ -101,7 +101,7 @@
         }
     }
 
-    fn measured(&mut self, now: Duration, me: NodeId, from: NodeId, lines: &[MeasureLine]) -> Vec<Planned> {
+    fn measured(&mut self, now: Duration, me: NodeId, from: NodeId, lines: &[Measurement]) -> Vec<Planned> {
         for line in lines.iter().filter(|_| self.tunes) {
             let Some(function) = self.functions.get(line.function.as_str()) else { continue };
             let measure = Measure {
@@ -130,7 +130,7 @@
     }
 
     /// Another host's word, unless a later one has been heard.
-    fn adopt(&mut self, fence: u64, lines: Vec<TunedLine>) {
+    fn adopt(&mut self, fence: u64, lines: Vec<TunedParameters>) {
         if fence < self.fence {
             return;
         }
@@ -144,8 +144,8 @@
     }
 }
 
-fn line_of(name: &str, tuned: &Tuned) -> TunedLine {
-    TunedLine {
+fn line_of(name: &str, tuned: &Tuned) -> TunedParameters {
+    TunedParameters {
         function: name.into(),
         startup_delay_steps: tuned.startup_delay_steps,
         usage_micro: (tuned.target_usage * 1e6).round() as u64,
@@ -154,7 +154,7 @@
     }
 }
 
-fn tuned_of(line: &TunedLine) -> Tuned {
+fn tuned_of(line: &TunedParameters) -> Tuned {
     Tuned {
         startup_delay_steps: line.startup_delay_steps,
         target_usage: line.usage_micro as f64 / 1e6,
--- a/crates/control/src/proposals.rs
+++ b/crates/control/src/proposals.rs
@@ -3,7 +3,7 @@
 use crate::core::{Core, CoreOutput, Wait};
 use chain::Input;
 use std::time::Duration;
-use wire::{Command, LeaseMessage, NodeId, OpNo};
+use wire::{Command, LeaseMessage, NodeId, ProposalId};
 
 /// What the tail enters by itself. Of each, one entry at a time is on its way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
             self.next_op += 1;
             let number = self.next_op;
             self.waits.insert(number, (wait, due));
-            self.chain(Input::Propose { op: OpNo { origin: self.me(), number }, body });
+            self.chain(Input::Propose { op: ProposalId { origin: self.me(), number }, body });
         }
     }
 
@@ -48,18 +48,18 @@
         let number = self.next_op;
         let due = self.now + if matches!(wait, Wait::Duty(_)) { DUTY } else { self.timing.call };
         self.waits.insert(number, (wait, due));
-        self.chain(Input::Propose { op: OpNo { origin: self.me(), number }, body });
+        self.chain(Input::Propose { op: ProposalId { origin: self.me(), number }, body });
     }
 
-    pub(crate) fn done(&mut self, op: OpNo, entered: bool, receipt: Vec<u8>) {
+    pub(crate) fn done(&mut self, op: ProposalId, appended: bool, reply: Vec<u8>) {
         let Some((wait, _)) = self.waits.remove(&op.number) else { return };
         match wait {
             Wait::Duty(duty) => drop(self.open.remove(&duty)),
-            Wait::Router { to, ask } => {
-                let message = LeaseMessage::ProposalAck { ask, state: entered as u8, body: receipt.into() };
+            Wait::Router { to, request_id } => {
+                let message = LeaseMessage::ProposalAck { request_id, state: appended as u8, body: reply.into() };
                 self.outs.push(CoreOutput::Router { to, message });
             }
-            Wait::Change { ask, op, again, .. } => self.change_done(ask, op, again, entered, &receipt),
+            Wait::Change { request_id, op, again, .. } => self.change_done(request_id, op, again, appended, &reply),
         }
     }
 }
--- a/crates/control/src/reading.rs
+++ b/crates/control/src/reading.rs
@@ -9,13 +9,13 @@
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{ItemLine, LeaseMessage};
+use wire::{ConfigurationItem, LeaseMessage};
 
 const READ_AGAIN: Duration = Duration::from_millis(400);
 
 pub struct ReadJob {
     /// The number under which the newest page was asked for; answers to earlier asks are not for it.
-    pub page_ask: u64,
+    pub page_request_id: u64,
     pub scope: String,
     pub step: Option<u64>,
     pub pairs: BTreeMap<String, Vec<u8>>,
@@ -27,47 +27,57 @@
     pub(crate) fn tick_reads(&mut self) {
         let now = self.now;
         let asks: Vec<u64> = self.reads.keys().copied().collect();
-        for ask in asks {
-            let Some(read) = self.reads.get(&ask) else { continue };
+        for request_id in asks {
+            let Some(read) = self.reads.get(&request_id) else { continue };
             if now > read.due {
-                self.reads.remove(&ask);
-                self.busy(ask, "the tail could not be reached in time");
+                self.reads.remove(&request_id);
+                self.busy(request_id, "the tail could not be reached in time");
             } else if now > read.asked + READ_AGAIN {
-                self.read_on(ask, String::new());
+                self.read_on(request_id, String::new());
             }
         }
     }
 
-    pub(crate) fn read_on(&mut self, ask: u64, from: String) {
+    pub(crate) fn read_on(&mut self, request_id: u64, from: String) {
         let Some(tail) = self.member.view().chain.as_slice().last().copied() else { return };
         self.next_op += 1;
-        if let Some(read) = self.reads.get_mut(&ask) {
+        if let Some(read) = self.reads.get_mut(&request_id) {
             read.asked = self.now;
-            read.page_ask = self.next_op;
+            read.page_request_id = self.next_op;
             if from.is_empty() {
                 read.step = None;
                 read.pairs.clear();
             }
-            let message = LeaseMessage::FetchAll { ask: read.page_ask, from: from.into() };
+            let message = LeaseMessage::ConfigurationRequest { request_id: read.page_request_id, from: from.into() };
             self.outs.push(CoreOutput::Router { to: tail, message });
         }
     }
 
-    pub(crate) fn on_piece(&mut self, page_ask: u64, step: u64, revision: u64, items: Vec<ItemLine>, next: &str) {
-        let Some((ask, read)) = self.reads.iter_mut().find(|(_, read)| read.page_ask == page_ask) else { return };
-        let ask = *ask;
+    pub(crate) fn on_piece(
+        &mut self,
+        page_request_id: u64,
+        step: u64,
+        revision: u64,
+        items: Vec<ConfigurationItem>,
+        next: &str,
+    ) {
+        let Some((request_id, read)) = self.reads.iter_mut().find(|(_, read)| read.page_request_id == page_request_id)
+        else {
+            return;
+        };
+        let request_id = *request_id;
         if read.step.is_some_and(|first| first != step) {
-            return self.read_on(ask, String::new());
+            return self.read_on(request_id, String::new());
         }
         read.step = Some(step);
         read.pairs.extend(items.into_iter().map(|item| (item.key.as_str().to_owned(), item.value.into_vec())));
         if !next.is_empty() {
-            return self.read_on(ask, next.to_owned());
+            return self.read_on(request_id, next.to_owned());
         }
-        if let Some(read) = self.reads.remove(&ask) {
+        if let Some(read) = self.reads.remove(&request_id) {
             let mut reply = ApiReply::new(200, document(revision, &read.scope, &read.pairs));
             reply.revision = Some(revision);
-            self.reply(ask, reply);
+            self.reply(request_id, reply);
         }
     }
 }
--- a/crates/control/src/routers.rs
+++ b/crates/control/src/routers.rs
@@ -19,10 +19,10 @@
                 self.renewals.push((from, incarnation, message));
                 self.confirm_renewals();
             }
-            LeaseMessage::PartAsk { ask, whole, number, offset } => {
-                self.on_part_ask(from, ask, whole != 0, number, offset)
+            LeaseMessage::PartRequest { request_id, whole, number, offset } => {
+                self.on_part_ask(from, request_id, whole != 0, number, offset)
             }
-            LeaseMessage::Renew { .. } | LeaseMessage::FetchAll { .. } | LeaseMessage::Read { .. } => {
+            LeaseMessage::Renew { .. } | LeaseMessage::ConfigurationRequest { .. } | LeaseMessage::Read { .. } => {
                 if self.tail_since.is_none() {
                     self.not_tail(from);
                 } else if self.jobs.len() < JOBS {
@@ -35,10 +35,10 @@
                 let command = wire::Command::Join { id, incarnation, address, zone, ops };
                 self.enter_duty(Duty::Join { id, incarnation }, &command);
             }
-            LeaseMessage::Enrol { address, zone, ops, hashing, capacity } if self.tail_since.is_some() => {
+            LeaseMessage::JoinWithCapacity { address, zone, ops, hashing, capacity } if self.tail_since.is_some() => {
                 let id = from;
                 let command = match self.format >= wire::CAPACITY {
-                    true => wire::Command::Enrol { id, incarnation, address, zone, ops, hashing, capacity },
+                    true => wire::Command::JoinWithCapacity { id, incarnation, address, zone, ops, hashing, capacity },
                     false => wire::Command::Join { id, incarnation, address, zone, ops },
                 };
                 self.enter_duty(Duty::Join { id, incarnation }, &command);
@@ -55,15 +55,15 @@
                     self.push_due = true;
                 }
             }
-            LeaseMessage::Propose { ask, body } => {
+            LeaseMessage::Propose { request_id, body } => {
                 if self.waits.len() >= WAITS {
-                    let message = LeaseMessage::ProposalAck { ask, state: 0, body: Vec::new().into() };
+                    let message = LeaseMessage::ProposalAck { request_id, state: 0, body: Vec::new().into() };
                     return self.outs.push(CoreOutput::Router { to: from, message });
                 }
-                self.enter_raw(Wait::Router { to: from, ask }, body.into_vec());
+                self.enter_raw(Wait::Router { to: from, request_id }, body.into_vec());
             }
-            LeaseMessage::Piece { ask, step, revision, items, next, .. } => {
-                self.on_piece(ask, step, revision, items.into_vec(), next.as_str())
+            LeaseMessage::ConfigurationPage { request_id, step, revision, items, next, .. } => {
+                self.on_piece(request_id, step, revision, items.into_vec(), next.as_str())
             }
             LeaseMessage::Proofs { view, earlier_millis, proofs } => {
                 self.on_proofs(view, earlier_millis, proofs.into_vec())
@@ -74,8 +74,9 @@
 
     pub(crate) fn not_tail(&mut self, to: NodeId) {
         let view = self.member.view();
-        let seats: List<wire::Text> = view.voters.iter().map(|seat| seat.address.clone()).collect::<Vec<_>>().into();
-        let message = LeaseMessage::Seats { seats };
+        let addresses: List<wire::Text> =
+            view.voters.iter().map(|node| node.address.clone()).collect::<Vec<_>>().into();
+        let message = LeaseMessage::RegistryAddresses { addresses };
         self.outs.push(CoreOutput::Router { to, message });
     }
 
@@ -85,13 +86,15 @@
         {
             let Some((_, from, incarnation, message)) = self.jobs.pop_front() else { break };
             match message {
-                LeaseMessage::Renew { ask, staged, active, roster } => {
-                    self.prove(from, incarnation, ask, staged, active, roster)
+                LeaseMessage::Renew { request_id, staged, active, roster } => {
+                    self.prove(from, incarnation, request_id, staged, active, roster)
                 }
-                LeaseMessage::FetchAll { ask, from: start } => self.piece(from, ask, start.as_str()),
-                LeaseMessage::Read { ask, prefix, from: start } => {
+                LeaseMessage::ConfigurationRequest { request_id, from: start } => {
+                    self.piece(from, request_id, start.as_str())
+                }
+                LeaseMessage::Read { request_id, prefix, from: start } => {
                     let (items, _) = keys::page(self.state(), prefix.as_str(), start.as_str(), false);
-                    let message = LeaseMessage::ReadReply { ask, state: 1, items: items.into() };
+                    let message = LeaseMessage::ReadReply { request_id, state: 1, items: items.into() };
                     self.outs.push(CoreOutput::Router { to: from, message });
                 }
                 _ => {}
@@ -106,11 +109,11 @@
         }
     }
 
-    fn prove(&mut self, from: NodeId, incarnation: u64, ask: u64, staged: u64, active: u64, roster: u64) {
+    fn prove(&mut self, from: NodeId, incarnation: u64, request_id: u64, staged: u64, active: u64, roster: u64) {
         let now = self.now;
         let member = self.align().get(&from) == Some(&incarnation);
         let message = LeaseMessage::Proof {
-            ask,
+            request_id,
             active: keys::number(self.state(), keys::ACTIVE),
             latest: keys::number(self.state(), keys::LATEST),
             member: member as u8,
@@ -126,11 +129,11 @@
         self.outs.push(CoreOutput::Router { to: from, message });
     }
 
-    fn piece(&mut self, to: NodeId, ask: u64, start: &str) {
+    fn piece(&mut self, to: NodeId, request_id: u64, start: &str) {
         let active = keys::number(self.state(), keys::ACTIVE);
         let (items, next) = keys::page(self.state(), keys::ACTIVE_PAIRS, start, true);
-        let message = LeaseMessage::Piece {
-            ask,
+        let message = LeaseMessage::ConfigurationPage {
+            request_id,
             step: active,
             revision: keys::number(self.state(), keys::ACTIVE_REVISION),
             quorum: keys::quorum(self.state(), active).into(),
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -27,7 +27,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
-use wire::{Message, Seat};
+use wire::{Message, NodeAddress};
 
 const OPEN_EVERY: Duration = Duration::from_millis(500);
 
@@ -46,7 +46,7 @@
         return Err(RunError::NoFile { path: file });
     }
     std::fs::create_dir_all(&settings.data).map_err(|fault| RunError::Folder { path: settings.data.clone(), fault })?;
-    let newcomer = Seat { id: rand::random::<u64>() | 1, address: settings.address.as_str().into() };
+    let newcomer = NodeAddress { id: rand::random::<u64>() | 1, address: settings.address.as_str().into() };
     let (store, stored) = open_when_possible(&file, &settings.cluster, newcomer)
         .map_err(|fault| RunError::Store { path: file.clone(), fault })?;
     if settings.show {
@@ -56,8 +56,8 @@
     let peers = listen(behind(&settings.bind, &settings.address))?;
     let operators = listen(&settings.api)?;
     let dialect_listener = dialect.pages_address.as_deref().map(listen).transpose()?;
-    let seat = Seat { id: stored.meta.seat.id, address: settings.address.as_str().into() };
-    let me = seat.id;
+    let node = NodeAddress { id: stored.meta.node.id, address: settings.address.as_str().into() };
+    let me = node.id;
     event!(started, "registry {me:016x} at {}, operators at {}", settings.address, settings.api);
 
     let mut directory = Directory::default();
@@ -107,16 +107,16 @@
     };
     thread("optimizer", move || optimizer::run(host, optimizer_inbox))?;
     let written = control.clone();
-    let (cluster, own) = (settings.cluster.clone(), seat.clone());
+    let (cluster, own) = (settings.cluster.clone(), node.clone());
     let reopen = move || Store::reopen(&file, &cluster, &own);
     let disk = Disk::start(store, reopen, move |report| {
         written.send_blocking(ControlMessage::Disk(report));
     })
     .map_err(RunError::Disk)?;
     let founds = settings.found && settings.seeds.contains(&settings.address);
-    let seats = if founds { settings.seeds.len() } else { 0 };
-    let member = Member::new(seat, stored, Timing::default(), apply, Duration::ZERO);
-    let member = member.founding_with(seats).bearing(settings.losses);
+    let addresses = if founds { settings.seeds.len() } else { 0 };
+    let member = Member::new(node, stored, Timing::default(), apply, Duration::ZERO);
+    let member = member.founding_with(addresses).bearing(settings.losses);
     let timing = CoreTiming { call: settings.call, ..CoreTiming::for_hold(settings.hold) };
     let core = Core::new(member, timing, incarnation << 20).speaking(settings.format);
     let work = Control {
@@ -151,7 +151,7 @@
 }
 
 /// A disk that is full at the start is waited for: it has room again sooner or later.
-fn open_when_possible(file: &Path, cluster: &str, newcomer: Seat) -> Result<(Store, Stored), StoreError> {
+fn open_when_possible(file: &Path, cluster: &str, newcomer: NodeAddress) -> Result<(Store, Stored), StoreError> {
     loop {
         match Store::open(file, cluster, newcomer.clone()) {
             Err(fault) if fault.is_disk_full() => {
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -28,7 +28,7 @@
                 "number": view.number,
                 "chain": view.chain.iter().map(|id| hex(*id)).collect::<Vec<_>>(),
                 "voters": view.voters.iter().map(|s| json!({"id": hex(s.id), "address": s.address.as_str()})).collect::<Vec<_>>(),
-                "fresh": (view.fresh != 0).then(|| hex(view.fresh)),
+                "fresh": (view.learner != 0).then(|| hex(view.learner)),
                 "optimizer": hex(view.optimizer),
                 "suspects": self.member.suspects().into_iter().map(hex).collect::<Vec<_>>(),
             },
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -2,9 +2,9 @@
 
 use chain::State;
 use control::{apply, number};
-use wire::{Command, ItemLine, Receipt, from_bytes, to_bytes};
+use wire::{Command, CommandReply, ConfigurationItem, from_bytes, to_bytes};
 
-fn propose(state: &mut State, command: &Command) -> Receipt {
+fn propose(state: &mut State, command: &Command) -> CommandReply {
     let effect = apply(state, 1, &to_bytes(command));
     for (key, value) in effect.changes {
         match value {
@@ -12,12 +12,12 @@
             None => state.remove(&key),
         };
     }
-    from_bytes(&effect.receipt).expect("every entry has a receipt")
+    from_bytes(&effect.reply).expect("every entry has a receipt")
 }
 
-fn plan(fixed: u32) -> Vec<ItemLine> {
+fn plan(fixed: u32) -> Vec<ConfigurationItem> {
     let value = format!(r#"{{"fixed":{fixed}}}"#).into_bytes();
-    vec![ItemLine { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }]
+    vec![ConfigurationItem { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }]
 }
 
 fn declare(op: &str, base: Option<u64>, revision: u64, fixed: u32) -> Command {
@@ -25,9 +25,9 @@
     Command::Declare { op: op.into(), base, any, whole: 0, revision, scope: "".into(), items: plan(fixed).into() }
 }
 
-fn refused(receipt: Receipt) -> u16 {
-    match receipt {
-        Receipt::Refused { status, .. } => status,
+fn refused(reply: CommandReply) -> u16 {
+    match reply {
+        CommandReply::Refused { status, .. } => status,
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -38,8 +38,8 @@
     for (step, (base, declared, revision)) in
         [(0, 5, 5), (5, 0, 6), (6, 1_000_000, 1_000_000), (1_000_000, 1_000_001, 1_000_001)].into_iter().enumerate()
     {
-        let receipt = propose(&mut state, &declare(&format!("op{step}"), Some(base), declared, 1));
-        assert_eq!(receipt, Receipt::Changed { step: step as u64 + 1, revision });
+        let reply = propose(&mut state, &declare(&format!("op{step}"), Some(base), declared, 1));
+        assert_eq!(reply, CommandReply::Changed { step: step as u64 + 1, revision });
     }
     for declared in [1, 1_000_000, 1_000_001] {
         assert_eq!(refused(propose(&mut state, &declare("low", None, declared, 2))), 422);
@@ -55,13 +55,13 @@
     let mut state = State::new();
     let early = declare("early", Some(3), 9, 1);
     assert_eq!(refused(propose(&mut state, &early)), 412);
-    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), Receipt::Changed { step: 1, revision: 3 });
+    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), CommandReply::Changed { step: 1, revision: 3 });
     let taken = propose(&mut state, &early);
-    assert_eq!(taken, Receipt::Changed { step: 2, revision: 9 });
+    assert_eq!(taken, CommandReply::Changed { step: 2, revision: 9 });
     propose(&mut state, &declare("later", Some(9), 10, 3));
     let before = state.clone();
     assert_eq!(propose(&mut state, &early), taken);
-    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), Receipt::Changed { step: 1, revision: 3 });
+    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), CommandReply::Changed { step: 1, revision: 3 });
     assert!(state == before, "asked again, nothing changes");
 }
 
@@ -93,9 +93,13 @@
         items: plan(1).into(),
     };
     assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412);
-    assert_eq!(propose(&mut state, &entry("first", 0)), Receipt::Changed { step: 1, revision: 1 });
+    assert_eq!(propose(&mut state, &entry("first", 0)), CommandReply::Changed { step: 1, revision: 1 });
     assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412, "its refusal stands");
     let again = declare("early", Some(1), 0, 1);
-    assert_eq!(propose(&mut state, &again), Receipt::Changed { step: 2, revision: 2 }, "but not for the new entry");
-    assert_eq!(propose(&mut state, &declare("first", Some(0), 0, 1)), Receipt::Changed { step: 1, revision: 1 });
+    assert_eq!(
+        propose(&mut state, &again),
+        CommandReply::Changed { step: 2, revision: 2 },
+        "but not for the new entry"
+    );
+    assert_eq!(propose(&mut state, &declare("first", Some(0), 0, 1)), CommandReply::Changed { step: 1, revision: 1 });
 }
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -7,13 +7,13 @@
 use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
-use wire::{ChainMessage, ItemLine, LeaseMessage, NodeId, Seat};
+use wire::{ChainMessage, ConfigurationItem, LeaseMessage, NodeAddress, NodeId};
 
 pub const TICK: Duration = Duration::from_millis(10);
 
 enum Frame {
     Chain(ChainMessage),
-    Hold(LeaseMessage),
+    Lease(LeaseMessage),
 }
 
 struct Envelope {
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Answered {
     pub at: NodeId,
-    pub ask: u64,
+    pub request_id: u64,
     pub reply: ApiReply,
 }
 
@@ -42,8 +42,8 @@
     pub answered: Vec<Answered>,
 }
 
-fn seat(id: NodeId) -> Seat {
-    Seat { id, address: format!("10.0.0.{id}:1").into() }
+fn node(id: NodeId) -> NodeAddress {
+    NodeAddress { id, address: format!("10.0.0.{id}:1").into() }
 }
 
 impl Cluster {
@@ -56,11 +56,11 @@
         cluster
     }
 
-    fn start_founding(&mut self, id: NodeId, seats: usize) {
+    fn start_founding(&mut self, id: NodeId, addresses: usize) {
         self.starts += 1;
         let stored = self.disks.entry(id).or_default().clone();
-        let member = Member::new(seat(id), stored, Timing::default(), control::apply, self.now);
-        let core = Core::new(member.founding_with(seats), CoreTiming::default(), self.starts << 20);
+        let member = Member::new(node(id), stored, Timing::default(), control::apply, self.now);
+        let core = Core::new(member.founding_with(addresses), CoreTiming::default(), self.starts << 20);
         self.cores.insert(id, core);
     }
 
@@ -99,21 +99,21 @@
 
     pub fn call(&mut self, at: NodeId, call: ApiCall) -> u64 {
         self.asks += 1;
-        let ask = self.asks;
-        self.step(at, CoreInput::Call { ask, call });
+        let request_id = self.asks;
+        self.step(at, CoreInput::Call { request_id, call });
         self.deliver();
-        ask
+        request_id
     }
 
-    pub fn reply(&self, ask: u64) -> Option<&ApiReply> {
-        self.answered.iter().find(|answered| answered.ask == ask).map(|answered| &answered.reply)
+    pub fn reply(&self, request_id: u64) -> Option<&ApiReply> {
+        self.answered.iter().find(|answered| answered.request_id == request_id).map(|answered| &answered.reply)
     }
 
     /// Asks and goes on until the reply is there.
-    pub fn ask(&mut self, at: NodeId, call: ApiCall) -> ApiReply {
-        let ask = self.call(at, call);
+    pub fn call_and_wait(&mut self, at: NodeId, call: ApiCall) -> ApiReply {
+        let request_id = self.call(at, call);
         for _ in 0..2000 {
-            if let Some(reply) = self.reply(ask) {
+            if let Some(reply) = self.reply(request_id) {
                 return reply.clone();
             }
             self.tick();
@@ -144,7 +144,7 @@
             }
             match frame {
                 Frame::Chain(message) => self.step(to, CoreInput::Chain { from, message }),
-                Frame::Hold(message) => self.step(to, CoreInput::Router { from, incarnation: 0, message }),
+                Frame::Lease(message) => self.step(to, CoreInput::Router { from, incarnation: 0, message }),
             }
         }
     }
@@ -156,7 +156,7 @@
             for output in core.step(self.now, input) {
                 match output {
                     CoreOutput::Registry { to, message } => self.send(id, to, Frame::Chain(message)),
-                    CoreOutput::Router { to, message } => self.send(id, to, Frame::Hold(message)),
+                    CoreOutput::Router { to, message } => self.send(id, to, Frame::Lease(message)),
                     CoreOutput::Seeds { message } => {
                         let others: Vec<NodeId> = self.disks.keys().copied().filter(|other| *other != id).collect();
                         others.into_iter().for_each(|to| self.send(id, to, Frame::Chain(message.clone())));
@@ -165,7 +165,9 @@
                         apply_batch(self.disks.entry(id).or_default(), &batch);
                         inputs.push_back(CoreInput::Written { ticket });
                     }
-                    CoreOutput::Reply { ask, reply } => self.answered.push(Answered { at: id, ask, reply }),
+                    CoreOutput::Reply { request_id, reply } => {
+                        self.answered.push(Answered { at: id, request_id, reply })
+                    }
                     _ => {}
                 }
             }
@@ -181,7 +183,7 @@
 pub fn change(op: &str, base: u64) -> ApiCall {
     let fixed = op.bytes().fold(7u64, |sum, byte| (sum * 31 + u64::from(byte)) % 997);
     let value = format!(r#"{{"fixed":{fixed}}}"#).into_bytes();
-    let items = vec![ItemLine { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }];
+    let items = vec![ConfigurationItem { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }];
     ApiCall::Change {
         op: op.to_owned(),
         base: Some(base),
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -44,7 +44,7 @@
     let mut cluster = Cluster::founded(3);
     let chain = cluster.chain();
     let (lone, other) = (chain[place], chain[(place + 1) % 3]);
-    assert_eq!(cluster.ask(other, change("first", 0)).status, 200);
+    assert_eq!(cluster.call_and_wait(other, change("first", 0)).status, 200);
     cut_off(&mut cluster, lone, cut);
     let (mut revision, mut taken, mut alone) = (1, vec![("first".to_owned(), 0)], Vec::new());
     for second in 0..CUT.as_secs() {
@@ -53,7 +53,7 @@
         }
         alone.push(cluster.call(lone, fetch()));
         let op = format!("order-{second}");
-        let reply = cluster.ask(other, change(&op, revision));
+        let reply = cluster.call_and_wait(other, change(&op, revision));
         if reply.status == 200 {
             taken.push((op, revision));
             revision = reply.revision.expect("an acknowledgement has its revision");
@@ -65,18 +65,18 @@
         cluster.run(Duration::from_secs(1));
     }
     assert!(taken.len() >= 8, "the others acknowledged {} orders", taken.len());
-    for ask in alone {
-        let status = cluster.reply(ask).map(|reply| reply.status);
+    for request_id in alone {
+        let status = cluster.reply(request_id).map(|reply| reply.status);
         assert!(status.is_none_or(|status| status >= 500), "alone it answered {status:?}");
     }
     cluster.heal();
     cluster.run(Duration::from_secs(12));
     for id in cluster.ids() {
         for (op, base) in &taken {
-            assert_eq!(cluster.ask(id, change(op, *base)).status, 200, "{op} sent again to {id}");
+            assert_eq!(cluster.call_and_wait(id, change(op, *base)).status, 200, "{op} sent again to {id}");
         }
     }
-    assert_eq!(cluster.ask(lone, fetch()).revision, Some(revision), "sent again, none was applied again");
+    assert_eq!(cluster.call_and_wait(lone, fetch()).revision, Some(revision), "sent again, none was applied again");
 }
 
 /// One link is lost, one way or both, while all else is whole: orders are acknowledged all along.
@@ -86,7 +86,7 @@
     for (from, to) in [(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)] {
         let mut cluster = Cluster::founded(3);
         let chain = cluster.chain();
-        assert_eq!(cluster.ask(chain[0], change("first", 0)).status, 200);
+        assert_eq!(cluster.call_and_wait(chain[0], change("first", 0)).status, 200);
         cluster.cut_one_way(chain[from], chain[to]);
         if both {
             cluster.cut_one_way(chain[to], chain[from]);
@@ -94,7 +94,7 @@
         let third = chain[3 - from - to];
         let (mut revision, mut acknowledged) = (1, 0);
         for second in 0..CUT.as_secs() {
-            let reply = cluster.ask(third, change(&format!("order-{second}"), revision));
+            let reply = cluster.call_and_wait(third, change(&format!("order-{second}"), revision));
             revision = reply.revision.unwrap_or(revision);
             acknowledged += usize::from(reply.status == 200);
             cluster.run(Duration::from_secs(1));
@@ -107,10 +107,10 @@
 fn a_dry_run_is_judged_by_what_is_committed() {
     let mut cluster = Cluster::founded(3);
     let head = cluster.chain()[0];
-    assert_eq!(cluster.ask(head, change("first", 0)).status, 200);
+    assert_eq!(cluster.call_and_wait(head, change("first", 0)).status, 200);
     cut_off(&mut cluster, head, Cut::Both);
     cluster.call(head, change("undecided", 1));
     let ApiCall::Change { op, base, revision, whole, scope, items, .. } = change("other", 1) else { return };
-    let reply = cluster.ask(head, ApiCall::Change { op, base, revision, whole, scope, items, dry: true });
+    let reply = cluster.call_and_wait(head, ApiCall::Change { op, base, revision, whole, scope, items, dry: true });
     assert!(!(400..500).contains(&reply.status), "{reply:?}");
 }
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -5,7 +5,7 @@
 use control::apply;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
-use wire::{Command, ItemLine, OpNo, Seat, to_bytes};
+use wire::{Command, ConfigurationItem, NodeAddress, ProposalId, to_bytes};
 
 const ROUTES: usize = 3000;
 const FUNCTIONS: usize = 158;
@@ -28,15 +28,15 @@
     member: Member,
     store: Store,
     now: Duration,
-    entered: u64,
+    appended: u64,
 }
 
 impl Registry {
     fn open(path: &Path) -> Registry {
-        let seat = Seat { id: 5, address: "127.0.0.1:1".into() };
-        let (store, stored) = Store::open(path, "posta", seat.clone()).unwrap();
-        let member = Member::new(seat, stored, Timing::default(), apply, Duration::ZERO).founding_with(1);
-        let mut registry = Registry { member, store, now: Duration::ZERO, entered: 0 };
+        let node = NodeAddress { id: 5, address: "127.0.0.1:1".into() };
+        let (store, stored) = Store::open(path, "posta", node.clone()).unwrap();
+        let member = Member::new(node, stored, Timing::default(), apply, Duration::ZERO).founding_with(1);
+        let mut registry = Registry { member, store, now: Duration::ZERO, appended: 0 };
         (0..20).for_each(|_| registry.pass());
         registry
     }
@@ -63,15 +63,15 @@
     }
 
     fn propose(&mut self, command: &Command) {
-        self.entered += 1;
-        let op = OpNo { origin: 5, number: self.entered };
+        self.appended += 1;
+        let op = ProposalId { origin: 5, number: self.appended };
         self.feed(Input::Propose { op, body: to_bytes(command) });
         self.pass();
     }
 
     fn change(&mut self, number: u64) {
         let bindings = (0..ROUTES).map(|route| binding(route, 1000 + number));
-        let items: Vec<ItemLine> = (0..FUNCTIONS).map(function).chain(bindings).collect();
+        let items: Vec<ConfigurationItem> = (0..FUNCTIONS).map(function).chain(bindings).collect();
         let op = format!("change {number}").as_str().into();
         let command =
             Command::Declare { op, base: 0, any: 1, whole: 1, revision: 0, scope: "main".into(), items: items.into() };
@@ -80,22 +80,22 @@
     }
 }
 
-fn function(number: usize) -> ItemLine {
+fn function(number: usize) -> ConfigurationItem {
     let value = r#"{"memory_mb":768,"boot_ms":1400,"instance_limit":6,"connections":106,"notes":{}}"#;
-    ItemLine {
+    ConfigurationItem {
         key: format!("functions/main/s{number}").as_str().into(),
         gone: 0,
         value: value.as_bytes().to_vec().into(),
     }
 }
 
-fn binding(route: usize, deadline: u64) -> ItemLine {
+fn binding(route: usize, deadline: u64) -> ConfigurationItem {
     let value = format!(
         r#"{{"host":"h{}.example","route":"/gowu{route}/fi14/","function":"s{}","class":"ordinary","deadline_ms":{deadline},"aim_ms":300,"attempts":2,"rank":2,"declared":true,"notes":{{"fields":{{"name":"r-{route}"}},"place":[7,{route}]}}}}"#,
         route % 7,
         route % FUNCTIONS
     );
-    ItemLine {
+    ConfigurationItem {
         key: format!("function-bindings/main/r-{route}").as_str().into(),
         gone: 0,
         value: value.into_bytes().into(),
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -8,7 +8,7 @@
 use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Standing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use wire::{ItemLine, Message, NodeId, Seat};
+use wire::{ConfigurationItem, Message, NodeAddress, NodeId};
 
 const FRAME_DELAY: Duration = Duration::from_millis(2);
 const WRITE_DELAY: Duration = Duration::from_millis(4);
@@ -58,9 +58,9 @@
 
     pub fn start_registry(&mut self, id: NodeId) {
         let stored = self.disks.entry(id).or_default().clone();
-        let seat = Seat { id, address: format!("10.0.0.{id}:1").into() };
+        let node = NodeAddress { id, address: format!("10.0.0.{id}:1").into() };
         let founds = if id <= 3 { 3 } else { 0 };
-        let member = Member::new(seat, stored, Timing::default(), control::apply, self.now);
+        let member = Member::new(node, stored, Timing::default(), control::apply, self.now);
         let member = member.founding_with(founds).bearing(self.losses);
         self.registries.insert(id, Core::new(member, CoreTiming::default(), (id << 40) + self.events));
         self.at(Duration::ZERO, Event::RegistryTick(id));
@@ -100,23 +100,23 @@
     /// Sends a change to a registry and returns the number under which its reply will stand.
     pub fn change(&mut self, registry: NodeId, value: u64) -> u64 {
         self.asks += 1;
-        let ask = self.asks;
+        let request_id = self.asks;
         let value = format!(r#"{{"fixed":{value}}}"#).into_bytes();
-        let items = vec![ItemLine { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }];
-        let (op, scope) = (format!("op-{ask}"), String::new());
+        let items = vec![ConfigurationItem { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }];
+        let (op, scope) = (format!("op-{request_id}"), String::new());
         let call = ApiCall::Change { op, base: None, revision: None, whole: false, scope, items, dry: false };
-        self.feed_registry(registry, CoreInput::Call { ask, call });
-        ask
+        self.feed_registry(registry, CoreInput::Call { request_id, call });
+        request_id
     }
 
     /// Sends a change and returns how long its acknowledgement took.
     pub fn acknowledged_after(&mut self, registry: NodeId, value: u64) -> Duration {
         let asked = self.now;
-        let ask = self.change(registry, value);
-        while !self.replies.contains_key(&ask) && self.now < asked + Duration::from_secs(9) {
+        let request_id = self.change(registry, value);
+        while !self.replies.contains_key(&request_id) && self.now < asked + Duration::from_secs(9) {
             self.pass(5);
         }
-        let (at, reply) = self.replies.get(&ask).expect("the change was answered");
+        let (at, reply) = self.replies.get(&request_id).expect("the change was answered");
         assert_eq!(reply.status, 200, "the change is in force");
         *at - asked
     }
@@ -172,13 +172,13 @@
         }
         match message {
             Message::Chain(message) => self.feed_registry(to, CoreInput::Chain { from, message }),
-            Message::Hold(message) if to < FIRST_ROUTER => {
+            Message::Lease(message) if to < FIRST_ROUTER => {
                 self.feed_registry(to, CoreInput::Router { from, incarnation: from, message })
             }
-            Message::Hold(message) if from < FIRST_ROUTER => {
+            Message::Lease(message) if from < FIRST_ROUTER => {
                 self.feed_router(to, FollowerInput::Registry { from, message })
             }
-            Message::Hold(message) => self.feed_router(to, FollowerInput::Peer { from, message }),
+            Message::Lease(message) => self.feed_router(to, FollowerInput::Peer { from, message }),
             _ => {}
         }
     }
@@ -193,7 +193,7 @@
         for output in core.step(now, input) {
             match output {
                 CoreOutput::Registry { to, message } => self.send(id, to, Message::Chain(message)),
-                CoreOutput::Router { to, message } => self.send(id, to, Message::Hold(message)),
+                CoreOutput::Router { to, message } => self.send(id, to, Message::Lease(message)),
                 CoreOutput::Seeds { message } => {
                     let told = self.told.get(&id).into_iter().flatten().copied();
                     let others: BTreeSet<NodeId> = (1..=3).chain(told).filter(|other| *other != id).collect();
@@ -201,9 +201,9 @@
                 }
                 CoreOutput::Write { ticket, batch } => self.at(WRITE_DELAY, Event::Written { id, ticket, batch }),
                 CoreOutput::Told { view } => {
-                    self.told.insert(id, view.voters.iter().map(|seat| seat.id).collect());
+                    self.told.insert(id, view.voters.iter().map(|node| node.id).collect());
                 }
-                CoreOutput::Reply { ask, reply } => drop(self.replies.insert(ask, (now, reply))),
+                CoreOutput::Reply { request_id, reply } => drop(self.replies.insert(request_id, (now, reply))),
                 _ => {}
             }
         }
@@ -214,12 +214,12 @@
         let Some(router) = self.routers.get_mut(&id) else { return };
         for output in router.step(now, input) {
             match output {
-                FollowerOutput::ToRegistry { to: Some(to), message } => self.send(id, to, Message::Hold(message)),
+                FollowerOutput::ToRegistry { to: Some(to), message } => self.send(id, to, Message::Lease(message)),
                 FollowerOutput::ToRegistry { to: None, message } => {
                     let all: Vec<NodeId> = self.registries.keys().copied().collect();
-                    all.into_iter().for_each(|to| self.send(id, to, Message::Hold(message.clone())));
+                    all.into_iter().for_each(|to| self.send(id, to, Message::Lease(message.clone())));
                 }
-                FollowerOutput::ToPeer { to, message } => self.send(id, to, Message::Hold(message)),
+                FollowerOutput::ToPeer { to, message } => self.send(id, to, Message::Lease(message)),
                 _ => {}
             }
         }
--- a/crates/control/tests/fuzz.rs
+++ b/crates/control/tests/fuzz.rs
@@ -5,7 +5,7 @@
 use control::{apply, number};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use wire::{Command, ItemLine, Receipt, from_bytes, to_bytes};
+use wire::{Command, CommandReply, ConfigurationItem, from_bytes, to_bytes};
 
 fn binding(dice: &mut ChaCha8Rng) -> Vec<u8> {
     let text = format!(
@@ -29,7 +29,7 @@
         0..=2 => {
             let key = format!("function-bindings/t{tenant}/b{}", dice.random_range(0..6));
             let gone = dice.random_ratio(1, 5) as u8;
-            let item = ItemLine { key: key.into(), gone, value: binding(dice).into() };
+            let item = ConfigurationItem { key: key.into(), gone, value: binding(dice).into() };
             let whole = dice.random_ratio(1, 10) as u8;
             Command::Change {
                 op: format!("op{round}").into(),
@@ -46,13 +46,13 @@
             digest: vec![dice.random_range(0..2)].into(),
             member: dice.random_range(0..3),
             incarnation: 1,
-            ask: dice.random_range(0..50),
+            request_id: dice.random_range(0..50),
         },
         5 => Command::Release {
             scope: format!("k{}", dice.random_range(0..20)).into(),
             member: dice.random_range(0..3),
             incarnation: 1,
-            ask: dice.random_range(0..50),
+            request_id: dice.random_range(0..50),
         },
         6 => Command::Tick { number: dice.random_range(0..80) },
         _ => Command::Join {
@@ -78,9 +78,9 @@
                 body[place] ^= 1 << dice.random_range(0..8);
             }
             let (one, two) = (apply(&state, round, &body), apply(&state, round, &body));
-            assert!(one.changes == two.changes && one.receipt == two.receipt, "seed {seed} round {round}");
-            let receipt = from_bytes::<Receipt>(&one.receipt).expect("every entry has a receipt");
-            changed += u32::from(matches!(receipt, Receipt::Changed { .. }));
+            assert!(one.changes == two.changes && one.reply == two.reply, "seed {seed} round {round}");
+            let reply = from_bytes::<CommandReply>(&one.reply).expect("every entry has a receipt");
+            changed += u32::from(matches!(reply, CommandReply::Changed { .. }));
             for (key, value) in one.changes {
                 match value {
                     Some(value) => state.insert(key, value),
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -6,26 +6,26 @@
 use cluster::{change, fetch};
 use control::{ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::time::Duration;
-use wire::{ChainMessage, ItemLine, LeaseMessage, NodeId, OpNo, Seat, View};
+use wire::{ChainMessage, ConfigurationItem, LeaseMessage, NodeAddress, NodeId, ProposalId, View};
 
-fn seat(id: NodeId) -> Seat {
-    Seat { id, address: format!("10.0.0.{id}:1").into() }
+fn node(id: NodeId) -> NodeAddress {
+    NodeAddress { id, address: format!("10.0.0.{id}:1").into() }
 }
 
 fn view(number: u64, chain: &[NodeId]) -> View {
-    let voters: Vec<Seat> = (1..=3).map(seat).collect();
-    View { number, chain: chain.to_vec().into(), voters: voters.into(), fresh: 0, optimizer: chain[0] }
+    let voters: Vec<NodeAddress> = (1..=3).map(node).collect();
+    View { number, chain: chain.to_vec().into(), voters: voters.into(), learner: 0, optimizer: chain[0] }
 }
 
 /// Registry 3 as it starts with a view on its disk.
 fn registry(chain: &[NodeId]) -> Core {
     let mut stored = Stored::default();
     stored.meta.view = view(1, chain);
-    let member = Member::new(seat(3), stored, Timing::default(), control::apply, Duration::ZERO);
+    let member = Member::new(node(3), stored, Timing::default(), control::apply, Duration::ZERO);
     Core::new(member, CoreTiming::default(), 100)
 }
 
-fn entered(outputs: &[CoreOutput]) -> Option<(NodeId, OpNo)> {
+fn appended(outputs: &[CoreOutput]) -> Option<(NodeId, ProposalId)> {
     outputs.iter().find_map(|output| match output {
         CoreOutput::Registry { to, message: ChainMessage::Propose { op, .. } } => Some((*to, *op)),
         _ => None,
@@ -39,15 +39,15 @@
     })
 }
 
-fn page_ask(outputs: &[CoreOutput]) -> Option<u64> {
+fn page_request_id(outputs: &[CoreOutput]) -> Option<u64> {
     outputs.iter().find_map(|output| match output {
-        CoreOutput::Router { message: LeaseMessage::FetchAll { ask, .. }, .. } => Some(*ask),
+        CoreOutput::Router { message: LeaseMessage::ConfigurationRequest { request_id, .. }, .. } => Some(*request_id),
         _ => None,
     })
 }
 
-fn not_entered(from: NodeId, op: OpNo) -> CoreInput {
-    CoreInput::Chain { from, message: ChainMessage::Done { op, entered: 0, receipt: Vec::new().into() } }
+fn not_entered(from: NodeId, op: ProposalId) -> CoreInput {
+    CoreInput::Chain { from, message: ChainMessage::Done { op, appended: 0, reply: Vec::new().into() } }
 }
 
 #[test]
@@ -55,11 +55,11 @@
     let now = Duration::from_millis(10);
     let mut core = registry(&[1, 2, 3]);
     let (head, first) =
-        entered(&core.step(now, CoreInput::Call { ask: 1, call: change("a", 0) })).expect("it is entered");
+        appended(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) })).expect("it is entered");
     assert_eq!(head, 1);
     let decided = ChainMessage::Decided { view: view(2, &[2, 3]) };
     let (head, second) =
-        entered(&core.step(now, CoreInput::Chain { from: 2, message: decided })).expect("entered again");
+        appended(&core.step(now, CoreInput::Chain { from: 2, message: decided })).expect("entered again");
     assert_eq!(head, 2);
     assert!(replied(&core.step(now, not_entered(1, first))).is_none(), "the earlier entry is waited for no longer");
     let outputs = core.step(now, not_entered(2, second));
@@ -71,15 +71,23 @@
 fn a_change_that_was_entered_once_and_turned_down_is_not_run() {
     let now = Duration::from_millis(10);
     let mut core = registry(&[1, 2, 3]);
-    let (_, op) = entered(&core.step(now, CoreInput::Call { ask: 1, call: change("a", 0) })).expect("it is entered");
+    let (_, op) =
+        appended(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) })).expect("it is entered");
     let outputs = core.step(now, not_entered(1, op));
     assert_eq!(replied(&outputs).map(|reply| (reply.status, reply.retry_after)), Some((503, Some(1))));
 }
 
-fn page(ask: u64, key: &str, next: &str) -> CoreInput {
-    let items = vec![ItemLine { key: key.into(), gone: 0, value: b"{}".to_vec().into() }];
+fn page(request_id: u64, key: &str, next: &str) -> CoreInput {
+    let items = vec![ConfigurationItem { key: key.into(), gone: 0, value: b"{}".to_vec().into() }];
     let quorum = Vec::new().into();
-    let message = LeaseMessage::Piece { ask, step: 4, revision: 9, quorum, items: items.into(), next: next.into() };
+    let message = LeaseMessage::ConfigurationPage {
+        request_id,
+        step: 4,
+        revision: 9,
+        quorum,
+        items: items.into(),
+        next: next.into(),
+    };
     CoreInput::Router { from: 1, incarnation: 0, message }
 }
 
@@ -87,14 +95,16 @@
 fn a_read_that_was_begun_anew_takes_no_late_page_of_its_first_try() {
     let mut now = Duration::from_millis(10);
     let mut core = registry(&[3, 2, 1]);
-    let first = page_ask(&core.step(now, CoreInput::Call { ask: 1, call: fetch() })).expect("the tail is asked");
-    let second = page_ask(&core.step(now, page(first, "function-bindings/t/a", "function-bindings/t/b")));
+    let first =
+        page_request_id(&core.step(now, CoreInput::Call { request_id: 1, call: fetch() })).expect("the tail is asked");
+    let second = page_request_id(&core.step(now, page(first, "function-bindings/t/a", "function-bindings/t/b")));
     let second = second.expect("the next page is asked for");
     now += Duration::from_millis(450);
-    let again = page_ask(&core.step(now, CoreInput::Tick)).expect("it is begun anew");
+    let again = page_request_id(&core.step(now, CoreInput::Tick)).expect("it is begun anew");
     let outputs = core.step(now, page(second, "function-bindings/t/b", ""));
     assert!(replied(&outputs).is_none(), "the last page alone isn't the configuration");
-    let last = page_ask(&core.step(now, page(again, "function-bindings/t/a", "function-bindings/t/b"))).expect("asked");
+    let last =
+        page_request_id(&core.step(now, page(again, "function-bindings/t/a", "function-bindings/t/b"))).expect("asked");
     let outputs = core.step(now, page(last, "function-bindings/t/b", ""));
     let reply = replied(&outputs).expect("all pages are there");
     assert!(reply.status == 200 && reply.body.contains("\"t/a\"") && reply.body.contains("\"t/b\""), "{}", reply.body);
--- a/crates/control/tests/resending.rs
+++ b/crates/control/tests/resending.rs
@@ -19,7 +19,8 @@
     for (round, base) in [(0, 0), (1, 1), (2, 2)] {
         let asks: Vec<u64> = (0..8).map(|n| cluster.call(1 + n % 3, change(&format!("r{round}-{n}"), base))).collect();
         cluster.run(Duration::from_secs(2));
-        let statuses: Vec<u16> = asks.iter().map(|ask| cluster.reply(*ask).expect("answered").status).collect();
+        let statuses: Vec<u16> =
+            asks.iter().map(|request_id| cluster.reply(*request_id).expect("answered").status).collect();
         let count = |wanted| statuses.iter().filter(|status| **status == wanted).count();
         assert_eq!((count(200), count(412)), (1, 7), "{statuses:?}");
     }
@@ -30,29 +31,29 @@
     let mut cluster = Cluster::founded(3);
     let asks: Vec<u64> = (0..8).map(|n| cluster.call(1 + n % 3, change("same", 0))).collect();
     cluster.run(Duration::from_secs(2));
-    for ask in asks {
-        let reply = cluster.reply(ask).expect("answered");
+    for request_id in asks {
+        let reply = cluster.reply(request_id).expect("answered");
         assert_eq!((reply.status, reply.revision), (200, Some(1)));
     }
-    assert_eq!(cluster.ask(2, fetch()).revision, Some(1));
+    assert_eq!(cluster.call_and_wait(2, fetch()).revision, Some(1));
 }
 
 #[test]
 fn an_order_is_acknowledged_again_after_hundreds_of_changes_and_a_restart_of_all() {
     let mut cluster = Cluster::founded(3);
     for base in 0..400 {
-        assert_eq!(cluster.ask(1 + base % 3, change(&format!("order-{base}"), base)).status, 200);
+        assert_eq!(cluster.call_and_wait(1 + base % 3, change(&format!("order-{base}"), base)).status, 200);
     }
     cluster.ids().into_iter().for_each(|id| cluster.kill(id));
     cluster.ids().into_iter().for_each(|id| cluster.start(id));
     cluster.run(Duration::from_secs(5));
     for base in [0, 1, 63, 64, 200, 399] {
         for id in cluster.ids() {
-            let reply = cluster.ask(id, change(&format!("order-{base}"), base));
+            let reply = cluster.call_and_wait(id, change(&format!("order-{base}"), base));
             assert_eq!((reply.status, reply.revision), (200, Some(base + 1)), "order {base} at {id}");
         }
     }
-    assert_eq!(cluster.ask(3, fetch()).revision, Some(400));
+    assert_eq!(cluster.call_and_wait(3, fetch()).revision, Some(400));
 }
 
 /// The order reaches the head's log and the next member's; then the head is lost before it is decided.
@@ -67,14 +68,14 @@
         cluster.run(Duration::from_millis(300));
         cluster.heal();
         cut_off(&mut cluster, chain[0]);
-        let reply = cluster.ask(chain[1], change("order", 0));
+        let reply = cluster.call_and_wait(chain[1], change("order", 0));
         assert_eq!((reply.status, reply.revision), (200, Some(1)), "asked at {place} first");
         cluster.heal();
         cluster.run(Duration::from_secs(12));
         let status = cluster.reply(first).map(|reply| reply.status);
         assert!(status.is_none_or(|status| status == 200 || status >= 500), "{status:?}");
         for id in cluster.ids() {
-            assert_eq!(cluster.ask(id, change("order", 0)).revision, Some(1));
+            assert_eq!(cluster.call_and_wait(id, change("order", 0)).revision, Some(1));
         }
     }
 }
@@ -96,13 +97,13 @@
                     cluster.start(lone);
                 }
                 alone.push(cluster.call(lone, change(&format!("alone-{turn}-{second}"), revision)));
-                let reply = cluster.ask(other, change(&format!("order-{turn}-{second}"), revision));
+                let reply = cluster.call_and_wait(other, change(&format!("order-{turn}-{second}"), revision));
                 assert!(reply.status == 200 || reply.status >= 500, "a proper order got {}", reply.status);
                 revision = reply.revision.unwrap_or(revision);
                 cluster.run(Duration::from_millis(700));
             }
-            for ask in alone.drain(..) {
-                let status = cluster.reply(ask).map(|reply| reply.status);
+            for request_id in alone.drain(..) {
+                let status = cluster.reply(request_id).map(|reply| reply.status);
                 assert!(status.is_none_or(|status| status >= 500), "alone it answered {status:?}");
             }
             cluster.heal();
--- a/crates/dispatch/src/connection.rs
+++ b/crates/dispatch/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::Words;
 use crate::answer::{Chunks, HEAD_BYTES, Length, Start, read_start};
-use crate::ask::Ask;
+use crate::instance_request::InstanceRequest;
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
@@ -74,38 +74,38 @@
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    pub async fn exchange(&mut self, ask: &Ask, words: &Words) -> Result<Answer, Broken> {
-        let mut left = ask.bytes.as_slice();
+    pub async fn exchange(&mut self, request: &InstanceRequest, words: &Words) -> Result<Answer, Broken> {
+        let mut left = request.bytes.as_slice();
         while !left.is_empty() {
             match self.stream.write(left).await {
                 Ok(written) if written > 0 => left = &left[written..],
-                _ if left.len() == ask.bytes.len() => return Err(Broken::Unsent),
+                _ if left.len() == request.bytes.len() => return Err(Broken::Unsent),
                 // It may have answered before it closed.
                 _ => break,
             }
         }
         let mut bytes = Vec::with_capacity(READ);
-        let start = self.start(&mut bytes, ask, words).await?;
-        if let Some(coding) = start.coding.as_ref().filter(|coding| !ask.takes(coding)) {
+        let start = self.start(&mut bytes, request, words).await?;
+        if let Some(coding) = start.coding.as_ref().filter(|coding| !request.takes(coding)) {
             return doubt(format!("encoded as {coding}, which nobody asked for"));
         }
         let (body, end) = self.body(&mut bytes, &start).await?;
         let surplus = bytes.len() > end;
-        if ask.id.is_none() && (surplus || self.more_comes().await) {
+        if request.id.is_none() && (surplus || self.more_comes().await) {
             return doubt("bytes after the answer's declared end");
         }
-        let reusable = !surplus && !start.close && left.is_empty() && ask.id.is_some();
+        let reusable = !surplus && !start.close && left.is_empty() && request.id.is_some();
         Ok(Answer { start, body, reusable })
     }
 
     /// The head of the answer to this request and to no other.
-    async fn start(&mut self, bytes: &mut Vec<u8>, ask: &Ask, words: &Words) -> Result<Start, Broken> {
+    async fn start(&mut self, bytes: &mut Vec<u8>, request: &InstanceRequest, words: &Words) -> Result<Start, Broken> {
         loop {
-            match read_start(bytes, words, ask.bare) {
+            match read_start(bytes, words, request.bare) {
                 Err(told) => return doubt(told),
                 Ok(None) => self.read(bytes).await?,
                 Ok(Some(Start { length: Length::Interim, size, .. })) => drop(bytes.drain(..size)),
-                Ok(Some(start)) if ask.id.is_some() && start.id != ask.id => {
+                Ok(Some(start)) if request.id.is_some() && start.id != request.id => {
                     return doubt("an answer to another request");
                 }
                 Ok(Some(start)) => return Ok(start),
