--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -2,8 +2,8 @@
 //! came of it. It chooses no instance and tries nothing twice that may have left.
 
 use crate::answer::Start;
-use crate::ask::Ask;
 use crate::connection::{Answer, Broken, Connection, Open};
+use crate::instance_request::InstanceRequest;
 use crate::pool::{Pool, Taken};
 use crate::{DispatchOrder, DispatchOutcome, DispatchReport, DispatcherMessage, Words};
 use kernel::Inbox;
@@ -90,18 +90,18 @@
     /// Sends one request and tells what its answer may be believed to say, soon after the order's limit at the
     /// latest.
     pub async fn send(&self, order: DispatchOrder) -> DispatchOutcome {
-        let Some(ask) = Ask::new(&order, &self.words) else {
+        let Some(request) = InstanceRequest::new(&order, &self.words) else {
             return DispatchOutcome::Whole { status: 400, head: Vec::new(), body: Vec::new(), turned_away: false };
         };
-        match timeout(order.limit + LAST_WORD, self.exchange(&order, &ask)).await {
+        match timeout(order.limit + LAST_WORD, self.exchange(&order, &request)).await {
             Ok(outcome) => outcome,
             Err(_) => DispatchOutcome::InDoubt { told: "no whole answer in time".into(), late: true },
         }
     }
 
-    async fn exchange(&self, order: &DispatchOrder, ask: &Ask) -> DispatchOutcome {
+    async fn exchange(&self, order: &DispatchOrder, request: &InstanceRequest) -> DispatchOutcome {
         loop {
-            let taken = match ask.id {
+            let taken = match request.id {
                 Some(_) => self.pool.take(Instant::now(), &order.instance, &order.address, order.connections),
                 None => Taken::ToOpen(self.pool.open_apart()),
             };
@@ -114,7 +114,7 @@
                     Err(_) => return DispatchOutcome::Crowded,
                 },
             };
-            match connection.exchange(ask, &self.words).await {
+            match connection.exchange(request, &self.words).await {
                 Err(Broken::Unsent) if kept => {}
                 Err(Broken::Unsent) => return DispatchOutcome::Crowded,
                 Err(Broken::Doubt(told)) => return DispatchOutcome::InDoubt { told, late: false },
--- a/crates/dispatch/src/head.rs
+++ b/crates/dispatch/src/head.rs
@@ -3,7 +3,7 @@
 
 use crate::Words;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use wire::{HeaderLine, List};
+use wire::{HeaderField, List};
 
 const HOP: [&str; 11] = [
     "connection",
@@ -19,7 +19,7 @@
     "expect",
 ];
 
-fn kept(headers: &[(&str, &[u8])], own: &[&Option<HeaderName>]) -> List<HeaderLine> {
+fn kept(headers: &[(&str, &[u8])], own: &[&Option<HeaderName>]) -> List<HeaderField> {
     let lists = headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("connection"));
     let lists = lists.filter_map(|(_, value)| std::str::from_utf8(value).ok());
     let listed: Vec<&str> = lists.flat_map(|list| list.split(',').map(str::trim)).collect();
@@ -30,24 +30,24 @@
             || listed.iter().copied().any(is)
     };
     let kept = headers.iter().filter(|(name, _)| !stays(name));
-    let line = |(name, value): &(&str, &[u8])| HeaderLine { name: (*name).into(), value: value.to_vec().into() };
+    let line = |(name, value): &(&str, &[u8])| HeaderField { name: (*name).into(), value: value.to_vec().into() };
     kept.map(line).collect::<Vec<_>>().into()
 }
 
 /// A caller's headers that go on to an instance.
-pub fn lines(map: &HeaderMap, words: &Words) -> List<HeaderLine> {
+pub fn lines(map: &HeaderMap, words: &Words) -> List<HeaderField> {
     let headers: Vec<(&str, &[u8])> = map.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
     kept(&headers, &[&words.outcome, &words.deadline, &words.pinned])
 }
 
 /// An instance's headers that go back to the caller.
-pub fn answer_lines(headers: &[httparse::Header<'_>], words: &Words) -> List<HeaderLine> {
+pub fn answer_lines(headers: &[httparse::Header<'_>], words: &Words) -> List<HeaderField> {
     let headers: Vec<(&str, &[u8])> = headers.iter().map(|header| (header.name, header.value)).collect();
     kept(&headers, &[&words.outcome])
 }
 
 /// Appends header lines to a map; what is no valid header is left out.
-pub fn fill(map: &mut HeaderMap, list: &List<HeaderLine>) {
+pub fn fill(map: &mut HeaderMap, list: &List<HeaderField>) {
     for line in list.iter() {
         let name = HeaderName::from_bytes(line.name.as_str().as_bytes());
         if let (Ok(name), Ok(value)) = (name, HeaderValue::from_bytes(line.value.as_slice())) {
--- a/crates/dispatch/src/ask.rs
+++ b/crates/dispatch/src/instance_request.rs
@@ -5,7 +5,7 @@
 use hyper::header::HeaderName;
 use wire::RequestHead;
 
-pub(crate) struct Ask {
+pub(crate) struct InstanceRequest {
     pub bytes: Vec<u8>,
     pub id: Option<Vec<u8>>,
     /// Whether the answer to it has no body, whatever its length says.
@@ -22,8 +22,8 @@
     word.as_ref().is_some_and(|word| name.eq_ignore_ascii_case(word.as_str()))
 }
 
-impl Ask {
-    pub fn new(order: &DispatchOrder, words: &Words) -> Option<Ask> {
+impl InstanceRequest {
+    pub fn new(order: &DispatchOrder, words: &Words) -> Option<InstanceRequest> {
         let head = wire::from_bytes::<RequestHead>(&order.head)?;
         let (method, target) = (head.method.as_str(), head.target.as_str());
         if !is_token(method) || target.is_empty() || target.bytes().any(|b| b <= b' ' || b == 0x7f) {
@@ -71,7 +71,7 @@
             put(&[line("content-length", &order.body.len().to_string()).as_bytes()]);
         }
         put(&[b"\r\n", &order.body]);
-        Some(Ask { bytes, id, bare: method == "HEAD", codings })
+        Some(InstanceRequest { bytes, id, bare: method == "HEAD", codings })
     }
 
     /// Whether the caller asked for an answer so encoded.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -6,10 +6,10 @@
 #![warn(missing_docs)]
 
 mod answer;
-mod ask;
 mod connection;
 mod dispatcher;
 mod head;
+mod instance_request;
 mod order;
 mod pool;
 mod words;
--- a/crates/dispatch/tests/stand_in/mod.rs
+++ b/crates/dispatch/tests/stand_in/mod.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 use tokio::task::{LocalSet, spawn_local};
-use wire::{HeaderLine, RequestHead};
+use wire::{HeaderField, RequestHead};
 
 /// What to do with a request; `{id}` stands for the id it came with.
 #[derive(Clone)]
@@ -81,7 +81,7 @@
 
     pub fn order(&self, id: &str) -> DispatchOrder {
         let header =
-            |name: &str, value: &str| HeaderLine { name: name.into(), value: value.as_bytes().to_vec().into() };
+            |name: &str, value: &str| HeaderField { name: name.into(), value: value.as_bytes().to_vec().into() };
         let headers = vec![header("host", "callers.example"), header("x-id", id), header("x-left", "99999")];
         let head = RequestHead { method: "POST".into(), target: "/f?a=b".into(), headers: headers.into() };
         DispatchOrder {
--- a/crates/emulator/src/api.rs
+++ b/crates/emulator/src/api.rs
@@ -61,7 +61,12 @@
     })
 }
 
-async fn ask(orders: &mpsc::Sender<Order>, what: &'static str, id: String, body: Value) -> (StatusCode, Json<Value>) {
+async fn forward_order(
+    orders: &mpsc::Sender<Order>,
+    what: &'static str,
+    id: String,
+    body: Value,
+) -> (StatusCode, Json<Value>) {
     let (reply, told) = oneshot::channel();
     let _ = orders.send(Order::Call { what, id, body, reply }).await;
     match told.await {
@@ -77,25 +82,25 @@
 type Orders = State<mpsc::Sender<Order>>;
 
 async fn list(State(orders): Orders) -> (StatusCode, Json<Value>) {
-    ask(&orders, "list", String::new(), Value::Null).await
+    forward_order(&orders, "list", String::new(), Value::Null).await
 }
 async fn workers(State(orders): Orders) -> (StatusCode, Json<Value>) {
-    ask(&orders, "workers", String::new(), Value::Null).await
+    forward_order(&orders, "workers", String::new(), Value::Null).await
 }
 async fn start(State(orders): Orders, Json(body): Json<Value>) -> (StatusCode, Json<Value>) {
-    ask(&orders, "start", String::new(), body).await
+    forward_order(&orders, "start", String::new(), body).await
 }
 async fn stop(State(orders): Orders, Path(id): Path<String>) -> (StatusCode, Json<Value>) {
-    ask(&orders, "stop", id, Value::Null).await
+    forward_order(&orders, "stop", id, Value::Null).await
 }
 async fn mischief(State(orders): Orders, Json(body): Json<Value>) -> (StatusCode, Json<Value>) {
-    ask(&orders, "mischief", String::new(), body).await
+    forward_order(&orders, "mischief", String::new(), body).await
 }
 async fn worker(State(orders): Orders, Path((id, what)): Path<(String, String)>) -> (StatusCode, Json<Value>) {
-    ask(&orders, "worker", id, json!(what)).await
+    forward_order(&orders, "worker", id, json!(what)).await
 }
 async fn counts(State(orders): Orders) -> (StatusCode, Json<Value>) {
-    ask(&orders, "counts", String::new(), Value::Null).await
+    forward_order(&orders, "counts", String::new(), Value::Null).await
 }
 
 async fn own(mut emulator: Emulator, record: Record, orders: mpsc::Sender<Order>, mut inbox: mpsc::Receiver<Order>) {
--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::world::{World, machine_of};
 use chain::Input;
-use wire::{ChainMessage, NodeId, Seat};
+use wire::{ChainMessage, NodeAddress, NodeId};
 
 /// A fault planted to see that the explorer finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
@@ -59,7 +59,7 @@
 
     /// Whether any identity that a machine ever had is a voter.
     pub(crate) fn has_seat(&self, index: usize) -> bool {
-        let own = |seat: &Seat| machine_of(seat.id) == index;
+        let own = |node: &NodeAddress| machine_of(node.id) == index;
         self.newest_view().is_some_and(|view| view.voters.iter().any(own))
     }
 
@@ -76,7 +76,7 @@
     /// and cannot vote.
     fn is_only_arriving(&self, index: usize) -> bool {
         let machine = &self.machines[index];
-        let own = |seat: &Seat| seat.id == machine.id;
+        let own = |node: &NodeAddress| node.id == machine.id;
         let votes = self.newest_view().is_some_and(|view| view.voters.iter().any(own));
         let serves = machine.member.is_some() && !machine.leaving && votes;
         !machine.arrived && !machine.may_found && (serves || !self.has_seat(index))
@@ -100,7 +100,7 @@
         let Some(newest) = self.newest_view().cloned() else { return };
         for machine in &mut self.machines {
             let Some(member) = &machine.member else { continue };
-            let chained = newest.chain.as_slice().contains(&machine.id) && newest.fresh != machine.id;
+            let chained = newest.chain.as_slice().contains(&machine.id) && newest.learner != machine.id;
             if chained && member.view().number == newest.number && !machine.leaving {
                 machine.troubled = false;
                 machine.arrived = true;
@@ -141,8 +141,8 @@
     /// Sends the answer to a message that its receiver has not given.
     pub(crate) fn forge(&mut self, from: NodeId, to: NodeId, message: &ChainMessage) {
         let forged = match (self.plant, message) {
-            (Plant::ForgedVote, ChainMessage::Accept { slot, ballot, .. }) => {
-                ChainMessage::Accepted { slot: *slot, ballot: *ballot }
+            (Plant::ForgedVote, ChainMessage::Accept { slot, proposal_number, .. }) => {
+                ChainMessage::AcceptReply { slot: *slot, proposal_number: *proposal_number }
             }
             (Plant::ForgedCopy, ChainMessage::Append { view, entries, .. }) => {
                 let Some(last) = entries.as_slice().last() else { return };
@@ -154,19 +154,19 @@
     }
 
     pub(crate) fn may_forge_view(&self) -> bool {
-        self.plant == Plant::LoneLearner && self.newest_view().is_some_and(|view| view.fresh != 0)
+        self.plant == Plant::LoneLearner && self.newest_view().is_some_and(|view| view.learner != 0)
     }
 
     pub(crate) fn forge_view(&mut self) {
         let Some(newest) = self.newest_view().cloned() else { return };
-        let learner = newest.fresh;
+        let learner = newest.learner;
         let mut view = newest;
         view.number += 1;
-        view.fresh = 0;
+        view.learner = 0;
         view.chain = vec![learner].into();
-        for seat in view.voters.clone().iter() {
+        for node in view.voters.clone().iter() {
             self.feed(
-                machine_of(seat.id),
+                machine_of(node.id),
                 Input::Frame { from: learner, message: ChainMessage::Decided { view: view.clone() } },
             );
         }
--- a/crates/explore/src/history.rs
+++ b/crates/explore/src/history.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
-use wire::{NodeId, OpNo, View, to_bytes};
+use wire::{NodeId, ProposalId, View, to_bytes};
 
 /// What stood when a tail was asked to confirm its reads.
 #[derive(Clone, Hash)]
@@ -15,7 +15,7 @@
 #[derive(Clone, Default)]
 pub struct History {
     /// The operation at each place, and its key, as first committed anywhere.
-    pub committed: BTreeMap<u64, (OpNo, String)>,
+    pub committed: BTreeMap<u64, (ProposalId, String)>,
     /// The view of each number, as first learnt to be decided anywhere.
     pub decided: BTreeMap<u64, View>,
     pub asked: BTreeMap<(NodeId, u64), Asked>,
--- a/crates/explore/src/invariants.rs
+++ b/crates/explore/src/invariants.rs
@@ -3,7 +3,7 @@
 use crate::history::Asked;
 use crate::world::{World, machine_of};
 use chain::{Output, Stored};
-use wire::{NodeId, OpNo, View};
+use wire::{NodeId, ProposalId, View};
 
 impl World {
     pub(crate) fn record(&mut self, index: usize, outputs: &[Output]) {
@@ -35,7 +35,7 @@
     }
 
     fn check_survivors(&mut self, before: &View, view: &View) {
-        let complete = |id: &&NodeId| **id != before.fresh;
+        let complete = |id: &&NodeId| **id != before.learner;
         let kept = before.chain.iter().filter(complete).any(|id| view.chain.as_slice().contains(id));
         if !kept {
             self.history.break_rule(|| format!("(e) only a learner survives from {before:?} to {view:?}"));
@@ -44,11 +44,11 @@
 
     fn check_one_change(&mut self, before: &View, view: &View) {
         let added = view.chain.iter().filter(|id| !before.chain.as_slice().contains(id)).count();
-        let old = |id: &NodeId| before.voters.iter().any(|seat| seat.id == *id);
-        let new = |id: &NodeId| view.voters.iter().any(|seat| seat.id == *id);
-        let seats_added = view.voters.iter().filter(|seat| !old(&seat.id)).count();
-        let seats_removed = before.voters.iter().filter(|seat| !new(&seat.id)).count();
-        let overlaps = before.fresh != 0 && (added > 0 || seats_added > 0 || seats_removed > 0);
+        let old = |id: &NodeId| before.voters.iter().any(|node| node.id == *id);
+        let new = |id: &NodeId| view.voters.iter().any(|node| node.id == *id);
+        let seats_added = view.voters.iter().filter(|node| !old(&node.id)).count();
+        let seats_removed = before.voters.iter().filter(|node| !new(&node.id)).count();
+        let overlaps = before.learner != 0 && (added > 0 || seats_added > 0 || seats_removed > 0);
         if added > 1 || seats_added > 1 || seats_removed > 1 || overlaps {
             self.history.break_rule(|| format!("(d) membership changes overlap from {before:?} to {view:?}"));
         }
@@ -60,7 +60,7 @@
             let machine = &self.machines[machine_of(id)];
             machine.id != id || holds_view(&machine.disk, view)
         };
-        let count = before.voters.iter().filter(|seat| accepted(seat.id)).count();
+        let count = before.voters.iter().filter(|node| accepted(node.id)).count();
         if count * 2 <= before.voters.as_slice().len() {
             self.history.break_rule(|| format!("(d) {view:?} is kept by {count} voters of {before:?} only"));
         }
@@ -68,7 +68,7 @@
 
     fn record_committed(&mut self, index: usize, seq: u64) {
         let Some(member) = &self.machines[index].member else { return };
-        let entries: Vec<(u64, OpNo, String)> = member
+        let entries: Vec<(u64, ProposalId, String)> = member
             .entries()
             .filter(|entry| entry.seq <= seq)
             .map(|entry| (entry.seq, entry.op, String::from_utf8_lossy(entry.body.as_slice()).into_owned()))
@@ -136,11 +136,11 @@
     fn check_majority(&mut self, newest: &View, lost: &[usize]) {
         let votes = |id: NodeId| {
             let machine = &self.machines[machine_of(id)];
-            let bound = machine.disk.meta.accepted_ballot > 0;
+            let bound = machine.disk.meta.accepted_number > 0;
             let runs = machine.member.as_ref().is_some_and(|member| member.view().number > 0 || bound);
             machine.id == id && runs && !lost.contains(&machine_of(id))
         };
-        let left = newest.voters.iter().filter(|seat| votes(seat.id)).count();
+        let left = newest.voters.iter().filter(|node| votes(node.id)).count();
         if left * 2 <= newest.voters.as_slice().len() {
             self.history.break_rule(|| format!("(g) {left} voters left of {newest:?} without machines {lost:?}"));
         }
@@ -149,7 +149,7 @@
     fn check_kept(&mut self, newest: &View, lost: &[usize]) {
         let must_survive = |index: &usize| {
             let id = self.machines[*index].id;
-            !lost.contains(index) && newest.chain.as_slice().contains(&id) && newest.fresh != id
+            !lost.contains(index) && newest.chain.as_slice().contains(&id) && newest.learner != id
         };
         let survivors: Vec<usize> = (0..self.machines.len()).filter(must_survive).collect();
         let places: Vec<u64> = self.history.committed.keys().copied().collect();
@@ -161,6 +161,6 @@
 }
 
 fn holds_view(disk: &Stored, view: &View) -> bool {
-    let accepted = disk.meta.accepted_ballot > 0 && disk.meta.accepted == *view;
+    let accepted = disk.meta.accepted_number > 0 && disk.meta.accepted == *view;
     disk.meta.view.number >= view.number || accepted
 }
--- a/crates/explore/src/scenario.rs
+++ b/crates/explore/src/scenario.rs
@@ -85,7 +85,7 @@
     }
 
     fn run_until_learner(&mut self) {
-        let learning = |world: &World| world.newest_view().is_some_and(|view| view.fresh != 0);
+        let learning = |world: &World| world.newest_view().is_some_and(|view| view.learner != 0);
         for _ in 0..FORMING_STEPS {
             self.advance(Silence::None);
             while !learning(self) && self.finish_next(Silence::None) {}
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
-use wire::{ChainMessage, NodeId, OpNo, Seat, View, to_bytes};
+use wire::{ChainMessage, NodeAddress, NodeId, ProposalId, View, to_bytes};
 
 /// How many of each kind of event a run may still have.
 #[derive(Clone, Debug, Hash)]
@@ -64,7 +64,7 @@
 
 fn apply(_: &State, seq: u64, body: &[u8]) -> Effect {
     let key = String::from_utf8_lossy(body).into_owned();
-    Effect { changes: vec![(key, Some(seq.to_le_bytes().to_vec().into()))], receipt: Vec::new() }
+    Effect { changes: vec![(key, Some(seq.to_le_bytes().to_vec().into()))], reply: Vec::new() }
 }
 
 fn address(machine: usize) -> wire::Text {
@@ -115,10 +115,10 @@
         machine.starts += 1;
         machine.leaving = false;
         machine.left_in_order = false;
-        let seat = Seat { id: machine.id, address: address(index) };
-        machine.disk.meta.seat = seat.clone();
+        let node = NodeAddress { id: machine.id, address: address(index) };
+        machine.disk.meta.node = node.clone();
         let seats = if machine.may_found { 3 } else { 0 };
-        let member = Member::new(seat, machine.disk.clone(), Timing::default(), apply, self.now);
+        let member = Member::new(node, machine.disk.clone(), Timing::default(), apply, self.now);
         let member = member.founding_with(seats).bearing(self.losses);
         machine.member = Some(member.numbering_rounds_from(machine.starts << 20));
     }
@@ -193,7 +193,7 @@
 
     pub fn propose(&mut self, index: usize) {
         self.next_operation += 1;
-        let op = OpNo { origin: self.machines[index].id, number: self.next_operation };
+        let op = ProposalId { origin: self.machines[index].id, number: self.next_operation };
         self.feed(index, Input::Propose { op, body: op.number.to_string().into_bytes() });
     }
 
@@ -226,7 +226,7 @@
             chain::digest_meta(&machine.disk.meta, &mut hasher);
             chain::digest_state(&machine.disk.state, &mut hasher);
             chain::digest_entries(machine.disk.entries.iter(), &mut hasher);
-            (machine.disk.last, machine.disk.settled).hash(&mut hasher);
+            (machine.disk.last, machine.disk.known_committed).hash(&mut hasher);
             for (ticket, batch) in &machine.pending {
                 ticket.hash(&mut hasher);
                 chain::digest_batch(batch, &mut hasher);
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -1,7 +1,7 @@
 //! The timetable of faults and how each is brought about.
 
 use crate::processes::{Fleet, Start, TOKEN};
-use heron::{Call, ask};
+use heron::{Call, send_call};
 use hyper::Method;
 use serde_json::{Map, Value, json};
 use std::time::Duration;
@@ -154,7 +154,7 @@
             limit: Duration::from_secs(5),
             ..Call::default()
         };
-        ask(&call).await.map(drop).map_err(|fault| fault.to_string())
+        send_call(&call).await.map(drop).map_err(|fault| fault.to_string())
     }
 
     /// A named change, on whatever is the latest, at any registry that answers.
@@ -172,7 +172,7 @@
                 limit: Duration::from_secs(15),
                 ..Call::default()
             };
-            if let Ok(answer) = ask(&call).await
+            if let Ok(answer) = send_call(&call).await
                 && answer.status == 200
             {
                 println!("patch {name}: revision {:?}", answer.revision);
--- a/crates/fleet/src/prove.rs
+++ b/crates/fleet/src/prove.rs
@@ -6,7 +6,7 @@
 use crate::processes::{Fleet, TOKEN};
 use crate::timeline::Timeline;
 use crate::turns::{Turns, wall_ms, with_probe};
-use heron::{Answer, Call, ask};
+use heron::{Answer, Call, send_call};
 use hyper::Method;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -52,7 +52,7 @@
     .await?;
     let body = std::fs::read(&deployment.configuration).map_err(|fault| fault.to_string())?;
     let apply = Call { if_match: Some("*".into()), body, ..call(Method::PUT, "/v1/configuration") };
-    let applied = ask(&apply).await.map_err(|fault| fault.to_string())?;
+    let applied = send_call(&apply).await.map_err(|fault| fault.to_string())?;
     if applied.status != 200 {
         return Err(format!("configuration refused: {}", String::from_utf8_lossy(&applied.body)));
     }
@@ -85,7 +85,7 @@
 pub async fn until(what: &str, fleet: &mut Fleet, call: &Call, good: impl Fn(&Answer) -> bool) -> Result<(), String> {
     let begun = Instant::now();
     while begun.elapsed() < PATIENCE {
-        if let Ok(answer) = ask(call).await
+        if let Ok(answer) = send_call(call).await
             && good(&answer)
         {
             return Ok(());
@@ -148,7 +148,7 @@
     let kept = final_fault(fleet).await?;
     let counts =
         Call { address: fleet.yard.peer.clone(), path: "/v1/counts".into(), limit: PATIENCE, ..Call::default() };
-    let counted = ask(&counts).await.map_err(|fault| fault.to_string())?;
+    let counted = send_call(&counts).await.map_err(|fault| fault.to_string())?;
     println!("platform: {}", String::from_utf8_lossy(&counted.body));
     sleep(Duration::from_millis(300)).await;
     let mut check = Command::new(fleet.programs.join("swarm"));
@@ -181,7 +181,7 @@
     let mut kept = false;
     let begun = Instant::now();
     while begun.elapsed() < PATIENCE && !kept {
-        if let Ok(answer) = ask(&read).await
+        if let Ok(answer) = send_call(&read).await
             && answer.status == 200
         {
             kept = answer.revision == Some(acknowledged) && String::from_utf8_lossy(&answer.body).contains("day-end");
@@ -206,7 +206,7 @@
                 limit: Duration::from_secs(2),
                 ..Call::default()
             };
-            let page: Value = match ask(&call).await {
+            let page: Value = match send_call(&call).await {
                 Ok(answer) => serde_json::from_slice(&answer.body).unwrap_or_default(),
                 Err(_) => continue,
             };
--- a/crates/fleet/src/smoke.rs
+++ b/crates/fleet/src/smoke.rs
@@ -6,7 +6,7 @@
 use crate::processes::{Fleet, Node, TOKEN};
 use crate::prove::{bring_up, until};
 use crate::smoke_views::{declarations, views};
-use heron::{Answer, Call, ask};
+use heron::{Answer, Call, send_call};
 use hyper::Method;
 use serde_json::{Value, json};
 use std::process::{Command, Stdio};
@@ -33,7 +33,7 @@
     }
 
     pub async fn status(&mut self, what: &str, call: Call, wanted: u16) -> Option<Answer> {
-        match ask(&call).await {
+        match send_call(&call).await {
             Ok(answer) => {
                 let told = format!("{} {}", answer.status, String::from_utf8_lossy(&answer.body));
                 self.see(what, answer.status == wanted, told);
@@ -105,7 +105,7 @@
     smoke.status("an unknown route is 404", post(one, "/nowhere", ""), 404).await;
     smoke.status("a body too long is 413", post(one, "/pixelkrov/saves", &"x".repeat(300 * 1024)), 413).await;
     let long = format!("/pixelkrov/saves?{}", "q".repeat(60 * 1024));
-    let answer = ask(&post(one, &long, "")).await;
+    let answer = send_call(&post(one, &long, "")).await;
     smoke.see(
         "a head too long is 431 or 414",
         matches!(&answer, Ok(a) if [431, 414].contains(&a.status)),
@@ -129,7 +129,7 @@
     let begun = Instant::now();
     let mut last = String::new();
     while begun.elapsed() < PATIENCE && !last.contains("body=b") {
-        if let Ok(answer) = ask(&to(one, Method::GET, &path, "")).await {
+        if let Ok(answer) = send_call(&to(one, Method::GET, &path, "")).await {
             last = String::from_utf8_lossy(&answer.body).into_owned();
         }
         sleep(Duration::from_millis(100)).await;
@@ -204,7 +204,7 @@
     let begun = Instant::now();
     let mut code = None;
     while code.is_none() && begun.elapsed() < PATIENCE {
-        let answer = ask(&to(&fleet.routers[1], Method::POST, "/pixelkrov/inventory", "i")).await;
+        let answer = send_call(&to(&fleet.routers[1], Method::POST, "/pixelkrov/inventory", "i")).await;
         if !matches!(&answer, Ok(answer) if answer.status == 200) {
             smoke.see("tasks are answered while a router leaves", false, format!("{answer:?}"));
         }
--- a/crates/fleet/src/smoke_views.rs
+++ b/crates/fleet/src/smoke_views.rs
@@ -4,7 +4,7 @@
 use crate::line::Order;
 use crate::processes::{Fleet, Node, TOKEN};
 use crate::smoke::{Smoke, TENANT};
-use heron::{Call, ask};
+use heron::{Call, send_call};
 use serde_json::Value;
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
@@ -37,7 +37,7 @@
     while begun.elapsed() < PATIENCE && played.is_null() {
         for node in &fleet.routers {
             let call = look(node, "/v1/view/headcount-plans/pixelkrov/saves", TOKEN);
-            let page = ask(&call).await.ok().and_then(|a| serde_json::from_slice::<Value>(&a.body).ok());
+            let page = send_call(&call).await.ok().and_then(|a| serde_json::from_slice::<Value>(&a.body).ok());
             let page = page.unwrap_or_default();
             if page["value"]["plan"]["actual"]["ready"].as_u64().is_some_and(|ready| ready > 0) {
                 played = page["value"]["plan"].clone();
--- a/crates/fleet/src/turns.rs
+++ b/crates/fleet/src/turns.rs
@@ -4,7 +4,7 @@
 
 use crate::deployment::Deployment;
 use crate::processes::{Node, TOKEN};
-use heron::{Answer, Call, ask};
+use heron::{Answer, Call, send_call};
 use hyper::Method;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -87,7 +87,7 @@
 
     async fn revision(&self, at: usize) -> Option<u64> {
         let call = Call { limit: Duration::from_secs(2), ..self.call(at, Method::GET, "/v1/headcount-plans") };
-        ask(&call).await.ok().filter(|answer| answer.status == 200)?.revision
+        send_call(&call).await.ok().filter(|answer| answer.status == 200)?.revision
     }
 
     /// Asks for one turn and records what was told; a turn nobody answered may yet come into force.
@@ -97,7 +97,7 @@
         let tag = base.map_or("*".to_owned(), |base| base.to_string());
         let call = Call { if_match: Some(tag), body, ..self.call(at, Method::PATCH, "/v1/configuration") };
         let asked = wall_ms();
-        let answer = ask(&call).await.ok();
+        let answer = send_call(&call).await.ok();
         let (status, revision) = answer.as_ref().map_or((0, None), |answer| (answer.status, answer.revision));
         self.lines.borrow_mut().push(json!({
             "asked": asked, "told": wall_ms(), "status": status, "revision": revision.unwrap_or(0),
@@ -109,7 +109,7 @@
     /// After a race: what is read must not be a turn that was refused.
     async fn read_back(&self, number: usize, told: (Option<Answer>, Option<Answer>)) {
         let call = self.call(number + 1, Method::GET, "/v1/function-bindings/probe/turn");
-        let Ok(answer) = ask(&call).await else { return };
+        let Ok(answer) = send_call(&call).await else { return };
         let read: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         for (place, answer) in [(number - 1, told.0), (number, told.1)] {
             let refused = answer.is_some_and(|answer| answer.status == 412);
--- a/crates/heron/src/client.rs
+++ b/crates/heron/src/client.rs
@@ -101,7 +101,7 @@
 }
 
 /// Makes a call and reads its answer whole.
-pub async fn ask(call: &Call) -> Result<Answer, CallError> {
+pub async fn send_call(call: &Call) -> Result<Answer, CallError> {
     let work = async {
         let answer = http().request(request(call)?).await.map_err(|error| unreached(call, error))?;
         let status = answer.status().as_u16();
--- a/crates/heron/src/lib.rs
+++ b/crates/heron/src/lib.rs
@@ -5,5 +5,5 @@
 mod client;
 mod folder;
 
-pub use client::{Answer, Call, CallError, ask, watch};
+pub use client::{Answer, Call, CallError, send_call, watch};
 pub use folder::{Declared, FolderError, differences, document, read, resources};
--- a/crates/heron/src/main.rs
+++ b/crates/heron/src/main.rs
@@ -1,6 +1,6 @@
 //! `heron`: the operators' client.
 
-use heron::{Call, Declared, ask, differences, document, read, resources, watch};
+use heron::{Call, Declared, differences, document, read, resources, send_call, watch};
 use hyper::Method;
 use lexopt::prelude::*;
 use serde_json::Value;
@@ -200,7 +200,7 @@
         Some(tag) => Some(tag.clone()),
         None => {
             let read = Call { method: Method::GET, path: "/v1/configuration".into(), body: Vec::new(), ..call.clone() };
-            let known = ask(&read).await.map_err(not_reached)?;
+            let known = send_call(&read).await.map_err(not_reached)?;
             Some(known.revision.map_or("0".into(), |revision| revision.to_string()))
         }
     };
@@ -214,7 +214,7 @@
 
 /// What applying the files would change, one line each.
 async fn diff(call: Call, wanted: &Declared) -> Ended {
-    let answer = ask(&call).await.map_err(not_reached)?;
+    let answer = send_call(&call).await.map_err(not_reached)?;
     let now: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     if answer.status != 200 {
         return Err(not_reached(format!("the configuration cannot be read: {} {now}", answer.status)));
@@ -226,7 +226,7 @@
 }
 
 async fn show(call: Call) -> Ended {
-    let answer = ask(&call).await.map_err(not_reached)?;
+    let answer = send_call(&call).await.map_err(not_reached)?;
     let page = match serde_json::from_slice::<Value>(&answer.body) {
         Ok(value) => format!("{value:#}\n"),
         Err(_) => format!("{}\n", String::from_utf8_lossy(&answer.body)),
--- a/crates/hollow/src/fleet.rs
+++ b/crates/hollow/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::node_slot::{NodeMessage, NodeSlot};
 use crate::opening::{Open, RelayView, Relayed, listen_all, on_thread, relay_thread};
 use crate::processes::{CLUSTER, Process, REGISTRIES, TOKEN, address, registry, router, zone};
-use heron::{Answer, Call, ask};
+use heron::{Answer, Call, send_call};
 use hyper::Method;
 use kernel::{InboxSender, inbox, local};
 use serde_json::{Value, json};
@@ -153,7 +153,7 @@
             limit: Duration::from_secs(20),
             ..Call::default()
         };
-        ask(&call).await.map_err(|error| error.to_string())
+        send_call(&call).await.map_err(|error| error.to_string())
     }
 
     /// Each registry's own page, empty where it does not answer.
@@ -167,7 +167,7 @@
                 limit: Duration::from_secs(3),
                 ..Call::default()
             };
-            let page = ask(&call).await.ok().and_then(|answer| serde_json::from_slice(&answer.body).ok());
+            let page = send_call(&call).await.ok().and_then(|answer| serde_json::from_slice(&answer.body).ok());
             pages.push(page.unwrap_or_default());
         }
         pages
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -116,13 +116,13 @@
         match message {
             Message::Forward(message) if message.is_for_home() => self.feed_home(HomeInput::Forward { from, message }),
             Message::Plan(message) => self.feed_home(HomeInput::Plan { message }),
-            Message::Hold(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
+            Message::Lease(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
                 self.feed_home(HomeInput::Ledger { message });
             }
-            Message::Hold(message @ (LeaseMessage::PeerAsk { .. } | LeaseMessage::PeerReply { .. })) => {
+            Message::Lease(message @ (LeaseMessage::PeerRequest { .. } | LeaseMessage::PeerReply { .. })) => {
                 self.follow(FollowerInput::Peer { from, message });
             }
-            Message::Hold(message) => {
+            Message::Lease(message) => {
                 self.registries.insert(from);
                 if matches!(message, LeaseMessage::Proof { .. }) {
                     self.heard = Some(self.now);
@@ -147,11 +147,11 @@
         for output in self.follower.step(self.now, input) {
             match output {
                 FollowerOutput::ToRegistry { to: Some(to), message } | FollowerOutput::ToPeer { to, message } => {
-                    self.send(to, Message::Hold(message));
+                    self.send(to, Message::Lease(message));
                 }
-                FollowerOutput::ToRegistry { to: None, message } => self.tell_registries(Message::Hold(message)),
+                FollowerOutput::ToRegistry { to: None, message } => self.tell_registries(Message::Lease(message)),
                 FollowerOutput::Rostered { .. } => self.dial(),
-                FollowerOutput::Seats { addresses } => {
+                FollowerOutput::RegistryAddresses { addresses } => {
                     if addresses != self.seats {
                         self.seats = addresses;
                         self.dial();
@@ -174,9 +174,11 @@
         for output in self.home.step(self.now, may_serve, input) {
             match output {
                 HomeOutput::Forward { to, message } => self.send(to, Message::Forward(message)),
-                HomeOutput::Propose { ask, body } => self.tell_core(LeaseMessage::Propose { ask, body: body.into() }),
-                HomeOutput::Read { ask, prefix } => {
-                    self.tell_core(LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() });
+                HomeOutput::Propose { request_id, body } => {
+                    self.tell_core(LeaseMessage::Propose { request_id, body: body.into() })
+                }
+                HomeOutput::Read { request_id, prefix } => {
+                    self.tell_core(LeaseMessage::Read { request_id, prefix: prefix.into(), from: "".into() });
                 }
                 HomeOutput::PlanAsk { message } => self.tell_registries(Message::Plan(message)),
                 HomeOutput::Samples { lines } => {
@@ -193,7 +195,7 @@
 
     fn tell_core(&mut self, message: LeaseMessage) {
         if let Some(to) = self.follower.tail() {
-            self.send(to, Message::Hold(message));
+            self.send(to, Message::Lease(message));
         }
     }
 }
--- a/crates/hollow/src/offline_tasks.rs
+++ b/crates/hollow/src/offline_tasks.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 use traffic::{DispatchOutcome, HomeInput, HomeOutput};
-use wire::{FORMAT, ForwardMessage, Frame, HeaderLine, Message, Outcome, RequestHead, decode, encode};
+use wire::{FORMAT, ForwardMessage, Frame, HeaderField, Message, Outcome, RequestHead, decode, encode};
 
 const TASKS: u64 = 500;
 const APART: Duration = Duration::from_millis(10);
@@ -29,7 +29,7 @@
     let workload = Workload { functions: 21, awake: 21, instances: 84 };
     let (mut home, from) = open(&workload, 1);
     let name = workload.name(0);
-    let header = |name: &str| HeaderLine { name: name.into(), value: vec![b'x'; 24].into() };
+    let header = |name: &str| HeaderField { name: name.into(), value: vec![b'x'; 24].into() };
     let headers = ["content-type", "content-length", "user-agent", "accept"].map(header).to_vec().into();
     let head: Vec<u8> =
         wire::to_bytes(&RequestHead { method: "POST".into(), target: format!("/{name}").as_str().into(), headers });
--- a/crates/hollow/tests/parts.rs
+++ b/crates/hollow/tests/parts.rs
@@ -4,10 +4,10 @@
 use test_case::test_case;
 use wire::{ChainMessage, FORMAT, ForwardMessage, Frame, LeaseMessage, Message, PlanMessage, encode};
 
-#[test_case(Message::Chain(ChainMessage::Heartbeat { view: 1, round: 2, unwell: 0 }), "chain.beat")]
-#[test_case(Message::Chain(ChainMessage::Suffix { copy: 1, entries: Vec::new().into() }), "chain.suffix")]
-#[test_case(Message::Hold(LeaseMessage::Proof { ask: 1, active: 1, latest: 1, member: 1 }), "hold.proof")]
-#[test_case(Message::Hold(LeaseMessage::Leaving), "hold.leaving")]
+#[test_case(Message::Chain(ChainMessage::Heartbeat { view: 1, round: 2, unhealthy: 0 }), "chain.beat")]
+#[test_case(Message::Chain(ChainMessage::MissedEntries { copy: 1, entries: Vec::new().into() }), "chain.suffix")]
+#[test_case(Message::Lease(LeaseMessage::Proof { request_id: 1, active: 1, latest: 1, member: 1 }), "hold.proof")]
+#[test_case(Message::Lease(LeaseMessage::Leaving), "hold.leaving")]
 #[test_case(Message::Forward(ForwardMessage::Heartbeat), "carry.beat")]
 #[test_case(Message::Plan(PlanMessage::Tuned { fence: 1, lines: Vec::new().into() }), "plan.tuned")]
 #[test_case(Message::Hello { address: "a:1".into() }, "hello")]
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -39,12 +39,12 @@
     let mut node = Node::new(ME, 1, "10.0.0.1:0", "a", &[SEED.to_owned()]);
     let mut now = TICK;
     node.step(now, NodeInput::Up { id: TAIL, address: SEED.into() });
-    let step = wire::StepLine { number: 1, revision: 1, quorum: Vec::new().into(), items: Vec::new().into() };
+    let step = wire::ConfigurationEpoch { number: 1, revision: 1, quorum: Vec::new().into(), items: Vec::new().into() };
     let body = wire::to_bytes(&roster).into();
     for message in
         [LeaseMessage::Stage { step }, LeaseMessage::Activate { number: 1 }, LeaseMessage::Roster { number: 1, body }]
     {
-        node.step(now, NodeInput::Frame { from: TAIL, message: Message::Hold(message) });
+        node.step(now, NodeInput::Frame { from: TAIL, message: Message::Lease(message) });
     }
     node.step(now, NodeInput::Assigned { roster: Rc::new(roster), routes: Rc::new(routes) });
     let mut counts = BTreeMap::new();
@@ -53,15 +53,15 @@
         let outputs = node.step(now, NodeInput::Tick);
         for output in outputs {
             let NodeOutput::Send { message, .. } = output else { continue };
-            if let Message::Hold(LeaseMessage::Renew { ask, .. }) = &message {
-                let proof = LeaseMessage::Proof { ask: *ask, active: 1, latest: 1, member: 1 };
-                node.step(now, NodeInput::Frame { from: TAIL, message: Message::Hold(proof) });
+            if let Message::Lease(LeaseMessage::Renew { request_id, .. }) = &message {
+                let proof = LeaseMessage::Proof { request_id: *request_id, active: 1, latest: 1, member: 1 };
+                node.step(now, NodeInput::Frame { from: TAIL, message: Message::Lease(proof) });
             }
             let kind = match &message {
-                Message::Hold(LeaseMessage::Renew { .. }) => "renewals",
-                Message::Hold(_) => "other words to the core",
+                Message::Lease(LeaseMessage::Renew { .. }) => "renewals",
+                Message::Lease(_) => "other words to the core",
                 Message::Forward(ForwardMessage::Heartbeat) => "beats",
-                Message::Plan(PlanMessage::Ask { .. }) => "plan asks",
+                Message::Plan(PlanMessage::Request { .. }) => "plan asks",
                 _ => "others",
             };
             if tick >= 200 {
--- a/crates/http_server/src/kinds.rs
+++ b/crates/http_server/src/kinds.rs
@@ -3,13 +3,13 @@
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use wire::TunedLine;
+use wire::TunedParameters;
 
 /// The declared pairs, by kind/tenant/name, and the sheets that are tuned, declared or not.
 pub fn kinds<'a>(
     pairs: impl Iterator<Item = (&'a str, &'a [u8])>,
     fence: u64,
-    tuned: &[TunedLine],
+    tuned: &[TunedParameters],
 ) -> BTreeMap<String, Value> {
     let declared = |raw: &[u8]| json!({"declared": serde_json::from_slice::<Value>(raw).unwrap_or_default()});
     let mut items: BTreeMap<String, Value> = pairs.map(|(key, raw)| (key.to_owned(), declared(raw))).collect();
--- a/crates/leases/src/fetch.rs
+++ b/crates/leases/src/fetch.rs
@@ -6,10 +6,10 @@
 use crate::parts::Arriving;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{ItemLine, LeaseMessage, NodeId, Text};
+use wire::{ConfigurationItem, LeaseMessage, NodeId, Text};
 
 pub struct Fetch {
-    pub ask: u64,
+    pub request_id: u64,
     pub step: Option<u64>,
     pub pairs: BTreeMap<String, Vec<u8>>,
     pub parts: Option<Arriving>,
@@ -18,24 +18,24 @@
 
 impl Follower {
     pub(crate) fn begin_fetch(&mut self, from: NodeId) {
-        let ask = self.ask_number();
-        self.fetch = Some(Fetch { ask, step: None, pairs: BTreeMap::new(), parts: None, moved: self.now });
-        self.tell_registry(Some(from), LeaseMessage::PartAsk { ask, whole: 1, number: 0, offset: 0 });
+        let request_id = self.next_request_number();
+        self.fetch = Some(Fetch { request_id, step: None, pairs: BTreeMap::new(), parts: None, moved: self.now });
+        self.tell_registry(Some(from), LeaseMessage::PartRequest { request_id, whole: 1, number: 0, offset: 0 });
     }
 
     #[allow(clippy::too_many_arguments)]
     pub(crate) fn on_piece(
         &mut self,
         from: NodeId,
-        ask: u64,
+        request_id: u64,
         step: u64,
         revision: u64,
         quorum: Vec<NodeId>,
-        items: Vec<ItemLine>,
+        items: Vec<ConfigurationItem>,
         next: Text,
     ) {
         let now = self.now;
-        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.ask == ask) else { return };
+        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.request_id == request_id) else { return };
         if fetch.step.is_some_and(|first| first != step) || step <= self.step {
             self.fetch = None;
             return;
@@ -46,7 +46,7 @@
             fetch.pairs.insert(item.key.as_str().to_owned(), item.value.into_vec());
         }
         if !next.as_str().is_empty() {
-            return self.tell_registry(Some(from), LeaseMessage::FetchAll { ask, from: next });
+            return self.tell_registry(Some(from), LeaseMessage::ConfigurationRequest { request_id, from: next });
         }
         let pairs = std::mem::take(&mut fetch.pairs);
         self.install(step, revision, quorum, pairs);
--- a/crates/leases/src/follower.rs
+++ b/crates/leases/src/follower.rs
@@ -9,7 +9,7 @@
 use crate::standing::{Standing, StandingEvent, Standings};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{Capacity, LeaseMessage, NodeId, StepLine};
+use wire::{Capacity, ConfigurationEpoch, LeaseMessage, NodeId};
 
 #[derive(Clone, Debug)]
 pub struct FollowerTiming {
@@ -50,7 +50,7 @@
     ToPeer { to: NodeId, message: LeaseMessage },
     Activated { step: u64, revision: u64 },
     Rostered { number: u64 },
-    Seats { addresses: Vec<String> },
+    RegistryAddresses { addresses: Vec<String> },
     Standing { standing: Standing },
     Lapsed,
 }
@@ -65,7 +65,7 @@
     pub(crate) step: u64,
     pub(crate) revision: u64,
     pub(crate) quorum: Vec<NodeId>,
-    pub(crate) staged: BTreeMap<u64, StepLine>,
+    pub(crate) staged: BTreeMap<u64, ConfigurationEpoch>,
     pub(crate) latest_known: u64,
     pub(crate) roster: Roster,
     pub(crate) ready: bool,
@@ -73,7 +73,7 @@
     pub(crate) leaving: bool,
     pub(crate) tail: Option<(NodeId, Duration)>,
     pub(crate) asks: BTreeMap<u64, Duration>,
-    pub(crate) next_ask: u64,
+    pub(crate) next_request_id: u64,
     pub(crate) proof: Option<Duration>,
     pub(crate) peer_proof: Option<Duration>,
     pub(crate) peers: Peers,
@@ -96,7 +96,13 @@
         let (address, zone, ops) = (address.into(), zone.into(), ops.into());
         Follower {
             me,
-            joining: LeaseMessage::Enrol { address, zone, ops, hashing: HASHING, capacity: Capacity::default() },
+            joining: LeaseMessage::JoinWithCapacity {
+                address,
+                zone,
+                ops,
+                hashing: HASHING,
+                capacity: Capacity::default(),
+            },
             timing,
             now: Duration::ZERO,
             outs: Vec::new(),
@@ -112,7 +118,7 @@
             leaving: false,
             tail: None,
             asks: BTreeMap::new(),
-            next_ask: first_number(incarnation),
+            next_request_id: first_number(incarnation),
             proof: None,
             peer_proof: None,
             peers: Peers::default(),
@@ -127,7 +133,7 @@
 
     /// What this machine can carry, as it is told on joining.
     pub fn able_to_own(mut self, able: Capacity) -> Self {
-        if let LeaseMessage::Enrol { capacity, .. } = &mut self.joining {
+        if let LeaseMessage::JoinWithCapacity { capacity, .. } = &mut self.joining {
             *capacity = able;
         }
         self
@@ -210,8 +216,8 @@
         self.outs.push(FollowerOutput::ToRegistry { to, message });
     }
 
-    pub(crate) fn ask_number(&mut self) -> u64 {
-        self.next_ask += 1;
-        self.next_ask
+    pub(crate) fn next_request_number(&mut self) -> u64 {
+        self.next_request_id += 1;
+        self.next_request_id
     }
 }
--- a/crates/leases/src/parts.rs
+++ b/crates/leases/src/parts.rs
@@ -4,7 +4,7 @@
 
 use crate::follower::Follower;
 use std::time::Duration;
-use wire::{Blob, LeaseMessage, NodeId, StepLine};
+use wire::{Blob, ConfigurationEpoch, LeaseMessage, NodeId};
 
 const AGAIN: Duration = Duration::from_millis(500);
 
@@ -30,7 +30,7 @@
 enum Taken {
     Nothing,
     More,
-    Whole(Option<StepLine>),
+    Whole(Option<ConfigurationEpoch>),
 }
 
 impl Arriving {
@@ -52,11 +52,18 @@
         }
         let raw = wire::unpack(&arriving.bytes, size);
         *slot = None;
-        Taken::Whole(raw.and_then(|raw| wire::from_bytes::<StepLine>(&raw)).filter(|step| step.number == number))
+        Taken::Whole(
+            raw.and_then(|raw| wire::from_bytes::<ConfigurationEpoch>(&raw)).filter(|step| step.number == number),
+        )
     }
 
-    fn ask(&self, ask: u64, whole: bool) -> LeaseMessage {
-        LeaseMessage::PartAsk { ask, whole: whole as u8, number: self.number, offset: self.bytes.len() as u32 }
+    fn part_request(&self, request_id: u64, whole: bool) -> LeaseMessage {
+        LeaseMessage::PartRequest {
+            request_id,
+            whole: whole as u8,
+            number: self.number,
+            offset: self.bytes.len() as u32,
+        }
     }
 }
 
@@ -74,9 +81,9 @@
         }
     }
 
-    pub(crate) fn on_whole_part(&mut self, from: NodeId, ask: u64, part: Part) {
+    pub(crate) fn on_whole_part(&mut self, from: NodeId, request_id: u64, part: Part) {
         let (now, step) = (self.now, self.step);
-        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.ask == ask) else { return };
+        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.request_id == request_id) else { return };
         if part.number <= step {
             self.fetch = None;
             return;
@@ -100,13 +107,13 @@
         let mut asks = Vec::new();
         if let Some(arriving) = self.arriving.as_mut().filter(|it| it.moved == now || now >= it.asked + AGAIN) {
             arriving.asked = now;
-            asks.push((arriving.from, arriving.ask(0, false)));
+            asks.push((arriving.from, arriving.part_request(0, false)));
         }
         if let Some(fetch) = &mut self.fetch
             && let Some(arriving) = fetch.parts.as_mut().filter(|it| it.moved == now || now >= it.asked + AGAIN)
         {
             arriving.asked = now;
-            asks.push((arriving.from, arriving.ask(fetch.ask, true)));
+            asks.push((arriving.from, arriving.part_request(fetch.request_id, true)));
         }
         asks.into_iter().for_each(|(to, message)| self.tell_registry(Some(to), message));
     }
--- a/crates/leases/src/peers.rs
+++ b/crates/leases/src/peers.rs
@@ -22,7 +22,7 @@
 const WAITING: usize = 4096;
 
 pub struct PeerRound {
-    pub ask: u64,
+    pub request_id: u64,
     pub asked: Duration,
     pub agreeing: BTreeSet<NodeId>,
     done: bool,
@@ -99,8 +99,8 @@
         if self.peers.relayed.is_some_and(|(_, asked)| now < asked + RELAY_EVERY) {
             return;
         }
-        let ask = self.ask_number();
-        self.peers.relayed = Some((ask, now));
+        let request_id = self.next_request_number();
+        self.peers.relayed = Some((request_id, now));
         let relays = self.relays();
         if self.peers.unanswered >= RELAY_TRIES {
             (self.peers.relay, self.peers.unanswered) = (self.peers.relay + 1, 0);
@@ -108,17 +108,19 @@
         self.peers.unanswered += 1;
         let to = relays[self.peers.relay % relays.len()];
         if to == self.me {
-            self.collect(to, ask, self.step);
+            self.collect(to, request_id, self.step);
         } else {
-            self.outs
-                .push(FollowerOutput::ToPeer { to, message: LeaseMessage::PeerCollect { ask, active: self.step } });
+            self.outs.push(FollowerOutput::ToPeer {
+                to,
+                message: LeaseMessage::MajorityRequest { request_id, active: self.step },
+            });
         }
     }
 
-    fn collect(&mut self, from: NodeId, ask: u64, active: u64) {
+    fn collect(&mut self, from: NodeId, request_id: u64, active: u64) {
         if active == self.step && self.answers_peers() && self.peers.waiting.len() < WAITING {
             self.peers.waiting.retain(|(known, ..)| *known != from);
-            self.peers.waiting.push((from, ask, self.now));
+            self.peers.waiting.push((from, request_id, self.now));
             self.ask_majority(false);
         }
     }
@@ -130,7 +132,7 @@
         if self.peers.round.as_ref().is_some_and(|round| now < round.asked + every(round)) {
             return;
         }
-        let ask = self.ask_number();
+        let request_id = self.next_request_number();
         let others: Vec<NodeId> = self.quorum.iter().copied().filter(|id| *id != self.me).collect();
         let count =
             if all { others.len() } else { (self.quorum.len() / 2 + self.quorum.len() / 8 + 1).min(others.len()) };
@@ -141,24 +143,24 @@
             known.iter().chain(&unknown[turn..]).chain(&unknown[..turn]).copied().take(count).collect();
         self.peers.turn = turn + count.saturating_sub(known.len());
         self.peers.answering.retain(|id| !asked.contains(id));
-        self.peers.round = Some(PeerRound { ask, asked: now, agreeing: [self.me].into(), done: false });
+        self.peers.round = Some(PeerRound { request_id, asked: now, agreeing: [self.me].into(), done: false });
         for to in asked {
-            let message = LeaseMessage::PeerAsk { ask, active: self.step };
+            let message = LeaseMessage::PeerRequest { request_id, active: self.step };
             self.outs.push(FollowerOutput::ToPeer { to, message });
         }
     }
 
     pub(crate) fn peer(&mut self, from: NodeId, message: LeaseMessage) {
         match message {
-            LeaseMessage::PeerAsk { ask, .. } if self.ready => {
+            LeaseMessage::PeerRequest { request_id, .. } if self.ready => {
                 let latest = self.staged_number().max(self.latest_known);
-                let message = LeaseMessage::PeerReply { ask, active: self.step, latest };
+                let message = LeaseMessage::PeerReply { request_id, active: self.step, latest };
                 self.outs.push(FollowerOutput::ToPeer { to: from, message });
             }
-            LeaseMessage::PeerReply { ask, latest, .. } => self.on_peer_receipt(from, ask, latest),
-            LeaseMessage::PeerCollect { ask, active } => self.collect(from, ask, active),
-            LeaseMessage::PeerMajority { ask, active } if active == self.step && !self.is_guarded() => {
-                if let Some((_, asked)) = self.peers.relayed.filter(|(number, _)| *number == ask) {
+            LeaseMessage::PeerReply { request_id, latest, .. } => self.on_peer_receipt(from, request_id, latest),
+            LeaseMessage::MajorityRequest { request_id, active } => self.collect(from, request_id, active),
+            LeaseMessage::MajorityReply { request_id, active } if active == self.step && !self.is_guarded() => {
+                if let Some((_, asked)) = self.peers.relayed.filter(|(number, _)| *number == request_id) {
                     self.peers.unanswered = 0;
                     self.peer_proof = self.peer_proof.max(Some(asked));
                 }
@@ -167,9 +169,9 @@
         }
     }
 
-    fn on_peer_receipt(&mut self, from: NodeId, ask: u64, latest: u64) {
+    fn on_peer_receipt(&mut self, from: NodeId, request_id: u64, latest: u64) {
         let guarded = self.is_guarded();
-        let Some(round) = self.peers.round.as_mut().filter(|round| round.ask == ask) else { return };
+        let Some(round) = self.peers.round.as_mut().filter(|round| round.request_id == request_id) else { return };
         if latest > self.step || !self.quorum.contains(&from) {
             return;
         }
@@ -182,8 +184,9 @@
         let asked = round.asked;
         self.peer_proof = self.peer_proof.max(Some(asked));
         let active = self.step;
-        for (to, ask, _) in self.peers.waiting.extract_if(.., |(_, _, came)| *came <= asked).collect::<Vec<_>>() {
-            let message = LeaseMessage::PeerMajority { ask, active };
+        for (to, request_id, _) in self.peers.waiting.extract_if(.., |(_, _, came)| *came <= asked).collect::<Vec<_>>()
+        {
+            let message = LeaseMessage::MajorityReply { request_id, active };
             if to == self.me {
                 self.peers.unanswered = 0;
             } else {
--- a/crates/leases/src/steps.rs
+++ b/crates/leases/src/steps.rs
@@ -3,19 +3,19 @@
 use crate::follower::{Follower, FollowerOutput};
 use crate::parts::Part;
 use crate::roster::{Roster, RosterChange};
-use wire::{Blob, LeaseMessage, NodeId, StepLine};
+use wire::{Blob, ConfigurationEpoch, LeaseMessage, NodeId};
 
 impl Follower {
     pub(crate) fn registry(&mut self, from: NodeId, message: LeaseMessage) {
         match message {
-            LeaseMessage::Proof { ask, active, latest, member } => {
-                self.on_proof(from, ask, active, latest, member != 0)
+            LeaseMessage::Proof { request_id, active, latest, member } => {
+                self.on_proof(from, request_id, active, latest, member != 0)
             }
-            LeaseMessage::NotTail { seats, .. } | LeaseMessage::Seats { seats } => {
+            LeaseMessage::NotTail { addresses, .. } | LeaseMessage::RegistryAddresses { addresses } => {
                 self.forget_tail(from);
-                let addresses: Vec<String> = seats.iter().map(|seat| seat.as_str().to_owned()).collect();
+                let addresses: Vec<String> = addresses.iter().map(|seat| seat.as_str().to_owned()).collect();
                 if !addresses.is_empty() {
-                    self.outs.push(FollowerOutput::Seats { addresses });
+                    self.outs.push(FollowerOutput::RegistryAddresses { addresses });
                 }
             }
             LeaseMessage::Stage { step } => self.on_stage(from, step),
@@ -31,12 +31,12 @@
             LeaseMessage::RosterChange { since, number, size, body } => {
                 self.on_roster_change(since, number, size, &body)
             }
-            LeaseMessage::Part { ask, whole, number, size, packed, offset, bytes } => {
+            LeaseMessage::Part { request_id, whole, number, size, packed, offset, bytes } => {
                 let part = Part { number, size, packed, offset, bytes };
-                if whole != 0 { self.on_whole_part(from, ask, part) } else { self.on_step_part(from, part) }
+                if whole != 0 { self.on_whole_part(from, request_id, part) } else { self.on_step_part(from, part) }
             }
-            LeaseMessage::Piece { ask, step, revision, quorum, items, next } => {
-                self.on_piece(from, ask, step, revision, quorum.into_vec(), items.into_vec(), next)
+            LeaseMessage::ConfigurationPage { request_id, step, revision, quorum, items, next } => {
+                self.on_piece(from, request_id, step, revision, quorum.into_vec(), items.into_vec(), next)
             }
             _ => {}
         }
@@ -62,8 +62,8 @@
         self.outs.push(FollowerOutput::Rostered { number });
     }
 
-    fn on_proof(&mut self, from: NodeId, ask: u64, active: u64, latest: u64, member: bool) {
-        let Some(asked) = self.asks.remove(&ask) else { return };
+    fn on_proof(&mut self, from: NodeId, request_id: u64, active: u64, latest: u64, member: bool) {
+        let Some(asked) = self.asks.remove(&request_id) else { return };
         self.tail = Some((from, self.now));
         self.latest_known = self.latest_known.max(latest);
         if !member {
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(crate) fn on_stage(&mut self, from: NodeId, step: StepLine) {
+    pub(crate) fn on_stage(&mut self, from: NodeId, step: ConfigurationEpoch) {
         self.latest_known = self.latest_known.max(step.number);
         if self.takes(step.number) {
             self.staged.insert(step.number, step);
--- a/crates/leases/src/ticks.rs
+++ b/crates/leases/src/ticks.rs
@@ -43,13 +43,13 @@
         let (heard, every) = self.renewing();
         if self.renewed.is_none_or(|last| now >= last + every) {
             self.renewed = Some(now);
-            let ask = self.ask_number();
-            self.asks.insert(ask, now);
+            let request_id = self.next_request_number();
+            self.asks.insert(request_id, now);
             let hold = self.timing.hold;
             self.asks.retain(|_, asked| now < *asked + hold);
             let (staged, active, roster) = (self.staged_number(), self.step, self.roster.number);
             self.say_leaving();
-            self.tell_registry(heard, LeaseMessage::Renew { ask, staged, active, roster });
+            self.tell_registry(heard, LeaseMessage::Renew { request_id, staged, active, roster });
         }
         self.tick_parts();
         self.tick_peers();
--- a/crates/leases/tests/follower.rs
+++ b/crates/leases/tests/follower.rs
@@ -2,7 +2,7 @@
 
 use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, MemberLine, Roster, Standing};
 use std::time::Duration;
-use wire::{Capacity, ItemLine, LeaseMessage, StepLine};
+use wire::{Capacity, ConfigurationEpoch, ConfigurationItem, LeaseMessage};
 
 const ME: u64 = 9;
 const TAIL: u64 = 1;
@@ -16,11 +16,11 @@
 }
 
 fn renewals(outputs: &[FollowerOutput]) -> Vec<u64> {
-    let ask = |output: &FollowerOutput| match output {
-        FollowerOutput::ToRegistry { message: LeaseMessage::Renew { ask, .. }, .. } => Some(*ask),
+    let request_id = |output: &FollowerOutput| match output {
+        FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } => Some(*request_id),
         _ => None,
     };
-    outputs.iter().filter_map(ask).collect()
+    outputs.iter().filter_map(request_id).collect()
 }
 
 fn tick(follower: &mut Follower, at: u64) -> Vec<FollowerOutput> {
@@ -31,25 +31,25 @@
     follower.step(ms(at), FollowerInput::Registry { from: TAIL, message })
 }
 
-fn proof(ask: u64, active: u64, latest: u64) -> LeaseMessage {
-    LeaseMessage::Proof { ask, active, latest, member: 1 }
+fn proof(request_id: u64, active: u64, latest: u64) -> LeaseMessage {
+    LeaseMessage::Proof { request_id, active, latest, member: 1 }
 }
 
 fn step(number: u64) -> LeaseMessage {
-    let item = ItemLine { key: "headcount-plans/t/f".into(), gone: 0, value: b"{}".to_vec().into() };
-    let step = StepLine { number, revision: number, quorum: vec![ME, 8, 7].into(), items: vec![item].into() };
+    let item = ConfigurationItem { key: "headcount-plans/t/f".into(), gone: 0, value: b"{}".to_vec().into() };
+    let step = ConfigurationEpoch { number, revision: number, quorum: vec![ME, 8, 7].into(), items: vec![item].into() };
     LeaseMessage::Stage { step }
 }
 
 #[test]
 fn a_proof_counts_from_when_it_was_asked_and_a_staged_step_shortens_it() {
     let mut one = follower(1);
-    let ask = renewals(&tick(&mut one, 0))[0];
-    tell(&mut one, 900, proof(ask, 0, 0));
+    let request_id = renewals(&tick(&mut one, 0))[0];
+    tell(&mut one, 900, proof(request_id, 0, 0));
     assert_eq!(one.standing_at(ms(1499)), Standing::ByCore);
     assert_eq!(one.standing_at(ms(1500)), Standing::Waiting);
-    let ask = renewals(&tick(&mut one, 2000))[0];
-    tell(&mut one, 2010, proof(ask, 0, 0));
+    let request_id = renewals(&tick(&mut one, 2000))[0];
+    tell(&mut one, 2010, proof(request_id, 0, 0));
     assert_eq!(one.standing_at(ms(2300)), Standing::ByCore);
     tell(&mut one, 2020, step(1));
     assert_eq!(one.standing_at(ms(2199)), Standing::ByCore);
@@ -60,12 +60,12 @@
 #[test]
 fn a_proof_of_another_step_or_asked_by_another_incarnation_is_none() {
     let mut one = follower(1);
-    let ask = renewals(&tick(&mut one, 0))[0];
+    let request_id = renewals(&tick(&mut one, 0))[0];
     let mut two = follower(2);
-    assert!(renewals(&tick(&mut two, 0))[0] != ask);
-    tell(&mut two, 10, proof(ask, 0, 0));
+    assert!(renewals(&tick(&mut two, 0))[0] != request_id);
+    tell(&mut two, 10, proof(request_id, 0, 0));
     assert_eq!(two.standing_at(ms(20)), Standing::Waiting);
-    tell(&mut one, 10, proof(ask, 5, 5));
+    tell(&mut one, 10, proof(request_id, 5, 5));
     assert_eq!(one.standing_at(ms(20)), Standing::Waiting);
 }
 
@@ -91,22 +91,22 @@
 #[test]
 fn peers_prove_only_by_a_majority_that_holds_nothing_newer() {
     let mut one = follower(1);
-    let ask = renewals(&tick(&mut one, 0))[0];
-    tell(&mut one, 5, proof(ask, 0, 0));
+    let request_id = renewals(&tick(&mut one, 0))[0];
+    tell(&mut one, 5, proof(request_id, 0, 0));
     tell(&mut one, 6, step(1));
     tell(&mut one, 7, LeaseMessage::Activate { number: 1 });
-    let ask = renewals(&tick(&mut one, 10))[0];
-    tell(&mut one, 15, proof(ask, 1, 1));
+    let request_id = renewals(&tick(&mut one, 10))[0];
+    tell(&mut one, 15, proof(request_id, 1, 1));
     let mut last_ask = |at: u64| {
         let outputs = tick(&mut one, at);
         let peer = outputs.iter().find_map(|o| match o {
-            FollowerOutput::ToPeer { message: LeaseMessage::PeerAsk { ask, .. }, .. } => Some(*ask),
+            FollowerOutput::ToPeer { message: LeaseMessage::PeerRequest { request_id, .. }, .. } => Some(*request_id),
             _ => None,
         });
         peer.expect("without the core, peers are asked")
     };
     let first = last_ask(3000);
-    let answer = |ask, latest| LeaseMessage::PeerReply { ask, active: 1, latest };
+    let answer = |request_id, latest| LeaseMessage::PeerReply { request_id, active: 1, latest };
     one.step(ms(3001), FollowerInput::Peer { from: 8, message: answer(first, 2) });
     assert_eq!(one.standing_at(ms(3002)), Standing::Waiting);
     one.step(ms(3003), FollowerInput::Peer { from: 55, message: answer(first, 1) });
@@ -122,11 +122,11 @@
     let asked = renewals(&tick(&mut follower, 0));
     tell(&mut follower, 5, proof(asked[0], 0, 0));
     assert_eq!(renewals(&tick(&mut follower, 10)), [], "the next renewal is not due");
-    tell(&mut follower, 20, LeaseMessage::Seats { seats: Vec::new().into() });
+    tell(&mut follower, 20, LeaseMessage::RegistryAddresses { addresses: Vec::new().into() });
     let to_all = tick(&mut follower, 30)
         .into_iter()
         .any(|output| matches!(output, FollowerOutput::ToRegistry { to: None, message: LeaseMessage::Renew { .. } }));
     assert!(to_all);
-    tell(&mut follower, 40, LeaseMessage::Seats { seats: Vec::new().into() });
+    tell(&mut follower, 40, LeaseMessage::RegistryAddresses { addresses: Vec::new().into() });
     assert_eq!(renewals(&tick(&mut follower, 50)), [], "said again, it makes no more renewals");
 }
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -5,23 +5,27 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
-use wire::{ItemLine, LeaseMessage, Packed, StepLine, pack, to_bytes};
+use wire::{ConfigurationEpoch, ConfigurationItem, LeaseMessage, Packed, pack, to_bytes};
 
 const TAIL: u64 = 1;
 const PART: usize = 700;
 
 fn packed(dice: &mut ChaCha8Rng, number: u64, count: usize) -> Packed {
     let value = |dice: &mut ChaCha8Rng| (0..40).map(|_| dice.random::<u8>()).collect::<Vec<u8>>();
-    let items: Vec<ItemLine> = (0..count)
-        .map(|n| ItemLine { key: format!("functions/t/f{n}").as_str().into(), gone: 0, value: value(dice).into() })
+    let items: Vec<ConfigurationItem> = (0..count)
+        .map(|n| ConfigurationItem {
+            key: format!("functions/t/f{n}").as_str().into(),
+            gone: 0,
+            value: value(dice).into(),
+        })
         .collect();
-    pack(&to_bytes(&StepLine { number, revision: number, quorum: vec![9].into(), items: items.into() }))
+    pack(&to_bytes(&ConfigurationEpoch { number, revision: number, quorum: vec![9].into(), items: items.into() }))
 }
 
-fn part(ask: u64, whole: bool, number: u64, packed: &Packed, offset: u32) -> LeaseMessage {
+fn part(request_id: u64, whole: bool, number: u64, packed: &Packed, offset: u32) -> LeaseMessage {
     let bytes = packed.bytes.part(offset as usize, PART);
     let (size, total) = (packed.size, packed.bytes.len() as u32);
-    LeaseMessage::Part { ask, whole: whole as u8, number, size, packed: total, offset, bytes }
+    LeaseMessage::Part { request_id, whole: whole as u8, number, size, packed: total, offset, bytes }
 }
 
 /// The core's side over a bad network: answers what is asked, drops a fifth, says a fifth twice.
@@ -39,14 +43,14 @@
         for out in outs {
             let FollowerOutput::ToRegistry { message, .. } = out else { continue };
             match message {
-                LeaseMessage::PartAsk { ask, whole, offset, .. } => {
+                LeaseMessage::PartRequest { request_id, whole, offset, .. } => {
                     asked += 1;
                     let times = [0, 2, 1, 1, 1][dice.random_range(0..5)];
-                    coming.extend((0..times).map(|_| part(ask, whole != 0, number, packed, offset)));
+                    coming.extend((0..times).map(|_| part(request_id, whole != 0, number, packed, offset)));
                 }
                 LeaseMessage::Staged { number: staged } if staged == number => return at,
-                LeaseMessage::Renew { ask, .. } => {
-                    coming.push(LeaseMessage::Proof { ask, active: number - 1, latest: number, member: 1 })
+                LeaseMessage::Renew { request_id, .. } => {
+                    coming.push(LeaseMessage::Proof { request_id, active: number - 1, latest: number, member: 1 })
                 }
                 _ => {}
             }
@@ -84,16 +88,18 @@
         let whole = packed(&mut dice, 7, 80);
         // The first proof names a step it has not: it begins to fetch.
         let renewed = one.step(Duration::ZERO, FollowerInput::Tick);
-        let ask = renewed.iter().find_map(|out| match out {
-            FollowerOutput::ToRegistry { message: LeaseMessage::Renew { ask, .. }, .. } => Some(*ask),
+        let request_id = renewed.iter().find_map(|out| match out {
+            FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } => Some(*request_id),
             _ => None,
         });
-        let message = LeaseMessage::Proof { ask: ask.expect("it renews at once"), active: 7, latest: 7, member: 1 };
+        let message =
+            LeaseMessage::Proof { request_id: request_id.expect("it renews at once"), active: 7, latest: 7, member: 1 };
         let outs = one.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message });
         let fetch = outs.iter().find_map(|out| match out {
-            FollowerOutput::ToRegistry { message: LeaseMessage::PartAsk { ask, whole: 1, offset: 0, .. }, .. } => {
-                Some(*ask)
-            }
+            FollowerOutput::ToRegistry {
+                message: LeaseMessage::PartRequest { request_id, whole: 1, offset: 0, .. },
+                ..
+            } => Some(*request_id),
             _ => None,
         });
         let first = part(fetch.expect("it fetches"), true, 7, &whole, 0);
--- a/crates/leases/tests/relays.rs
+++ b/crates/leases/tests/relays.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{Capacity, LeaseMessage, NodeId, StepLine};
+use wire::{Capacity, ConfigurationEpoch, LeaseMessage, NodeId};
 
 const COUNT: NodeId = 79;
 const TAIL: NodeId = 1000;
@@ -25,7 +25,7 @@
 
 fn stage(number: u64) -> LeaseMessage {
     LeaseMessage::Stage {
-        step: StepLine {
+        step: ConfigurationEpoch {
             number,
             revision: number,
             quorum: (1..=COUNT).collect::<Vec<_>>().into(),
@@ -88,8 +88,8 @@
                     self.words += 1;
                     self.frames.push((now + wait, id, to, message));
                 }
-                FollowerOutput::ToRegistry { message: LeaseMessage::Renew { ask, .. }, .. } if self.core => {
-                    let proof = LeaseMessage::Proof { ask, active: 1, latest: 1, member: 1 };
+                FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } if self.core => {
+                    let proof = LeaseMessage::Proof { request_id, active: 1, latest: 1, member: 1 };
                     self.frames.push((now + wait, TAIL, id, proof));
                 }
                 _ => {}
--- a/crates/links/tests/demand.rs
+++ b/crates/links/tests/demand.rs
@@ -31,7 +31,7 @@
 }
 
 fn staged(number: u64) -> Message {
-    Message::Hold(LeaseMessage::Staged { number })
+    Message::Lease(LeaseMessage::Staged { number })
 }
 
 async fn frame(peer: &mut Peer) -> Message {
--- a/crates/loadgen/src/attempt.rs
+++ b/crates/loadgen/src/attempt.rs
@@ -16,7 +16,7 @@
 
 pub type Http = Client<HttpConnector, Full<Bytes>>;
 
-pub struct Ask<'a> {
+pub struct AttemptSpec<'a> {
     pub method: &'a str,
     pub path: &'a str,
     pub headers: Vec<(String, String)>,
@@ -35,24 +35,24 @@
         .build_http()
 }
 
-pub async fn attempt(http: &Http, ask: Ask<'_>) -> Attempt {
-    let label = format!("{}#{}", ask.task, ask.number);
+pub async fn attempt(http: &Http, spec: AttemptSpec<'_>) -> Attempt {
+    let label = format!("{}#{}", spec.task, spec.number);
     let mut attempt = Attempt {
-        task: ask.task.to_owned(),
+        task: spec.task.to_owned(),
         label: label.clone(),
-        class: ask.class.to_owned(),
-        service: ask.service.to_owned(),
-        path: ask.path.to_owned(),
-        target: ask.target.to_owned(),
+        class: spec.class.to_owned(),
+        service: spec.service.to_owned(),
+        path: spec.path.to_owned(),
+        target: spec.target.to_owned(),
         at: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64),
         ..Attempt::default()
     };
-    let url = format!("http://{}{}", ask.target, ask.path);
-    let mut request = Request::builder().method(ask.method).uri(url).header("x-task", &label);
-    for (name, value) in &ask.headers {
+    let url = format!("http://{}{}", spec.target, spec.path);
+    let mut request = Request::builder().method(spec.method).uri(url).header("x-task", &label);
+    for (name, value) in &spec.headers {
         request = request.header(name, value);
     }
-    let Ok(request) = request.body(Full::new(Bytes::from(ask.body))) else { return attempt };
+    let Ok(request) = request.body(Full::new(Bytes::from(spec.body))) else { return attempt };
     let begun = Instant::now();
     let work = async {
         let answer = http.request(request).await.map_err(|error| format!("{error:?}"))?;
--- a/crates/loadgen/src/load.rs
+++ b/crates/loadgen/src/load.rs
@@ -1,7 +1,7 @@
 //! The open loop: tasks leave on the seed's schedule whatever became of the ones before. Each
 //! attempt is recorded with its own label, which the instance echoes and records.
 
-use crate::attempt::{Ask, Http, attempt, client};
+use crate::attempt::{AttemptSpec, Http, attempt, client};
 use crate::errors::{WorkError, at};
 use crate::mix::{self, Route};
 use crate::tally::{self, Attempt};
@@ -136,9 +136,9 @@
     }
 }
 
-fn asked<'a>(route: &'a Route, task: &'a str, number: u32, target: &'a str) -> Ask<'a> {
+fn asked<'a>(route: &'a Route, task: &'a str, number: u32, target: &'a str) -> AttemptSpec<'a> {
     let keyed = (route.class != "ordinary").then(|| ("idempotency-key".to_owned(), task.to_owned()));
-    Ask {
+    AttemptSpec {
         method: "POST",
         path: &route.path,
         headers: keyed.into_iter().collect(),
--- a/crates/loadgen/src/replay.rs
+++ b/crates/loadgen/src/replay.rs
@@ -2,7 +2,7 @@
 //! multiple of it. The archive is read by a library; hosts, connections and cookies of the page it was
 //! taken from stay behind.
 
-use crate::attempt::{Ask, Http, attempt, client};
+use crate::attempt::{AttemptSpec, Http, attempt, client};
 use crate::errors::{WorkError, at};
 use crate::tally::{self, Attempt};
 use derive_more::{Display, Error};
@@ -102,7 +102,7 @@
         let (http, target) = (http.clone(), order.targets[number % order.targets.len()].clone());
         open.spawn_local(async move {
             let task = format!("har-{}", number + 1);
-            let ask = Ask {
+            let spec = AttemptSpec {
                 method: &taken.method,
                 path: &taken.path,
                 headers: taken.headers.clone(),
@@ -113,7 +113,7 @@
                 number: 1,
                 target: &target,
             };
-            attempt(&http, ask).await
+            attempt(&http, spec).await
         });
     }
     open.join_all().await
--- a/crates/scaler/src/player.rs
+++ b/crates/scaler/src/player.rs
@@ -61,7 +61,7 @@
     /// How many instances there should be.
     pub desired: u32,
     /// Whether a plan is to be asked for.
-    pub ask: bool,
+    pub wants_plan: bool,
 }
 
 /// A plan from the moment it came.
@@ -122,11 +122,11 @@
         self.plan.as_ref().map_or(&[], |plan| plan.counts.as_slice())
     }
 
-    /// Says what the count should be now, and whether a plan is to be asked for under `ask`.
-    pub fn step(&mut self, now: Duration, ask: u64, situation: Situation, timing: &PlayerTiming) -> Decision {
+    /// Says what the count should be now, and whether a plan is to be asked for under `request_id`.
+    pub fn step(&mut self, now: Duration, request_id: u64, situation: Situation, timing: &PlayerTiming) -> Decision {
         let Situation { running, starting, held, in_flight, capacity, min, max, fixed, may_ask, live } = situation;
         if let Some(count) = fixed {
-            return Decision { desired: count, ask: false };
+            return Decision { desired: count, wants_plan: false };
         }
         if let Some(PendingAsk { asked_at, .. }) = self.asked
             && now > asked_at + timing.timeout
@@ -145,9 +145,9 @@
         let early = held > 0 && beyond && self.early_at.is_none_or(|at| now >= at + timing.early);
         let rested = self.resting.is_none_or(|until| now >= until);
         let wanted = played.is_none() || early;
-        let asks = may_ask && wanted && rested && self.asked.is_none();
-        if asks {
-            self.asked = Some(PendingAsk { number: ask, asked_at: now });
+        let is_requested = may_ask && wanted && rested && self.asked.is_none();
+        if is_requested {
+            self.asked = Some(PendingAsk { number: request_id, asked_at: now });
             if early {
                 self.early_at = Some(now);
                 self.early_asks += 1;
@@ -156,12 +156,12 @@
         let demand = held + in_flight > 0;
         let desired = played.unwrap_or_else(|| fallback(count, demand, min, max));
         let woken = if held > 0 { desired.max(1) } else { desired };
-        Decision { desired: woken.max(live).clamp(min.min(max), max), ask: asks }
+        Decision { desired: woken.max(live).clamp(min.min(max), max), wants_plan: is_requested }
     }
 
-    /// Takes a plan asked for under `ask`, unless a later host has already been heard.
-    pub fn take(&mut self, now: Duration, ask: u64, fence: u64, desired: Vec<u32>, step: Duration) -> bool {
-        let due = self.asked.is_some_and(|asked| asked.number == ask);
+    /// Takes a plan asked for under `request_id`, unless a later host has already been heard.
+    pub fn take(&mut self, now: Duration, request_id: u64, fence: u64, desired: Vec<u32>, step: Duration) -> bool {
+        let due = self.asked.is_some_and(|asked| asked.number == request_id);
         if !due || fence < self.fence || desired.is_empty() || step.is_zero() {
             return false;
         }
@@ -187,11 +187,11 @@
     #[test]
     fn plans_are_played_by_elapsed_step_and_asked_for_when_they_run_out() {
         let (timing, mut player) = (PlayerTiming::default(), Player::default());
-        assert_eq!(player.step(S, 1, situation(4, 0), &timing), Decision { desired: 4, ask: true });
+        assert_eq!(player.step(S, 1, situation(4, 0), &timing), Decision { desired: 4, wants_plan: true });
         assert!(player.take(S, 1, 5, vec![3, 6], 15 * S));
-        assert_eq!(player.step(10 * S, 2, situation(4, 0), &timing), Decision { desired: 3, ask: false });
-        assert_eq!(player.step(17 * S, 3, situation(3, 0), &timing), Decision { desired: 6, ask: false });
-        assert_eq!(player.step(32 * S, 4, situation(6, 0), &timing), Decision { desired: 6, ask: true });
+        assert_eq!(player.step(10 * S, 2, situation(4, 0), &timing), Decision { desired: 3, wants_plan: false });
+        assert_eq!(player.step(17 * S, 3, situation(3, 0), &timing), Decision { desired: 6, wants_plan: false });
+        assert_eq!(player.step(32 * S, 4, situation(6, 0), &timing), Decision { desired: 6, wants_plan: true });
         assert!(!player.take(32 * S, 4, 4, vec![1], 15 * S), "a fenced-off host's plan");
         assert!(!player.take(32 * S, 3, 6, vec![1], 15 * S), "an answer to an older ask");
     }
@@ -199,12 +199,12 @@
     #[test]
     fn one_retry_then_the_count_is_held_and_one_is_started_under_demand() {
         let (timing, mut player) = (PlayerTiming::default(), Player::default());
-        let mut asks = 0;
+        let mut plan_requests = 0;
         for tenth in 0..70u32 {
             let now = tenth * S / 10;
-            asks += u32::from(player.step(now, u64::from(tenth), situation(2, 0), &timing).ask);
+            plan_requests += u32::from(player.step(now, u64::from(tenth), situation(2, 0), &timing).wants_plan);
         }
-        assert_eq!((asks, player.fallbacks), (2, 1));
+        assert_eq!((plan_requests, player.fallbacks), (2, 1));
         assert_eq!(player.step(7 * S, 99, situation(0, 1), &timing).desired, 1);
         assert_eq!(player.step(7 * S, 99, situation(0, 0), &timing).desired, 0);
     }
@@ -215,8 +215,8 @@
         player.step(S, 1, situation(1, 0), &timing);
         player.take(S, 1, 1, vec![9; 4], 15 * S);
         let fixed = Situation { fixed: Some(3), ..situation(1, 50) };
-        assert_eq!(player.step(2 * S, 2, fixed, &timing), Decision { desired: 3, ask: false });
-        assert_eq!(player.step(99 * S, 3, fixed, &timing), Decision { desired: 3, ask: false });
+        assert_eq!(player.step(2 * S, 2, fixed, &timing), Decision { desired: 3, wants_plan: false });
+        assert_eq!(player.step(99 * S, 3, fixed, &timing), Decision { desired: 3, wants_plan: false });
     }
 
     #[test]
@@ -235,15 +235,15 @@
         let (timing, mut player) = (PlayerTiming::default(), Player::default());
         player.step(S, 1, situation(1, 0), &timing);
         player.take(S, 1, 1, vec![1; 8], 15 * S);
-        let mut asks = 0;
+        let mut plan_requests = 0;
         for tenth in 0..30u32 {
             let now = 2 * S + tenth * S / 10;
             let decision = player.step(now, u64::from(100 + tenth), situation(1, 7), &timing);
-            if decision.ask {
-                asks += 1;
+            if decision.wants_plan {
+                plan_requests += 1;
                 player.take(now, u64::from(100 + tenth), 1, vec![1; 8], 15 * S);
             }
         }
-        assert_eq!((asks, player.early_asks), (3, 3));
+        assert_eq!((plan_requests, player.early_asks), (3, 3));
     }
 }
--- a/crates/sim/src/callers.rs
+++ b/crates/sim/src/callers.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use traffic::{Call, FrontInput, Reply};
-use wire::{HeaderLine, Outcome, RequestHead};
+use wire::{HeaderField, Outcome, RequestHead};
 
 #[derive(Clone)]
 pub struct SimTask {
@@ -122,8 +122,8 @@
             return;
         }
         self.callers.next += 1;
-        let ask = self.callers.next;
-        let header = HeaderLine { name: "x-task".into(), value: task.label.clone().into_bytes().into() };
+        let request_id = self.callers.next;
+        let header = HeaderField { name: "x-task".into(), value: task.label.clone().into_bytes().into() };
         let call = Call {
             host: String::new(),
             path: task.path.clone(),
@@ -142,12 +142,12 @@
         if task.class == "single" {
             self.rules.asked_once_per_try(&task.label);
         }
-        self.callers.open.insert((n, ask), task);
-        self.turn(n, Turn::Front(FrontInput::Task { ask, call }));
+        self.callers.open.insert((n, request_id), task);
+        self.turn(n, Turn::Front(FrontInput::Task { request_id, call }));
     }
 
-    pub fn caller_reply(&mut self, n: usize, ask: u64, reply: Reply) {
-        let Some(mut task) = self.callers.open.remove(&(n, ask)) else { return };
+    pub fn caller_reply(&mut self, n: usize, request_id: u64, reply: Reply) {
+        let Some(mut task) = self.callers.open.remove(&(n, request_id)) else { return };
         self.say(|| {
             format!(
                 "task {} ({} {}) answered {:?} {} at router {n}",
--- a/crates/sim/src/catch_up.rs
+++ b/crates/sim/src/catch_up.rs
@@ -100,7 +100,7 @@
         self.catch_up.newest_view = newest;
         let behind = self.members_up().find_map(|(n, member)| {
             let view = member.view();
-            let has_role = view.number == newest && member.is_chained() && view.fresh != member.seat().id;
+            let has_role = view.number == newest && member.is_chained() && view.learner != member.node().id;
             let holds = number(member.state(), "c/latest-revision");
             (has_role && holds < acknowledged).then_some((n, holds, member.is_head(), member.is_current_tail()))
         });
--- a/crates/sim/src/core_rules.rs
+++ b/crates/sim/src/core_rules.rs
@@ -106,8 +106,8 @@
 
     /// How many more disks may be lost now: the losses declared, less those who are lost or not yet over it.
     pub(crate) fn disks_that_may_go(&self) -> usize {
-        let unwell = |n: &usize| !self.is_well(*n);
-        let lost = self.live_registries().iter().filter(|n| unwell(n)).count();
+        let unhealthy = |n: &usize| !self.is_well(*n);
+        let lost = self.live_registries().iter().filter(|n| unhealthy(n)).count();
         self.plan.losses.saturating_sub(lost)
     }
 
@@ -157,7 +157,7 @@
     fn check_copies(&mut self, entry: u64) {
         let Some(op) = self.rules.committed_op(entry) else { return };
         let holds = |disk: &chain::Stored| {
-            let same = |line: &wire::EntryLine| (line.op.origin, line.op.number) == op;
+            let same = |line: &wire::LogEntry| (line.op.origin, line.op.number) == op;
             let known = disk.entries.binary_search_by_key(&entry, |line| line.seq);
             // What was copied whole, or trimmed, has no entry to look at.
             disk.last >= entry && known.map_or(true, |at| same(&disk.entries[at]))
@@ -166,7 +166,7 @@
         let synced = live.filter(|node| holds(&node.disk)).count();
         if let Some(view) = self.newest_view() {
             for node in &mut self.registries {
-                node.disk_lost &= !(view.chain.iter().any(|id| *id == node.id) && view.fresh != node.id);
+                node.disk_lost &= !(view.chain.iter().any(|id| *id == node.id) && view.learner != node.id);
             }
         }
         let lost = self.registries.iter().filter(|node| node.disk_lost).count();
@@ -207,8 +207,8 @@
     fn check_disks_of_voters(&mut self) {
         let Some(view) = self.newest_view() else { return };
         let kept = self.registries.iter().filter(|node| !node.retired || node.core.is_some());
-        let kept: Vec<NodeId> = kept.map(|node| node.disk.meta.seat.id).collect();
-        let disks = view.voters.iter().filter(|seat| kept.contains(&seat.id)).count();
+        let kept: Vec<NodeId> = kept.map(|node| node.disk.meta.node.id).collect();
+        let disks = view.voters.iter().filter(|node| kept.contains(&node.id)).count();
         let (all, more) = (view.voters.as_slice().len(), self.disks_that_may_go());
         self.rules.keeps_majority(self.now, all, disks, more);
     }
@@ -225,7 +225,7 @@
         }
         let Some(view) = self.newest_view() else { return };
         let running: Vec<NodeId> = live.iter().map(|n| self.registries[*n].id).collect();
-        let voters = view.voters.iter().filter(|seat| running.contains(&seat.id)).count();
+        let voters = view.voters.iter().filter(|node| running.contains(&node.id)).count();
         let chained = view.chain.iter().filter(|id| running.contains(id)).count();
         let calm_since = self.registries.iter().map(|node| node.last_trouble.max(node.retired_at)).max();
         let absent = running.len() - chained;
--- a/crates/sim/src/cutoff.rs
+++ b/crates/sim/src/cutoff.rs
@@ -23,7 +23,7 @@
     /// Frames are dropped and nothing is told.
     Silent,
     /// Connections break, and new ones are refused at once.
-    Refused,
+    ProposalRejected,
     /// Frames on the way are lost with their connections, and then all is silent.
     Reset,
 }
@@ -105,7 +105,7 @@
 
     pub(crate) fn begin_cut(&mut self, cuts: Vec<(Place, Place)>, lasts: Duration) {
         let manner = match self.dice.random_range(0..3) {
-            0 => Manner::Refused,
+            0 => Manner::ProposalRejected,
             1 => Manner::Reset,
             _ => Manner::Silent,
         };
--- a/crates/sim/src/failing.rs
+++ b/crates/sim/src/failing.rs
@@ -77,7 +77,7 @@
         let whole = |n: &usize| {
             let Some(core) = &self.registries[*n].core else { return false };
             let view = core.member().view();
-            view.chain.as_slice().len() == live.len() && view.fresh == 0
+            view.chain.as_slice().len() == live.len() && view.learner == 0
         };
         if !live.iter().all(whole) {
             return;
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::ItemLine;
+use wire::ConfigurationItem;
 
 pub struct Asked {
     pub mark: String,
@@ -60,14 +60,14 @@
     }
 }
 
-fn line(key: &str, value: Value) -> ItemLine {
-    ItemLine { key: key.into(), gone: 0, value: value.to_string().into_bytes().into() }
+fn line(key: &str, value: Value) -> ConfigurationItem {
+    ConfigurationItem { key: key.into(), gone: 0, value: value.to_string().into_bytes().into() }
 }
 
 impl World {
     /// The bindings all runs share, under a mark that tells one configuration from another.
-    pub(crate) fn items(&self, mark: &str) -> Vec<ItemLine> {
-        let mut items: Vec<ItemLine> = (0..self.plan.functions)
+    pub(crate) fn items(&self, mark: &str) -> Vec<ConfigurationItem> {
+        let mut items: Vec<ConfigurationItem> = (0..self.plan.functions)
             .map(|function| {
                 let class = self.class_of(function);
                 let limit = self.plan.limit;
@@ -102,8 +102,8 @@
                 continue;
             }
             self.operators.next += 1;
-            let ask = self.operators.next;
-            let mark = format!("m{ask}");
+            let request_id = self.operators.next;
+            let mark = format!("m{request_id}");
             let whole = !self.operators.founded || self.dice.random_ratio(1, 3);
             let invalid = self.operators.founded && self.dice.random_ratio(1, 10);
             let mut grown = if self.operators.founded && self.dice.random_ratio(1, 12) { 400 } else { 0 };
@@ -119,7 +119,7 @@
                 ));
             }
             if grown > 0 {
-                let at = ask * 10_000;
+                let at = request_id * 10_000;
                 items.extend((at..at + grown).map(|n| {
                     line(
                         &format!("function-bindings/grown/g{n}"),
@@ -137,21 +137,21 @@
                 items,
                 dry: false,
             };
-            self.operators.open.insert((n, ask), Asked { mark, base, invalid, sent: self.now });
-            self.feed_registry(n, CoreInput::Call { ask, call });
+            self.operators.open.insert((n, request_id), Asked { mark, base, invalid, sent: self.now });
+            self.feed_registry(n, CoreInput::Call { request_id, call });
             self.moment(crate::strikes::Trigger::ChangeSent, n);
         }
     }
 
-    pub fn operator_answer(&mut self, n: usize, ask: u64, reply: ApiReply) {
-        if self.operators.reading == Some((n, ask)) {
+    pub fn operator_answer(&mut self, n: usize, request_id: u64, reply: ApiReply) {
+        if self.operators.reading == Some((n, request_id)) {
             self.operators.reading = None;
             if reply.status == 200 {
                 self.operators.read = serde_json::from_str(&reply.body).ok();
             }
             return;
         }
-        let Some(asked) = self.operators.open.remove(&(n, ask)) else { return };
+        let Some(asked) = self.operators.open.remove(&(n, request_id)) else { return };
         let now = self.now;
         let response = match reply.status {
             200 => Response::Taken { revision: reply.revision.unwrap_or_default() },
@@ -201,10 +201,10 @@
             let n = self.any_registry();
             if self.registries[n].core.is_some() {
                 self.operators.next += 1;
-                let ask = self.operators.next;
-                self.operators.reading = Some((n, ask));
+                let request_id = self.operators.next;
+                self.operators.reading = Some((n, request_id));
                 let call = ApiCall::Configuration { scope: String::new() };
-                self.feed_registry(n, CoreInput::Call { ask, call });
+                self.feed_registry(n, CoreInput::Call { request_id, call });
             }
         }
         self.after(Duration::from_millis(700), Event::Operator);
@@ -237,7 +237,7 @@
 }
 
 /// A change is known by a number kept in a plan of a function that is never called.
-pub(crate) fn mark_line(mark: &str) -> ItemLine {
+pub(crate) fn mark_line(mark: &str) -> ConfigurationItem {
     let number: u64 = mark[1..].parse().unwrap_or_default();
     line("headcount-plans/t0/mark", json!({"fixed": number % 1000}))
 }
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -7,7 +7,7 @@
 use control::{Core, CoreInput, CoreOutput, CoreTiming, Planner};
 use rand::RngExt;
 use std::time::Duration;
-use wire::{Message, NodeId, PlanMessage, Seat};
+use wire::{Message, NodeAddress, NodeId, PlanMessage};
 
 const SOLVE: Duration = Duration::from_secs(60);
 
@@ -77,16 +77,16 @@
         if self.registries[n].core.is_some() || self.registries[n].retired {
             return;
         }
-        let fresh = self.dice.random::<u64>() | 1;
+        let new_id = self.dice.random::<u64>() | 1;
         let life = self.dice.random::<u64>() >> 8;
         let now = self.now;
         let drift = self.drift();
         let node = &mut self.registries[n];
         node.drift = drift;
-        let seat_id = if node.disk.meta.seat.id == 0 { fresh } else { node.disk.meta.seat.id };
-        let seat = Seat { id: seat_id, address: node.address.as_str().into() };
-        node.disk.meta.seat = seat.clone();
-        node.id = seat_id;
+        let id = if node.disk.meta.node.id == 0 { new_id } else { node.disk.meta.node.id };
+        let address = NodeAddress { id, address: node.address.as_str().into() };
+        node.disk.meta.node = address.clone();
+        node.id = id;
         node.life = life;
         node.base = now;
         node.full = false;
@@ -98,15 +98,15 @@
         node.last_trouble = now;
         let founds = !node.started_before && self.seeds.contains(&node.address);
         node.started_before = true;
-        let mut member = Member::new(seat, node.disk.clone(), Timing::default(), control::apply, Duration::ZERO);
+        let mut member = Member::new(address, node.disk.clone(), Timing::default(), control::apply, Duration::ZERO);
         if self.plan.sort.is_on_control() {
             member = member.founding_with(if founds { self.seeds.len() } else { 0 }).bearing(self.plan.losses);
         }
         node.core = Some(Core::new(member, CoreTiming::default(), life << 20));
-        self.net.names.insert(seat_id, Place::Registry(n));
-        self.say(|| format!("registry {n} starts as {seat_id:016x}"));
+        self.net.names.insert(id, Place::Registry(n));
+        self.say(|| format!("registry {n} starts as {id:016x}"));
         self.after(TICK, Event::Tick { at: Place::Registry(n), life });
-        self.announce(seat_id, true);
+        self.announce(id, true);
     }
 
     /// Power loss: a write not yet reported may or may not have reached the disk.
@@ -150,7 +150,7 @@
     pub fn to_registry(&mut self, n: usize, from: NodeId, incarnation: u64, message: Message) {
         match message {
             Message::Chain(message) => self.feed_registry(n, CoreInput::Chain { from, message }),
-            Message::Hold(message) => self.feed_registry(n, CoreInput::Router { from, incarnation, message }),
+            Message::Lease(message) => self.feed_registry(n, CoreInput::Router { from, incarnation, message }),
             Message::Plan(message) => self.optimize(n, from, message),
             _ => {}
         }
@@ -187,7 +187,7 @@
         let from = Place::Registry(n);
         match output {
             CoreOutput::Registry { to, message } => self.send(from, to, Message::Chain(message)),
-            CoreOutput::Router { to, message } => self.send(from, to, Message::Hold(message)),
+            CoreOutput::Router { to, message } => self.send(from, to, Message::Lease(message)),
             CoreOutput::Seeds { message } => {
                 let seeds = self.seeds_of(n);
                 for other in 0..self.registries.len() {
@@ -203,9 +203,9 @@
                 self.registries[n].pending = Some((ticket, batch));
                 self.after(wait, Event::Written { registry: n, life, ticket });
             }
-            CoreOutput::Reply { ask, reply } => self.operator_answer(n, ask, reply),
+            CoreOutput::Reply { request_id, reply } => self.operator_answer(n, request_id, reply),
             CoreOutput::Told { view } => {
-                self.registries[n].told = view.voters.iter().map(|seat| seat.address.as_str().to_owned()).collect();
+                self.registries[n].told = view.voters.iter().map(|node| node.address.as_str().to_owned()).collect();
             }
             CoreOutput::Viewed { view } => {
                 self.say(|| {
--- a/crates/sim/src/resending.rs
+++ b/crates/sim/src/resending.rs
@@ -8,7 +8,7 @@
 use control::{ApiCall, CoreInput};
 use rand::RngExt;
 use std::time::Duration;
-use wire::ItemLine;
+use wire::ConfigurationItem;
 
 const AT_ONCE: usize = 8;
 const SILENCE: Duration = Duration::from_secs(1);
@@ -21,7 +21,7 @@
     pub mark: String,
     pub base: Option<u64>,
     pub whole: bool,
-    pub items: Vec<ItemLine>,
+    pub items: Vec<ConfigurationItem>,
 }
 
 impl World {
@@ -83,16 +83,16 @@
         let Some(order) = self.operators.orders.get(mark).cloned() else { return };
         let Order { mark, base, whole, items } = order;
         self.operators.next += 1;
-        let ask = self.operators.next;
+        let request_id = self.operators.next;
         let asked = Asked { mark: mark.clone(), base, invalid: false, sent: self.now };
         if self.registries[n].core.is_none() {
             self.operators.record(self.now, &asked, Response::Unknown);
             return self.operators.unknown.push(mark);
         }
-        self.operators.open.insert((n, ask), asked);
+        self.operators.open.insert((n, request_id), asked);
         let scope = String::new();
         let call = ApiCall::Change { op: mark, base, revision: None, whole, scope, items, dry: false };
-        self.feed_registry(n, CoreInput::Call { ask, call });
+        self.feed_registry(n, CoreInput::Call { request_id, call });
     }
 
     /// Whoever acknowledges an order may be alone by now, but never has the only disk that holds it.
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -177,11 +177,11 @@
     pub fn to_router(&mut self, n: usize, from: NodeId, _incarnation: u64, message: Message) {
         let now = self.router_now(n);
         match message {
-            Message::Hold(message) if message.is_from_peer() => self.follow(n, FollowerInput::Peer { from, message }),
-            Message::Hold(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
+            Message::Lease(message) if message.is_from_peer() => self.follow(n, FollowerInput::Peer { from, message }),
+            Message::Lease(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
                 self.turn(n, Turn::Home(HomeInput::Ledger { message }))
             }
-            Message::Hold(message) => {
+            Message::Lease(message) => {
                 if let (LeaseMessage::Proof { .. }, Some(machines)) = (&message, &mut self.routers[n].machines) {
                     machines.heard = Some(now);
                 }
@@ -210,17 +210,17 @@
     fn follower_output(&mut self, n: usize, output: FollowerOutput) {
         let place = Place::Router(n);
         match output {
-            FollowerOutput::ToRegistry { to: Some(to), message } => self.send(place, to, Message::Hold(message)),
+            FollowerOutput::ToRegistry { to: Some(to), message } => self.send(place, to, Message::Lease(message)),
             FollowerOutput::ToRegistry { to: None, message } => {
                 let Some(machines) = &self.routers[n].machines else { return };
                 let seats = machines.seats.clone();
                 for other in 0..self.registries.len() {
                     if seats.contains(&self.registries[other].address) {
-                        self.send_place(place, Place::Registry(other), Message::Hold(message.clone()));
+                        self.send_place(place, Place::Registry(other), Message::Lease(message.clone()));
                     }
                 }
             }
-            FollowerOutput::ToPeer { to, message } => self.send(place, to, Message::Hold(message)),
+            FollowerOutput::ToPeer { to, message } => self.send(place, to, Message::Lease(message)),
             FollowerOutput::Activated { step, revision } => {
                 let Some(machines) = &self.routers[n].machines else { return };
                 let routes = Rc::new(RouteTable::build(step, revision, machines.follower.pairs()));
@@ -233,7 +233,7 @@
                 self.turn(n, Turn::Home(HomeInput::Roster { roster: roster.clone() }));
                 self.turn(n, Turn::Front(FrontInput::Roster { roster }));
             }
-            FollowerOutput::Seats { addresses } => {
+            FollowerOutput::RegistryAddresses { addresses } => {
                 if let Some(machines) = &mut self.routers[n].machines {
                     let seeds = self.seeds.iter().cloned();
                     machines.seats = addresses.into_iter().chain(seeds).collect();
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -20,7 +20,7 @@
                 Turn::Front(input) => {
                     for output in machines.front.step(now, may_serve, input) {
                         match output {
-                            FrontOutput::Reply { ask, reply } => self.caller_reply(n, ask, reply),
+                            FrontOutput::Reply { request_id, reply } => self.caller_reply(n, request_id, reply),
                             FrontOutput::Forward { to, message } => {
                                 if !matches!(message, ForwardMessage::AttemptGrant { .. }) {
                                     self.rules.served(self.now, revision);
@@ -44,12 +44,12 @@
                             HomeOutput::Forward { to, message } => {
                                 self.send(Place::Router(n), to, Message::Forward(message));
                             }
-                            HomeOutput::Propose { ask, body } => {
-                                let message = LeaseMessage::Propose { ask, body: body.into() };
+                            HomeOutput::Propose { request_id, body } => {
+                                let message = LeaseMessage::Propose { request_id, body: body.into() };
                                 self.ask_tail(n, tail, message);
                             }
-                            HomeOutput::Read { ask, prefix } => {
-                                let message = LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() };
+                            HomeOutput::Read { request_id, prefix } => {
+                                let message = LeaseMessage::Read { request_id, prefix: prefix.into(), from: "".into() };
                                 self.ask_tail(n, tail, message);
                             }
                             HomeOutput::Dispatch(order) => {
@@ -75,7 +75,7 @@
 
     fn ask_tail(&mut self, n: usize, tail: Option<NodeId>, message: LeaseMessage) {
         if let Some(tail) = tail {
-            self.send(Place::Router(n), tail, Message::Hold(message));
+            self.send(Place::Router(n), tail, Message::Lease(message));
         }
     }
 }
--- a/crates/sim/src/strikes.rs
+++ b/crates/sim/src/strikes.rs
@@ -129,8 +129,8 @@
                 return;
             }
             self.operators.next += 1;
-            let ask = self.operators.next;
-            let mark = format!("m{ask}");
+            let request_id = self.operators.next;
+            let mark = format!("m{request_id}");
             let items = vec![crate::operators::mark_line(&mark)];
             let call = ApiCall::Change {
                 op: mark.clone(),
@@ -141,8 +141,8 @@
                 items,
                 dry: false,
             };
-            self.operators.open.insert((registry, ask), Asked { mark, base, invalid: false, sent: self.now });
-            self.feed_registry(registry, CoreInput::Call { ask, call });
+            self.operators.open.insert((registry, request_id), Asked { mark, base, invalid: false, sent: self.now });
+            self.feed_registry(registry, CoreInput::Call { request_id, call });
             self.moment(Trigger::ChangeSent, registry);
         }
     }
--- a/crates/traffic/src/attempt_count.rs
+++ b/crates/traffic/src/attempt_count.rs
@@ -31,7 +31,7 @@
     }
 
     /// The home asks for so many in all; what it has now, with one more where one is left.
-    pub fn ask(&mut self, wanted: u32) -> u32 {
+    pub fn request(&mut self, wanted: u32) -> u32 {
         if wanted > self.present && !self.is_spent() {
             self.granted = self.granted.saturating_add(1);
             self.present += 1;
--- a/crates/traffic/src/caller_server_tests.rs
+++ b/crates/traffic/src/caller_server_tests.rs
@@ -36,7 +36,7 @@
 }
 
 /// Asks, with the reply that the traffic thread would give; what it was asked, and the answer.
-fn ask(words: Words, request: Request, reply: Reply) -> (Option<Call>, Response) {
+fn exchange(words: Words, request: Request, reply: Reply) -> (Option<Call>, Response) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let (server, mut taken, _bounds) = server(words);
@@ -85,7 +85,7 @@
         ("x-hop", "1"),
         ("idempotency-key", "not a key here"),
     ];
-    let (call, response) = ask(another_dialect(), request(&headers, "work"), done());
+    let (call, response) = exchange(another_dialect(), request(&headers, "work"), done());
     let call = call.expect("it is let in");
     assert_eq!(
         (call.host.as_str(), call.path.as_str(), call.head.target.as_str()),
@@ -100,7 +100,7 @@
 
 #[test]
 fn in_its_own_dialect_a_key_is_read_and_the_outcome_told() {
-    let (call, response) = ask(Words::default(), request(&[("idempotency-key", "k")], ""), done());
+    let (call, response) = exchange(Words::default(), request(&[("idempotency-key", "k")], ""), done());
     assert_eq!(call.and_then(|call| call.key).as_deref(), Some("k"));
     assert_eq!(response.headers()["heronlink-outcome"], "answered");
 }
@@ -108,13 +108,13 @@
 #[test_case(Words::default() => true; "where the state of a task can be asked")]
 #[test_case(another_dialect() => false; "where it cannot")]
 fn an_answer_is_put_off_as_preferred(words: Words) -> bool {
-    let (call, _) = ask(words, request(&[("prefer", "respond-async")], ""), done());
+    let (call, _) = exchange(words, request(&[("prefer", "respond-async")], ""), done());
     call.expect("it is let in").respond_async
 }
 
 #[test]
 fn a_body_beyond_bounds_is_refused_and_ends_the_connection() {
-    let (call, response) = ask(another_dialect(), request(&[], &"x".repeat(65)), done());
+    let (call, response) = exchange(another_dialect(), request(&[], &"x".repeat(65)), done());
     assert!(call.is_none());
     assert_eq!(
         (response.status().as_u16(), &response.headers()["connection"]),
@@ -128,7 +128,7 @@
 #[test_case(true, 0 => "0.050"; "never at once")]
 fn a_refusal_tells_when_to_come_back(fractions: bool, ms: u64) -> String {
     let reply = Reply::own(503, Some(Outcome::NotRun), "full").again(Duration::from_millis(ms));
-    let (_, response) = ask(Words { fractions, ..another_dialect() }, request(&[], ""), reply);
+    let (_, response) = exchange(Words { fractions, ..another_dialect() }, request(&[], ""), reply);
     text(response.headers(), "retry-after")
 }
 
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -116,7 +116,7 @@
 
     fn link_event(&mut self, event: LinkEvent) {
         match event {
-            LinkEvent::Frame { from, message: Message::Hold(message), .. } => {
+            LinkEvent::Frame { from, message: Message::Lease(message), .. } => {
                 let peer = message.is_from_peer();
                 if peer {
                     return self.feed(FollowerInput::Peer { from, message });
@@ -167,7 +167,7 @@
                     self.dial();
                     self.show();
                 }
-                FollowerOutput::Seats { addresses } => {
+                FollowerOutput::RegistryAddresses { addresses } => {
                     if addresses != self.seats {
                         self.seats = addresses;
                         self.dial();
@@ -197,7 +197,7 @@
     }
 
     fn send(&self, to: NodeId, message: LeaseMessage) {
-        if self.links.send(LinkOrder::Send { to, message: Message::Hold(message) }).is_err() {
+        if self.links.send(LinkOrder::Send { to, message: Message::Lease(message) }).is_err() {
             event!(inbox_full, "links");
         }
     }
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -142,14 +142,14 @@
             TrafficMessage::Task { call, reply } => {
                 self.next += 1;
                 self.replies.insert(self.next, reply);
-                self.turn(Turn::Front(FrontInput::Task { ask: self.next, call }));
+                self.turn(Turn::Front(FrontInput::Task { request_id: self.next, call }));
             }
             TrafficMessage::Status { id, reply } => {
                 self.next += 1;
                 let due = self.begun.elapsed() + Duration::from_secs(4);
                 self.statuses.insert(self.next, (reply, due));
-                let ask = self.next | STATUS_BIT;
-                let message = LeaseMessage::Read { ask, prefix: format!("d/{id}").into(), from: "".into() };
+                let request_id = self.next | STATUS_BIT;
+                let message = LeaseMessage::Read { request_id, prefix: format!("d/{id}").into(), from: "".into() };
                 self.to_core(message);
             }
             TrafficMessage::Link(LinkEvent::Up { id, .. }) => self.turn(Turn::Front(FrontInput::Link { id, up: true })),
@@ -157,11 +157,11 @@
             TrafficMessage::Link(LinkEvent::Frame { from, message, .. }) => match message {
                 Message::Forward(message) => self.turn(Turn::forwarded(from, message)),
                 Message::Plan(message) => self.turn(Turn::Home(HomeInput::Plan { message })),
-                Message::Hold(LeaseMessage::ReadReply { ask, items, .. }) if ask & STATUS_BIT != 0 => {
+                Message::Lease(LeaseMessage::ReadReply { request_id, items, .. }) if request_id & STATUS_BIT != 0 => {
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
-                    self.tell_status(ask & !STATUS_BIT, first);
+                    self.tell_status(request_id & !STATUS_BIT, first);
                 }
-                Message::Hold(message) => self.turn(Turn::Home(HomeInput::Ledger { message })),
+                Message::Lease(message) => self.turn(Turn::Home(HomeInput::Ledger { message })),
                 _ => {}
             },
             TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, outcome }) => {
@@ -206,8 +206,8 @@
         }
     }
 
-    fn tell_status(&mut self, ask: u64, record: Option<Vec<u8>>) {
-        let Some((reply, _)) = self.statuses.remove(&ask) else { return };
+    fn tell_status(&mut self, request_id: u64, record: Option<Vec<u8>>) {
+        let Some((reply, _)) = self.statuses.remove(&request_id) else { return };
         let told = match record.and_then(|raw| wire::from_bytes::<DeferredRecord>(&raw)) {
             None => Reply::own(404, None, "no such task"),
             Some(record) if record.done == 0 => Reply {
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -19,7 +19,7 @@
 
     pub(crate) fn to_core(&self, message: LeaseMessage) {
         if let Some(to) = self.tail {
-            self.link(LinkOrder::Send { to, message: Message::Hold(message) });
+            self.link(LinkOrder::Send { to, message: Message::Lease(message) });
         }
     }
 
@@ -32,7 +32,7 @@
                 Turn::Front(input) => {
                     for output in self.front.step(now, may_serve, input) {
                         match output {
-                            FrontOutput::Reply { ask, reply } => self.reply(ask, reply),
+                            FrontOutput::Reply { request_id, reply } => self.reply(request_id, reply),
                             FrontOutput::Forward { to, message } if to == self.me => {
                                 turns.push_back(Turn::forwarded(to, message));
                             }
@@ -59,9 +59,11 @@
             HomeOutput::Forward { to, message } => {
                 self.link(LinkOrder::Send { to, message: Message::Forward(message) })
             }
-            HomeOutput::Propose { ask, body } => self.to_core(LeaseMessage::Propose { ask, body: body.into() }),
-            HomeOutput::Read { ask, prefix } => {
-                self.to_core(LeaseMessage::Read { ask, prefix: prefix.into(), from: "".into() });
+            HomeOutput::Propose { request_id, body } => {
+                self.to_core(LeaseMessage::Propose { request_id, body: body.into() })
+            }
+            HomeOutput::Read { request_id, prefix } => {
+                self.to_core(LeaseMessage::Read { request_id, prefix: prefix.into(), from: "".into() });
             }
             HomeOutput::Dispatch(order) => {
                 let number = order.number;
@@ -108,10 +110,10 @@
         }
     }
 
-    fn reply(&mut self, ask: u64, reply: Reply) {
+    fn reply(&mut self, request_id: u64, reply: Reply) {
         let word = reply.outcome.map_or("refused", |outcome| outcome.word());
         *self.counts.entry(word).or_default() += 1;
-        if let Some(waiting) = self.replies.remove(&ask) {
+        if let Some(waiting) = self.replies.remove(&request_id) {
             let _ = waiting.send(reply);
         }
     }
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -6,12 +6,12 @@
 use bindings::Class;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use wire::{ItemLine, StoredTask};
+use wire::{ConfigurationItem, StoredTask};
 
 const READS_AT_ONCE: usize = 4;
 const WHOLE: usize = 500;
 
-fn task_id(item: &ItemLine) -> &str {
+fn task_id(item: &ConfigurationItem) -> &str {
     item.key.as_str().rsplit('/').next().unwrap_or_default()
 }
 
@@ -22,7 +22,7 @@
         if !self.core_near || !self.may_serve {
             return;
         }
-        let reading = self.asks.values().filter(|ask| ask.kind == Ledger::Deferred).count();
+        let reading = self.asks.values().filter(|request_id| request_id.kind == Ledger::Deferred).count();
         let due: Vec<String> = self
             .schedulers
             .iter()
@@ -36,7 +36,7 @@
             if let Some(scheduler) = self.schedulers.get_mut(&name) {
                 scheduler.read_at = Some(now);
             }
-            let ask = self.number();
+            let request_id = self.number();
             let record = LedgerAsk {
                 kind: Ledger::Deferred,
                 task: 0,
@@ -45,8 +45,8 @@
                 sent: now,
                 due: now + Duration::from_secs(3),
             };
-            self.asks.insert(ask, record);
-            self.outs.push(HomeOutput::Read { ask, prefix: format!("p/{name}/") });
+            self.asks.insert(request_id, record);
+            self.outs.push(HomeOutput::Read { request_id, prefix: format!("p/{name}/") });
         }
     }
 
@@ -65,7 +65,7 @@
 
     /// Without a table of the home before, whatever is pending at the first look may have been sent
     /// already; what is stored from then on was not sent by anybody else.
-    fn learn_sent(&mut self, name: &str, items: &[ItemLine]) {
+    fn learn_sent(&mut self, name: &str, items: &[ConfigurationItem]) {
         if items.len() >= WHOLE {
             return;
         }
@@ -79,8 +79,8 @@
         }
     }
 
-    pub(crate) fn take_deferred(&mut self, ask: u64, items: Vec<ItemLine>) {
-        let Some(record) = self.asks.remove(&ask) else { return };
+    pub(crate) fn take_deferred(&mut self, request_id: u64, items: Vec<ConfigurationItem>) {
+        let Some(record) = self.asks.remove(&request_id) else { return };
         let name = record.function;
         if !self.is_home(&name) || !self.schedulers.contains_key(&name) {
             return;
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -49,7 +49,7 @@
         let record = task.and_then(|task| self.table.get_mut(&task));
         let present =
             record.filter(|record| record.forward == forward && record.stage == Stage::Forwarded { home: from });
-        let attempts = present.map_or(0, |record| record.attempts.ask(wanted));
+        let attempts = present.map_or(0, |record| record.attempts.request(wanted));
         self.outs
             .push(FrontOutput::Forward { to: from, message: ForwardMessage::AttemptGrant { task: forward, attempts } });
     }
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -68,7 +68,7 @@
         self.now = now;
         self.may_serve = may_serve;
         match input {
-            FrontInput::Task { ask, call } => self.admit(ask, call),
+            FrontInput::Task { request_id, call } => self.admit(request_id, call),
             FrontInput::Forwarded { from, message: ForwardMessage::Heartbeat } => self.heard(from),
             FrontInput::Forwarded { from, message } => {
                 self.heard(from);
@@ -94,8 +94,8 @@
                 self.watched.retain(|home, _| members.contains(home));
                 self.pass();
             }
-            FrontInput::Gone { ask } => {
-                if let Some(task) = self.by_ask.get(&ask).copied()
+            FrontInput::Gone { request_id } => {
+                if let Some(task) = self.by_ask.get(&request_id).copied()
                     && self.table.get(&task).is_some_and(|record| record.stage == Stage::Waiting && !record.doubt)
                 {
                     self.remove(task);
@@ -106,11 +106,12 @@
         std::mem::take(&mut self.outs)
     }
 
-    fn admit(&mut self, ask: u64, call: Call) {
+    fn admit(&mut self, request_id: u64, call: Call) {
         if self.table.len() >= self.limits.table {
-            let reply = Reply::own(503, Some(Outcome::NotRun), "this router is full").again(self.spread(ask, SOON * 2));
+            let reply =
+                Reply::own(503, Some(Outcome::NotRun), "this router is full").again(self.spread(request_id, SOON * 2));
             self.refusals += 1;
-            return self.outs.push(FrontOutput::Reply { ask, reply });
+            return self.outs.push(FrontOutput::Reply { request_id, reply });
         }
         self.next += 1;
         let task = self.next;
@@ -120,7 +121,7 @@
         };
         let patience = self.patience(&call);
         let record = Record {
-            ask,
+            request_id,
             forward: 0,
             call,
             key,
@@ -138,7 +139,7 @@
             attempts: AttemptCount::default(),
         };
         self.table.insert(task, record);
-        self.by_ask.insert(ask, task);
+        self.by_ask.insert(request_id, task);
         self.attempt(task);
     }
 
@@ -159,7 +160,7 @@
 
     pub(crate) fn remove(&mut self, task: u64) {
         if let Some(record) = self.table.remove(&task) {
-            self.by_ask.remove(&record.ask);
+            self.by_ask.remove(&record.request_id);
             self.by_forward.remove(&record.forward);
             if let Some(count) = self.per_tenant.get_mut(&record.tenant) {
                 *count = count.saturating_sub(1);
@@ -169,11 +170,11 @@
 
     pub(crate) fn answer(&mut self, task: u64, reply: Reply) {
         if let Some(record) = self.table.get(&task) {
-            let ask = record.ask;
+            let request_id = record.request_id;
             if reply.outcome == Some(Outcome::NotRun) {
                 self.refusals += 1;
             }
-            self.outs.push(FrontOutput::Reply { ask, reply });
+            self.outs.push(FrontOutput::Reply { request_id, reply });
             self.remove(task);
         }
     }
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -40,18 +40,18 @@
 }
 
 pub enum FrontInput {
-    Task { ask: u64, call: Call },
+    Task { request_id: u64, call: Call },
     Forwarded { from: NodeId, message: ForwardMessage },
     Link { id: NodeId, up: bool },
     RouteTable { routes: Rc<RouteTable> },
     Roster { roster: Rc<Roster> },
-    Gone { ask: u64 },
+    Gone { request_id: u64 },
     Tick,
 }
 
 #[derive(Debug, PartialEq)]
 pub enum FrontOutput {
-    Reply { ask: u64, reply: Reply },
+    Reply { request_id: u64, reply: Reply },
     Forward { to: NodeId, message: ForwardMessage },
 }
 
@@ -84,7 +84,7 @@
 }
 
 pub struct Record {
-    pub ask: u64,
+    pub request_id: u64,
     pub forward: u64,
     pub call: Call,
     pub key: String,
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -49,7 +49,8 @@
             }
         }
         // What the store listed before another home was home is outdated.
-        self.asks.retain(|_, ask| ask.kind != Ledger::Deferred || !begun_anew.contains(&ask.function));
+        self.asks
+            .retain(|_, request_id| request_id.kind != Ledger::Deferred || !begun_anew.contains(&request_id.function));
         let names: Vec<String> = self.schedulers.keys().cloned().collect();
         for name in names {
             let next = self.roster.home(&name).filter(|home| *home != self.me);
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{ForwardMessage, HomeTable, NodeId, Outcome, TunedLine};
+use wire::{ForwardMessage, NodeId, Outcome, OwnershipTable, TunedParameters};
 
 pub struct Home {
     pub(crate) me: NodeId,
@@ -41,7 +41,7 @@
     pub(crate) scaled: Duration,
     pub(crate) sampled: Duration,
     pub(crate) gave_way: Duration,
-    pub(crate) tuned: (u64, Vec<TunedLine>),
+    pub(crate) tuned: (u64, Vec<TunedParameters>),
     pub(crate) heartbeat_sent: Duration,
     pub(crate) kept_at: Duration,
     pub(crate) kept: BTreeMap<String, Kept>,
@@ -118,16 +118,16 @@
                 message: ForwardMessage::Handover { function, roster, slots, requests, seconds },
                 ..
             } => {
-                let table = HomeTable { function, roster, slots, requests, seconds, ..HomeTable::default() };
+                let table = OwnershipTable { function, roster, slots, requests, seconds, ..OwnershipTable::default() };
                 self.take_handover(table)
             }
-            HomeInput::Forward { message: ForwardMessage::GiveWay { function, .. }, .. } => {
+            HomeInput::Forward { message: ForwardMessage::Preempt { function, .. }, .. } => {
                 self.give_way(function.as_str())
             }
             HomeInput::Forward { from, message: ForwardMessage::Inventory { inventory } } => {
                 self.inventory_told(from, inventory)
             }
-            HomeInput::Forward { from, message: ForwardMessage::InventoryAsk } => self.inventory_asked(from),
+            HomeInput::Forward { from, message: ForwardMessage::InventoryRequest } => self.inventory_asked(from),
             HomeInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
             HomeInput::Forward { .. } => {}
             HomeInput::Dispatched { number, outcome } => self.dispatched(number, outcome),
@@ -217,11 +217,11 @@
     }
 
     pub(crate) fn ask_chain(&mut self, kind: Ledger, task: u64, function: &str, body: Vec<u8>, lasts: Duration) -> u64 {
-        let ask = self.number();
+        let request_id = self.number();
         let due = self.now + lasts;
         let record = LedgerAsk { kind, task, function: function.to_owned(), body: body.clone(), sent: self.now, due };
-        self.asks.insert(ask, record);
-        self.outs.push(HomeOutput::Propose { ask, body });
-        ask
+        self.asks.insert(request_id, record);
+        self.outs.push(HomeOutput::Propose { request_id, body });
+        request_id
     }
 }
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -7,7 +7,7 @@
 use leases::Roster;
 use std::rc::Rc;
 use std::time::Duration;
-use wire::{ForwardMessage, LeaseMessage, MeasureLine, NodeId, Outcome, PlanMessage, SampleLine};
+use wire::{DemandSample, ForwardMessage, LeaseMessage, Measurement, NodeId, Outcome, PlanMessage};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
@@ -36,11 +36,11 @@
         message: ForwardMessage,
     },
     Propose {
-        ask: u64,
+        request_id: u64,
         body: Vec<u8>,
     },
     Read {
-        ask: u64,
+        request_id: u64,
         prefix: String,
     },
     Dispatch(DispatchOrder),
@@ -60,10 +60,10 @@
         message: PlanMessage,
     },
     Samples {
-        lines: Vec<SampleLine>,
+        lines: Vec<DemandSample>,
     },
     Measures {
-        lines: Vec<MeasureLine>,
+        lines: Vec<Measurement>,
     },
 }
 
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -53,7 +53,7 @@
         }
         let first = turn.first().copied().filter(|first| *first != self.me && turn.contains(&self.me));
         if let (None, Some(to)) = (inventory.source, first) {
-            self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::InventoryAsk });
+            self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::InventoryRequest });
         }
         inventory.turn = turn;
     }
@@ -184,7 +184,7 @@
         if change.since != 0 && self.inventory.source != Some((from, change.since)) {
             if self.inventory.missed.is_none_or(|at| now >= at + ASK_PAUSE) {
                 self.inventory.missed = Some(now);
-                self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::InventoryAsk });
+                self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::InventoryRequest });
             }
             return;
         }
--- a/crates/traffic/src/inventory_records.rs
+++ b/crates/traffic/src/inventory_records.rs
@@ -2,10 +2,10 @@
 
 use instance_provider::{InstanceLine, InstanceState, WorkerLine};
 use std::collections::BTreeMap;
-use wire::{InventoryChange, StockLine, Text, WorkerRecord};
+use wire::{InstanceRecord, InventoryChange, Text, WorkerRecord};
 
-pub(crate) fn record(line: &InstanceLine) -> StockLine {
-    StockLine {
+pub(crate) fn record(line: &InstanceLine) -> InstanceRecord {
+    InstanceRecord {
         id: line.id.as_str().into(),
         function: line.service.as_str().into(),
         address: line.address.as_str().into(),
@@ -19,7 +19,7 @@
     }
 }
 
-pub(crate) fn from_record(record: &StockLine) -> InstanceLine {
+pub(crate) fn from_record(record: &InstanceRecord) -> InstanceLine {
     InstanceLine {
         id: record.id.as_str().to_owned(),
         service: record.function.as_str().to_owned(),
@@ -60,6 +60,6 @@
     before: &BTreeMap<String, InstanceLine>,
     after: &BTreeMap<String, InstanceLine>,
 ) -> InventoryChange {
-    let instances: Vec<StockLine> = changed(before, after).map(record).collect();
+    let instances: Vec<InstanceRecord> = changed(before, after).map(record).collect();
     InventoryChange { instances: instances.into(), gone: gone(before, after).into(), ..InventoryChange::default() }
 }
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -5,7 +5,7 @@
 use crate::home::Home;
 use crate::home_types::{Ledger, Place};
 use std::time::Duration;
-use wire::{ClaimState, Command, LeaseMessage, Outcome, Receipt, StoredAnswer, StoredTask};
+use wire::{ClaimState, Command, CommandReply, LeaseMessage, Outcome, StoredAnswer, StoredTask};
 
 const LASTING: Duration = Duration::from_secs(60);
 
@@ -26,7 +26,7 @@
             digest: task.digest.clone().into(),
             member: me,
             incarnation,
-            ask: number,
+            request_id: number,
         };
         let function = task.function.clone();
         self.ask_chain(Ledger::Claim, number, &function, wire::to_bytes(&command), LASTING);
@@ -38,7 +38,7 @@
             scope: task.scope.as_str().into(),
             member: self.me,
             incarnation: self.incarnation,
-            ask: task.claim,
+            request_id: task.claim,
         };
         let function = task.function.clone();
         self.ask_chain(Ledger::Release, number, &function, wire::to_bytes(&command), LASTING);
@@ -46,8 +46,8 @@
 
     /// A claim granted after its task was given up is released, or its key would stay taken.
     fn release_late(&mut self, claim: &[u8], function: &str) {
-        if let Some(Command::Claim { scope, member, incarnation, ask, .. }) = wire::from_bytes(claim) {
-            let command = Command::Release { scope, member, incarnation, ask };
+        if let Some(Command::Claim { scope, member, incarnation, request_id, .. }) = wire::from_bytes(claim) {
+            let command = Command::Release { scope, member, incarnation, request_id };
             self.ask_chain(Ledger::Release, 0, function, wire::to_bytes(&command), LASTING);
         }
     }
@@ -58,7 +58,7 @@
             scope: task.scope.as_str().into(),
             member: self.me,
             incarnation: self.incarnation,
-            ask: task.claim,
+            request_id: task.claim,
             answer: wire::to_bytes(answer).into(),
         };
         let function = task.function.clone();
@@ -99,32 +99,41 @@
 
     /// Stored tasks that were answered, of which the store may not have heard yet.
     pub(crate) fn being_finished(&self, function: &str) -> impl Iterator<Item = wire::Text> {
-        let asks = self.asks.values().filter(move |ask| ask.kind == Ledger::Finish && ask.function == function);
-        asks.filter_map(|ask| match wire::from_bytes(&ask.body) {
+        let asks = self
+            .asks
+            .values()
+            .filter(move |request_id| request_id.kind == Ledger::Finish && request_id.function == function);
+        asks.filter_map(|request_id| match wire::from_bytes(&request_id.body) {
             Some(Command::Finish { id, .. }) => Some(id),
             _ => None,
         })
     }
 
     pub(crate) fn ledger_receipt(&mut self, message: LeaseMessage) {
-        let (ask, state, body) = match message {
-            LeaseMessage::ProposalAck { ask, state, body } => (ask, state, body),
-            LeaseMessage::ReadReply { ask, items, .. } => return self.take_deferred(ask, items.into_vec()),
+        let (request_id, state, body) = match message {
+            LeaseMessage::ProposalAck { request_id, state, body } => (request_id, state, body),
+            LeaseMessage::ReadReply { request_id, items, .. } => {
+                return self.take_deferred(request_id, items.into_vec());
+            }
             _ => return,
         };
         if state != 1 {
             return;
         }
-        let Some(record) = self.asks.remove(&ask) else { return };
-        let Some(receipt) = wire::from_bytes::<Receipt>(body.as_slice()) else { return };
+        let Some(record) = self.asks.remove(&request_id) else { return };
+        let Some(receipt) = wire::from_bytes::<CommandReply>(body.as_slice()) else { return };
         match (record.kind, receipt) {
-            (Ledger::Claim, Receipt::Claim { state: ClaimState::Granted, .. })
+            (Ledger::Claim, CommandReply::Claim { state: ClaimState::Granted, .. })
                 if !self.tasks.contains_key(&record.task) =>
             {
                 self.release_late(&record.body, &record.function);
             }
-            (Ledger::Claim, Receipt::Claim { state, answer }) => self.claimed(record.task, state, answer.as_slice()),
-            (Ledger::Store, Receipt::Stored { state, answer }) => self.stored(record.task, state, answer.as_slice()),
+            (Ledger::Claim, CommandReply::Claim { state, answer }) => {
+                self.claimed(record.task, state, answer.as_slice())
+            }
+            (Ledger::Store, CommandReply::Stored { state, answer }) => {
+                self.stored(record.task, state, answer.as_slice())
+            }
             (Ledger::Release, _) => {
                 let releasing = self.tasks.get(&record.task).is_some_and(|task| task.place == Place::Releasing);
                 if releasing {
@@ -215,20 +224,20 @@
     pub(crate) fn ledger_pass(&mut self) {
         let now = self.now;
         let mut again = Vec::new();
-        self.asks.retain(|ask, record| {
+        self.asks.retain(|request_id, record| {
             if now >= record.due {
                 return false;
             }
             if now >= record.sent + self.timing.resend {
                 record.sent = now;
                 if record.kind != Ledger::Deferred {
-                    again.push((*ask, record.body.clone()));
+                    again.push((*request_id, record.body.clone()));
                 }
             }
             true
         });
-        for (ask, body) in again {
-            self.outs.push(crate::home_types::HomeOutput::Propose { ask, body });
+        for (request_id, body) in again {
+            self.outs.push(crate::home_types::HomeOutput::Propose { request_id, body });
         }
     }
 }
--- a/crates/traffic/src/preemption.rs
+++ b/crates/traffic/src/preemption.rs
@@ -28,7 +28,7 @@
         }
         let memory_mb = scheduler.function.memory_mb;
         for to in self.roster.homes() {
-            let message = ForwardMessage::GiveWay { function: name.into(), memory_mb };
+            let message = ForwardMessage::Preempt { function: name.into(), memory_mb };
             self.outs.push(HomeOutput::Forward { to, message });
         }
     }
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -33,7 +33,7 @@
         }
         task.place = Place::AwaitingGrant { until: now + GRANT_PATIENCE };
         let (to, attempts) = (task.id.from, task.dispatches + 1);
-        let message = ForwardMessage::AttemptAsk { task: task.id.task, attempts };
+        let message = ForwardMessage::AttemptRequest { task: task.id.task, attempts };
         self.outs.push(HomeOutput::Forward { to, message });
     }
 
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -9,7 +9,7 @@
 use instance_provider::ProviderOrder;
 use scaler::Situation;
 use std::time::Duration;
-use wire::{PlanMessage, SampleLine};
+use wire::{DemandSample, PlanMessage};
 
 const EVERY: Duration = Duration::from_millis(100);
 const BURST: f64 = 8.0;
@@ -54,7 +54,7 @@
         let mut wanting: Vec<(bool, f64, u32, String)> = Vec::new();
         let mut asks_left = ASKS_PER_PASS;
         for name in self.by_need() {
-            let ask = self.number();
+            let request_id = self.number();
             let bound = self.routes.as_ref().is_some_and(|routes| routes.function(&name).is_some());
             let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
             if scheduler.leaving.is_some() || scheduler.adopting.is_some() {
@@ -79,21 +79,21 @@
                 live: scheduler.live(now),
             };
             let before = scheduler.player.fallbacks;
-            let decision = scheduler.player.step(now, ask, situation, &self.timing.player);
+            let decision = scheduler.player.step(now, request_id, situation, &self.timing.player);
             if scheduler.player.fallbacks > before {
                 event!(plan_fallback, "{name}");
             }
             scheduler.desired = if bound { decision.desired } else { 0 };
-            asks_left -= usize::from(decision.ask);
-            if decision.ask && bound {
-                let message = PlanMessage::Ask {
-                    ask,
+            asks_left -= usize::from(decision.wants_plan);
+            if decision.wants_plan && bound {
+                let message = PlanMessage::Request {
+                    request_id,
                     function: name.as_str().into(),
                     current: ready + starting,
                     held: if ready == 0 { held } else { 0 },
                     waiting: if ready == 0 { 0 } else { held },
                 };
-                self.plan_asks.insert(ask, name.clone());
+                self.plan_asks.insert(request_id, name.clone());
                 self.outs.push(HomeOutput::PlanAsk { message });
             }
             let count = ready + starting;
@@ -122,7 +122,7 @@
             }
         }
         let oldest = self.next.saturating_sub(100_000);
-        self.plan_asks.retain(|ask, _| *ask > oldest);
+        self.plan_asks.retain(|request_id, _| *request_id > oldest);
     }
 
     /// Functions that are awake, those whose callers wait first.
@@ -198,7 +198,7 @@
             }
             scheduler.sampled_zero = !scheduler.is_awake();
             let looks = f64::from(scheduler.looks.max(1));
-            lines.push(SampleLine {
+            lines.push(DemandSample {
                 function: name.as_str().into(),
                 rate_milli: (f64::from(scheduler.arrivals) * 1000.0 / lasted) as u64,
                 response_micro: (scheduler.answer_time.as_micros() / u128::from(scheduler.answered.max(1))) as u64,
@@ -221,12 +221,12 @@
         if let PlanMessage::Tuned { fence, lines } = message {
             return self.take_tuned(fence, lines.into_vec());
         }
-        let PlanMessage::Receipt { ask, fence, step_ms, desired, .. } = message else { return };
-        let Some(name) = self.plan_asks.remove(&ask) else { return };
+        let PlanMessage::Reply { request_id, fence, step_ms, desired, .. } = message else { return };
+        let Some(name) = self.plan_asks.remove(&request_id) else { return };
         let now = self.now;
         if let Some(scheduler) = self.schedulers.get_mut(&name) {
             let step = Duration::from_millis(step_ms.into());
-            if scheduler.player.take(now, ask, fence, desired.into_vec(), step) {
+            if scheduler.player.take(now, request_id, fence, desired.into_vec(), step) {
                 event!(plan_received, "{name}: {:?}", scheduler.player.plan());
             }
         }
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -223,7 +223,7 @@
                         message,
                         Message::Forward(_)
                             | Message::Plan(_)
-                            | Message::Hold(LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })
+                            | Message::Lease(LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })
                     );
                     let event = LinkEvent::Frame { from, incarnation, message };
                     if for_traffic {
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -10,7 +10,7 @@
 use crate::starting::look_limit;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use wire::{ForwardMessage, HomeTable, NodeId, SlotLine, Text};
+use wire::{ForwardMessage, InstanceSlots, NodeId, OwnershipTable, Text};
 
 const EVERY: Duration = Duration::from_millis(500);
 const LASTS: Duration = Duration::from_secs(6);
@@ -23,20 +23,20 @@
     pub at: Duration,
     pub from: NodeId,
     pub incarnation: u64,
-    pub table: HomeTable,
+    pub table: OwnershipTable,
 }
 
 impl Home {
-    pub(crate) fn table_of(&mut self, name: &str, kept: bool) -> Option<HomeTable> {
+    pub(crate) fn table_of(&mut self, name: &str, kept: bool) -> Option<OwnershipTable> {
         let now = self.now;
         let scheduler = self.schedulers.get_mut(name)?;
         let (requests, seconds) = scheduler.budget.told(now);
         let known = |instance: &Instance| matches!(instance.phase(), Phase::Ready | Phase::Starting);
-        let slots: Vec<SlotLine> = scheduler
+        let slots: Vec<InstanceSlots> = scheduler
             .instances
             .iter()
             .filter(|(_, instance)| known(instance))
-            .map(|(id, instance)| SlotLine {
+            .map(|(id, instance)| InstanceSlots {
                 instance: id.as_str().into(),
                 address: instance.address.as_str().into(),
                 ready: (instance.phase() == Phase::Ready) as u8,
@@ -46,7 +46,7 @@
         let sent_tasks = scheduler.sent_tasks.told(BEGUN_MOST);
         let whole = sent_tasks.is_some();
         let begun: Vec<Text> = sent_tasks.into_iter().flatten().map(Text::from).collect();
-        Some(HomeTable {
+        Some(OwnershipTable {
             function: name.into(),
             roster: self.roster.number,
             kept: kept as u8,
@@ -92,7 +92,7 @@
         }
     }
 
-    pub(crate) fn on_table(&mut self, from: NodeId, table: HomeTable) {
+    pub(crate) fn on_table(&mut self, from: NodeId, table: OwnershipTable) {
         if table.kept == 0 {
             return self.take_handover(table);
         }
@@ -108,7 +108,7 @@
         let now = self.now;
         if let Some(kept) = self.kept.remove(name).filter(|kept| now < kept.at + LASTS) {
             // The home may have gone on sending after it: what it names as begun is not all.
-            let table = HomeTable { begun_whole: 0, ..kept.table };
+            let table = OwnershipTable { begun_whole: 0, ..kept.table };
             self.take_table(table, Some(kept.at), (kept.at + FOREIGN * 4).min(now + FOREIGN));
         }
     }
@@ -126,7 +126,7 @@
             self.kept.iter().filter(|(_, kept)| back(kept)).map(|(name, _)| name.clone()).collect();
         for name in names {
             let Some(kept) = self.kept.remove(&name).filter(|kept| now < kept.at + LASTS) else { continue };
-            let mut table = HomeTable { kept: 0, roster: self.roster.number, begun_whole: 0, ..kept.table };
+            let mut table = OwnershipTable { kept: 0, roster: self.roster.number, begun_whole: 0, ..kept.table };
             let earlier = self.history.earlier_homes(now, &name);
             let allowances = &self.timing.allowances;
             allowances.as_of_a_copy(earlier, &mut table.requests, &mut table.seconds, &mut table.turned);
@@ -134,7 +134,7 @@
         }
     }
 
-    pub(crate) fn take_handover(&mut self, table: HomeTable) {
+    pub(crate) fn take_handover(&mut self, table: OwnershipTable) {
         let name = table.function.as_str();
         let mine = self.is_home(name) && table.roster <= self.roster.number;
         let fits = self
@@ -148,7 +148,7 @@
     }
 
     /// A kept copy is as old as its `copied`: the home it was kept for has spent more since.
-    fn take_table(&mut self, table: HomeTable, copied: Option<Duration>, foreign_until: Duration) {
+    fn take_table(&mut self, table: OwnershipTable, copied: Option<Duration>, foreign_until: Duration) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(table.function.as_str()) else { return };
         if scheduler.adopting.take().is_some() {
@@ -199,7 +199,7 @@
         for scheduler in self.schedulers.values_mut() {
             scheduler.begin_anew(now);
         }
-        self.asks.retain(|_, ask| ask.kind != Ledger::Deferred);
+        self.asks.retain(|_, request_id| request_id.kind != Ledger::Deferred);
         self.doubt_stored();
         let undone: Vec<u64> = self
             .tasks
--- a/crates/traffic/src/tuned.rs
+++ b/crates/traffic/src/tuned.rs
@@ -3,14 +3,14 @@
 
 use crate::function_scheduler::{FunctionScheduler, Seen};
 use crate::home::Home;
-use wire::{MeasureLine, TunedLine};
+use wire::{Measurement, TunedParameters};
 
 impl FunctionScheduler {
     /// What was measured since the sample before; nothing of a function that stood still.
-    pub(crate) fn measure(&mut self, name: &str, looks: f64) -> Option<MeasureLine> {
+    pub(crate) fn measure(&mut self, name: &str, looks: f64) -> Option<Measurement> {
         let seen = std::mem::take(&mut self.seen);
         let stood_still = self.arrivals == 0 && seen.boots == 0 && seen.refused == 0;
-        (!stood_still).then(|| MeasureLine {
+        (!stood_still).then(|| Measurement {
             function: name.into(),
             boot_micro: (seen.boot / seen.boots.max(1)).as_micros() as u64,
             boots: seen.boots,
@@ -30,7 +30,7 @@
 }
 
 impl Home {
-    pub(crate) fn take_tuned(&mut self, fence: u64, lines: Vec<TunedLine>) {
+    pub(crate) fn take_tuned(&mut self, fence: u64, lines: Vec<TunedParameters>) {
         if fence < self.tuned.0 {
             return;
         }
@@ -45,7 +45,7 @@
         }
     }
 
-    pub fn tuned(&self) -> &(u64, Vec<TunedLine>) {
+    pub fn tuned(&self) -> &(u64, Vec<TunedParameters>) {
         &self.tuned
     }
 }
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use test_case::test_case;
 use traffic::{DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{ForwardMessage, HomeTable, NodeId, Outcome, SlotLine};
+use wire::{ForwardMessage, InstanceSlots, NodeId, Outcome, OwnershipTable};
 
 const THIRD: NodeId = 3;
 
@@ -34,14 +34,14 @@
     home.step(ms(0), true, HomeInput::RouteTable { routes: routes("ordinary", attempts) });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[9]) });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(2, &[id]) });
-    let slot = |instance: u32| SlotLine {
+    let slot = |instance: u32| InstanceSlots {
         instance: format!("i{instance}").as_str().into(),
         address: format!("127.0.0.1:{instance}").as_str().into(),
         ready: 1,
         busy: 0,
     };
     let slots = vec![slot(1), slot(2), slot(3), slot(4)].into();
-    let table = HomeTable { function: "t/f".into(), roster: 2, slots, requests: 100, ..HomeTable::default() };
+    let table = OwnershipTable { function: "t/f".into(), roster: 2, slots, requests: 100, ..OwnershipTable::default() };
     home.step(ms(1), true, HomeInput::Forward { from: 9, message: ForwardMessage::Table { table } });
     home
 }
@@ -75,7 +75,7 @@
 #[test]
 fn two_homes_in_a_row_send_it_to_no_more_instances_than_its_route_allows() {
     let mut front = front(2);
-    let (_, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut first = home(OTHER, 2);
     let one = give(&mut first, 6, message);
     assert!(sent(&one).is_some());
@@ -88,8 +88,8 @@
     for (home, outputs, from) in [(&mut first, &one, OTHER), (&mut second, &two, THIRD)] {
         let outputs = fails(home, 40, outputs, garbled());
         assert_eq!(sent(&outputs), None, "a third instance");
-        let ask = to_front(&outputs).expect("asks for a third attempt");
-        let outputs = tell(&mut front, from, 41, ask);
+        let request_id = to_front(&outputs).expect("asks for a third attempt");
+        let outputs = tell(&mut front, from, 41, request_id);
         let most = granted(&outputs).expect("told");
         assert!(most <= 1, "{most} granted to each of two homes");
     }
@@ -98,14 +98,14 @@
 #[test]
 fn a_home_may_send_it_again_once_its_front_grants_it() {
     let mut front = front(2);
-    let (task, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut home = home(OTHER, 2);
     let outputs = give(&mut home, 6, message);
     let outputs = fails(&mut home, 20, &outputs, garbled());
-    let ask = to_front(&outputs).expect("asks");
-    assert_eq!(ask, ForwardMessage::AttemptAsk { task, attempts: 2 });
+    let request_id = to_front(&outputs).expect("asks");
+    assert_eq!(request_id, ForwardMessage::AttemptRequest { task, attempts: 2 });
     for at in [21, 22] {
-        assert_eq!(granted(&tell(&mut front, OTHER, at, ask.clone())), Some(2), "however often the frame comes");
+        assert_eq!(granted(&tell(&mut front, OTHER, at, request_id.clone())), Some(2), "however often the frame comes");
     }
     let outputs = give(&mut home, 23, grant(task, 2));
     assert!(sent(&outputs).is_some());
@@ -119,11 +119,11 @@
 #[test_case(None, 400; "unanswered")]
 fn without_a_grant_the_failure_is_the_answer(told: Option<u32>, at: u64) {
     let mut front = front(2);
-    let (task, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut home = home(OTHER, 2);
     let outputs = give(&mut home, 6, message);
     let outputs = fails(&mut home, 20, &outputs, failed());
-    assert!(matches!(to_front(&outputs), Some(ForwardMessage::AttemptAsk { .. })));
+    assert!(matches!(to_front(&outputs), Some(ForwardMessage::AttemptRequest { .. })));
     let outputs = match told {
         Some(attempts) => give(&mut home, at, grant(task, attempts)),
         None => home.step(ms(at), true, HomeInput::Tick),
@@ -138,7 +138,7 @@
 #[test]
 fn with_no_attempt_left_the_caller_is_told_at_once() {
     let mut front = front(2);
-    assert!(forwarded(&common::ask(&mut front, 5, true, "/t/f")).is_some());
+    assert!(forwarded(&common::send_request(&mut front, 5, true, "/t/f")).is_some());
     let outputs = front.step(ms(20), true, FrontInput::Roster { roster: roster(2, &[THIRD]) });
     assert!(forwarded(&outputs).is_some());
     let outputs = front.step(ms(40), true, FrontInput::Roster { roster: roster(3, &[OTHER]) });
@@ -151,7 +151,7 @@
 #[test]
 fn what_is_given_back_unsent_loses_no_attempt() {
     let mut front = front(1);
-    let mut outputs = common::ask(&mut front, 5, true, "/t/f");
+    let mut outputs = common::send_request(&mut front, 5, true, "/t/f");
     for at in [50, 100, 150] {
         let (task, _) = forwarded(&outputs).expect("forwarded");
         tell(&mut front, OTHER, at, ForwardMessage::NotHome { task });
@@ -164,7 +164,7 @@
 #[test]
 fn what_was_turned_away_before_it_is_given_back_stays_counted() {
     let mut front = front(2);
-    let (task, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut home = home(OTHER, 2);
     let outputs = give(&mut home, 6, message);
     home.step(ms(10), true, HomeInput::Roster { roster: roster(3, &[THIRD]) });
@@ -175,10 +175,10 @@
 #[test]
 fn a_home_that_gives_it_back_keeps_what_it_used() {
     let mut front = front(2);
-    let (task, _) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let (task, _) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     tell(&mut front, OTHER, 10, ForwardMessage::Returned { task, attempts: 1 });
     let (task, _) = forwarded(&front.step(ms(50), true, FrontInput::Tick)).expect("one is left");
-    let outputs = tell(&mut front, OTHER, 60, ForwardMessage::AttemptAsk { task, attempts: 2 });
+    let outputs = tell(&mut front, OTHER, 60, ForwardMessage::AttemptRequest { task, attempts: 2 });
     assert_eq!(granted(&outputs), Some(1), "one was used at the home before");
     let outputs = tell(&mut front, OTHER, 70, ForwardMessage::Returned { task, attempts: 1 });
     let told = reply(&outputs).expect("told at once");
@@ -189,7 +189,7 @@
 #[test]
 fn a_request_that_may_have_run_is_not_called_not_run_by_the_last_instance() {
     let mut front = front(2);
-    let (task, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut home = home(OTHER, 2);
     let outputs = give(&mut home, 6, message);
     fails(&mut home, 20, &outputs, garbled());
@@ -207,7 +207,7 @@
 #[test]
 fn a_home_that_leaves_answers_a_failed_attempt_at_once() {
     let mut front = front(2);
-    let (_, message) = forwarded(&common::ask(&mut front, 5, true, "/t/f")).expect("forwarded");
+    let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut home = home(OTHER, 2);
     let outputs = give(&mut home, 6, message);
     home.step(ms(10), true, HomeInput::Roster { roster: roster(3, &[THIRD]) });
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -4,7 +4,7 @@
 use leases::Roster;
 use std::rc::Rc;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{ForwardMessage, HomeTable, ItemLine, LeaseMessage, RequestHead, SlotLine, StoredTask};
+use wire::{ConfigurationItem, ForwardMessage, InstanceSlots, LeaseMessage, OwnershipTable, RequestHead, StoredTask};
 
 pub const FUNCTION: &str = "t/f";
 
@@ -48,30 +48,32 @@
 }
 
 pub fn granted(outputs: &[HomeOutput]) -> HomeInput {
-    let ask = outputs.iter().find_map(|output| match output {
-        HomeOutput::Propose { ask, .. } => Some(*ask),
+    let request_id = outputs.iter().find_map(|output| match output {
+        HomeOutput::Propose { request_id, .. } => Some(*request_id),
         _ => None,
     });
-    let receipt = wire::Receipt::Stored { state: wire::ClaimState::Granted, answer: Vec::new().into() };
+    let receipt = wire::CommandReply::Stored { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&receipt).into();
-    HomeInput::Ledger { message: LeaseMessage::ProposalAck { ask: ask.expect("asked to store"), state: 1, body } }
+    HomeInput::Ledger {
+        message: LeaseMessage::ProposalAck { request_id: request_id.expect("asked to store"), state: 1, body },
+    }
 }
 
 /// A table with one instance that is ready.
-pub fn table(roster_number: u64) -> HomeTable {
-    let slots = vec![SlotLine { instance: "i1".into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 }].into();
-    HomeTable { function: FUNCTION.into(), roster: roster_number, slots, ..HomeTable::default() }
+pub fn table(roster_number: u64) -> OwnershipTable {
+    let slots = vec![InstanceSlots { instance: "i1".into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 }].into();
+    OwnershipTable { function: FUNCTION.into(), roster: roster_number, slots, ..OwnershipTable::default() }
 }
 
 pub fn handed() -> HomeInput {
     given(table(1))
 }
 
-pub fn given(table: HomeTable) -> HomeInput {
+pub fn given(table: OwnershipTable) -> HomeInput {
     HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table } }
 }
 
-pub fn told(outputs: &[HomeOutput]) -> Option<HomeTable> {
+pub fn told(outputs: &[HomeOutput]) -> Option<OwnershipTable> {
     outputs.iter().find_map(|output| match output {
         HomeOutput::Forward { message: ForwardMessage::Table { table }, .. } => Some(table.clone()),
         _ => None,
@@ -84,29 +86,29 @@
 
 pub fn read(home: &mut Home, at: u64, numbers: &[u64]) -> Vec<HomeOutput> {
     let mut outputs = home.step(ms(at), true, HomeInput::Tick);
-    let ask = asked(&outputs).expect("reads the store");
-    outputs.extend(home.step(ms(at + 1), true, listed(ask, numbers)));
+    let request_id = asked(&outputs).expect("reads the store");
+    outputs.extend(home.step(ms(at + 1), true, listed(request_id, numbers)));
     outputs
 }
 
 /// The number under which a home reads the store.
 pub fn asked(outputs: &[HomeOutput]) -> Option<u64> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Read { ask, .. } => Some(*ask),
+        HomeOutput::Read { request_id, .. } => Some(*request_id),
         _ => None,
     })
 }
 
 /// The store's answer: these are pending.
-pub fn listed(ask: u64, numbers: &[u64]) -> HomeInput {
+pub fn listed(request_id: u64, numbers: &[u64]) -> HomeInput {
     let kept = StoredTask { binding: FUNCTION.into(), head: head().into(), body: Vec::new().into() };
-    let item = |number: &u64| ItemLine {
+    let item = |number: &u64| ConfigurationItem {
         key: format!("p/{FUNCTION}/{}", stored(*number)).as_str().into(),
         value: wire::to_bytes(&kept).into(),
         gone: 0,
     };
-    let items: Vec<ItemLine> = numbers.iter().map(item).collect();
-    HomeInput::Ledger { message: LeaseMessage::ReadReply { ask, state: 1, items: items.into() } }
+    let items: Vec<ConfigurationItem> = numbers.iter().map(item).collect();
+    HomeInput::Ledger { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
 }
 
 pub fn stored(number: u64) -> String {
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -48,11 +48,11 @@
     front
 }
 
-pub fn ask(front: &mut Front, at: u64, may_serve: bool, path: &str) -> Vec<FrontOutput> {
+pub fn send_request(front: &mut Front, at: u64, may_serve: bool, path: &str) -> Vec<FrontOutput> {
     let head = RequestHead { method: "POST".into(), target: path.into(), headers: Vec::new().into() };
     let (host, path) = (String::new(), path.to_owned());
     let call = Call { host, path, deadline: None, head, body: b"x".to_vec(), key: None, respond_async: false };
-    front.step(ms(at), may_serve, FrontInput::Task { ask: at, call })
+    front.step(ms(at), may_serve, FrontInput::Task { request_id: at, call })
 }
 
 pub fn forward(outputs: &[FrontOutput]) -> (u64, ForwardMessage) {
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ME, OTHER, ask, forward, front, ms, reply, roster, routes};
+use common::{ME, OTHER, forward, front, ms, reply, roster, routes, send_request};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ForwardMessage, Outcome};
 
@@ -16,9 +16,9 @@
 
 #[test]
 fn an_answer_to_the_incarnation_before_finds_no_task() {
-    let (old, _) = forward(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
+    let (old, _) = forward(&send_request(&mut front(1, OTHER), 5, true, "/t/f"));
     let mut next = front(2, OTHER);
-    let (new, _) = forward(&ask(&mut next, 5, true, "/t/f"));
+    let (new, _) = forward(&send_request(&mut next, 5, true, "/t/f"));
     assert_ne!(old, new);
     assert!(next.step(ms(9), true, answer(old, Outcome::Answered, 200)).is_empty());
     assert_eq!(reply(&next.step(ms(9), true, answer(new, Outcome::Answered, 200))).map(|r| r.status), Some(200));
@@ -27,7 +27,7 @@
 #[test]
 fn a_task_whose_home_was_lost_is_never_called_not_run() {
     let mut front = front(1, OTHER);
-    ask(&mut front, 5, true, "/t/f");
+    send_request(&mut front, 5, true, "/t/f");
     front.step(ms(20), true, FrontInput::Link { id: OTHER, up: false });
     let again = front.step(ms(40), true, FrontInput::Link { id: OTHER, up: true });
     assert!(again.is_empty());
@@ -40,12 +40,12 @@
 #[test]
 fn without_a_proof_tasks_wait_and_are_given_up_with_a_time_to_come_back() {
     let mut front = front(1, OTHER);
-    assert!(ask(&mut front, 0, false, "/t/f").is_empty());
+    assert!(send_request(&mut front, 0, false, "/t/f").is_empty());
     assert!(front.step(ms(3000), false, FrontInput::Tick).is_empty());
     let told = front.step(ms(3900), false, FrontInput::Tick);
     let reply = reply(&told).expect("given up before the deadline");
     assert_eq!((reply.outcome, reply.status, reply.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
-    assert_eq!(reply_status(&ask(&mut front, 4000, true, "/nowhere")), 404);
+    assert_eq!(reply_status(&send_request(&mut front, 4000, true, "/nowhere")), 404);
 }
 
 fn reply_status(outputs: &[FrontOutput]) -> u16 {
@@ -57,7 +57,7 @@
     let mut home = Home::new(OTHER, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
-    let (_, message) = forward(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
+    let (_, message) = forward(&send_request(&mut front(1, OTHER), 5, true, "/t/f"));
     home.step(ms(6), true, HomeInput::Forward { from: ME, message: message.clone() });
     home.step(ms(7), true, HomeInput::Forward { from: ME, message: message.clone() });
     assert_eq!(home.depths().0, 1);
@@ -88,7 +88,7 @@
     for at in (0..9000u64).step_by(10) {
         let mut inputs = vec![HomeInput::Tick];
         if at > 2000 && at % 20 == 0 {
-            let (_, message) = forward(&ask(&mut front, at, true, "/t/f"));
+            let (_, message) = forward(&send_request(&mut front, at, true, "/t/f"));
             inputs.push(HomeInput::Forward { from: ME, message });
         }
         let report = |report| HomeInput::Platform { report, listed_at: ms(at) };
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -9,8 +9,8 @@
 use wire::{ForwardMessage, PlanMessage, RequestHead};
 
 /// A plan made before the crowd: one instance at every step.
-fn one(ask: u64) -> PlanMessage {
-    PlanMessage::Receipt { ask, fence: 1, state: 1, step_ms: 1000, desired: vec![1; 4].into() }
+fn one(request_id: u64) -> PlanMessage {
+    PlanMessage::Reply { request_id, fence: 1, state: 1, step_ms: 1000, desired: vec![1; 4].into() }
 }
 
 /// Lets `rate` tasks a second come for so long, each answered 100 ms after it was sent.
@@ -41,8 +41,8 @@
         for output in std::mem::take(&mut home.others) {
             match output {
                 HomeOutput::Dispatch(order) => open.push((order.number, at + 100)),
-                HomeOutput::PlanAsk { message: PlanMessage::Ask { ask, .. } } => {
-                    home.feed(HomeInput::Plan { message: one(ask) })
+                HomeOutput::PlanAsk { message: PlanMessage::Request { request_id, .. } } => {
+                    home.feed(HomeInput::Plan { message: one(request_id) })
                 }
                 _ => {}
             }
--- a/crates/traffic/tests/owner_liveness.rs
+++ b/crates/traffic/tests/owner_liveness.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ME, OTHER, ask, forward, front, ms, roster, routes};
+use common::{ME, OTHER, forward, front, ms, roster, routes, send_request};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::ForwardMessage;
 
@@ -52,7 +52,7 @@
         ))
         .is_empty()
     );
-    let (_, message) = forward(&ask(&mut front(1, OTHER), 5, true, "/t/f"));
+    let (_, message) = forward(&send_request(&mut front(1, OTHER), 5, true, "/t/f"));
     home.step(ms(220), true, HomeInput::Forward { from: 4, message });
     assert_eq!(heartbeats_to(&home.step(ms(400), true, HomeInput::Tick)), [4]);
     assert!(heartbeats_to(&home.step(ms(600), false, HomeInput::Tick)).is_empty(), "without a proof");
@@ -64,8 +64,8 @@
 #[test]
 fn a_first_task_waits_for_the_link_and_goes_as_soon_as_it_is_up() {
     let mut front = unlinked();
-    assert_eq!(watches(&ask(&mut front, 5, true, "/t/f")), 1);
-    assert_eq!(watches(&ask(&mut front, 6, true, "/t/f")), 0, "asked just now");
+    assert_eq!(watches(&send_request(&mut front, 5, true, "/t/f")), 1);
+    assert_eq!(watches(&send_request(&mut front, 6, true, "/t/f")), 0, "asked just now");
     let forwarded = front.step(ms(9), true, FrontInput::Link { id: OTHER, up: true });
     assert_eq!(forwarded.len(), 2);
     assert!(
@@ -76,11 +76,11 @@
 #[test]
 fn a_home_is_good_until_it_was_silent_after_a_carry() {
     let mut front = front(1, OTHER);
-    forward(&ask(&mut front, 60_000, true, "/t/f"));
-    forward(&ask(&mut front, 60_300, true, "/t/f"));
-    assert_eq!(watches(&ask(&mut front, 60_400, true, "/t/f")), 1);
+    forward(&send_request(&mut front, 60_000, true, "/t/f"));
+    forward(&send_request(&mut front, 60_300, true, "/t/f"));
+    assert_eq!(watches(&send_request(&mut front, 60_400, true, "/t/f")), 1);
     for at in [62_000, 65_000] {
-        let outputs = ask(&mut front, at, true, "/t/f");
+        let outputs = send_request(&mut front, at, true, "/t/f");
         assert!(
             outputs
                 .iter()
@@ -89,7 +89,7 @@
         );
     }
     front.step(ms(65_100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
-    forward(&ask(&mut front, 65_200, true, "/t/f"));
+    forward(&send_request(&mut front, 65_200, true, "/t/f"));
     front.step(ms(65_300), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
-    forward(&ask(&mut front, 80_000, true, "/t/f"));
+    forward(&send_request(&mut front, 80_000, true, "/t/f"));
 }
--- a/crates/traffic/tests/recent_homes.rs
+++ b/crates/traffic/tests/recent_homes.rs
@@ -6,7 +6,7 @@
 use common::{ms, roster};
 use std::time::Duration;
 use traffic::{Budget, EarlierHomes, HomeInput, RosterHistory};
-use wire::{ForwardMessage, HomeTable, SlotLine};
+use wire::{ForwardMessage, InstanceSlots, OwnershipTable};
 
 const SLACK: usize = 60;
 const BEFORE_ALL: u64 = 90;
@@ -14,14 +14,14 @@
 
 /// A copy made before anything was spent, with room for a whole backlog.
 fn empty_copy(roster_number: u64) -> ForwardMessage {
-    let slot = |n: u32| SlotLine {
+    let slot = |n: u32| InstanceSlots {
         instance: format!("i{n}").as_str().into(),
         address: format!("127.0.0.1:{n}").as_str().into(),
         ready: 1,
         busy: 0,
     };
-    let slots: Vec<SlotLine> = (0..20).map(slot).collect();
-    ForwardMessage::Table { table: HomeTable { kept: 1, slots: slots.into(), ..table(roster_number) } }
+    let slots: Vec<InstanceSlots> = (0..20).map(slot).collect();
+    ForwardMessage::Table { table: OwnershipTable { kept: 1, slots: slots.into(), ..table(roster_number) } }
 }
 
 /// Each is home for a second, sends all that it may of a backlog in doubt, and is killed.
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -9,7 +9,7 @@
 use common::{ME, OTHER, ms, roster};
 use std::collections::BTreeSet;
 use traffic::{DispatchOutcome, Home, HomeInput, HomeOutput};
-use wire::{ForwardMessage, HomeTable};
+use wire::{ForwardMessage, OwnershipTable};
 
 const BACKLOG: [u64; 6] = [1, 2, 3, 4, 5, 6];
 
@@ -17,7 +17,7 @@
     numbers.iter().map(|number| stored(*number)).collect()
 }
 
-fn begun(table: &HomeTable) -> BTreeSet<String> {
+fn begun(table: &OwnershipTable) -> BTreeSet<String> {
     table.begun.iter().map(|id| id.as_str().to_owned()).collect()
 }
 
@@ -63,7 +63,7 @@
 fn what_the_home_before_told_and_is_not_read_yet_is_told_on() {
     let mut home = home();
     let begun_before = BACKLOG.iter().map(|number| stored(*number).as_str().into()).collect::<Vec<_>>();
-    home.step(ms(1), true, given(HomeTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
+    home.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
     let outputs = home.step(ms(10), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
     let handed = told(&outputs).expect("hands over");
     assert_eq!((handed.begun_whole, begun(&handed)), (1, ids(&BACKLOG)));
@@ -74,7 +74,7 @@
 fn what_the_store_no_longer_lists_is_told_no_longer() {
     let mut home = home();
     let begun_before = vec![stored(1).as_str().into(), stored(2).as_str().into()];
-    home.step(ms(1), true, given(HomeTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
+    home.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
     read(&mut home, 20, &[1]);
     let outputs = home.step(ms(100), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
     assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1]));
@@ -101,7 +101,7 @@
 fn a_kept_copy_that_is_handed_back_does_not_tell_all_that_was_sent() {
     let mut keeper = home();
     keeper.step(ms(0), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
-    keeper.step(ms(10), true, given(HomeTable { kept: 1, begun_whole: 1, ..table(2) }));
+    keeper.step(ms(10), true, given(OwnershipTable { kept: 1, begun_whole: 1, ..table(2) }));
     let mut again = (*roster(3, &[OTHER])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
@@ -118,11 +118,11 @@
 #[test]
 fn a_listing_from_before_another_was_home_is_not_taken() {
     let mut home = after_a_crash(ME);
-    let ask = asked(&home.step(ms(20), true, HomeInput::Tick)).expect("reads the store");
+    let request_id = asked(&home.step(ms(20), true, HomeInput::Tick)).expect("reads the store");
     home.step(ms(100), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
     home.step(ms(200), true, HomeInput::Roster { roster: roster(3, &[ME]) });
     home.step(ms(201), true, given(table(3)));
-    home.step(ms(202), true, listed(ask, &[]));
+    home.step(ms(202), true, listed(request_id, &[]));
     read(&mut home, 220, &[9]);
     assert_eq!(retries(&mut home), Some(1), "the home between may have sent it");
 }
@@ -133,7 +133,7 @@
     let mut home = after_a_crash(ME);
     read(&mut home, 20, &[1]);
     let begun_later = vec![stored(1).as_str().into(), stored(2).as_str().into()];
-    home.step(ms(100), true, given(HomeTable { begun: begun_later.into(), begun_whole: 1, ..table(1) }));
+    home.step(ms(100), true, given(OwnershipTable { begun: begun_later.into(), begun_whole: 1, ..table(1) }));
     let outputs = home.step(ms(200), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
     assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1, 2]));
 }
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use test_case::test_case;
 use traffic::{DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{ForwardMessage, HomeTable, Outcome, RequestHead, SlotLine};
+use wire::{ForwardMessage, InstanceSlots, Outcome, OwnershipTable, RequestHead};
 
 fn single(attempts: u32) -> Rc<RouteTable> {
     let binding = format!(
@@ -24,9 +24,9 @@
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[ME, OTHER]) });
     home.step(ms(0), true, HomeInput::Roster { roster: roster(2, &[ME]) });
     let slot =
-        |id: &str| SlotLine { instance: id.into(), address: format!("127.0.0.1:{id}").into(), ready: 1, busy: 0 };
+        |id: &str| InstanceSlots { instance: id.into(), address: format!("127.0.0.1:{id}").into(), ready: 1, busy: 0 };
     let slots = vec![slot("1"), slot("2")].into();
-    let table = HomeTable { function: "t/f".into(), roster: 2, slots, ..HomeTable::default() };
+    let table = OwnershipTable { function: "t/f".into(), roster: 2, slots, ..OwnershipTable::default() };
     home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table } });
     let head = RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() };
     let message = ForwardMessage::ForwardUncounted {
@@ -126,7 +126,7 @@
 #[test_case(FrontInput::Roster { roster: roster(2, &[3]) }; "declared lost")]
 fn a_home_that_is_lost_may_have_run_it(lost: FrontInput) {
     let mut front = front();
-    let (task, _) = forward(&common::ask(&mut front, 5, true, "/t/f"));
+    let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
     let outputs = front.step(ms(20), true, lost);
     assert_eq!(reply(&outputs).map(|reply| (reply.outcome, reply.status)), Some((Some(Outcome::Unknown), 504)));
     let late = ForwardMessage::NotHome { task };
@@ -136,7 +136,7 @@
 #[test]
 fn what_its_home_gives_back_is_carried_on() {
     let mut front = front();
-    let (task, _) = forward(&common::ask(&mut front, 5, true, "/t/f"));
+    let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
     front.step(ms(20), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::NotHome { task } });
     let outputs = front.step(ms(60), true, FrontInput::Tick);
     assert!(matches!(outputs[..], [FrontOutput::Forward { .. }]), "{outputs:?}");
@@ -145,7 +145,7 @@
 #[test]
 fn without_a_proof_a_task_with_an_aim_is_refused_while_it_is_worth_much() {
     let mut front = front();
-    assert!(common::ask(&mut front, 0, false, "/t/f").is_empty());
+    assert!(common::send_request(&mut front, 0, false, "/t/f").is_empty());
     assert!(front.step(ms(100), false, FrontInput::Tick).is_empty());
     let outputs = front.step(ms(130), false, FrontInput::Tick);
     let told = reply(&outputs).expect("within a third of its aim");
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -2,17 +2,17 @@
 
 mod common;
 
-use common::{ME, OTHER, ask, forward, front, ms, reply, roster, routes};
+use common::{ME, OTHER, forward, front, ms, reply, roster, routes, send_request};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
-use wire::{ForwardMessage, HomeTable, Outcome, RequestHead, SlotLine};
+use wire::{ForwardMessage, InstanceSlots, Outcome, OwnershipTable, RequestHead};
 
 const FUNCTION: &str = "t/f";
 
 fn table(roster: u64, kept: u8, instance: &str) -> ForwardMessage {
-    let slot = SlotLine { instance: instance.into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 };
+    let slot = InstanceSlots { instance: instance.into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 };
     let slots = vec![slot].into();
     ForwardMessage::Table {
-        table: HomeTable { function: FUNCTION.into(), roster, kept, slots, ..HomeTable::default() },
+        table: OwnershipTable { function: FUNCTION.into(), roster, kept, slots, ..OwnershipTable::default() },
     }
 }
 
@@ -103,8 +103,8 @@
 fn a_silent_home_is_carried_nothing_and_its_tasks_are_never_in_doubt() {
     let mut front = front(1, OTHER);
     front.step(ms(100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
-    forward(&ask(&mut front, 200, true, "/t/f"));
-    assert!(only_asks_to_beat(&ask(&mut front, 600, true, "/t/f"), OTHER), "no beat for half a second");
+    forward(&send_request(&mut front, 200, true, "/t/f"));
+    assert!(only_asks_to_beat(&send_request(&mut front, 600, true, "/t/f"), OTHER), "no beat for half a second");
     let moved = front.step(ms(2000), true, FrontInput::Roster { roster: roster(2, &[3]) });
     assert!(only_asks_to_beat(&moved, 3), "the next home is not linked yet");
     let told = front.step(ms(4600), true, FrontInput::Tick);
@@ -129,13 +129,13 @@
     home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[ME]) });
     home.step(ms(0), true, HomeInput::Core { near: true });
     let outputs = home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: task(7) });
-    let ask = outputs.iter().find_map(|output| match output {
-        HomeOutput::Propose { ask, .. } => Some(*ask),
+    let request_id = outputs.iter().find_map(|output| match output {
+        HomeOutput::Propose { request_id, .. } => Some(*request_id),
         _ => None,
     });
-    let granted = wire::Receipt::Claim { state: wire::ClaimState::Granted, answer: Vec::new().into() };
+    let granted = wire::CommandReply::Claim { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&granted).into();
-    let message = wire::LeaseMessage::ProposalAck { ask: ask.expect("a claim"), state: 1, body };
+    let message = wire::LeaseMessage::ProposalAck { request_id: request_id.expect("a claim"), state: 1, body };
     home.step(ms(2), true, HomeInput::Ledger { message });
     home.step(ms(3), false, HomeInput::Lapsed);
     let outputs = home.step(ms(4), true, HomeInput::Forward { from: OTHER, message: table(1, 0, "i1") });
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -22,7 +22,7 @@
     #[deku(id = "1")]
     Chain(ChainMessage),
     #[deku(id = "2")]
-    Hold(LeaseMessage),
+    Lease(LeaseMessage),
     #[deku(id = "3")]
     Forward(ForwardMessage),
     #[deku(id = "4")]
@@ -111,7 +111,7 @@
     use super::*;
 
     fn frame() -> Frame {
-        let message = Message::Chain(ChainMessage::Heartbeat { view: 3, round: 9, unwell: 0 });
+        let message = Message::Chain(ChainMessage::Heartbeat { view: 3, round: 9, unhealthy: 0 });
         Frame { format: FORMAT, cluster: "posta".into(), sender: 7, incarnation: 2, message }
     }
 
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct SlotLine {
+pub struct InstanceSlots {
     pub instance: Text,
     pub address: Text,
     pub ready: u8,
@@ -37,7 +37,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct HeaderLine {
+pub struct HeaderField {
     pub name: Text,
     pub value: Blob,
 }
@@ -46,12 +46,12 @@
 pub struct RequestHead {
     pub method: Text,
     pub target: Text,
-    pub headers: List<HeaderLine>,
+    pub headers: List<HeaderField>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct AnswerHead {
-    pub headers: List<HeaderLine>,
+    pub headers: List<HeaderField>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
@@ -73,11 +73,11 @@
 /// be home next (`kept`). `begun` names stored tasks that were sent at least once and are not done;
 /// without `begun_whole` there were more.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct HomeTable {
+pub struct OwnershipTable {
     pub function: Text,
     pub roster: u64,
     pub kept: u8,
-    pub slots: List<SlotLine>,
+    pub slots: List<InstanceSlots>,
     pub requests: u32,
     pub seconds: u32,
     pub turned: u32,
@@ -87,7 +87,7 @@
 
 /// An instance as the provider lists it.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct StockLine {
+pub struct InstanceRecord {
     pub id: Text,
     pub function: Text,
     pub address: Text,
@@ -113,7 +113,7 @@
     pub number: u64,
     pub since: u64,
     pub age_ms: u32,
-    pub instances: List<StockLine>,
+    pub instances: List<InstanceRecord>,
     pub gone: List<Text>,
     pub workers_read: u8,
     pub workers_age_ms: u32,
@@ -163,13 +163,13 @@
     #[deku(id = "3")]
     NotHome { task: u64 },
     #[deku(id = "4")]
-    Handover { function: Text, roster: u64, slots: List<SlotLine>, requests: u32, seconds: u32 },
+    Handover { function: Text, roster: u64, slots: List<InstanceSlots>, requests: u32, seconds: u32 },
     #[deku(id = "5")]
-    GiveWay { function: Text, memory_mb: u32 },
+    Preempt { function: Text, memory_mb: u32 },
     #[deku(id = "6")]
     Heartbeat,
     #[deku(id = "7")]
-    Table { table: HomeTable },
+    Table { table: OwnershipTable },
     /// `AnswerInSeconds` with the time to come back in milliseconds.
     #[deku(id = "8")]
     Answer { task: u64, outcome: Outcome, status: u16, again_ms: u32, head: Blob, body: Blob },
@@ -180,13 +180,13 @@
     Inventory { inventory: InventoryChange },
     /// Asks for the inventory whole.
     #[deku(id = "11")]
-    InventoryAsk,
+    InventoryRequest,
     /// `ForwardUncounted` with the attempts that the front grants.
     #[deku(id = "12")]
     Forward { request: Box<ForwardRequest> },
     /// A home asks a front for so many attempts in all at what was forwarded under this number.
     #[deku(id = "13")]
-    AttemptAsk { task: u64, attempts: u32 },
+    AttemptRequest { task: u64, attempts: u32 },
     /// The attempts granted in all at what was forwarded under this number, whether or not more were asked for.
     #[deku(id = "14")]
     AttemptGrant { task: u64, attempts: u32 },
@@ -204,7 +204,7 @@
                 | ForwardMessage::AnswerInSeconds { .. }
                 | ForwardMessage::NotHome { .. }
                 | ForwardMessage::Returned { .. }
-                | ForwardMessage::AttemptAsk { .. }
+                | ForwardMessage::AttemptRequest { .. }
                 | ForwardMessage::Heartbeat
         )
     }
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -6,18 +6,18 @@
 use deku::prelude::*;
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct ItemLine {
+pub struct ConfigurationItem {
     pub key: Text,
     pub gone: u8,
     pub value: Blob,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct StepLine {
+pub struct ConfigurationEpoch {
     pub number: u64,
     pub revision: u64,
     pub quorum: List<NodeId>,
-    pub items: List<ItemLine>,
+    pub items: List<ConfigurationItem>,
 }
 
 /// How long ago a router can last have asked for a proof that it was granted.
@@ -34,13 +34,13 @@
     #[deku(id = "1")]
     Join { address: Text, zone: Text, ops: Text },
     #[deku(id = "2")]
-    Renew { ask: u64, staged: u64, active: u64, roster: u64 },
+    Renew { request_id: u64, staged: u64, active: u64, roster: u64 },
     #[deku(id = "3")]
-    Proof { ask: u64, active: u64, latest: u64, member: u8 },
+    Proof { request_id: u64, active: u64, latest: u64, member: u8 },
     #[deku(id = "4")]
-    NotTail { tail: NodeId, view: u64, seats: List<Text> },
+    NotTail { tail: NodeId, view: u64, addresses: List<Text> },
     #[deku(id = "5")]
-    Stage { step: StepLine },
+    Stage { step: ConfigurationEpoch },
     #[deku(id = "6")]
     Staged { number: u64 },
     #[deku(id = "7")]
@@ -48,45 +48,52 @@
     #[deku(id = "8")]
     Roster { number: u64, body: Blob },
     #[deku(id = "9")]
-    FetchAll { ask: u64, from: Text },
+    ConfigurationRequest { request_id: u64, from: Text },
     #[deku(id = "10")]
-    Piece { ask: u64, step: u64, revision: u64, quorum: List<NodeId>, items: List<ItemLine>, next: Text },
+    ConfigurationPage {
+        request_id: u64,
+        step: u64,
+        revision: u64,
+        quorum: List<NodeId>,
+        items: List<ConfigurationItem>,
+        next: Text,
+    },
     #[deku(id = "11")]
-    Propose { ask: u64, body: Blob },
+    Propose { request_id: u64, body: Blob },
     #[deku(id = "12")]
-    ProposalAck { ask: u64, state: u8, body: Blob },
+    ProposalAck { request_id: u64, state: u8, body: Blob },
     #[deku(id = "13")]
-    Read { ask: u64, prefix: Text, from: Text },
+    Read { request_id: u64, prefix: Text, from: Text },
     #[deku(id = "14")]
-    ReadReply { ask: u64, state: u8, items: List<ItemLine> },
+    ReadReply { request_id: u64, state: u8, items: List<ConfigurationItem> },
     #[deku(id = "15")]
     Leave { successor: NodeId },
     #[deku(id = "16")]
-    PeerAsk { ask: u64, active: u64 },
+    PeerRequest { request_id: u64, active: u64 },
     #[deku(id = "17")]
-    PeerReply { ask: u64, active: u64, latest: u64 },
+    PeerReply { request_id: u64, active: u64, latest: u64 },
     #[deku(id = "18")]
-    Seats { seats: List<Text> },
+    RegistryAddresses { addresses: List<Text> },
     #[deku(id = "19")]
     Leaving,
     /// A part of a packed step; of the whole active configuration as one step where `whole` is not 0.
     #[deku(id = "20")]
-    Part { ask: u64, whole: u8, number: u64, size: u32, packed: u32, offset: u32, bytes: Blob },
+    Part { request_id: u64, whole: u8, number: u64, size: u32, packed: u32, offset: u32, bytes: Blob },
     /// Asks for the part at an offset; number 0 for whichever step is active.
     #[deku(id = "21")]
-    PartAsk { ask: u64, whole: u8, number: u64, offset: u32 },
+    PartRequest { request_id: u64, whole: u8, number: u64, offset: u32 },
     /// Asks a peer to ask a majority of the quorum of the active step.
     #[deku(id = "23")]
-    PeerCollect { ask: u64, active: u64 },
+    MajorityRequest { request_id: u64, active: u64 },
     /// A majority of that step's quorum held nothing newer, asked after the ask.
     #[deku(id = "24")]
-    PeerMajority { ask: u64, active: u64 },
+    MajorityReply { request_id: u64, active: u64 },
     /// What differs in the roster from the one under an earlier number, packed; from none where it is 0.
     #[deku(id = "22")]
     RosterChange { since: u64, number: u64, size: u32, body: Blob },
     /// `Join` with the hashing of homes that is known and what the machine can carry.
     #[deku(id = "30")]
-    Enrol { address: Text, zone: Text, ops: Text, hashing: u8, capacity: Capacity },
+    JoinWithCapacity { address: Text, zone: Text, ops: Text, hashing: u8, capacity: Capacity },
     /// From the tail of one view to the tail of the next, on adopting it: whose proofs may still hold, and how
     /// long ago tails before both can last have granted one.
     #[deku(id = "31")]
@@ -96,7 +103,7 @@
 impl LeaseMessage {
     /// Said among routers, not by a registry.
     pub fn is_from_peer(&self) -> bool {
-        use LeaseMessage::{PeerAsk, PeerCollect, PeerMajority, PeerReply};
-        matches!(self, PeerAsk { .. } | PeerReply { .. } | PeerCollect { .. } | PeerMajority { .. })
+        use LeaseMessage::{MajorityReply, MajorityRequest, PeerReply, PeerRequest};
+        matches!(self, PeerRequest { .. } | PeerReply { .. } | MajorityRequest { .. } | MajorityReply { .. })
     }
 }
--- a/crates/wire/src/ledger.rs
+++ b/crates/wire/src/ledger.rs
@@ -1,6 +1,6 @@
 //! The entries of the chain and the receipts its tail gives for them, as deku records.
 
-use crate::{Blob, ItemLine, List, NodeId, Text};
+use crate::{Blob, ConfigurationItem, List, NodeId, Text};
 use deku::prelude::*;
 
 /// What a machine can carry: its part of a core in thousandths, and its link.
@@ -20,7 +20,7 @@
 #[deku(id_type = "u8")]
 pub enum Command {
     #[deku(id = "1")]
-    Change { op: Text, base: u64, any: u8, whole: u8, scope: Text, items: List<ItemLine> },
+    Change { op: Text, base: u64, any: u8, whole: u8, scope: Text, items: List<ConfigurationItem> },
     #[deku(id = "2")]
     Quorum { after: u64, members: List<NodeId> },
     #[deku(id = "3")]
@@ -32,11 +32,11 @@
     #[deku(id = "6")]
     Leaving { id: NodeId, incarnation: u64 },
     #[deku(id = "7")]
-    Claim { scope: Text, digest: Blob, member: NodeId, incarnation: u64, ask: u64 },
+    Claim { scope: Text, digest: Blob, member: NodeId, incarnation: u64, request_id: u64 },
     #[deku(id = "8")]
-    Settle { scope: Text, member: NodeId, incarnation: u64, ask: u64, answer: Blob },
+    Settle { scope: Text, member: NodeId, incarnation: u64, request_id: u64, answer: Blob },
     #[deku(id = "9")]
-    Release { scope: Text, member: NodeId, incarnation: u64, ask: u64 },
+    Release { scope: Text, member: NodeId, incarnation: u64, request_id: u64 },
     #[deku(id = "10")]
     Store { id: Text, function: Text, digest: Blob, task: Blob },
     #[deku(id = "11")]
@@ -45,15 +45,23 @@
     Tick { number: u64 },
     /// A change with the revision it declares, or 0 for the next; only a taken one is remembered.
     #[deku(id = "13")]
-    Declare { op: Text, base: u64, any: u8, whole: u8, revision: u64, scope: Text, items: List<ItemLine> },
+    Declare { op: Text, base: u64, any: u8, whole: u8, revision: u64, scope: Text, items: List<ConfigurationItem> },
     /// `Join` with the hashing of homes that is known and what the machine can carry.
     #[deku(id = "14")]
-    Enrol { id: NodeId, incarnation: u64, address: Text, zone: Text, ops: Text, hashing: u8, capacity: Capacity },
+    JoinWithCapacity {
+        id: NodeId,
+        incarnation: u64,
+        address: Text,
+        zone: Text,
+        ops: Text,
+        hashing: u8,
+        capacity: Capacity,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
-pub enum Receipt {
+pub enum CommandReply {
     #[deku(id = "1")]
     Changed { step: u64, revision: u64 },
     #[deku(id = "2")]
@@ -88,7 +96,7 @@
     pub digest: Blob,
     pub member: NodeId,
     pub incarnation: u64,
-    pub ask: u64,
+    pub request_id: u64,
     pub due: u64,
     pub settled: u8,
     pub answer: Blob,
@@ -104,5 +112,5 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct OpRecord {
-    pub receipt: Receipt,
+    pub reply: CommandReply,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -12,19 +12,19 @@
 mod plan;
 mod spoken;
 
-pub use chain::{ChainMessage, EntryLine, OpNo, PairLine, Seat, View};
+pub use chain::{ChainMessage, KeyValue, LogEntry, NodeAddress, ProposalId, View};
 pub use codec::{
     ATTEMPTS, CAPACITY, FORMAT, Frame, FrameError, LIMIT, Message, OLDEST, decode, encode, read_frame, write_frame,
 };
 pub use forward::{
-    AnswerHead, ForwardMessage, ForwardRequest, HeaderLine, HomeTable, InventoryChange, Outcome, RequestHead, SlotLine,
-    StockLine, StoredAnswer, StoredTask, WorkerRecord,
+    AnswerHead, ForwardMessage, ForwardRequest, HeaderField, InstanceRecord, InstanceSlots, InventoryChange, Outcome,
+    OwnershipTable, RequestHead, StoredAnswer, StoredTask, WorkerRecord,
 };
-pub use lease::{ItemLine, LeaseMessage, ProofAge, StepLine};
-pub use ledger::{Capacity, ClaimRecord, ClaimState, Command, DeferredRecord, OpRecord, Receipt};
+pub use lease::{ConfigurationEpoch, ConfigurationItem, LeaseMessage, ProofAge};
+pub use ledger::{Capacity, ClaimRecord, ClaimState, Command, CommandReply, DeferredRecord, OpRecord};
 pub use packed::{Packed, pack, unpack};
 pub use parts::{Blob, List, Text, from_bytes, to_bytes};
-pub use plan::{MeasureLine, PlanMessage, SampleLine, TunedLine};
+pub use plan::{DemandSample, Measurement, PlanMessage, TunedParameters};
 pub use spoken::spoken;
 
 pub type NodeId = u64;
--- a/crates/wire/src/plan.rs
+++ b/crates/wire/src/plan.rs
@@ -5,7 +5,7 @@
 use deku::prelude::*;
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct SampleLine {
+pub struct DemandSample {
     pub function: Text,
     pub rate_milli: u64,
     pub response_micro: u64,
@@ -15,7 +15,7 @@
 
 /// What a home saw of a function beside its sample: boots, refusals, turn-aways, usage.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct MeasureLine {
+pub struct Measurement {
     pub function: Text,
     pub boot_micro: u64,
     pub boots: u32,
@@ -27,7 +27,7 @@
 
 /// The part of a weight sheet that is tuned, as it is in force, and why.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct TunedLine {
+pub struct TunedParameters {
     pub function: Text,
     pub startup_delay_steps: u32,
     pub usage_micro: u64,
@@ -39,14 +39,14 @@
 #[deku(id_type = "u8")]
 pub enum PlanMessage {
     #[deku(id = "1")]
-    Samples { lines: List<SampleLine> },
+    Samples { lines: List<DemandSample> },
     #[deku(id = "2")]
-    Ask { ask: u64, function: Text, current: u32, held: u32, waiting: u32 },
+    Request { request_id: u64, function: Text, current: u32, held: u32, waiting: u32 },
     #[deku(id = "3")]
-    Receipt { ask: u64, fence: u64, state: u8, step_ms: u32, desired: List<u32> },
+    Reply { request_id: u64, fence: u64, state: u8, step_ms: u32, desired: List<u32> },
     #[deku(id = "4")]
-    Measures { lines: List<MeasureLine> },
+    Measures { lines: List<Measurement> },
     /// All that is tuned at present, fenced like a plan.
     #[deku(id = "5")]
-    Tuned { fence: u64, lines: List<TunedLine> },
+    Tuned { fence: u64, lines: List<TunedParameters> },
 }
