--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -18,29 +18,31 @@
         message if format >= ATTEMPTS => return Some(message),
         Message::Forward(ForwardMessage::Forward { request }) => Message::Forward(uncounted(*request)),
         Message::Forward(ForwardMessage::Returned { task, .. }) => Message::Forward(ForwardMessage::NotHome { task }),
-        Message::Forward(ForwardMessage::AttemptAsk { .. } | ForwardMessage::AttemptGrant { .. }) => return None,
-        Message::Chain(ChainMessage::LastAnswered { .. }) | Message::Hold(LeaseMessage::Proofs { .. }) => return None,
+        Message::Forward(ForwardMessage::AttemptRequest { .. } | ForwardMessage::AttemptGrant { .. }) => return None,
+        Message::Chain(ChainMessage::TailLastAnswered { .. }) | Message::Lease(LeaseMessage::Proofs { .. }) => {
+            return None;
+        }
         message => message,
     };
     let message = match message {
         message if format >= 4 => return Some(message),
-        Message::Hold(LeaseMessage::Enrol { address, zone, ops, .. }) => {
-            Message::Hold(LeaseMessage::Join { address, zone, ops })
+        Message::Lease(LeaseMessage::JoinWithCapacity { address, zone, ops, .. }) => {
+            Message::Lease(LeaseMessage::Join { address, zone, ops })
         }
         Message::Forward(
-            ForwardMessage::HeartbeatRequest | ForwardMessage::Inventory { .. } | ForwardMessage::InventoryAsk,
+            ForwardMessage::HeartbeatRequest | ForwardMessage::Inventory { .. } | ForwardMessage::InventoryRequest,
         ) => {
             return None;
         }
-        Message::Hold(LeaseMessage::PartAsk { ask, whole, offset: 0, .. }) if whole != 0 => {
-            Message::Hold(LeaseMessage::FetchAll { ask, from: Text::default() })
+        Message::Lease(LeaseMessage::PartRequest { request_id, whole, offset: 0, .. }) if whole != 0 => {
+            Message::Lease(LeaseMessage::ConfigurationRequest { request_id, from: Text::default() })
         }
-        Message::Hold(
-            LeaseMessage::PartAsk { .. }
+        Message::Lease(
+            LeaseMessage::PartRequest { .. }
             | LeaseMessage::Part { .. }
             | LeaseMessage::RosterChange { .. }
-            | LeaseMessage::PeerCollect { .. }
-            | LeaseMessage::PeerMajority { .. },
+            | LeaseMessage::MajorityRequest { .. }
+            | LeaseMessage::MajorityReply { .. },
         ) => return None,
         message => message,
     };
@@ -54,12 +56,12 @@
     };
     match message {
         message if format >= 2 => Some(message),
-        Message::Hold(LeaseMessage::Seats { seats }) => {
-            Some(Message::Hold(LeaseMessage::NotTail { tail: 0, view: 0, seats }))
+        Message::Lease(LeaseMessage::RegistryAddresses { addresses }) => {
+            Some(Message::Lease(LeaseMessage::NotTail { tail: 0, view: 0, addresses }))
         }
-        Message::Hold(LeaseMessage::Leaving) => Some(Message::Hold(LeaseMessage::Leave { successor: 0 })),
-        Message::Chain(ChainMessage::SuffixAsk { .. }) => {
-            Some(Message::Chain(ChainMessage::CopyAsk { copy: 0, piece: 0 }))
+        Message::Lease(LeaseMessage::Leaving) => Some(Message::Lease(LeaseMessage::Leave { successor: 0 })),
+        Message::Chain(ChainMessage::MissedEntriesRequest { .. }) => {
+            Some(Message::Chain(ChainMessage::SnapshotRequest { copy: 0, piece: 0 }))
         }
         Message::Plan(PlanMessage::Measures { .. } | PlanMessage::Tuned { .. }) => None,
         Message::Forward(ForwardMessage::Heartbeat) => None,
@@ -84,24 +86,25 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{Blob, HomeTable, Outcome};
+    use crate::{Blob, Outcome, OwnershipTable};
 
     #[test]
     fn format_one_hears_only_its_own_words() {
         let old = |message| spoken(message, 1);
         assert_eq!(old(Message::Forward(ForwardMessage::Heartbeat)), None);
-        let table = HomeTable { function: "t/f".into(), roster: 4, requests: 9, turned: 3, ..HomeTable::default() };
-        let kept = HomeTable { kept: 1, ..table.clone() };
+        let table =
+            OwnershipTable { function: "t/f".into(), roster: 4, requests: 9, turned: 3, ..OwnershipTable::default() };
+        let kept = OwnershipTable { kept: 1, ..table.clone() };
         assert_eq!(old(Message::Forward(ForwardMessage::Table { table: kept })), None);
         let handed = old(Message::Forward(ForwardMessage::Table { table: table.clone() }));
         assert!(
             matches!(handed, Some(Message::Forward(ForwardMessage::Handover { roster: 4, requests: 9, .. }))),
             "{handed:?}"
         );
-        let seats = Message::Hold(LeaseMessage::Seats { seats: vec!["a:1".into()].into() });
-        assert!(matches!(old(seats.clone()), Some(Message::Hold(LeaseMessage::NotTail { .. }))));
-        assert!(matches!(old(Message::Hold(LeaseMessage::Leaving)), Some(Message::Hold(LeaseMessage::Leave { .. }))));
-        assert_eq!(spoken(seats.clone(), 2), Some(seats));
+        let addresses = Message::Lease(LeaseMessage::RegistryAddresses { addresses: vec!["a:1".into()].into() });
+        assert!(matches!(old(addresses.clone()), Some(Message::Lease(LeaseMessage::NotTail { .. }))));
+        assert!(matches!(old(Message::Lease(LeaseMessage::Leaving)), Some(Message::Lease(LeaseMessage::Leave { .. }))));
+        assert_eq!(spoken(addresses.clone(), 2), Some(addresses));
     }
 
     #[test]
@@ -125,15 +128,19 @@
         assert_eq!(heard(counted.clone(), 5), Some(Message::Forward(counted)));
         let not_home = Some(Message::Forward(ForwardMessage::NotHome { task: 9 }));
         assert_eq!(heard(ForwardMessage::Returned { task: 9, attempts: 1 }, 4), not_home);
-        assert_eq!(heard(ForwardMessage::AttemptAsk { task: 9, attempts: 2 }, 4), None);
+        assert_eq!(heard(ForwardMessage::AttemptRequest { task: 9, attempts: 2 }, 4), None);
         assert_eq!(heard(ForwardMessage::AttemptGrant { task: 9, attempts: 2 }, 4), None);
     }
 
     #[test]
     fn formats_before_four_fetch_the_configuration_unpacked() {
-        let ask = |offset| Message::Hold(LeaseMessage::PartAsk { ask: 7, whole: 1, number: 0, offset });
-        let fetch = Message::Hold(LeaseMessage::FetchAll { ask: 7, from: Text::default() });
-        assert_eq!([spoken(ask(0), 3), spoken(ask(9), 3), spoken(ask(9), 4)], [Some(fetch), None, Some(ask(9))]);
+        let part_request =
+            |offset| Message::Lease(LeaseMessage::PartRequest { request_id: 7, whole: 1, number: 0, offset });
+        let fetch = Message::Lease(LeaseMessage::ConfigurationRequest { request_id: 7, from: Text::default() });
+        assert_eq!(
+            [spoken(part_request(0), 3), spoken(part_request(9), 3), spoken(part_request(9), 4)],
+            [Some(fetch), None, Some(part_request(9))]
+        );
     }
 
     #[test]
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -3,8 +3,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wire::{
-    ChainMessage, EntryLine, FORMAT, ForwardMessage, ForwardRequest, Frame, ItemLine, LeaseMessage, Message, OpNo,
-    PlanMessage, Seat, StepLine, View, decode, encode, from_bytes, to_bytes,
+    ChainMessage, ConfigurationEpoch, ConfigurationItem, FORMAT, ForwardMessage, ForwardRequest, Frame, LeaseMessage,
+    LogEntry, Message, NodeAddress, PlanMessage, ProposalId, View, decode, encode, from_bytes, to_bytes,
 };
 
 fn forward() -> ForwardRequest {
@@ -26,23 +26,24 @@
     let view = View {
         number: 3,
         chain: vec![1, 2].into(),
-        voters: vec![Seat { id: 1, address: "127.0.0.1:1".into() }].into(),
-        fresh: 0,
+        voters: vec![NodeAddress { id: 1, address: "127.0.0.1:1".into() }].into(),
+        learner: 0,
         optimizer: 2,
     };
-    let entry = EntryLine { seq: 9, op: OpNo { origin: 1, number: 2 }, body: vec![7; 40].into() };
-    let item = ItemLine { key: "function-bindings/a/b".into(), gone: 0, value: b"{}".to_vec().into() };
-    let step = StepLine { number: 4, revision: 2, quorum: vec![1, 2, 3].into(), items: vec![item.clone()].into() };
+    let entry = LogEntry { seq: 9, op: ProposalId { origin: 1, number: 2 }, body: vec![7; 40].into() };
+    let item = ConfigurationItem { key: "function-bindings/a/b".into(), gone: 0, value: b"{}".to_vec().into() };
+    let step =
+        ConfigurationEpoch { number: 4, revision: 2, quorum: vec![1, 2, 3].into(), items: vec![item.clone()].into() };
     vec![
         Message::Chain(ChainMessage::Decided { view }),
         Message::Chain(ChainMessage::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
-        Message::Hold(LeaseMessage::Stage { step }),
-        Message::Hold(LeaseMessage::ReadReply { ask: 1, state: 1, items: vec![item].into() }),
+        Message::Lease(LeaseMessage::Stage { step }),
+        Message::Lease(LeaseMessage::ReadReply { request_id: 1, state: 1, items: vec![item].into() }),
         Message::Forward(ForwardMessage::NotHome { task: 5 }),
         Message::Forward(ForwardMessage::Forward { request: Box::new(forward()) }),
         Message::Forward(ForwardMessage::AttemptGrant { task: 5, attempts: 2 }),
-        Message::Plan(PlanMessage::Receipt {
-            ask: 1,
+        Message::Plan(PlanMessage::Reply {
+            request_id: 1,
             fence: 2,
             state: 1,
             step_ms: 15_000,
--- a/crates/wire/tests/samples/forward.rs
+++ b/crates/wire/tests/samples/forward.rs
@@ -2,16 +2,16 @@
 
 use super::frame;
 use wire::{
-    ForwardMessage, ForwardRequest, HomeTable, InventoryChange, MeasureLine, Message, Outcome, PlanMessage, SampleLine,
-    SlotLine, StockLine, TunedLine, WorkerRecord,
+    DemandSample, ForwardMessage, ForwardRequest, InstanceRecord, InstanceSlots, InventoryChange, Measurement, Message,
+    Outcome, OwnershipTable, PlanMessage, TunedParameters, WorkerRecord,
 };
 
-fn slot() -> SlotLine {
-    SlotLine { instance: "i".into(), address: "a:1".into(), ready: 1, busy: 201 }
+fn slot() -> InstanceSlots {
+    InstanceSlots { instance: "i".into(), address: "a:1".into(), ready: 1, busy: 201 }
 }
 
-fn table() -> HomeTable {
-    HomeTable {
+fn table() -> OwnershipTable {
+    OwnershipTable {
         function: "t/f".into(),
         roster: 202,
         kept: 1,
@@ -25,7 +25,7 @@
 }
 
 fn inventory() -> InventoryChange {
-    let instance = StockLine {
+    let instance = InstanceRecord {
         id: "i".into(),
         function: "t/f".into(),
         address: "a:1".into(),
@@ -88,15 +88,15 @@
         in_seconds,
         NotHome { task: 231 },
         Handover { function: "t/f".into(), roster: 232, slots: vec![slot()].into(), requests: 233, seconds: 234 },
-        GiveWay { function: "t/f".into(), memory_mb: 235 },
+        Preempt { function: "t/f".into(), memory_mb: 235 },
         Heartbeat,
         Table { table: table() },
         answer,
         HeartbeatRequest,
         Inventory { inventory: inventory() },
-        InventoryAsk,
+        InventoryRequest,
         Forward { request: Box::new(request()) },
-        AttemptAsk { task: 236, attempts: 237 },
+        AttemptRequest { task: 236, attempts: 237 },
         AttemptGrant { task: 238, attempts: 239 },
         Returned { task: 240, attempts: 241 },
     ]
@@ -106,14 +106,14 @@
 }
 
 pub fn plan_messages() -> Vec<Vec<u8>> {
-    let sample = SampleLine {
+    let sample = DemandSample {
         function: "t/f".into(),
         rate_milli: 251,
         response_micro: 252,
         waiting_milli: 253,
         held_milli: 254,
     };
-    let measure = MeasureLine {
+    let measure = Measurement {
         function: "t/f".into(),
         boot_micro: 255,
         boots: 256,
@@ -122,7 +122,7 @@
         waiting_milli: 259,
         usage_milli: 260,
     };
-    let tuned = TunedLine {
+    let tuned = TunedParameters {
         function: "t/f".into(),
         startup_delay_steps: 261,
         usage_micro: 262,
@@ -131,8 +131,8 @@
     };
     [
         PlanMessage::Samples { lines: vec![sample].into() },
-        PlanMessage::Ask { ask: 264, function: "t/f".into(), current: 265, held: 266, waiting: 267 },
-        PlanMessage::Receipt { ask: 268, fence: 269, state: 1, step_ms: 270, desired: vec![271].into() },
+        PlanMessage::Request { request_id: 264, function: "t/f".into(), current: 265, held: 266, waiting: 267 },
+        PlanMessage::Reply { request_id: 268, fence: 269, state: 1, step_ms: 270, desired: vec![271].into() },
         PlanMessage::Measures { lines: vec![measure].into() },
         PlanMessage::Tuned { fence: 272, lines: vec![tuned].into() },
     ]
--- a/crates/wire/tests/samples/lease.rs
+++ b/crates/wire/tests/samples/lease.rs
@@ -1,14 +1,14 @@
 //! Samples of what registries and routers say to each other.
 
 use super::frame;
-use wire::{Capacity, ItemLine, LeaseMessage, Message, ProofAge, StepLine};
+use wire::{Capacity, ConfigurationEpoch, ConfigurationItem, LeaseMessage, Message, ProofAge};
 
-fn item() -> ItemLine {
-    ItemLine { key: "functions/a/f".into(), gone: 1, value: b"{}".to_vec().into() }
+fn item() -> ConfigurationItem {
+    ConfigurationItem { key: "functions/a/f".into(), gone: 1, value: b"{}".to_vec().into() }
 }
 
-fn step() -> StepLine {
-    StepLine { number: 101, revision: 102, quorum: vec![103, 104].into(), items: vec![item()].into() }
+fn step() -> ConfigurationEpoch {
+    ConfigurationEpoch { number: 101, revision: 102, quorum: vec![103, 104].into(), items: vec![item()].into() }
 }
 
 pub fn capacity() -> Capacity {
@@ -19,48 +19,54 @@
     use LeaseMessage::*;
     let mut samples: Vec<Vec<u8>> = [
         Join { address: "a:1".into(), zone: "z".into(), ops: "o:2".into() },
-        Renew { ask: 111, staged: 112, active: 113, roster: 114 },
-        Proof { ask: 115, active: 116, latest: 117, member: 1 },
-        NotTail { tail: 118, view: 119, seats: vec!["s:3".into()].into() },
+        Renew { request_id: 111, staged: 112, active: 113, roster: 114 },
+        Proof { request_id: 115, active: 116, latest: 117, member: 1 },
+        NotTail { tail: 118, view: 119, addresses: vec!["s:3".into()].into() },
         Stage { step: step() },
         Staged { number: 120 },
         Activate { number: 121 },
         Roster { number: 122, body: vec![123].into() },
-        FetchAll { ask: 124, from: "f".into() },
-        Piece {
-            ask: 125,
+        ConfigurationRequest { request_id: 124, from: "f".into() },
+        ConfigurationPage {
+            request_id: 125,
             step: 126,
             revision: 127,
             quorum: vec![128].into(),
             items: vec![item()].into(),
             next: "n".into(),
         },
-        Propose { ask: 129, body: vec![130].into() },
-        ProposalAck { ask: 131, state: 2, body: vec![132].into() },
-        Read { ask: 133, prefix: "p".into(), from: "q".into() },
-        ReadReply { ask: 134, state: 3, items: vec![item()].into() },
+        Propose { request_id: 129, body: vec![130].into() },
+        ProposalAck { request_id: 131, state: 2, body: vec![132].into() },
+        Read { request_id: 133, prefix: "p".into(), from: "q".into() },
+        ReadReply { request_id: 134, state: 3, items: vec![item()].into() },
         Leave { successor: 135 },
-        PeerAsk { ask: 136, active: 137 },
-        PeerReply { ask: 138, active: 139, latest: 140 },
-        Seats { seats: vec!["t:4".into()].into() },
+        PeerRequest { request_id: 136, active: 137 },
+        PeerReply { request_id: 138, active: 139, latest: 140 },
+        RegistryAddresses { addresses: vec!["t:4".into()].into() },
         Leaving,
     ]
     .into_iter()
-    .map(|message| frame(Message::Hold(message)))
+    .map(|message| frame(Message::Lease(message)))
     .collect();
-    samples.extend(later_messages().into_iter().map(|message| frame(Message::Hold(message))));
+    samples.extend(later_messages().into_iter().map(|message| frame(Message::Lease(message))));
     samples
 }
 
 fn later_messages() -> Vec<LeaseMessage> {
     use LeaseMessage::*;
     vec![
-        Part { ask: 141, whole: 1, number: 142, size: 143, packed: 144, offset: 145, bytes: vec![146].into() },
-        PartAsk { ask: 147, whole: 1, number: 148, offset: 149 },
-        PeerCollect { ask: 150, active: 151 },
-        PeerMajority { ask: 152, active: 153 },
+        Part { request_id: 141, whole: 1, number: 142, size: 143, packed: 144, offset: 145, bytes: vec![146].into() },
+        PartRequest { request_id: 147, whole: 1, number: 148, offset: 149 },
+        MajorityRequest { request_id: 150, active: 151 },
+        MajorityReply { request_id: 152, active: 153 },
         RosterChange { since: 154, number: 155, size: 156, body: vec![157].into() },
-        Enrol { address: "b:5".into(), zone: "y".into(), ops: "p:6".into(), hashing: 158, capacity: capacity() },
+        JoinWithCapacity {
+            address: "b:5".into(),
+            zone: "y".into(),
+            ops: "p:6".into(),
+            hashing: 158,
+            capacity: capacity(),
+        },
         Proofs {
             view: 159,
             earlier_millis: 160,
--- a/crates/wire/tests/samples/record.rs
+++ b/crates/wire/tests/samples/record.rs
@@ -3,12 +3,12 @@
 use super::frame;
 use super::lease::capacity;
 use wire::{
-    AnswerHead, ClaimRecord, ClaimState, Command, DeferredRecord, HeaderLine, ItemLine, Message, OpRecord, Outcome,
-    Receipt, RequestHead, StoredAnswer, StoredTask, to_bytes,
+    AnswerHead, ClaimRecord, ClaimState, Command, CommandReply, ConfigurationItem, DeferredRecord, HeaderField,
+    Message, OpRecord, Outcome, RequestHead, StoredAnswer, StoredTask, to_bytes,
 };
 
-fn item() -> ItemLine {
-    ItemLine { key: "services/a/s".into(), gone: 1, value: vec![1].into() }
+fn item() -> ConfigurationItem {
+    ConfigurationItem { key: "services/a/s".into(), gone: 1, value: vec![1].into() }
 }
 
 fn commands() -> Vec<Command> {
@@ -20,9 +20,9 @@
         Join { id: 305, incarnation: 306, address: "a:1".into(), zone: "z".into(), ops: "o:2".into() },
         Lapse { id: 307, incarnation: 308 },
         Leaving { id: 309, incarnation: 310 },
-        Claim { scope: "c".into(), digest: vec![2].into(), member: 311, incarnation: 312, ask: 313 },
-        Settle { scope: "c".into(), member: 314, incarnation: 315, ask: 316, answer: vec![3].into() },
-        Release { scope: "c".into(), member: 317, incarnation: 318, ask: 319 },
+        Claim { scope: "c".into(), digest: vec![2].into(), member: 311, incarnation: 312, request_id: 313 },
+        Settle { scope: "c".into(), member: 314, incarnation: 315, request_id: 316, answer: vec![3].into() },
+        Release { scope: "c".into(), member: 317, incarnation: 318, request_id: 319 },
         Store { id: "i".into(), function: "t/f".into(), digest: vec![4].into(), task: vec![5].into() },
         Finish { id: "i".into(), function: "t/f".into(), answer: vec![6].into() },
         Tick { number: 320 },
@@ -35,7 +35,7 @@
             scope: "s".into(),
             items: vec![item()].into(),
         },
-        Enrol {
+        JoinWithCapacity {
             id: 323,
             incarnation: 324,
             address: "a:1".into(),
@@ -47,40 +47,40 @@
     ]
 }
 
-fn receipts() -> Vec<Receipt> {
-    let mut receipts = vec![
-        Receipt::Changed { step: 331, revision: 332 },
-        Receipt::Refused { status: 333, body: vec![7].into() },
-        Receipt::Stored { state: ClaimState::Full, answer: vec![8].into() },
-        Receipt::Plain,
+fn replies() -> Vec<CommandReply> {
+    let mut replies = vec![
+        CommandReply::Changed { step: 331, revision: 332 },
+        CommandReply::Refused { status: 333, body: vec![7].into() },
+        CommandReply::Stored { state: ClaimState::Full, answer: vec![8].into() },
+        CommandReply::Plain,
     ];
     use ClaimState::*;
     for state in [Granted, Running, Settled, Unknown, OtherBody] {
-        receipts.push(Receipt::Claim { state, answer: vec![9].into() });
+        replies.push(CommandReply::Claim { state, answer: vec![9].into() });
     }
-    receipts
+    replies
 }
 
 pub fn records() -> Vec<Vec<u8>> {
     let mut samples: Vec<Vec<u8>> = commands().iter().map(to_bytes).collect();
-    samples.extend(receipts().iter().map(to_bytes));
+    samples.extend(replies().iter().map(to_bytes));
     let digest = || vec![10].into();
     let claim = ClaimRecord {
         digest: digest(),
         member: 341,
         incarnation: 342,
-        ask: 343,
+        request_id: 343,
         due: 344,
         settled: 1,
         answer: vec![11].into(),
     };
     let deferred = DeferredRecord { function: "t/f".into(), digest: digest(), done: 1, answer: vec![12].into() };
-    let header = HeaderLine { name: "n".into(), value: vec![13].into() };
+    let header = HeaderField { name: "n".into(), value: vec![13].into() };
     let head = RequestHead { method: "GET".into(), target: "/t".into(), headers: vec![header.clone()].into() };
     let task = StoredTask { binding: "t/b".into(), head: to_bytes(&head).into(), body: vec![14].into() };
     samples.push(to_bytes(&claim));
     samples.push(to_bytes(&deferred));
-    samples.push(to_bytes(&OpRecord { receipt: Receipt::Plain }));
+    samples.push(to_bytes(&OpRecord { reply: CommandReply::Plain }));
     samples.push(to_bytes(&head));
     samples.push(to_bytes(&AnswerHead { headers: vec![header].into() }));
     samples.push(to_bytes(&task));
