--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -1,26 +1,32 @@
-//! The registries' shared state: a chain entered at the head and answered from the tail, mended
-//! by a small view that a majority of voters agrees on. `Member` is a state machine; `Disk` keeps
-//! what it writes in redb. Nothing here reads a clock or a socket.
+//! The registries' shared state, by chain replication: entries are appended at the head, synced at each replica
+//! on their way, and acknowledged by the tail. Which replicas are in the chain is agreed by a majority of voters,
+//! view by view.
+//!
+//! [`ChainReplica`] is a state machine; it reads no clock and no socket, and the control plane drives it. It
+//! coordinates parts that own their state and do not know it: the log, the write queue, the failure detector, the
+//! view agreement, replication progress, confirmation rounds, catch-up, and what decides who may join. [`Disk`]
+//! keeps what it writes in a redb file.
 
-mod copy;
-mod digest;
+#![warn(missing_docs)]
+
+mod bootstrap;
+mod confirmation;
 mod disk;
-mod found;
-mod leave;
-mod line;
-mod member;
-mod register;
-mod returns;
-mod seats;
+mod failure_detector;
+mod join_requests;
+mod log;
+mod readmission;
+mod replica;
+mod replication_progress;
+mod snapshot;
 mod store;
-mod suffix;
-mod tenure;
+mod tail_history;
 mod types;
-mod view;
-mod writes;
+mod view_agreement;
+mod write_queue;
 
-pub use digest::{digest_batch, digest_entries, digest_meta, digest_state};
 pub use disk::{Disk, DiskReport};
-pub use member::Member;
+pub use log::Positions;
+pub use replica::{ChainReplica, digest_batch, digest_entries, digest_meta, digest_state};
 pub use store::{Store, StoreError};
-pub use types::{Apply, Batch, Effect, Input, Meta, Output, State, Stored, Timing, Value, apply_batch};
+pub use types::{Apply, Batch, Change, Effect, Input, Meta, Output, State, Stored, Timing, Value};
--- /dev/null
+++ b/crates/chain/src/replica/bootstrapping.rs
@@ -0,0 +1,70 @@
+//! Founding a cluster from empty disks. A machine that comes up empty beside a living cluster is told its view
+//! and asks to join; one that may not found asks for nothing else, unless it had bound itself before.
+
+use super::ChainReplica;
+use super::view_repair::optimizer_for;
+use crate::bootstrap::{Founder, MAX_FOUNDERS, REQUEST_INTERVAL};
+use crate::types::Output;
+use wire::{ChainMessage, NodeAddress, NodeId, View};
+
+impl ChainReplica {
+    /// With how many founders it may found a cluster, up to three, or 0 for not at all.
+    pub fn with_founders(mut self, founders: usize) -> Self {
+        self.bootstrap.founders_needed = founders.min(MAX_FOUNDERS);
+        self
+    }
+
+    pub(super) fn maybe_request_bootstrap(&mut self) {
+        let now = self.clock.now;
+        let is_empty = self.log.positions().last == 0;
+        if now < self.catch_up.requested_at + REQUEST_INTERVAL || !is_empty || !self.may_bootstrap() {
+            return;
+        }
+        let node = self.meta.node.clone();
+        let bound_to = self.meta.accepted.clone();
+        if self.bootstrap.founders_needed == 1 {
+            return self.handle_bootstrap_request(node, bound_to);
+        }
+        self.outputs.push(Output::SendSeeds { message: ChainMessage::BootstrapRequest { node, bound_to } });
+    }
+
+    /// Whether it may found a cluster, or has bound itself to founders before.
+    fn may_bootstrap(&self) -> bool {
+        self.bootstrap.founders_needed > 0 || self.is_bound()
+    }
+
+    /// Before the first view the acceptor's record holds the founders it is bound to.
+    fn is_bound(&self) -> bool {
+        self.meta.accepted_number > 0
+    }
+
+    pub(super) fn handle_bootstrap_request(&mut self, node: NodeAddress, bound_to: View) {
+        if self.meta.view.number > 0 {
+            let view = self.meta.view.clone();
+            return self.send(node.id, ChainMessage::Decided { view });
+        }
+        if !self.may_bootstrap() {
+            return;
+        }
+        let now = self.clock.now;
+        let own = Founder { node: self.meta.node.clone(), heard_at: now, bound_to: self.meta.accepted.clone() };
+        self.bootstrap.record(Founder { node, heard_at: now, bound_to }, own, now);
+        if !self.is_bound() {
+            return self.maybe_bind();
+        }
+        let first = self.meta.accepted.clone();
+        if self.bootstrap.all_bound_to(&first, self.me()) && self.writes.is_idle() {
+            self.adopt(first);
+        }
+    }
+
+    /// Binds itself to the founders, once they are all there.
+    fn maybe_bind(&mut self) {
+        let Some(voters) = self.bootstrap.complete() else { return };
+        let chain: Vec<NodeId> = voters.iter().map(|voter| voter.id).collect();
+        let optimizer = optimizer_for(&chain, 0);
+        self.meta.accepted = View { number: 1, chain: chain.into(), voters: voters.into(), learner: 0, optimizer };
+        self.meta.accepted_number = 1;
+        self.write_meta(Vec::new());
+    }
+}
--- /dev/null
+++ b/crates/chain/src/replica/disk_writes.rs
@@ -0,0 +1,46 @@
+//! Writes to the disk, and the replica's new start from the disk after a failure.
+
+use super::ChainReplica;
+use crate::types::Stored;
+
+impl ChainReplica {
+    pub(super) fn maybe_start_write(&mut self) {
+        let last = self.log.positions().last;
+        let known_committed = self.log.known_committed();
+        self.outputs.extend(self.writes.start_next(self.clock.now, last, self.log.state(), known_committed));
+    }
+
+    pub(super) fn handle_written(&mut self, ticket: u64) {
+        let Some(write) = self.writes.finish(ticket) else { return };
+        self.log.mark_synced(write.last, write.state);
+        self.outputs.extend(write.on_synced);
+        if write.completes_catch_up {
+            self.finish_catch_up();
+        }
+        self.after_progress();
+    }
+
+    /// Whether this replica's disk fails or stalls.
+    pub(super) fn is_unhealthy(&self) -> bool {
+        self.writes.has_failed() || self.writes.is_stalled(self.clock.now, self.timing.stall_after)
+    }
+
+    /// Starts again from what the disk holds, as a new process would: nothing that was not synced is left. Only
+    /// the numbers of rounds, proposals and writes go on, since answers to earlier ones may still come.
+    pub(super) fn restart_from(&mut self, stored: Stored) {
+        if !self.writes.has_failed() || stored.meta.node.id != self.me() {
+            return;
+        }
+        let node = self.meta.node.clone();
+        let mut replica = ChainReplica::new(node, stored, self.timing.clone(), self.apply, self.clock.now);
+        replica.agreement.continue_numbers(&self.agreement);
+        replica.confirmation.number = self.confirmation.number;
+        replica.writes.continue_tickets(&self.writes);
+        replica.bootstrap = std::mem::take(&mut self.bootstrap);
+        replica.rules.leaving_since = self.rules.leaving_since;
+        replica.rules.tolerated_losses = self.rules.tolerated_losses;
+        replica.rules.joins_deferred = self.rules.joins_deferred;
+        replica.rules.readmissions = std::mem::take(&mut self.rules.readmissions);
+        *self = replica;
+    }
+}
--- /dev/null
+++ b/crates/chain/src/replica/views.rs
@@ -0,0 +1,51 @@
+//! Adopting a view that was decided.
+
+use super::ChainReplica;
+use crate::types::Output;
+use std::time::Duration;
+use wire::{ChainMessage, View};
+
+impl ChainReplica {
+    pub(super) fn handle_decided(&mut self, view: View) {
+        // A view with this replica in it was decided after it had said that it holds a snapshot.
+        let has_joined = view.is_in_chain(self.me());
+        if self.meta.view.number == 0 && self.meta.accepted_number == 0 && !has_joined {
+            return self.outputs.push(Output::ViewLearned { view });
+        }
+        self.adopt(view);
+    }
+
+    /// Adopts a view that is newer than the present one. An empty replica adopts only views that it votes in.
+    pub(super) fn adopt(&mut self, view: View) {
+        let is_older = view.number <= self.meta.view.number;
+        if is_older || (self.meta.view.number == 0 && !view.is_voter(self.me())) {
+            return;
+        }
+        let on_synced = self.record_view_change(&view);
+        self.meta.view = view.clone();
+        self.meta.promised = 0;
+        self.meta.accepted_number = 0;
+        self.meta.accepted = View::default();
+        self.agreement.reset();
+        self.detector.clear_suspicion();
+        self.assume_voters_alive();
+        self.write_meta(on_synced);
+        self.abandon_download_from_former_tail();
+        self.enter_chain();
+        self.outputs.push(Output::ViewAdopted { view });
+    }
+
+    fn record_view_change(&mut self, next: &View) -> Vec<Output> {
+        let (now, old) = (self.clock.now, &self.meta.view);
+        self.rules.readmissions.record_view_change(old.chain.as_slice(), next.chain.as_slice(), now);
+        let report = self.tail_history.record_view_change(old, next, self.meta.node.id, now);
+        let message_of =
+            |age: Duration| ChainMessage::TailLastAnswered { view: next.number, millis: age.as_millis() as u64 };
+        report.map(|report| Output::Send { to: report.to, message: message_of(report.age) }).into_iter().collect()
+    }
+
+    pub(super) fn assume_voters_alive(&mut self) {
+        let voters = self.meta.view.voters.iter().map(|voter| voter.id);
+        self.detector.assume_alive(voters, self.clock.now);
+    }
+}
--- a/crates/chain/src/store.rs
+++ b/crates/chain/src/store.rs
@@ -1,5 +1,5 @@
-//! The redb file: identity and view, the state as pairs, and the recent entries. A file that is
-//! damaged, of another format or of another cluster is a fault; it is never written over.
+//! The redb file: identity and view, the state as pairs, and the recent entries. A file that is damaged, of another
+//! format or of another cluster is an error; it is never written over.
 
 use crate::types::{Batch, Meta, Stored};
 use deku::prelude::*;
@@ -8,13 +8,18 @@
 use std::path::Path;
 use wire::{LogEntry, NodeAddress, Text, View};
 
+// Names of tables and keys are part of the record format.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+const META_KEY: &str = "meta";
+const LAST_KEY: &str = "last";
+const KNOWN_COMMITTED_KEY: &str = "settled";
 const RECORD_FORMAT: u16 = 1;
-/// Bytes of the file kept in memory; all that is read again is in the state.
-const CACHE: usize = 2 * 1024 * 1024;
+/// Bytes of the file cached in memory; all that is read again is in the state.
+const CACHE_BYTES: usize = 2 * 1024 * 1024;
 
+/// Identity, view and votes as they are stored.
 #[derive(DekuRead, DekuWrite)]
 struct MetaRecord {
     format: u16,
@@ -26,8 +31,31 @@
     accepted: View,
 }
 
+impl MetaRecord {
+    fn new(cluster: &str, meta: &Meta) -> Self {
+        MetaRecord {
+            format: RECORD_FORMAT,
+            cluster: cluster.into(),
+            node: meta.node.clone(),
+            view: meta.view.clone(),
+            promised: meta.promised,
+            accepted_number: meta.accepted_number,
+            accepted: meta.accepted.clone(),
+        }
+    }
+}
+
+impl From<MetaRecord> for Meta {
+    fn from(record: MetaRecord) -> Self {
+        let MetaRecord { node, view, promised, accepted_number, accepted, .. } = record;
+        Meta { node, view, promised, accepted_number, accepted }
+    }
+}
+
+/// Why a data file cannot be used.
 #[derive(Debug, Display, Error, From)]
 pub enum StoreError {
+    /// It cannot be opened, read or written.
     #[display("the data file cannot be used: {_0}")]
     #[from(
         redb::Error,
@@ -38,10 +66,13 @@
         redb::CommitError
     )]
     File(redb::Error),
+    /// It belongs to the cluster of this name.
     #[display("the data file belongs to cluster {_0}")]
     Foreign(#[error(not(source))] String),
+    /// It has this record format.
     #[display("the data file has record format {_0}, this program writes {RECORD_FORMAT}")]
     Format(#[error(not(source))] u16),
+    /// It holds a record that cannot be read, or one that must be there is missing.
     #[display("the data file holds a record that cannot be read")]
     Damaged,
 }
@@ -55,25 +86,27 @@
     }
 }
 
+/// An open data file of one registry.
 pub struct Store {
-    base: Database,
+    database: Database,
     cluster: String,
 }
 
 impl Store {
+    /// Opens a file, or creates one for this registry; its identity is the one on disk where there is one.
     pub fn open(path: &Path, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
         // One that was closed cleanly is looked at without a byte of it being written.
-        if let Some(base) = path.exists().then(|| ReadOnlyDatabase::open(path).ok()).flatten() {
-            stored_meta(&base, cluster)?;
+        if let Some(database) = path.exists().then(|| ReadOnlyDatabase::open(path).ok()).flatten() {
+            stored_meta(&database, cluster)?;
         }
-        Store::begin(Database::builder().set_cache_size(CACHE).create(path)?, cluster, node)
+        Store::start(Database::builder().set_cache_size(CACHE_BYTES).create(path)?, cluster, node)
     }
 
     /// Opens a file that is there already and is this member's own, and proves by a write that the disk takes
     /// one.
     pub fn reopen(path: &Path, cluster: &str, node: &NodeAddress) -> Result<(Store, Stored), StoreError> {
-        let base = Database::builder().set_cache_size(CACHE).open(path)?;
-        let mut store = Store { base, cluster: cluster.to_owned() };
+        let database = Database::builder().set_cache_size(CACHE_BYTES).open(path)?;
+        let mut store = Store { database, cluster: cluster.to_owned() };
         let stored = store.load()?.ok_or(StoreError::Damaged)?;
         if stored.meta.node.id != node.id {
             return Err(StoreError::Damaged);
@@ -84,11 +117,11 @@
 
     /// On a disk of another kind, such as one that loses its power.
     pub fn open_on(disk: impl StorageBackend, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
-        Store::begin(Database::builder().create_with_backend(disk)?, cluster, node)
+        Store::start(Database::builder().create_with_backend(disk)?, cluster, node)
     }
 
-    fn begin(base: Database, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
-        let mut store = Store { base, cluster: cluster.to_owned() };
+    fn start(database: Database, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
+        let mut store = Store { database, cluster: cluster.to_owned() };
         let stored = match store.load()? {
             Some(stored) => stored,
             None => {
@@ -101,23 +134,14 @@
     }
 
     fn load(&self) -> Result<Option<Stored>, StoreError> {
-        let Some(record) = stored_meta(&self.base, &self.cluster)? else { return Ok(None) };
-        let read = self.base.begin_read()?;
+        let Some(record) = stored_meta(&self.database, &self.cluster)? else { return Ok(None) };
+        let read = self.database.begin_read()?;
         let meta = read.open_table(META)?;
-        let mut stored = Stored {
-            meta: Meta {
-                node: record.node,
-                view: record.view,
-                promised: record.promised,
-                accepted_number: record.accepted_number,
-                accepted: record.accepted,
-            },
-            ..Stored::default()
-        };
-        let last = meta.get("last")?.ok_or(StoreError::Damaged)?;
+        let mut stored = Stored { meta: record.into(), ..Stored::default() };
+        let last = meta.get(LAST_KEY)?.ok_or(StoreError::Damaged)?;
         let number = |raw: &[u8]| raw.try_into().map(u64::from_le_bytes).map_err(|_| StoreError::Damaged);
         stored.last = number(last.value())?;
-        stored.known_committed = meta.get("settled")?.map_or(Ok(0), |raw| number(raw.value()))?;
+        stored.known_committed = meta.get(KNOWN_COMMITTED_KEY)?.map_or(Ok(0), |raw| number(raw.value()))?;
         for pair in read.open_table(STATE)?.iter()? {
             let (key, value) = pair?;
             stored.state.insert(key.value().to_owned(), value.value().into());
@@ -129,8 +153,9 @@
         Ok(Some(stored))
     }
 
+    /// Writes a batch in one transaction, which is synced when this returns.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
-        let write = self.base.begin_write()?;
+        let write = self.database.begin_write()?;
         {
             if batch.replace {
                 write.delete_table(STATE)?;
@@ -139,29 +164,21 @@
             let mut meta = write.open_table(META)?;
             let mut state = write.open_table(STATE)?;
             let mut log = write.open_table(LOG)?;
-            for (key, value) in &batch.pairs {
-                match value {
-                    Some(value) => state.insert(key.as_str(), &value[..])?,
-                    None => state.remove(key.as_str())?,
+            for change in &batch.changes {
+                match &change.value {
+                    Some(value) => state.insert(change.key.as_str(), &value[..])?,
+                    None => state.remove(change.key.as_str())?,
                 };
             }
             for entry in &batch.entries {
                 log.insert(entry.seq, wire::to_bytes(entry).as_slice())?;
             }
             log.retain_in(..batch.trim_below, |_, _| false)?;
-            meta.insert("last", batch.last.to_le_bytes().as_slice())?;
-            meta.insert("settled", batch.known_committed.to_le_bytes().as_slice())?;
-            if let Some(kept) = &batch.meta {
-                let record = MetaRecord {
-                    format: RECORD_FORMAT,
-                    cluster: self.cluster.as_str().into(),
-                    node: kept.node.clone(),
-                    view: kept.view.clone(),
-                    promised: kept.promised,
-                    accepted_number: kept.accepted_number,
-                    accepted: kept.accepted.clone(),
-                };
-                meta.insert("meta", wire::to_bytes(&record).as_slice())?;
+            meta.insert(LAST_KEY, batch.last.to_le_bytes().as_slice())?;
+            meta.insert(KNOWN_COMMITTED_KEY, batch.known_committed.to_le_bytes().as_slice())?;
+            if let Some(new_meta) = &batch.meta {
+                let record = MetaRecord::new(&self.cluster, new_meta);
+                meta.insert(META_KEY, wire::to_bytes(&record).as_slice())?;
             }
         }
         write.commit()?;
@@ -170,14 +187,14 @@
 }
 
 /// The record that says whose file this is, if anything was ever written to it.
-fn stored_meta(base: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
-    let read = base.begin_read()?;
+fn stored_meta(database: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
+    let read = database.begin_read()?;
     let meta = match read.open_table(META) {
         Ok(table) => table,
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
         Err(error) => return Err(error.into()),
     };
-    let raw = meta.get("meta")?.ok_or(StoreError::Damaged)?.value().to_vec();
+    let raw = meta.get(META_KEY)?.ok_or(StoreError::Damaged)?.value().to_vec();
     let format = raw.get(..2).map(|b| u16::from_le_bytes([b[0], b[1]])).ok_or(StoreError::Damaged)?;
     if format != RECORD_FORMAT {
         return Err(StoreError::Format(format));
--- a/crates/chain/tests/catch_up.rs
+++ b/crates/chain/tests/catch_up.rs
@@ -79,7 +79,7 @@
     net.pass(500);
     net.members.remove(&2);
     net.pass(3000);
-    [1, 3].iter().for_each(|id| net.members.get_mut(id).unwrap().let_joins_wait(true));
+    [1, 3].iter().for_each(|id| net.members.get_mut(id).unwrap().defer_joins(true));
     net.start(2);
     net.pass(2000);
     assert_eq!(net.chain(1), vec![1, 3], "while there are enough, joiners wait");
@@ -93,7 +93,7 @@
     let mut net = Net::founded();
     (0..5).for_each(|n| _ = net.propose_entry(1, &format!("before {n}")));
     net.pass(500);
-    net.members.get_mut(&3).unwrap().ask_confirm();
+    net.members.get_mut(&3).unwrap().request_confirmation();
     net.feed(3, chain::Input::Confirm);
     let held: Vec<_> = net.frames.drain(..).filter(|(from, ..)| *from == 3).collect();
     net.full = vec![3];
@@ -103,7 +103,7 @@
     net.pass(500);
     assert!(net.members[&3].is_current_tail(), "it is the tail again");
     net.confirmed.clear();
-    net.members.get_mut(&3).unwrap().ask_confirm();
+    net.members.get_mut(&3).unwrap().request_confirmation();
     net.feed(3, chain::Input::Confirm);
     net.frames.clear();
     held.into_iter().for_each(|frame| net.frames.push_back(frame));
@@ -128,7 +128,7 @@
             net.steps(40);
             turns += 1;
         }
-        assert!(!net.members[&4].is_chained(), "it is no member while it lacks something");
+        assert!(!net.members[&4].is_in_chain(), "it is no member while it lacks something");
         let kept = net.members.remove(&lost);
         net.pass(2000);
         net.start(comes);
@@ -162,7 +162,7 @@
         net.start(old);
         for _ in 0..60 {
             let op = net.propose_entry(old, "an order to one that knows nothing new");
-            net.members.get_mut(&old).unwrap().ask_confirm();
+            net.members.get_mut(&old).unwrap().request_confirmation();
             net.feed(old, chain::Input::Confirm);
             net.pass(100);
             assert!(!net.done.contains(&(old, op, true)), "member {old} acknowledged");
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -49,7 +49,7 @@
         let mut net = with_successor();
         net.feed(3, chain::Input::Leave);
         net.settle();
-        assert!(!net.members[&3].is_chained(), "it may end");
+        assert!(!net.members[&3].is_in_chain(), "it may end");
         for id in [3, lost] {
             net.members.remove(&id);
             net.disks.remove(&id);
@@ -82,7 +82,7 @@
         (1..=4).for_each(|id| net.feed(id, chain::Input::Tick));
         while net.members[&1].view().learner == 0 && !net.frames.is_empty() {
             let (from, to, message) = net.frames.pop_front().unwrap();
-            net.feed(to, chain::Input::Frame { from, message });
+            net.feed(to, chain::Input::Message { from, message });
             (1..=4).for_each(|id| net.land(id));
         }
     }
@@ -104,7 +104,7 @@
             let heartbeat = matches!(message, ChainMessage::Heartbeat { .. } | ChainMessage::HeartbeatAck { .. });
             match heartbeat {
                 true if from == 2 || to == 2 => {}
-                true => net.feed(to, chain::Input::Frame { from, message }),
+                true => net.feed(to, chain::Input::Message { from, message }),
                 false => late.push((from, to, message)),
             }
         }
@@ -146,9 +146,9 @@
         [1, 2].into_iter().for_each(|id| net.feed(id, chain::Input::Tick));
         while let Some((from, to, message)) = net.frames.pop_front() {
             if matches!(message, ChainMessage::Prepare { .. }) {
-                net.feed(to, chain::Input::Frame { from, message: message.clone() });
+                net.feed(to, chain::Input::Message { from, message: message.clone() });
             }
-            net.feed(to, chain::Input::Frame { from, message });
+            net.feed(to, chain::Input::Message { from, message });
         }
         net.settle();
     }
@@ -226,11 +226,11 @@
 #[test]
 fn a_confirmation_of_an_earlier_process_does_not_count_for_the_next() {
     let mut net = Net::founded();
-    let round = net.members.get_mut(&3).unwrap().ask_confirm();
+    let round = net.members.get_mut(&3).unwrap().request_confirmation();
     net.feed(3, chain::Input::Confirm);
     let (_, _, heartbeat) = net.frames.iter().find(|(_, to, _)| *to == 1).cloned().unwrap();
     net.frames.clear();
-    net.feed(1, chain::Input::Frame { from: 3, message: heartbeat });
+    net.feed(1, chain::Input::Message { from: 3, message: heartbeat });
     let (_, _, reply) = net.frames.pop_back().unwrap();
     net.restart_numbering_from(3, round + 1000);
     net.pass(500);
@@ -238,8 +238,8 @@
     net.cut = vec![3];
     net.pass(3000);
     assert_eq!((net.chain(1), net.chain(3)), (vec![1, 2], vec![1, 2, 3]));
-    net.members.get_mut(&3).unwrap().ask_confirm();
+    net.members.get_mut(&3).unwrap().request_confirmation();
     net.feed(3, chain::Input::Confirm);
-    net.feed(3, chain::Input::Frame { from: 1, message: reply });
+    net.feed(3, chain::Input::Message { from: 1, message: reply });
     assert!(net.confirmed.is_empty(), "it is not the tail any more, and does not know");
 }
--- a/crates/chain/tests/full.rs
+++ b/crates/chain/tests/full.rs
@@ -3,7 +3,7 @@
 
 mod platter;
 
-use chain::{Batch, Disk, DiskReport, Store};
+use chain::{Batch, Change, Disk, DiskReport, Store};
 use platter::Disk as Platter;
 use std::sync::mpsc;
 use wire::{LogEntry, NodeAddress, ProposalId};
@@ -14,8 +14,8 @@
 
 fn batch(seq: u64) -> Batch {
     let entry = LogEntry { seq, op: ProposalId { origin: 1, number: seq }, body: vec![seq as u8; 30_000].into() };
-    let pairs = vec![(format!("key {}", seq % 5), Some(vec![seq as u8; 50_000].into()))];
-    Batch { pairs, entries: vec![entry], trim_below: seq.saturating_sub(4), last: seq, ..Batch::default() }
+    let changes = vec![Change::put(format!("key {}", seq % 5), vec![seq as u8; 50_000])];
+    Batch { changes, entries: vec![entry], trim_below: seq.saturating_sub(4), last: seq, ..Batch::default() }
 }
 
 /// The disk's thread over a disk in memory, and what it reports.
@@ -46,9 +46,9 @@
             }
             platter.0.lock().unwrap().full = true;
             disk.write(acknowledged + 1, batch(acknowledged + 1));
-            assert!(matches!(reported.recv(), Ok(DiskReport::Fault(error)) if error.is_disk_full()), "round {round}");
+            assert!(matches!(reported.recv(), Ok(DiskReport::Failed(error)) if error.is_disk_full()), "round {round}");
             platter.0.lock().unwrap().full = false;
-            let Ok(DiskReport::Back { stored }) = reported.recv() else { panic!("it does not come back") };
+            let Ok(DiskReport::Recovered { stored }) = reported.recv() else { panic!("it does not come back") };
             assert!((acknowledged..=acknowledged + 1).contains(&stored.last), "{} of {acknowledged}", stored.last);
             let newest = stored.state.get(&format!("key {}", stored.last % 5)).map(|value| value[0]);
             assert_eq!(newest, Some(stored.last as u8), "what stands there is that of the last entry");
@@ -67,7 +67,7 @@
     let error = (1..50u64).find_map(|seq| {
         disk.write(seq, batch(seq));
         match reported.recv() {
-            Ok(DiskReport::Fault(error)) => Some(error),
+            Ok(DiskReport::Failed(error)) => Some(error),
             _ => None,
         }
     });
--- a/crates/chain/tests/members.rs
+++ b/crates/chain/tests/members.rs
@@ -70,15 +70,15 @@
     next.number += 1;
     next.chain = vec![1, 2].into();
     let accept = ChainMessage::Accept { slot: next.number, proposal_number: 1 << 8, view: next };
-    net.feed(2, Input::Frame { from: 1, message: accept.clone() });
-    net.feed(3, Input::Frame { from: 1, message: accept });
+    net.feed(2, Input::Message { from: 1, message: accept.clone() });
+    net.feed(3, Input::Message { from: 1, message: accept });
     net.frames.clear();
     net.settle();
     net.frames.clear();
     net.pass(6000);
     net.confirmed.clear();
     let tail = *net.chain(1).last().unwrap();
-    net.members.get_mut(&tail).unwrap().ask_confirm();
+    net.members.get_mut(&tail).unwrap().request_confirmation();
     net.feed(tail, Input::Confirm);
     net.settle();
     assert_eq!(net.confirmed, vec![tail], "confirmations are still refused");
@@ -91,7 +91,7 @@
     net.pass(3000);
     assert_eq!(net.chain(1), vec![1, 2]);
     assert_eq!(net.chain(3), vec![1, 2, 3], "it does not know yet");
-    net.members.get_mut(&3).unwrap().ask_confirm();
+    net.members.get_mut(&3).unwrap().request_confirmation();
     net.cut.clear();
     net.confirmed.clear();
     net.feed(3, Input::Confirm);
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -2,18 +2,18 @@
 
 #![allow(dead_code)]
 
-use chain::{Batch, Effect, Input, Member, Output, State, Stored, Timing, apply_batch};
+use chain::{Batch, ChainReplica, Change, Effect, Input, Output, State, Stored, Timing};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wire::{ChainMessage, NodeAddress, NodeId, ProposalId};
 
 pub fn apply(_: &State, seq: u64, body: &[u8]) -> Effect {
     let key = String::from_utf8_lossy(body).into_owned();
-    Effect { changes: vec![(key, Some(seq.to_le_bytes().to_vec().into()))], reply: body.to_vec() }
+    Effect { changes: vec![Change::put(key, seq.to_le_bytes().to_vec())], reply: body.to_vec() }
 }
 
 pub struct Net {
-    pub members: BTreeMap<NodeId, Member>,
+    pub members: BTreeMap<NodeId, ChainReplica>,
     pub disks: BTreeMap<NodeId, Stored>,
     pub frames: VecDeque<(NodeId, NodeId, ChainMessage)>,
     pub writes: Vec<(NodeId, u64, Batch)>,
@@ -81,8 +81,8 @@
     pub fn start_bearing(&mut self, id: NodeId, seats: usize, losses: usize) {
         let stored = self.disks.entry(id).or_default().clone();
         let address = self.addresses.get(&id).cloned().unwrap_or(node(id).address);
-        let member = Member::new(NodeAddress { id, address }, stored, Timing::default(), apply, self.now);
-        self.members.insert(id, member.founding_with(seats).bearing(losses));
+        let member = ChainReplica::new(NodeAddress { id, address }, stored, Timing::default(), apply, self.now);
+        self.members.insert(id, member.with_founders(seats).tolerating_losses(losses));
     }
 
     /// Starts a member anew, with a process whose confirmation rounds begin at a number of its own.
@@ -107,11 +107,13 @@
                     others.into_iter().for_each(|to| self.frames.push_back((id, to, message.clone())));
                 }
                 Output::Write { ticket, batch } => self.writes.push((id, ticket, batch)),
-                Output::Done { op, appended, .. } => self.done.push((id, op, appended)),
+                Output::ProposalDone { op, appended, .. } => self.done.push((id, op, appended)),
                 Output::Confirmed { .. } => self.confirmed.push(id),
-                Output::Installed { missed } => self.installed.push((id, missed)),
-                Output::Told { view } => drop(self.told.insert(id, view.voters.iter().map(|node| node.id).collect())),
-                Output::Committed { .. } | Output::Viewed { .. } => {}
+                Output::CaughtUp { missed_entries } => self.installed.push((id, missed_entries)),
+                Output::ViewLearned { view } => {
+                    drop(self.told.insert(id, view.voters.iter().map(|node| node.id).collect()))
+                }
+                Output::Committed { .. } | Output::ViewAdopted { .. } => {}
             }
         }
     }
@@ -121,7 +123,7 @@
         while let Some(place) = self.writes.iter().position(|(owner, ..)| *owner == id) {
             let (_, ticket, batch) = self.writes.remove(place);
             if let Some(disk) = self.disks.get_mut(&id) {
-                apply_batch(disk, &batch);
+                disk.apply(&batch);
             }
             self.feed(id, Input::Written { ticket });
         }
@@ -139,7 +141,7 @@
                 let starved = matches!(message, ChainMessage::Append { .. }) && self.starved.contains(&to);
                 if !self.cut.contains(&from) && !self.cut.contains(&to) && !pair && !starved {
                     self.count(to, &message);
-                    self.feed(to, Input::Frame { from, message });
+                    self.feed(to, Input::Message { from, message });
                 }
                 continue;
             }
@@ -150,7 +152,7 @@
                 continue;
             }
             if let Some(disk) = self.disks.get_mut(&id) {
-                apply_batch(disk, &batch);
+                disk.apply(&batch);
             }
             self.feed(id, Input::Written { ticket });
         }
@@ -168,7 +170,7 @@
     pub fn free_disk(&mut self, id: NodeId) {
         self.full.retain(|full| *full != id);
         let stored = self.disks[&id].clone();
-        self.feed(id, Input::DiskBack { stored });
+        self.feed(id, Input::DiskRecovered { stored });
         self.settle();
     }
 
--- a/crates/chain/tests/planned.rs
+++ b/crates/chain/tests/planned.rs
@@ -50,9 +50,9 @@
     net.seeds.insert(4, vec![1, 2, 3]);
     net.start_founding(4, 0);
     net.pass(1000);
-    net.members.get_mut(&1).unwrap().let_joins_wait(true);
-    net.members.get_mut(&2).unwrap().let_joins_wait(true);
-    net.members.get_mut(&3).unwrap().let_joins_wait(true);
+    net.members.get_mut(&1).unwrap().defer_joins(true);
+    net.members.get_mut(&2).unwrap().defer_joins(true);
+    net.members.get_mut(&3).unwrap().defer_joins(true);
     net.feed(3, chain::Input::Leave);
     net.pass(4000);
     assert!(net.members[&3].may_stop());
--- a/crates/chain/tests/power.rs
+++ b/crates/chain/tests/power.rs
@@ -4,7 +4,7 @@
 
 mod platter;
 
-use chain::{Batch, Store};
+use chain::{Batch, Change, Store};
 use platter::Disk;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -17,9 +17,9 @@
 fn batch(seq: u64) -> Batch {
     let entry = LogEntry { seq, op: ProposalId { origin: 1, number: seq }, body: vec![seq as u8; 60].into() };
     Batch {
-        pairs: vec![
-            (format!("key {}", seq % 3), Some(seq.to_le_bytes().to_vec().into())),
-            ("newest".into(), Some(seq.to_le_bytes().to_vec().into())),
+        changes: vec![
+            Change::put(format!("key {}", seq % 3), seq.to_le_bytes().to_vec()),
+            Change::put("newest", seq.to_le_bytes().to_vec()),
         ],
         entries: vec![entry],
         trim_below: seq.saturating_sub(4),
@@ -77,8 +77,8 @@
 
 /// A whole snapshot in the place of what was there: 600 pairs, each with the same mark.
 fn checkpoint(mark: u8, last: u64) -> Batch {
-    let pairs = (0..600).map(|n| (format!("pair {n:03}"), Some(vec![mark; 200 + n % 90].into()))).collect();
-    Batch { replace: true, pairs, trim_below: last + 1, last, known_committed: last, ..Batch::default() }
+    let changes = (0..600).map(|n| Change::put(format!("pair {n:03}"), vec![mark; 200 + n % 90])).collect();
+    Batch { replace: true, changes, trim_below: last + 1, last, known_committed: last, ..Batch::default() }
 }
 
 #[test]
--- a/crates/chain/tests/seats.rs
+++ b/crates/chain/tests/seats.rs
@@ -99,11 +99,11 @@
 fn joiners_wait_while_something_is_more_pressing() {
     let mut net = Net::founded();
     net.seeds.insert(4, vec![1, 2, 3]);
-    net.members.values_mut().for_each(|member| member.let_joins_wait(true));
+    net.members.values_mut().for_each(|member| member.defer_joins(true));
     net.start_founding(4, 0);
     net.pass(6000);
     assert_eq!(net.chain(1), vec![1, 2, 3]);
-    net.members.values_mut().for_each(|member| member.let_joins_wait(false));
+    net.members.values_mut().for_each(|member| member.defer_joins(false));
     net.pass(6000);
     assert_eq!(net.chain(1), vec![1, 2, 3, 4]);
 }
--- a/crates/chain/tests/store.rs
+++ b/crates/chain/tests/store.rs
@@ -1,7 +1,7 @@
 //! The data file: what was synced comes back; a damaged, foreign or newer file is refused with a
 //! clear word and left as it was.
 
-use chain::{Batch, Store, StoreError};
+use chain::{Batch, Change, Store, StoreError};
 use redb::{Database, ReadableTable, TableDefinition};
 use std::path::PathBuf;
 use wire::{LogEntry, NodeAddress, ProposalId};
@@ -23,7 +23,7 @@
     for seq in 1..=20u64 {
         let entry = LogEntry { seq, op: ProposalId { origin: 1, number: seq }, body: vec![seq as u8; 100].into() };
         let batch = Batch {
-            pairs: vec![(format!("key {}", seq % 7), Some(vec![seq as u8; 50].into()))],
+            changes: vec![Change::put(format!("key {}", seq % 7), vec![seq as u8; 50])],
             entries: vec![entry],
             trim_below: seq.saturating_sub(5),
             last: seq,
--- a/crates/chain/tests/stored_format.rs
+++ b/crates/chain/tests/stored_format.rs
@@ -1,6 +1,6 @@
 //! A data file written by an earlier version of the program is read whole by this one.
 
-use chain::{Batch, Meta, Store, Stored};
+use chain::{Batch, Change, Meta, Store, Stored};
 use std::path::PathBuf;
 use wire::{LogEntry, NodeAddress, ProposalId, View};
 
@@ -30,9 +30,9 @@
 /// Every kind of content a file holds: identity, view, an open proposal, pairs, one of them removed, and
 /// entries, the first of them trimmed.
 fn batches() -> Vec<Batch> {
-    let pair = |key: &str, value: u8| (key.to_owned(), Some(vec![value; 20].into()));
+    let pair = |key: &str, value: u8| Change::put(key, vec![value; 20]);
     let first = Batch {
-        pairs: vec![pair("functions/a/f", 1), pair("claims/k", 2), pair("deferred/t", 3), pair("removed", 4)],
+        changes: vec![pair("functions/a/f", 1), pair("claims/k", 2), pair("deferred/t", 3), pair("removed", 4)],
         entries: (1..=3).map(entry).collect(),
         last: 3,
         known_committed: 2,
@@ -40,7 +40,7 @@
         ..Batch::default()
     };
     let second = Batch {
-        pairs: vec![("removed".into(), None), pair("claims/k", 5)],
+        changes: vec![Change::remove("removed"), pair("claims/k", 5)],
         entries: (4..=LAST).map(entry).collect(),
         trim_below: 2,
         last: LAST,
--- a/crates/chain/tests/tenure.rs
+++ b/crates/chain/tests/tenure.rs
@@ -57,10 +57,10 @@
     let mut next = net.members[&1].view().clone();
     next.number += 1;
     next.chain = vec![1, 2].into();
-    net.feed(2, Input::Frame { from: 1, message: ChainMessage::Decided { view: next.clone() } });
+    net.feed(2, Input::Message { from: 1, message: ChainMessage::Decided { view: next.clone() } });
     net.settle();
     net.stalled = vec![1];
-    net.feed(1, Input::Frame { from: 2, message: ChainMessage::Decided { view: next } });
+    net.feed(1, Input::Message { from: 2, message: ChainMessage::Decided { view: next } });
     let told =
         |net: &Net| net.frames.iter().any(|(_, _, message)| matches!(message, ChainMessage::TailLastAnswered { .. }));
     assert!(!told(&net), "not on disk yet");
@@ -80,7 +80,7 @@
     next.number += 2;
     next.chain = vec![1, 2].into();
     for id in [1, 2] {
-        net.feed(id, Input::Frame { from: 1, message: ChainMessage::Decided { view: next.clone() } });
+        net.feed(id, Input::Message { from: 1, message: ChainMessage::Decided { view: next.clone() } });
     }
     net.settle();
     assert_eq!((net.members[&2].tenure(), bound(&net, 2)), (Some(next.number), None));
--- a/crates/control/examples/change_cost.rs
+++ b/crates/control/examples/change_cost.rs
@@ -43,12 +43,7 @@
         reply => println!("{what}: {reply:?}"),
     }
     timed(&format!("{what}: put into the state"), || {
-        for (key, value) in effect.changes {
-            match value {
-                Some(value) => state.insert(key, value),
-                None => state.remove(&key),
-            };
-        }
+        effect.changes.iter().for_each(|change| change.apply_to(state));
     });
 }
 
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -11,18 +11,18 @@
 
 pub struct Draft<'a> {
     pub state: &'a State,
-    pub changes: Vec<(String, Option<Value>)>,
+    pub changes: Vec<chain::Change>,
 }
 
 impl Draft<'_> {
     pub fn put(&mut self, key: impl Into<String>, value: impl Into<Value>) {
-        self.changes.push((key.into(), Some(value.into())));
+        self.changes.push(chain::Change::put(key, value));
     }
     pub fn put_number(&mut self, key: &str, number: u64) {
         self.put(key, keys::value(number));
     }
     pub fn drop(&mut self, key: impl Into<String>) {
-        self.changes.push((key.into(), None));
+        self.changes.push(chain::Change::remove(key));
     }
     pub fn number(&self, key: &str) -> u64 {
         keys::number(self.state, key)
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -46,7 +46,7 @@
         let begun = Instant::now();
         let view = self.core.member().view().clone();
         self.dial(&view);
-        let _ = self.optimizer.send(OptimizerMessage::Viewed { view });
+        let _ = self.optimizer.send(OptimizerMessage::ViewAdopted { view });
         tokio::task::spawn_local(async move {
             wait_for_signal().await;
             post.send_waiting(ControlMessage::Stop).await;
@@ -80,13 +80,13 @@
             },
             ControlMessage::Link(_) | ControlMessage::Stop => None,
             ControlMessage::Disk(DiskReport::Written { ticket }) => Some(CoreInput::Written { ticket }),
-            ControlMessage::Disk(DiskReport::Fault(fault)) => {
+            ControlMessage::Disk(DiskReport::Failed(fault)) => {
                 event!(disk_fault, "{fault}");
                 Some(CoreInput::DiskError)
             }
-            ControlMessage::Disk(DiskReport::Back { stored }) => {
+            ControlMessage::Disk(DiskReport::Recovered { stored }) => {
                 event!(disk_back, "at entry {}", stored.last);
-                Some(CoreInput::DiskBack { stored })
+                Some(CoreInput::DiskRecovered { stored })
             }
             ControlMessage::Seeds(Ok(seeds)) => {
                 event!(settings_taken, "seeds {}", seeds.join(","));
@@ -143,22 +143,22 @@
                         let _ = waiting.send(reply);
                     }
                 }
-                CoreOutput::Told { view } => {
+                CoreOutput::ViewLearned { view } => {
                     let addresses = addresses(&view);
                     if addresses != self.told {
                         self.told = addresses;
                         self.dial(&view);
                     }
                 }
-                CoreOutput::Viewed { view } => {
+                CoreOutput::ViewAdopted { view } => {
                     self.told.clear();
                     let chain: Vec<String> = view.chain.iter().map(|id| format!("{id:016x}")).collect();
                     event!(view_adopted, "view {} chain {}", view.number, chain.join(" "));
                     self.dial(&view);
-                    let _ = self.optimizer.send(OptimizerMessage::Viewed { view });
+                    let _ = self.optimizer.send(OptimizerMessage::ViewAdopted { view });
                 }
-                CoreOutput::Installed { missed: Some(count) } => event!(missed_taken, "{count} entries"),
-                CoreOutput::Installed { missed: None } => event!(copy_installed),
+                CoreOutput::CaughtUp { missed_entries: Some(count) } => event!(missed_taken, "{count} entries"),
+                CoreOutput::CaughtUp { missed_entries: None } => event!(copy_installed),
                 CoreOutput::Activated { step } => {
                     event!(step_activated, "step {step}");
                     self.tell_active(step);
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -11,7 +11,7 @@
 use crate::reading::ReadJob;
 use crate::rosters::Rosters;
 use crate::tenure::{Tenure, ToldProofs};
-use chain::{Batch, Input, Member, Output, State, Stored};
+use chain::{Batch, ChainReplica, Input, Output, State, Stored};
 use leases::Sessions;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -54,7 +54,7 @@
     Chain { from: NodeId, message: ChainMessage },
     Written { ticket: u64 },
     DiskError,
-    DiskBack { stored: Box<Stored> },
+    DiskRecovered { stored: Box<Stored> },
     Router { from: NodeId, incarnation: u64, message: LeaseMessage },
     Call { request_id: u64, call: ApiCall },
     Leave,
@@ -67,10 +67,10 @@
     Write { ticket: u64, batch: Batch },
     Router { to: NodeId, message: LeaseMessage },
     Reply { request_id: u64, reply: ApiReply },
-    Viewed { view: View },
-    Told { view: View },
+    ViewAdopted { view: View },
+    ViewLearned { view: View },
     Activated { step: u64 },
-    Installed { missed: Option<usize> },
+    CaughtUp { missed_entries: Option<usize> },
 }
 
 pub enum Wait {
@@ -89,7 +89,7 @@
 }
 
 pub struct Core {
-    pub(crate) member: Member,
+    pub(crate) member: ChainReplica,
     pub(crate) timing: CoreTiming,
     pub(crate) format: u16,
     pub(crate) now: Duration,
@@ -124,7 +124,7 @@
 }
 
 impl Core {
-    pub fn new(member: Member, timing: CoreTiming, first_op: u64) -> Self {
+    pub fn new(member: ChainReplica, timing: CoreTiming, first_op: u64) -> Self {
         Core {
             member: member.numbering_rounds_from(first_op),
             timing,
@@ -164,7 +164,7 @@
         self
     }
 
-    pub fn member(&self) -> &Member {
+    pub fn member(&self) -> &ChainReplica {
         &self.member
     }
 
@@ -187,12 +187,12 @@
                 self.chain(Input::Tick);
                 self.tick();
             }
-            CoreInput::Chain { from, message } => self.chain(Input::Frame { from, message }),
+            CoreInput::Chain { from, message } => self.chain(Input::Message { from, message }),
             CoreInput::Written { ticket } => self.chain(Input::Written { ticket }),
             CoreInput::DiskError => self.chain(Input::DiskError),
-            CoreInput::DiskBack { stored } => {
+            CoreInput::DiskRecovered { stored } => {
                 self.tail_since = None;
-                self.chain(Input::DiskBack { stored: *stored });
+                self.chain(Input::DiskRecovered { stored: *stored });
             }
             CoreInput::Router { from, incarnation, message } => self.router(from, incarnation, message),
             CoreInput::Call { request_id, call } => self.call(request_id, call),
@@ -224,14 +224,14 @@
                 Output::Send { to, message } => self.outs.push(CoreOutput::Registry { to, message }),
                 Output::SendSeeds { message } => self.outs.push(CoreOutput::Seeds { message }),
                 Output::Write { ticket, batch } => self.outs.push(CoreOutput::Write { ticket, batch }),
-                Output::Viewed { view } => {
-                    self.outs.push(CoreOutput::Viewed { view });
+                Output::ViewAdopted { view } => {
+                    self.outs.push(CoreOutput::ViewAdopted { view });
                     reviewed = true;
                 }
-                Output::Told { view } => self.outs.push(CoreOutput::Told { view }),
-                Output::Done { op, appended, reply } => self.done(op, appended, reply),
+                Output::ViewLearned { view } => self.outs.push(CoreOutput::ViewLearned { view }),
+                Output::ProposalDone { op, appended, reply } => self.done(op, appended, reply),
                 Output::Confirmed { round } => self.confirmed(round),
-                Output::Installed { missed } => self.outs.push(CoreOutput::Installed { missed }),
+                Output::CaughtUp { missed_entries } => self.outs.push(CoreOutput::CaughtUp { missed_entries }),
                 Output::Committed { .. } => {}
             }
         }
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -23,7 +23,7 @@
     }
 
     pub(crate) fn ask_round(&mut self) -> u64 {
-        let round = self.member.ask_confirm();
+        let round = self.member.request_confirmation();
         self.rounded = self.now;
         let renewals = self.renewals.drain(..).map(|(from, incarnation, message)| (round, from, incarnation, message));
         self.jobs.extend(renewals);
--- a/crates/control/src/following.rs
+++ b/crates/control/src/following.rs
@@ -2,6 +2,7 @@
 
 use crate::core::{Core, CoreOutput, Wait};
 use crate::keys;
+use chain::Positions;
 use std::time::Duration;
 use wire::LeaseMessage;
 
@@ -28,14 +29,14 @@
         self.tick_calls();
         let pending = keys::number(self.state(), keys::LATEST) > keys::number(self.state(), keys::ACTIVE);
         let since = self.tail_since.unwrap_or(now);
-        self.member.let_joins_wait(pending && now < since + JOINS_WAIT);
+        self.member.defer_joins(pending && now < since + JOINS_WAIT);
         self.duties();
         self.confirm_renewals();
     }
 
     /// Follows what became synced and committed since: steps in force, the tail's role, pushes.
     pub(crate) fn after(&mut self) {
-        let (_, synced, committed) = self.member.positions();
+        let Positions { synced, committed, .. } = self.member.positions();
         let active = keys::number(self.state(), keys::ACTIVE);
         if active > self.effective {
             self.effective = active;
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operators.rs
@@ -50,7 +50,7 @@
         if self.waits.len() + self.reads.len() + self.activations.len() + self.behind.len() >= CALLS * 16 {
             return self.busy(request_id, "too many calls at once");
         }
-        if !self.member.is_chained() {
+        if !self.member.is_in_chain() {
             return self.busy(request_id, "this registry is not in the chain at present; ask another");
         }
         if call.builds_on().is_some() {
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -18,7 +18,7 @@
 pub enum OptimizerMessage {
     Frame { from: NodeId, message: PlanMessage },
     Active { step: u64, revision: u64, pairs: BTreeMap<String, Value> },
-    Viewed { view: View },
+    ViewAdopted { view: View },
 }
 
 pub struct Host {
@@ -39,7 +39,7 @@
     let mut active = (0, BTreeMap::new());
     while let Some(message) = inbox.next_blocking() {
         match message {
-            OptimizerMessage::Viewed { view } => planner.viewed(view),
+            OptimizerMessage::ViewAdopted { view } => planner.viewed(view),
             OptimizerMessage::Active { step, revision, pairs } => {
                 planner.routes(&RouteTable::build(
                     step,
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -14,7 +14,7 @@
 use crate::settings::RegistrySettings;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
-use chain::{Disk, DiskReport, Member, Store, StoreError, Stored, Timing};
+use chain::{ChainReplica, Disk, DiskReport, Store, StoreError, Stored, Timing};
 use events::event;
 use http_server::{ResourceIndex, ServerLimits, Tokens, Views};
 use kernel::{Directory, Inbox, SendError, adopt, behind, find, listen, local, thread};
@@ -115,8 +115,8 @@
     .map_err(RunError::Disk)?;
     let founds = settings.found && settings.seeds.contains(&settings.address);
     let addresses = if founds { settings.seeds.len() } else { 0 };
-    let member = Member::new(node, stored, Timing::default(), apply, Duration::ZERO);
-    let member = member.founding_with(addresses).bearing(settings.losses);
+    let member = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO);
+    let member = member.with_founders(addresses).tolerating_losses(settings.losses);
     let timing = CoreTiming { call: settings.call, ..CoreTiming::for_hold(settings.hold) };
     let core = Core::new(member, timing, incarnation << 20).speaking(settings.format);
     let work = Control {
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -2,12 +2,13 @@
 
 use crate::core::Core;
 use crate::keys;
+use chain::Positions;
 use serde_json::{Value, json};
 
 impl Core {
     pub fn status(&self) -> Value {
         let view = self.member.view();
-        let (last, synced, committed) = self.member.positions();
+        let Positions { last, synced, committed } = self.member.positions();
         let state = self.state();
         let hex = |id: u64| format!("{id:016x}");
         let members: Vec<Value> = keys::members(state)
@@ -33,7 +34,7 @@
                 "suspects": self.member.suspects().into_iter().map(hex).collect::<Vec<_>>(),
             },
             "role": if self.member.is_head() { "head" } else if self.member.is_tail() { "tail" }
-                else if self.member.is_chained() { "middle" } else { "out" },
+                else if self.member.is_in_chain() { "middle" } else { "out" },
             "current_tail": self.tail_since.is_some(),
             "positions": {"last": last, "synced": synced, "committed": committed},
             "revision": {
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -6,12 +6,7 @@
 
 fn propose(state: &mut State, command: &Command) -> CommandReply {
     let effect = apply(state, 1, &to_bytes(command));
-    for (key, value) in effect.changes {
-        match value {
-            Some(value) => state.insert(key, value),
-            None => state.remove(&key),
-        };
-    }
+    effect.changes.iter().for_each(|change| change.apply_to(state));
     from_bytes(&effect.reply).expect("every entry has a receipt")
 }
 
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use chain::{Member, Stored, Timing, apply_batch};
+use chain::{ChainReplica, Stored, Timing};
 use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -59,8 +59,8 @@
     fn start_founding(&mut self, id: NodeId, addresses: usize) {
         self.starts += 1;
         let stored = self.disks.entry(id).or_default().clone();
-        let member = Member::new(node(id), stored, Timing::default(), control::apply, self.now);
-        let core = Core::new(member.founding_with(addresses), CoreTiming::default(), self.starts << 20);
+        let member = ChainReplica::new(node(id), stored, Timing::default(), control::apply, self.now);
+        let core = Core::new(member.with_founders(addresses), CoreTiming::default(), self.starts << 20);
         self.cores.insert(id, core);
     }
 
@@ -162,7 +162,7 @@
                         others.into_iter().for_each(|to| self.send(id, to, Frame::Chain(message.clone())));
                     }
                     CoreOutput::Write { ticket, batch } => {
-                        apply_batch(self.disks.entry(id).or_default(), &batch);
+                        self.disks.entry(id).or_default().apply(&batch);
                         inputs.push_back(CoreInput::Written { ticket });
                     }
                     CoreOutput::Reply { request_id, reply } => {
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -1,7 +1,7 @@
 //! The data file under hundreds of whole configurations: its size follows what is kept, not how much
 //! was ever written, and stays far below the 64 MB of a small machine's disk.
 
-use chain::{Input, Member, Output, Store, Timing};
+use chain::{ChainReplica, Input, Output, Store, Timing};
 use control::apply;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -25,7 +25,7 @@
 
 /// A registry alone, with the real rules of the state and the real data file.
 struct Registry {
-    member: Member,
+    member: ChainReplica,
     store: Store,
     now: Duration,
     appended: u64,
@@ -35,7 +35,7 @@
     fn open(path: &Path) -> Registry {
         let node = NodeAddress { id: 5, address: "127.0.0.1:1".into() };
         let (store, stored) = Store::open(path, "posta", node.clone()).unwrap();
-        let member = Member::new(node, stored, Timing::default(), apply, Duration::ZERO).founding_with(1);
+        let member = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO).with_founders(1);
         let mut registry = Registry { member, store, now: Duration::ZERO, appended: 0 };
         (0..20).for_each(|_| registry.pass());
         registry
@@ -50,7 +50,7 @@
                         self.store.write(&batch).unwrap();
                         inputs.push(Input::Written { ticket });
                     }
-                    Output::SendSeeds { message } => inputs.push(Input::Frame { from: 5, message }),
+                    Output::SendSeeds { message } => inputs.push(Input::Message { from: 5, message }),
                     _ => {}
                 }
             }
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use chain::{Batch, Member, Stored, Timing, apply_batch};
+use chain::{Batch, ChainReplica, Stored, Timing};
 use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Standing};
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,8 +60,8 @@
         let stored = self.disks.entry(id).or_default().clone();
         let node = NodeAddress { id, address: format!("10.0.0.{id}:1").into() };
         let founds = if id <= 3 { 3 } else { 0 };
-        let member = Member::new(node, stored, Timing::default(), control::apply, self.now);
-        let member = member.founding_with(founds).bearing(self.losses);
+        let member = ChainReplica::new(node, stored, Timing::default(), control::apply, self.now);
+        let member = member.with_founders(founds).tolerating_losses(self.losses);
         self.registries.insert(id, Core::new(member, CoreTiming::default(), (id << 40) + self.events));
         self.at(Duration::ZERO, Event::RegistryTick(id));
     }
@@ -158,7 +158,7 @@
             }
             Event::Frame { from, to, message } => self.deliver(from, to, message),
             Event::Written { id, ticket, batch } if self.registries.contains_key(&id) => {
-                apply_batch(self.disks.entry(id).or_default(), &batch);
+                self.disks.entry(id).or_default().apply(&batch);
                 self.feed_registry(id, CoreInput::Written { ticket });
             }
             _ => {}
@@ -200,7 +200,7 @@
                     others.into_iter().for_each(|to| self.send(id, to, Message::Chain(message.clone())));
                 }
                 CoreOutput::Write { ticket, batch } => self.at(WRITE_DELAY, Event::Written { id, ticket, batch }),
-                CoreOutput::Told { view } => {
+                CoreOutput::ViewLearned { view } => {
                     self.told.insert(id, view.voters.iter().map(|node| node.id).collect());
                 }
                 CoreOutput::Reply { request_id, reply } => drop(self.replies.insert(request_id, (now, reply))),
--- a/crates/control/tests/fuzz.rs
+++ b/crates/control/tests/fuzz.rs
@@ -81,12 +81,7 @@
             assert!(one.changes == two.changes && one.reply == two.reply, "seed {seed} round {round}");
             let reply = from_bytes::<CommandReply>(&one.reply).expect("every entry has a receipt");
             changed += u32::from(matches!(reply, CommandReply::Changed { .. }));
-            for (key, value) in one.changes {
-                match value {
-                    Some(value) => state.insert(key, value),
-                    None => state.remove(&key),
-                };
-            }
+            one.changes.iter().for_each(|change| change.apply_to(&mut state));
             let latest = state.iter().filter_map(|(key, value)| Some((key.strip_prefix("l/")?, &value[..])));
             let faults = bindings::check(latest);
             assert!(faults.is_empty(), "seed {seed} round {round}: {faults:?}");
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -2,7 +2,7 @@
 
 mod cluster;
 
-use chain::{Member, Stored, Timing};
+use chain::{ChainReplica, Stored, Timing};
 use cluster::{change, fetch};
 use control::{ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 fn registry(chain: &[NodeId]) -> Core {
     let mut stored = Stored::default();
     stored.meta.view = view(1, chain);
-    let member = Member::new(node(3), stored, Timing::default(), control::apply, Duration::ZERO);
+    let member = ChainReplica::new(node(3), stored, Timing::default(), control::apply, Duration::ZERO);
     Core::new(member, CoreTiming::default(), 100)
 }
 
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership.rs
@@ -5,12 +5,8 @@
 use wire::{Command, to_bytes};
 
 fn propose(state: &mut State, command: &Command) {
-    for (key, value) in apply(state, 1, &to_bytes(command)).changes {
-        match value {
-            Some(value) => state.insert(key, value),
-            None => state.remove(&key),
-        };
-    }
+    let effect = apply(state, 1, &to_bytes(command));
+    effect.changes.iter().for_each(|change| change.apply_to(state));
 }
 
 fn join(id: u64, incarnation: u64) -> Command {
--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -221,7 +221,7 @@
         self.budget.crashes -= 1;
         if write_lands && !self.machines[index].pending.is_empty() {
             let (_, batch) = self.machines[index].pending.remove(0);
-            chain::apply_batch(&mut self.machines[index].disk, &batch);
+            self.machines[index].disk.apply(&batch);
         }
         self.stop(index);
     }
--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -167,7 +167,7 @@
         for node in view.voters.clone().iter() {
             self.feed(
                 machine_of(node.id),
-                Input::Frame { from: learner, message: ChainMessage::Decided { view: view.clone() } },
+                Input::Message { from: learner, message: ChainMessage::Decided { view: view.clone() } },
             );
         }
     }
--- a/crates/explore/src/invariants.rs
+++ b/crates/explore/src/invariants.rs
@@ -9,7 +9,7 @@
     pub(crate) fn record(&mut self, index: usize, outputs: &[Output]) {
         for output in outputs {
             match output {
-                Output::Viewed { view } => self.record_view(view.clone()),
+                Output::ViewAdopted { view } => self.record_view(view.clone()),
                 Output::Committed { seq } => self.record_committed(index, *seq),
                 Output::Confirmed { round } => self.record_confirmed(index, *round),
                 _ => {}
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -2,7 +2,7 @@
 
 use crate::faults::Plant;
 use crate::history::History;
-use chain::{Batch, Effect, Input, Member, Output, State, Stored, Timing, apply_batch};
+use chain::{Batch, ChainReplica, Change, Effect, Input, Output, State, Stored, Timing};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -26,7 +26,7 @@
 #[derive(Clone)]
 pub struct Machine {
     pub id: NodeId,
-    pub member: Option<Member>,
+    pub member: Option<ChainReplica>,
     pub disk: Stored,
     /// Writes handed to the disk that are not yet synced.
     pub pending: Vec<(u64, Batch)>,
@@ -64,7 +64,7 @@
 
 fn apply(_: &State, seq: u64, body: &[u8]) -> Effect {
     let key = String::from_utf8_lossy(body).into_owned();
-    Effect { changes: vec![(key, Some(seq.to_le_bytes().to_vec().into()))], reply: Vec::new() }
+    Effect { changes: vec![Change::put(key, seq.to_le_bytes().to_vec())], reply: Vec::new() }
 }
 
 fn address(machine: usize) -> wire::Text {
@@ -118,8 +118,8 @@
         let node = NodeAddress { id: machine.id, address: address(index) };
         machine.disk.meta.node = node.clone();
         let seats = if machine.may_found { 3 } else { 0 };
-        let member = Member::new(node, machine.disk.clone(), Timing::default(), apply, self.now);
-        let member = member.founding_with(seats).bearing(self.losses);
+        let member = ChainReplica::new(node, machine.disk.clone(), Timing::default(), apply, self.now);
+        let member = member.with_founders(seats).tolerating_losses(self.losses);
         machine.member = Some(member.numbering_rounds_from(machine.starts << 20));
     }
 
@@ -178,7 +178,7 @@
         if self.passing && (self.silent == Some(sender) || self.silent == Some(receiver)) {
             return;
         }
-        self.feed(receiver, Input::Frame { from, message });
+        self.feed(receiver, Input::Message { from, message });
     }
 
     /// The oldest write of a machine is synced and reported.
@@ -187,7 +187,7 @@
             return;
         }
         let (ticket, batch) = self.machines[index].pending.remove(0);
-        apply_batch(&mut self.machines[index].disk, &batch);
+        self.machines[index].disk.apply(&batch);
         self.feed(index, Input::Written { ticket });
     }
 
@@ -199,7 +199,7 @@
 
     pub fn confirm(&mut self, index: usize) {
         let Some(member) = self.machines[index].member.as_mut() else { return };
-        let round = member.ask_confirm();
+        let round = member.request_confirmation();
         let id = self.machines[index].id;
         self.history.note_asked(id, round);
         self.feed(index, Input::Confirm);
--- a/crates/hollow/tests/parts.rs
+++ b/crates/hollow/tests/parts.rs
@@ -5,7 +5,7 @@
 use wire::{ChainMessage, FORMAT, ForwardMessage, Frame, LeaseMessage, Message, PlanMessage, encode};
 
 #[test_case(Message::Chain(ChainMessage::Heartbeat { view: 1, round: 2, unhealthy: 0 }), "chain.beat")]
-#[test_case(Message::Chain(ChainMessage::MissedEntries { copy: 1, entries: Vec::new().into() }), "chain.suffix")]
+#[test_case(Message::Chain(ChainMessage::MissedEntries { snapshot_id: 1, entries: Vec::new().into() }), "chain.suffix")]
 #[test_case(Message::Lease(LeaseMessage::Proof { request_id: 1, active: 1, latest: 1, member: 1 }), "hold.proof")]
 #[test_case(Message::Lease(LeaseMessage::Leaving), "hold.leaving")]
 #[test_case(Message::Forward(ForwardMessage::Heartbeat), "carry.beat")]
--- a/crates/sim/src/catch_up.rs
+++ b/crates/sim/src/catch_up.rs
@@ -3,7 +3,7 @@
 
 use crate::faults::Mending;
 use crate::world::{Event, Place, World};
-use chain::{Member, apply_batch};
+use chain::ChainReplica;
 use control::{CoreInput, number};
 use rand::RngExt;
 use std::time::Duration;
@@ -45,14 +45,14 @@
         if let Some((_, batch)) = node.pending.take()
             && landed
         {
-            apply_batch(&mut node.disk, &batch);
+            node.disk.apply(&batch);
         }
         let stored = Box::new(node.disk.clone());
         self.say(|| format!("the disk of registry {n} has room again"));
-        self.feed_registry(n, CoreInput::DiskBack { stored });
+        self.feed_registry(n, CoreInput::DiskRecovered { stored });
     }
 
-    fn members_up(&self) -> impl Iterator<Item = (usize, &Member)> {
+    fn members_up(&self) -> impl Iterator<Item = (usize, &ChainReplica)> {
         let cores = self.registries.iter().enumerate();
         cores.filter_map(|(n, node)| node.core.as_ref().map(|core| (n, core.member())))
     }
@@ -62,10 +62,11 @@
         if now >= self.catch_up.sampled + SPREAD {
             self.catch_up.sampled = now;
             self.catch_up.earlier = self.catch_up.newest;
-            self.catch_up.newest = self.members_up().map(|(_, member)| member.positions().2).max().unwrap_or_default();
+            self.catch_up.newest =
+                self.members_up().map(|(_, member)| member.positions().committed).max().unwrap_or_default();
         }
         let earlier = self.catch_up.earlier;
-        let behind = |member: &Member| !member.is_chained() || member.positions().2 < earlier;
+        let behind = |member: &ChainReplica| !member.is_in_chain() || member.positions().committed < earlier;
         let up = self.members_up().count() == self.registries.len();
         let late = self.members_up().find(|(_, member)| behind(member)).map(|(n, member)| (n, member.positions()));
         // A planned stop disturbs nothing, but takes a member out of the chain.
@@ -100,7 +101,7 @@
         self.catch_up.newest_view = newest;
         let behind = self.members_up().find_map(|(n, member)| {
             let view = member.view();
-            let has_role = view.number == newest && member.is_chained() && view.learner != member.node().id;
+            let has_role = view.number == newest && member.is_in_chain() && view.learner != member.node().id;
             let holds = number(member.state(), "c/latest-revision");
             (has_role && holds < acknowledged).then_some((n, holds, member.is_head(), member.is_current_tail()))
         });
--- a/crates/sim/src/control_faults.rs
+++ b/crates/sim/src/control_faults.rs
@@ -181,13 +181,13 @@
     /// The registry that acknowledges, the head, or any: those whose loss is felt most come most often.
     pub(crate) fn chosen_registry(&mut self) -> usize {
         let live = self.live_registries();
-        let on_duty = |world: &World, is: fn(&chain::Member) -> bool| {
+        let on_duty = |world: &World, is: fn(&chain::ChainReplica) -> bool| {
             let core = |n: usize| world.registries[n].core.as_ref();
             live.iter().copied().find(|n| core(*n).is_some_and(|core| is(core.member())))
         };
         let drawn = match self.dice.random_range(0..4) {
-            0 => on_duty(self, chain::Member::is_current_tail),
-            1 => on_duty(self, chain::Member::is_head),
+            0 => on_duty(self, chain::ChainReplica::is_current_tail),
+            1 => on_duty(self, chain::ChainReplica::is_head),
             2 => self.operators.last_acknowledger.filter(|n| live.contains(n)),
             _ => None,
         };
--- a/crates/sim/src/core_rules.rs
+++ b/crates/sim/src/core_rules.rs
@@ -141,7 +141,7 @@
         let cores = self.registries.iter().filter_map(|node| node.core.as_ref());
         let newest = |(committed, view): (u64, u64), core: &control::Core| {
             let member = core.member();
-            (committed.max(member.positions().2), view.max(member.view().number))
+            (committed.max(member.positions().committed), view.max(member.view().number))
         };
         let (committed, view) = cores.fold((0, 0), newest);
         let lost = self.registries.iter().filter(|node| node.disk_lost && !node.retired).count();
--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/ending.rs
@@ -31,8 +31,11 @@
     fn check_deferred(&mut self) {
         let now = self.now;
         let waiting = self.rules.accepted_but_never_run();
-        let tail =
-            self.registries.iter().filter_map(|node| node.core.as_ref()).max_by_key(|core| core.member().positions().2);
+        let tail = self
+            .registries
+            .iter()
+            .filter_map(|node| node.core.as_ref())
+            .max_by_key(|core| core.member().positions().committed);
         let kept = |key: &str, service: &str| {
             let id = traffic::stored_id(&format!("{service}/k-{key}"));
             tail.is_some_and(|core| core.state().contains_key(&format!("p/{service}/{id}")))
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -3,7 +3,7 @@
 use crate::slowness::SLOW_DISK;
 use crate::world::{Event, Place, TICK, World};
 use bindings::RouteTable;
-use chain::{Batch, Member, Stored, Timing, apply_batch};
+use chain::{Batch, ChainReplica, Stored, Timing};
 use control::{Core, CoreInput, CoreOutput, CoreTiming, Planner};
 use rand::RngExt;
 use std::time::Duration;
@@ -98,9 +98,11 @@
         node.last_trouble = now;
         let founds = !node.started_before && self.seeds.contains(&node.address);
         node.started_before = true;
-        let mut member = Member::new(address, node.disk.clone(), Timing::default(), control::apply, Duration::ZERO);
+        let mut member =
+            ChainReplica::new(address, node.disk.clone(), Timing::default(), control::apply, Duration::ZERO);
         if self.plan.sort.is_on_control() {
-            member = member.founding_with(if founds { self.seeds.len() } else { 0 }).bearing(self.plan.losses);
+            member =
+                member.with_founders(if founds { self.seeds.len() } else { 0 }).tolerating_losses(self.plan.losses);
         }
         node.core = Some(Core::new(member, CoreTiming::default(), life << 20));
         self.net.names.insert(id, Place::Registry(n));
@@ -119,7 +121,7 @@
         if let Some((_, batch)) = node.pending.take()
             && landed
         {
-            apply_batch(&mut node.disk, &batch);
+            node.disk.apply(&batch);
         }
         node.life = 0;
         node.last_trouble = self.now;
@@ -178,7 +180,7 @@
             return self.feed_registry(n, CoreInput::DiskError);
         }
         if let Some((_, batch)) = node.pending.take_if(|(known, _)| *known == ticket) {
-            apply_batch(&mut node.disk, &batch);
+            node.disk.apply(&batch);
             self.feed_registry(n, CoreInput::Written { ticket });
         }
     }
@@ -204,17 +206,17 @@
                 self.after(wait, Event::Written { registry: n, life, ticket });
             }
             CoreOutput::Reply { request_id, reply } => self.operator_answer(n, request_id, reply),
-            CoreOutput::Told { view } => {
+            CoreOutput::ViewLearned { view } => {
                 self.registries[n].told = view.voters.iter().map(|node| node.address.as_str().to_owned()).collect();
             }
-            CoreOutput::Viewed { view } => {
+            CoreOutput::ViewAdopted { view } => {
                 self.say(|| {
                     let chain: Vec<String> = view.chain.iter().map(|id| format!("{:04x}", id >> 48)).collect();
                     format!("registry {n} adopts view {} chain {}", view.number, chain.join(" "))
                 });
                 self.registries[n].planner.viewed(view);
             }
-            CoreOutput::Installed { missed } => {
+            CoreOutput::CaughtUp { missed_entries: missed } => {
                 self.brought_back[usize::from(missed.is_none())] += 1;
                 self.say(|| format!("registry {n} is brought back, missed {missed:?}"));
             }
--- a/crates/sim/src/replacement.rs
+++ b/crates/sim/src/replacement.rs
@@ -80,7 +80,7 @@
     }
 
     pub(crate) fn await_retirement(&mut self, registry: usize, until: Duration) {
-        let chained = self.registries[registry].core.as_ref().is_some_and(|core| core.member().is_chained());
+        let chained = self.registries[registry].core.as_ref().is_some_and(|core| core.member().is_in_chain());
         if chained && self.now < until {
             return self.follow_up(LOOK, FollowUp::Retiring { registry, until });
         }
--- a/crates/sim/src/resending.rs
+++ b/crates/sim/src/resending.rs
@@ -113,8 +113,11 @@
         for anomaly in anomalies(&self.operators.history, &[]) {
             self.rules.tell(now, format!("not linearizable: {anomaly:?}"));
         }
-        let newest =
-            self.registries.iter().filter_map(|node| node.core.as_ref()).max_by_key(|core| core.member().positions().2);
+        let newest = self
+            .registries
+            .iter()
+            .filter_map(|node| node.core.as_ref())
+            .max_by_key(|core| core.member().positions().committed);
         let Some(core) = newest else { return };
         let taken = |mark: &&String| core.state().contains_key(&format!("o/{mark}"));
         if let Some(mark) = self.operators.refused.iter().find(taken) {
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -186,7 +186,7 @@
                 self.rules.chain_seen.remove(&n);
                 continue;
             };
-            let committed = core.member().positions().2;
+            let committed = core.member().positions().committed;
             let seen = self.rules.chain_seen.get(&n).copied().unwrap_or(0);
             if committed == seen {
                 continue;
--- a/crates/wire/src/chain.rs
+++ b/crates/wire/src/chain.rs
@@ -25,6 +25,33 @@
     pub optimizer: NodeId,
 }
 
+impl View {
+    /// The first replica of the chain, where entries are appended.
+    pub fn head(&self) -> Option<NodeId> {
+        self.chain.as_slice().first().copied()
+    }
+
+    /// The last replica of the chain, where entries are acknowledged and reads answered.
+    pub fn tail(&self) -> Option<NodeId> {
+        self.chain.as_slice().last().copied()
+    }
+
+    /// Where in the chain a registry stands.
+    pub fn position_of(&self, id: NodeId) -> Option<usize> {
+        self.chain.iter().position(|member| *member == id)
+    }
+
+    /// Whether a registry is in the chain.
+    pub fn is_in_chain(&self, id: NodeId) -> bool {
+        self.position_of(id).is_some()
+    }
+
+    /// Whether a registry votes on the next view.
+    pub fn is_voter(&self, id: NodeId) -> bool {
+        self.voters.iter().any(|voter| voter.id == id)
+    }
+}
+
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct LogEntry {
     pub seq: u64,
@@ -68,19 +95,19 @@
     #[deku(id = "13")]
     SnapshotOffer { view: u64 },
     #[deku(id = "14")]
-    SnapshotRequest { copy: u64, piece: u32 },
+    SnapshotRequest { snapshot_id: u64, chunk: u32 },
     #[deku(id = "15")]
-    SnapshotChunk { copy: u64, piece: u32, last: u8, seq: u64, pairs: List<KeyValue> },
+    SnapshotChunk { snapshot_id: u64, chunk: u32, last: u8, seq: u64, pairs: List<KeyValue> },
     #[deku(id = "16")]
     JoinRequest { node: NodeAddress, ready: u8, seq: u64 },
     #[deku(id = "17")]
-    BootstrapRequest { node: NodeAddress, bound: View },
+    BootstrapRequest { node: NodeAddress, bound_to: View },
     #[deku(id = "18")]
     Done { op: ProposalId, appended: u8, reply: Blob },
     #[deku(id = "19")]
-    MissedEntriesRequest { since: u64, last: u64, digest: u64 },
+    MissedEntriesRequest { since: u64, last: u64, checksum: u64 },
     #[deku(id = "20")]
-    MissedEntries { copy: u64, entries: List<LogEntry> },
+    MissedEntries { snapshot_id: u64, entries: List<LogEntry> },
     /// To the new tail of a view: how long before adopting it a voter last answered the tail before.
     #[deku(id = "21")]
     TailLastAnswered { view: u64, millis: u64 },
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -61,7 +61,7 @@
         }
         Message::Lease(LeaseMessage::Leaving) => Some(Message::Lease(LeaseMessage::Leave { successor: 0 })),
         Message::Chain(ChainMessage::MissedEntriesRequest { .. }) => {
-            Some(Message::Chain(ChainMessage::SnapshotRequest { copy: 0, piece: 0 }))
+            Some(Message::Chain(ChainMessage::SnapshotRequest { snapshot_id: 0, chunk: 0 }))
         }
         Message::Plan(PlanMessage::Measures { .. } | PlanMessage::Tuned { .. }) => None,
         Message::Forward(ForwardMessage::Heartbeat) => None,
--- a/crates/wire/tests/samples/mod.rs
+++ b/crates/wire/tests/samples/mod.rs
@@ -44,13 +44,13 @@
         Synced { view: 61, seq: 62, committed: 63 },
         Position { view: 64, seq: 65 },
         SnapshotOffer { view: 66 },
-        SnapshotRequest { copy: 67, piece: 68 },
-        SnapshotChunk { copy: 69, piece: 70, last: 1, seq: 71, pairs: vec![pair].into() },
+        SnapshotRequest { snapshot_id: 67, chunk: 68 },
+        SnapshotChunk { snapshot_id: 69, chunk: 70, last: 1, seq: 71, pairs: vec![pair].into() },
         JoinRequest { node: node(72), ready: 1, seq: 73 },
-        BootstrapRequest { node: node(74), bound: view() },
+        BootstrapRequest { node: node(74), bound_to: view() },
         Done { op, appended: 1, reply: vec![75, 76].into() },
-        MissedEntriesRequest { since: 77, last: 78, digest: 79 },
-        MissedEntries { copy: 80, entries: vec![entry(81)].into() },
+        MissedEntriesRequest { since: 77, last: 78, checksum: 79 },
+        MissedEntries { snapshot_id: 80, entries: vec![entry(81)].into() },
         TailLastAnswered { view: 82, millis: 83 },
     ]
     .into_iter()
