--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -6,7 +6,7 @@
 use crate::apply_task::{claim, finish, release, settle, store};
 use crate::keys;
 use chain::{Effect, State, Value};
-use leases::MemberLine;
+use leases::Member;
 use wire::{Capacity, Command, CommandReply};
 
 pub struct Draft<'a> {
@@ -57,10 +57,10 @@
         Command::Activate { step } => activate(draft, step),
         Command::Join { id, incarnation, address, zone, ops } => {
             let capacity = Capacity::default();
-            join(draft, MemberLine { id, incarnation, address, zone, ops, leaving: 0, hashing: 1, capacity })
+            join(draft, Member { id, incarnation, address, zone, ops, leaving: 0, hashing: 1, capacity })
         }
         Command::JoinWithCapacity { id, incarnation, address, zone, ops, hashing, capacity } => {
-            join(draft, MemberLine { id, incarnation, address, zone, ops, leaving: 0, hashing, capacity })
+            join(draft, Member { id, incarnation, address, zone, ops, leaving: 0, hashing, capacity })
         }
         Command::Lapse { id, incarnation } => lapse(draft, id, incarnation),
         Command::Leaving { id, incarnation } => leaving(draft, id, incarnation),
--- a/crates/control/src/apply_member.rs
+++ b/crates/control/src/apply_member.rs
@@ -3,35 +3,35 @@
 
 use crate::apply::Draft;
 use crate::keys;
-use leases::MemberLine;
+use leases::Member;
 use wire::NodeId;
 use wire::{ClaimRecord, CommandReply};
 
 const FORGOTTEN_PER_TICK: usize = 2000;
 
-fn next_roster(draft: &mut Draft) {
-    let number = draft.number(keys::ROSTER) + 1;
-    draft.put_number(keys::ROSTER, number);
+fn next_membership(draft: &mut Draft) {
+    let number = draft.number(keys::MEMBERSHIP) + 1;
+    draft.put_number(keys::MEMBERSHIP, number);
 }
 
-pub fn join(draft: &mut Draft, line: MemberLine) -> CommandReply {
+pub fn join(draft: &mut Draft, line: Member) -> CommandReply {
     let (key, raw) = (keys::member_key(line.id), line.written());
     if draft.state.get(&key).is_none_or(|known| known[..] != raw[..]) {
         draft.put(key, raw);
-        next_roster(draft);
+        next_membership(draft);
     }
     CommandReply::Plain
 }
 
-fn known(draft: &Draft, id: NodeId, incarnation: u64) -> Option<MemberLine> {
+fn known(draft: &Draft, id: NodeId, incarnation: u64) -> Option<Member> {
     let raw = draft.state.get(&keys::member_key(id))?;
-    MemberLine::read(raw).filter(|line| line.incarnation == incarnation)
+    Member::read(raw).filter(|line| line.incarnation == incarnation)
 }
 
 pub fn lapse(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
     if known(draft, id, incarnation).is_some() {
         draft.drop(keys::member_key(id));
-        next_roster(draft);
+        next_membership(draft);
     }
     CommandReply::Plain
 }
@@ -42,7 +42,7 @@
     {
         line.leaving = 1;
         draft.put(keys::member_key(id), line.written());
-        next_roster(draft);
+        next_membership(draft);
     }
     CommandReply::Plain
 }
--- a/crates/control/src/apply_task.rs
+++ b/crates/control/src/apply_task.rs
@@ -4,7 +4,7 @@
 
 use crate::apply::Draft;
 use crate::keys;
-use leases::MemberLine;
+use leases::Member;
 use wire::{Blob, NodeId, Text};
 use wire::{ClaimRecord, ClaimState, CommandReply, DeferredRecord};
 
@@ -48,7 +48,7 @@
         return reply(ClaimState::Granted, Blob::default());
     }
     let holder = draft.state.get(&keys::member_key(record.member));
-    let lives = holder.and_then(|raw| MemberLine::read(raw)).is_some_and(|line| line.incarnation == record.incarnation);
+    let lives = holder.and_then(|raw| Member::read(raw)).is_some_and(|line| line.incarnation == record.incarnation);
     let state = if lives { ClaimState::Running } else { ClaimState::Unknown };
     reply(state, Blob::default())
 }
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -3,7 +3,7 @@
 use crate::api_calls::ApiReply;
 use crate::core::{Core, CoreInput, CoreOutput};
 use crate::keys;
-use crate::membership::Membership;
+use crate::membership_log::MembershipLog;
 use crate::optimizer::OptimizerMessage;
 use crate::service::ControlMessage;
 use chain::{Disk, DiskReport};
@@ -31,7 +31,7 @@
     /// The revision the optimizer was last told of.
     pub revision: Option<u64>,
     pub shown: Instant,
-    pub membership: Membership,
+    pub membership: MembershipLog,
     pub seeds: Vec<String>,
     /// Registries that a seed told of while this one is empty.
     pub told: Vec<String>,
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -5,11 +5,11 @@
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::judging::BehindCall;
 use crate::keys;
+use crate::membership_updates::MembershipUpdates;
 use crate::operators::Activation;
 use crate::parts::PackedSteps;
 use crate::proposals::Duty;
 use crate::reading::ReadJob;
-use crate::rosters::Rosters;
 use crate::tenure::{Tenure, ToldProofs};
 use chain::{Batch, ChainReplica, Input, Output, State, Stored};
 use leases::Sessions;
@@ -112,7 +112,7 @@
     pub(crate) effective: u64,
     pub(crate) ticked: Duration,
     pub(crate) dutied: Duration,
-    pub(crate) rosters: Rosters,
+    pub(crate) membership_updates: MembershipUpdates,
     pub(crate) packed: PackedSteps,
     /// Members by incarnation, as of a roster's number, and when the sessions were last held against them.
     pub(crate) known: (u64, Rc<BTreeMap<NodeId, u64>>),
@@ -147,7 +147,7 @@
             effective: 0,
             ticked: Duration::ZERO,
             dutied: Duration::ZERO,
-            rosters: Rosters::default(),
+            membership_updates: MembershipUpdates::default(),
             packed: PackedSteps::default(),
             known: (0, Rc::default()),
             aligned: None,
--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -1,7 +1,7 @@
 //! Where things stand in the chain's state, and small readings of it.
 
 use chain::{State, Value};
-use leases::{MemberLine, Roster};
+use leases::{Member, Membership};
 use std::collections::BTreeMap;
 use wire::{ConfigurationEpoch, ConfigurationItem, NodeId};
 
@@ -10,7 +10,7 @@
 pub const ACTIVE_REVISION: &str = "c/revision";
 pub const LATEST_REVISION: &str = "c/latest-revision";
 pub const TICKS: &str = "t/ticks";
-pub const ROSTER: &str = "m/number";
+pub const MEMBERSHIP: &str = "m/number";
 pub const CLAIMS: &str = "n/claims";
 pub const STORED: &str = "n/stored";
 pub const ACTIVE_PAIRS: &str = "a/";
@@ -48,16 +48,16 @@
     step(state, number).map(|step| step.quorum.into_vec()).unwrap_or_default()
 }
 
-pub fn members(state: &State) -> Vec<MemberLine> {
-    with_prefix(state, MEMBERS).filter_map(|(_, raw)| MemberLine::read(raw)).collect()
+pub fn members(state: &State) -> Vec<Member> {
+    with_prefix(state, MEMBERS).filter_map(|(_, raw)| Member::read(raw)).collect()
 }
 
 pub fn incarnations(state: &State) -> BTreeMap<NodeId, u64> {
     members(state).into_iter().map(|member| (member.id, member.incarnation)).collect()
 }
 
-pub fn roster(state: &State) -> Roster {
-    Roster { number: number(state, ROSTER), members: members(state).into() }
+pub fn membership(state: &State) -> Membership {
+    Membership { number: number(state, MEMBERSHIP), members: members(state).into() }
 }
 
 pub fn items(state: &State, prefix: &str) -> Vec<ConfigurationItem> {
--- a/crates/control/src/rosters.rs
+++ b/crates/control/src/membership_updates.rs
@@ -3,7 +3,7 @@
 
 use crate::keys;
 use chain::State;
-use leases::Roster;
+use leases::Membership;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wire::{LeaseMessage, Packed};
@@ -12,24 +12,24 @@
 const KEPT: usize = 16;
 
 #[derive(Default)]
-pub struct Rosters {
-    sent: VecDeque<Roster>,
+pub struct MembershipUpdates {
+    sent: VecDeque<Membership>,
     sent_at: Duration,
     /// What differs in the newest from an earlier one, by the number of that.
     changes: BTreeMap<u64, Packed>,
 }
 
-impl Rosters {
+impl MembershipUpdates {
     /// The number to be sent at this moment, which may be behind the state's for a little.
     pub fn newest(&mut self, now: Duration, state: &State) -> u64 {
-        let number = keys::number(state, keys::ROSTER);
-        let newest = self.sent.back().map_or(0, |roster| roster.number);
+        let number = keys::number(state, keys::MEMBERSHIP);
+        let newest = self.sent.back().map_or(0, |membership| membership.number);
         if number <= newest || (newest != 0 && now < self.sent_at + EVERY) {
             return newest;
         }
         self.sent_at = now;
         self.changes.clear();
-        self.sent.push_back(keys::roster(state));
+        self.sent.push_back(keys::membership(state));
         if self.sent.len() > KEPT {
             self.sent.pop_front();
         }
@@ -37,19 +37,22 @@
     }
 
     pub fn newest_whole(&self) -> Option<LeaseMessage> {
-        let roster = self.sent.back()?;
-        Some(LeaseMessage::Roster { number: roster.number, body: roster.clone().written(wire::CAPACITY - 1).into() })
+        let membership = self.sent.back()?;
+        Some(LeaseMessage::Membership {
+            number: membership.number,
+            body: membership.clone().written(wire::CAPACITY - 1).into(),
+        })
     }
 
     pub fn change(&mut self, known: u64) -> Option<LeaseMessage> {
         let newest = self.sent.back()?;
-        let earlier = self.sent.iter().find(|roster| roster.number == known);
-        let since = earlier.map_or(0, |roster| roster.number);
+        let earlier = self.sent.iter().find(|membership| membership.number == known);
+        let since = earlier.map_or(0, |membership| membership.number);
         let packed = self.changes.entry(since).or_insert_with(|| {
-            let change = newest.change_since(earlier.unwrap_or(&Roster::default()));
+            let change = newest.change_since(earlier.unwrap_or(&Membership::default()));
             wire::pack(&wire::to_bytes(&change))
         });
         let (size, body) = (packed.size, packed.bytes.clone());
-        Some(LeaseMessage::RosterChange { since, number: newest.number, size, body })
+        Some(LeaseMessage::MembershipChange { since, number: newest.number, size, body })
     }
 }
--- a/crates/control/src/pushes.rs
+++ b/crates/control/src/pushes.rs
@@ -19,11 +19,11 @@
 impl Core {
     /// The members by incarnation, with the sessions brought in line with them.
     pub(crate) fn align(&mut self) -> Rc<BTreeMap<NodeId, u64>> {
-        let number = keys::number(self.state(), keys::ROSTER);
+        let number = keys::number(self.state(), keys::MEMBERSHIP);
         if self.known.0 != number {
             self.known = (number, Rc::new(keys::incarnations(self.state())));
         }
-        if self.aligned.is_none_or(|(roster, at)| roster != number || self.now >= at + ALIGN_EVERY) {
+        if self.aligned.is_none_or(|(membership, at)| membership != number || self.now >= at + ALIGN_EVERY) {
             self.aligned = Some((number, self.now));
             self.sessions.align(self.now, &self.known.1, self.timing.lapse);
         }
@@ -36,7 +36,7 @@
         let active = keys::number(&state, keys::ACTIVE);
         let latest = keys::number(&state, keys::LATEST);
         self.align();
-        let number = self.rosters.newest(now, &state);
+        let number = self.membership_updates.newest(now, &state);
         let mut outs = Vec::new();
         for (id, session) in self.sessions.table.iter_mut().filter(|(_, session)| !session.departed) {
             if let Some(next) = next_step(now, session, active, latest) {
@@ -54,14 +54,16 @@
                 session.told_at = now;
                 outs.push((*id, LeaseMessage::Activate { number: active }));
             }
-            if number > session.roster && (session.rostered < number || now >= session.rostered_at + AGAIN) {
-                session.rostered = number;
-                session.rostered_at = now;
-                let roster = match self.format {
-                    ..PARTS => self.rosters.newest_whole(),
-                    _ => self.rosters.change(session.roster),
+            if number > session.membership
+                && (session.membership_sent < number || now >= session.membership_sent_at + AGAIN)
+            {
+                session.membership_sent = number;
+                session.membership_sent_at = now;
+                let membership = match self.format {
+                    ..PARTS => self.membership_updates.newest_whole(),
+                    _ => self.membership_updates.change(session.membership),
                 };
-                outs.extend(roster.map(|message| (*id, message)));
+                outs.extend(membership.map(|message| (*id, message)));
             }
         }
         self.outs.extend(outs.into_iter().map(|(to, message)| CoreOutput::Router { to, message }));
--- a/crates/control/src/routers.rs
+++ b/crates/control/src/routers.rs
@@ -86,8 +86,8 @@
         {
             let Some((_, from, incarnation, message)) = self.jobs.pop_front() else { break };
             match message {
-                LeaseMessage::Renew { request_id, staged, active, roster } => {
-                    self.prove(from, incarnation, request_id, staged, active, roster)
+                LeaseMessage::Renew { request_id, staged, active, membership } => {
+                    self.prove(from, incarnation, request_id, staged, active, membership)
                 }
                 LeaseMessage::ConfigurationRequest { request_id, from: start } => {
                     self.piece(from, request_id, start.as_str())
@@ -109,7 +109,7 @@
         }
     }
 
-    fn prove(&mut self, from: NodeId, incarnation: u64, request_id: u64, staged: u64, active: u64, roster: u64) {
+    fn prove(&mut self, from: NodeId, incarnation: u64, request_id: u64, staged: u64, active: u64, membership: u64) {
         let now = self.now;
         let member = self.align().get(&from) == Some(&incarnation);
         let message = LeaseMessage::Proof {
@@ -124,7 +124,7 @@
         if let Some(session) = self.sessions.table.get_mut(&from).filter(|_| member) {
             session.staged = session.staged.max(staged);
             session.active = active;
-            session.roster = roster;
+            session.membership = membership;
         }
         self.outs.push(CoreOutput::Router { to: from, message });
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -8,7 +8,7 @@
 use crate::core::{Core, CoreTiming};
 use crate::dialect::{ControlDialect, Operators};
 use crate::errors::RunError;
-use crate::membership::Membership;
+use crate::membership_log::MembershipLog;
 use crate::optimizer::{self, Host, OptimizerMessage};
 use crate::reading::stored_document;
 use crate::settings::RegistrySettings;
@@ -129,7 +129,7 @@
         view,
         revision: None,
         shown: Instant::now(),
-        membership: Membership::default(),
+        membership: MembershipLog::default(),
         seeds: settings.seeds.clone(),
         told: Vec::new(),
     };
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -5,7 +5,7 @@
 
 use chain::{Batch, ChainReplica, Stored, Timing};
 use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
-use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Standing};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, ServingStatus};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wire::{ConfigurationItem, Message, NodeAddress, NodeId};
@@ -126,7 +126,7 @@
         let now = self.now;
         let active = self.registries.values().map(|core| control::number(core.state(), "c/active"));
         let newest = active.max().unwrap_or_default();
-        let serves = |follower: &mut Follower| follower.standing_at(now) != Standing::Waiting;
+        let serves = |follower: &mut Follower| follower.serving_status_at(now) != ServingStatus::Waiting;
         let older = self.routers.iter_mut().filter(|(_, router)| router.step_number() < newest);
         older.filter_map(|(id, router)| serves(router).then_some(*id)).collect()
     }
--- a/crates/control/tests/membership.rs
+++ b/crates/control/tests/membership_log.rs
@@ -1,7 +1,7 @@
 //! What a registry's log tells of the routers that join, leave and lapse, roster by roster.
 
 use chain::State;
-use control::{MemberChange, Membership, apply};
+use control::{MemberChange, MembershipLog, apply};
 use wire::{Command, to_bytes};
 
 fn propose(state: &mut State, command: &Command) {
@@ -14,13 +14,13 @@
     Command::Join { id, incarnation, address, zone, ops }
 }
 
-fn told(membership: &mut Membership, state: &State) -> Vec<(MemberChange, u64)> {
+fn told(membership: &mut MembershipLog, state: &State) -> Vec<(MemberChange, u64)> {
     membership.changes(state).into_iter().map(|(change, line)| (change, line.id)).collect()
 }
 
 #[test]
 fn joins_leaves_and_lapses_are_told_once_each() {
-    let (mut state, mut membership) = (State::new(), Membership::default());
+    let (mut state, mut membership) = (State::new(), MembershipLog::default());
     assert_eq!(told(&mut membership, &state), []);
     propose(&mut state, &join(1, 1));
     assert_eq!(told(&mut membership, &state), [], "what is found at the first look is no change");
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_router_started_again_is_told_as_joined_and_its_old_lapse_as_nothing() {
-    let (mut state, mut membership) = (State::new(), Membership::default());
+    let (mut state, mut membership) = (State::new(), MembershipLog::default());
     propose(&mut state, &join(1, 1));
     assert_eq!(told(&mut membership, &state), [], "what is found at the first look is no change");
     propose(&mut state, &join(1, 2));
--- a/crates/hollow/src/assign.rs
+++ b/crates/hollow/src/assign.rs
@@ -7,7 +7,7 @@
 use crate::workload::Workload;
 use bindings::RouteTable;
 use instance_provider::{Listing, ProviderReport};
-use leases::Roster;
+use leases::Membership;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -22,9 +22,9 @@
     let nodes = shared.nodes.borrow();
     let each = nodes.values().map(|node| {
         let node = node.borrow();
-        (node.follower.roster().number, node.follower.step_number())
+        (node.follower.membership().number, node.follower.step_number())
     });
-    each.fold((0, 0), |(roster, step), (r, s)| (roster.max(r), step.max(s)))
+    each.fold((0, 0), |(membership, step), (r, s)| (membership.max(r), step.max(s)))
 }
 
 pub async fn run(shared: Rc<Shared>) {
@@ -50,16 +50,16 @@
 
 fn assign(shared: &Shared, newest: (u64, u64)) -> BTreeMap<NodeId, Vec<String>> {
     let nodes: Vec<_> = shared.nodes.borrow().values().cloned().collect();
-    let roster = nodes.iter().find(|node| node.borrow().follower.roster().number == newest.0);
+    let membership = nodes.iter().find(|node| node.borrow().follower.membership().number == newest.0);
     let source = nodes.iter().find(|node| node.borrow().follower.step_number() == newest.1);
-    let (Some(roster), Some(source)) = (roster, source) else { return BTreeMap::new() };
-    let roster: Rc<Roster> = Rc::new(roster.borrow().follower.roster().clone());
+    let (Some(membership), Some(source)) = (membership, source) else { return BTreeMap::new() };
+    let membership: Rc<Membership> = Rc::new(membership.borrow().follower.membership().clone());
     let source = source.borrow();
     let (revision, mut parts) = (source.follower.revision(), BTreeMap::<NodeId, Vec<(&str, &[u8])>>::new());
     let mut homes: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
     for (key, value) in source.follower.pairs() {
         let Some(name) = key.strip_prefix("function-bindings/") else { continue };
-        let Some(home) = roster.home(name) else { continue };
+        let Some(home) = membership.home(name) else { continue };
         parts.entry(home).or_default().push((key, value));
         homes.entry(home).or_default().push(name.to_owned());
     }
@@ -71,7 +71,7 @@
     for node in nodes {
         let id = node.borrow().follower.me();
         let routes = tables.get(&id).cloned().unwrap_or_default();
-        give(shared, &node, NodeInput::Assigned { roster: roster.clone(), routes });
+        give(shared, &node, NodeInput::Assigned { membership: membership.clone(), routes });
     }
     homes
 }
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -3,7 +3,7 @@
 
 use bindings::RouteTable;
 use instance_provider::ProviderReport;
-use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Roster, mix};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, Membership, mix};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     },
     /// The part of the route table whose functions are homed here, and the roster that says so.
     Assigned {
-        roster: Rc<Roster>,
+        membership: Rc<Membership>,
         routes: Rc<RouteTable>,
     },
     Listed {
@@ -103,8 +103,8 @@
             }
             NodeInput::Down { id } => drop(self.registries.remove(&id)),
             NodeInput::Frame { from, message } => self.frame(from, message),
-            NodeInput::Assigned { roster, routes } => {
-                self.feed_home(HomeInput::Roster { roster });
+            NodeInput::Assigned { membership, routes } => {
+                self.feed_home(HomeInput::Membership { membership });
                 self.feed_home(HomeInput::RouteTable { routes });
             }
             NodeInput::Listed { report } => self.feed_home(HomeInput::Platform { report, listed_at: now }),
@@ -150,7 +150,7 @@
                     self.send(to, Message::Lease(message));
                 }
                 FollowerOutput::ToRegistry { to: None, message } => self.tell_registries(Message::Lease(message)),
-                FollowerOutput::Rostered { .. } => self.dial(),
+                FollowerOutput::MembershipUpdated { .. } => self.dial(),
                 FollowerOutput::RegistryAddresses { addresses } => {
                     if addresses != self.seats {
                         self.seats = addresses;
@@ -158,13 +158,13 @@
                     }
                 }
                 FollowerOutput::Lapsed => self.feed_home(HomeInput::Lapsed),
-                FollowerOutput::Activated { .. } | FollowerOutput::Standing { .. } => {}
+                FollowerOutput::Activated { .. } | FollowerOutput::ServingStatus { .. } => {}
             }
         }
     }
 
     fn dial(&mut self) {
-        let members = self.follower.roster().members.iter().map(|line| line.address.as_str().to_owned());
+        let members = self.follower.membership().members.iter().map(|line| line.address.as_str().to_owned());
         let addresses = self.seeds.iter().chain(&self.seats).cloned().chain(members).collect();
         self.outs.push(NodeOutput::Dial { addresses });
     }
--- a/crates/hollow/src/node_group.rs
+++ b/crates/hollow/src/node_group.rs
@@ -107,7 +107,7 @@
             let node = node.borrow();
             view.serving += usize::from(node.may_serve(now));
             view.least_revision = view.least_revision.min(node.follower.revision());
-            let members = node.follower.roster().members.as_slice().len();
+            let members = node.follower.membership().members.as_slice().len();
             view.least_members = view.least_members.min(members);
             view.most_members = view.most_members.max(members);
         }
--- a/crates/hollow/src/offline.rs
+++ b/crates/hollow/src/offline.rs
@@ -10,7 +10,7 @@
 use crate::tally::round;
 use crate::workload::Workload;
 use bindings::{Function, RouteTable};
-use leases::{MemberLine, Roster};
+use leases::{Member, Membership};
 use rand::{RngExt, SeedableRng};
 use scaler::{Optimizer, Sample};
 use serde_json::{Map, Value, json};
@@ -111,8 +111,8 @@
     })
 }
 
-pub fn roster(members: usize) -> Roster {
-    let line = |n: usize| MemberLine {
+pub fn membership(members: usize) -> Membership {
+    let line = |n: usize| Member {
         id: leases::mix(&[&n.to_le_bytes()]),
         incarnation: 1,
         address: format!("10.0.{}.{}:7000", n / 250, n % 250).as_str().into(),
@@ -122,24 +122,24 @@
         hashing: leases::HASHING,
         capacity: Capacity::default(),
     };
-    Roster { number: 1, members: (0..members).map(line).collect::<Vec<_>>().into() }
+    Membership { number: 1, members: (0..members).map(line).collect::<Vec<_>>().into() }
 }
 
 fn homes(order: &Order) -> Value {
     let (members, functions) = (order.nodes[0], order.functions[0]);
-    let roster = roster(members);
+    let membership = membership(members);
     let workload = Workload { functions, awake: 0, instances: 0 };
     let names: Vec<String> = (0..functions).map(|n| workload.name(n)).collect();
     let mut mine = 0;
     let all = timed(5, || {
-        mine = names.iter().filter(|name| roster.home(name) == Some(roster.members.as_slice()[0].id)).count()
+        mine = names.iter().filter(|name| membership.home(name) == Some(membership.members.as_slice()[0].id)).count()
     });
-    let lines: Vec<Vec<u8>> = roster.members.iter().map(wire::to_bytes).collect();
-    let read = timed(25, || lines.iter().for_each(|raw| drop(wire::from_bytes::<MemberLine>(raw))));
+    let lines: Vec<Vec<u8>> = membership.members.iter().map(wire::to_bytes).collect();
+    let read = timed(25, || lines.iter().for_each(|raw| drop(wire::from_bytes::<Member>(raw))));
     json!({
         "reading the members us": round(read * 1000.0),
         "one lookup us": round(all * 1000.0 / functions as f64), "lookups of all functions ms": round(all),
-        "roster bytes": wire::to_bytes(&roster).len(), "functions homed at one": mine,
+        "roster bytes": wire::to_bytes(&membership).len(), "functions homed at one": mine,
     })
 }
 
--- a/crates/hollow/src/offline_home.rs
+++ b/crates/hollow/src/offline_home.rs
@@ -1,7 +1,7 @@
 //! A home alone: its tick against open schedulers, and the platform's list against instances.
 
 use crate::line::Order;
-use crate::offline::{resident_mb, roster, timed};
+use crate::offline::{membership, resident_mb, timed};
 use crate::tally::round;
 use crate::workload::Workload;
 use bindings::RouteTable;
@@ -17,11 +17,11 @@
 
 /// A home of all the workload's functions, its adoptions ended, its awake functions' instances known.
 pub fn open(workload: &Workload, members: usize) -> (Home, Duration) {
-    let roster = Rc::new(roster(members));
-    let mut home = Home::new(roster.members.as_slice()[0].id, 1, HomeTiming::default());
+    let membership = Rc::new(membership(members));
+    let mut home = Home::new(membership.members.as_slice()[0].id, 1, HomeTiming::default());
     let pairs = workload.pairs();
     let routes = Rc::new(RouteTable::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()))));
-    home.step(TICK, true, HomeInput::Roster { roster });
+    home.step(TICK, true, HomeInput::Membership { membership });
     home.step(TICK, true, HomeInput::RouteTable { routes });
     let mut now = TICK;
     listed(&mut home, now, workload.listing());
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -3,7 +3,7 @@
 
 use bindings::RouteTable;
 use hollow::{Node, NodeInput, NodeOutput, Workload};
-use leases::{MemberLine, Roster};
+use leases::{Member, Membership};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 const SEED: &str = "10.9.9.9:1";
 const TICK: Duration = Duration::from_millis(10);
 
-fn roster(members: u64) -> Roster {
-    let line = |n: u64| MemberLine {
+fn membership(members: u64) -> Membership {
+    let line = |n: u64| Member {
         id: ME + n,
         incarnation: 1,
         address: format!("10.0.0.1:{n}").as_str().into(),
@@ -26,27 +26,29 @@
         hashing: leases::HASHING,
         capacity: wire::Capacity::default(),
     };
-    Roster { number: 1, members: (0..members).map(line).collect::<Vec<_>>().into() }
+    Membership { number: 1, members: (0..members).map(line).collect::<Vec<_>>().into() }
 }
 
 /// Messages the node sends in two seconds among so many members, by kind.
 fn sent(members: u64, awake: usize) -> BTreeMap<&'static str, usize> {
     let workload = Workload { functions: 40, awake, instances: awake * 2 };
     let pairs = workload.pairs();
-    let roster = roster(members);
+    let membership = membership(members);
     let mine: Vec<&(String, Vec<u8>)> = pairs.iter().take(20).collect();
     let routes = RouteTable::build(1, 1, mine.iter().map(|(key, value)| (key.as_str(), value.as_slice())));
     let mut node = Node::new(ME, 1, "10.0.0.1:0", "a", &[SEED.to_owned()]);
     let mut now = TICK;
     node.step(now, NodeInput::Up { id: TAIL, address: SEED.into() });
     let step = wire::ConfigurationEpoch { number: 1, revision: 1, quorum: Vec::new().into(), items: Vec::new().into() };
-    let body = wire::to_bytes(&roster).into();
-    for message in
-        [LeaseMessage::Stage { step }, LeaseMessage::Activate { number: 1 }, LeaseMessage::Roster { number: 1, body }]
-    {
+    let body = wire::to_bytes(&membership).into();
+    for message in [
+        LeaseMessage::Stage { step },
+        LeaseMessage::Activate { number: 1 },
+        LeaseMessage::Membership { number: 1, body },
+    ] {
         node.step(now, NodeInput::Frame { from: TAIL, message: Message::Lease(message) });
     }
-    node.step(now, NodeInput::Assigned { roster: Rc::new(roster), routes: Rc::new(routes) });
+    node.step(now, NodeInput::Assigned { membership: Rc::new(membership), routes: Rc::new(routes) });
     let mut counts = BTreeMap::new();
     for tick in 0..400 {
         now += TICK;
--- a/crates/leases/src/fetch.rs
+++ b/crates/leases/src/fetch.rs
@@ -20,11 +20,11 @@
     pub(crate) fn begin_fetch(&mut self, from: NodeId) {
         let request_id = self.next_request_number();
         self.fetch = Some(Fetch { request_id, step: None, pairs: BTreeMap::new(), parts: None, moved: self.now });
-        self.tell_registry(Some(from), LeaseMessage::PartRequest { request_id, whole: 1, number: 0, offset: 0 });
+        self.send_to_registry(Some(from), LeaseMessage::PartRequest { request_id, whole: 1, number: 0, offset: 0 });
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(crate) fn on_piece(
+    pub(crate) fn on_configuration_page(
         &mut self,
         from: NodeId,
         request_id: u64,
@@ -46,7 +46,7 @@
             fetch.pairs.insert(item.key.as_str().to_owned(), item.value.into_vec());
         }
         if !next.as_str().is_empty() {
-            return self.tell_registry(Some(from), LeaseMessage::ConfigurationRequest { request_id, from: next });
+            return self.send_to_registry(Some(from), LeaseMessage::ConfigurationRequest { request_id, from: next });
         }
         let pairs = std::mem::take(&mut fetch.pairs);
         self.install(step, revision, quorum, pairs);
--- a/crates/leases/src/follower.rs
+++ b/crates/leases/src/follower.rs
@@ -3,10 +3,10 @@
 //! when it was asked, so a frozen or late router can only be too careful.
 
 use crate::fetch::Fetch;
+use crate::membership::{HASHING, Membership};
 use crate::parts::Arriving;
 use crate::peers::Peers;
-use crate::roster::{HASHING, Roster};
-use crate::standing::{Standing, StandingEvent, Standings};
+use crate::serving_status::{ServingEvent, ServingStateMachine, ServingStatus};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{Capacity, ConfigurationEpoch, LeaseMessage, NodeId};
@@ -49,9 +49,9 @@
     ToRegistry { to: Option<NodeId>, message: LeaseMessage },
     ToPeer { to: NodeId, message: LeaseMessage },
     Activated { step: u64, revision: u64 },
-    Rostered { number: u64 },
+    MembershipUpdated { number: u64 },
     RegistryAddresses { addresses: Vec<String> },
-    Standing { standing: Standing },
+    ServingStatus { serving_status: ServingStatus },
     Lapsed,
 }
 
@@ -67,12 +67,12 @@
     pub(crate) quorum: Vec<NodeId>,
     pub(crate) staged: BTreeMap<u64, ConfigurationEpoch>,
     pub(crate) latest_known: u64,
-    pub(crate) roster: Roster,
+    pub(crate) membership: Membership,
     pub(crate) ready: bool,
-    pub(crate) held: bool,
+    pub(crate) is_member: bool,
     pub(crate) leaving: bool,
     pub(crate) tail: Option<(NodeId, Duration)>,
-    pub(crate) asks: BTreeMap<u64, Duration>,
+    pub(crate) pending_renewals: BTreeMap<u64, Duration>,
     pub(crate) next_request_id: u64,
     pub(crate) proof: Option<Duration>,
     pub(crate) peer_proof: Option<Duration>,
@@ -81,8 +81,8 @@
     pub(crate) arriving: Option<Arriving>,
     pub(crate) renewed: Option<Duration>,
     pub(crate) joined: Option<Duration>,
-    standings: Standings,
-    standing: Standing,
+    state_machine: ServingStateMachine,
+    serving_status: ServingStatus,
 }
 
 /// Numbers of one incarnation are never those of another, so that an answer meant for the one
@@ -112,12 +112,12 @@
             quorum: Vec::new(),
             staged: BTreeMap::new(),
             latest_known: 0,
-            roster: Roster::default(),
+            membership: Membership::default(),
             ready: false,
-            held: false,
+            is_member: false,
             leaving: false,
             tail: None,
-            asks: BTreeMap::new(),
+            pending_renewals: BTreeMap::new(),
             next_request_id: first_number(incarnation),
             proof: None,
             peer_proof: None,
@@ -126,8 +126,8 @@
             arriving: None,
             renewed: None,
             joined: None,
-            standings: Standings::default(),
-            standing: Standing::Waiting,
+            state_machine: ServingStateMachine::default(),
+            serving_status: ServingStatus::Waiting,
         }
     }
 
@@ -154,8 +154,8 @@
     pub fn staged_number(&self) -> u64 {
         self.staged.keys().next_back().copied().unwrap_or(self.step)
     }
-    pub fn roster(&self) -> &Roster {
-        &self.roster
+    pub fn membership(&self) -> &Membership {
+        &self.membership
     }
     pub fn tail(&self) -> Option<NodeId> {
         self.tail.map(|(id, _)| id)
@@ -172,25 +172,25 @@
                 self.say_leaving();
             }
         }
-        let standing = self.standing_at(now);
-        if standing != self.standing {
-            self.standing = standing;
-            self.outs.push(FollowerOutput::Standing { standing });
+        let serving_status = self.serving_status_at(now);
+        if serving_status != self.serving_status {
+            self.serving_status = serving_status;
+            self.outs.push(FollowerOutput::ServingStatus { serving_status });
         }
         std::mem::take(&mut self.outs)
     }
 
     /// Asked again at the very moment of each dispatch.
-    pub fn standing_at(&mut self, now: Duration) -> Standing {
+    pub fn serving_status_at(&mut self, now: Duration) -> ServingStatus {
         let (by_core, by_peers) = self.proved_until();
         let event = if now < by_core {
-            StandingEvent::CoreProved
+            ServingEvent::CoreProved
         } else if now < by_peers {
-            StandingEvent::PeersProved
+            ServingEvent::PeersProved
         } else {
-            StandingEvent::Unproved
+            ServingEvent::Unproved
         };
-        self.standings.take(event)
+        self.state_machine.take(event)
     }
 
     /// The moment until which this router may serve by its step, as far as it knows now.
@@ -212,7 +212,7 @@
         self.staged_number().max(self.latest_known) > self.step
     }
 
-    pub(crate) fn tell_registry(&mut self, to: Option<NodeId>, message: LeaseMessage) {
+    pub(crate) fn send_to_registry(&mut self, to: Option<NodeId>, message: LeaseMessage) {
         self.outs.push(FollowerOutput::ToRegistry { to, message });
     }
 
--- a/crates/leases/src/roster.rs
+++ b/crates/leases/src/membership.rs
@@ -15,7 +15,7 @@
 const RAISED: f64 = 2.0;
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct MemberLine {
+pub struct Member {
     pub id: NodeId,
     pub incarnation: u64,
     pub address: Text,
@@ -27,21 +27,21 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct Roster {
+pub struct Membership {
     pub number: u64,
-    pub members: List<MemberLine>,
+    pub members: List<Member>,
 }
 
 /// What differs between two rosters: the lines that are new or other, and who is gone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct RosterChange {
-    pub lines: List<MemberLine>,
+pub struct MembershipChange {
+    pub lines: List<Member>,
     pub gone: List<NodeId>,
 }
 
 /// The records of programs that knew only the first hashing.
 #[derive(DekuRead, DekuWrite)]
-struct PlainLine {
+struct PlainMember {
     id: NodeId,
     incarnation: u64,
     address: Text,
@@ -51,34 +51,34 @@
 }
 
 #[derive(DekuRead, DekuWrite)]
-struct PlainRoster {
+struct PlainMembership {
     number: u64,
-    members: List<PlainLine>,
+    members: List<PlainMember>,
 }
 
-impl From<PlainLine> for MemberLine {
-    fn from(line: PlainLine) -> MemberLine {
-        let PlainLine { id, incarnation, address, zone, ops, leaving } = line;
-        MemberLine { id, incarnation, address, zone, ops, leaving, hashing: 1, capacity: Capacity::default() }
+impl From<PlainMember> for Member {
+    fn from(line: PlainMember) -> Member {
+        let PlainMember { id, incarnation, address, zone, ops, leaving } = line;
+        Member { id, incarnation, address, zone, ops, leaving, hashing: 1, capacity: Capacity::default() }
     }
 }
 
-impl From<MemberLine> for PlainLine {
-    fn from(line: MemberLine) -> PlainLine {
-        let MemberLine { id, incarnation, address, zone, ops, leaving, .. } = line;
-        PlainLine { id, incarnation, address, zone, ops, leaving }
+impl From<Member> for PlainMember {
+    fn from(line: Member) -> PlainMember {
+        let Member { id, incarnation, address, zone, ops, leaving, .. } = line;
+        PlainMember { id, incarnation, address, zone, ops, leaving }
     }
 }
 
-impl MemberLine {
+impl Member {
     /// A record of either shape.
-    pub fn read(raw: &[u8]) -> Option<MemberLine> {
-        wire::from_bytes(raw).or_else(|| wire::from_bytes::<PlainLine>(raw).map(MemberLine::from))
+    pub fn read(raw: &[u8]) -> Option<Member> {
+        wire::from_bytes(raw).or_else(|| wire::from_bytes::<PlainMember>(raw).map(Member::from))
     }
 
     /// One that joined as a program of the first hashing does stays in that shape.
     pub fn written(&self) -> Vec<u8> {
-        if self.hashing < 2 { wire::to_bytes(&PlainLine::from(self.clone())) } else { wire::to_bytes(self) }
+        if self.hashing < 2 { wire::to_bytes(&PlainMember::from(self.clone())) } else { wire::to_bytes(self) }
     }
 }
 
@@ -101,13 +101,13 @@
     ended(words.iter().fold(SEED, |hash, word| go_on(hash, word)))
 }
 
-impl Roster {
+impl Membership {
     /// A record of either shape.
-    pub fn read(raw: &[u8]) -> Option<Roster> {
+    pub fn read(raw: &[u8]) -> Option<Membership> {
         wire::from_bytes(raw).or_else(|| {
-            let PlainRoster { number, members } = wire::from_bytes(raw)?;
-            let members: Vec<MemberLine> = members.into_vec().into_iter().map(MemberLine::from).collect();
-            Some(Roster { number, members: members.into() })
+            let PlainMembership { number, members } = wire::from_bytes(raw)?;
+            let members: Vec<Member> = members.into_vec().into_iter().map(Member::from).collect();
+            Some(Membership { number, members: members.into() })
         })
     }
 
@@ -116,11 +116,11 @@
         if format >= wire::CAPACITY {
             return wire::to_bytes(&self);
         }
-        let members: Vec<PlainLine> = self.members.into_vec().into_iter().map(PlainLine::from).collect();
-        wire::to_bytes(&PlainRoster { number: self.number, members: members.into() })
+        let members: Vec<PlainMember> = self.members.into_vec().into_iter().map(PlainMember::from).collect();
+        wire::to_bytes(&PlainMembership { number: self.number, members: members.into() })
     }
 
-    pub fn member(&self, id: NodeId) -> Option<&MemberLine> {
+    pub fn member(&self, id: NodeId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Members that stay, or all where none does, that can carry a home, each with its weight.
-    fn able(&self, lost: Option<NodeId>) -> Vec<(&MemberLine, f64)> {
+    fn able(&self, lost: Option<NodeId>) -> Vec<(&Member, f64)> {
         let there = || self.members.iter().filter(move |member| lost != Some(member.id));
         let stays = there().any(|member| member.leaving == 0);
         let staying = || there().filter(move |member| !stays || member.leaving == 0);
@@ -167,7 +167,7 @@
         let most = |of: fn(&Capacity) -> u32| staying().map(|member| of(&member.capacity)).max().unwrap_or_default();
         let (processor, link) = (most(|has| has.processor_milli), most(|has| has.link_kbit));
         let part = |has: u32, most: u32| if most == 0 { 1.0 } else { f64::from(has) / f64::from(most) };
-        let scarcer = |member: &MemberLine| {
+        let scarcer = |member: &Member| {
             part(member.capacity.processor_milli, processor).min(part(member.capacity.link_kbit, link))
         };
         let two = staying().filter(|member| scarcer(member) >= FIT).take(2).count() == 2;
@@ -176,26 +176,26 @@
     }
 }
 
-impl Roster {
-    pub fn change_since(&self, earlier: &Roster) -> RosterChange {
-        let known: BTreeMap<NodeId, &MemberLine> = earlier.members.iter().map(|line| (line.id, line)).collect();
+impl Membership {
+    pub fn change_since(&self, earlier: &Membership) -> MembershipChange {
+        let known: BTreeMap<NodeId, &Member> = earlier.members.iter().map(|line| (line.id, line)).collect();
         let here: BTreeSet<NodeId> = self.members.iter().map(|line| line.id).collect();
-        let lines: Vec<MemberLine> =
+        let lines: Vec<Member> =
             self.members.iter().filter(|line| known.get(&line.id) != Some(line)).cloned().collect();
         let gone: Vec<NodeId> = known.into_keys().filter(|id| !here.contains(id)).collect();
-        RosterChange { lines: lines.into(), gone: gone.into() }
+        MembershipChange { lines: lines.into(), gone: gone.into() }
     }
 
-    pub fn changed(&self, number: u64, change: RosterChange) -> Roster {
-        let mut lines: BTreeMap<NodeId, MemberLine> = self.members.iter().map(|line| (line.id, line.clone())).collect();
+    pub fn changed(&self, number: u64, change: MembershipChange) -> Membership {
+        let mut lines: BTreeMap<NodeId, Member> = self.members.iter().map(|line| (line.id, line.clone())).collect();
         change.gone.iter().for_each(|id| drop(lines.remove(id)));
         lines.extend(change.lines.into_vec().into_iter().map(|line| (line.id, line)));
-        Roster { number, members: lines.into_values().collect::<Vec<_>>().into() }
+        Membership { number, members: lines.into_values().collect::<Vec<_>>().into() }
     }
 }
 
 /// The first hashing: a zone, then a machine within the zone.
-fn evenly(able: &[(&MemberLine, f64)], function: &str) -> Option<NodeId> {
+fn evenly(able: &[(&Member, f64)], function: &str) -> Option<NodeId> {
     let zones = able.iter().map(|(member, _)| member.zone.as_str());
     let zone = zones.max_by_key(|zone| (mix(&[function.as_bytes(), zone.as_bytes()]), *zone))?;
     let in_it = able.iter().filter(|(member, _)| member.zone.as_str() == zone).map(|(member, _)| member.id);
--- a/crates/leases/src/parts.rs
+++ b/crates/leases/src/parts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use wire::{Blob, ConfigurationEpoch, LeaseMessage, NodeId};
 
-const AGAIN: Duration = Duration::from_millis(500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 pub struct Part {
     pub number: u64,
@@ -27,37 +27,37 @@
     pub moved: Duration,
 }
 
-enum Taken {
+enum Received {
     Nothing,
     More,
-    Whole(Option<ConfigurationEpoch>),
+    Complete(Option<ConfigurationEpoch>),
 }
 
 impl Arriving {
-    fn take(slot: &mut Option<Arriving>, now: Duration, from: NodeId, part: Part) -> Taken {
+    fn take(slot: &mut Option<Arriving>, now: Duration, from: NodeId, part: Part) -> Received {
         let Part { number, size, packed, offset, bytes } = part;
         let same = |known: &Arriving| (known.number, known.size, known.packed) == (number, size, packed);
         if offset == 0 && !slot.as_ref().is_some_and(same) {
             *slot = Some(Arriving { from, number, size, packed, bytes: Vec::new(), asked: now, moved: now });
         }
-        let Some(arriving) = slot.as_mut().filter(|known| same(known)) else { return Taken::Nothing };
+        let Some(arriving) = slot.as_mut().filter(|known| same(known)) else { return Received::Nothing };
         let fits = bytes.len() <= packed.saturating_sub(offset) as usize;
         if offset as usize != arriving.bytes.len() || bytes.is_empty() || !fits {
-            return Taken::Nothing;
+            return Received::Nothing;
         }
         arriving.bytes.extend_from_slice(bytes.as_slice());
         (arriving.from, arriving.asked, arriving.moved) = (from, now, now);
         if arriving.bytes.len() < packed as usize {
-            return Taken::More;
+            return Received::More;
         }
         let raw = wire::unpack(&arriving.bytes, size);
         *slot = None;
-        Taken::Whole(
+        Received::Complete(
             raw.and_then(|raw| wire::from_bytes::<ConfigurationEpoch>(&raw)).filter(|step| step.number == number),
         )
     }
 
-    fn part_request(&self, request_id: u64, whole: bool) -> LeaseMessage {
+    fn request(&self, request_id: u64, whole: bool) -> LeaseMessage {
         LeaseMessage::PartRequest {
             request_id,
             whole: whole as u8,
@@ -72,16 +72,16 @@
         if !self.takes(part.number) {
             self.latest_known = self.latest_known.max(part.number);
             let number = self.staged_number();
-            return self.tell_registry(Some(from), LeaseMessage::Staged { number });
+            return self.send_to_registry(Some(from), LeaseMessage::Staged { number });
         }
         match Arriving::take(&mut self.arriving, self.now, from, part) {
-            Taken::Whole(Some(step)) => self.on_stage(from, step),
-            Taken::More => self.ask_on(),
-            Taken::Nothing | Taken::Whole(None) => {}
+            Received::Complete(Some(step)) => self.on_stage(from, step),
+            Received::More => self.request_next_parts(),
+            Received::Nothing | Received::Complete(None) => {}
         }
     }
 
-    pub(crate) fn on_whole_part(&mut self, from: NodeId, request_id: u64, part: Part) {
+    pub(crate) fn on_configuration_part(&mut self, from: NodeId, request_id: u64, part: Part) {
         let (now, step) = (self.now, self.step);
         let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.request_id == request_id) else { return };
         if part.number <= step {
@@ -90,37 +90,39 @@
         }
         fetch.moved = now;
         match Arriving::take(&mut fetch.parts, now, from, part) {
-            Taken::Whole(Some(whole)) => {
+            Received::Complete(Some(whole)) => {
                 self.fetch = None;
                 let pairs = whole.items.into_vec().into_iter();
                 let pairs = pairs.map(|item| (item.key.as_str().to_owned(), item.value.into_vec())).collect();
                 self.install(whole.number, whole.revision, whole.quorum.into_vec(), pairs);
             }
-            Taken::Whole(None) => self.fetch = None,
-            Taken::More => self.ask_on(),
-            Taken::Nothing => {}
+            Received::Complete(None) => self.fetch = None,
+            Received::More => self.request_next_parts(),
+            Received::Nothing => {}
         }
     }
 
-    fn ask_on(&mut self) {
+    fn request_next_parts(&mut self) {
         let now = self.now;
-        let mut asks = Vec::new();
-        if let Some(arriving) = self.arriving.as_mut().filter(|it| it.moved == now || now >= it.asked + AGAIN) {
+        let mut pending_renewals = Vec::new();
+        if let Some(arriving) = self.arriving.as_mut().filter(|it| it.moved == now || now >= it.asked + RETRY_INTERVAL)
+        {
             arriving.asked = now;
-            asks.push((arriving.from, arriving.part_request(0, false)));
+            pending_renewals.push((arriving.from, arriving.request(0, false)));
         }
         if let Some(fetch) = &mut self.fetch
-            && let Some(arriving) = fetch.parts.as_mut().filter(|it| it.moved == now || now >= it.asked + AGAIN)
+            && let Some(arriving) =
+                fetch.parts.as_mut().filter(|it| it.moved == now || now >= it.asked + RETRY_INTERVAL)
         {
             arriving.asked = now;
-            asks.push((arriving.from, arriving.part_request(fetch.request_id, true)));
+            pending_renewals.push((arriving.from, arriving.request(fetch.request_id, true)));
         }
-        asks.into_iter().for_each(|(to, message)| self.tell_registry(Some(to), message));
+        pending_renewals.into_iter().for_each(|(to, message)| self.send_to_registry(Some(to), message));
     }
 
-    pub(crate) fn parts_due(&self) -> Duration {
+    pub(crate) fn next_part_due(&self) -> Duration {
         let fetched = self.fetch.as_ref().and_then(|fetch| fetch.parts.as_ref());
-        let due = self.arriving.iter().chain(fetched).map(|it| it.asked + AGAIN).min();
+        let due = self.arriving.iter().chain(fetched).map(|it| it.asked + RETRY_INTERVAL).min();
         let given_up = self.fetch.as_ref().map(|fetch| fetch.moved + self.timing.hold);
         due.into_iter().chain(given_up).min().unwrap_or(Duration::MAX)
     }
@@ -134,6 +136,6 @@
         if self.arriving.as_ref().is_some_and(|it| now > it.moved + hold || it.number <= staged) {
             self.arriving = None;
         }
-        self.ask_on();
+        self.request_next_parts();
     }
 }
--- a/crates/leases/src/peers.rs
+++ b/crates/leases/src/peers.rs
@@ -53,7 +53,7 @@
     }
 
     fn relays(&self) -> Vec<NodeId> {
-        let able = |id: &NodeId| self.roster.member(*id).map_or(0, |line| line.capacity.processor_milli);
+        let able = |id: &NodeId| self.membership.member(*id).map_or(0, |line| line.capacity.processor_milli);
         let mut relays: Vec<NodeId> = self.quorum.clone();
         relays.sort_by_cached_key(|id| (std::cmp::Reverse(able(id)), *id));
         relays.truncate(RELAYS);
--- a/crates/leases/src/sessions.rs
+++ b/crates/leases/src/sessions.rs
@@ -14,15 +14,15 @@
     pub proof_asked_until: Duration,
     pub staged: u64,
     pub active: u64,
-    pub roster: u64,
+    pub membership: u64,
     pub departed: bool,
     pub pushed: u64,
     pub pushed_at: Duration,
     pub told: u64,
     pub told_at: Duration,
     /// The newest roster it was sent, and when.
-    pub rostered: u64,
-    pub rostered_at: Duration,
+    pub membership_sent: u64,
+    pub membership_sent_at: Duration,
 }
 
 #[derive(Clone, Debug, Default)]
--- a/crates/leases/src/steps.rs
+++ b/crates/leases/src/steps.rs
@@ -1,8 +1,8 @@
 //! What registries tell a follower: proofs, steps staged and activated, the roster.
 
 use crate::follower::{Follower, FollowerOutput};
+use crate::membership::{Membership, MembershipChange};
 use crate::parts::Part;
-use crate::roster::{Roster, RosterChange};
 use wire::{Blob, ConfigurationEpoch, LeaseMessage, NodeId};
 
 impl Follower {
@@ -20,23 +20,27 @@
             }
             LeaseMessage::Stage { step } => self.on_stage(from, step),
             LeaseMessage::Activate { number } => self.activate_to(number),
-            LeaseMessage::Roster { number, body } => {
-                if number > self.roster.number
-                    && let Some(roster) = Roster::read(body.as_slice())
+            LeaseMessage::Membership { number, body } => {
+                if number > self.membership.number
+                    && let Some(membership) = Membership::read(body.as_slice())
                 {
-                    self.roster = roster;
-                    self.outs.push(FollowerOutput::Rostered { number });
+                    self.membership = membership;
+                    self.outs.push(FollowerOutput::MembershipUpdated { number });
                 }
             }
-            LeaseMessage::RosterChange { since, number, size, body } => {
-                self.on_roster_change(since, number, size, &body)
+            LeaseMessage::MembershipChange { since, number, size, body } => {
+                self.on_membership_change(since, number, size, &body)
             }
             LeaseMessage::Part { request_id, whole, number, size, packed, offset, bytes } => {
                 let part = Part { number, size, packed, offset, bytes };
-                if whole != 0 { self.on_whole_part(from, request_id, part) } else { self.on_step_part(from, part) }
+                if whole != 0 {
+                    self.on_configuration_part(from, request_id, part)
+                } else {
+                    self.on_step_part(from, part)
+                }
             }
             LeaseMessage::ConfigurationPage { request_id, step, revision, quorum, items, next } => {
-                self.on_piece(from, request_id, step, revision, quorum.into_vec(), items.into_vec(), next)
+                self.on_configuration_page(from, request_id, step, revision, quorum.into_vec(), items.into_vec(), next)
             }
             _ => {}
         }
@@ -50,35 +54,38 @@
     }
 
     /// A change of a roster this router has not is passed over: the core hears its number with each renewal.
-    fn on_roster_change(&mut self, since: u64, number: u64, size: u32, body: &Blob) {
-        if number <= self.roster.number || (since != 0 && since != self.roster.number) {
+    fn on_membership_change(&mut self, since: u64, number: u64, size: u32, body: &Blob) {
+        if number <= self.membership.number || (since != 0 && since != self.membership.number) {
             return;
         }
         let raw = wire::unpack(body.as_slice(), size);
-        let Some(change) = raw.and_then(|raw| wire::from_bytes::<RosterChange>(&raw)) else { return };
-        let roster =
-            if since == 0 { Roster::default().changed(number, change) } else { self.roster.changed(number, change) };
-        self.roster = roster;
-        self.outs.push(FollowerOutput::Rostered { number });
+        let Some(change) = raw.and_then(|raw| wire::from_bytes::<MembershipChange>(&raw)) else { return };
+        let membership = if since == 0 {
+            Membership::default().changed(number, change)
+        } else {
+            self.membership.changed(number, change)
+        };
+        self.membership = membership;
+        self.outs.push(FollowerOutput::MembershipUpdated { number });
     }
 
     fn on_proof(&mut self, from: NodeId, request_id: u64, active: u64, latest: u64, member: bool) {
-        let Some(asked) = self.asks.remove(&request_id) else { return };
+        let Some(asked) = self.pending_renewals.remove(&request_id) else { return };
         self.tail = Some((from, self.now));
         self.latest_known = self.latest_known.max(latest);
         if !member {
             self.proof = None;
-            if std::mem::take(&mut self.held) {
+            if std::mem::take(&mut self.is_member) {
                 self.outs.push(FollowerOutput::Lapsed);
             }
             if self.joined.is_none_or(|last| self.now >= last + self.timing.renew) {
                 self.joined = Some(self.now);
                 let message = self.joining.clone();
-                self.tell_registry(Some(from), message);
+                self.send_to_registry(Some(from), message);
             }
             return;
         }
-        self.held = true;
+        self.is_member = true;
         self.activate_to(active);
         if self.step == active {
             self.ready = true;
@@ -94,7 +101,7 @@
             self.staged.insert(step.number, step);
         }
         let number = self.staged_number();
-        self.tell_registry(Some(from), LeaseMessage::Staged { number });
+        self.send_to_registry(Some(from), LeaseMessage::Staged { number });
     }
 
     /// Whether it is the next step after what is held here.
--- a/crates/leases/src/ticks.rs
+++ b/crates/leases/src/ticks.rs
@@ -6,15 +6,15 @@
 use wire::{LeaseMessage, NodeId};
 
 /// While no registry is known to be the tail, all are asked, and not as often.
-const ASK_ALL: Duration = Duration::from_millis(100);
+const BROADCAST_RENEWAL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Follower {
     /// Said again with each renewal until the roster shows it: a core that is being mended may
     /// have let the first word fall.
     pub(crate) fn say_leaving(&mut self) {
-        let shown = self.roster.member(self.me).is_none_or(|line| line.leaving != 0);
+        let shown = self.membership.member(self.me).is_none_or(|line| line.leaving != 0);
         if self.leaving && !shown {
-            self.tell_registry(None, LeaseMessage::Leaving);
+            self.send_to_registry(None, LeaseMessage::Leaving);
         }
     }
 
@@ -23,18 +23,18 @@
         let heard = self.tail.filter(|(_, heard)| self.now < *heard + self.timing.renew * 2).map(|(id, _)| id);
         match (self.is_guarded(), heard) {
             (false, _) => (heard, self.timing.renew),
-            (true, Some(_)) if self.roster.members.as_slice().len() > self.timing.relay_above => {
+            (true, Some(_)) if self.membership.members.as_slice().len() > self.timing.relay_above => {
                 (heard, self.timing.renew_guarded_many)
             }
             (true, Some(_)) => (heard, self.timing.renew_guarded),
-            (true, None) => (heard, ASK_ALL.min(self.timing.renew)),
+            (true, None) => (heard, BROADCAST_RENEWAL_INTERVAL.min(self.timing.renew)),
         }
     }
 
     /// The moment of the next tick that does something, as far as is known now.
     pub fn due(&self) -> Duration {
         let renewal = self.renewed.map_or(self.now, |last| last + self.renewing().1);
-        let parts = self.parts_due();
+        let parts = self.next_part_due();
         renewal.min(parts).min(self.peers_due())
     }
 
@@ -44,12 +44,12 @@
         if self.renewed.is_none_or(|last| now >= last + every) {
             self.renewed = Some(now);
             let request_id = self.next_request_number();
-            self.asks.insert(request_id, now);
+            self.pending_renewals.insert(request_id, now);
             let hold = self.timing.hold;
-            self.asks.retain(|_, asked| now < *asked + hold);
-            let (staged, active, roster) = (self.staged_number(), self.step, self.roster.number);
+            self.pending_renewals.retain(|_, asked| now < *asked + hold);
+            let (staged, active, membership) = (self.staged_number(), self.step, self.membership.number);
             self.say_leaving();
-            self.tell_registry(heard, LeaseMessage::Renew { request_id, staged, active, roster });
+            self.send_to_registry(heard, LeaseMessage::Renew { request_id, staged, active, membership });
         }
         self.tick_parts();
         self.tick_peers();
--- a/crates/leases/tests/follower.rs
+++ b/crates/leases/tests/follower.rs
@@ -1,6 +1,6 @@
 //! The follower's promises, one by one.
 
-use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, MemberLine, Roster, Standing};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, Member, Membership, ServingStatus};
 use std::time::Duration;
 use wire::{Capacity, ConfigurationEpoch, ConfigurationItem, LeaseMessage};
 
@@ -46,14 +46,14 @@
     let mut one = follower(1);
     let request_id = renewals(&tick(&mut one, 0))[0];
     tell(&mut one, 900, proof(request_id, 0, 0));
-    assert_eq!(one.standing_at(ms(1499)), Standing::ByCore);
-    assert_eq!(one.standing_at(ms(1500)), Standing::Waiting);
+    assert_eq!(one.serving_status_at(ms(1499)), ServingStatus::ByCore);
+    assert_eq!(one.serving_status_at(ms(1500)), ServingStatus::Waiting);
     let request_id = renewals(&tick(&mut one, 2000))[0];
     tell(&mut one, 2010, proof(request_id, 0, 0));
-    assert_eq!(one.standing_at(ms(2300)), Standing::ByCore);
+    assert_eq!(one.serving_status_at(ms(2300)), ServingStatus::ByCore);
     tell(&mut one, 2020, step(1));
-    assert_eq!(one.standing_at(ms(2199)), Standing::ByCore);
-    assert_eq!(one.standing_at(ms(2200)), Standing::Waiting);
+    assert_eq!(one.serving_status_at(ms(2199)), ServingStatus::ByCore);
+    assert_eq!(one.serving_status_at(ms(2200)), ServingStatus::Waiting);
     assert_eq!(one.serves_until(), ms(2200));
 }
 
@@ -64,9 +64,9 @@
     let mut two = follower(2);
     assert!(renewals(&tick(&mut two, 0))[0] != request_id);
     tell(&mut two, 10, proof(request_id, 0, 0));
-    assert_eq!(two.standing_at(ms(20)), Standing::Waiting);
+    assert_eq!(two.serving_status_at(ms(20)), ServingStatus::Waiting);
     tell(&mut one, 10, proof(request_id, 5, 5));
-    assert_eq!(one.standing_at(ms(20)), Standing::Waiting);
+    assert_eq!(one.serving_status_at(ms(20)), ServingStatus::Waiting);
 }
 
 #[test]
@@ -75,16 +75,16 @@
     let says = |outputs: &[FollowerOutput]| {
         outputs.iter().any(|o| matches!(o, FollowerOutput::ToRegistry { message: LeaseMessage::Leaving, .. }))
     };
-    let roster = |number: u64, leaving: u8| {
+    let membership = |number: u64, leaving: u8| {
         let (address, zone, ops, capacity) = ("".into(), "a".into(), "".into(), Capacity::default());
-        let line = MemberLine { id: ME, incarnation: 1, address, zone, ops, leaving, hashing: HASHING, capacity };
-        let body = wire::to_bytes(&Roster { number, members: vec![line].into() });
-        LeaseMessage::Roster { number, body: body.into() }
+        let line = Member { id: ME, incarnation: 1, address, zone, ops, leaving, hashing: HASHING, capacity };
+        let body = wire::to_bytes(&Membership { number, members: vec![line].into() });
+        LeaseMessage::Membership { number, body: body.into() }
     };
-    tell(&mut one, 0, roster(1, 0));
+    tell(&mut one, 0, membership(1, 0));
     assert!(says(&one.step(ms(10), FollowerInput::Leave)));
     assert!(says(&tick(&mut one, 300)) && says(&tick(&mut one, 600)));
-    tell(&mut one, 700, roster(2, 1));
+    tell(&mut one, 700, membership(2, 1));
     assert!(!says(&tick(&mut one, 1000)));
 }
 
@@ -108,12 +108,12 @@
     let first = last_ask(3000);
     let answer = |request_id, latest| LeaseMessage::PeerReply { request_id, active: 1, latest };
     one.step(ms(3001), FollowerInput::Peer { from: 8, message: answer(first, 2) });
-    assert_eq!(one.standing_at(ms(3002)), Standing::Waiting);
+    assert_eq!(one.serving_status_at(ms(3002)), ServingStatus::Waiting);
     one.step(ms(3003), FollowerInput::Peer { from: 55, message: answer(first, 1) });
-    assert_eq!(one.standing_at(ms(3004)), Standing::Waiting, "a machine outside the quorum");
+    assert_eq!(one.serving_status_at(ms(3004)), ServingStatus::Waiting, "a machine outside the quorum");
     one.step(ms(3005), FollowerInput::Peer { from: 7, message: answer(first, 1) });
-    assert_eq!(one.standing_at(ms(3006)), Standing::ByPeers);
-    assert_eq!(one.standing_at(ms(3200)), Standing::Waiting, "200 ms from when it was asked");
+    assert_eq!(one.serving_status_at(ms(3006)), ServingStatus::ByPeers);
+    assert_eq!(one.serving_status_at(ms(3200)), ServingStatus::Waiting, "200 ms from when it was asked");
 }
 
 #[test]
--- a/crates/leases/tests/relays.rs
+++ b/crates/leases/tests/relays.rs
@@ -2,7 +2,7 @@
 //! than if all asked all, whoever of the relays is lost; and nobody serves once a newer step is held by
 //! more than half.
 
-use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, MemberLine, Roster, Standing};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, Member, Membership, ServingStatus};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
 
 impl Fleet {
     fn new(seed: u64) -> Fleet {
-        let line = |id: NodeId| MemberLine {
+        let line = |id: NodeId| Member {
             id,
             incarnation: 1,
             address: "".into(),
@@ -46,7 +46,7 @@
             hashing: HASHING,
             capacity: Capacity { processor_milli: if id <= 6 { 260 } else { 62 }, link_kbit: 2000 },
         };
-        let roster = Roster { number: 1, members: (1..=COUNT).map(line).collect::<Vec<_>>().into() };
+        let membership = Membership { number: 1, members: (1..=COUNT).map(line).collect::<Vec<_>>().into() };
         let mut fleet = Fleet {
             members: BTreeMap::new(),
             frames: Vec::new(),
@@ -59,10 +59,10 @@
         };
         for id in 1..=COUNT {
             fleet.members.insert(id, Follower::new(id, 1, "", "a", "", FollowerTiming::default()));
-            let change = roster.change_since(&Roster::default());
+            let change = membership.change_since(&Membership::default());
             let packed = wire::pack(&wire::to_bytes(&change));
             let (size, body) = (packed.size, packed.bytes);
-            fleet.tell(id, TAIL, LeaseMessage::RosterChange { since: 0, number: 1, size, body });
+            fleet.tell(id, TAIL, LeaseMessage::MembershipChange { since: 0, number: 1, size, body });
             fleet.tell(id, TAIL, stage(1));
             fleet.tell(id, TAIL, LeaseMessage::Activate { number: 1 });
         }
@@ -173,6 +173,9 @@
         assert_eq!(fleet.serving(), 0, "seed {seed}");
         fleet.pass(1000);
         let now = fleet.now;
-        assert!(fleet.members.values_mut().all(|member| member.standing_at(now) == Standing::Waiting), "seed {seed}");
+        assert!(
+            fleet.members.values_mut().all(|member| member.serving_status_at(now) == ServingStatus::Waiting),
+            "seed {seed}"
+        );
     }
 }
--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/ending.rs
@@ -63,7 +63,7 @@
                 "router {n}: step {} staged {} roster {} tail {:x?}, front {}, home {:?}",
                 machines.follower.step_number(),
                 machines.follower.staged_number(),
-                machines.follower.roster().number,
+                machines.follower.membership().number,
                 machines.follower.tail(),
                 machines.front.depth(),
                 machines.home.depths(),
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -160,7 +160,7 @@
         let (Some(since), Some(machines)) = (self.routers[n].leaving_since, &self.routers[n].machines) else { return };
         let waited = self.now - since;
         let me = self.routers[n].id;
-        let handed = machines.follower.roster().member(me).is_none_or(|line| line.leaving != 0);
+        let handed = machines.follower.membership().member(me).is_none_or(|line| line.leaving != 0);
         let idle = machines.front.depth() == 0 && machines.home.is_idle();
         if (waited > LAST_CALLS && handed && idle) || waited > GRACE {
             let depths = (machines.front.depth(), machines.home.depths());
@@ -227,11 +227,11 @@
                 self.turn(n, Turn::Home(HomeInput::RouteTable { routes: routes.clone() }));
                 self.turn(n, Turn::Front(FrontInput::RouteTable { routes }));
             }
-            FollowerOutput::Rostered { .. } => {
+            FollowerOutput::MembershipUpdated { .. } => {
                 let Some(machines) = &self.routers[n].machines else { return };
-                let roster = Rc::new(machines.follower.roster().clone());
-                self.turn(n, Turn::Home(HomeInput::Roster { roster: roster.clone() }));
-                self.turn(n, Turn::Front(FrontInput::Roster { roster }));
+                let membership = Rc::new(machines.follower.membership().clone());
+                self.turn(n, Turn::Home(HomeInput::Membership { membership: membership.clone() }));
+                self.turn(n, Turn::Front(FrontInput::Membership { membership }));
             }
             FollowerOutput::RegistryAddresses { addresses } => {
                 if let Some(machines) = &mut self.routers[n].machines {
@@ -240,7 +240,9 @@
                 }
             }
             FollowerOutput::Lapsed => self.turn(n, Turn::Home(HomeInput::Lapsed)),
-            FollowerOutput::Standing { standing } => self.say(|| format!("router {n} stands {standing:?}")),
+            FollowerOutput::ServingStatus { serving_status } => {
+                self.say(|| format!("router {n} stands {serving_status:?}"))
+            }
         }
     }
 }
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -7,7 +7,7 @@
 use bindings::RouteTable;
 use events::event;
 use kernel::{Inbox, InboxSender};
-use leases::{Follower, FollowerInput, FollowerOutput, Standing};
+use leases::{Follower, FollowerInput, FollowerOutput, ServingStatus};
 use links::{LinkEvent, LinkOrder};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -39,8 +39,8 @@
     pub told: (bool, Option<NodeId>),
     pub told_at: Instant,
     pub heard: Option<Instant>,
-    pub standing: Standing,
-    pub standing_told: Standing,
+    pub serving_status: ServingStatus,
+    pub logged_serving_status: ServingStatus,
     pub stood_at: Instant,
     pub view: watch::Sender<String>,
     pub grace: Duration,
@@ -62,7 +62,7 @@
                     ticked = Instant::now();
                     self.feed(FollowerInput::Tick);
                     self.tell_core();
-                    self.tell_standing();
+                    self.maybe_log_serving_status();
                 }
                 message = inbox.next() => match message {
                     Some(ControlMessage::Link(event)) => self.link_event(event),
@@ -93,7 +93,7 @@
     }
 
     fn wake(&self, ticked: Instant, leaving: bool) -> Instant {
-        let soon = leaving || self.standing != self.standing_told;
+        let soon = leaving || self.serving_status != self.logged_serving_status;
         let due = if soon { ticked + TICK * 2 } else { self.begun + self.follower.due() };
         due.clamp(ticked + TICK, ticked + TICK_IDLE)
     }
@@ -111,7 +111,7 @@
 
     fn is_handed_over(&self) -> bool {
         let me = self.follower.me();
-        self.follower.roster().member(me).is_none_or(|line| line.leaving != 0)
+        self.follower.membership().member(me).is_none_or(|line| line.leaving != 0)
     }
 
     fn link_event(&mut self, event: LinkEvent) {
@@ -162,8 +162,8 @@
                     }
                     self.show();
                 }
-                FollowerOutput::Rostered { .. } => {
-                    self.tell(TrafficMessage::Roster(Box::new(self.follower.roster().clone())));
+                FollowerOutput::MembershipUpdated { .. } => {
+                    self.tell(TrafficMessage::Membership(Box::new(self.follower.membership().clone())));
                     self.dial();
                     self.show();
                 }
@@ -174,8 +174,8 @@
                     }
                 }
                 FollowerOutput::Lapsed => self.tell(TrafficMessage::Lapsed),
-                FollowerOutput::Standing { standing } => {
-                    self.standing = standing;
+                FollowerOutput::ServingStatus { serving_status } => {
+                    self.serving_status = serving_status;
                     self.stood_at = Instant::now();
                     self.show();
                 }
@@ -184,15 +184,15 @@
     }
 
     /// Tells of a standing once it has lasted; each step in force loses the proof for a moment.
-    fn tell_standing(&mut self) {
-        if self.standing == self.standing_told || self.stood_at.elapsed() < LASTED {
+    fn maybe_log_serving_status(&mut self) {
+        if self.serving_status == self.logged_serving_status || self.stood_at.elapsed() < LASTED {
             return;
         }
-        self.standing_told = self.standing;
-        match self.standing {
-            Standing::Waiting => event!(proof_lost),
-            Standing::ByCore => event!(proof_back),
-            Standing::ByPeers => event!(peer_proof),
+        self.logged_serving_status = self.serving_status;
+        match self.serving_status {
+            ServingStatus::Waiting => event!(proof_lost),
+            ServingStatus::ByCore => event!(proof_back),
+            ServingStatus::ByPeers => event!(peer_proof),
         }
     }
 
@@ -223,7 +223,7 @@
     /// Registries are held, members are met when there is something for them.
     fn dial(&self) {
         let addresses = self.seeds.iter().chain(&self.seats).cloned().collect();
-        let members = self.follower.roster().members.iter();
+        let members = self.follower.membership().members.iter();
         let members = members.map(|line| (line.id, line.address.as_str().to_owned())).collect();
         for order in [LinkOrder::Dial { addresses }, LinkOrder::Know { members }] {
             if self.links.send(order).is_err() {
--- a/crates/traffic/src/control_view.rs
+++ b/crates/traffic/src/control_view.rs
@@ -5,16 +5,16 @@
 
 impl Control {
     pub(crate) fn show(&self) {
-        let roster = self.follower.roster();
-        let members = roster.members.iter();
+        let membership = self.follower.membership();
+        let members = membership.members.iter();
         let members: Vec<_> = members
             .map(|line| json!({"id": format!("{:016x}", line.id), "address": line.address.as_str(), "zone": line.zone.as_str(), "leaving": line.leaving != 0}))
             .collect();
         let page = json!({
             "program": "router", "id": format!("{:016x}", self.follower.me()),
             "revision": self.follower.revision(), "step": self.follower.step_number(),
-            "staged": self.follower.staged_number(), "roster": roster.number, "members": members,
-            "standing": format!("{:?}", self.standing), "tail": self.follower.tail().map(|id| format!("{id:016x}")),
+            "staged": self.follower.staged_number(), "roster": membership.number, "members": members,
+            "standing": format!("{:?}", self.serving_status), "tail": self.follower.tail().map(|id| format!("{id:016x}")),
         });
         self.view.send_if_modified(|old| {
             let text = page.to_string();
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -12,7 +12,7 @@
 use dispatch::{DispatchReport, DispatcherMessage};
 use instance_provider::{ProviderOrder, ProviderReport};
 use kernel::{Inbox, InboxSender};
-use leases::Roster;
+use leases::Membership;
 use links::{LinkEvent, LinkOrder};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
     RouteTable(Box<RouteTable>),
     /// A later step under which the route table stays as it is.
     Step(u64),
-    Roster(Box<Roster>),
+    Membership(Box<Membership>),
     Core {
         tail: Option<NodeId>,
         near: bool,
@@ -191,10 +191,10 @@
                 self.turn(Turn::Front(FrontInput::RouteTable { routes }));
             }
             TrafficMessage::Step(step) => self.step = step,
-            TrafficMessage::Roster(roster) => {
-                let roster = Rc::new(*roster);
-                self.turn(Turn::Home(HomeInput::Roster { roster: roster.clone() }));
-                self.turn(Turn::Front(FrontInput::Roster { roster }));
+            TrafficMessage::Membership(membership) => {
+                let membership = Rc::new(*membership);
+                self.turn(Turn::Home(HomeInput::Membership { membership: membership.clone() }));
+                self.turn(Turn::Front(FrontInput::Membership { membership }));
             }
             TrafficMessage::Core { tail, near, registries } => {
                 self.tail = tail;
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -14,7 +14,7 @@
         if record.attempts.is_spent() {
             return self.answer_spent(task);
         }
-        let Some(home) = self.roster.home(&record.function) else { return };
+        let Some(home) = self.membership.home(&record.function) else { return };
         let due = record.due <= self.now;
         record.again_at = self.now + RETRY;
         if due || !self.may_forward_to(home) {
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -6,7 +6,7 @@
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
 use crate::owner_liveness::Watched;
 use bindings::{Class, RouteTable};
-use leases::{Roster, first_number};
+use leases::{Membership, first_number};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     pub(crate) linked: BTreeSet<NodeId>,
     pub(crate) watched: BTreeMap<NodeId, Watched>,
     pub(crate) routes: Option<Rc<RouteTable>>,
-    pub(crate) roster: Rc<Roster>,
+    pub(crate) membership: Rc<Membership>,
     pub(crate) next: u64,
     pub(crate) now: Duration,
     pub(crate) may_serve: bool,
@@ -51,7 +51,7 @@
             linked: BTreeSet::new(),
             watched: BTreeMap::new(),
             routes: None,
-            roster: Rc::default(),
+            membership: Rc::default(),
             next: first_number(incarnation),
             now: Duration::ZERO,
             may_serve: false,
@@ -87,9 +87,9 @@
                 self.routes = Some(routes);
                 self.pass();
             }
-            FrontInput::Roster { roster } => {
-                self.roster = roster;
-                let members: BTreeSet<NodeId> = self.roster.members.iter().map(|member| member.id).collect();
+            FrontInput::Membership { membership } => {
+                self.membership = membership;
+                let members: BTreeSet<NodeId> = self.membership.members.iter().map(|member| member.id).collect();
                 self.doubt_home(|home| !members.contains(&home));
                 self.watched.retain(|home, _| members.contains(home));
                 self.pass();
--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -41,7 +41,7 @@
 
     /// When a home that fell silent can be expected to be there again, or another in its place.
     fn back_in(&self, function: &str) -> Duration {
-        let silent = self.roster.home(function).and_then(|home| self.silent_since(home));
+        let silent = self.membership.home(function).and_then(|home| self.silent_since(home));
         silent.map_or(SOON, |since| (since + self.limits.back).saturating_sub(self.now).max(SOON / 2))
     }
 
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -2,7 +2,7 @@
 
 use crate::attempt_count::AttemptCount;
 use bindings::{Class, RouteTable};
-use leases::Roster;
+use leases::Membership;
 use std::rc::Rc;
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome, RequestHead};
@@ -44,7 +44,7 @@
     Forwarded { from: NodeId, message: ForwardMessage },
     Link { id: NodeId, up: bool },
     RouteTable { routes: Rc<RouteTable> },
-    Roster { roster: Rc<Roster> },
+    Membership { membership: Rc<Membership> },
     Gone { request_id: u64 },
     Tick,
 }
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -58,7 +58,7 @@
 }
 
 impl FunctionScheduler {
-    pub fn new(now: Duration, function: Function, roster: u64, allowances: &Allowances) -> FunctionScheduler {
+    pub fn new(now: Duration, function: Function, membership: u64, allowances: &Allowances) -> FunctionScheduler {
         FunctionScheduler {
             function,
             held: VecDeque::new(),
@@ -68,7 +68,7 @@
             risk: Risk::new(now, allowances),
             in_flight: 0,
             adopting: Some((now, false)),
-            taken: roster,
+            taken: membership,
             told: (0, 0),
             sent_tasks: SentTasks::Unknown,
             leaving: None,
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -18,7 +18,7 @@
     /// Opens and closes schedulers so that they are those of the route table's functions homed here.
     pub(crate) fn align_schedulers(&mut self) {
         let Some(routes) = self.routes.clone() else { return };
-        if self.roster.number == 0 {
+        if self.membership.number == 0 {
             return;
         }
         let now = self.now;
@@ -29,7 +29,7 @@
                 Some(scheduler) => {
                     scheduler.function = function.clone();
                     if mine && scheduler.leaving.is_some() {
-                        (scheduler.leaving, scheduler.taken) = (None, self.roster.number);
+                        (scheduler.leaving, scheduler.taken) = (None, self.membership.number);
                         scheduler.begin_anew(now);
                         let earlier = self.history.earlier_homes(now, &function.name);
                         scheduler.budget.set_earlier_homes(earlier);
@@ -39,7 +39,7 @@
                 None if mine => {
                     event!(home_taken, "{}", function.name);
                     let mut scheduler =
-                        FunctionScheduler::new(now, function.clone(), self.roster.number, &self.timing.allowances);
+                        FunctionScheduler::new(now, function.clone(), self.membership.number, &self.timing.allowances);
                     scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, &function.name));
                     self.schedulers.insert(function.name.clone(), scheduler);
                     self.take_kept(&function.name);
@@ -53,7 +53,7 @@
             .retain(|_, request_id| request_id.kind != Ledger::Deferred || !begun_anew.contains(&request_id.function));
         let names: Vec<String> = self.schedulers.keys().cloned().collect();
         for name in names {
-            let next = self.roster.home(&name).filter(|home| *home != self.me);
+            let next = self.membership.home(&name).filter(|home| *home != self.me);
             let bound = routes.function(&name).is_some();
             let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
             match next {
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/home.rs
@@ -7,10 +7,10 @@
 use crate::home_types::{HomeInput, HomeOutput, HomeTask, HomeTiming, Ledger, LedgerAsk, TaskId};
 use crate::inventory::Inventory;
 use crate::placement::Workers;
-use crate::recent_homes::RosterHistory;
+use crate::recent_homes::MembershipHistory;
 use crate::standby::Kept;
 use bindings::RouteTable;
-use leases::{Roster, first_number};
+use leases::{Membership, first_number};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,8 +24,8 @@
     pub(crate) may_serve: bool,
     pub(crate) core_near: bool,
     pub(crate) routes: Option<Rc<RouteTable>>,
-    pub(crate) roster: Rc<Roster>,
-    pub(crate) history: RosterHistory,
+    pub(crate) membership: Rc<Membership>,
+    pub(crate) history: MembershipHistory,
     pub(crate) tasks: BTreeMap<u64, HomeTask>,
     pub(crate) seen: BTreeMap<TaskId, Duration>,
     pub(crate) schedulers: BTreeMap<String, FunctionScheduler>,
@@ -65,8 +65,8 @@
             may_serve: false,
             core_near: false,
             routes: None,
-            roster: Rc::default(),
-            history: RosterHistory::new(window),
+            membership: Rc::default(),
+            history: MembershipHistory::new(window),
             tasks: BTreeMap::new(),
             seen: BTreeMap::new(),
             schedulers: BTreeMap::new(),
@@ -115,10 +115,11 @@
                 }
             }
             HomeInput::Forward {
-                message: ForwardMessage::Handover { function, roster, slots, requests, seconds },
+                message: ForwardMessage::Handover { function, membership, slots, requests, seconds },
                 ..
             } => {
-                let table = OwnershipTable { function, roster, slots, requests, seconds, ..OwnershipTable::default() };
+                let table =
+                    OwnershipTable { function, membership, slots, requests, seconds, ..OwnershipTable::default() };
                 self.take_handover(table)
             }
             HomeInput::Forward { message: ForwardMessage::Preempt { function, .. }, .. } => {
@@ -140,9 +141,9 @@
                 self.align_schedulers();
                 self.open_new(before);
             }
-            HomeInput::Roster { roster } => {
-                self.history.add(now, roster.clone());
-                self.roster = roster;
+            HomeInput::Membership { membership } => {
+                self.history.add(now, membership.clone());
+                self.membership = membership;
                 self.inventory_turn();
                 self.align_schedulers();
                 self.hand_back();
@@ -174,7 +175,7 @@
     }
 
     pub(crate) fn is_home(&self, function: &str) -> bool {
-        self.roster.home(function) == Some(self.me)
+        self.membership.home(function) == Some(self.me)
     }
 
     /// Answers the caller, if one still waits, and drops the record unless it must live on.
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/home_types.rs
@@ -4,7 +4,7 @@
 use bindings::{Class, RouteTable};
 use dispatch::{DispatchOrder, DispatchOutcome};
 use instance_provider::{ProviderOrder, ProviderReport};
-use leases::Roster;
+use leases::Membership;
 use std::rc::Rc;
 use std::time::Duration;
 use wire::{DemandSample, ForwardMessage, LeaseMessage, Measurement, NodeId, Outcome, PlanMessage};
@@ -23,7 +23,7 @@
     Probed { id: String, ready: bool },
     Plan { message: PlanMessage },
     RouteTable { routes: Rc<RouteTable> },
-    Roster { roster: Rc<Roster> },
+    Membership { membership: Rc<Membership> },
     Core { near: bool },
     Lapsed,
     Tick,
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -46,7 +46,7 @@
 impl Home {
     /// The homes in the order in which they read for all, under a new roster.
     pub(crate) fn inventory_turn(&mut self) {
-        let turn = self.roster.in_turn("inventory");
+        let turn = self.membership.in_turn("inventory");
         let (now, inventory) = (self.now, &mut self.inventory);
         if !inventory.turn.contains(&self.me) {
             inventory.heard = now;
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -64,7 +64,7 @@
 pub use home_types::{HomeInput, HomeOutput, HomeTiming, Ledger, TaskId};
 pub use ledger::stored_id;
 pub use ops::Views;
-pub use recent_homes::{EarlierHomes, RosterHistory};
+pub use recent_homes::{EarlierHomes, MembershipHistory};
 pub use service::run;
 pub use settings::RouterSettings;
 pub use unproven::Risk;
--- a/crates/traffic/src/owner_liveness.rs
+++ b/crates/traffic/src/owner_liveness.rs
@@ -55,7 +55,7 @@
         if !self.watched.contains_key(&home) {
             return;
         }
-        let waits = |function: &str| self.roster.home(function) == Some(home);
+        let waits = |function: &str| self.membership.home(function) == Some(home);
         let waiting = self.table.iter().filter(|(_, record)| record.stage == Stage::Waiting && !record.doubt);
         let tasks: Vec<u64> = waiting.filter(|(_, record)| waits(&record.function)).map(|(task, _)| *task).collect();
         tasks.into_iter().for_each(|task| self.attempt(task));
--- a/crates/traffic/src/preemption.rs
+++ b/crates/traffic/src/preemption.rs
@@ -27,7 +27,7 @@
             return;
         }
         let memory_mb = scheduler.function.memory_mb;
-        for to in self.roster.homes() {
+        for to in self.membership.homes() {
             let message = ForwardMessage::Preempt { function: name.into(), memory_mb };
             self.outs.push(HomeOutput::Forward { to, message });
         }
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -155,7 +155,7 @@
     fn stop(&mut self, id: String, why: &str) {
         if self.stopped.insert(id.clone(), self.now).is_none() {
             event!(stop_ordered, "{id}, {why}");
-            self.outs.push(HomeOutput::Supply(ProviderOrder::Stop { id, fence: self.roster.number }));
+            self.outs.push(HomeOutput::Supply(ProviderOrder::Stop { id, fence: self.membership.number }));
         }
     }
 
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -18,7 +18,7 @@
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.reached |= may_have_run;
         task.failure = Some(failure);
-        let owned = self.roster.home(&task.function) == Some(self.me);
+        let owned = self.membership.home(&task.function) == Some(self.me);
         let Some(scheduler) =
             self.schedulers.get_mut(&task.function).filter(|scheduler| owned && scheduler.leaving.is_none())
         else {
@@ -48,7 +48,7 @@
         if task.dispatches >= task.granted {
             return self.fail(number);
         }
-        let owned = self.roster.home(&task.function) == Some(self.me);
+        let owned = self.membership.home(&task.function) == Some(self.me);
         let stays = self.schedulers.get(&task.function).is_some_and(|scheduler| scheduler.leaving.is_none());
         if owned && stays { self.queue_again(number) } else { self.send_back(number) }
     }
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -152,7 +152,7 @@
     /// Stops what has drained and what was lost and is still listed; one that ended needs no call.
     fn stop_drained(&mut self) {
         let now = self.now;
-        let fence = self.roster.number;
+        let fence = self.membership.number;
         for scheduler in self.schedulers.values_mut() {
             for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
                 let ended = match instance.phase() {
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -21,7 +21,7 @@
 use http_server::{ResourceIndex, ServerLimits, Tokens};
 use instance_provider::{InstanceProvider, OwnInstanceProvider, ProviderOrder};
 use kernel::{Directory, InboxSender, SendError, adopt, behind, find, listen, local, thread, wait_for_signal};
-use leases::{Follower, FollowerTiming, Standing, mix};
+use leases::{Follower, FollowerTiming, ServingStatus, mix};
 use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -156,8 +156,8 @@
         told: (false, None),
         told_at: begun,
         heard: None,
-        standing: Standing::Waiting,
-        standing_told: Standing::Waiting,
+        serving_status: ServingStatus::Waiting,
+        logged_serving_status: ServingStatus::Waiting,
         stood_at: begun,
         view: control_view,
         grace: settings.grace,
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -48,7 +48,7 @@
         let begun: Vec<Text> = sent_tasks.into_iter().flatten().map(Text::from).collect();
         Some(OwnershipTable {
             function: name.into(),
-            roster: self.roster.number,
+            membership: self.membership.number,
             kept: kept as u8,
             slots: slots.into(),
             requests: requests as u32,
@@ -65,7 +65,7 @@
         let now = self.now;
         if self.may_serve && now >= self.heartbeat_sent + HEARTBEAT {
             self.heartbeat_sent = now;
-            let older = self.roster.members.iter().filter(|line| line.hashing < 2).map(|line| line.id);
+            let older = self.membership.members.iter().filter(|line| line.hashing < 2).map(|line| line.id);
             let waiting = self.tasks.values().filter(|task| task.caller).map(|task| task.id.from);
             let fronts: BTreeSet<NodeId> = waiting.chain(older).collect();
             let others = fronts.into_iter().filter(|id| *id != self.me);
@@ -85,7 +85,7 @@
             .filter_map(|(name, scheduler)| in_use(scheduler).then(|| name.clone()))
             .collect();
         for name in names {
-            let Some(to) = self.roster.home_after(&name, self.me).filter(|to| *to != self.me) else { continue };
+            let Some(to) = self.membership.home_after(&name, self.me).filter(|to| *to != self.me) else { continue };
             if let Some(table) = self.table_of(&name, true) {
                 self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::Table { table } });
             }
@@ -96,7 +96,7 @@
         if table.kept == 0 {
             return self.take_handover(table);
         }
-        let Some(incarnation) = self.roster.member(from).map(|line| line.incarnation) else { return };
+        let Some(incarnation) = self.membership.member(from).map(|line| line.incarnation) else { return };
         if self.kept.len() < KEPT_MOST || self.kept.contains_key(table.function.as_str()) {
             let name = table.function.as_str().to_owned();
             self.kept.insert(name, Kept { at: self.now, from, incarnation, table });
@@ -118,15 +118,16 @@
     pub(crate) fn hand_back(&mut self) {
         let now = self.now;
         let back = |kept: &Kept| {
-            let line = self.roster.member(kept.from);
+            let line = self.membership.member(kept.from);
             line.is_some_and(|line| line.incarnation != kept.incarnation && line.leaving == 0)
-                && self.roster.home(kept.table.function.as_str()) == Some(kept.from)
+                && self.membership.home(kept.table.function.as_str()) == Some(kept.from)
         };
         let names: Vec<String> =
             self.kept.iter().filter(|(_, kept)| back(kept)).map(|(name, _)| name.clone()).collect();
         for name in names {
             let Some(kept) = self.kept.remove(&name).filter(|kept| now < kept.at + LASTS) else { continue };
-            let mut table = OwnershipTable { kept: 0, roster: self.roster.number, begun_whole: 0, ..kept.table };
+            let mut table =
+                OwnershipTable { kept: 0, membership: self.membership.number, begun_whole: 0, ..kept.table };
             let earlier = self.history.earlier_homes(now, &name);
             let allowances = &self.timing.allowances;
             allowances.as_of_a_copy(earlier, &mut table.requests, &mut table.seconds, &mut table.turned);
@@ -136,11 +137,11 @@
 
     pub(crate) fn take_handover(&mut self, table: OwnershipTable) {
         let name = table.function.as_str();
-        let mine = self.is_home(name) && table.roster <= self.roster.number;
+        let mine = self.is_home(name) && table.membership <= self.membership.number;
         let fits = self
             .schedulers
             .get(name)
-            .is_some_and(|scheduler| scheduler.leaving.is_none() && table.roster >= scheduler.taken);
+            .is_some_and(|scheduler| scheduler.leaving.is_none() && table.membership >= scheduler.taken);
         if mine && fits {
             let until = self.now + FOREIGN;
             self.take_table(table, None, until);
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -54,7 +54,7 @@
             (instance.worker.clone(), zone.to_owned())
         };
         let others: Vec<(String, String)> = scheduler.instances.values().filter(counts).map(place).collect();
-        let zone = self.roster.member(self.me).map_or("", |line| line.zone.as_str());
+        let zone = self.membership.member(self.me).map_or("", |line| line.zone.as_str());
         self.workers.select(self.now, name, scheduler.function.memory_mb, zone, &others)
     }
 
@@ -70,7 +70,7 @@
             self.workers.ordered(now, worker, memory_mb);
         }
         event!(start_ordered, "{name} as {nonce} on {}", instance.worker);
-        let (nonce, service, fence) = (nonce.to_owned(), name.to_owned(), self.roster.number);
+        let (nonce, service, fence) = (nonce.to_owned(), name.to_owned(), self.membership.number);
         self.outs.push(HomeOutput::Supply(ProviderOrder::Start(StartOrder {
             nonce,
             service,
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::forwards::{forwarded, granted, sent, to_front};
-use common::{ME, OTHER, ms, reply, roster};
+use common::{ME, OTHER, membership, ms, reply};
 use std::rc::Rc;
 use test_case::test_case;
 use traffic::{DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
@@ -22,7 +22,7 @@
 fn front(attempts: u32) -> Front {
     let mut front = Front::new(ME, 1, FrontLimits::default());
     front.step(ms(0), true, FrontInput::RouteTable { routes: routes("ordinary", attempts) });
-    front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[OTHER]) });
+    front.step(ms(0), true, FrontInput::Membership { membership: membership(1, &[OTHER]) });
     front.step(ms(0), true, FrontInput::Link { id: OTHER, up: true });
     front.step(ms(0), true, FrontInput::Link { id: THIRD, up: true });
     front
@@ -32,8 +32,8 @@
 fn home(id: NodeId, attempts: u32) -> Home {
     let mut home = Home::new(id, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::RouteTable { routes: routes("ordinary", attempts) });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[9]) });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(2, &[id]) });
+    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[9]) });
+    home.step(ms(0), true, HomeInput::Membership { membership: membership(2, &[id]) });
     let slot = |instance: u32| InstanceSlots {
         instance: format!("i{instance}").as_str().into(),
         address: format!("127.0.0.1:{instance}").as_str().into(),
@@ -41,7 +41,8 @@
         busy: 0,
     };
     let slots = vec![slot(1), slot(2), slot(3), slot(4)].into();
-    let table = OwnershipTable { function: "t/f".into(), roster: 2, slots, requests: 100, ..OwnershipTable::default() };
+    let table =
+        OwnershipTable { function: "t/f".into(), membership: 2, slots, requests: 100, ..OwnershipTable::default() };
     home.step(ms(1), true, HomeInput::Forward { from: 9, message: ForwardMessage::Table { table } });
     home
 }
@@ -80,7 +81,7 @@
     let one = give(&mut first, 6, message);
     assert!(sent(&one).is_some());
     front.step(ms(10), true, FrontInput::Link { id: OTHER, up: false });
-    let outputs = front.step(ms(20), true, FrontInput::Roster { roster: roster(3, &[THIRD]) });
+    let outputs = front.step(ms(20), true, FrontInput::Membership { membership: membership(3, &[THIRD]) });
     let (_, message) = forwarded(&outputs).expect("forwarded again");
     let mut second = home(THIRD, 2);
     let two = give(&mut second, 21, message);
@@ -139,9 +140,9 @@
 fn with_no_attempt_left_the_caller_is_told_at_once() {
     let mut front = front(2);
     assert!(forwarded(&common::send_request(&mut front, 5, true, "/t/f")).is_some());
-    let outputs = front.step(ms(20), true, FrontInput::Roster { roster: roster(2, &[THIRD]) });
+    let outputs = front.step(ms(20), true, FrontInput::Membership { membership: membership(2, &[THIRD]) });
     assert!(forwarded(&outputs).is_some());
-    let outputs = front.step(ms(40), true, FrontInput::Roster { roster: roster(3, &[OTHER]) });
+    let outputs = front.step(ms(40), true, FrontInput::Membership { membership: membership(3, &[OTHER]) });
     assert_eq!(forwarded(&outputs), None);
     let told = reply(&outputs).expect("told at once");
     assert_eq!((told.outcome, told.status), (Some(Outcome::Unknown), 504));
@@ -167,7 +168,7 @@
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut home = home(OTHER, 2);
     let outputs = give(&mut home, 6, message);
-    home.step(ms(10), true, HomeInput::Roster { roster: roster(3, &[THIRD]) });
+    home.step(ms(10), true, HomeInput::Membership { membership: membership(3, &[THIRD]) });
     let outputs = fails(&mut home, 20, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
     assert_eq!(to_front(&outputs), Some(ForwardMessage::Returned { task, attempts: 1 }));
 }
@@ -210,7 +211,7 @@
     let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut home = home(OTHER, 2);
     let outputs = give(&mut home, 6, message);
-    home.step(ms(10), true, HomeInput::Roster { roster: roster(3, &[THIRD]) });
+    home.step(ms(10), true, HomeInput::Membership { membership: membership(3, &[THIRD]) });
     let outputs = fails(&mut home, 20, &outputs, failed());
     let answer = to_front(&outputs);
     assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "{answer:?}");
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -1,7 +1,7 @@
 //! A home of one deferred function, the tasks sent to it, and the store as it reads it.
 
-use super::{ME, OTHER, ms, roster};
-use leases::Roster;
+use super::{ME, OTHER, membership, ms};
+use leases::Membership;
 use std::rc::Rc;
 use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ConfigurationItem, ForwardMessage, InstanceSlots, LeaseMessage, OwnershipTable, RequestHead, StoredTask};
@@ -14,16 +14,16 @@
 }
 
 pub fn home_of(id: u64, roster_number: u64) -> Home {
-    router(id, roster(roster_number, &[id]))
+    router(id, membership(roster_number, &[id]))
 }
 
 /// A router that begins with this roster, home or not.
-pub fn router(id: u64, first: Rc<Roster>) -> Home {
+pub fn router(id: u64, first: Rc<Membership>) -> Home {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"deferred"}"#;
     let routes = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
     let mut home = Home::new(id, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::RouteTable { routes: Rc::new(routes) });
-    home.step(ms(0), true, HomeInput::Roster { roster: first });
+    home.step(ms(0), true, HomeInput::Membership { membership: first });
     home.step(ms(0), true, HomeInput::Core { near: true });
     home
 }
@@ -62,7 +62,7 @@
 /// A table with one instance that is ready.
 pub fn table(roster_number: u64) -> OwnershipTable {
     let slots = vec![InstanceSlots { instance: "i1".into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 }].into();
-    OwnershipTable { function: FUNCTION.into(), roster: roster_number, slots, ..OwnershipTable::default() }
+    OwnershipTable { function: FUNCTION.into(), membership: roster_number, slots, ..OwnershipTable::default() }
 }
 
 pub fn handed() -> HomeInput {
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -7,7 +7,7 @@
 pub mod supplied;
 
 use bindings::RouteTable;
-use leases::{HASHING, MemberLine, Roster};
+use leases::{HASHING, Member, Membership};
 use std::rc::Rc;
 use std::time::Duration;
 use traffic::{Call, Front, FrontInput, FrontLimits, FrontOutput, Reply};
@@ -25,8 +25,8 @@
     Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter()))
 }
 
-pub fn roster(number: u64, ids: &[u64]) -> Rc<Roster> {
-    let line = |id: &u64| MemberLine {
+pub fn membership(number: u64, ids: &[u64]) -> Rc<Membership> {
+    let line = |id: &u64| Member {
         id: *id,
         incarnation: 1,
         address: "".into(),
@@ -36,14 +36,14 @@
         hashing: HASHING,
         capacity: Capacity::default(),
     };
-    let members: Vec<MemberLine> = ids.iter().map(line).collect();
-    Rc::new(Roster { number, members: members.into() })
+    let members: Vec<Member> = ids.iter().map(line).collect();
+    Rc::new(Membership { number, members: members.into() })
 }
 
 pub fn front(incarnation: u64, home: u64) -> Front {
     let mut front = Front::new(ME, incarnation, FrontLimits::default());
     front.step(ms(0), true, FrontInput::RouteTable { routes: routes() });
-    front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[home]) });
+    front.step(ms(0), true, FrontInput::Membership { membership: membership(1, &[home]) });
     front.step(ms(0), true, FrontInput::Link { id: home, up: true });
     front
 }
--- a/crates/traffic/tests/common/supplied.rs
+++ b/crates/traffic/tests/common/supplied.rs
@@ -1,6 +1,6 @@
 //! A home fed by a provider: what it orders, and what it is told.
 
-use super::{ME, ms, roster};
+use super::{ME, membership, ms};
 use bindings::RouteTable;
 use instance_provider::{
     InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReply, StopReply, WorkerLine,
@@ -58,7 +58,7 @@
         let (starts, stops, probes, others) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let mut supplied = Supplied { home, at: 0, starts, stops, probes, others };
         supplied.feed(HomeInput::RouteTable { routes: Rc::new(RouteTable::default()) });
-        supplied.feed(HomeInput::Roster { roster: roster(7, &[member]) });
+        supplied.feed(HomeInput::Membership { membership: membership(7, &[member]) });
         if !workers.is_empty() {
             supplied.workers(workers);
         }
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ME, OTHER, forward, front, ms, reply, roster, routes, send_request};
+use common::{ME, OTHER, forward, front, membership, ms, reply, routes, send_request};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ForwardMessage, Outcome};
 
@@ -56,7 +56,7 @@
 fn a_home_lets_a_carry_in_once_however_often_it_comes() {
     let mut home = Home::new(OTHER, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
+    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER]) });
     let (_, message) = forward(&send_request(&mut front(1, OTHER), 5, true, "/t/f"));
     home.step(ms(6), true, HomeInput::Forward { from: ME, message: message.clone() });
     home.step(ms(7), true, HomeInput::Forward { from: ME, message: message.clone() });
@@ -82,7 +82,7 @@
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","max":1}"#;
     let one = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
     home.step(ms(0), true, HomeInput::RouteTable { routes: std::rc::Rc::new(one) });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
+    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER]) });
     let mut front = front(1, OTHER);
     let (mut running, mut refused, mut instance) = (Vec::new(), Vec::new(), None);
     for at in (0..9000u64).step_by(10) {
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::supplied::{line, routes_of, worker};
-use common::{ms, roster};
+use common::{membership, ms};
 use instance_provider::{InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
         let mut all = Homes { homes, at: 0, list, looks: BTreeMap::new(), deaf: None, bytes: 0 };
         for id in IDS {
             all.feed(id, HomeInput::RouteTable { routes: Rc::new(bindings::RouteTable::default()) });
-            all.feed(id, HomeInput::Roster { roster: roster(7, &IDS) });
+            all.feed(id, HomeInput::Membership { membership: membership(7, &IDS) });
             all.feed(id, HomeInput::RouteTable { routes: routes_of(0) });
         }
         all
@@ -72,7 +72,7 @@
     }
 
     fn home(&self) -> NodeId {
-        roster(7, &IDS).home("t/f").unwrap()
+        membership(7, &IDS).home("t/f").unwrap()
     }
 
     fn ready(&mut self) -> u64 {
@@ -82,7 +82,7 @@
 }
 
 fn first() -> NodeId {
-    roster(7, &IDS).in_turn("inventory")[0]
+    membership(7, &IDS).in_turn("inventory")[0]
 }
 
 #[test]
@@ -105,7 +105,7 @@
     let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(3000);
     all.deaf = Some(first());
-    let next = roster(7, &IDS).in_turn("inventory")[1];
+    let next = membership(7, &IDS).in_turn("inventory")[1];
     all.pass(6000);
     let looks = all.looks.clone();
     assert!(looks.len() == 2 && (3..=6).contains(&looks[&next]), "{looks:?}");
@@ -135,11 +135,11 @@
     all.pass(2000);
     let lost = all.home();
     let left: Vec<NodeId> = IDS.into_iter().filter(|id| *id != lost).collect();
-    let after = roster(8, &left);
+    let after = membership(8, &left);
     let next = after.home("t/f").unwrap();
     let before = all.looks.get(&next).copied().unwrap_or_default();
     for id in left {
-        all.feed(id, HomeInput::Roster { roster: after.clone() });
+        all.feed(id, HomeInput::Membership { membership: after.clone() });
     }
     all.pass(Duration::from_millis(800).as_millis() as u64);
     assert!(all.looks[&next] > before, "{:?}", all.looks);
--- a/crates/traffic/tests/lapse.rs
+++ b/crates/traffic/tests/lapse.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::deferred::{FUNCTION, forward, granted, handed, home, read, sent};
-use common::{ME, OTHER, ms, roster};
+use common::{ME, OTHER, membership, ms};
 use traffic::{DispatchOutcome, Home, HomeInput, HomeOutput};
 use wire::ForwardMessage;
 
@@ -56,8 +56,8 @@
     let outputs = home.step(ms(1), true, forward(7));
     home.step(ms(2), true, granted(&outputs));
     assert_eq!(sent(&home.step(ms(3), true, handed())), 1);
-    home.step(ms(2000), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
-    home.step(ms(2100), true, HomeInput::Roster { roster: roster(3, &[ME]) });
+    home.step(ms(2000), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
+    home.step(ms(2100), true, HomeInput::Membership { membership: membership(3, &[ME]) });
     assert_eq!(home.status()["functions"][FUNCTION]["adopting"].as_bool(), Some(true));
     assert_eq!(sent(&home.step(ms(2200), true, HomeInput::Tick)), 0);
 }
@@ -76,7 +76,7 @@
     read(&mut home, 20, &[]);
     let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
     home.step(ms(50), true, HomeInput::Dispatched { number: order.expect("sent"), outcome });
-    let outputs = home.step(ms(60), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
+    let outputs = home.step(ms(60), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
     let told = outputs.iter().any(|output| {
         matches!(output, HomeOutput::Forward { message: ForwardMessage::Table { table }, .. }
             if table.begun_whole != 0 && table.begun.as_slice().len() == 1)
--- a/crates/traffic/tests/owner_liveness.rs
+++ b/crates/traffic/tests/owner_liveness.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ME, OTHER, forward, front, ms, roster, routes, send_request};
+use common::{ME, OTHER, forward, front, membership, ms, routes, send_request};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::ForwardMessage;
 
@@ -24,7 +24,7 @@
 fn unlinked() -> traffic::Front {
     let mut front = traffic::Front::new(ME, 1, traffic::FrontLimits::default());
     front.step(ms(0), true, FrontInput::RouteTable { routes: routes() });
-    front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[OTHER]) });
+    front.step(ms(0), true, FrontInput::Membership { membership: membership(1, &[OTHER]) });
     front
 }
 
@@ -32,9 +32,9 @@
 fn a_home_beats_the_fronts_whose_tasks_it_has_and_whoever_asks() {
     let mut home = Home::new(OTHER, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER, 3, 4, 5, 6]) });
-    let homes = roster(1, &[OTHER]);
-    home.step(ms(0), true, HomeInput::Roster { roster: homes });
+    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER, 3, 4, 5, 6]) });
+    let homes = membership(1, &[OTHER]);
+    home.step(ms(0), true, HomeInput::Membership { membership: homes });
     assert!(heartbeats_to(&home.step(ms(200), true, HomeInput::Tick)).is_empty());
     assert_eq!(
         heartbeats_to(&home.step(
--- a/crates/traffic/tests/recent_homes.rs
+++ b/crates/traffic/tests/recent_homes.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::deferred::{FUNCTION, read, router, sent, table};
-use common::{ms, roster};
+use common::{membership, ms};
 use std::time::Duration;
-use traffic::{Budget, EarlierHomes, HomeInput, RosterHistory};
+use traffic::{Budget, EarlierHomes, HomeInput, MembershipHistory};
 use wire::{ForwardMessage, InstanceSlots, OwnershipTable};
 
 const SLACK: usize = 60;
@@ -31,15 +31,19 @@
     let homes = 8;
     let mut retries = Vec::new();
     for id in 1..=homes {
-        let mut home = router(id, roster(1, &[BEFORE_ALL]));
+        let mut home = router(id, membership(1, &[BEFORE_ALL]));
         let mut before = BEFORE_ALL;
         for (number, next) in (2..).zip(1..id) {
-            home.step(ms(20_000 + next * 1000), true, HomeInput::Roster { roster: roster(number, &[next]) });
+            home.step(
+                ms(20_000 + next * 1000),
+                true,
+                HomeInput::Membership { membership: membership(number, &[next]) },
+            );
             before = next;
         }
         let at = 20_000 + id * 1000;
         home.step(ms(at - 10), true, HomeInput::Forward { from: before, message: empty_copy(id) });
-        home.step(ms(at), true, HomeInput::Roster { roster: roster(id + 1, &[id]) });
+        home.step(ms(at), true, HomeInput::Membership { membership: membership(id + 1, &[id]) });
         let mut spent = sent(&read(&mut home, at + 1, &backlog));
         for later in (at + 40..at + 1000).step_by(40) {
             spent += sent(&home.step(ms(later), true, HomeInput::Tick));
@@ -67,24 +71,24 @@
 
 #[test]
 fn a_machine_that_has_just_started_cannot_tell_how_many_homes_there_were() {
-    let mut history = RosterHistory::new(WINDOW);
+    let mut history = MembershipHistory::new(WINDOW);
     assert_eq!(history.earlier_homes(ms(20_000), FUNCTION), EarlierHomes::Unknown);
-    history.add(ms(500), roster(7, &[1]));
+    history.add(ms(500), membership(7, &[1]));
     assert_eq!(history.earlier_homes(ms(10_000), FUNCTION), EarlierHomes::Unknown);
     assert_eq!(history.earlier_homes(ms(10_501), FUNCTION), EarlierHomes::AtMost(0));
 }
 
 #[test]
 fn homes_are_counted_by_the_rosters_of_the_last_window() {
-    let mut history = RosterHistory::new(WINDOW);
-    history.add(ms(0), roster(1, &[1]));
-    history.add(ms(20_000), roster(2, &[2]));
-    history.add(ms(21_000), roster(3, &[2]));
-    history.add(ms(22_000), roster(4, &[1]));
+    let mut history = MembershipHistory::new(WINDOW);
+    history.add(ms(0), membership(1, &[1]));
+    history.add(ms(20_000), membership(2, &[2]));
+    history.add(ms(21_000), membership(3, &[2]));
+    history.add(ms(22_000), membership(4, &[1]));
     assert_eq!(history.earlier_homes(ms(23_000), FUNCTION), EarlierHomes::AtMost(2), "one changed nothing");
-    history.add(ms(24_000), roster(7, &[1]));
+    history.add(ms(24_000), membership(7, &[1]));
     assert_eq!(history.earlier_homes(ms(24_000), FUNCTION), EarlierHomes::AtMost(5), "two were never seen");
-    let mut again = (*roster(8, &[1])).clone();
+    let mut again = (*membership(8, &[1])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
     again.members = members.into();
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -6,7 +6,7 @@
 use common::deferred::{
     FUNCTION, asked, forward, given, granted, home, home_of, listed, read, sent, stored, table, told,
 };
-use common::{ME, OTHER, ms, roster};
+use common::{ME, OTHER, membership, ms};
 use std::collections::BTreeSet;
 use traffic::{DispatchOutcome, Home, HomeInput, HomeOutput};
 use wire::{ForwardMessage, OwnershipTable};
@@ -45,7 +45,7 @@
     let mut first = after_a_crash(ME);
     let at_once = sent(&read(&mut first, 20, &BACKLOG));
     assert!((1..BACKLOG.len()).contains(&at_once), "some are sent, the others wait: {at_once}");
-    let outputs = first.step(ms(100), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
+    let outputs = first.step(ms(100), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
     let handed = told(&outputs).expect("hands over");
     assert_eq!((handed.begun_whole, begun(&handed)), (1, ids(&BACKLOG)), "also those that it only held");
     let handed_again = told(&first.step(ms(400), true, HomeInput::Tick)).expect("repeats it");
@@ -64,7 +64,7 @@
     let mut home = home();
     let begun_before = BACKLOG.iter().map(|number| stored(*number).as_str().into()).collect::<Vec<_>>();
     home.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
-    let outputs = home.step(ms(10), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
+    let outputs = home.step(ms(10), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
     let handed = told(&outputs).expect("hands over");
     assert_eq!((handed.begun_whole, begun(&handed)), (1, ids(&BACKLOG)));
 }
@@ -76,7 +76,7 @@
     let begun_before = vec![stored(1).as_str().into(), stored(2).as_str().into()];
     home.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
     read(&mut home, 20, &[1]);
-    let outputs = home.step(ms(100), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
+    let outputs = home.step(ms(100), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
     assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1]));
 }
 
@@ -89,7 +89,8 @@
     let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
     let number = order(&outputs).expect("sent");
     let outputs = home.step(ms(40), true, HomeInput::Dispatched { number, outcome });
-    let kept = told(&home.step(ms(600), true, HomeInput::Roster { roster: roster(2, &[OTHER]) })).expect("a table");
+    let kept = told(&home.step(ms(600), true, HomeInput::Membership { membership: membership(2, &[OTHER]) }))
+        .expect("a table");
     assert_eq!(begun(&kept), ids(&[7]), "the store may not have heard of it");
     home.step(ms(610), true, granted(&outputs));
     let later = told(&home.step(ms(900), true, HomeInput::Tick)).expect("a table");
@@ -100,15 +101,17 @@
 #[test]
 fn a_kept_copy_that_is_handed_back_does_not_tell_all_that_was_sent() {
     let mut keeper = home();
-    keeper.step(ms(0), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
+    keeper.step(ms(0), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
     keeper.step(ms(10), true, given(OwnershipTable { kept: 1, begun_whole: 1, ..table(2) }));
-    let mut again = (*roster(3, &[OTHER])).clone();
+    let mut again = (*membership(3, &[OTHER])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
     again.members = members.into();
-    let outputs = keeper.step(ms(500), true, HomeInput::Roster { roster: again.into() });
+    let outputs = keeper.step(ms(500), true, HomeInput::Membership { membership: again.into() });
     let handed = outputs.iter().find_map(|output| match output {
-        HomeOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } } if table.roster == 3 => Some(table),
+        HomeOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } } if table.membership == 3 => {
+            Some(table)
+        }
         _ => None,
     });
     assert_eq!(handed.expect("handed back").begun_whole, 0);
@@ -119,8 +122,8 @@
 fn a_listing_from_before_another_was_home_is_not_taken() {
     let mut home = after_a_crash(ME);
     let request_id = asked(&home.step(ms(20), true, HomeInput::Tick)).expect("reads the store");
-    home.step(ms(100), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
-    home.step(ms(200), true, HomeInput::Roster { roster: roster(3, &[ME]) });
+    home.step(ms(100), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
+    home.step(ms(200), true, HomeInput::Membership { membership: membership(3, &[ME]) });
     home.step(ms(201), true, given(table(3)));
     home.step(ms(202), true, listed(request_id, &[]));
     read(&mut home, 220, &[9]);
@@ -134,6 +137,6 @@
     read(&mut home, 20, &[1]);
     let begun_later = vec![stored(1).as_str().into(), stored(2).as_str().into()];
     home.step(ms(100), true, given(OwnershipTable { begun: begun_later.into(), begun_whole: 1, ..table(1) }));
-    let outputs = home.step(ms(200), true, HomeInput::Roster { roster: roster(2, &[OTHER]) });
+    let outputs = home.step(ms(200), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
     assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1, 2]));
 }
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use bindings::RouteTable;
-use common::{ME, OTHER, forward, ms, reply, roster};
+use common::{ME, OTHER, forward, membership, ms, reply};
 use std::rc::Rc;
 use test_case::test_case;
 use traffic::{DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
@@ -21,12 +21,12 @@
 fn home(attempts: u32) -> (Home, Vec<HomeOutput>) {
     let mut home = Home::new(ME, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::RouteTable { routes: single(attempts) });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[ME, OTHER]) });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(2, &[ME]) });
+    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[ME, OTHER]) });
+    home.step(ms(0), true, HomeInput::Membership { membership: membership(2, &[ME]) });
     let slot =
         |id: &str| InstanceSlots { instance: id.into(), address: format!("127.0.0.1:{id}").into(), ready: 1, busy: 0 };
     let slots = vec![slot("1"), slot("2")].into();
-    let table = OwnershipTable { function: "t/f".into(), roster: 2, slots, ..OwnershipTable::default() };
+    let table = OwnershipTable { function: "t/f".into(), membership: 2, slots, ..OwnershipTable::default() };
     home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table } });
     let head = RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() };
     let message = ForwardMessage::ForwardUncounted {
@@ -117,13 +117,13 @@
 fn front() -> Front {
     let mut front = Front::new(ME, 1, FrontLimits::default());
     front.step(ms(0), true, FrontInput::RouteTable { routes: single(1) });
-    front.step(ms(0), true, FrontInput::Roster { roster: roster(1, &[OTHER]) });
+    front.step(ms(0), true, FrontInput::Membership { membership: membership(1, &[OTHER]) });
     front.step(ms(0), true, FrontInput::Link { id: OTHER, up: true });
     front
 }
 
 #[test_case(FrontInput::Link { id: OTHER, up: false }; "unlinked")]
-#[test_case(FrontInput::Roster { roster: roster(2, &[3]) }; "declared lost")]
+#[test_case(FrontInput::Membership { membership: membership(2, &[3]) }; "declared lost")]
 fn a_home_that_is_lost_may_have_run_it(lost: FrontInput) {
     let mut front = front();
     let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -2,17 +2,17 @@
 
 mod common;
 
-use common::{ME, OTHER, forward, front, ms, reply, roster, routes, send_request};
+use common::{ME, OTHER, forward, front, membership, ms, reply, routes, send_request};
 use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
 use wire::{ForwardMessage, InstanceSlots, Outcome, OwnershipTable, RequestHead};
 
 const FUNCTION: &str = "t/f";
 
-fn table(roster: u64, kept: u8, instance: &str) -> ForwardMessage {
+fn table(membership: u64, kept: u8, instance: &str) -> ForwardMessage {
     let slot = InstanceSlots { instance: instance.into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 };
     let slots = vec![slot].into();
     ForwardMessage::Table {
-        table: OwnershipTable { function: FUNCTION.into(), roster, kept, slots, ..OwnershipTable::default() },
+        table: OwnershipTable { function: FUNCTION.into(), membership, kept, slots, ..OwnershipTable::default() },
     }
 }
 
@@ -35,11 +35,11 @@
 fn after_the_crash(kept: Option<ForwardMessage>) -> Home {
     let mut home = Home::new(ME, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
+    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER]) });
     if let Some(message) = kept {
         home.step(ms(10), true, HomeInput::Forward { from: OTHER, message });
     }
-    home.step(ms(2000), true, HomeInput::Roster { roster: roster(2, &[ME]) });
+    home.step(ms(2000), true, HomeInput::Membership { membership: membership(2, &[ME]) });
     home
 }
 
@@ -70,16 +70,16 @@
 fn a_machine_that_comes_back_is_handed_what_was_kept_for_it() {
     let mut keeper = Home::new(ME, 1, HomeTiming::default());
     keeper.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
-    keeper.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[OTHER]) });
+    keeper.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER]) });
     keeper.step(ms(10), true, HomeInput::Forward { from: OTHER, message: table(1, 1, "i1") });
-    let mut again = (*roster(2, &[OTHER])).clone();
+    let mut again = (*membership(2, &[OTHER])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
     again.members = members.into();
-    let outputs = keeper.step(ms(500), true, HomeInput::Roster { roster: again.into() });
+    let outputs = keeper.step(ms(500), true, HomeInput::Membership { membership: again.into() });
     let handed = outputs.iter().any(|output| {
         matches!(output, HomeOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } }
-            if table.kept == 0 && table.roster == 2 && table.slots.as_slice().len() == 1)
+            if table.kept == 0 && table.membership == 2 && table.slots.as_slice().len() == 1)
     });
     assert!(handed, "{outputs:?}");
 }
@@ -105,7 +105,7 @@
     front.step(ms(100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
     forward(&send_request(&mut front, 200, true, "/t/f"));
     assert!(only_asks_to_beat(&send_request(&mut front, 600, true, "/t/f"), OTHER), "no beat for half a second");
-    let moved = front.step(ms(2000), true, FrontInput::Roster { roster: roster(2, &[3]) });
+    let moved = front.step(ms(2000), true, FrontInput::Membership { membership: membership(2, &[3]) });
     assert!(only_asks_to_beat(&moved, 3), "the next home is not linked yet");
     let told = front.step(ms(4600), true, FrontInput::Tick);
     let outcomes: Vec<Outcome> = told
@@ -126,7 +126,7 @@
     let once = std::rc::Rc::new(bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter()));
     let mut home = Home::new(ME, 1, HomeTiming::default());
     home.step(ms(0), true, HomeInput::RouteTable { routes: once });
-    home.step(ms(0), true, HomeInput::Roster { roster: roster(1, &[ME]) });
+    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[ME]) });
     home.step(ms(0), true, HomeInput::Core { near: true });
     let outputs = home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: task(7) });
     let request_id = outputs.iter().find_map(|output| match output {
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::supplied::{FUNCTION, Supplied, line, six_workers};
-use common::{ME, OTHER, roster};
+use common::{ME, OTHER, membership};
 use instance_provider::{InstanceState, StartReply, StopReply};
 use traffic::{DispatchOrder, DispatchOutcome, HomeInput, HomeOutput};
 use wire::{ForwardMessage, RequestHead};
@@ -169,13 +169,13 @@
     let mut home = Supplied::new(1, six_workers());
     home.pass(100);
     let nonce = home.starts[0].nonce.clone();
-    home.feed(HomeInput::Roster { roster: roster(8, &[OTHER]) });
+    home.feed(HomeInput::Membership { membership: membership(8, &[OTHER]) });
     let table = home.others.iter().find_map(|output| match output {
         HomeOutput::Forward { message: ForwardMessage::Table { table }, .. } if table.kept == 0 => Some(table.clone()),
         _ => None,
     });
     let mut next = Supplied::beside(OTHER, 1, six_workers());
-    next.feed(HomeInput::Roster { roster: roster(8, &[ME]) });
+    next.feed(HomeInput::Membership { membership: membership(8, &[ME]) });
     next.feed(HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table: table.expect("a table") } });
     next.pass(300);
     let nonces: Vec<&str> = next.starts.iter().map(|order| order.nonce.as_str()).collect();
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct OwnershipTable {
     pub function: Text,
-    pub roster: u64,
+    pub membership: u64,
     pub kept: u8,
     pub slots: List<InstanceSlots>,
     pub requests: u32,
@@ -163,7 +163,7 @@
     #[deku(id = "3")]
     NotHome { task: u64 },
     #[deku(id = "4")]
-    Handover { function: Text, roster: u64, slots: List<InstanceSlots>, requests: u32, seconds: u32 },
+    Handover { function: Text, membership: u64, slots: List<InstanceSlots>, requests: u32, seconds: u32 },
     #[deku(id = "5")]
     Preempt { function: Text, memory_mb: u32 },
     #[deku(id = "6")]
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -34,7 +34,7 @@
     #[deku(id = "1")]
     Join { address: Text, zone: Text, ops: Text },
     #[deku(id = "2")]
-    Renew { request_id: u64, staged: u64, active: u64, roster: u64 },
+    Renew { request_id: u64, staged: u64, active: u64, membership: u64 },
     #[deku(id = "3")]
     Proof { request_id: u64, active: u64, latest: u64, member: u8 },
     #[deku(id = "4")]
@@ -46,7 +46,7 @@
     #[deku(id = "7")]
     Activate { number: u64 },
     #[deku(id = "8")]
-    Roster { number: u64, body: Blob },
+    Membership { number: u64, body: Blob },
     #[deku(id = "9")]
     ConfigurationRequest { request_id: u64, from: Text },
     #[deku(id = "10")]
@@ -90,7 +90,7 @@
     MajorityReply { request_id: u64, active: u64 },
     /// What differs in the roster from the one under an earlier number, packed; from none where it is 0.
     #[deku(id = "22")]
-    RosterChange { since: u64, number: u64, size: u32, body: Blob },
+    MembershipChange { since: u64, number: u64, size: u32, body: Blob },
     /// `Join` with the hashing of homes that is known and what the machine can carry.
     #[deku(id = "30")]
     JoinWithCapacity { address: Text, zone: Text, ops: Text, hashing: u8, capacity: Capacity },
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -40,7 +40,7 @@
         Message::Lease(
             LeaseMessage::PartRequest { .. }
             | LeaseMessage::Part { .. }
-            | LeaseMessage::RosterChange { .. }
+            | LeaseMessage::MembershipChange { .. }
             | LeaseMessage::MajorityRequest { .. }
             | LeaseMessage::MajorityReply { .. },
         ) => return None,
@@ -68,7 +68,7 @@
         Message::Forward(ForwardMessage::Table { table }) if table.kept != 0 => None,
         Message::Forward(ForwardMessage::Table { table }) => Some(Message::Forward(ForwardMessage::Handover {
             function: table.function,
-            roster: table.roster,
+            membership: table.membership,
             slots: table.slots,
             requests: table.requests,
             seconds: table.seconds,
@@ -92,13 +92,18 @@
     fn format_one_hears_only_its_own_words() {
         let old = |message| spoken(message, 1);
         assert_eq!(old(Message::Forward(ForwardMessage::Heartbeat)), None);
-        let table =
-            OwnershipTable { function: "t/f".into(), roster: 4, requests: 9, turned: 3, ..OwnershipTable::default() };
+        let table = OwnershipTable {
+            function: "t/f".into(),
+            membership: 4,
+            requests: 9,
+            turned: 3,
+            ..OwnershipTable::default()
+        };
         let kept = OwnershipTable { kept: 1, ..table.clone() };
         assert_eq!(old(Message::Forward(ForwardMessage::Table { table: kept })), None);
         let handed = old(Message::Forward(ForwardMessage::Table { table: table.clone() }));
         assert!(
-            matches!(handed, Some(Message::Forward(ForwardMessage::Handover { roster: 4, requests: 9, .. }))),
+            matches!(handed, Some(Message::Forward(ForwardMessage::Handover { membership: 4, requests: 9, .. }))),
             "{handed:?}"
         );
         let addresses = Message::Lease(LeaseMessage::RegistryAddresses { addresses: vec!["a:1".into()].into() });
--- a/crates/wire/tests/samples/forward.rs
+++ b/crates/wire/tests/samples/forward.rs
@@ -13,7 +13,7 @@
 fn table() -> OwnershipTable {
     OwnershipTable {
         function: "t/f".into(),
-        roster: 202,
+        membership: 202,
         kept: 1,
         slots: vec![slot()].into(),
         requests: 203,
@@ -87,7 +87,7 @@
         uncounted(),
         in_seconds,
         NotHome { task: 231 },
-        Handover { function: "t/f".into(), roster: 232, slots: vec![slot()].into(), requests: 233, seconds: 234 },
+        Handover { function: "t/f".into(), membership: 232, slots: vec![slot()].into(), requests: 233, seconds: 234 },
         Preempt { function: "t/f".into(), memory_mb: 235 },
         Heartbeat,
         Table { table: table() },
--- a/crates/wire/tests/samples/lease.rs
+++ b/crates/wire/tests/samples/lease.rs
@@ -19,13 +19,13 @@
     use LeaseMessage::*;
     let mut samples: Vec<Vec<u8>> = [
         Join { address: "a:1".into(), zone: "z".into(), ops: "o:2".into() },
-        Renew { request_id: 111, staged: 112, active: 113, roster: 114 },
+        Renew { request_id: 111, staged: 112, active: 113, membership: 114 },
         Proof { request_id: 115, active: 116, latest: 117, member: 1 },
         NotTail { tail: 118, view: 119, addresses: vec!["s:3".into()].into() },
         Stage { step: step() },
         Staged { number: 120 },
         Activate { number: 121 },
-        Roster { number: 122, body: vec![123].into() },
+        Membership { number: 122, body: vec![123].into() },
         ConfigurationRequest { request_id: 124, from: "f".into() },
         ConfigurationPage {
             request_id: 125,
@@ -59,7 +59,7 @@
         PartRequest { request_id: 147, whole: 1, number: 148, offset: 149 },
         MajorityRequest { request_id: 150, active: 151 },
         MajorityReply { request_id: 152, active: 153 },
-        RosterChange { since: 154, number: 155, size: 156, body: vec![157].into() },
+        MembershipChange { since: 154, number: 155, size: 156, body: vec![157].into() },
         JoinWithCapacity {
             address: "b:5".into(),
             zone: "y".into(),
