--- a/crates/bindings/src/resources.rs
+++ b/crates/bindings/src/resources.rs
@@ -53,9 +53,9 @@
 pub enum Class {
     /// May be tried again on another instance, within its deadline and the retry budget.
     Ordinary,
-    /// Sent to one instance at most, and once, without a key or a ledger.
+    /// Sent to one instance at most, and once, without a key or a run-once store.
     Single,
-    /// Run once under the caller's key, which is claimed in the ledger before it is sent.
+    /// Run once under the caller's key, which is claimed in the run-once store before it is sent.
     Once,
     /// Stored before it is tried, and tried until an instance answers.
     Deferred,
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -12,7 +12,7 @@
     voters
 }
 
-/// Three founders, and a fourth machine that joined them with a seat of its own.
+/// Three founders, and a fourth machine that joined them with a voter of its own.
 fn with_successor() -> Net {
     let mut net = Net::founded();
     net.propose_entry(1, "kept");
--- a/crates/chain/tests/founding.rs
+++ b/crates/chain/tests/founding.rs
@@ -1,4 +1,4 @@
-//! Who founds a cluster, of how many seats, and how whoever comes later finds it.
+//! Who founds a cluster, of how many voters, and how whoever comes later finds it.
 
 mod net;
 
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -72,7 +72,7 @@
         self.start_founding(id, 3);
     }
 
-    /// Starts a member that may found a cluster of so many seats, or none.
+    /// Starts a member that may found a cluster of so many voters, or none.
     pub fn start_founding(&mut self, id: NodeId, seats: usize) {
         self.start_bearing(id, seats, 1);
     }
--- a/crates/chain/tests/seats.rs
+++ b/crates/chain/tests/seats.rs
@@ -1,5 +1,5 @@
 //! Clusters that bear the loss of two: founded by three, joined by others until all machines vote; what is
-//! acknowledged is on three disks; a wiped machine takes its own seat again, a dead one's is taken away.
+//! acknowledged is on three disks; a wiped machine takes its own voter again, a dead one's is taken away.
 
 mod net;
 
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -1,5 +1,5 @@
 //! What an entry does to the state. The same entry on the same state gives the same changes and
-//! the same receipt on every member; nothing here reads a clock, a file or a random number.
+//! the same reply on every member; nothing here reads a clock, a file or a random number.
 
 use crate::apply_change::{Change, activate, change, declare, quorum};
 use crate::apply_member::{join, lapse, leaving, tick};
--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -1,5 +1,5 @@
 //! Configuration: compare-and-set on the latest revision, checked whole, kept as a numbered step
-//! until it is activated. A taken change asked again under its operation id gets its first receipt.
+//! until it is activated. A taken change asked again under its operation id gets its first reply.
 
 use crate::api_calls::ApiReply;
 use crate::apply::Draft;
--- a/crates/control/src/apply_member.rs
+++ b/crates/control/src/apply_member.rs
@@ -1,4 +1,4 @@
-//! Members and time: routers joining, leaving, lapsing, each under a new roster number; and the
+//! Members and time: routers joining, leaving, lapsing, each under a new membership number; and the
 //! chain's own ticks, by which records are forgotten without trusting any wall clock.
 
 use crate::apply::Draft;
--- a/crates/control/src/apply_task.rs
+++ b/crates/control/src/apply_task.rs
@@ -1,4 +1,4 @@
-//! The ledger of run-once keys and the store of deferred tasks. A key is granted to one asker
+//! The store of run-once keys and the store of deferred tasks. A key is granted to one asker
 //! only; it is released only by that asker's own word that it never dispatched. A key held by a
 //! router that is no longer a member has an outcome nobody knows, and is answered so.
 
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -114,7 +114,7 @@
     pub(crate) dutied: Duration,
     pub(crate) membership_updates: MembershipUpdates,
     pub(crate) packed: PackedSteps,
-    /// Members by incarnation, as of a roster's number, and when the sessions were last held against them.
+    /// Members by incarnation, as of a membership's number, and when the sessions were last held against them.
     pub(crate) known: (u64, Rc<BTreeMap<NodeId, u64>>),
     pub(crate) aligned: Option<(u64, Duration)>,
     pub(crate) pushed_at: Duration,
--- a/crates/control/src/membership_log.rs
+++ b/crates/control/src/membership_log.rs
@@ -1,6 +1,6 @@
-//! Who among the routers joined, is leaving or lapsed between one roster and the next, so that every
+//! Who among the routers joined, is leaving or lapsed between one membership and the next, so that every
 //! registry's log tells it, whichever of them was the tail. What a registry finds at its first look
-//! is no change; before it has caught up with a first roster it has not looked.
+//! is no change; before it has caught up with a first membership it has not looked.
 
 use crate::keys;
 use chain::State;
--- a/crates/control/src/membership_updates.rs
+++ b/crates/control/src/membership_updates.rs
@@ -1,4 +1,4 @@
-//! The rosters routers were sent of late, so that one who has one of them is sent only what differs from
+//! The memberships routers were sent of late, so that one who has one of them is sent only what differs from
 //! it; whoever has none of them is sent the whole. A change goes out at once, those after it together.
 
 use crate::keys;
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -1,5 +1,5 @@
 //! The optimizer's host as a state machine: it keeps every sample, answers an ask only while the view
-//! names this registry, with that view's number as the fence, and tunes the weight sheets by what homes
+//! names this registry, with that view's number as the fence, and tunes the weight sheets by what owners
 //! measured. What is tuned is sent to whoever measures and to the other registries, under the same
 //! fence; a host that was named later goes on from there.
 
--- a/crates/control/src/pushes.rs
+++ b/crates/control/src/pushes.rs
@@ -1,5 +1,5 @@
 //! What the tail sends member routers of its own accord: the next step each has not staged, that a step
-//! is in force, the roster. Nothing is sent again while what was sent before may still be on its way.
+//! is in force, the membership. Nothing is sent again while what was sent before may still be on its way.
 
 use crate::core::{Core, CoreOutput};
 use crate::keys;
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use wire::{LeaseMessage, NodeId};
 
-/// A part or a roster may take so long over a thin link with others before it.
+/// A part or a membership may take so long over a thin link with others before it.
 const AGAIN: Duration = Duration::from_millis(700);
 const TELL_AGAIN: Duration = Duration::from_millis(150);
 const ALIGN_EVERY: Duration = Duration::from_millis(50);
-/// The first format with packed parts and differences of rosters.
+/// The first format with packed parts and differences of memberships.
 const PARTS: u16 = 4;
 
 impl Core {
--- a/crates/control/tests/membership_log.rs
+++ b/crates/control/tests/membership_log.rs
@@ -1,4 +1,4 @@
-//! What a registry's log tells of the routers that join, leave and lapse, roster by roster.
+//! What a registry's log tells of the routers that join, leave and lapse, membership by membership.
 
 use chain::State;
 use control::{MemberChange, MembershipLog, apply};
--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -1,5 +1,5 @@
 //! Which machines count as lost, and faults planted in the world around the members: a disk that
-//! reports too early, forged votes, forged receipts, a forged view. The members' code is untouched.
+//! reports too early, forged votes, forged replies, a forged view. The members' code is untouched.
 
 use crate::world::{World, machine_of};
 use chain::Input;
@@ -51,7 +51,7 @@
         (0..self.machines.len()).any(|other| self.is_gone(other) && self.machines[other].successor == Some(index))
     }
 
-    /// One that had a fault, or ended too early, while it was leaving is missed until it has no seat.
+    /// One that had a fault, or ended too early, while it was leaving is missed until it has no voter.
     fn ended_out_of_order(&self, index: usize) -> bool {
         let machine = &self.machines[index];
         machine.troubled && !machine.left_in_order && self.has_seat(index)
@@ -63,7 +63,7 @@
         self.newest_view().is_some_and(|view| view.voters.iter().any(own))
     }
 
-    /// Whether no identity of a machine is in the chain, or has a seat that could be spared.
+    /// Whether no identity of a machine is in the chain, or has a voter that could be spared.
     pub(crate) fn has_left(&self, index: usize) -> bool {
         let Some(newest) = self.newest_view() else { return true };
         let chained = newest.chain.iter().any(|id| machine_of(*id) == index);
@@ -72,7 +72,7 @@
         !chained && !seat_to_give_up
     }
 
-    /// A new machine that was never whole is not missed, for whom it replaces is, unless it has a seat
+    /// A new machine that was never whole is not missed, for whom it replaces is, unless it has a voter
     /// and cannot vote.
     fn is_only_arriving(&self, index: usize) -> bool {
         let machine = &self.machines[index];
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -1,6 +1,6 @@
 //! `fleet`: a whole deployment on one machine, for trying and proving it: the platform's stand-in,
 //! three registries, the routers, the configuration applied; then, if asked, load and faults on a
-//! timetable and the checker's verdict. It starts processes, which the product's own never do.
+//! timetable and the checker's outcome. It starts processes, which the product's own never do.
 
 mod deployment;
 mod drawing;
--- a/crates/hollow/src/assign.rs
+++ b/crates/hollow/src/assign.rs
@@ -1,4 +1,4 @@
-//! Which function is home where, worked out once for all nodes of a node group. Each router of the product
+//! Which function is the owner where, worked out once for all nodes of a node group. Each router of the product
 //! works it out for itself; what that costs is measured apart (`hollow homes`), and four hundred
 //! times over one process could not bear it.
 
@@ -17,7 +17,7 @@
 const CALM: Duration = Duration::from_millis(750);
 const LIST: Duration = Duration::from_secs(1);
 
-/// The newest roster and step any node of the node group has.
+/// The newest membership and step any node of the node group has.
 pub fn newest(shared: &Shared) -> (u64, u64) {
     let nodes = shared.nodes.borrow();
     let each = nodes.values().map(|node| {
@@ -30,7 +30,7 @@
 pub async fn run(shared: Rc<Shared>) {
     let mut seen = ((0, 0), Instant::now());
     let mut listed = Instant::now();
-    let mut homes: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
+    let mut owners: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
     loop {
         tokio::time::sleep(LOOK).await;
         let newest = newest(&shared);
@@ -38,12 +38,12 @@
             seen = (newest, Instant::now());
         }
         if newest != shared.assigned.get() && seen.1.elapsed() >= CALM && newest.0 > 0 && newest.1 > 0 {
-            homes = assign(&shared, newest);
+            owners = assign(&shared, newest);
             shared.assigned.set(newest);
         }
         if listed.elapsed() >= LIST {
             listed = Instant::now();
-            list(&shared, &homes);
+            list(&shared, &owners);
         }
     }
 }
@@ -56,12 +56,12 @@
     let membership: Rc<Membership> = Rc::new(membership.borrow().follower.membership().clone());
     let source = source.borrow();
     let (revision, mut parts) = (source.follower.revision(), BTreeMap::<NodeId, Vec<(&str, &[u8])>>::new());
-    let mut homes: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
+    let mut owners: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
     for (key, value) in source.follower.pairs() {
         let Some(name) = key.strip_prefix("function-bindings/") else { continue };
-        let Some(home) = membership.home(name) else { continue };
-        parts.entry(home).or_default().push((key, value));
-        homes.entry(home).or_default().push(name.to_owned());
+        let Some(owner) = membership.owner(name) else { continue };
+        parts.entry(owner).or_default().push((key, value));
+        owners.entry(owner).or_default().push(name.to_owned());
     }
     let tables: BTreeMap<NodeId, Rc<RouteTable>> = parts
         .into_iter()
@@ -73,15 +73,15 @@
         let routes = tables.get(&id).cloned().unwrap_or_default();
         give(shared, &node, NodeInput::Assigned { membership: membership.clone(), routes });
     }
-    homes
+    owners
 }
 
 /// Tells each node which instances the awake functions homed there have, as the platform's list would.
-fn list(shared: &Shared, homes: &BTreeMap<NodeId, Vec<String>>) {
+fn list(shared: &Shared, owners: &BTreeMap<NodeId, Vec<String>>) {
     let nodes: Vec<_> = shared.nodes.borrow().values().cloned().collect();
     for node in nodes {
         let id = node.borrow().follower.me();
-        let numbers = homes.get(&id).into_iter().flatten().filter_map(|name| Workload::number(name));
+        let numbers = owners.get(&id).into_iter().flatten().filter_map(|name| Workload::number(name));
         let instances = numbers.flat_map(|number| shared.plan.workload.lines(number)).collect();
         let report = ProviderReport::Listed { listing: Listing { instances }, asked: Instant::now() };
         give(shared, &node, NodeInput::Listed { report });
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -10,7 +10,7 @@
 mod node_group;
 mod node_slot;
 mod offline;
-mod offline_home;
+mod offline_owner;
 mod offline_tasks;
 mod opening;
 mod platform_stub;
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -1,4 +1,4 @@
-//! A hollow node: a router's own state machines, the follower and the home, without callers and
+//! A hollow node: a router's own state machines, the follower and the owner, without callers and
 //! instances. It takes ticks and frames and returns frames, as the router's threads do around them.
 
 use bindings::RouteTable;
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use std::time::Duration;
-use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
+use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
 use wire::{LeaseMessage, Message, NodeId, PlanMessage};
 
 const NEAR: Duration = Duration::from_millis(2500);
@@ -26,7 +26,7 @@
         from: NodeId,
         message: Message,
     },
-    /// The part of the route table whose functions are homed here, and the roster that says so.
+    /// The part of the route table whose functions are homed here, and the membership that says so.
     Assigned {
         membership: Rc<Membership>,
         routes: Rc<RouteTable>,
@@ -45,7 +45,7 @@
 
 pub struct Node {
     pub follower: Follower,
-    home: Home,
+    owner: FunctionOwner,
     seeds: Vec<String>,
     seats: Vec<String>,
     registries: BTreeSet<NodeId>,
@@ -64,7 +64,7 @@
     pub fn new(id: NodeId, incarnation: u64, address: &str, zone: &str, seeds: &[String]) -> Node {
         Node {
             follower: Follower::new(id, incarnation, address, zone, "", FollowerTiming::default()),
-            home: Home::new(id, incarnation, HomeTiming::default()),
+            owner: FunctionOwner::new(id, incarnation, OwnerTiming::default()),
             seeds: seeds.to_vec(),
             seats: Vec::new(),
             registries: BTreeSet::new(),
@@ -92,9 +92,9 @@
                 if now >= self.told + TELL {
                     self.told = now;
                     let near = self.heard.is_some_and(|at| now < at + NEAR);
-                    self.feed_home(HomeInput::Core { near });
+                    self.feed_home(OwnerInput::Core { near });
                 }
-                self.feed_home(HomeInput::Tick);
+                self.feed_home(OwnerInput::Tick);
             }
             NodeInput::Up { id, address } => {
                 if self.seeds.contains(&address) || self.seats.contains(&address) {
@@ -104,20 +104,22 @@
             NodeInput::Down { id } => drop(self.registries.remove(&id)),
             NodeInput::Frame { from, message } => self.frame(from, message),
             NodeInput::Assigned { membership, routes } => {
-                self.feed_home(HomeInput::Membership { membership });
-                self.feed_home(HomeInput::RouteTable { routes });
+                self.feed_home(OwnerInput::Membership { membership });
+                self.feed_home(OwnerInput::RouteTable { routes });
             }
-            NodeInput::Listed { report } => self.feed_home(HomeInput::Platform { report, listed_at: now }),
+            NodeInput::Listed { report } => self.feed_home(OwnerInput::Platform { report, listed_at: now }),
         }
         std::mem::take(&mut self.outs)
     }
 
     fn frame(&mut self, from: NodeId, message: Message) {
         match message {
-            Message::Forward(message) if message.is_for_home() => self.feed_home(HomeInput::Forward { from, message }),
-            Message::Plan(message) => self.feed_home(HomeInput::Plan { message }),
+            Message::Forward(message) if message.is_for_owner() => {
+                self.feed_home(OwnerInput::Forward { from, message })
+            }
+            Message::Plan(message) => self.feed_home(OwnerInput::Plan { message }),
             Message::Lease(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
-                self.feed_home(HomeInput::Ledger { message });
+                self.feed_home(OwnerInput::Ledger { message });
             }
             Message::Lease(message @ (LeaseMessage::PeerRequest { .. } | LeaseMessage::PeerReply { .. })) => {
                 self.follow(FollowerInput::Peer { from, message });
@@ -157,7 +159,7 @@
                         self.dial();
                     }
                 }
-                FollowerOutput::Lapsed => self.feed_home(HomeInput::Lapsed),
+                FollowerOutput::Lapsed => self.feed_home(OwnerInput::Lapsed),
                 FollowerOutput::Activated { .. } | FollowerOutput::ServingStatus { .. } => {}
             }
         }
@@ -169,25 +171,25 @@
         self.outs.push(NodeOutput::Dial { addresses });
     }
 
-    fn feed_home(&mut self, input: HomeInput) {
+    fn feed_home(&mut self, input: OwnerInput) {
         let may_serve = self.may_serve(self.now);
-        for output in self.home.step(self.now, may_serve, input) {
+        for output in self.owner.step(self.now, may_serve, input) {
             match output {
-                HomeOutput::Forward { to, message } => self.send(to, Message::Forward(message)),
-                HomeOutput::Propose { request_id, body } => {
+                OwnerOutput::Forward { to, message } => self.send(to, Message::Forward(message)),
+                OwnerOutput::Propose { request_id, body } => {
                     self.tell_core(LeaseMessage::Propose { request_id, body: body.into() })
                 }
-                HomeOutput::Read { request_id, prefix } => {
+                OwnerOutput::Read { request_id, prefix } => {
                     self.tell_core(LeaseMessage::Read { request_id, prefix: prefix.into(), from: "".into() });
                 }
-                HomeOutput::PlanAsk { message } => self.tell_registries(Message::Plan(message)),
-                HomeOutput::Samples { lines } => {
+                OwnerOutput::PlanAsk { message } => self.tell_registries(Message::Plan(message)),
+                OwnerOutput::Samples { lines } => {
                     self.tell_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
                 }
-                HomeOutput::Measures { lines } => {
+                OwnerOutput::Measures { lines } => {
                     self.tell_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
                 }
-                HomeOutput::Supply(_) => self.outs.push(NodeOutput::Ordered),
+                OwnerOutput::Supply(_) => self.outs.push(NodeOutput::Ordered),
                 _ => {}
             }
         }
--- a/crates/hollow/src/offline.rs
+++ b/crates/hollow/src/offline.rs
@@ -1,8 +1,8 @@
-//! Measurements without sockets: route tables, homes, plans, a home's passes, the platform's list. Each point
+//! Measurements without sockets: route tables, owners, plans, an owner's passes, the platform's list. Each point
 //! is taken in a process of its own, so that its memory is its own.
 
 use crate::line::{Order, What};
-use crate::offline_home::{lists, passes};
+use crate::offline_owner::{lists, passes};
 use crate::offline_tasks::tasks;
 use crate::proc::Usage;
 use crate::report::tell;
@@ -53,7 +53,7 @@
 pub fn offline(order: &Order) -> Result<(), String> {
     if order.one {
         let told = match order.what {
-            What::Homes => homes(order),
+            What::Homes => owners(order),
             What::Plans => plans(order),
             What::Passes => passes(order),
             What::Lists => lists(order),
@@ -125,14 +125,14 @@
     Membership { number: 1, members: (0..members).map(line).collect::<Vec<_>>().into() }
 }
 
-fn homes(order: &Order) -> Value {
+fn owners(order: &Order) -> Value {
     let (members, functions) = (order.nodes[0], order.functions[0]);
     let membership = membership(members);
     let workload = Workload { functions, awake: 0, instances: 0 };
     let names: Vec<String> = (0..functions).map(|n| workload.name(n)).collect();
     let mut mine = 0;
     let all = timed(5, || {
-        mine = names.iter().filter(|name| membership.home(name) == Some(membership.members.as_slice()[0].id)).count()
+        mine = names.iter().filter(|name| membership.owner(name) == Some(membership.members.as_slice()[0].id)).count()
     });
     let lines: Vec<Vec<u8>> = membership.members.iter().map(wire::to_bytes).collect();
     let read = timed(25, || lines.iter().for_each(|raw| drop(wire::from_bytes::<Member>(raw))));
--- a/crates/hollow/src/offline_home.rs
+++ b/crates/hollow/src/offline_owner.rs
@@ -1,4 +1,4 @@
-//! A home alone: its tick against open schedulers, and the platform's list against instances.
+//! An owner alone: its tick against open schedulers, and the platform's list against instances.
 
 use crate::line::Order;
 use crate::offline::{membership, resident_mb, timed};
@@ -9,32 +9,32 @@
 use serde_json::{Value, json};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use traffic::{Home, HomeInput, HomeTiming};
+use traffic::{FunctionOwner, OwnerInput, OwnerTiming};
 use wire::{Message, PlanMessage};
 
 const TICK: Duration = Duration::from_millis(10);
 const ROUNDS: u32 = 1000;
 
-/// A home of all the workload's functions, its adoptions ended, its awake functions' instances known.
-pub fn open(workload: &Workload, members: usize) -> (Home, Duration) {
+/// An owner of all the workload's functions, its adoptions ended, its awake functions' instances known.
+pub fn open(workload: &Workload, members: usize) -> (FunctionOwner, Duration) {
     let membership = Rc::new(membership(members));
-    let mut home = Home::new(membership.members.as_slice()[0].id, 1, HomeTiming::default());
+    let mut owner = FunctionOwner::new(membership.members.as_slice()[0].id, 1, OwnerTiming::default());
     let pairs = workload.pairs();
     let routes = Rc::new(RouteTable::build(1, 1, pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()))));
-    home.step(TICK, true, HomeInput::Membership { membership });
-    home.step(TICK, true, HomeInput::RouteTable { routes });
+    owner.step(TICK, true, OwnerInput::Membership { membership });
+    owner.step(TICK, true, OwnerInput::RouteTable { routes });
     let mut now = TICK;
-    listed(&mut home, now, workload.listing());
+    listed(&mut owner, now, workload.listing());
     for _ in 0..200 {
         now += TICK;
-        home.step(now, true, HomeInput::Tick);
+        owner.step(now, true, OwnerInput::Tick);
     }
-    (home, now)
+    (owner, now)
 }
 
-fn listed(home: &mut Home, now: Duration, listing: Listing) {
+fn listed(owner: &mut FunctionOwner, now: Duration, listing: Listing) {
     let report = ProviderReport::Listed { listing, asked: Instant::now() };
-    home.step(now, true, HomeInput::Platform { report, listed_at: now });
+    owner.step(now, true, OwnerInput::Platform { report, listed_at: now });
 }
 
 pub fn passes(order: &Order) -> Value {
@@ -43,10 +43,10 @@
     let before = resident_mb();
     let (mut asleep, from) = open(&workload(0), 1);
     let held = resident_mb() - before;
-    let tick = |home: &mut Home, from: Duration| {
+    let tick = |owner: &mut FunctionOwner, from: Duration| {
         let begun = Instant::now();
         for round in 1..=ROUNDS {
-            home.step(from + TICK * round, true, HomeInput::Tick);
+            owner.step(from + TICK * round, true, OwnerInput::Tick);
         }
         begun.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
     };
@@ -62,24 +62,24 @@
 }
 
 /// The bytes of one round of samples, shared by the schedulers they tell of.
-fn sample_bytes(home: &mut Home, from: Duration, schedulers: usize) -> f64 {
-    let outputs = home.step(from + Duration::from_secs(60), true, HomeInput::Tick);
+fn sample_bytes(owner: &mut FunctionOwner, from: Duration, schedulers: usize) -> f64 {
+    let outputs = owner.step(from + Duration::from_secs(60), true, OwnerInput::Tick);
     let told = outputs.into_iter().find_map(|output| match output {
-        traffic::HomeOutput::Samples { lines } => Some(PlanMessage::Samples { lines: lines.into() }),
+        traffic::OwnerOutput::Samples { lines } => Some(PlanMessage::Samples { lines: lines.into() }),
         _ => None,
     });
     told.map_or(0.0, |message| round(wire::to_bytes(&Message::Plan(message)).len() as f64 / schedulers as f64))
 }
 
 /// One reading of the list by one router of the target: its bytes, its parsing, and its taking in by a
-/// home with the functions of one in 430.
+/// owner with the functions of one in 430.
 pub fn lists(order: &Order) -> Value {
     let instances = order.instances[0];
     let workload = Workload { functions: 9100, awake: instances.min(9100), instances };
     let page = workload.page();
     let parse = timed(5, || drop(read(&page)));
-    let (mut home, now) = open(&workload, 430);
-    let take = timed(5, || listed(&mut home, now, read(&page)));
+    let (mut owner, now) = open(&workload, 430);
+    let take = timed(5, || listed(&mut owner, now, read(&page)));
     json!({
         "page bytes": page.len(), "read ms": round(parse), "read and take in ms": round(take),
         "cores at one a second": round(take / 1000.0),
--- a/crates/hollow/src/offline_tasks.rs
+++ b/crates/hollow/src/offline_tasks.rs
@@ -1,14 +1,14 @@
-//! One task through its home: the frames that carry it there and back, and what the home's state
+//! One task through its owner: the frames that carry it there and back, and what the owner's state
 //! machine and the codec take for it, against the bytes of its body. Sockets are not in it.
 
 use crate::line::Order;
 use crate::offline::timed;
-use crate::offline_home::open;
+use crate::offline_owner::open;
 use crate::tally::round;
 use crate::workload::Workload;
 use serde_json::{Value, json};
 use std::time::Duration;
-use traffic::{DispatchOutcome, HomeInput, HomeOutput};
+use traffic::{DispatchOutcome, OwnerInput, OwnerOutput};
 use wire::{FORMAT, ForwardMessage, Frame, HeaderField, Message, Outcome, RequestHead, decode, encode};
 
 const TASKS: u64 = 500;
@@ -27,7 +27,7 @@
 pub fn tasks(order: &Order) -> Value {
     let bytes = order.bytes[0];
     let workload = Workload { functions: 21, awake: 21, instances: 84 };
-    let (mut home, from) = open(&workload, 1);
+    let (mut owner, from) = open(&workload, 1);
     let name = workload.name(0);
     let header = |name: &str| HeaderField { name: name.into(), value: vec![b'x'; 24].into() };
     let headers = ["content-type", "content-length", "user-agent", "accept"].map(header).to_vec().into();
@@ -65,12 +65,12 @@
         for _ in 0..TASKS {
             now += APART;
             next += 1;
-            let outputs = home.step(now, true, HomeInput::Forward { from: 9, message: forward(next) });
+            let outputs = owner.step(now, true, OwnerInput::Forward { from: 9, message: forward(next) });
             for output in outputs {
-                let HomeOutput::Dispatch(order) = output else { continue };
+                let OwnerOutput::Dispatch(order) = output else { continue };
                 let outcome = whole(&head);
-                let outputs = home.step(now, true, HomeInput::Dispatched { number: order.number, outcome });
-                answered += outputs.iter().filter(|output| matches!(output, HomeOutput::Forward { .. })).count();
+                let outputs = owner.step(now, true, OwnerInput::Dispatched { number: order.number, outcome });
+                answered += outputs.iter().filter(|output| matches!(output, OwnerOutput::Forward { .. })).count();
             }
         }
     });
--- a/crates/hollow/src/run.rs
+++ b/crates/hollow/src/run.rs
@@ -92,7 +92,7 @@
     round(time.as_secs_f64() * 1000.0)
 }
 
-/// One change: when its receipt came, and when every hollow node had it in force.
+/// One change: when its reply came, and when every hollow node had it in force.
 async fn change(order: &Order, fleet: &mut Fleet, number: usize, deadline_ms: u32) -> Result<(f64, f64), String> {
     let workload = order.workload();
     let body = json!({"set": {workload.key(number): workload.binding(number, deadline_ms)}}).to_string().into_bytes();
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,6 +1,6 @@
 //! Membership by holds. `Sessions` is the tail's side: who renewed, who staged what, whose hold
-//! has lapsed. `Follower` is a router's side: proofs of revision, staged steps, the roster. Both
-//! are state machines; `Membership` says which router is home to which function.
+//! has lapsed. `Follower` is a router's side: proofs of revision, staged steps, the membership. Both
+//! are state machines; `Membership` says which router owns which function.
 
 mod fetch;
 mod follower;
--- a/crates/leases/src/membership.rs
+++ b/crates/leases/src/membership.rs
@@ -1,6 +1,6 @@
-//! The numbered list of member routers, and the home of each function as a pure reading of it: weighted
-//! rendezvous hashing over the machines that can carry a home, each by what it can carry, so that a
-//! change of one machine moves only what it must. The roster's number is the fence. Homes follow from
+//! The numbered list of member routers, and the owner of each function as a pure reading of it: weighted
+//! rendezvous hashing over the machines that can carry an owner, each by what it can carry, so that a
+//! change of one machine moves only what it must. The membership's number is the fence. Owners follow from
 //! the hashing, so it has a number of its own, and the oldest that some member knows is in force.
 
 use deku::prelude::*;
@@ -9,9 +9,9 @@
 
 /// The newest hashing known here: 1 gives zones and machines equal parts, 2 follows their capacity.
 pub const HASHING: u8 = 2;
-/// A machine is home to something if it can carry this part of what the strongest member can.
+/// A machine owns something if it can carry this part of what the strongest member can.
 const FIT: f64 = 0.25;
-/// A machine half as able is home to a quarter as much, since it carries tasks as a front as well.
+/// A machine half as able owns a quarter as much, since it carries tasks as a front as well.
 const RAISED: f64 = 2.0;
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
@@ -32,7 +32,7 @@
     pub members: List<Member>,
 }
 
-/// What differs between two rosters: the lines that are new or other, and who is gone.
+/// What differs between two memberships: the lines that are new or other, and who is gone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct MembershipChange {
     pub lines: List<Member>,
@@ -124,25 +124,25 @@
         self.members.iter().find(|member| member.id == id)
     }
 
-    pub fn home(&self, function: &str) -> Option<NodeId> {
+    pub fn owner(&self, function: &str) -> Option<NodeId> {
         self.best(function, None)
     }
 
-    /// Who would be home if this one were lost.
-    pub fn home_after(&self, function: &str, lost: NodeId) -> Option<NodeId> {
+    /// Who would be owner if this one were lost.
+    pub fn owner_after(&self, function: &str, lost: NodeId) -> Option<NodeId> {
         self.best(function, Some(lost))
     }
 
-    /// Those who are home to something, or may be.
-    pub fn homes(&self) -> Vec<NodeId> {
+    /// Those who own something, or may be.
+    pub fn owners(&self) -> Vec<NodeId> {
         self.able(None).into_iter().map(|(member, _)| member.id).collect()
     }
 
-    /// The homes in the order in which they are called upon for something that one does for all.
+    /// The owners in the order in which they are called upon for something that one does for all.
     pub fn in_turn(&self, what: &str) -> Vec<NodeId> {
-        let mut homes = self.homes();
-        homes.sort_by_key(|id| std::cmp::Reverse(mix(&[what.as_bytes(), &id.to_le_bytes()])));
-        homes
+        let mut owners = self.owners();
+        owners.sort_by_key(|id| std::cmp::Reverse(mix(&[what.as_bytes(), &id.to_le_bytes()])));
+        owners
     }
 
     fn best(&self, function: &str, lost: Option<NodeId>) -> Option<NodeId> {
@@ -156,7 +156,7 @@
         scored.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|(_, id)| id)
     }
 
-    /// Members that stay, or all where none does, that can carry a home, each with its weight.
+    /// Members that stay, or all where none does, that can carry an owner, each with its weight.
     fn able(&self, lost: Option<NodeId>) -> Vec<(&Member, f64)> {
         let there = || self.members.iter().filter(move |member| lost != Some(member.id));
         let stays = there().any(|member| member.leaving == 0);
--- a/crates/leases/src/sessions.rs
+++ b/crates/leases/src/sessions.rs
@@ -20,7 +20,7 @@
     pub pushed_at: Duration,
     pub told: u64,
     pub told_at: Duration,
-    /// The newest roster it was sent, and when.
+    /// The newest membership it was sent, and when.
     pub membership_sent: u64,
     pub membership_sent_at: Duration,
 }
--- a/crates/leases/src/steps.rs
+++ b/crates/leases/src/steps.rs
@@ -1,4 +1,4 @@
-//! What registries tell a follower: proofs, steps staged and activated, the roster.
+//! What registries tell a follower: proofs, steps staged and activated, the membership.
 
 use crate::follower::{Follower, FollowerOutput};
 use crate::membership::{Membership, MembershipChange};
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A change of a roster this router has not is passed over: the core hears its number with each renewal.
+    /// A change of a membership this router has not is passed over: the core hears its number with each renewal.
     fn on_membership_change(&mut self, since: u64, number: u64, size: u32, body: &Blob) {
         if number <= self.membership.number || (since != 0 && since != self.membership.number) {
             return;
--- a/crates/leases/src/ticks.rs
+++ b/crates/leases/src/ticks.rs
@@ -9,7 +9,7 @@
 const BROADCAST_RENEWAL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Follower {
-    /// Said again with each renewal until the roster shows it: a core that is being mended may
+    /// Said again with each renewal until the membership shows it: a core that is being mended may
     /// have let the first word fall.
     pub(crate) fn say_leaving(&mut self) {
         let shown = self.membership.member(self.me).is_none_or(|line| line.leaving != 0);
--- a/crates/leases/tests/membership.rs
+++ b/crates/leases/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The roster as a list of members with a number: homes picked from it, and what differs between two.
+//! The membership as a list of members with a number: owners picked from it, and what differs between two.
 
 use leases::{HASHING, Member, Membership};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 
 fn counts(membership: &Membership, names: &[String]) -> BTreeMap<NodeId, usize> {
     let mut counts = BTreeMap::new();
-    names.iter().for_each(|name| *counts.entry(membership.home(name).unwrap()).or_default() += 1);
+    names.iter().for_each(|name| *counts.entry(membership.owner(name).unwrap()).or_default() += 1);
     counts
 }
 
@@ -38,8 +38,8 @@
         let left = members.iter().filter(|line| line.id != gone.id).cloned().collect();
         let less = membership(left);
         for name in &names {
-            let (before, after) = (whole.home(name).unwrap(), less.home(name).unwrap());
-            assert!(before != gone.id || whole.home_after(name, gone.id) == Some(after), "{name}: the next home");
+            let (before, after) = (whole.owner(name).unwrap(), less.owner(name).unwrap());
+            assert!(before != gone.id || whole.owner_after(name, gone.id) == Some(after), "{name}: the next home");
             assert!(before == after || before == gone.id, "{name} moved from {before} to {after}");
         }
     }
@@ -60,7 +60,7 @@
     loses_one_by_one(&members[..12]);
     let whole = membership(members);
     let strong: Vec<NodeId> = (1..=6).map(|id| id * 7919).collect();
-    assert_eq!(whole.homes(), strong);
+    assert_eq!(whole.owners(), strong);
     let counts = counts(&whole, &names(1030));
     assert!(counts.values().all(|count| (110..240).contains(count)), "{counts:?}");
 }
@@ -77,14 +77,14 @@
 fn where_fewer_than_two_are_fit_all_carry_something() {
     let members: Vec<Member> = (1..=5).map(|id| line(id, if id == 1 { 1000 } else { 200 }, 1000)).collect();
     loses_one_by_one(&members[1..]);
-    assert_eq!(membership(members).homes().len(), 5);
+    assert_eq!(membership(members).owners().len(), 5);
 }
 
 #[test]
 fn a_leaving_machine_is_home_to_nothing_while_another_stays() {
     let (leaving, weak) = (Member { leaving: 1, ..line(1, 1000, 1000) }, line(2, 10, 10));
     let membership = membership(vec![leaving, weak.clone()]);
-    assert!(names(50).iter().all(|name| membership.home(name) == Some(weak.id)));
+    assert!(names(50).iter().all(|name| membership.owner(name) == Some(weak.id)));
 }
 
 #[test]
--- a/crates/scaler/src/tuner.rs
+++ b/crates/scaler/src/tuner.rs
@@ -1,5 +1,5 @@
 //! Tuning weight sheets by what was measured, slowly and within their bounds. A function that was
-//! short (tasks refused, turned away or kept waiting though instances ran) is planned with a lower
+//! short (tasks refused, rejected or kept waiting though instances ran) is planned with a lower
 //! usage and a higher shortfall penalty; one that was calm for long goes back, and a little beyond
 //! where its bounds allow it. The startup delay follows the boots that were seen. The sheet as declared
 //! stays as it is: what is in force is a view beside it, and says why.
@@ -18,14 +18,14 @@
 const WAITING: f64 = 0.5;
 const AGREEING: u32 = 3;
 
-/// What a home saw of one function in one step.
+/// What an owner saw of one function in one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Measure {
     /// Mean time from the order to readiness of the instances that came up.
     pub boot: Duration,
     /// How many came up.
     pub boots: u32,
-    /// Requests refused by the home.
+    /// Requests refused by the owner.
     pub refused: u32,
     /// Requests that instances rejected for want of room.
     pub turned: u32,
@@ -58,7 +58,7 @@
     calm: u32,
 }
 
-/// Sets fields of weight sheets within their declared bounds, by what homes measured.
+/// Sets fields of weight sheets within their declared bounds, by what owners measured.
 pub struct Tuner {
     step: Duration,
     tracks: BTreeMap<String, Track>,
@@ -139,7 +139,7 @@
         Tuner { step, tracks: BTreeMap::new() }
     }
 
-    /// Takes what a home saw of a function in one step.
+    /// Takes what an owner saw of a function in one step.
     pub fn take(&mut self, function: &Function, measure: Measure) {
         let track = self.tracks.entry(function.name.clone()).or_insert_with(|| Track::new(&function.sheet));
         if track.declared != function.sheet {
--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/ending.rs
@@ -27,7 +27,7 @@
     }
 
     /// What was accepted and has not run yet waits in the store, and is still being worked off: after a
-    /// loss of all that was known of it, no faster than second tries may be sent.
+    /// loss of all that was known of it, no faster than retries may be sent.
     fn check_deferred(&mut self) {
         let now = self.now;
         let waiting = self.rules.accepted_but_never_run();
@@ -66,7 +66,7 @@
                 machines.follower.membership().number,
                 machines.follower.tail(),
                 machines.front.depth(),
-                machines.home.depths(),
+                machines.owner.depths(),
             ),
             None => format!("router {n}: down"),
         });
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -7,7 +7,7 @@
 use crate::yard::Work;
 use rand::RngExt;
 use std::time::Duration;
-use traffic::{DispatchOrder, DispatchOutcome, HomeInput};
+use traffic::{DispatchOrder, DispatchOutcome, OwnerInput};
 use wire::{AnswerHead, RequestHead};
 
 impl World {
@@ -99,7 +99,7 @@
         if self.routers[work.router].life != work.life {
             return;
         }
-        self.turn(work.router, Turn::Home(HomeInput::Dispatched { number: work.order, outcome }));
+        self.turn(work.router, Turn::FunctionOwner(OwnerInput::Dispatched { number: work.order, outcome }));
     }
 }
 
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -1,4 +1,4 @@
-//! A router in the simulator: the real follower, front and home, fed by hand.
+//! A router in the simulator: the real follower, front and owner, fed by hand.
 
 use crate::chances::Sort;
 use crate::world::{Event, Place, TICK, World};
@@ -7,13 +7,13 @@
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
-use traffic::{Front, FrontInput, FrontLimits, Home, HomeInput, HomeTiming};
+use traffic::{Front, FrontInput, FrontLimits, FunctionOwner, OwnerInput, OwnerTiming};
 use wire::{Capacity, ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 pub struct Machines {
     pub follower: Follower,
     pub front: Front,
-    pub home: Home,
+    pub owner: FunctionOwner,
     pub heard: Option<Duration>,
     pub seats: Vec<String>,
 }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Machines of three strengths, and some too weak to be home to anything.
+/// Machines of three strengths, and some too weak to own anything.
 fn capacity(n: usize) -> Capacity {
     let processor_milli = if n % 5 == 4 { 100 } else { 1000 / (1 + n as u32 % 3) };
     Capacity { processor_milli, link_kbit: 1_000_000 }
@@ -48,13 +48,13 @@
 
 pub enum Turn {
     Front(FrontInput),
-    Home(HomeInput),
+    FunctionOwner(OwnerInput),
 }
 
 impl Turn {
     pub fn forwarded(from: NodeId, message: ForwardMessage) -> Turn {
-        match message.is_for_home() {
-            true => Turn::Home(HomeInput::Forward { from, message }),
+        match message.is_for_owner() {
+            true => Turn::FunctionOwner(OwnerInput::Forward { from, message }),
             false => Turn::Front(FrontInput::Forwarded { from, message }),
         }
     }
@@ -96,7 +96,7 @@
         node.machines = Some(Machines {
             follower: Follower::new(node.id, life, &node.address, node.zone, "", timing).able_to_own(capacity(n)),
             front: Front::new(node.id, life, FrontLimits::default()),
-            home: Home::new(node.id, life, HomeTiming::default()),
+            owner: FunctionOwner::new(node.id, life, OwnerTiming::default()),
             heard: None,
             seats: self.seeds.clone(),
         });
@@ -150,9 +150,9 @@
         let Some(machines) = &self.routers[n].machines else { return };
         let near = machines.heard.is_some_and(|at| now < at + Duration::from_millis(2500));
         self.end_leaving(n);
-        self.turn(n, Turn::Home(HomeInput::Core { near }));
+        self.turn(n, Turn::FunctionOwner(OwnerInput::Core { near }));
         self.turn(n, Turn::Front(FrontInput::Tick));
-        self.turn(n, Turn::Home(HomeInput::Tick));
+        self.turn(n, Turn::FunctionOwner(OwnerInput::Tick));
     }
 
     /// As the program does: gone once nothing is open after the last calls, or when grace ends.
@@ -161,9 +161,9 @@
         let waited = self.now - since;
         let me = self.routers[n].id;
         let handed = machines.follower.membership().member(me).is_none_or(|line| line.leaving != 0);
-        let idle = machines.front.depth() == 0 && machines.home.is_idle();
+        let idle = machines.front.depth() == 0 && machines.owner.is_idle();
         if (waited > LAST_CALLS && handed && idle) || waited > GRACE {
-            let depths = (machines.front.depth(), machines.home.depths());
+            let depths = (machines.front.depth(), machines.owner.depths());
             self.say(|| format!("router {n} goes, open: {depths:?}"));
             if !idle && self.plan.sort == Sort::Planned && self.now < self.plan.final_fault {
                 self.rules.tell(self.now, format!("router {n} left with work open"));
@@ -179,7 +179,7 @@
         match message {
             Message::Lease(message) if message.is_from_peer() => self.follow(n, FollowerInput::Peer { from, message }),
             Message::Lease(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
-                self.turn(n, Turn::Home(HomeInput::Ledger { message }))
+                self.turn(n, Turn::FunctionOwner(OwnerInput::Ledger { message }))
             }
             Message::Lease(message) => {
                 if let (LeaseMessage::Proof { .. }, Some(machines)) = (&message, &mut self.routers[n].machines) {
@@ -188,7 +188,7 @@
                 self.follow(n, FollowerInput::Registry { from, message });
             }
             Message::Forward(message) => self.turn(n, Turn::forwarded(from, message)),
-            Message::Plan(message) => self.turn(n, Turn::Home(HomeInput::Plan { message })),
+            Message::Plan(message) => self.turn(n, Turn::FunctionOwner(OwnerInput::Plan { message })),
             _ => {}
         }
     }
@@ -224,13 +224,13 @@
             FollowerOutput::Activated { step, revision } => {
                 let Some(machines) = &self.routers[n].machines else { return };
                 let routes = Rc::new(RouteTable::build(step, revision, machines.follower.pairs()));
-                self.turn(n, Turn::Home(HomeInput::RouteTable { routes: routes.clone() }));
+                self.turn(n, Turn::FunctionOwner(OwnerInput::RouteTable { routes: routes.clone() }));
                 self.turn(n, Turn::Front(FrontInput::RouteTable { routes }));
             }
             FollowerOutput::MembershipUpdated { .. } => {
                 let Some(machines) = &self.routers[n].machines else { return };
                 let membership = Rc::new(machines.follower.membership().clone());
-                self.turn(n, Turn::Home(HomeInput::Membership { membership: membership.clone() }));
+                self.turn(n, Turn::FunctionOwner(OwnerInput::Membership { membership: membership.clone() }));
                 self.turn(n, Turn::Front(FrontInput::Membership { membership }));
             }
             FollowerOutput::RegistryAddresses { addresses } => {
@@ -239,7 +239,7 @@
                     machines.seats = addresses.into_iter().chain(seeds).collect();
                 }
             }
-            FollowerOutput::Lapsed => self.turn(n, Turn::Home(HomeInput::Lapsed)),
+            FollowerOutput::Lapsed => self.turn(n, Turn::FunctionOwner(OwnerInput::Lapsed)),
             FollowerOutput::ServingStatus { serving_status } => {
                 self.say(|| format!("router {n} stands {serving_status:?}"))
             }
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -1,10 +1,10 @@
-//! Turns of a simulated router's front and home until neither has anything more to do, with the
+//! Turns of a simulated router's front and owner until neither has anything more to do, with the
 //! rule on revisions checked at each forward and each dispatch.
 
 use crate::router_node::Turn;
 use crate::world::{Place, World};
 use std::collections::VecDeque;
-use traffic::{FrontOutput, HomeOutput};
+use traffic::{FrontOutput, OwnerOutput};
 use wire::{ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 impl World {
@@ -34,36 +34,36 @@
                         }
                     }
                 }
-                Turn::Home(input) => {
+                Turn::FunctionOwner(input) => {
                     let tail = machines.follower.tail();
-                    for output in machines.home.step(now, may_serve, input) {
+                    for output in machines.owner.step(now, may_serve, input) {
                         match output {
-                            HomeOutput::Forward { to, message } if to == me => {
+                            OwnerOutput::Forward { to, message } if to == me => {
                                 turns.push_back(Turn::forwarded(to, message))
                             }
-                            HomeOutput::Forward { to, message } => {
+                            OwnerOutput::Forward { to, message } => {
                                 self.send(Place::Router(n), to, Message::Forward(message));
                             }
-                            HomeOutput::Propose { request_id, body } => {
+                            OwnerOutput::Propose { request_id, body } => {
                                 let message = LeaseMessage::Propose { request_id, body: body.into() };
                                 self.ask_tail(n, tail, message);
                             }
-                            HomeOutput::Read { request_id, prefix } => {
+                            OwnerOutput::Read { request_id, prefix } => {
                                 let message = LeaseMessage::Read { request_id, prefix: prefix.into(), from: "".into() };
                                 self.ask_tail(n, tail, message);
                             }
-                            HomeOutput::Dispatch(order) => {
+                            OwnerOutput::Dispatch(order) => {
                                 self.rules.served(self.now, revision);
                                 self.dispatch(n, order);
                             }
-                            HomeOutput::Supply(order) => self.platform_order(n, order),
-                            HomeOutput::Probe { id, after, limit, .. } => self.probe(n, id, after, limit),
-                            HomeOutput::Forget { .. } => {}
-                            HomeOutput::PlanAsk { message } => self.ask_registries(n, message),
-                            HomeOutput::Measures { lines } => {
+                            OwnerOutput::Supply(order) => self.platform_order(n, order),
+                            OwnerOutput::Probe { id, after, limit, .. } => self.probe(n, id, after, limit),
+                            OwnerOutput::Forget { .. } => {}
+                            OwnerOutput::PlanAsk { message } => self.ask_registries(n, message),
+                            OwnerOutput::Measures { lines } => {
                                 self.ask_registries(n, PlanMessage::Measures { lines: lines.into() });
                             }
-                            HomeOutput::Samples { lines } => {
+                            OwnerOutput::Samples { lines } => {
                                 self.ask_registries(n, PlanMessage::Samples { lines: lines.into() });
                             }
                         }
--- a/crates/sim/src/standing.rs
+++ b/crates/sim/src/standing.rs
@@ -1,5 +1,5 @@
 //! A rule on the core's duties: while two registries at least have stood undisturbed for a while, a
-//! router that has long been down is no member any longer, and its homes have moved.
+//! router that has long been down is no member any longer, and its owners have moved.
 
 use crate::world::{Place, World};
 use std::time::Duration;
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/yard.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
-use traffic::{DispatchOutcome, HomeInput};
+use traffic::{DispatchOutcome, OwnerInput};
 
 const ORDERS: usize = 80;
 const WORKERS: usize = 6;
@@ -168,7 +168,7 @@
             return self.at(until, Event::Probed { router: n, life, id, ready });
         }
         let ready = ready && self.yard.instances.contains_key(&id);
-        self.turn(n, Turn::Home(HomeInput::Probed { id, ready }));
+        self.turn(n, Turn::FunctionOwner(OwnerInput::Probed { id, ready }));
     }
 
     pub fn reported(&mut self, n: usize, life: u64, report: ProviderReport, listed_at: Duration) {
@@ -183,7 +183,7 @@
                 self.yard.told_gone.entry((n, line.id.clone())).or_insert(self.now);
             }
         }
-        self.turn(n, Turn::Home(HomeInput::Platform { report, listed_at }));
+        self.turn(n, Turn::FunctionOwner(OwnerInput::Platform { report, listed_at }));
     }
 
     /// Twice a second the lists are noted, to be shown a while later.
--- a/crates/traffic/src/admission.rs
+++ b/crates/traffic/src/admission.rs
@@ -1,15 +1,15 @@
-//! Letting a forwarded request in: is this its home, is there room, what does its class ask first. A
+//! Letting a forwarded request in: is this its owner, is there room, what does its class ask first. A
 //! forwarded request has a number of its own and is admitted once, however often its frame comes.
 
-use crate::home::Home;
-use crate::home_types::{HomeOutput, HomeTask, Place, TaskId};
+use crate::function_owner::FunctionOwner;
+use crate::owner_types::{OwnedRequest, OwnerOutput, Place, TaskId};
 use crate::wait_queue::LAST;
 use bindings::Class;
 use sha2::{Digest, Sha256};
 use std::time::Duration;
 use wire::{ForwardMessage, ForwardRequest, NodeId, Outcome};
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn admit(&mut self, from: NodeId, request: ForwardRequest) {
         let ForwardRequest { task, function, binding, left_ms, tries, attempts, respond_async, key, head, body } =
             request;
@@ -22,10 +22,10 @@
         let (Some(bound), true, Some(scheduler)) =
             (bound, self.is_home(function.as_str()), self.schedulers.get_mut(function.as_str()))
         else {
-            return self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::NotHome { task } });
+            return self.outs.push(OwnerOutput::Forward { to: from, message: ForwardMessage::NotOwner { task } });
         };
         if !bound.sends_to(service) || scheduler.leaving.is_some() {
-            return self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::NotHome { task } });
+            return self.outs.push(OwnerOutput::Forward { to: from, message: ForwardMessage::NotOwner { task } });
         }
         scheduler.arrivals += 1;
         let full = scheduler.held.len() >= self.timing.function_inbox;
@@ -37,7 +37,7 @@
             false => (format!("{}/{}", binding.as_str(), key.as_str()), digest(head.as_slice(), body.as_slice())),
         };
         let number = self.number();
-        let record = HomeTask {
+        let record = OwnedRequest {
             id,
             function: function.as_str().into(),
             binding: binding.as_str().into(),
--- a/crates/traffic/src/allowances.rs
+++ b/crates/traffic/src/allowances.rs
@@ -1,14 +1,14 @@
 //! What the fleet may do beyond serving each request once, as its users set it, and the part of it
-//! that one home takes. Homes follow each other and may know nothing of each other: any number in one
-//! window stay within the retry slack, two within the turn-aways.
+//! that one owner takes. Owners follow each other and may know nothing of each other: any number in one
+//! window stay within the retry slack, two within the rejections.
 
-use crate::recent_homes::EarlierHomes;
+use crate::earlier_owners::EarlierOwners;
 use std::time::Duration;
 
 /// A machine's clock may run fast or slow by this part: what is spent is remembered longer than the
 /// window, what was asked shorter.
 const DRIFT: f64 = 0.01;
-/// Of the ratio, the part one home uses.
+/// Of the ratio, the part one owner uses.
 const PART: f64 = 0.625;
 
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     }
 }
 
-/// The most a home may spend by all that it knows, and the most while it does not know all.
+/// The most an owner may spend by all that it knows, and the most while it does not know all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Most {
     pub known: usize,
@@ -47,14 +47,14 @@
         (requests as f64 * self.retry_ratio * PART) as usize
     }
 
-    /// Of the slack, a home that knows all spends half. Of those that do not, each spends half of what the
+    /// Of the slack, an owner that knows all spends half. Of those that do not, each spends half of what the
     /// one before it might: however many there are in one window, together they spend no more than the
     /// other half. One that cannot tell how many there were spends nothing of it.
-    pub fn spare(&self, earlier: EarlierHomes) -> Most {
+    pub fn spare(&self, earlier: EarlierOwners) -> Most {
         let known = self.retry_slack / 2;
         let at_first = match earlier {
-            EarlierHomes::AtMost(homes) => known.checked_shr(homes.max(1)).unwrap_or(0),
-            EarlierHomes::Unknown => 0,
+            EarlierOwners::AtMost(owners) => known.checked_shr(owners.max(1)).unwrap_or(0),
+            EarlierOwners::Unknown => 0,
         };
         Most { known, at_first }
     }
@@ -64,8 +64,8 @@
         Most { known, at_first: self.turned_most.saturating_sub(known).max(1) }
     }
 
-    /// Counts of a copy, told as those of a home that has only its part at first left to spend.
-    pub fn as_of_a_copy(&self, earlier: EarlierHomes, requests: &mut u32, seconds: &mut u32, turned: &mut u32) {
+    /// Counts of a copy, told as those of an owner that has only its part at first left to spend.
+    pub fn as_of_a_copy(&self, earlier: EarlierOwners, requests: &mut u32, seconds: &mut u32, turned: &mut u32) {
         let kept_back = |most: Most| most.known.saturating_sub(most.at_first) as u32;
         *seconds = (*seconds).max(self.share(*requests as usize) as u32 + kept_back(self.spare(earlier)));
         *turned = (*turned).max(kept_back(self.turned()));
--- a/crates/traffic/src/attempt_count.rs
+++ b/crates/traffic/src/attempt_count.rs
@@ -1,16 +1,16 @@
-//! The attempts at one request, counted by its front, which outlives the loss of any home. A home makes
-//! no attempt that was not granted first, so that whatever becomes of a home, no more instances were
-//! sent the request than were granted. Only what a home gives back unused may be granted anew.
+//! The attempts at one request, counted by its front, which outlives the loss of any owner. An owner makes
+//! no attempt that was not granted first, so that whatever becomes of an owner, no more instances were
+//! sent the request than were granted. Only what an owner gives back unused may be granted anew.
 
 use wire::ForwardRequest;
 
 #[derive(Clone, Debug, Default)]
 pub struct AttemptCount {
-    /// What the route allows; nothing where a ledger decides what may run.
+    /// What the route allows; nothing where a run-once store decides what may run.
     most: Option<u32>,
-    /// Granted to all homes so far, without what was given back.
+    /// Granted to all owners so far, without what was given back.
     granted: u32,
-    /// The part of it that the present home has.
+    /// The part of it that the present owner has.
     present: u32,
 }
 
@@ -30,7 +30,7 @@
         if self.most.is_some() { self.present } else { ForwardRequest::UNCOUNTED }
     }
 
-    /// The home asks for so many in all; what it has now, with one more where one is left.
+    /// The owner asks for so many in all; what it has now, with one more where one is left.
     pub fn request(&mut self, wanted: u32) -> u32 {
         if wanted > self.present && !self.is_spent() {
             self.granted = self.granted.saturating_add(1);
@@ -39,7 +39,7 @@
         self.present
     }
 
-    /// The home gives the request back, having sent it to so many instances.
+    /// The owner gives the request back, having sent it to so many instances.
     pub fn give_back(&mut self, sent: u32) {
         let unused = self.present.saturating_sub(sent);
         self.granted = self.granted.saturating_sub(unused);
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -1,8 +1,8 @@
-//! Sliding windows, and second tries counted in them: below the users' ratio of the requests and
-//! their slack, by what this home knows and by what it has to leave to homes it knows nothing of.
+//! Sliding windows, and retries counted in them: below the users' ratio of the requests and
+//! their slack, by what this owner knows and by what it has to leave to owners it knows nothing of.
 
 use crate::allowances::{Allowances, Most};
-use crate::recent_homes::EarlierHomes;
+use crate::earlier_owners::EarlierOwners;
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// What is spent in a window: all that this home knows of, and while it does not know all that homes
+/// What is spent in a window: all that this owner knows of, and while it does not know all that owners
 /// before it spent, its own since then.
 #[derive(Clone, Debug)]
 pub struct Spent {
@@ -57,16 +57,16 @@
     pub fn count(&mut self, now: Duration) -> usize {
         self.all.count(now)
     }
-    /// Others have spent without this home's knowing, up to now.
+    /// Others have spent without this owner's knowing, up to now.
     pub fn be_careful(&mut self, now: Duration) {
         self.own.times.clear();
         self.careful_until = now + self.careful;
     }
-    /// What others spent up to now is still not known; what this home spent since then counts on.
+    /// What others spent up to now is still not known; what this owner spent since then counts on.
     pub fn stay_careful(&mut self, now: Duration) {
         self.careful_until = now + self.careful;
     }
-    /// Another home told of what it had spent at a moment; `whole` if it has spent nothing since.
+    /// Another owner told of what it had spent at a moment; `whole` if it has spent nothing since.
     pub fn take_over(&mut self, now: Duration, at: Duration, count: usize, whole: bool) {
         self.all.insert(at, count);
         if whole {
@@ -75,11 +75,11 @@
             self.stay_careful(now);
         }
     }
-    /// Room by all that is known here, as if nobody else had been home lately.
+    /// Room by all that is known here, as if nobody else had been owner lately.
     pub fn known_room(&mut self, now: Duration, most: Most) -> usize {
         most.known.saturating_sub(self.all.count(now))
     }
-    /// Another home told more than it had before.
+    /// Another owner told more than it had before.
     pub fn learn(&mut self, now: Duration, more: usize) {
         self.all.insert(now, more);
     }
@@ -88,7 +88,7 @@
         let own = most.at_first.saturating_sub(self.own.count(now));
         if now < self.careful_until { room.min(own) } else { room }
     }
-    /// What to tell the next home: what this one may not spend it may not spend either.
+    /// What to tell the next owner: what this one may not spend it may not spend either.
     pub fn told(&mut self, now: Duration, most: Most) -> usize {
         self.count(now).max(most.known - self.room(now, most))
     }
@@ -97,21 +97,21 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     allowances: Allowances,
-    earlier: EarlierHomes,
+    earlier: EarlierOwners,
     requests: Window,
     own_requests: Window,
     seconds: Spent,
 }
 
 impl Budget {
-    /// A home that does not know what was spent before it came spends only its own part for one window's
+    /// An owner that does not know what was spent before it came spends only its own part for one window's
     /// length, with its share of what it was asked itself.
     pub fn new(now: Duration, allowances: &Allowances) -> Budget {
         let (credited, remembered) =
             (Allowances::credited(allowances.retry_window), Allowances::remembered(allowances.retry_window));
         Budget {
             allowances: allowances.clone(),
-            earlier: EarlierHomes::AtMost(1),
+            earlier: EarlierOwners::AtMost(1),
             requests: Window::new(credited),
             own_requests: Window::new(credited),
             seconds: Spent::new(now, remembered, remembered),
@@ -151,7 +151,7 @@
         may
     }
 
-    /// An arrival that an instance turned away counts as one more.
+    /// An arrival that an instance rejected counts as one more.
     pub fn turned_away(&mut self, now: Duration) {
         self.seconds.add(now);
     }
@@ -160,34 +160,34 @@
         (self.requests.count(now), self.seconds.count(now))
     }
 
-    /// Requests and second tries as the next home is to know them.
+    /// Requests and retries as the next owner is to know them.
     pub fn told(&mut self, now: Duration) -> (usize, usize) {
         let most = self.most(now);
         (self.requests.count(now), self.seconds.told(now, most))
     }
 
-    /// Another home may have been here meanwhile.
+    /// Another owner may have been here meanwhile.
     pub fn be_careful(&mut self, now: Duration) {
         self.own_requests.times.clear();
         self.seconds.be_careful(now);
     }
 
-    /// How many homes may have spent in this window before this one came, as far as the rosters tell.
-    pub fn set_earlier_homes(&mut self, earlier: EarlierHomes) {
+    /// How many owners may have spent in this window before this one came, as far as the memberships tell.
+    pub fn set_earlier_homes(&mut self, earlier: EarlierOwners) {
         self.earlier = earlier;
     }
 
-    /// Nothing was learned of what was spent before this home came.
+    /// Nothing was learned of what was spent before this owner came.
     pub fn stay_careful(&mut self, now: Duration) {
         self.seconds.stay_careful(now);
     }
 
-    /// The home before told of more second tries than it had.
+    /// The owner before told of more retries than it had.
     pub fn learn(&mut self, now: Duration, more: u32) {
         self.seconds.learn(now, more.min(20_000) as usize);
     }
 
-    /// The home before told its counts at a moment; of the requests it is not known when they came.
+    /// The owner before told its counts at a moment; of the requests it is not known when they came.
     pub fn take_over(&mut self, now: Duration, at: Duration, requests: u32, seconds: u32, whole: bool) {
         let (requests, seconds) = (requests.min(20_000) as usize, seconds.min(20_000) as usize);
         if requests > self.requests.count(now) {
--- a/crates/traffic/src/control_view.rs
+++ b/crates/traffic/src/control_view.rs
@@ -1,4 +1,4 @@
-//! The page on which a router shows what it holds of the configuration and the roster.
+//! The page on which a router shows what it holds of the configuration and the membership.
 
 use crate::control_loop::Control;
 use serde_json::json;
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -1,12 +1,12 @@
-//! The traffic thread: one loop that owns the front and the home, feeds them from its inbox and
+//! The traffic thread: one loop that owns the front and the owner, feeds them from its inbox and
 //! carries out what they return. Tasks a router carries to itself go round here and nowhere else.
 
 use crate::caller_limits::CallerLimits;
 use crate::declared_views::DeclaredViews;
 use crate::front::Front;
 use crate::front_types::{Call, FrontInput, Reply};
-use crate::home::Home;
-use crate::home_types::HomeInput;
+use crate::function_owner::FunctionOwner;
+use crate::owner_types::OwnerInput;
 use crate::serving_lease::ServingLease;
 use bindings::RouteTable;
 use dispatch::{DispatchReport, DispatcherMessage};
@@ -58,7 +58,7 @@
     pub begun: Instant,
     pub pass: ServingLease,
     pub front: Front,
-    pub home: Home,
+    pub owner: FunctionOwner,
     pub links: InboxSender<LinkOrder>,
     pub dispatcher: InboxSender<DispatcherMessage>,
     pub platform: InboxSender<ProviderOrder>,
@@ -78,13 +78,13 @@
 
 pub(crate) enum Turn {
     Front(FrontInput),
-    Home(HomeInput),
+    FunctionOwner(OwnerInput),
 }
 
 impl Turn {
     pub(crate) fn forwarded(from: NodeId, message: ForwardMessage) -> Turn {
-        match message.is_for_home() {
-            true => Turn::Home(HomeInput::Forward { from, message }),
+        match message.is_for_owner() {
+            true => Turn::FunctionOwner(OwnerInput::Forward { from, message }),
             false => Turn::Front(FrontInput::Forwarded { from, message }),
         }
     }
@@ -101,20 +101,20 @@
                 biased;
                 () = &mut tick => {
                     self.turn(Turn::Front(FrontInput::Tick));
-                    self.turn(Turn::Home(HomeInput::Tick));
+                    self.turn(Turn::FunctionOwner(OwnerInput::Tick));
                     let now = self.begun.elapsed();
                     self.statuses.retain(|_, (reply, due)| now < *due && !reply.is_closed());
-                    if self.done.is_some() && self.front.depth() == 0 && self.home.is_idle()
+                    if self.done.is_some() && self.front.depth() == 0 && self.owner.is_idle()
                         && let Some(done) = self.done.take() {
                         let _ = done.send(());
                     }
-                    calm = self.done.is_none() && !self.front.waits() && !self.home.waits();
+                    calm = self.done.is_none() && !self.front.waits() && !self.owner.waits();
                     tick.as_mut().reset(tokio::time::Instant::now() + if calm { CALM_TICK } else { TICK });
                 }
                 message = inbox.next() => match message {
                     Some(message) => {
                         self.take(message);
-                        if calm && (self.front.waits() || self.home.waits()) {
+                        if calm && (self.front.waits() || self.owner.waits()) {
                             calm = false;
                             tick.as_mut().reset(tokio::time::Instant::now() + TICK);
                         }
@@ -124,14 +124,14 @@
             }
             if shown.elapsed() >= SHOW {
                 shown = Instant::now();
-                let mut status = self.home.status();
+                let mut status = self.owner.status();
                 status["front"] = self.front.depth().into();
                 status["front_refusals"] = self.front.refusals.into();
                 status["outcomes"] = serde_json::json!(self.counts);
                 status["inbox"] = inbox.depth().into();
                 self.view.send_replace(status.to_string());
                 if let Some(shelving) = &mut self.shelving {
-                    shelving.show(&self.home);
+                    shelving.show(&self.owner);
                 }
             }
         }
@@ -156,19 +156,19 @@
             TrafficMessage::Link(LinkEvent::Down { id }) => self.turn(Turn::Front(FrontInput::Link { id, up: false })),
             TrafficMessage::Link(LinkEvent::Frame { from, message, .. }) => match message {
                 Message::Forward(message) => self.turn(Turn::forwarded(from, message)),
-                Message::Plan(message) => self.turn(Turn::Home(HomeInput::Plan { message })),
+                Message::Plan(message) => self.turn(Turn::FunctionOwner(OwnerInput::Plan { message })),
                 Message::Lease(LeaseMessage::ReadReply { request_id, items, .. }) if request_id & STATUS_BIT != 0 => {
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
                     self.tell_status(request_id & !STATUS_BIT, first);
                 }
-                Message::Lease(message) => self.turn(Turn::Home(HomeInput::Ledger { message })),
+                Message::Lease(message) => self.turn(Turn::FunctionOwner(OwnerInput::Ledger { message })),
                 _ => {}
             },
             TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, outcome }) => {
-                self.turn(Turn::Home(HomeInput::Dispatched { number, outcome }))
+                self.turn(Turn::FunctionOwner(OwnerInput::Dispatched { number, outcome }))
             }
             TrafficMessage::Dispatcher(DispatchReport::Probed { id, ready }) => {
-                self.turn(Turn::Home(HomeInput::Probed { id, ready }))
+                self.turn(Turn::FunctionOwner(OwnerInput::Probed { id, ready }))
             }
             TrafficMessage::Platform(report) => {
                 let listed_at = match &report {
@@ -177,7 +177,7 @@
                     }
                     _ => Duration::ZERO,
                 };
-                self.turn(Turn::Home(HomeInput::Platform { report, listed_at }));
+                self.turn(Turn::FunctionOwner(OwnerInput::Platform { report, listed_at }));
             }
             TrafficMessage::RouteTable(routes) => {
                 self.step = routes.step;
@@ -187,21 +187,21 @@
                 }
                 let (own, limits) = &self.limits;
                 limits.send_replace(own.within(routes.bounds()));
-                self.turn(Turn::Home(HomeInput::RouteTable { routes: routes.clone() }));
+                self.turn(Turn::FunctionOwner(OwnerInput::RouteTable { routes: routes.clone() }));
                 self.turn(Turn::Front(FrontInput::RouteTable { routes }));
             }
             TrafficMessage::Step(step) => self.step = step,
             TrafficMessage::Membership(membership) => {
                 let membership = Rc::new(*membership);
-                self.turn(Turn::Home(HomeInput::Membership { membership: membership.clone() }));
+                self.turn(Turn::FunctionOwner(OwnerInput::Membership { membership: membership.clone() }));
                 self.turn(Turn::Front(FrontInput::Membership { membership }));
             }
             TrafficMessage::Core { tail, near, registries } => {
                 self.tail = tail;
                 self.registries = registries;
-                self.turn(Turn::Home(HomeInput::Core { near }));
+                self.turn(Turn::FunctionOwner(OwnerInput::Core { near }));
             }
-            TrafficMessage::Lapsed => self.turn(Turn::Home(HomeInput::Lapsed)),
+            TrafficMessage::Lapsed => self.turn(Turn::FunctionOwner(OwnerInput::Lapsed)),
             TrafficMessage::Leave { done } => self.done = Some(done),
         }
     }
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -1,9 +1,9 @@
 //! The plane's way out: turns of the two machines until neither has anything more to do, and
-//! their outputs carried to links, dispatcher, platform and waiting callers.
+//! their outputs forwarded to links, dispatcher, platform and waiting callers.
 
 use crate::data_plane::{DataPlane, Turn};
 use crate::front_types::{FrontOutput, Reply};
-use crate::home_types::{HomeInput, HomeOutput};
+use crate::owner_types::{OwnerInput, OwnerOutput};
 use dispatch::{DispatchOutcome, DispatcherMessage};
 use events::event;
 use links::LinkOrder;
@@ -42,8 +42,8 @@
                         }
                     }
                 }
-                Turn::Home(input) => {
-                    for output in self.home.step(now, may_serve, input) {
+                Turn::FunctionOwner(input) => {
+                    for output in self.owner.step(now, may_serve, input) {
                         if let Some(turn) = self.carry_out(output) {
                             turns.push_back(turn);
                         }
@@ -53,43 +53,46 @@
         }
     }
 
-    fn carry_out(&mut self, output: HomeOutput) -> Option<Turn> {
+    fn carry_out(&mut self, output: OwnerOutput) -> Option<Turn> {
         match output {
-            HomeOutput::Forward { to, message } if to == self.me => return Some(Turn::forwarded(to, message)),
-            HomeOutput::Forward { to, message } => {
+            OwnerOutput::Forward { to, message } if to == self.me => return Some(Turn::forwarded(to, message)),
+            OwnerOutput::Forward { to, message } => {
                 self.link(LinkOrder::Send { to, message: Message::Forward(message) })
             }
-            HomeOutput::Propose { request_id, body } => {
+            OwnerOutput::Propose { request_id, body } => {
                 self.to_core(LeaseMessage::Propose { request_id, body: body.into() })
             }
-            HomeOutput::Read { request_id, prefix } => {
+            OwnerOutput::Read { request_id, prefix } => {
                 self.to_core(LeaseMessage::Read { request_id, prefix: prefix.into(), from: "".into() });
             }
-            HomeOutput::Dispatch(order) => {
+            OwnerOutput::Dispatch(order) => {
                 let number = order.number;
                 if !self.to_dispatcher(DispatcherMessage::Send(order)) {
-                    return Some(Turn::Home(HomeInput::Dispatched { number, outcome: DispatchOutcome::Crowded }));
+                    return Some(Turn::FunctionOwner(OwnerInput::Dispatched {
+                        number,
+                        outcome: DispatchOutcome::Crowded,
+                    }));
                 }
             }
-            HomeOutput::Probe { id, address, after, limit } => {
+            OwnerOutput::Probe { id, address, after, limit } => {
                 let probe = DispatcherMessage::Probe { id: id.clone(), address, after, limit };
                 if !self.to_dispatcher(probe) {
-                    return Some(Turn::Home(HomeInput::Probed { id, ready: false }));
+                    return Some(Turn::FunctionOwner(OwnerInput::Probed { id, ready: false }));
                 }
             }
-            HomeOutput::Forget { id } => {
+            OwnerOutput::Forget { id } => {
                 self.to_dispatcher(DispatcherMessage::Forget { id });
             }
-            HomeOutput::Supply(order) => {
+            OwnerOutput::Supply(order) => {
                 if self.platform.send(order).is_err() {
                     event!(inbox_full, "platform");
                 }
             }
-            HomeOutput::PlanAsk { message } => self.to_registries(Message::Plan(message)),
-            HomeOutput::Measures { lines } => {
+            OwnerOutput::PlanAsk { message } => self.to_registries(Message::Plan(message)),
+            OwnerOutput::Measures { lines } => {
                 self.to_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
             }
-            HomeOutput::Samples { lines } => {
+            OwnerOutput::Samples { lines } => {
                 self.to_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
             }
         }
--- a/crates/traffic/src/declared_views.rs
+++ b/crates/traffic/src/declared_views.rs
@@ -1,7 +1,7 @@
 //! This router's view of the three kinds: what is declared, as its route table has it; the sheets in force, as
 //! the optimizer's host told; and, for the functions homed here, the plan as it is played.
 
-use crate::home::Home;
+use crate::function_owner::FunctionOwner;
 use crate::status::Played;
 use bindings::RouteTable;
 use http_server::ResourceIndex;
@@ -30,10 +30,10 @@
         self.news = true;
     }
 
-    /// Brings the index in line with the route table and the home; what is as it was costs nothing.
-    pub fn show(&mut self, home: &Home) {
+    /// Brings the index in line with the route table and the owner; what is as it was costs nothing.
+    pub fn show(&mut self, owner: &FunctionOwner) {
         let Some(routes) = self.routes.clone() else { return };
-        let (fence, lines) = home.tuned();
+        let (fence, lines) = owner.tuned();
         let sum = lines.iter().map(|line| line.usage_micro ^ line.hard_milli).fold(0, u64::wrapping_add);
         let told = (*fence, sum, lines.len());
         if self.news || told != self.told {
@@ -44,7 +44,7 @@
         let mut changed: Vec<(String, Value)> = Vec::new();
         let whole = self.plans.is_empty();
         let mut seen = BTreeMap::new();
-        for (name, played) in home.plans() {
+        for (name, played) in owner.plans() {
             if self.plans.get(name) != Some(&played) {
                 let key = format!("headcount-plans/{name}");
                 let mut value = self.items.get(&key).cloned().unwrap_or_else(|| json!({"declared": null}));
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -1,8 +1,8 @@
 //! Keeping the deferred promise: pending tasks of the functions homed here are read back from the
-//! chain's store, after a home has moved or restarted and now and then besides, and run to the end.
+//! chain's store, after an owner has moved or restarted and now and then besides, and run to the end.
 
-use crate::home::Home;
-use crate::home_types::{HomeOutput, HomeTask, Ledger, LedgerAsk, Place, TaskId};
+use crate::function_owner::FunctionOwner;
+use crate::owner_types::{Ledger, LedgerAsk, OwnedRequest, OwnerOutput, Place, TaskId};
 use bindings::Class;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     item.key.as_str().rsplit('/').next().unwrap_or_default()
 }
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn deferred_pass(&mut self) {
         let now = self.now;
         let Some(routes) = self.routes.clone() else { return };
@@ -46,14 +46,14 @@
                 due: now + Duration::from_secs(3),
             };
             self.asks.insert(request_id, record);
-            self.outs.push(HomeOutput::Read { request_id, prefix: format!("p/{name}/") });
+            self.outs.push(OwnerOutput::Read { request_id, prefix: format!("p/{name}/") });
         }
     }
 
-    /// Another home may have sent what is stored. What was held here is let go of, and read back as the
+    /// Another owner may have sent what is stored. What was held here is let go of, and read back as the
     /// store tells of it; what is just being stored counts as sent.
     pub(crate) fn doubt_stored(&mut self) {
-        let held = |task: &HomeTask| task.stored.is_some() && task.place == Place::Held;
+        let held = |task: &OwnedRequest| task.stored.is_some() && task.place == Place::Held;
         let numbers: Vec<u64> = self.tasks.iter().filter(|(_, task)| held(task)).map(|(number, _)| *number).collect();
         for number in numbers {
             self.accept(number);
@@ -63,7 +63,7 @@
         storing.for_each(|task| task.dispatches = task.dispatches.max(1));
     }
 
-    /// Without a table of the home before, whatever is pending at the first look may have been sent
+    /// Without a table of the owner before, whatever is pending at the first look may have been sent
     /// already; what is stored from then on was not sent by anybody else.
     fn learn_sent(&mut self, name: &str, items: &[ConfigurationItem]) {
         if items.len() >= WHOLE {
@@ -100,7 +100,7 @@
             let number = self.number();
             let sent = self.schedulers.get(&name).is_some_and(|scheduler| scheduler.sent_tasks.may_contain(&id));
             let dispatches = u32::from(sent);
-            let task = HomeTask {
+            let task = OwnedRequest {
                 id: TaskId { from: 0, task: number },
                 function: name.clone(),
                 binding: kept.binding.as_str().into(),
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -1,10 +1,10 @@
 //! What instances made of the tasks sent to them: answers go back, what has surely not run may go to
 //! another instance, and what may have run is tried again only where it may run more than once.
 
+use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
-use crate::home::Home;
-use crate::home_types::{Failure, HomeOutput};
 use crate::instance::InstanceEvent;
+use crate::owner_types::{Failure, OwnerOutput};
 use bindings::Class;
 use dispatch::DispatchOutcome;
 use events::event;
@@ -15,7 +15,7 @@
 const BACKOFF_MOST: Duration = Duration::from_secs(30);
 const PAUSE: Duration = Duration::from_millis(300);
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn dispatched(&mut self, order: u64, outcome: DispatchOutcome) {
         let now = self.now;
         let Some((number, name, instance_id, begun, level)) = self.running.remove(&order) else { return };
@@ -130,7 +130,7 @@
         }
         let replaced = *outcome == DispatchOutcome::NotRun { wrong_instance: true };
         if replaced || *outcome == DispatchOutcome::NotSent {
-            self.outs.push(HomeOutput::Forget { id: instance_id.to_owned() });
+            self.outs.push(OwnerOutput::Forget { id: instance_id.to_owned() });
             if replaced { self.replaced(name, instance_id) } else { self.lose(name, instance_id) }
         }
     }
--- a/crates/traffic/src/dispatch_pass.rs
+++ b/crates/traffic/src/dispatch_pass.rs
@@ -1,14 +1,14 @@
 //! The pass over held tasks: those whose turn it is go to instances with room.
 
+use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
-use crate::home::Home;
-use crate::home_types::{HomeOutput, HomeTask, Place};
 use crate::instance::Phase;
+use crate::owner_types::{OwnedRequest, OwnerOutput, Place};
 use bindings::Class;
 use dispatch::DispatchOrder;
 use std::time::Duration;
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn dispatch_pass(&mut self) {
         if !self.may_serve {
             return;
@@ -44,7 +44,7 @@
         if !scheduler.risk.may_send(now, proven) {
             return None;
         }
-        let may_go = |task: &&HomeTask| task.place == Place::Held && now >= task.not_before;
+        let may_go = |task: &&OwnedRequest| task.place == Place::Held && now >= task.not_before;
         let (tasks, expected) = (&self.tasks, scheduler.expected_time());
         let mut late = None;
         for number in &scheduler.held {
@@ -100,7 +100,7 @@
             self.timing.deferred_limit
         };
         self.running.insert(order, (number, name.to_owned(), instance_id.clone(), now, level));
-        self.outs.push(HomeOutput::Dispatch(DispatchOrder {
+        self.outs.push(OwnerOutput::Dispatch(DispatchOrder {
             number: order,
             instance: instance_id,
             address: instance.address.clone(),
--- a/crates/traffic/src/recent_homes.rs
+++ b/crates/traffic/src/earlier_owners.rs
@@ -1,20 +1,20 @@
-//! How many homes a function may have had lately, as its rosters tell: what a home may spend that does
-//! not know what the homes before it spent depends on how many of those there may have been.
+//! How many owners a function may have had lately, as its memberships tell: what an owner may spend that does
+//! not know what the owners before it spent depends on how many of those there may have been.
 
 use leases::Membership;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Homes of one function that may have spent within a window, this one not counted.
+/// Owners of one function that may have spent within a window, this one not counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EarlierHomes {
+pub enum EarlierOwners {
     AtMost(u32),
-    /// This machine has not followed the rosters for a whole window.
+    /// This machine has not followed the memberships for a whole window.
     Unknown,
 }
 
-/// The rosters of the last window, oldest first, and the one that was in force before them.
+/// The memberships of the last window, oldest first, and the one that was in force before them.
 pub struct MembershipHistory {
     window: Duration,
     membership_updates: VecDeque<(Duration, Rc<Membership>)>,
@@ -32,15 +32,15 @@
         }
     }
 
-    /// A roster that was skipped may have named any home, and one whose home came back under a new
-    /// incarnation names a home that knows nothing.
-    pub fn earlier_homes(&self, now: Duration, function: &str) -> EarlierHomes {
+    /// A membership that was skipped may have named any owner, and one whose owner came back under a new
+    /// incarnation names an owner that knows nothing.
+    pub fn earlier_homes(&self, now: Duration, function: &str) -> EarlierOwners {
         let followed = self.membership_updates.front().is_some_and(|(since, _)| now > *since + self.window);
         if !followed {
-            return EarlierHomes::Unknown;
+            return EarlierOwners::Unknown;
         }
-        let home = |membership: &Membership| {
-            let id = membership.home(function)?;
+        let owner = |membership: &Membership| {
+            let id = membership.owner(function)?;
             membership.member(id).map(|line| (id, line.incarnation))
         };
         let changes = self.membership_updates.iter().zip(self.membership_updates.iter().skip(1)).map(
@@ -48,11 +48,11 @@
                 let steps = after.number.saturating_sub(before.number) as u32;
                 match steps {
                     _ if now > *since + self.window => 0,
-                    1 => u32::from(home(before) != home(after)),
+                    1 => u32::from(owner(before) != owner(after)),
                     _ => steps,
                 }
             },
         );
-        EarlierHomes::AtMost(changes.sum())
+        EarlierOwners::AtMost(changes.sum())
     }
 }
--- a/crates/traffic/src/expiry.rs
+++ b/crates/traffic/src/expiry.rs
@@ -1,7 +1,7 @@
 //! Giving up, with the truth and at once: what ran out of time, and what must go back to its front.
 
-use crate::home::Home;
-use crate::home_types::{HomeOutput, HomeTask, Place};
+use crate::function_owner::FunctionOwner;
+use crate::owner_types::{OwnedRequest, OwnerOutput, Place};
 use bindings::Class;
 use std::time::Duration;
 use wire::{ForwardMessage, Outcome};
@@ -11,15 +11,15 @@
 /// there is time to come back.
 const STALE: f64 = 0.45;
 
-fn is_stale(now: Duration, task: &HomeTask) -> bool {
+fn is_stale(now: Duration, task: &OwnedRequest) -> bool {
     let unsent = task.place == Place::Held && task.dispatches == 0 && !task.reached;
     let whole = task.due.saturating_sub(task.arrived);
     unsent && task.aim.is_some() && now >= task.arrived + whole.mul_f64(STALE)
 }
 
-impl Home {
+impl FunctionOwner {
     /// A held task without the time its answer takes is given up now, not sent in vain.
-    fn least_time(&self, task: &HomeTask) -> Duration {
+    fn least_time(&self, task: &OwnedRequest) -> Duration {
         match (&task.place, self.schedulers.get(&task.function)) {
             (Place::Held, Some(scheduler)) => scheduler.least_time(),
             _ => Duration::ZERO,
@@ -67,7 +67,7 @@
         follow.into_iter().for_each(|number| self.claim(number));
     }
 
-    /// Gives a task that did not run back to its front, which finds its home anew.
+    /// Gives a task that did not run back to its front, which finds its owner anew.
     pub(crate) fn send_back(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
@@ -84,7 +84,7 @@
         if task.reached {
             return self.fail(number);
         }
-        // The next home would not know of the instance that turned it away.
+        // The next owner would not know of the instance that turned it away.
         if task.class == Class::Single && task.dispatches > 0 {
             return self.refuse(number);
         }
@@ -95,11 +95,11 @@
         if let Some(task) = self.tasks.get(&number) {
             let (to, task, attempts) = (task.id.from, task.id.task, task.dispatches);
             let message = if attempts == 0 {
-                ForwardMessage::NotHome { task }
+                ForwardMessage::NotOwner { task }
             } else {
                 ForwardMessage::Returned { task, attempts }
             };
-            self.outs.push(HomeOutput::Forward { to, message });
+            self.outs.push(OwnerOutput::Forward { to, message });
             self.forget(number);
         }
     }
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding a request to its function's home, with the attempts that its front grants.
+//! Forwarding a request to its function's owner, with the attempts that its front grants.
 
 use crate::front::{Front, RETRY, SOON};
 use crate::front_passes::unknown;
@@ -14,10 +14,10 @@
         if record.attempts.is_spent() {
             return self.answer_spent(task);
         }
-        let Some(home) = self.membership.home(&record.function) else { return };
+        let Some(owner) = self.membership.owner(&record.function) else { return };
         let due = record.due <= self.now;
         record.again_at = self.now + RETRY;
-        if due || !self.may_forward_to(home) {
+        if due || !self.may_forward_to(owner) {
             return;
         }
         let Some(record) = self.table.get_mut(&task) else { return };
@@ -25,7 +25,7 @@
         self.by_forward.remove(&record.forward);
         self.by_forward.insert(self.next, task);
         record.forward = self.next;
-        record.stage = Stage::Forwarded { home };
+        record.stage = Stage::Forwarded { owner };
         let request = ForwardRequest {
             task: record.forward,
             function: record.function.as_str().into(),
@@ -39,16 +39,16 @@
             body: record.call.body.clone().into(),
         };
         let message = ForwardMessage::Forward { request: Box::new(request) };
-        self.outs.push(FrontOutput::Forward { to: home, message });
+        self.outs.push(FrontOutput::Forward { to: owner, message });
     }
 
-    /// Tells a home how many attempts it has in all, with one more where one is left; none where the request is no
+    /// Tells an owner how many attempts it has in all, with one more where one is left; none where the request is no
     /// longer with it.
     pub(crate) fn attempt_asked(&mut self, from: NodeId, forward: u64, wanted: u32) {
         let task = self.by_forward.get(&forward).copied();
         let record = task.and_then(|task| self.table.get_mut(&task));
         let present =
-            record.filter(|record| record.forward == forward && record.stage == Stage::Forwarded { home: from });
+            record.filter(|record| record.forward == forward && record.stage == Stage::Forwarded { owner: from });
         let attempts = present.map_or(0, |record| record.attempts.request(wanted));
         self.outs
             .push(FrontOutput::Forward { to: from, message: ForwardMessage::AttemptGrant { task: forward, attempts } });
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -1,6 +1,6 @@
 //! Meeting callers: one record a task, worked by passes. A task waits while this router has no
-//! proof of its revision or no link to the home, is forwarded once it has, and is answered with the
-//! truth: what the home said, `not-run` only if it was never forwarded, `unknown` when in doubt.
+//! proof of its revision or no link to the owner, is forwarded once it has, and is answered with the
+//! truth: what the owner said, `not-run` only if it was never forwarded, `unknown` when in doubt.
 
 use crate::attempt_count::AttemptCount;
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
@@ -14,7 +14,7 @@
 
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(4);
 pub(crate) const RETRY: Duration = Duration::from_millis(25);
-/// When to come back to a router that is full, or that waits for a proof or a home.
+/// When to come back to a router that is full, or that waits for a proof or an owner.
 pub(crate) const SOON: Duration = Duration::from_millis(300);
 /// A task with an aim waits to be forwarded for a quarter of it, or a little longer where that is short.
 const PATIENCE_LEAST: Duration = Duration::from_millis(120);
@@ -81,7 +81,7 @@
             FrontInput::Link { id, up: false } => {
                 self.linked.remove(&id);
                 self.watched.remove(&id);
-                self.doubt_home(|home| home == id);
+                self.doubt_home(|owner| owner == id);
             }
             FrontInput::RouteTable { routes } => {
                 self.routes = Some(routes);
@@ -90,8 +90,8 @@
             FrontInput::Membership { membership } => {
                 self.membership = membership;
                 let members: BTreeSet<NodeId> = self.membership.members.iter().map(|member| member.id).collect();
-                self.doubt_home(|home| !members.contains(&home));
-                self.watched.retain(|home, _| members.contains(home));
+                self.doubt_home(|owner| !members.contains(&owner));
+                self.watched.retain(|owner, _| members.contains(owner));
                 self.pass();
             }
             FrontInput::Gone { request_id } => {
--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -1,5 +1,5 @@
-//! The front's passes: tasks whose home was lost, tasks that may be tried now, tasks out of time; and
-//! what a home told of a task, as the caller is told it.
+//! The front's passes: tasks whose owner was lost, tasks that may be tried now, tasks out of time; and
+//! what an owner told of a task, as the caller is told it.
 
 use crate::front::{Front, RETRY, SOON};
 use crate::front_types::{Reply, Stage};
@@ -17,15 +17,15 @@
         self.table.values().any(|record| record.stage == Stage::Waiting)
     }
 
-    /// The home was lost with tasks on it: what they came to is in doubt. They are tried on with the
-    /// next home, which knows from the ledger or the budget whether it may run them; what may run
-    /// only once, and stands in no ledger, or has no attempt left, is not tried on: its caller is told at once.
+    /// The owner was lost with tasks on it: what they came to is in doubt. They are tried on with the
+    /// next owner, which knows from the run-once store or the budget whether it may run them; what may run
+    /// only once, and stands in no run-once store, or has no attempt left, is not tried on: its caller is told at once.
     pub(crate) fn doubt_home(&mut self, lost: impl Fn(NodeId) -> bool) {
         let mut over = Vec::new();
         for (task, record) in &mut self.table {
-            if let Stage::Forwarded { home } = record.stage
-                && home != self.me
-                && lost(home)
+            if let Stage::Forwarded { owner } = record.stage
+                && owner != self.me
+                && lost(owner)
             {
                 record.stage = Stage::Waiting;
                 record.again_at = self.now;
@@ -39,9 +39,9 @@
         over.into_iter().for_each(|task| self.answer(task, unknown()));
     }
 
-    /// When a home that fell silent can be expected to be there again, or another in its place.
+    /// When an owner that fell silent can be expected to be there again, or another in its place.
     fn back_in(&self, function: &str) -> Duration {
-        let silent = self.membership.home(function).and_then(|home| self.silent_since(home));
+        let silent = self.membership.owner(function).and_then(|owner| self.silent_since(owner));
         silent.map_or(SOON, |since| (since + self.limits.back).saturating_sub(self.now).max(SOON / 2))
     }
 
@@ -73,13 +73,13 @@
             ForwardMessage::AttemptRequest { task, attempts } => return self.attempt_asked(from, *task, *attempts),
             ForwardMessage::Answer { task, .. }
             | ForwardMessage::AnswerInSeconds { task, .. }
-            | ForwardMessage::NotHome { task }
+            | ForwardMessage::NotOwner { task }
             | ForwardMessage::Returned { task, .. } => *task,
             _ => return,
         };
         let Some(task) = self.by_forward.get(&forward).copied() else { return };
         let Some(record) = self.table.get_mut(&task) else { return };
-        if record.stage != (Stage::Forwarded { home: from }) {
+        if record.stage != (Stage::Forwarded { owner: from }) {
             return;
         }
         match message {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A home's word on a task, which counts for less once another home may have run it.
+    /// An owner's word on a task, which counts for less once another owner may have run it.
     fn told(&mut self, task: u64, outcome: Outcome, status: u16, retry_after: Duration, head: Vec<u8>, body: Vec<u8>) {
         let doubt = self.table.get(&task).is_some_and(|record| record.doubt);
         let outcome = if outcome == Outcome::NotRun && doubt { Outcome::Unknown } else { outcome };
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -61,7 +61,7 @@
     pub per_tenant: usize,
     pub margin: Duration,
     pub slack: Duration,
-    /// From a home's last heartbeat until it or another is home again, as a rule.
+    /// From an owner's last heartbeat until it or another is the owner again, as a rule.
     pub back: Duration,
 }
 
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     Waiting,
-    Forwarded { home: NodeId },
+    Forwarded { owner: NodeId },
 }
 
 pub struct Record {
--- a/crates/traffic/src/home.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -1,13 +1,13 @@
-//! A home as one state machine: a table of task records and a scheduler for each function it is home
+//! An owner as one state machine: a table of task records and a scheduler for each function it is the owner
 //! to. Inputs change records; passes over the table decide what is dispatched, given up, started
-//! and stopped. Nothing is dispatched without a valid pass and the home's own place in the roster.
+//! and stopped. Nothing is dispatched without a valid pass and the owner's own place in the membership.
 
 use crate::allowances::Allowances;
+use crate::earlier_owners::MembershipHistory;
 use crate::function_scheduler::FunctionScheduler;
-use crate::home_types::{HomeInput, HomeOutput, HomeTask, HomeTiming, Ledger, LedgerAsk, TaskId};
 use crate::inventory::Inventory;
+use crate::owner_types::{Ledger, LedgerAsk, OwnedRequest, OwnerInput, OwnerOutput, OwnerTiming, TaskId};
 use crate::placement::Workers;
-use crate::recent_homes::MembershipHistory;
 use crate::standby::Kept;
 use bindings::RouteTable;
 use leases::{Membership, first_number};
@@ -16,17 +16,17 @@
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome, OwnershipTable, TunedParameters};
 
-pub struct Home {
+pub struct FunctionOwner {
     pub(crate) me: NodeId,
     pub(crate) incarnation: u64,
-    pub(crate) timing: HomeTiming,
+    pub(crate) timing: OwnerTiming,
     pub(crate) now: Duration,
     pub(crate) may_serve: bool,
     pub(crate) core_near: bool,
     pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) membership: Rc<Membership>,
     pub(crate) history: MembershipHistory,
-    pub(crate) tasks: BTreeMap<u64, HomeTask>,
+    pub(crate) tasks: BTreeMap<u64, OwnedRequest>,
     pub(crate) seen: BTreeMap<TaskId, Duration>,
     pub(crate) schedulers: BTreeMap<String, FunctionScheduler>,
     pub(crate) asks: BTreeMap<u64, LedgerAsk>,
@@ -50,14 +50,14 @@
     pub(crate) leaving: BTreeMap<String, Duration>,
     pub(crate) workers: Workers,
     pub(crate) inventory: Inventory,
-    pub(crate) outs: Vec<HomeOutput>,
+    pub(crate) outs: Vec<OwnerOutput>,
     pub refusals: u64,
 }
 
-impl Home {
-    pub fn new(me: NodeId, incarnation: u64, timing: HomeTiming) -> Self {
+impl FunctionOwner {
+    pub fn new(me: NodeId, incarnation: u64, timing: OwnerTiming) -> Self {
         let window = Allowances::remembered(timing.allowances.retry_window);
-        Home {
+        FunctionOwner {
             me,
             incarnation,
             timing,
@@ -96,25 +96,25 @@
         }
     }
 
-    pub fn step(&mut self, now: Duration, may_serve: bool, input: HomeInput) -> Vec<HomeOutput> {
+    pub fn step(&mut self, now: Duration, may_serve: bool, input: OwnerInput) -> Vec<OwnerOutput> {
         self.now = now;
         self.may_serve = may_serve;
         match input {
-            HomeInput::Forward {
+            OwnerInput::Forward {
                 from,
                 message: message @ (ForwardMessage::ForwardUncounted { .. } | ForwardMessage::Forward { .. }),
             } => {
                 message.into_forwarded().into_iter().for_each(|request| self.admit(from, request));
             }
-            HomeInput::Forward { from, message: ForwardMessage::AttemptGrant { task, attempts } } => {
+            OwnerInput::Forward { from, message: ForwardMessage::AttemptGrant { task, attempts } } => {
                 self.attempts_granted(from, task, attempts);
             }
-            HomeInput::Forward { from, message: ForwardMessage::HeartbeatRequest } => {
+            OwnerInput::Forward { from, message: ForwardMessage::HeartbeatRequest } => {
                 if may_serve {
-                    self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::Heartbeat });
+                    self.outs.push(OwnerOutput::Forward { to: from, message: ForwardMessage::Heartbeat });
                 }
             }
-            HomeInput::Forward {
+            OwnerInput::Forward {
                 message: ForwardMessage::Handover { function, membership, slots, requests, seconds },
                 ..
             } => {
@@ -122,35 +122,35 @@
                     OwnershipTable { function, membership, slots, requests, seconds, ..OwnershipTable::default() };
                 self.take_handover(table)
             }
-            HomeInput::Forward { message: ForwardMessage::Preempt { function, .. }, .. } => {
+            OwnerInput::Forward { message: ForwardMessage::Preempt { function, .. }, .. } => {
                 self.give_way(function.as_str())
             }
-            HomeInput::Forward { from, message: ForwardMessage::Inventory { inventory } } => {
+            OwnerInput::Forward { from, message: ForwardMessage::Inventory { inventory } } => {
                 self.inventory_told(from, inventory)
             }
-            HomeInput::Forward { from, message: ForwardMessage::InventoryRequest } => self.inventory_asked(from),
-            HomeInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
-            HomeInput::Forward { .. } => {}
-            HomeInput::Dispatched { number, outcome } => self.dispatched(number, outcome),
-            HomeInput::Ledger { message } => self.ledger_receipt(message),
-            HomeInput::Platform { report, listed_at } => self.platform(report, listed_at),
-            HomeInput::Probed { id, ready } => self.probed(&id, ready),
-            HomeInput::Plan { message } => self.plan_receipt(message),
-            HomeInput::RouteTable { routes } => {
+            OwnerInput::Forward { from, message: ForwardMessage::InventoryRequest } => self.inventory_asked(from),
+            OwnerInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
+            OwnerInput::Forward { .. } => {}
+            OwnerInput::Dispatched { number, outcome } => self.dispatched(number, outcome),
+            OwnerInput::Ledger { message } => self.ledger_receipt(message),
+            OwnerInput::Platform { report, listed_at } => self.platform(report, listed_at),
+            OwnerInput::Probed { id, ready } => self.probed(&id, ready),
+            OwnerInput::Plan { message } => self.plan_receipt(message),
+            OwnerInput::RouteTable { routes } => {
                 let before = self.routes.replace(routes);
                 self.align_schedulers();
                 self.open_new(before);
             }
-            HomeInput::Membership { membership } => {
+            OwnerInput::Membership { membership } => {
                 self.history.add(now, membership.clone());
                 self.membership = membership;
                 self.inventory_turn();
                 self.align_schedulers();
                 self.hand_back();
             }
-            HomeInput::Lapsed => self.lapsed(),
-            HomeInput::Core { near } => self.core_near = near,
-            HomeInput::Tick => self.tick(),
+            OwnerInput::Lapsed => self.lapsed(),
+            OwnerInput::Core { near } => self.core_near = near,
+            OwnerInput::Tick => self.tick(),
         }
         self.dispatch_pass();
         std::mem::take(&mut self.outs)
@@ -175,7 +175,7 @@
     }
 
     pub(crate) fn is_home(&self, function: &str) -> bool {
-        self.membership.home(function) == Some(self.me)
+        self.membership.owner(function) == Some(self.me)
     }
 
     /// Answers the caller, if one still waits, and drops the record unless it must live on.
@@ -201,7 +201,7 @@
             let again_ms = retry_after.as_millis() as u32;
             let message =
                 ForwardMessage::Answer { task: id, outcome, status, again_ms, head: head.into(), body: body.into() };
-            self.outs.push(HomeOutput::Forward { to, message });
+            self.outs.push(OwnerOutput::Forward { to, message });
         }
         let lives_on = task.stored.is_some() && outcome == Outcome::Accepted;
         if !lives_on {
@@ -222,7 +222,7 @@
         let due = self.now + lasts;
         let record = LedgerAsk { kind, task, function: function.to_owned(), body: body.clone(), sent: self.now, due };
         self.asks.insert(request_id, record);
-        self.outs.push(HomeOutput::Propose { request_id, body });
+        self.outs.push(OwnerOutput::Propose { request_id, body });
         request_id
     }
 }
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -1,4 +1,4 @@
-//! One function at its home: its held tasks, its instances, its budget and its part of the plan.
+//! One function at its owner: its held tasks, its instances, its budget and its part of the plan.
 
 use crate::allowances::Allowances;
 use crate::budget::Budget;
@@ -103,7 +103,7 @@
         self.function.boot
     }
 
-    /// Others may have been home here meanwhile: what they spent and sent is not known.
+    /// Others may have been owner here meanwhile: what they spent and sent is not known.
     pub fn begin_anew(&mut self, now: Duration) {
         self.risk.be_careful(now);
         self.budget.be_careful(now);
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -1,10 +1,10 @@
-//! Homes moving: a scheduler opened for a function gained, waiting for the old home's table or, after
+//! Owners moving: a scheduler opened for a function gained, waiting for the old owner's table or, after
 //! a crash without one kept here, for the platform's list and a pause; and a scheduler closing for a
 //! function lost, which hands its table over, gives back what was never dispatched and finishes what was.
 
+use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
-use crate::home::Home;
-use crate::home_types::{HomeOutput, HomeTask, Ledger, Place};
+use crate::owner_types::{Ledger, OwnedRequest, OwnerOutput, Place};
 use bindings::RouteTable;
 use events::event;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 const REPEAT: Duration = Duration::from_millis(200);
 const FOREIGN_ON_CRASH: Duration = Duration::from_millis(400);
 
-impl Home {
+impl FunctionOwner {
     /// Opens and closes schedulers so that they are those of the route table's functions homed here.
     pub(crate) fn align_schedulers(&mut self) {
         let Some(routes) = self.routes.clone() else { return };
@@ -48,12 +48,12 @@
                 None => {}
             }
         }
-        // What the store listed before another home was home is outdated.
+        // What the store listed before another owner was owner is outdated.
         self.asks
             .retain(|_, request_id| request_id.kind != Ledger::Deferred || !begun_anew.contains(&request_id.function));
         let names: Vec<String> = self.schedulers.keys().cloned().collect();
         for name in names {
-            let next = self.membership.home(&name).filter(|home| *home != self.me);
+            let next = self.membership.owner(&name).filter(|owner| *owner != self.me);
             let bound = routes.function(&name).is_some();
             let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
             match next {
@@ -74,7 +74,7 @@
         self.drop_moved_deferred();
     }
 
-    /// A function that the route table before did not have had no home: nothing is to be waited for.
+    /// A function that the route table before did not have had no owner: nothing is to be waited for.
     pub(crate) fn open_new(&mut self, before: Option<Rc<RouteTable>>) {
         let Some(before) = before else { return };
         for (name, scheduler) in &mut self.schedulers {
@@ -85,12 +85,12 @@
     }
 
     fn drop_moved_deferred(&mut self) {
-        self.drop_deferred(|home, function| !home.is_home(function));
+        self.drop_deferred(|owner, function| !owner.is_home(function));
     }
 
-    /// Stored tasks held here and not being run: whoever is home finds them in the chain.
-    pub(crate) fn drop_deferred(&mut self, which: impl Fn(&Home, &str) -> bool) {
-        let held = |task: &HomeTask| task.stored.is_some() && task.place == Place::Held;
+    /// Stored tasks held here and not being run: whoever is the owner finds them in the chain.
+    pub(crate) fn drop_deferred(&mut self, which: impl Fn(&FunctionOwner, &str) -> bool) {
+        let held = |task: &OwnedRequest| task.stored.is_some() && task.place == Place::Held;
         let dropped: Vec<u64> = self
             .tasks
             .iter()
@@ -109,7 +109,7 @@
         let Some((next, _)) = scheduler.leaving else { return };
         scheduler.leaving = Some((next, now));
         if let Some(table) = self.table_of(name, false) {
-            self.outs.push(HomeOutput::Forward { to: next, message: ForwardMessage::Table { table } });
+            self.outs.push(OwnerOutput::Forward { to: next, message: ForwardMessage::Table { table } });
         }
     }
 
--- a/crates/traffic/src/instance.rs
+++ b/crates/traffic/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance as its home knows it: a state machine from starting to gone. Nothing is sent to
+//! One instance as its owner knows it: a state machine from starting to gone. Nothing is sent to
 //! one that is draining or gone, from the moment that is learned.
 
 use statig::prelude::*;
@@ -93,7 +93,7 @@
     pub stop_again: Duration,
     pub lost: Option<Duration>,
     pub listed: bool,
-    /// The most tasks that it had at once, all from this home, and answered.
+    /// The most tasks that it had at once, all from this owner, and answered.
     pub proven: u32,
 }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Tasks this home may have on it now: its limit, less others' tasks, less what it turned away.
+    /// Tasks this owner may have on it now: its limit, less others' tasks, less what it rejected.
     pub fn room(&self, now: Duration, limit: u32) -> u32 {
         if self.phase() != Phase::Ready || now < self.paused_until || self.address.is_empty() {
             return 0;
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -1,11 +1,11 @@
-//! The provider's list and its workers, read by one home for all: the first in turn by the roster, or
-//! the next should nothing be heard from it. What it read goes to the other homes as changes, with the
-//! time since it was asked for; who missed some asks for the whole. A home that waits for a list asked
+//! The provider's list and its workers, read by one owner for all: the first in turn by the membership, or
+//! the next should nothing be heard from it. What it read goes to the other owners as changes, with the
+//! time since it was asked for; who missed some asks for the whole. An owner that waits for a list asked
 //! for after its own beginning reads one itself, since no other's clock can tell that for sure.
 
-use crate::home::Home;
-use crate::home_types::HomeOutput;
+use crate::function_owner::FunctionOwner;
 use crate::inventory_records::{change_of, changed, from_record, from_worker_record, gone, worker_record};
+use crate::owner_types::OwnerOutput;
 use instance_provider::{InstanceLine, InstanceState, Listing, ProviderOrder, WorkerLine};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -37,14 +37,14 @@
 }
 
 impl Inventory {
-    /// How many homes there are, this one and others.
-    pub(crate) fn homes(&self) -> usize {
+    /// How many owners there are, this one and others.
+    pub(crate) fn owners(&self) -> usize {
         self.turn.len()
     }
 }
 
-impl Home {
-    /// The homes in the order in which they read for all, under a new roster.
+impl FunctionOwner {
+    /// The owners in the order in which they read for all, under a new membership.
     pub(crate) fn inventory_turn(&mut self) {
         let turn = self.membership.in_turn("inventory");
         let (now, inventory) = (self.now, &mut self.inventory);
@@ -53,7 +53,7 @@
         }
         let first = turn.first().copied().filter(|first| *first != self.me && turn.contains(&self.me));
         if let (None, Some(to)) = (inventory.source, first) {
-            self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::InventoryRequest });
+            self.outs.push(OwnerOutput::Forward { to, message: ForwardMessage::InventoryRequest });
         }
         inventory.turn = turn;
     }
@@ -74,18 +74,18 @@
         if own || for_all && pause(self.inventory.ordered, every) {
             self.inventory.ordered = Some(now);
             self.inventory.for_all = for_all;
-            self.outs.push(HomeOutput::Supply(ProviderOrder::List));
+            self.outs.push(OwnerOutput::Supply(ProviderOrder::List));
         }
         let calm = now > self.inventory.changed + CHANGES_LAST;
         let every = if calm { WORKERS_SELDOM } else { WORKERS_SOON };
         let unknown = !self.workers.are_known() && pause(self.inventory.workers_ordered, OWN_PAUSE);
         if unknown || for_all && pause(self.inventory.workers_ordered, every) {
             self.inventory.workers_ordered = Some(now);
-            self.outs.push(HomeOutput::Supply(ProviderOrder::Workers));
+            self.outs.push(OwnerOutput::Supply(ProviderOrder::Workers));
         }
     }
 
-    /// This home's own look at the list.
+    /// This owner's own look at the list.
     pub(crate) fn read(&mut self, listing: Listing, asked: Duration) {
         let list: BTreeMap<String, InstanceLine> =
             listing.instances.into_iter().map(|line| (line.id.clone(), line)).collect();
@@ -138,16 +138,16 @@
         let others = self.inventory.turn.iter().filter(|id| **id != self.me);
         let message = |to: &NodeId| {
             let message = ForwardMessage::Inventory { inventory: inventory.clone() };
-            HomeOutput::Forward { to: *to, message }
+            OwnerOutput::Forward { to: *to, message }
         };
         self.outs.extend(others.map(message));
     }
 
-    /// Another home misses what went before, or has just begun.
+    /// Another owner misses what went before, or has just begun.
     pub(crate) fn inventory_asked(&mut self, to: NodeId) {
         if let Some((_, number)) = self.inventory.source.filter(|(from, _)| *from == self.me) {
             let inventory = self.with_ages(self.whole_inventory(number));
-            self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::Inventory { inventory } });
+            self.outs.push(OwnerOutput::Forward { to, message: ForwardMessage::Inventory { inventory } });
         }
     }
 
@@ -167,7 +167,7 @@
         InventoryChange { age_ms, workers_age_ms, ..change }
     }
 
-    /// What another home read. Whatever it shows as leaving counts at once, whoever read it.
+    /// What another owner read. Whatever it shows as leaving counts at once, whoever read it.
     pub(crate) fn inventory_told(&mut self, from: NodeId, change: InventoryChange) {
         let now = self.now;
         let lines: Vec<InstanceLine> = change.instances.iter().map(from_record).collect();
@@ -184,7 +184,7 @@
         if change.since != 0 && self.inventory.source != Some((from, change.since)) {
             if self.inventory.missed.is_none_or(|at| now >= at + ASK_PAUSE) {
                 self.inventory.missed = Some(now);
-                self.outs.push(HomeOutput::Forward { to: from, message: ForwardMessage::InventoryRequest });
+                self.outs.push(OwnerOutput::Forward { to: from, message: ForwardMessage::InventoryRequest });
             }
             return;
         }
--- a/crates/traffic/src/inventory_records.rs
+++ b/crates/traffic/src/inventory_records.rs
@@ -1,4 +1,4 @@
-//! The provider's lines as the homes tell them to one another, and what differs between two lists.
+//! The provider's lines as the owners tell them to one another, and what differs between two lists.
 
 use instance_provider::{InstanceLine, InstanceState, WorkerLine};
 use std::collections::BTreeMap;
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The home's talk with the chain: claiming a run-once key before dispatch, settling it after,
+//! The owner's talk with the chain: claiming a run-once key before dispatch, settling it after,
 //! releasing it only when it was never dispatched, and storing deferred tasks before they are
-//! promised. Each ask may be sent again; the chain gives the same receipt.
+//! promised. Each ask may be sent again; the chain gives the same reply.
 
-use crate::home::Home;
-use crate::home_types::{Ledger, Place};
+use crate::function_owner::FunctionOwner;
+use crate::owner_types::{Ledger, Place};
 use std::time::Duration;
 use wire::{ClaimState, Command, CommandReply, LeaseMessage, Outcome, StoredAnswer, StoredTask};
 
@@ -15,7 +15,7 @@
     halves.iter().flat_map(|half| half.to_le_bytes()).map(|byte| format!("{byte:02x}")).collect()
 }
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn claim(&mut self, number: u64) {
         let (me, incarnation) = (self.me, self.incarnation);
         let Some(task) = self.tasks.get_mut(&number) else { return };
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The store knows that the task is finished: the next home will not find it pending.
+    /// The store knows that the task is finished: the next owner will not find it pending.
     fn finish_recorded(&mut self, function: &str, command: &[u8]) {
         if let (Some(Command::Finish { id, .. }), Some(scheduler)) =
             (wire::from_bytes(command), self.schedulers.get_mut(function))
@@ -237,7 +237,7 @@
             true
         });
         for (request_id, body) in again {
-            self.outs.push(crate::home_types::HomeOutput::Propose { request_id, body });
+            self.outs.push(crate::owner_types::OwnerOutput::Propose { request_id, body });
         }
     }
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,5 +1,5 @@
-//! The data plane as a library. `Front` meets callers and forwards requests; `Home` places the tasks
-//! of the functions it is home to, starts and stops their instances, and keeps the run-once and
+//! The data plane as a library. `Front` meets callers and forwards requests; `FunctionOwner` places the tasks
+//! of the functions it owns, starts and stops their instances, and keeps the run-once and
 //! deferred promises. Both are state machines over tables of records; around them are the door,
 //! the dispatcher to instances, the platform's adapter and the follower on the control thread.
 
@@ -18,6 +18,7 @@
 mod dialect;
 mod dispatch_outcomes;
 mod dispatch_pass;
+mod earlier_owners;
 mod errors;
 mod estimate;
 mod expiry;
@@ -25,10 +26,9 @@
 mod front;
 mod front_passes;
 mod front_types;
+mod function_owner;
 mod function_scheduler;
 mod handover;
-mod home;
-mod home_types;
 mod instance;
 mod inventory;
 mod inventory_records;
@@ -36,10 +36,10 @@
 mod load;
 mod ops;
 mod owner_liveness;
+mod owner_types;
 mod placement;
 mod preemption;
 mod provider_reports;
-mod recent_homes;
 mod retrying;
 mod scale;
 mod sent_tasks;
@@ -57,14 +57,14 @@
 pub use budget::{Budget, Spent, Window};
 pub use dialect::{Dialect, MakePages};
 pub use dispatch::{DispatchOrder, DispatchOutcome, Words, send_to_instance};
+pub use earlier_owners::{EarlierOwners, MembershipHistory};
 pub use errors::RunError;
 pub use front::Front;
 pub use front_types::{Call, FrontInput, FrontLimits, FrontOutput, Reply};
-pub use home::Home;
-pub use home_types::{HomeInput, HomeOutput, HomeTiming, Ledger, TaskId};
+pub use function_owner::FunctionOwner;
 pub use ledger::stored_id;
 pub use ops::Views;
-pub use recent_homes::{EarlierHomes, MembershipHistory};
+pub use owner_types::{Ledger, OwnerInput, OwnerOutput, OwnerTiming, TaskId};
 pub use service::run;
 pub use settings::RouterSettings;
 pub use unproven::Risk;
--- a/crates/traffic/src/owner_liveness.rs
+++ b/crates/traffic/src/owner_liveness.rs
@@ -1,4 +1,4 @@
-//! Whether a home is there to be forwarded to. While a home has tasks of a front it beats that front, and
+//! Whether a owner is there to be forwarded to. While an owner has tasks of a front it heartbeats that front, and
 //! any frame of its counts as a heartbeat; so one not heard for a while since a forward is silent. Nothing
 //! more is forwarded there, and it is asked to send a heartbeat, as is one not linked yet, until it is heard.
 
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId};
 
-/// A home not heard for so long after a forward is forwarded nothing more, so that only what it had before
+/// An owner not heard for so long after a forward is forwarded nothing more, so that only what it had before
 /// is in doubt.
 const QUIET: Duration = Duration::from_millis(350);
 const ASK_AGAIN: Duration = Duration::from_millis(100);
@@ -20,42 +20,42 @@
 }
 
 impl Front {
-    pub(crate) fn heard(&mut self, home: NodeId) {
-        let known = self.watched.get_mut(&home).map(std::mem::take);
+    pub(crate) fn heard(&mut self, owner: NodeId) {
+        let known = self.watched.get_mut(&owner).map(std::mem::take);
         if known.is_some_and(|watched| watched.asked.is_some()) {
-            self.attempt_waiting(home);
+            self.attempt_waiting(owner);
         }
     }
 
     /// Says whether a task may go there now, and if so takes it as gone.
-    pub(crate) fn may_forward_to(&mut self, home: NodeId) -> bool {
-        if home == self.me {
+    pub(crate) fn may_forward_to(&mut self, owner: NodeId) -> bool {
+        if owner == self.me {
             return true;
         }
-        let (now, linked) = (self.now, self.linked.contains(&home));
-        let watched = self.watched.entry(home).or_default();
+        let (now, linked) = (self.now, self.linked.contains(&owner));
+        let watched = self.watched.entry(owner).or_default();
         if linked && watched.unheard.is_none_or(|at| now <= at + QUIET) {
             watched.unheard.get_or_insert(now);
             return true;
         }
         if watched.asked.is_none_or(|at| now >= at + ASK_AGAIN) {
             watched.asked = Some(now);
-            self.outs.push(FrontOutput::Forward { to: home, message: ForwardMessage::HeartbeatRequest });
+            self.outs.push(FrontOutput::Forward { to: owner, message: ForwardMessage::HeartbeatRequest });
         }
         false
     }
 
-    /// From when on a home that is silent now was not heard.
-    pub(crate) fn silent_since(&self, home: NodeId) -> Option<Duration> {
-        self.watched.get(&home)?.unheard.filter(|at| self.now > *at + QUIET)
+    /// From when on an owner that is silent now was not heard.
+    pub(crate) fn silent_since(&self, owner: NodeId) -> Option<Duration> {
+        self.watched.get(&owner)?.unheard.filter(|at| self.now > *at + QUIET)
     }
 
     /// The link a first task waited for is up.
-    pub(crate) fn attempt_waiting(&mut self, home: NodeId) {
-        if !self.watched.contains_key(&home) {
+    pub(crate) fn attempt_waiting(&mut self, owner: NodeId) {
+        if !self.watched.contains_key(&owner) {
             return;
         }
-        let waits = |function: &str| self.membership.home(function) == Some(home);
+        let waits = |function: &str| self.membership.owner(function) == Some(owner);
         let waiting = self.table.iter().filter(|(_, record)| record.stage == Stage::Waiting && !record.doubt);
         let tasks: Vec<u64> = waiting.filter(|(_, record)| waits(&record.function)).map(|(task, _)| *task).collect();
         tasks.into_iter().for_each(|task| self.attempt(task));
--- a/crates/traffic/src/home_types.rs
+++ b/crates/traffic/src/owner_types.rs
@@ -1,4 +1,4 @@
-//! What a home takes and returns, the record it keeps of each task, and what it asked of the chain.
+//! What an owner takes and returns, the record it keeps of each task, and what it asked of the chain.
 
 use crate::allowances::Allowances;
 use bindings::{Class, RouteTable};
@@ -15,7 +15,7 @@
     pub task: u64,
 }
 
-pub enum HomeInput {
+pub enum OwnerInput {
     Forward { from: NodeId, message: ForwardMessage },
     Dispatched { number: u64, outcome: DispatchOutcome },
     Ledger { message: LeaseMessage },
@@ -30,7 +30,7 @@
 }
 
 #[derive(Debug)]
-pub enum HomeOutput {
+pub enum OwnerOutput {
     Forward {
         to: NodeId,
         message: ForwardMessage,
@@ -68,13 +68,13 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct HomeTiming {
+pub struct OwnerTiming {
     pub margin: Duration,
     pub resend: Duration,
     pub follow: Duration,
     pub adopt: Duration,
     pub sample: Duration,
-    /// How often the provider's list is read for all homes.
+    /// How often the provider's list is read for all owners.
     pub list_every: Duration,
     pub overlay: Duration,
     pub start_expiry: Duration,
@@ -86,9 +86,9 @@
     pub allowances: Allowances,
 }
 
-impl Default for HomeTiming {
+impl Default for OwnerTiming {
     fn default() -> Self {
-        HomeTiming {
+        OwnerTiming {
             margin: Duration::from_millis(60),
             resend: Duration::from_millis(700),
             follow: Duration::from_millis(150),
@@ -149,7 +149,7 @@
     }
 }
 
-pub struct HomeTask {
+pub struct OwnedRequest {
     pub id: TaskId,
     pub function: String,
     pub binding: String,
@@ -184,8 +184,8 @@
     pub inherits: bool,
 }
 
-impl HomeTask {
-    /// Neither sent from here nor counted among second tries when it came.
+impl OwnedRequest {
+    /// Neither sent from here nor counted among retries when it came.
     pub fn is_first(&self) -> bool {
         self.dispatches == 0 && !(self.class == Class::Ordinary && self.reached)
     }
--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -1,6 +1,6 @@
 //! Which worker a start goes to: a function's instances are spread over zones and then over workers,
-//! so that no one worker's or zone's crash takes them all; after that the home's own zone, then memory.
-//! The list of workers lags, so what this home ordered lately is taken off its free memory.
+//! so that no one worker's or zone's crash takes them all; after that the owner's own zone, then memory.
+//! The list of workers lags, so what this owner ordered lately is taken off its free memory.
 
 use instance_provider::WorkerLine;
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 const LAG: Duration = Duration::from_millis(1000);
 /// A worker that turned a start away is not asked again for so long.
 const FULL: Duration = Duration::from_millis(500);
-/// So long after its beginning a home waits for a first list before it leaves the choice to the provider.
+/// So long after its beginning an owner waits for a first list before it leaves the choice to the provider.
 const FIRST: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/traffic/src/preemption.rs
+++ b/crates/traffic/src/preemption.rs
@@ -1,13 +1,13 @@
-//! When the workers' memory is full: a home whose callers wait asks all homes to give way, and each
+//! When the workers' memory is full: an owner whose callers wait asks all owners to give way, and each
 //! stops at most one idle instance in a while: first one of several, then of the tenant that has most
 //! on the platform's list, longest idle first. Where a function with nothing at all asks and nothing
 //! is idle, the function with most, of the tenant with most, drains one that is busy. A function's last
 //! instance gives way only to one with nothing. What gave way is not started again for a while, a short one
 //! if callers wait for it.
 
-use crate::home::Home;
-use crate::home_types::HomeOutput;
+use crate::function_owner::FunctionOwner;
 use crate::instance::{InstanceEvent, Phase};
+use crate::owner_types::OwnerOutput;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::ForwardMessage;
@@ -20,16 +20,16 @@
 const REST: Duration = Duration::from_secs(3);
 const IDLE: Duration = Duration::from_millis(250);
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn ask_to_give_way(&mut self, name: &str) {
         let Some(scheduler) = self.schedulers.get(name) else { return };
         if scheduler.held.is_empty() {
             return;
         }
         let memory_mb = scheduler.function.memory_mb;
-        for to in self.membership.homes() {
+        for to in self.membership.owners() {
             let message = ForwardMessage::Preempt { function: name.into(), memory_mb };
-            self.outs.push(HomeOutput::Forward { to, message });
+            self.outs.push(OwnerOutput::Forward { to, message });
         }
     }
 
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -1,10 +1,10 @@
-//! What the provider tells, set against this home's own orders: its list lags, so an instance
+//! What the provider tells, set against this owner's own orders: its list lags, so an instance
 //! ordered lately need not be on it, and one stopped lately may still be. An instance learned to
-//! be leaving or gone gets nothing more from that moment; one nobody is home to is stopped.
+//! be leaving or gone gets nothing more from that moment; one nobody owns is stopped.
 
-use crate::home::Home;
-use crate::home_types::HomeOutput;
+use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, Phase};
+use crate::owner_types::OwnerOutput;
 use crate::starting::look_limit;
 use events::event;
 use instance_provider::{InstanceLine, InstanceState, ProviderOrder, ProviderReport, StopReply, WorkerLine};
@@ -19,7 +19,7 @@
 const REFUSED_AFTER: Duration = Duration::from_millis(150);
 const REFUSED_LIMIT: Duration = Duration::from_millis(1500);
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn platform(&mut self, report: ProviderReport, listed_at: Duration) {
         match report {
             ProviderReport::Started { nonce, receipt } => self.started(&nonce, receipt),
@@ -61,7 +61,7 @@
         instance.take(InstanceEvent::Lost);
         instance.lost = Some(self.now);
         let (id, address) = (id.to_owned(), instance.address.clone());
-        self.outs.push(HomeOutput::Probe { id, address, after: REFUSED_AFTER, limit: REFUSED_LIMIT });
+        self.outs.push(OwnerOutput::Probe { id, address, after: REFUSED_AFTER, limit: REFUSED_LIMIT });
     }
 
     fn stop_told(&mut self, id: &str, receipt: StopReply) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// What the list shows; `own` if this home asked for it itself, at that moment for sure.
+    /// What the list shows; `own` if this owner asked for it itself, at that moment for sure.
     pub(crate) fn listed(&mut self, list: &BTreeMap<String, InstanceLine>, asked: Duration, own: bool) {
         let now = self.now;
         let mut by_function: BTreeMap<&str, Vec<&InstanceLine>> = BTreeMap::new();
@@ -155,11 +155,11 @@
     fn stop(&mut self, id: String, why: &str) {
         if self.stopped.insert(id.clone(), self.now).is_none() {
             event!(stop_ordered, "{id}, {why}");
-            self.outs.push(HomeOutput::Supply(ProviderOrder::Stop { id, fence: self.membership.number }));
+            self.outs.push(OwnerOutput::Supply(ProviderOrder::Stop { id, fence: self.membership.number }));
         }
     }
 
-    /// Instances of functions bound no longer, whose home by name this router would be.
+    /// Instances of functions bound no longer, whose owner by name this router would be.
     fn stop_orphans(&mut self, left: BTreeMap<&str, Vec<&InstanceLine>>) {
         let now = self.now;
         let Some(routes) = self.routes.clone() else { return };
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -1,8 +1,8 @@
 //! Further attempts at a request after one that failed. The front counts the attempts: one beyond those it
 //! granted is asked for, while the failure is kept to be the answer if none is granted in time.
 
-use crate::home::Home;
-use crate::home_types::{Failure, HomeOutput, Place, TaskId};
+use crate::function_owner::FunctionOwner;
+use crate::owner_types::{Failure, OwnerOutput, Place, TaskId};
 use bindings::Class;
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome};
@@ -10,7 +10,7 @@
 /// How long a front's grant is waited for; on one machine it comes at once.
 const GRANT_PATIENCE: Duration = Duration::from_millis(300);
 
-impl Home {
+impl FunctionOwner {
     /// Queues a request for another instance, while its time, its attempts and the budget last, or
     /// answers with the failure.
     pub(crate) fn try_again(&mut self, number: u64, may_have_run: bool, failure: Failure) {
@@ -18,7 +18,7 @@
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.reached |= may_have_run;
         task.failure = Some(failure);
-        let owned = self.membership.home(&task.function) == Some(self.me);
+        let owned = self.membership.owner(&task.function) == Some(self.me);
         let Some(scheduler) =
             self.schedulers.get_mut(&task.function).filter(|scheduler| owned && scheduler.leaving.is_none())
         else {
@@ -34,21 +34,22 @@
         task.place = Place::AwaitingGrant { until: now + GRANT_PATIENCE };
         let (to, attempts) = (task.id.from, task.dispatches + 1);
         let message = ForwardMessage::AttemptRequest { task: task.id.task, attempts };
-        self.outs.push(HomeOutput::Forward { to, message });
+        self.outs.push(OwnerOutput::Forward { to, message });
     }
 
     /// The front tells how many attempts it granted in all.
     pub(crate) fn attempts_granted(&mut self, from: NodeId, task: u64, attempts: u32) {
         let id = TaskId { from, task };
-        let awaits =
-            |task: &crate::home_types::HomeTask| task.id == id && matches!(task.place, Place::AwaitingGrant { .. });
+        let awaits = |task: &crate::owner_types::OwnedRequest| {
+            task.id == id && matches!(task.place, Place::AwaitingGrant { .. })
+        };
         let Some((number, task)) = self.tasks.iter_mut().find(|(_, task)| awaits(task)) else { return };
         let number = *number;
         task.granted = task.granted.max(attempts);
         if task.dispatches >= task.granted {
             return self.fail(number);
         }
-        let owned = self.membership.home(&task.function) == Some(self.me);
+        let owned = self.membership.owner(&task.function) == Some(self.me);
         let stays = self.schedulers.get(&task.function).is_some_and(|scheduler| scheduler.leaving.is_none());
         if owned && stays { self.queue_again(number) } else { self.send_back(number) }
     }
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -2,9 +2,9 @@
 //! router's share of the platform's allowance with waking functions first, and stops drain before
 //! they are ordered. Samples for the forecast are taken on the way.
 
-use crate::home::Home;
-use crate::home_types::HomeOutput;
+use crate::function_owner::FunctionOwner;
 use crate::instance::{InstanceEvent, Phase};
+use crate::owner_types::OwnerOutput;
 use events::event;
 use instance_provider::ProviderOrder;
 use scaler::Situation;
@@ -19,7 +19,7 @@
 /// One that refused a connection and is still listed so long after is stopped.
 const LOST_LASTS: Duration = Duration::from_secs(4);
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn tick(&mut self) {
         self.handover_pass();
         self.keeping_pass();
@@ -34,8 +34,8 @@
         let lasted = self.now.saturating_sub(self.refilled).as_secs_f64();
         self.refilled = self.now;
         self.scaled = self.now;
-        let homes = self.inventory.homes().max(1) as f64;
-        self.starts_left = (self.starts_left + lasted * self.timing.starts_per_second / homes).min(BURST);
+        let owners = self.inventory.owners().max(1) as f64;
+        self.starts_left = (self.starts_left + lasted * self.timing.starts_per_second / owners).min(BURST);
         let overlay = self.timing.overlay;
         let now = self.now;
         self.stopped.retain(|_, at| now < *at + overlay);
@@ -94,7 +94,7 @@
                     waiting: if ready == 0 { 0 } else { held },
                 };
                 self.plan_asks.insert(request_id, name.clone());
-                self.outs.push(HomeOutput::PlanAsk { message });
+                self.outs.push(OwnerOutput::PlanAsk { message });
             }
             let count = ready + starting;
             let kept = scheduler.peak.pass(now, scheduler.desired, scheduler.function.boot);
@@ -166,7 +166,7 @@
                     instance.stop_again = now + STOP_AGAIN;
                     self.stopped.insert(id.clone(), now);
                     event!(stop_ordered, "{id}");
-                    self.outs.push(HomeOutput::Supply(ProviderOrder::Stop { id: id.clone(), fence }));
+                    self.outs.push(OwnerOutput::Supply(ProviderOrder::Stop { id: id.clone(), fence }));
                 }
             }
         }
@@ -210,10 +210,10 @@
             (scheduler.answer_time, scheduler.waiting_sum, scheduler.held_sum) = (Duration::ZERO, 0.0, 0.0);
         }
         if !lines.is_empty() {
-            self.outs.push(HomeOutput::Samples { lines });
+            self.outs.push(OwnerOutput::Samples { lines });
         }
         if !measures.is_empty() {
-            self.outs.push(HomeOutput::Measures { lines: measures });
+            self.outs.push(OwnerOutput::Measures { lines: measures });
         }
     }
 
--- a/crates/traffic/src/sent_tasks.rs
+++ b/crates/traffic/src/sent_tasks.rs
@@ -1,12 +1,12 @@
 //! Which stored (deferred) tasks of one function were sent to an instance at least once and are not
-//! known to be finished. Sending one of them again is a retry, whichever home sent it first, so a home
+//! known to be finished. Sending one of them again is a retry, whichever owner sent it first, so an owner
 //! passes this set on to the next one, also for the tasks that it no longer holds itself.
 
 use std::collections::BTreeSet;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum SentTasks {
-    /// Any pending task may have been sent by an earlier home.
+    /// Any pending task may have been sent by an earlier owner.
     #[default]
     Unknown,
     /// Exactly these.
@@ -14,7 +14,7 @@
 }
 
 impl SentTasks {
-    /// What an earlier home told in its table; unless that was `complete`, any task may have been sent.
+    /// What an earlier owner told in its table; unless that was `complete`, any task may have been sent.
     pub fn from_table<'a>(complete: bool, ids: impl Iterator<Item = &'a str>) -> SentTasks {
         match complete {
             true => SentTasks::Known(ids.map(str::to_owned).collect()),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// A later table of the earlier home, which went on after its copy was kept here.
+    /// A later table of the earlier owner, which went on after its copy was kept here.
     pub fn learn_more<'a>(&mut self, complete: bool, ids: impl Iterator<Item = &'a str>) {
         match complete {
             true => ids.for_each(|id| self.insert(id)),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether the task was sent, as far as this home knows or must assume.
+    /// Whether the task was sent, as far as this owner knows or must assume.
     pub fn may_contain(&self, id: &str) -> bool {
         match self {
             SentTasks::Unknown => true,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The store listed all tasks that are pending: whatever else is not `live` at this home is finished,
-    /// and without knowledge from an earlier home whatever is pending may have been sent by it.
+    /// The store listed all tasks that are pending: whatever else is not `live` at this owner is finished,
+    /// and without knowledge from an earlier owner whatever is pending may have been sent by it.
     pub fn learn(&mut self, pending: BTreeSet<String>, live: BTreeSet<String>) {
         match self {
             SentTasks::Unknown => *self = SentTasks::Known(pending.into_iter().chain(live).collect()),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// What the next home is told, if it can be told all within `most` tasks.
+    /// What the next owner is told, if it can be told all within `most` tasks.
     pub fn told(&self, most: usize) -> Option<Vec<&str>> {
         match self {
             SentTasks::Known(ids) if ids.len() <= most => Some(ids.iter().map(String::as_str).collect()),
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -11,9 +11,9 @@
 use crate::errors::RunError;
 use crate::front::Front;
 use crate::front_types::FrontLimits;
-use crate::home::Home;
-use crate::home_types::HomeTiming;
+use crate::function_owner::FunctionOwner;
 use crate::ops::{Views, ops_router};
+use crate::owner_types::OwnerTiming;
 use crate::serving_lease::ServingLease;
 use crate::settings::RouterSettings;
 use dispatch::{DispatchReport, DispatcherMessage};
@@ -31,7 +31,7 @@
 use tokio::task::spawn_local;
 use wire::{LeaseMessage, Message, NodeId};
 
-/// From a lapse until the next home has looked at what runs.
+/// From a lapse until the next owner has looked at what runs.
 const TAKING_OVER: Duration = Duration::from_millis(400);
 
 pub fn run(settings: RouterSettings, dialect: Dialect) -> Result<(), RunError> {
@@ -89,12 +89,12 @@
     let (link_names, names, cell) = (directory.clone(), directory.clone(), pass.clone());
     let back = settings.hold + settings.hold / 6 + TAKING_OVER;
     let front_limits = FrontLimits { back, ..FrontLimits::default() };
-    let timing = HomeTiming {
+    let timing = OwnerTiming {
         starts_per_second: settings.starts_per_second,
         sample: settings.step,
         list_every: settings.list_every,
         allowances: settings.allowances(),
-        ..HomeTiming::default()
+        ..OwnerTiming::default()
     };
     let server = CallerServer { traffic: find(&directory, "traffic"), words: door_words, limits: bounded.clone() };
     let (callers_pages, servers_stop) = (caller_server::router(server), stopping.clone());
@@ -104,7 +104,7 @@
             begun,
             pass: cell,
             front: Front::new(me, incarnation, front_limits),
-            home: Home::new(me, incarnation, timing),
+            owner: FunctionOwner::new(me, incarnation, timing),
             links: find(&names, "links"),
             dispatcher: find(&names, "dispatcher"),
             platform: find(&names, "platform"),
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -1,11 +1,11 @@
-//! What a home knows of its functions, kept by the router that would be home next: twice a second a
-//! home sends it each table in use. After a crash the next home begins from the table it kept; if the
-//! machine that was lost comes back by itself and is home again, the table is handed back to it. A
-//! table under an older roster than the scheduler was taken by is refused: its sender was fenced out.
+//! What an owner knows of its functions, kept by the router that would be the owner next: twice a second a
+//! owner sends it each table in use. After a crash the next owner begins from the table it kept; if the
+//! machine that was lost comes back by itself and is the owner again, the table is handed back to it. A
+//! table under an older membership than the scheduler was taken by is refused: its sender was fenced out.
 
-use crate::home::Home;
-use crate::home_types::{HomeOutput, Ledger, Place};
+use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, Pending, Phase};
+use crate::owner_types::{Ledger, OwnerOutput, Place};
 use crate::sent_tasks::SentTasks;
 use crate::starting::look_limit;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
     pub table: OwnershipTable,
 }
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn table_of(&mut self, name: &str, kept: bool) -> Option<OwnershipTable> {
         let now = self.now;
         let scheduler = self.schedulers.get_mut(name)?;
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Heartbeats to the fronts whose tasks are here, and to those that count on heartbeats, while this home may
+    /// Heartbeats to the fronts whose tasks are here, and to those that count on heartbeats, while this owner may
     /// serve, and tables to those who keep them.
     pub(crate) fn keeping_pass(&mut self) {
         let now = self.now;
@@ -69,7 +69,7 @@
             let waiting = self.tasks.values().filter(|task| task.caller).map(|task| task.id.from);
             let fronts: BTreeSet<NodeId> = waiting.chain(older).collect();
             let others = fronts.into_iter().filter(|id| *id != self.me);
-            self.outs.extend(others.map(|to| HomeOutput::Forward { to, message: ForwardMessage::Heartbeat }));
+            self.outs.extend(others.map(|to| OwnerOutput::Forward { to, message: ForwardMessage::Heartbeat }));
         }
         if now < self.kept_at + EVERY {
             return;
@@ -85,9 +85,9 @@
             .filter_map(|(name, scheduler)| in_use(scheduler).then(|| name.clone()))
             .collect();
         for name in names {
-            let Some(to) = self.membership.home_after(&name, self.me).filter(|to| *to != self.me) else { continue };
+            let Some(to) = self.membership.owner_after(&name, self.me).filter(|to| *to != self.me) else { continue };
             if let Some(table) = self.table_of(&name, true) {
-                self.outs.push(HomeOutput::Forward { to, message: ForwardMessage::Table { table } });
+                self.outs.push(OwnerOutput::Forward { to, message: ForwardMessage::Table { table } });
             }
         }
     }
@@ -103,11 +103,11 @@
         }
     }
 
-    /// The home a table was kept for was lost, and this is home now.
+    /// The owner a table was kept for was lost, and this is the owner now.
     pub(crate) fn take_kept(&mut self, name: &str) {
         let now = self.now;
         if let Some(kept) = self.kept.remove(name).filter(|kept| now < kept.at + LASTS) {
-            // The home may have gone on sending after it: what it names as begun is not all.
+            // The owner may have gone on sending after it: what it names as begun is not all.
             let table = OwnershipTable { begun_whole: 0, ..kept.table };
             self.take_table(table, Some(kept.at), (kept.at + FOREIGN * 4).min(now + FOREIGN));
         }
@@ -120,7 +120,7 @@
         let back = |kept: &Kept| {
             let line = self.membership.member(kept.from);
             line.is_some_and(|line| line.incarnation != kept.incarnation && line.leaving == 0)
-                && self.membership.home(kept.table.function.as_str()) == Some(kept.from)
+                && self.membership.owner(kept.table.function.as_str()) == Some(kept.from)
         };
         let names: Vec<String> =
             self.kept.iter().filter(|(_, kept)| back(kept)).map(|(name, _)| name.clone()).collect();
@@ -131,7 +131,7 @@
             let earlier = self.history.earlier_homes(now, &name);
             let allowances = &self.timing.allowances;
             allowances.as_of_a_copy(earlier, &mut table.requests, &mut table.seconds, &mut table.turned);
-            self.outs.push(HomeOutput::Forward { to: kept.from, message: ForwardMessage::Table { table } });
+            self.outs.push(OwnerOutput::Forward { to: kept.from, message: ForwardMessage::Table { table } });
         }
     }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /// A kept copy is as old as its `copied`: the home it was kept for has spent more since.
+    /// A standby copy is as old as its `copied`: the owner it was kept for has spent more since.
     fn take_table(&mut self, table: OwnershipTable, copied: Option<Duration>, foreign_until: Duration) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(table.function.as_str()) else { return };
@@ -176,7 +176,7 @@
             let instance = scheduler.instances.entry(id.to_owned()).or_insert_with(|| Instance::new(now, address));
             if fresh && slot.ready == 0 && !address.is_empty() {
                 let (id, address, after) = (id.to_owned(), address.to_owned(), Duration::ZERO);
-                self.outs.push(HomeOutput::Probe { id, address, after, limit: look_limit(boot) });
+                self.outs.push(OwnerOutput::Probe { id, address, after, limit: look_limit(boot) });
             } else if fresh && slot.ready == 0 {
                 instance.pending = Some(Pending::handed(now));
             }
@@ -191,10 +191,10 @@
         }
     }
 
-    /// This router's hold had lapsed: other homes have taken over. What was never dispatched goes back
+    /// This router's hold had lapsed: other owners have taken over. What was never dispatched goes back
     /// to its front, which has moved on if it could, so that nothing old is sent after a new beginning.
-    /// Stored tasks may have been run by the home between and are read anew from the chain.
-    /// Should this be home again, it is as one that comes anew: it waits for the table of the home between.
+    /// Stored tasks may have been run by the owner between and are read anew from the chain.
+    /// Should this be owner again, it is as one that comes anew: it waits for the table of the owner between.
     pub(crate) fn lapsed(&mut self) {
         let now = self.now;
         for scheduler in self.schedulers.values_mut() {
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -2,9 +2,9 @@
 //! outcome is known, so that one wish never makes two instances. A worker without room is passed over
 //! for another at once; an unanswered order is sent again, and after several tries the list tells.
 
-use crate::home::Home;
-use crate::home_types::HomeOutput;
+use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, Pending, Phase};
+use crate::owner_types::OwnerOutput;
 use crate::placement::Placed;
 use events::event;
 use instance_provider::{ProviderOrder, StartOrder, StartReply};
@@ -25,7 +25,7 @@
     boot * LOOK_FOR + LOOK_MORE
 }
 
-impl Home {
+impl FunctionOwner {
     /// Begins a wish; false when no worker may take it now.
     pub(crate) fn start(&mut self, name: &str) -> bool {
         let placed = self.place(name);
@@ -71,7 +71,7 @@
         }
         event!(start_ordered, "{name} as {nonce} on {}", instance.worker);
         let (nonce, service, fence) = (nonce.to_owned(), name.to_owned(), self.membership.number);
-        self.outs.push(HomeOutput::Supply(ProviderOrder::Start(StartOrder {
+        self.outs.push(OwnerOutput::Supply(ProviderOrder::Start(StartOrder {
             nonce,
             service,
             worker,
@@ -181,7 +181,7 @@
         if instance.phase() == Phase::Starting {
             let boot = scheduler.boot();
             let after = (instance.ordered + boot.mul_f64(LOOK_AFTER)).saturating_sub(now);
-            self.outs.push(HomeOutput::Probe { id: id.clone(), address, after, limit: look_limit(boot) });
+            self.outs.push(OwnerOutput::Probe { id: id.clone(), address, after, limit: look_limit(boot) });
         }
         scheduler.instances.insert(id, instance);
     }
@@ -197,7 +197,7 @@
 }
 
 impl Pending {
-    /// A wish handed over by another home, whose order may be on its way.
+    /// A wish handed over by another owner, whose order may be on its way.
     pub(crate) fn handed(now: Duration) -> Pending {
         Pending { asked: false, tries: 0, hops: 0, again: now }
     }
--- a/crates/traffic/src/status.rs
+++ b/crates/traffic/src/status.rs
@@ -1,10 +1,10 @@
 //! A router's view of the system as JSON and as metrics, for its operations port.
 
-use crate::home::Home;
+use crate::function_owner::FunctionOwner;
 use crate::instance::Phase;
 use serde_json::{Value, json};
 
-/// A headcount plan as its home plays it.
+/// A headcount plan as its owner plays it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Played {
     pub desired: Vec<u32>,
@@ -24,7 +24,7 @@
     }
 }
 
-impl Home {
+impl FunctionOwner {
     /// The plans of the functions homed here.
     pub fn plans(&self) -> impl Iterator<Item = (&String, Played)> {
         let now = self.now;
--- a/crates/traffic/src/tuned.rs
+++ b/crates/traffic/src/tuned.rs
@@ -1,8 +1,8 @@
-//! The home's part in tuning: what it measured of each function goes to the registries with every
+//! The owner's part in tuning: what it measured of each function goes to the registries with every
 //! sample, and what the host has in force comes back, fenced by the number that named the host.
 
+use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::{FunctionScheduler, Seen};
-use crate::home::Home;
 use wire::{Measurement, TunedParameters};
 
 impl FunctionScheduler {
@@ -29,7 +29,7 @@
     }
 }
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn take_tuned(&mut self, fence: u64, lines: Vec<TunedParameters>) {
         if fence < self.tuned.0 {
             return;
--- a/crates/traffic/src/unproven.rs
+++ b/crates/traffic/src/unproven.rs
@@ -1,7 +1,7 @@
 //! Turn-aways of one function: no more than the users allow in any window, whatever its instances
-//! do. A task sent less than the usual time of a turn-away ago may yet be turned away: it is at risk.
-//! What was turned away and what is at risk together stay below a limit, of which a part is kept back
-//! for the home that follows after a crash, since it knows nothing of the count before.
+//! do. A task sent less than the usual time of a rejection ago may yet be rejected: it is at risk.
+//! What was rejected and what is at risk together stay below a limit, of which a part is kept back
+//! for the owner that follows after a crash, since it knows nothing of the count before.
 
 use crate::allowances::{Allowances, Most};
 use crate::budget::Spent;
@@ -23,7 +23,7 @@
 }
 
 impl Risk {
-    /// A home that does not know what was turned away before it came is careful at first.
+    /// An owner that does not know what was rejected before it came is careful at first.
     pub fn new(now: Duration, allowances: &Allowances) -> Risk {
         let remembered = Allowances::remembered(allowances.turned_window);
         Risk {
@@ -35,17 +35,17 @@
         }
     }
 
-    /// Another home may have been here meanwhile.
+    /// Another owner may have been here meanwhile.
     pub fn be_careful(&mut self, now: Duration) {
         self.turned.be_careful(now);
     }
 
-    /// The home before told, at a moment, how many were turned away lately; what it had sent may be yet.
+    /// The owner before told, at a moment, how many were rejected lately; what it had sent may be yet.
     pub fn take_over(&mut self, now: Duration, at: Duration, turned: u32) {
         self.turned.take_over(now, at, turned.min(64) as usize, false);
     }
 
-    /// The home before told of more than it had.
+    /// The owner before told of more than it had.
     pub fn learn(&mut self, now: Duration, more: u32) {
         self.turned.learn(now, more.min(64) as usize);
     }
@@ -54,7 +54,7 @@
         self.turned.count(now)
     }
 
-    /// What the next home is to count as turned away.
+    /// What the next owner is to count as rejected.
     pub fn told(&mut self, now: Duration) -> usize {
         self.turned.told(now, self.most)
     }
@@ -68,7 +68,7 @@
         self.sent.retain(|_, (at, _)| now < *at + usual);
     }
 
-    /// `proven`: the instance has answered this home with as many tasks on it. While the home is careful,
+    /// `proven`: the instance has answered this owner with as many tasks on it. While the owner is careful,
     /// only the others count against the part it may spend without knowing what the one before spent.
     pub fn may_send(&mut self, now: Duration, proven: bool) -> bool {
         self.look(now);
@@ -90,7 +90,7 @@
         }
     }
 
-    /// What was learned of slow turn-aways fades, a little each time.
+    /// What was learned of slow rejections fades, a little each time.
     pub fn fade(&mut self) {
         self.usual = USUAL + self.usual.saturating_sub(USUAL).mul_f64(FORGET);
     }
--- a/crates/traffic/src/wait_queue.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -3,8 +3,8 @@
 //! so what has begun is finished before more is begun. And refusing early what
 //! could not be served while it is worth much, with an estimate of when it could be.
 
-use crate::home::Home;
-use crate::home_types::Place;
+use crate::function_owner::FunctionOwner;
+use crate::owner_types::Place;
 use std::time::Duration;
 use wire::Outcome;
 
@@ -16,7 +16,7 @@
 const EARLY: u32 = 4;
 const SOON: Duration = Duration::from_millis(500);
 
-impl Home {
+impl FunctionOwner {
     pub(crate) fn hold(&mut self, number: u64) {
         let now = self.now;
         let Some(task) = self.tasks.get_mut(&number) else { return };
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! No request is sent to more instances than its route allows, whatever becomes of homes and links:
-//! a front and the homes it forwards to, with the messages between them passed, lost or repeated by hand.
+//! No request is sent to more instances than its route allows, whatever becomes of owners and links:
+//! a front and the owners it forwards to, with the messages between them passed, lost or repeated by hand.
 
 mod common;
 
@@ -7,7 +7,9 @@
 use common::{ME, OTHER, membership, ms, reply};
 use std::rc::Rc;
 use test_case::test_case;
-use traffic::{DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
+use traffic::{
+    DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming,
+};
 use wire::{ForwardMessage, InstanceSlots, NodeId, Outcome, OwnershipTable};
 
 const THIRD: NodeId = 3;
@@ -28,12 +30,12 @@
     front
 }
 
-/// A home with four instances.
-fn home(id: NodeId, attempts: u32) -> Home {
-    let mut home = Home::new(id, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::RouteTable { routes: routes("ordinary", attempts) });
-    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[9]) });
-    home.step(ms(0), true, HomeInput::Membership { membership: membership(2, &[id]) });
+/// An owner with four instances.
+fn owner(id: NodeId, attempts: u32) -> FunctionOwner {
+    let mut owner = FunctionOwner::new(id, 1, OwnerTiming::default());
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes("ordinary", attempts) });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[9]) });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[id]) });
     let slot = |instance: u32| InstanceSlots {
         instance: format!("i{instance}").as_str().into(),
         address: format!("127.0.0.1:{instance}").as_str().into(),
@@ -43,17 +45,17 @@
     let slots = vec![slot(1), slot(2), slot(3), slot(4)].into();
     let table =
         OwnershipTable { function: "t/f".into(), membership: 2, slots, requests: 100, ..OwnershipTable::default() };
-    home.step(ms(1), true, HomeInput::Forward { from: 9, message: ForwardMessage::Table { table } });
-    home
+    owner.step(ms(1), true, OwnerInput::Forward { from: 9, message: ForwardMessage::Table { table } });
+    owner
 }
 
-fn give(home: &mut Home, at: u64, message: ForwardMessage) -> Vec<HomeOutput> {
-    home.step(ms(at), true, HomeInput::Forward { from: ME, message })
+fn give(owner: &mut FunctionOwner, at: u64, message: ForwardMessage) -> Vec<OwnerOutput> {
+    owner.step(ms(at), true, OwnerInput::Forward { from: ME, message })
 }
 
-fn fails(home: &mut Home, at: u64, outputs: &[HomeOutput], outcome: DispatchOutcome) -> Vec<HomeOutput> {
+fn fails(owner: &mut FunctionOwner, at: u64, outputs: &[OwnerOutput], outcome: DispatchOutcome) -> Vec<OwnerOutput> {
     let number = sent(outputs).expect("sent to an instance");
-    home.step(ms(at), true, HomeInput::Dispatched { number, outcome })
+    owner.step(ms(at), true, OwnerInput::Dispatched { number, outcome })
 }
 
 fn garbled() -> DispatchOutcome {
@@ -77,17 +79,17 @@
 fn two_homes_in_a_row_send_it_to_no_more_instances_than_its_route_allows() {
     let mut front = front(2);
     let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
-    let mut first = home(OTHER, 2);
+    let mut first = owner(OTHER, 2);
     let one = give(&mut first, 6, message);
     assert!(sent(&one).is_some());
     front.step(ms(10), true, FrontInput::Link { id: OTHER, up: false });
     let outputs = front.step(ms(20), true, FrontInput::Membership { membership: membership(3, &[THIRD]) });
     let (_, message) = forwarded(&outputs).expect("forwarded again");
-    let mut second = home(THIRD, 2);
+    let mut second = owner(THIRD, 2);
     let two = give(&mut second, 21, message);
     assert!(sent(&two).is_some());
-    for (home, outputs, from) in [(&mut first, &one, OTHER), (&mut second, &two, THIRD)] {
-        let outputs = fails(home, 40, outputs, garbled());
+    for (owner, outputs, from) in [(&mut first, &one, OTHER), (&mut second, &two, THIRD)] {
+        let outputs = fails(owner, 40, outputs, garbled());
         assert_eq!(sent(&outputs), None, "a third instance");
         let request_id = to_front(&outputs).expect("asks for a third attempt");
         let outputs = tell(&mut front, from, 41, request_id);
@@ -100,18 +102,18 @@
 fn a_home_may_send_it_again_once_its_front_grants_it() {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
-    let mut home = home(OTHER, 2);
-    let outputs = give(&mut home, 6, message);
-    let outputs = fails(&mut home, 20, &outputs, garbled());
+    let mut owner = owner(OTHER, 2);
+    let outputs = give(&mut owner, 6, message);
+    let outputs = fails(&mut owner, 20, &outputs, garbled());
     let request_id = to_front(&outputs).expect("asks");
     assert_eq!(request_id, ForwardMessage::AttemptRequest { task, attempts: 2 });
     for at in [21, 22] {
         assert_eq!(granted(&tell(&mut front, OTHER, at, request_id.clone())), Some(2), "however often the frame comes");
     }
-    let outputs = give(&mut home, 23, grant(task, 2));
+    let outputs = give(&mut owner, 23, grant(task, 2));
     assert!(sent(&outputs).is_some());
-    assert_eq!(sent(&give(&mut home, 24, grant(task, 2))), None, "the grant came twice");
-    let outputs = fails(&mut home, 30, &outputs, failed());
+    assert_eq!(sent(&give(&mut owner, 24, grant(task, 2))), None, "the grant came twice");
+    let outputs = fails(&mut owner, 30, &outputs, failed());
     let answer = to_front(&outputs);
     assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "no attempt is left: {answer:?}");
 }
@@ -121,21 +123,21 @@
 fn without_a_grant_the_failure_is_the_answer(told: Option<u32>, at: u64) {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
-    let mut home = home(OTHER, 2);
-    let outputs = give(&mut home, 6, message);
-    let outputs = fails(&mut home, 20, &outputs, failed());
+    let mut owner = owner(OTHER, 2);
+    let outputs = give(&mut owner, 6, message);
+    let outputs = fails(&mut owner, 20, &outputs, failed());
     assert!(matches!(to_front(&outputs), Some(ForwardMessage::AttemptRequest { .. })));
     let outputs = match told {
-        Some(attempts) => give(&mut home, at, grant(task, attempts)),
-        None => home.step(ms(at), true, HomeInput::Tick),
+        Some(attempts) => give(&mut owner, at, grant(task, attempts)),
+        None => owner.step(ms(at), true, OwnerInput::Tick),
     };
     let answer = to_front(&outputs);
     let Some(ForwardMessage::Answer { outcome, status, body, .. }) = answer else { panic!("{answer:?}") };
     assert_eq!((outcome, status, body.as_slice()), (Outcome::Answered, 500, b"first".as_slice()));
-    assert_eq!(sent(&give(&mut home, at + 5, grant(task, 2))), None, "a grant after the answer");
+    assert_eq!(sent(&give(&mut owner, at + 5, grant(task, 2))), None, "a grant after the answer");
 }
 
-/// A front that lost two homes has no attempt left to grant.
+/// A front that lost two owners has no attempt left to grant.
 #[test]
 fn with_no_attempt_left_the_caller_is_told_at_once() {
     let mut front = front(2);
@@ -148,28 +150,28 @@
     assert_eq!((told.outcome, told.status), (Some(Outcome::Unknown), 504));
 }
 
-/// What a home never sent is forwarded with as many attempts as before, however often it is given back.
+/// What an owner never sent is forwarded with as many attempts as before, however often it is given back.
 #[test]
 fn what_is_given_back_unsent_loses_no_attempt() {
     let mut front = front(1);
     let mut outputs = common::send_request(&mut front, 5, true, "/t/f");
     for at in [50, 100, 150] {
         let (task, _) = forwarded(&outputs).expect("forwarded");
-        tell(&mut front, OTHER, at, ForwardMessage::NotHome { task });
+        tell(&mut front, OTHER, at, ForwardMessage::NotOwner { task });
         outputs = front.step(ms(at + 40), true, FrontInput::Tick);
     }
     assert!(forwarded(&outputs).is_some());
 }
 
-/// Instances that turned it away were sent it: the next home may send it to so many fewer.
+/// Instances that turned it away were sent it: the next owner may send it to so many fewer.
 #[test]
 fn what_was_turned_away_before_it_is_given_back_stays_counted() {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
-    let mut home = home(OTHER, 2);
-    let outputs = give(&mut home, 6, message);
-    home.step(ms(10), true, HomeInput::Membership { membership: membership(3, &[THIRD]) });
-    let outputs = fails(&mut home, 20, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
+    let mut owner = owner(OTHER, 2);
+    let outputs = give(&mut owner, 6, message);
+    owner.step(ms(10), true, OwnerInput::Membership { membership: membership(3, &[THIRD]) });
+    let outputs = fails(&mut owner, 20, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
     assert_eq!(to_front(&outputs), Some(ForwardMessage::Returned { task, attempts: 1 }));
 }
 
@@ -191,11 +193,11 @@
 fn a_request_that_may_have_run_is_not_called_not_run_by_the_last_instance() {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
-    let mut home = home(OTHER, 2);
-    let outputs = give(&mut home, 6, message);
-    fails(&mut home, 20, &outputs, garbled());
-    let outputs = give(&mut home, 21, grant(task, 2));
-    let outputs = fails(&mut home, 30, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
+    let mut owner = owner(OTHER, 2);
+    let outputs = give(&mut owner, 6, message);
+    fails(&mut owner, 20, &outputs, garbled());
+    let outputs = give(&mut owner, 21, grant(task, 2));
+    let outputs = fails(&mut owner, 30, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
     let answer = to_front(&outputs);
     assert!(
         matches!(answer, Some(ForwardMessage::Answer { outcome: Outcome::Unknown, status: 504, .. })),
@@ -209,18 +211,18 @@
 fn a_home_that_leaves_answers_a_failed_attempt_at_once() {
     let mut front = front(2);
     let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
-    let mut home = home(OTHER, 2);
-    let outputs = give(&mut home, 6, message);
-    home.step(ms(10), true, HomeInput::Membership { membership: membership(3, &[THIRD]) });
-    let outputs = fails(&mut home, 20, &outputs, failed());
+    let mut owner = owner(OTHER, 2);
+    let outputs = give(&mut owner, 6, message);
+    owner.step(ms(10), true, OwnerInput::Membership { membership: membership(3, &[THIRD]) });
+    let outputs = fails(&mut owner, 20, &outputs, failed());
     let answer = to_front(&outputs);
     assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "{answer:?}");
 }
 
-/// A front of the format before counts nothing: its home makes as many attempts as the binding allows.
+/// A front of the format before counts nothing: its owner makes as many attempts as the binding allows.
 #[test]
 fn a_front_that_does_not_count_is_asked_for_nothing() {
-    let mut home = home(OTHER, 2);
+    let mut owner = owner(OTHER, 2);
     let message = ForwardMessage::ForwardUncounted {
         task: 7,
         function: "t/f".into(),
@@ -232,7 +234,7 @@
         head: wire::to_bytes(&wire::RequestHead::default()).into(),
         body: Vec::new().into(),
     };
-    let outputs = give(&mut home, 6, message);
-    let outputs = fails(&mut home, 20, &outputs, failed());
+    let outputs = give(&mut owner, 6, message);
+    let outputs = fails(&mut owner, 20, &outputs, failed());
     assert!(sent(&outputs).is_some(), "{outputs:?}");
 }
--- a/crates/traffic/tests/budget.rs
+++ b/crates/traffic/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Second tries and turn-aways counted in windows: by one home, and by homes that follow each other.
+//! Second tries and rejections counted in windows: by one owner, and by owners that follow each other.
 
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -33,7 +33,7 @@
     assert!(seconds.len() > 100 && refused > 1000);
 }
 
-/// The clock of a home runs half a hundredth fast; it spends all it may as soon as it may.
+/// The clock of an owner runs half a hundredth fast; it spends all it may as soon as it may.
 #[test]
 fn a_fast_clock_does_not_shorten_the_window() {
     let length = Allowances::remembered(Duration::from_secs(5));
@@ -51,7 +51,7 @@
     assert!(times.len() > 40);
 }
 
-/// Instances turn everything away, in times drawn anew; a home crashes in between and the next
+/// Instances turn everything away, in times drawn anew; an owner crashes in between and the next
 /// one begins without its count.
 #[test]
 fn an_old_home_and_the_next_stay_within_eleven_though_every_task_is_turned_away() {
@@ -85,7 +85,7 @@
     }
 }
 
-/// A table is as old as its last copy: the home it was kept for has spent more since.
+/// A table is as old as its last copy: the owner it was kept for has spent more since.
 #[test]
 fn a_home_that_begins_from_a_kept_copy_spends_only_its_own_part_at_first() {
     let (at, now) = (Duration::from_secs(20), Duration::from_millis(20_400));
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -1,38 +1,38 @@
-//! A home of one deferred function, the tasks sent to it, and the store as it reads it.
+//! An owner of one deferred function, the tasks sent to it, and the store as it reads it.
 
 use super::{ME, OTHER, membership, ms};
 use leases::Membership;
 use std::rc::Rc;
-use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
+use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
 use wire::{ConfigurationItem, ForwardMessage, InstanceSlots, LeaseMessage, OwnershipTable, RequestHead, StoredTask};
 
 pub const FUNCTION: &str = "t/f";
 
-/// One that waits for the table of the home before.
-pub fn home() -> Home {
+/// One that waits for the table of the owner before.
+pub fn owner() -> FunctionOwner {
     home_of(ME, 1)
 }
 
-pub fn home_of(id: u64, roster_number: u64) -> Home {
+pub fn home_of(id: u64, roster_number: u64) -> FunctionOwner {
     router(id, membership(roster_number, &[id]))
 }
 
-/// A router that begins with this roster, home or not.
-pub fn router(id: u64, first: Rc<Membership>) -> Home {
+/// A router that begins with this membership, owner or not.
+pub fn router(id: u64, first: Rc<Membership>) -> FunctionOwner {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"deferred"}"#;
     let routes = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
-    let mut home = Home::new(id, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::RouteTable { routes: Rc::new(routes) });
-    home.step(ms(0), true, HomeInput::Membership { membership: first });
-    home.step(ms(0), true, HomeInput::Core { near: true });
-    home
+    let mut owner = FunctionOwner::new(id, 1, OwnerTiming::default());
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: Rc::new(routes) });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: first });
+    owner.step(ms(0), true, OwnerInput::Core { near: true });
+    owner
 }
 
 fn head() -> Vec<u8> {
     wire::to_bytes(&RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() })
 }
 
-pub fn forward(number: u64) -> HomeInput {
+pub fn forward(number: u64) -> OwnerInput {
     let message = ForwardMessage::ForwardUncounted {
         task: number,
         function: FUNCTION.into(),
@@ -44,17 +44,17 @@
         head: head().into(),
         body: Vec::new().into(),
     };
-    HomeInput::Forward { from: OTHER, message }
+    OwnerInput::Forward { from: OTHER, message }
 }
 
-pub fn granted(outputs: &[HomeOutput]) -> HomeInput {
+pub fn granted(outputs: &[OwnerOutput]) -> OwnerInput {
     let request_id = outputs.iter().find_map(|output| match output {
-        HomeOutput::Propose { request_id, .. } => Some(*request_id),
+        OwnerOutput::Propose { request_id, .. } => Some(*request_id),
         _ => None,
     });
     let receipt = wire::CommandReply::Stored { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&receipt).into();
-    HomeInput::Ledger {
+    OwnerInput::Ledger {
         message: LeaseMessage::ProposalAck { request_id: request_id.expect("asked to store"), state: 1, body },
     }
 }
@@ -65,42 +65,42 @@
     OwnershipTable { function: FUNCTION.into(), membership: roster_number, slots, ..OwnershipTable::default() }
 }
 
-pub fn handed() -> HomeInput {
+pub fn handed() -> OwnerInput {
     given(table(1))
 }
 
-pub fn given(table: OwnershipTable) -> HomeInput {
-    HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table } }
+pub fn given(table: OwnershipTable) -> OwnerInput {
+    OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table } }
 }
 
-pub fn told(outputs: &[HomeOutput]) -> Option<OwnershipTable> {
+pub fn told(outputs: &[OwnerOutput]) -> Option<OwnershipTable> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Forward { message: ForwardMessage::Table { table }, .. } => Some(table.clone()),
+        OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. } => Some(table.clone()),
         _ => None,
     })
 }
 
-pub fn sent(outputs: &[HomeOutput]) -> usize {
-    outputs.iter().filter(|output| matches!(output, HomeOutput::Dispatch(_))).count()
+pub fn sent(outputs: &[OwnerOutput]) -> usize {
+    outputs.iter().filter(|output| matches!(output, OwnerOutput::Dispatch(_))).count()
 }
 
-pub fn read(home: &mut Home, at: u64, numbers: &[u64]) -> Vec<HomeOutput> {
-    let mut outputs = home.step(ms(at), true, HomeInput::Tick);
+pub fn read(owner: &mut FunctionOwner, at: u64, numbers: &[u64]) -> Vec<OwnerOutput> {
+    let mut outputs = owner.step(ms(at), true, OwnerInput::Tick);
     let request_id = asked(&outputs).expect("reads the store");
-    outputs.extend(home.step(ms(at + 1), true, listed(request_id, numbers)));
+    outputs.extend(owner.step(ms(at + 1), true, listed(request_id, numbers)));
     outputs
 }
 
-/// The number under which a home reads the store.
-pub fn asked(outputs: &[HomeOutput]) -> Option<u64> {
+/// The number under which an owner reads the store.
+pub fn asked(outputs: &[OwnerOutput]) -> Option<u64> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Read { request_id, .. } => Some(*request_id),
+        OwnerOutput::Read { request_id, .. } => Some(*request_id),
         _ => None,
     })
 }
 
 /// The store's answer: these are pending.
-pub fn listed(request_id: u64, numbers: &[u64]) -> HomeInput {
+pub fn listed(request_id: u64, numbers: &[u64]) -> OwnerInput {
     let kept = StoredTask { binding: FUNCTION.into(), head: head().into(), body: Vec::new().into() };
     let item = |number: &u64| ConfigurationItem {
         key: format!("p/{FUNCTION}/{}", stored(*number)).as_str().into(),
@@ -108,7 +108,7 @@
         gone: 0,
     };
     let items: Vec<ConfigurationItem> = numbers.iter().map(item).collect();
-    HomeInput::Ledger { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
+    OwnerInput::Ledger { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
 }
 
 pub fn stored(number: u64) -> String {
--- a/crates/traffic/tests/common/forwards.rs
+++ b/crates/traffic/tests/common/forwards.rs
@@ -1,7 +1,7 @@
-//! What fronts and homes say to each other of a forwarded request.
+//! What fronts and owners say to each other of a forwarded request.
 
 use super::ME;
-use traffic::{FrontOutput, HomeOutput};
+use traffic::{FrontOutput, OwnerOutput};
 use wire::ForwardMessage;
 
 pub fn forwarded(outputs: &[FrontOutput]) -> Option<(u64, ForwardMessage)> {
@@ -13,16 +13,16 @@
     })
 }
 
-pub fn sent(outputs: &[HomeOutput]) -> Option<u64> {
+pub fn sent(outputs: &[OwnerOutput]) -> Option<u64> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Dispatch(order) => Some(order.number),
+        OwnerOutput::Dispatch(order) => Some(order.number),
         _ => None,
     })
 }
 
-pub fn to_front(outputs: &[HomeOutput]) -> Option<ForwardMessage> {
+pub fn to_front(outputs: &[OwnerOutput]) -> Option<ForwardMessage> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Forward { to: ME, message } if !matches!(message, ForwardMessage::Heartbeat) => {
+        OwnerOutput::Forward { to: ME, message } if !matches!(message, ForwardMessage::Heartbeat) => {
             Some(message.clone())
         }
         _ => None,
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small route table, roster and front for the tests of one machine.
+//! A small route table, membership and front for the tests of one machine.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -40,11 +40,11 @@
     Rc::new(Membership { number, members: members.into() })
 }
 
-pub fn front(incarnation: u64, home: u64) -> Front {
+pub fn front(incarnation: u64, owner: u64) -> Front {
     let mut front = Front::new(ME, incarnation, FrontLimits::default());
     front.step(ms(0), true, FrontInput::RouteTable { routes: routes() });
-    front.step(ms(0), true, FrontInput::Membership { membership: membership(1, &[home]) });
-    front.step(ms(0), true, FrontInput::Link { id: home, up: true });
+    front.step(ms(0), true, FrontInput::Membership { membership: membership(1, &[owner]) });
+    front.step(ms(0), true, FrontInput::Link { id: owner, up: true });
     front
 }
 
--- a/crates/traffic/tests/common/supplied.rs
+++ b/crates/traffic/tests/common/supplied.rs
@@ -1,4 +1,4 @@
-//! A home fed by a provider: what it orders, and what it is told.
+//! An owner fed by a provider: what it orders, and what it is told.
 
 use super::{ME, membership, ms};
 use bindings::RouteTable;
@@ -7,7 +7,7 @@
 };
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
+use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
 
 pub const FUNCTION: &str = "t/f";
 
@@ -38,40 +38,40 @@
 }
 
 pub struct Supplied {
-    pub home: Home,
+    pub owner: FunctionOwner,
     pub at: u64,
     pub starts: Vec<StartOrder>,
     pub stops: Vec<String>,
     pub probes: Vec<(String, Duration)>,
-    pub others: Vec<HomeOutput>,
+    pub others: Vec<OwnerOutput>,
 }
 
 impl Supplied {
-    /// A home that has always had an empty route table and now takes one whose function is to have so many.
+    /// An owner that has always had an empty route table and now takes one whose function is to have so many.
     pub fn new(min: u32, workers: Vec<WorkerLine>) -> Supplied {
         Supplied::beside(ME, min, workers)
     }
 
-    /// The same where the only member, and so the home, is this one.
+    /// The same where the only member, and so the owner, is this one.
     pub fn beside(member: u64, min: u32, workers: Vec<WorkerLine>) -> Supplied {
-        let home = Home::new(ME, 1, HomeTiming::default());
+        let owner = FunctionOwner::new(ME, 1, OwnerTiming::default());
         let (starts, stops, probes, others) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        let mut supplied = Supplied { home, at: 0, starts, stops, probes, others };
-        supplied.feed(HomeInput::RouteTable { routes: Rc::new(RouteTable::default()) });
-        supplied.feed(HomeInput::Membership { membership: membership(7, &[member]) });
+        let mut supplied = Supplied { owner, at: 0, starts, stops, probes, others };
+        supplied.feed(OwnerInput::RouteTable { routes: Rc::new(RouteTable::default()) });
+        supplied.feed(OwnerInput::Membership { membership: membership(7, &[member]) });
         if !workers.is_empty() {
             supplied.workers(workers);
         }
-        supplied.feed(HomeInput::RouteTable { routes: routes_of(min) });
+        supplied.feed(OwnerInput::RouteTable { routes: routes_of(min) });
         supplied
     }
 
-    pub fn feed(&mut self, input: HomeInput) {
-        for output in self.home.step(ms(self.at), true, input) {
+    pub fn feed(&mut self, input: OwnerInput) {
+        for output in self.owner.step(ms(self.at), true, input) {
             match output {
-                HomeOutput::Supply(ProviderOrder::Start(order)) => self.starts.push(order),
-                HomeOutput::Supply(ProviderOrder::Stop { id, .. }) => self.stops.push(id),
-                HomeOutput::Probe { id, after, .. } => self.probes.push((id, after)),
+                OwnerOutput::Supply(ProviderOrder::Start(order)) => self.starts.push(order),
+                OwnerOutput::Supply(ProviderOrder::Stop { id, .. }) => self.stops.push(id),
+                OwnerOutput::Probe { id, after, .. } => self.probes.push((id, after)),
                 other => self.others.push(other),
             }
         }
@@ -79,7 +79,7 @@
 
     fn report(&mut self, report: ProviderReport) {
         let listed_at = ms(self.at);
-        self.feed(HomeInput::Platform { report, listed_at });
+        self.feed(OwnerInput::Platform { report, listed_at });
     }
 
     pub fn workers(&mut self, lines: Vec<WorkerLine>) {
@@ -104,18 +104,18 @@
     }
 
     pub fn probed(&mut self, id: &str, ready: bool) {
-        self.feed(HomeInput::Probed { id: id.into(), ready });
+        self.feed(OwnerInput::Probed { id: id.into(), ready });
     }
 
     /// Lets time pass in ticks of ten milliseconds.
     pub fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.at += 10;
-            self.feed(HomeInput::Tick);
+            self.feed(OwnerInput::Tick);
         }
     }
 
     pub fn count(&mut self, what: &str) -> u64 {
-        self.home.status()["functions"][FUNCTION][what].as_u64().unwrap_or_default()
+        self.owner.status()["functions"][FUNCTION][what].as_u64().unwrap_or_default()
     }
 }
--- a/crates/traffic/tests/recent_homes.rs
+++ b/crates/traffic/tests/earlier_owners.rs
@@ -1,11 +1,11 @@
-//! Homes that follow each other within one retry window and know nothing of what each other spent.
+//! Owners that follow each other within one retry window and know nothing of what each other spent.
 
 mod common;
 
 use common::deferred::{FUNCTION, read, router, sent, table};
 use common::{membership, ms};
 use std::time::Duration;
-use traffic::{Budget, EarlierHomes, HomeInput, MembershipHistory};
+use traffic::{Budget, EarlierOwners, MembershipHistory, OwnerInput};
 use wire::{ForwardMessage, InstanceSlots, OwnershipTable};
 
 const SLACK: usize = 60;
@@ -24,38 +24,38 @@
     ForwardMessage::Table { table: OwnershipTable { kept: 1, slots: slots.into(), ..table(roster_number) } }
 }
 
-/// Each is home for a second, sends all that it may of a backlog in doubt, and is killed.
+/// Each is the owner for a second, sends all that it may of a backlog in doubt, and is killed.
 #[test]
 fn any_number_of_homes_in_one_window_stay_within_the_slack() {
     let backlog: Vec<u64> = (0..100).collect();
-    let homes = 8;
+    let owners = 8;
     let mut retries = Vec::new();
-    for id in 1..=homes {
-        let mut home = router(id, membership(1, &[BEFORE_ALL]));
+    for id in 1..=owners {
+        let mut owner = router(id, membership(1, &[BEFORE_ALL]));
         let mut before = BEFORE_ALL;
         for (number, next) in (2..).zip(1..id) {
-            home.step(
+            owner.step(
                 ms(20_000 + next * 1000),
                 true,
-                HomeInput::Membership { membership: membership(number, &[next]) },
+                OwnerInput::Membership { membership: membership(number, &[next]) },
             );
             before = next;
         }
         let at = 20_000 + id * 1000;
-        home.step(ms(at - 10), true, HomeInput::Forward { from: before, message: empty_copy(id) });
-        home.step(ms(at), true, HomeInput::Membership { membership: membership(id + 1, &[id]) });
-        let mut spent = sent(&read(&mut home, at + 1, &backlog));
+        owner.step(ms(at - 10), true, OwnerInput::Forward { from: before, message: empty_copy(id) });
+        owner.step(ms(at), true, OwnerInput::Membership { membership: membership(id + 1, &[id]) });
+        let mut spent = sent(&read(&mut owner, at + 1, &backlog));
         for later in (at + 40..at + 1000).step_by(40) {
-            spent += sent(&home.step(ms(later), true, HomeInput::Tick));
+            spent += sent(&owner.step(ms(later), true, OwnerInput::Tick));
         }
-        assert_eq!(home.status()["functions"][FUNCTION]["second_tries_10s"].as_u64(), Some(spent as u64));
+        assert_eq!(owner.status()["functions"][FUNCTION]["second_tries_10s"].as_u64(), Some(spent as u64));
         retries.push(spent);
     }
     assert!(retries.iter().sum::<usize>() + SLACK / 2 <= SLACK, "besides the half that a home before may have spent");
     assert!(retries[0] >= SLACK / 4, "the first goes on: {retries:?}");
 }
 
-fn most_at_first(earlier: EarlierHomes) -> usize {
+fn most_at_first(earlier: EarlierOwners) -> usize {
     let mut budget = Budget::new(ms(0), &traffic::Allowances::default());
     budget.set_earlier_homes(earlier);
     (0..100).filter(|at| budget.try_second(ms(*at))).count()
@@ -63,19 +63,19 @@
 
 #[test]
 fn each_home_may_spend_half_of_what_the_one_before_it_might() {
-    let spent: Vec<usize> = (1..7).map(|homes| most_at_first(EarlierHomes::AtMost(homes))).collect();
+    let spent: Vec<usize> = (1..7).map(|owners| most_at_first(EarlierOwners::AtMost(owners))).collect();
     assert_eq!(spent, [15, 7, 3, 1, 0, 0]);
-    assert_eq!(most_at_first(EarlierHomes::AtMost(u32::MAX)), 0);
-    assert_eq!(most_at_first(EarlierHomes::Unknown), 0);
+    assert_eq!(most_at_first(EarlierOwners::AtMost(u32::MAX)), 0);
+    assert_eq!(most_at_first(EarlierOwners::Unknown), 0);
 }
 
 #[test]
 fn a_machine_that_has_just_started_cannot_tell_how_many_homes_there_were() {
     let mut history = MembershipHistory::new(WINDOW);
-    assert_eq!(history.earlier_homes(ms(20_000), FUNCTION), EarlierHomes::Unknown);
+    assert_eq!(history.earlier_homes(ms(20_000), FUNCTION), EarlierOwners::Unknown);
     history.add(ms(500), membership(7, &[1]));
-    assert_eq!(history.earlier_homes(ms(10_000), FUNCTION), EarlierHomes::Unknown);
-    assert_eq!(history.earlier_homes(ms(10_501), FUNCTION), EarlierHomes::AtMost(0));
+    assert_eq!(history.earlier_homes(ms(10_000), FUNCTION), EarlierOwners::Unknown);
+    assert_eq!(history.earlier_homes(ms(10_501), FUNCTION), EarlierOwners::AtMost(0));
 }
 
 #[test]
@@ -85,15 +85,15 @@
     history.add(ms(20_000), membership(2, &[2]));
     history.add(ms(21_000), membership(3, &[2]));
     history.add(ms(22_000), membership(4, &[1]));
-    assert_eq!(history.earlier_homes(ms(23_000), FUNCTION), EarlierHomes::AtMost(2), "one changed nothing");
+    assert_eq!(history.earlier_homes(ms(23_000), FUNCTION), EarlierOwners::AtMost(2), "one changed nothing");
     history.add(ms(24_000), membership(7, &[1]));
-    assert_eq!(history.earlier_homes(ms(24_000), FUNCTION), EarlierHomes::AtMost(5), "two were never seen");
+    assert_eq!(history.earlier_homes(ms(24_000), FUNCTION), EarlierOwners::AtMost(5), "two were never seen");
     let mut again = (*membership(8, &[1])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
     again.members = members.into();
     history.add(ms(25_000), again.into());
-    assert_eq!(history.earlier_homes(ms(25_000), FUNCTION), EarlierHomes::AtMost(6), "the same, begun anew");
-    assert_eq!(history.earlier_homes(ms(30_001), FUNCTION), EarlierHomes::AtMost(5), "the first was long ago");
-    assert_eq!(history.earlier_homes(ms(35_001), FUNCTION), EarlierHomes::AtMost(0));
+    assert_eq!(history.earlier_homes(ms(25_000), FUNCTION), EarlierOwners::AtMost(6), "the same, begun anew");
+    assert_eq!(history.earlier_homes(ms(30_001), FUNCTION), EarlierOwners::AtMost(5), "the first was long ago");
+    assert_eq!(history.earlier_homes(ms(35_001), FUNCTION), EarlierOwners::AtMost(0));
 }
