--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -1,9 +1,9 @@
-//! The front's and the home's promises that a failure once broke.
+//! The front's and the owner's promises that a failure once broke.
 
 mod common;
 
 use common::{ME, OTHER, forward, front, membership, ms, reply, routes, send_request};
-use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
+use traffic::{FrontInput, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
 use wire::{ForwardMessage, Outcome};
 
 fn answer(task: u64, outcome: Outcome, status: u16) -> FrontInput {
@@ -54,63 +54,63 @@
 
 #[test]
 fn a_home_lets_a_carry_in_once_however_often_it_comes() {
-    let mut home = Home::new(OTHER, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
-    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER]) });
+    let mut owner = FunctionOwner::new(OTHER, 1, OwnerTiming::default());
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
     let (_, message) = forward(&send_request(&mut front(1, OTHER), 5, true, "/t/f"));
-    home.step(ms(6), true, HomeInput::Forward { from: ME, message: message.clone() });
-    home.step(ms(7), true, HomeInput::Forward { from: ME, message: message.clone() });
-    assert_eq!(home.depths().0, 1);
+    owner.step(ms(6), true, OwnerInput::Forward { from: ME, message: message.clone() });
+    owner.step(ms(7), true, OwnerInput::Forward { from: ME, message: message.clone() });
+    assert_eq!(owner.depths().0, 1);
     let mut refused = 0;
     for at in (0..5000).step_by(50) {
-        let outputs = home.step(ms(at + 10), true, HomeInput::Tick);
+        let outputs = owner.step(ms(at + 10), true, OwnerInput::Tick);
         refused += outputs
             .iter()
-            .filter(|o| matches!(o, HomeOutput::Forward { message: ForwardMessage::Answer { .. }, .. }))
+            .filter(|o| matches!(o, OwnerOutput::Forward { message: ForwardMessage::Answer { .. }, .. }))
             .count();
     }
-    assert_eq!((refused, home.depths().0), (1, 0));
-    home.step(ms(5100), true, HomeInput::Forward { from: ME, message });
-    assert_eq!(home.depths().0, 0, "let in again after its answer");
+    assert_eq!((refused, owner.depths().0), (1, 0));
+    owner.step(ms(5100), true, OwnerInput::Forward { from: ME, message });
+    assert_eq!(owner.depths().0, 0, "let in again after its answer");
 }
 
 #[test]
 fn a_task_that_cannot_be_served_in_time_is_refused_at_once_not_near_its_deadline() {
     use instance_provider::{ProviderReport, StartReply};
     use traffic::DispatchOutcome;
-    let mut home = Home::new(OTHER, 1, HomeTiming::default());
+    let mut owner = FunctionOwner::new(OTHER, 1, OwnerTiming::default());
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","max":1}"#;
     let one = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
-    home.step(ms(0), true, HomeInput::RouteTable { routes: std::rc::Rc::new(one) });
-    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER]) });
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: std::rc::Rc::new(one) });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
     let mut front = front(1, OTHER);
     let (mut running, mut refused, mut instance) = (Vec::new(), Vec::new(), None);
     for at in (0..9000u64).step_by(10) {
-        let mut inputs = vec![HomeInput::Tick];
+        let mut inputs = vec![OwnerInput::Tick];
         if at > 2000 && at % 20 == 0 {
             let (_, message) = forward(&send_request(&mut front, at, true, "/t/f"));
-            inputs.push(HomeInput::Forward { from: ME, message });
+            inputs.push(OwnerInput::Forward { from: ME, message });
         }
-        let report = |report| HomeInput::Platform { report, listed_at: ms(at) };
+        let report = |report| OwnerInput::Platform { report, listed_at: ms(at) };
         if let Some(nonce) = instance.take() {
             let receipt = StartReply::Accepted { id: "i1".into(), address: "10.9.9.9:1".into() };
             inputs.push(report(ProviderReport::Started { nonce, receipt }));
-            inputs.push(HomeInput::Probed { id: "i1".into(), ready: true });
+            inputs.push(OwnerInput::Probed { id: "i1".into(), ready: true });
         }
         let done = running.iter().position(|(_, due)| at >= *due).map(|place| running.remove(place));
         if let Some((number, _)) = done {
             let outcome =
                 DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
-            inputs.push(HomeInput::Dispatched { number, outcome });
+            inputs.push(OwnerInput::Dispatched { number, outcome });
         }
-        for output in inputs.into_iter().flat_map(|input| home.step(ms(at), true, input)).collect::<Vec<_>>() {
-            if let HomeOutput::Forward { message, .. } = &output {
+        for output in inputs.into_iter().flat_map(|input| owner.step(ms(at), true, input)).collect::<Vec<_>>() {
+            if let OwnerOutput::Forward { message, .. } = &output {
                 front.step(ms(at), true, FrontInput::Forwarded { from: OTHER, message: message.clone() });
             }
             match output {
-                HomeOutput::Dispatch(order) => running.push((order.number, at + 500)),
-                HomeOutput::Supply(instance_provider::ProviderOrder::Start(order)) => instance = Some(order.nonce),
-                HomeOutput::Forward {
+                OwnerOutput::Dispatch(order) => running.push((order.number, at + 500)),
+                OwnerOutput::Supply(instance_provider::ProviderOrder::Start(order)) => instance = Some(order.nonce),
+                OwnerOutput::Forward {
                     message: ForwardMessage::Answer { outcome: Outcome::NotRun, again_ms, .. },
                     ..
                 } => {
@@ -122,7 +122,7 @@
     }
     // One instance, one task at a time, half a second each, fifty tasks a second: once an answer has
     // taken its time, about seven are worth holding, the others are told so as they come.
-    assert!(home.depths().0 < 16, "{} are held", home.depths().0);
+    assert!(owner.depths().0 < 16, "{} are held", owner.depths().0);
     assert!(refused.len() > 200 && refused.iter().all(|(_, again)| *again >= 250));
     let early = refused.iter().filter(|(at, _)| *at < 5500).count();
     assert!(early > 80, "only {early} were refused before the first deadline");
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -1,4 +1,4 @@
-//! One home reads the provider's list for all.
+//! One owner reads the provider's list for all.
 
 mod common;
 
@@ -8,14 +8,14 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use traffic::{Home, HomeInput, HomeOutput, HomeTiming};
+use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
 use wire::{ForwardMessage, NodeId};
 
 const IDS: [NodeId; 4] = [3, 5, 7, 11];
 
-/// Homes that hear each other at once, and a provider that answers at once.
+/// Owners that hear each other at once, and a provider that answers at once.
 struct Homes {
-    homes: BTreeMap<NodeId, Home>,
+    owners: BTreeMap<NodeId, FunctionOwner>,
     at: u64,
     list: Vec<InstanceLine>,
     looks: BTreeMap<NodeId, usize>,
@@ -25,34 +25,34 @@
 
 impl Homes {
     fn new(list: Vec<InstanceLine>) -> Homes {
-        let homes = IDS.map(|id| (id, Home::new(id, 1, HomeTiming::default()))).into();
-        let mut all = Homes { homes, at: 0, list, looks: BTreeMap::new(), deaf: None, bytes: 0 };
+        let owners = IDS.map(|id| (id, FunctionOwner::new(id, 1, OwnerTiming::default()))).into();
+        let mut all = Homes { owners, at: 0, list, looks: BTreeMap::new(), deaf: None, bytes: 0 };
         for id in IDS {
-            all.feed(id, HomeInput::RouteTable { routes: Rc::new(bindings::RouteTable::default()) });
-            all.feed(id, HomeInput::Membership { membership: membership(7, &IDS) });
-            all.feed(id, HomeInput::RouteTable { routes: routes_of(0) });
+            all.feed(id, OwnerInput::RouteTable { routes: Rc::new(bindings::RouteTable::default()) });
+            all.feed(id, OwnerInput::Membership { membership: membership(7, &IDS) });
+            all.feed(id, OwnerInput::RouteTable { routes: routes_of(0) });
         }
         all
     }
 
-    fn feed(&mut self, id: NodeId, input: HomeInput) {
-        let outputs = self.homes.get_mut(&id).unwrap().step(ms(self.at), true, input);
+    fn feed(&mut self, id: NodeId, input: OwnerInput) {
+        let outputs = self.owners.get_mut(&id).unwrap().step(ms(self.at), true, input);
         for output in outputs {
             match output {
-                HomeOutput::Supply(ProviderOrder::List) => {
+                OwnerOutput::Supply(ProviderOrder::List) => {
                     *self.looks.entry(id).or_default() += 1;
                     let listing = Listing { instances: self.list.clone() };
                     self.tell(id, ProviderReport::Listed { listing, asked: Instant::now() });
                 }
-                HomeOutput::Supply(ProviderOrder::Workers) => {
+                OwnerOutput::Supply(ProviderOrder::Workers) => {
                     let lines = vec![worker("w0", "a", 4096, true)];
                     self.tell(id, ProviderReport::Workers { lines, asked: Instant::now() });
                 }
-                HomeOutput::Forward { to, message } if self.deaf != Some(to) && self.deaf != Some(id) => {
+                OwnerOutput::Forward { to, message } if self.deaf != Some(to) && self.deaf != Some(id) => {
                     if let ForwardMessage::Inventory { inventory } = &message {
                         self.bytes += wire::to_bytes(inventory).len();
                     }
-                    self.feed(to, HomeInput::Forward { from: id, message });
+                    self.feed(to, OwnerInput::Forward { from: id, message });
                 }
                 _ => {}
             }
@@ -61,23 +61,23 @@
 
     fn tell(&mut self, id: NodeId, report: ProviderReport) {
         let listed_at = ms(self.at);
-        self.feed(id, HomeInput::Platform { report, listed_at });
+        self.feed(id, OwnerInput::Platform { report, listed_at });
     }
 
     fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 20 {
             self.at += 20;
-            IDS.into_iter().for_each(|id| self.feed(id, HomeInput::Tick));
+            IDS.into_iter().for_each(|id| self.feed(id, OwnerInput::Tick));
         }
     }
 
-    fn home(&self) -> NodeId {
-        membership(7, &IDS).home("t/f").unwrap()
+    fn owner(&self) -> NodeId {
+        membership(7, &IDS).owner("t/f").unwrap()
     }
 
     fn ready(&mut self) -> u64 {
-        let id = self.home();
-        self.homes.get_mut(&id).unwrap().status()["functions"]["t/f"]["ready"].as_u64().unwrap_or_default()
+        let id = self.owner();
+        self.owners.get_mut(&id).unwrap().status()["functions"]["t/f"]["ready"].as_u64().unwrap_or_default()
     }
 }
 
@@ -133,13 +133,13 @@
 fn a_home_that_begins_without_a_table_reads_a_list_of_its_own_after_it() {
     let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(2000);
-    let lost = all.home();
+    let lost = all.owner();
     let left: Vec<NodeId> = IDS.into_iter().filter(|id| *id != lost).collect();
     let after = membership(8, &left);
-    let next = after.home("t/f").unwrap();
+    let next = after.owner("t/f").unwrap();
     let before = all.looks.get(&next).copied().unwrap_or_default();
     for id in left {
-        all.feed(id, HomeInput::Membership { membership: after.clone() });
+        all.feed(id, OwnerInput::Membership { membership: after.clone() });
     }
     all.pass(Duration::from_millis(800).as_millis() as u64);
     assert!(all.looks[&next] > before, "{:?}", all.looks);
--- a/crates/traffic/tests/order.rs
+++ b/crates/traffic/tests/order.rs
@@ -6,10 +6,10 @@
 use common::ME;
 use common::supplied::{FUNCTION, Supplied, six_workers};
 use std::rc::Rc;
-use traffic::{DispatchOutcome, HomeInput, HomeOutput};
+use traffic::{DispatchOutcome, OwnerInput, OwnerOutput};
 use wire::{ForwardMessage, RequestHead};
 
-fn forward(home: &mut Supplied, task: u64, left_ms: u32) {
+fn forward(owner: &mut Supplied, task: u64, left_ms: u32) {
     let message = ForwardMessage::ForwardUncounted {
         task,
         function: FUNCTION.into(),
@@ -21,14 +21,14 @@
         head: wire::to_bytes(&RequestHead::default()).into(),
         body: task.to_le_bytes().to_vec().into(),
     };
-    home.feed(HomeInput::Forward { from: ME, message });
+    owner.feed(OwnerInput::Forward { from: ME, message });
 }
 
 /// The tasks sent since the last look, by the number in their body, and the order's own number.
-fn sent(home: &mut Supplied) -> Vec<(u64, u64)> {
-    let outputs = std::mem::take(&mut home.others).into_iter();
+fn sent(owner: &mut Supplied) -> Vec<(u64, u64)> {
+    let outputs = std::mem::take(&mut owner.others).into_iter();
     let orders = outputs.filter_map(|output| match output {
-        HomeOutput::Dispatch(order) => Some(order),
+        OwnerOutput::Dispatch(order) => Some(order),
         _ => None,
     });
     let task = |body: Vec<u8>| u64::from_le_bytes(body.try_into().expect("eight bytes"));
@@ -37,26 +37,26 @@
 
 #[test]
 fn calls_of_running_tasks_go_first_then_what_can_meet_its_aim_then_what_is_late() {
-    let mut home = Supplied::new(1, six_workers());
+    let mut owner = Supplied::new(1, six_workers());
     let binding: &[u8] =
         br#"{"route":"/t/f","function":"f","class":"ordinary","memory_mb":512,"min":1,"max":1,"aim_ms":1200}"#;
     let routes = bindings::RouteTable::build(2, 2, [("function-bindings/t/f", binding)].into_iter());
-    home.feed(HomeInput::RouteTable { routes: Rc::new(routes) });
-    home.pass(100);
-    let nonce = home.starts[0].nonce.clone();
-    home.accepted(&nonce, "i1");
-    home.probed("i1", true);
-    forward(&mut home, 1, 4000);
-    let mut last = sent(&mut home);
+    owner.feed(OwnerInput::RouteTable { routes: Rc::new(routes) });
+    owner.pass(100);
+    let nonce = owner.starts[0].nonce.clone();
+    owner.accepted(&nonce, "i1");
+    owner.probed("i1", true);
+    forward(&mut owner, 1, 4000);
+    let mut last = sent(&mut owner);
     assert_eq!(last.iter().map(|(task, _)| *task).collect::<Vec<_>>(), [1]);
-    forward(&mut home, 2, 4000);
-    home.pass(1300);
-    forward(&mut home, 3, 4000);
-    forward(&mut home, 4, 2600);
+    forward(&mut owner, 2, 4000);
+    owner.pass(1300);
+    forward(&mut owner, 3, 4000);
+    forward(&mut owner, 4, 2600);
     for expected in [4, 3, 2] {
         let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
-        home.feed(HomeInput::Dispatched { number: last[0].1, outcome });
-        last = sent(&mut home);
+        owner.feed(OwnerInput::Dispatched { number: last[0].1, outcome });
+        last = sent(&mut owner);
         assert_eq!(last.iter().map(|(task, _)| *task).collect::<Vec<_>>(), [expected]);
     }
 }
--- a/crates/traffic/tests/owner_liveness.rs
+++ b/crates/traffic/tests/owner_liveness.rs
@@ -1,14 +1,14 @@
-//! Whom a home sends heartbeats to, and when a front takes a home as silent.
+//! Whom a owner sends heartbeats to, and when a front takes an owner as silent.
 
 mod common;
 
 use common::{ME, OTHER, forward, front, membership, ms, routes, send_request};
-use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
+use traffic::{FrontInput, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
 use wire::ForwardMessage;
 
-fn heartbeats_to(outputs: &[HomeOutput]) -> Vec<u64> {
-    let to = |output: &HomeOutput| match output {
-        HomeOutput::Forward { to, message: ForwardMessage::Heartbeat } => Some(*to),
+fn heartbeats_to(outputs: &[OwnerOutput]) -> Vec<u64> {
+    let to = |output: &OwnerOutput| match output {
+        OwnerOutput::Forward { to, message: ForwardMessage::Heartbeat } => Some(*to),
         _ => None,
     };
     outputs.iter().filter_map(to).collect()
@@ -30,35 +30,35 @@
 
 #[test]
 fn a_home_beats_the_fronts_whose_tasks_it_has_and_whoever_asks() {
-    let mut home = Home::new(OTHER, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
-    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER, 3, 4, 5, 6]) });
-    let homes = membership(1, &[OTHER]);
-    home.step(ms(0), true, HomeInput::Membership { membership: homes });
-    assert!(heartbeats_to(&home.step(ms(200), true, HomeInput::Tick)).is_empty());
+    let mut owner = FunctionOwner::new(OTHER, 1, OwnerTiming::default());
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER, 3, 4, 5, 6]) });
+    let owners = membership(1, &[OTHER]);
+    owner.step(ms(0), true, OwnerInput::Membership { membership: owners });
+    assert!(heartbeats_to(&owner.step(ms(200), true, OwnerInput::Tick)).is_empty());
     assert_eq!(
-        heartbeats_to(&home.step(
+        heartbeats_to(&owner.step(
             ms(210),
             true,
-            HomeInput::Forward { from: 3, message: ForwardMessage::HeartbeatRequest }
+            OwnerInput::Forward { from: 3, message: ForwardMessage::HeartbeatRequest }
         )),
         [3]
     );
     assert!(
-        heartbeats_to(&home.step(
+        heartbeats_to(&owner.step(
             ms(215),
             false,
-            HomeInput::Forward { from: 3, message: ForwardMessage::HeartbeatRequest }
+            OwnerInput::Forward { from: 3, message: ForwardMessage::HeartbeatRequest }
         ))
         .is_empty()
     );
     let (_, message) = forward(&send_request(&mut front(1, OTHER), 5, true, "/t/f"));
-    home.step(ms(220), true, HomeInput::Forward { from: 4, message });
-    assert_eq!(heartbeats_to(&home.step(ms(400), true, HomeInput::Tick)), [4]);
-    assert!(heartbeats_to(&home.step(ms(600), false, HomeInput::Tick)).is_empty(), "without a proof");
-    let answered = |o: &HomeOutput| matches!(o, HomeOutput::Forward { message: ForwardMessage::Answer { .. }, .. });
-    let given_up = (7..80).map(|n| home.step(ms(n * 100), true, HomeInput::Tick)).any(|o| o.iter().any(answered));
-    assert!(given_up && heartbeats_to(&home.step(ms(8100), true, HomeInput::Tick)).is_empty(), "nothing is open");
+    owner.step(ms(220), true, OwnerInput::Forward { from: 4, message });
+    assert_eq!(heartbeats_to(&owner.step(ms(400), true, OwnerInput::Tick)), [4]);
+    assert!(heartbeats_to(&owner.step(ms(600), false, OwnerInput::Tick)).is_empty(), "without a proof");
+    let answered = |o: &OwnerOutput| matches!(o, OwnerOutput::Forward { message: ForwardMessage::Answer { .. }, .. });
+    let given_up = (7..80).map(|n| owner.step(ms(n * 100), true, OwnerInput::Tick)).any(|o| o.iter().any(answered));
+    assert!(given_up && heartbeats_to(&owner.step(ms(8100), true, OwnerInput::Tick)).is_empty(), "nothing is open");
 }
 
 #[test]
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -1,14 +1,14 @@
-//! Stored tasks that were sent by one home and are sent again by another are retries: which ones were
-//! sent passes from home to home, however many follow each other.
+//! Stored tasks that were sent by one owner and are sent again by another are retries: which ones were
+//! sent passes from owner to owner, however many follow each other.
 
 mod common;
 
 use common::deferred::{
-    FUNCTION, asked, forward, given, granted, home, home_of, listed, read, sent, stored, table, told,
+    FUNCTION, asked, forward, given, granted, home_of, listed, owner, read, sent, stored, table, told,
 };
 use common::{ME, OTHER, membership, ms};
 use std::collections::BTreeSet;
-use traffic::{DispatchOutcome, Home, HomeInput, HomeOutput};
+use traffic::{DispatchOutcome, FunctionOwner, OwnerInput, OwnerOutput};
 use wire::{ForwardMessage, OwnershipTable};
 
 const BACKLOG: [u64; 6] = [1, 2, 3, 4, 5, 6];
@@ -21,23 +21,23 @@
     table.begun.iter().map(|id| id.as_str().to_owned()).collect()
 }
 
-fn retries(home: &mut Home) -> Option<u64> {
-    home.status()["functions"][FUNCTION]["second_tries_10s"].as_u64()
+fn retries(owner: &mut FunctionOwner) -> Option<u64> {
+    owner.status()["functions"][FUNCTION]["second_tries_10s"].as_u64()
 }
 
-fn order(outputs: &[HomeOutput]) -> Option<u64> {
+fn order(outputs: &[OwnerOutput]) -> Option<u64> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Dispatch(order) => Some(order.number),
+        OwnerOutput::Dispatch(order) => Some(order.number),
         _ => None,
     })
 }
 
-/// A home that begins after a crash from a table which tells nothing of the tasks that were sent, and
+/// An owner that begins after a crash from a table which tells nothing of the tasks that were sent, and
 /// reads the backlog; it may send four at once.
-fn after_a_crash(id: u64) -> Home {
-    let mut home = home_of(id, 1);
-    home.step(ms(1), true, given(table(1)));
-    home
+fn after_a_crash(id: u64) -> FunctionOwner {
+    let mut owner = home_of(id, 1);
+    owner.step(ms(1), true, given(table(1)));
+    owner
 }
 
 #[test]
@@ -45,10 +45,10 @@
     let mut first = after_a_crash(ME);
     let at_once = sent(&read(&mut first, 20, &BACKLOG));
     assert!((1..BACKLOG.len()).contains(&at_once), "some are sent, the others wait: {at_once}");
-    let outputs = first.step(ms(100), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
+    let outputs = first.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     let handed = told(&outputs).expect("hands over");
     assert_eq!((handed.begun_whole, begun(&handed)), (1, ids(&BACKLOG)), "also those that it only held");
-    let handed_again = told(&first.step(ms(400), true, HomeInput::Tick)).expect("repeats it");
+    let handed_again = told(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
     assert_eq!(begun(&handed_again), ids(&BACKLOG), "should the first be lost");
 
     let mut second = home_of(OTHER, 2);
@@ -61,55 +61,55 @@
 /// Only part of a long backlog is read in at once.
 #[test]
 fn what_the_home_before_told_and_is_not_read_yet_is_told_on() {
-    let mut home = home();
+    let mut owner = owner();
     let begun_before = BACKLOG.iter().map(|number| stored(*number).as_str().into()).collect::<Vec<_>>();
-    home.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
-    let outputs = home.step(ms(10), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
+    owner.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
+    let outputs = owner.step(ms(10), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     let handed = told(&outputs).expect("hands over");
     assert_eq!((handed.begun_whole, begun(&handed)), (1, ids(&BACKLOG)));
 }
 
-/// The home before told of two; the store no longer lists the second.
+/// The owner before told of two; the store no longer lists the second.
 #[test]
 fn what_the_store_no_longer_lists_is_told_no_longer() {
-    let mut home = home();
+    let mut owner = owner();
     let begun_before = vec![stored(1).as_str().into(), stored(2).as_str().into()];
-    home.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
-    read(&mut home, 20, &[1]);
-    let outputs = home.step(ms(100), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
+    owner.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
+    read(&mut owner, 20, &[1]);
+    let outputs = owner.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1]));
 }
 
 #[test]
 fn a_task_is_told_until_the_store_has_recorded_that_it_is_finished() {
-    let mut home = after_a_crash(ME);
-    read(&mut home, 20, &[]);
-    let outputs = home.step(ms(30), true, forward(7));
-    let outputs = home.step(ms(31), true, granted(&outputs));
+    let mut owner = after_a_crash(ME);
+    read(&mut owner, 20, &[]);
+    let outputs = owner.step(ms(30), true, forward(7));
+    let outputs = owner.step(ms(31), true, granted(&outputs));
     let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
     let number = order(&outputs).expect("sent");
-    let outputs = home.step(ms(40), true, HomeInput::Dispatched { number, outcome });
-    let kept = told(&home.step(ms(600), true, HomeInput::Membership { membership: membership(2, &[OTHER]) }))
+    let outputs = owner.step(ms(40), true, OwnerInput::Dispatched { number, outcome });
+    let kept = told(&owner.step(ms(600), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) }))
         .expect("a table");
     assert_eq!(begun(&kept), ids(&[7]), "the store may not have heard of it");
-    home.step(ms(610), true, granted(&outputs));
-    let later = told(&home.step(ms(900), true, HomeInput::Tick)).expect("a table");
+    owner.step(ms(610), true, granted(&outputs));
+    let later = told(&owner.step(ms(900), true, OwnerInput::Tick)).expect("a table");
     assert_eq!(begun(&later), ids(&[]));
 }
 
 /// The machine that is back knows nothing, and what it sent after the copy was made is in no table.
 #[test]
 fn a_kept_copy_that_is_handed_back_does_not_tell_all_that_was_sent() {
-    let mut keeper = home();
-    keeper.step(ms(0), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
+    let mut keeper = owner();
+    keeper.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     keeper.step(ms(10), true, given(OwnershipTable { kept: 1, begun_whole: 1, ..table(2) }));
     let mut again = (*membership(3, &[OTHER])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
     again.members = members.into();
-    let outputs = keeper.step(ms(500), true, HomeInput::Membership { membership: again.into() });
+    let outputs = keeper.step(ms(500), true, OwnerInput::Membership { membership: again.into() });
     let handed = outputs.iter().find_map(|output| match output {
-        HomeOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } } if table.membership == 3 => {
+        OwnerOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } } if table.membership == 3 => {
             Some(table)
         }
         _ => None,
@@ -117,26 +117,26 @@
     assert_eq!(handed.expect("handed back").begun_whole, 0);
 }
 
-/// The store was asked, then another was home and sent what was stored since; the answer comes late.
+/// The store was asked, then another was owner and sent what was stored since; the answer comes late.
 #[test]
 fn a_listing_from_before_another_was_home_is_not_taken() {
-    let mut home = after_a_crash(ME);
-    let request_id = asked(&home.step(ms(20), true, HomeInput::Tick)).expect("reads the store");
-    home.step(ms(100), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
-    home.step(ms(200), true, HomeInput::Membership { membership: membership(3, &[ME]) });
-    home.step(ms(201), true, given(table(3)));
-    home.step(ms(202), true, listed(request_id, &[]));
-    read(&mut home, 220, &[9]);
-    assert_eq!(retries(&mut home), Some(1), "the home between may have sent it");
+    let mut owner = after_a_crash(ME);
+    let request_id = asked(&owner.step(ms(20), true, OwnerInput::Tick)).expect("reads the store");
+    owner.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
+    owner.step(ms(200), true, OwnerInput::Membership { membership: membership(3, &[ME]) });
+    owner.step(ms(201), true, given(table(3)));
+    owner.step(ms(202), true, listed(request_id, &[]));
+    read(&mut owner, 220, &[9]);
+    assert_eq!(retries(&mut owner), Some(1), "the home between may have sent it");
 }
 
-/// It began from the copy it kept; the leaving home had sent one more task by the time it handed over.
+/// It began from the copy it kept; the leaving owner had sent one more task by the time it handed over.
 #[test]
 fn what_a_later_table_tells_as_sent_counts_too() {
-    let mut home = after_a_crash(ME);
-    read(&mut home, 20, &[1]);
+    let mut owner = after_a_crash(ME);
+    read(&mut owner, 20, &[1]);
     let begun_later = vec![stored(1).as_str().into(), stored(2).as_str().into()];
-    home.step(ms(100), true, given(OwnershipTable { begun: begun_later.into(), begun_whole: 1, ..table(1) }));
-    let outputs = home.step(ms(200), true, HomeInput::Membership { membership: membership(2, &[OTHER]) });
+    owner.step(ms(100), true, given(OwnershipTable { begun: begun_later.into(), begun_whole: 1, ..table(1) }));
+    let outputs = owner.step(ms(200), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1, 2]));
 }
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -7,7 +7,9 @@
 use common::{ME, OTHER, forward, membership, ms, reply};
 use std::rc::Rc;
 use test_case::test_case;
-use traffic::{DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
+use traffic::{
+    DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming,
+};
 use wire::{ForwardMessage, InstanceSlots, Outcome, OwnershipTable, RequestHead};
 
 fn single(attempts: u32) -> Rc<RouteTable> {
@@ -17,17 +19,17 @@
     Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
 }
 
-/// A home with two instances, and the task that it was forwarded.
-fn home(attempts: u32) -> (Home, Vec<HomeOutput>) {
-    let mut home = Home::new(ME, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::RouteTable { routes: single(attempts) });
-    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[ME, OTHER]) });
-    home.step(ms(0), true, HomeInput::Membership { membership: membership(2, &[ME]) });
+/// An owner with two instances, and the task that it was forwarded.
+fn owner(attempts: u32) -> (FunctionOwner, Vec<OwnerOutput>) {
+    let mut owner = FunctionOwner::new(ME, 1, OwnerTiming::default());
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: single(attempts) });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[ME, OTHER]) });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[ME]) });
     let slot =
         |id: &str| InstanceSlots { instance: id.into(), address: format!("127.0.0.1:{id}").into(), ready: 1, busy: 0 };
     let slots = vec![slot("1"), slot("2")].into();
     let table = OwnershipTable { function: "t/f".into(), membership: 2, slots, ..OwnershipTable::default() };
-    home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table } });
+    owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table } });
     let head = RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() };
     let message = ForwardMessage::ForwardUncounted {
         task: 7,
@@ -40,29 +42,29 @@
         head: wire::to_bytes(&head).into(),
         body: Vec::new().into(),
     };
-    let outputs = home.step(ms(2), true, HomeInput::Forward { from: OTHER, message });
-    (home, outputs)
+    let outputs = owner.step(ms(2), true, OwnerInput::Forward { from: OTHER, message });
+    (owner, outputs)
 }
 
-fn sent(outputs: &[HomeOutput]) -> Option<(u64, String)> {
+fn sent(outputs: &[OwnerOutput]) -> Option<(u64, String)> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Dispatch(order) => Some((order.number, order.instance.clone())),
+        OwnerOutput::Dispatch(order) => Some((order.number, order.instance.clone())),
         _ => None,
     })
 }
 
-fn told(outputs: &[HomeOutput]) -> Option<(Outcome, u16, u32)> {
+fn told(outputs: &[OwnerOutput]) -> Option<(Outcome, u16, u32)> {
     outputs.iter().find_map(|output| match output {
-        HomeOutput::Forward { message: ForwardMessage::Answer { outcome, status, again_ms, .. }, .. } => {
+        OwnerOutput::Forward { message: ForwardMessage::Answer { outcome, status, again_ms, .. }, .. } => {
             Some((*outcome, *status, *again_ms))
         }
         _ => None,
     })
 }
 
-fn outcome(home: &mut Home, outputs: &[HomeOutput], outcome: DispatchOutcome) -> Vec<HomeOutput> {
+fn outcome(owner: &mut FunctionOwner, outputs: &[OwnerOutput], outcome: DispatchOutcome) -> Vec<OwnerOutput> {
     let (number, _) = sent(outputs).expect("it is sent without a claim, and the core away");
-    home.step(ms(20), true, HomeInput::Dispatched { number, outcome })
+    owner.step(ms(20), true, OwnerInput::Dispatched { number, outcome })
 }
 
 fn doubt(late: bool) -> DispatchOutcome {
@@ -72,25 +74,25 @@
 #[test_case(doubt(false), 502; "no whole answer")]
 #[test_case(doubt(true), 504; "out of time")]
 fn in_doubt_it_is_told_at_once_and_never_sent_again(came: DispatchOutcome, status: u16) {
-    let (mut home, first) = home(3);
-    let outputs = outcome(&mut home, &first, came);
+    let (mut owner, first) = owner(3);
+    let outputs = outcome(&mut owner, &first, came);
     assert_eq!((told(&outputs), sent(&outputs)), (Some((Outcome::Unknown, status, 0)), None));
-    assert_eq!(home.depths(), (0, 0, 0), "no ledger, and nothing kept");
+    assert_eq!(owner.depths(), (0, 0, 0), "no ledger, and nothing kept");
 }
 
 #[test]
 fn an_instances_own_failure_is_its_answer() {
-    let (mut home, first) = home(3);
+    let (mut owner, first) = owner(3);
     let failed = DispatchOutcome::Whole { status: 500, head: Vec::new(), body: b"no".to_vec(), turned_away: false };
-    let outputs = outcome(&mut home, &first, failed);
+    let outputs = outcome(&mut owner, &first, failed);
     assert_eq!((told(&outputs), sent(&outputs)), (Some((Outcome::Answered, 500, 0)), None));
 }
 
 #[test_case(DispatchOutcome::NotSent; "nobody listens")]
 #[test_case(DispatchOutcome::Crowded; "no connection")]
 fn an_instance_that_never_got_it_does_not_count(came: DispatchOutcome) {
-    let (mut home, first) = home(1);
-    let outputs = outcome(&mut home, &first, came);
+    let (mut owner, first) = owner(1);
+    let outputs = outcome(&mut owner, &first, came);
     let (before, after) = (sent(&first).map(|order| order.1), sent(&outputs).map(|order| order.1));
     assert!(after.is_some() && before != after, "{outputs:?}");
 }
@@ -98,8 +100,8 @@
 #[test_case(false; "full")]
 #[test_case(true; "another instance")]
 fn turned_away_by_the_only_one_it_may_go_to_it_is_refused_with_a_time(wrong_instance: bool) {
-    let (mut home, first) = home(1);
-    let outputs = outcome(&mut home, &first, DispatchOutcome::NotRun { wrong_instance });
+    let (mut owner, first) = owner(1);
+    let outputs = outcome(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance });
     let (outcome, status, again) = told(&outputs).expect("told at once");
     assert_eq!((outcome, status, sent(&outputs)), (Outcome::NotRun, 503, None));
     assert!((100..2000).contains(&again), "{again}");
@@ -107,10 +109,10 @@
 
 #[test]
 fn turned_away_it_goes_to_another_where_it_may() {
-    let (mut home, first) = home(2);
-    let second = outcome(&mut home, &first, DispatchOutcome::NotRun { wrong_instance: false });
+    let (mut owner, first) = owner(2);
+    let second = outcome(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance: false });
     assert_ne!(sent(&first).map(|order| order.1), sent(&second).map(|order| order.1));
-    let outputs = outcome(&mut home, &second, DispatchOutcome::NotRun { wrong_instance: false });
+    let outputs = outcome(&mut owner, &second, DispatchOutcome::NotRun { wrong_instance: false });
     assert_eq!(told(&outputs).map(|told| (told.0, told.1)), Some((Outcome::NotRun, 503)));
 }
 
@@ -129,7 +131,7 @@
     let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
     let outputs = front.step(ms(20), true, lost);
     assert_eq!(reply(&outputs).map(|reply| (reply.outcome, reply.status)), Some((Some(Outcome::Unknown), 504)));
-    let late = ForwardMessage::NotHome { task };
+    let late = ForwardMessage::NotOwner { task };
     assert!(front.step(ms(30), true, FrontInput::Forwarded { from: OTHER, message: late }).is_empty());
 }
 
@@ -137,7 +139,7 @@
 fn what_its_home_gives_back_is_carried_on() {
     let mut front = front();
     let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
-    front.step(ms(20), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::NotHome { task } });
+    front.step(ms(20), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::NotOwner { task } });
     let outputs = front.step(ms(60), true, FrontInput::Tick);
     assert!(matches!(outputs[..], [FrontOutput::Forward { .. }]), "{outputs:?}");
 }
@@ -155,8 +157,8 @@
 
 #[test]
 fn a_home_that_loses_its_hold_gives_back_only_what_no_instance_has_seen() {
-    let (mut home, first) = home(3);
+    let (mut owner, first) = owner(3);
     assert!(sent(&first).is_some());
-    let outputs = home.step(ms(30), false, HomeInput::Lapsed);
-    assert!(told(&outputs).is_none() && home.depths().1 == 1, "it is running: {outputs:?}");
+    let outputs = owner.step(ms(30), false, OwnerInput::Lapsed);
+    assert!(told(&outputs).is_none() && owner.depths().1 == 1, "it is running: {outputs:?}");
 }
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -1,9 +1,9 @@
-//! What others keep for a home, and what a front does when its home falls silent.
+//! What others keep for an owner, and what a front does when its owner falls silent.
 
 mod common;
 
 use common::{ME, OTHER, forward, front, membership, ms, reply, routes, send_request};
-use traffic::{FrontInput, FrontOutput, Home, HomeInput, HomeOutput, HomeTiming};
+use traffic::{FrontInput, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
 use wire::{ForwardMessage, InstanceSlots, Outcome, OwnershipTable, RequestHead};
 
 const FUNCTION: &str = "t/f";
@@ -31,54 +31,54 @@
     }
 }
 
-/// A home that has just lost the other, with or without a table kept for it.
-fn after_the_crash(kept: Option<ForwardMessage>) -> Home {
-    let mut home = Home::new(ME, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
-    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER]) });
+/// An owner that has just lost the other, with or without a table kept for it.
+fn after_the_crash(kept: Option<ForwardMessage>) -> FunctionOwner {
+    let mut owner = FunctionOwner::new(ME, 1, OwnerTiming::default());
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
     if let Some(message) = kept {
-        home.step(ms(10), true, HomeInput::Forward { from: OTHER, message });
+        owner.step(ms(10), true, OwnerInput::Forward { from: OTHER, message });
     }
-    home.step(ms(2000), true, HomeInput::Membership { membership: membership(2, &[ME]) });
-    home
+    owner.step(ms(2000), true, OwnerInput::Membership { membership: membership(2, &[ME]) });
+    owner
 }
 
-fn dispatched(outputs: &[HomeOutput]) -> bool {
-    outputs.iter().any(|output| matches!(output, HomeOutput::Dispatch(_)))
+fn dispatched(outputs: &[OwnerOutput]) -> bool {
+    outputs.iter().any(|output| matches!(output, OwnerOutput::Dispatch(_)))
 }
 
 #[test]
 fn the_next_home_begins_at_once_from_the_table_it_kept() {
-    let mut home = after_the_crash(Some(table(1, 1, "i1")));
-    assert!(dispatched(&home.step(ms(2001), true, HomeInput::Forward { from: OTHER, message: task(7) })));
+    let mut owner = after_the_crash(Some(table(1, 1, "i1")));
+    assert!(dispatched(&owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
     let mut bare = after_the_crash(None);
-    assert!(!dispatched(&bare.step(ms(2001), true, HomeInput::Forward { from: OTHER, message: task(7) })));
+    assert!(!dispatched(&bare.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
 }
 
 #[test]
 fn a_former_home_that_wakes_is_refused_by_its_rosters_number() {
-    let mut home = after_the_crash(Some(table(1, 1, "i1")));
-    let ready = |home: &mut Home| home.status()["functions"][FUNCTION]["ready"].as_u64();
-    assert_eq!(ready(&mut home), Some(1));
-    home.step(ms(2100), true, HomeInput::Forward { from: OTHER, message: table(1, 0, "i2") });
-    assert_eq!(ready(&mut home), Some(1), "handed over under the roster before");
-    home.step(ms(2200), true, HomeInput::Forward { from: OTHER, message: table(2, 0, "i3") });
-    assert_eq!(ready(&mut home), Some(2), "handed over under this one");
+    let mut owner = after_the_crash(Some(table(1, 1, "i1")));
+    let ready = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["ready"].as_u64();
+    assert_eq!(ready(&mut owner), Some(1));
+    owner.step(ms(2100), true, OwnerInput::Forward { from: OTHER, message: table(1, 0, "i2") });
+    assert_eq!(ready(&mut owner), Some(1), "handed over under the roster before");
+    owner.step(ms(2200), true, OwnerInput::Forward { from: OTHER, message: table(2, 0, "i3") });
+    assert_eq!(ready(&mut owner), Some(2), "handed over under this one");
 }
 
 #[test]
 fn a_machine_that_comes_back_is_handed_what_was_kept_for_it() {
-    let mut keeper = Home::new(ME, 1, HomeTiming::default());
-    keeper.step(ms(0), true, HomeInput::RouteTable { routes: routes() });
-    keeper.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[OTHER]) });
-    keeper.step(ms(10), true, HomeInput::Forward { from: OTHER, message: table(1, 1, "i1") });
+    let mut keeper = FunctionOwner::new(ME, 1, OwnerTiming::default());
+    keeper.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
+    keeper.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
+    keeper.step(ms(10), true, OwnerInput::Forward { from: OTHER, message: table(1, 1, "i1") });
     let mut again = (*membership(2, &[OTHER])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
     again.members = members.into();
-    let outputs = keeper.step(ms(500), true, HomeInput::Membership { membership: again.into() });
+    let outputs = keeper.step(ms(500), true, OwnerInput::Membership { membership: again.into() });
     let handed = outputs.iter().any(|output| {
-        matches!(output, HomeOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } }
+        matches!(output, OwnerOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } }
             if table.kept == 0 && table.membership == 2 && table.slots.as_slice().len() == 1)
     });
     assert!(handed, "{outputs:?}");
@@ -86,17 +86,17 @@
 
 #[test]
 fn what_was_not_dispatched_goes_back_when_the_hold_has_lapsed() {
-    let mut home = after_the_crash(None);
-    home.step(ms(2001), true, HomeInput::Forward { from: OTHER, message: task(7) });
-    let outputs = home.step(ms(2002), false, HomeInput::Lapsed);
-    let back = |output: &HomeOutput| {
-        matches!(output, HomeOutput::Forward { message: ForwardMessage::NotHome { task: 7 }, .. })
+    let mut owner = after_the_crash(None);
+    owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: task(7) });
+    let outputs = owner.step(ms(2002), false, OwnerInput::Lapsed);
+    let back = |output: &OwnerOutput| {
+        matches!(output, OwnerOutput::Forward { message: ForwardMessage::NotOwner { task: 7 }, .. })
     };
     assert!(outputs.iter().any(back), "{outputs:?}");
 }
 
-fn only_asks_to_beat(outputs: &[FrontOutput], home: u64) -> bool {
-    matches!(outputs, [FrontOutput::Forward { to, message: ForwardMessage::HeartbeatRequest }] if *to == home)
+fn only_asks_to_beat(outputs: &[FrontOutput], owner: u64) -> bool {
+    matches!(outputs, [FrontOutput::Forward { to, message: ForwardMessage::HeartbeatRequest }] if *to == owner)
 }
 
 #[test]
@@ -119,61 +119,61 @@
     assert!(reply(&told).is_some());
 }
 
-/// A home of a run-once function whose claim is granted, with nothing yet to run it on.
+/// An owner of a run-once function whose claim is granted, with nothing yet to run it on.
 #[test]
 fn a_claim_that_is_being_given_back_is_never_dispatched() {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"once"}"#;
     let once = std::rc::Rc::new(bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter()));
-    let mut home = Home::new(ME, 1, HomeTiming::default());
-    home.step(ms(0), true, HomeInput::RouteTable { routes: once });
-    home.step(ms(0), true, HomeInput::Membership { membership: membership(1, &[ME]) });
-    home.step(ms(0), true, HomeInput::Core { near: true });
-    let outputs = home.step(ms(1), true, HomeInput::Forward { from: OTHER, message: task(7) });
+    let mut owner = FunctionOwner::new(ME, 1, OwnerTiming::default());
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: once });
+    owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[ME]) });
+    owner.step(ms(0), true, OwnerInput::Core { near: true });
+    let outputs = owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: task(7) });
     let request_id = outputs.iter().find_map(|output| match output {
-        HomeOutput::Propose { request_id, .. } => Some(*request_id),
+        OwnerOutput::Propose { request_id, .. } => Some(*request_id),
         _ => None,
     });
     let granted = wire::CommandReply::Claim { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&granted).into();
     let message = wire::LeaseMessage::ProposalAck { request_id: request_id.expect("a claim"), state: 1, body };
-    home.step(ms(2), true, HomeInput::Ledger { message });
-    home.step(ms(3), false, HomeInput::Lapsed);
-    let outputs = home.step(ms(4), true, HomeInput::Forward { from: OTHER, message: table(1, 0, "i1") });
+    owner.step(ms(2), true, OwnerInput::Ledger { message });
+    owner.step(ms(3), false, OwnerInput::Lapsed);
+    let outputs = owner.step(ms(4), true, OwnerInput::Forward { from: OTHER, message: table(1, 0, "i1") });
     assert!(!dispatched(&outputs), "its key is being released");
 }
 
 #[test]
 fn a_home_that_had_lapsed_waits_for_the_table_of_the_home_between() {
-    let mut home = after_the_crash(Some(table(1, 1, "i1")));
-    home.step(ms(3000), false, HomeInput::Lapsed);
-    assert!(!dispatched(&home.step(ms(3001), true, HomeInput::Forward { from: OTHER, message: task(7) })));
+    let mut owner = after_the_crash(Some(table(1, 1, "i1")));
+    owner.step(ms(3000), false, OwnerInput::Lapsed);
+    assert!(!dispatched(&owner.step(ms(3001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
     let ForwardMessage::Table { table: mut between } = table(2, 0, "i2") else { panic!("a table") };
     between.turned = 9;
     let handed = ForwardMessage::Table { table: between.clone() };
     assert!(
-        !dispatched(&home.step(ms(3002), true, HomeInput::Forward { from: OTHER, message: handed })),
+        !dispatched(&owner.step(ms(3002), true, OwnerInput::Forward { from: OTHER, message: handed })),
         "nine were turned away"
     );
     assert!(
-        dispatched(&home.step(ms(8100), true, HomeInput::Tick))
-            || dispatched(&home.step(ms(8200), true, HomeInput::Forward { from: OTHER, message: task(9) }))
+        dispatched(&owner.step(ms(8100), true, OwnerInput::Tick))
+            || dispatched(&owner.step(ms(8200), true, OwnerInput::Forward { from: OTHER, message: task(9) }))
     );
 }
 
-/// On a planned move it may begin from the copy it kept before the leaving home's own table is there.
+/// On a planned move it may begin from the copy it kept before the leaving owner's own table is there.
 #[test]
 fn what_a_later_table_tells_beyond_the_copy_counts_too() {
-    let mut home = after_the_crash(Some(table(1, 1, "i1")));
+    let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     let ForwardMessage::Table { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
-    let turned = |home: &mut Home| home.status()["functions"][FUNCTION]["turned_away_5s"].as_u64();
+    let turned = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["turned_away_5s"].as_u64();
     for (at, told, wanted) in [(2100, 5, 5), (2300, 7, 7), (2500, 7, 7)] {
         whole.turned = told;
-        home.step(
+        owner.step(
             ms(at),
             true,
-            HomeInput::Forward { from: OTHER, message: ForwardMessage::Table { table: whole.clone() } },
+            OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table: whole.clone() } },
         );
-        assert_eq!(turned(&mut home), Some(wanted), "at {at} ms");
+        assert_eq!(turned(&mut owner), Some(wanted), "at {at} ms");
     }
-    assert!(!dispatched(&home.step(ms(2600), true, HomeInput::Forward { from: OTHER, message: task(7) })));
+    assert!(!dispatched(&owner.step(ms(2600), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -10,7 +10,7 @@
 /// The newest format spoken, and the oldest still understood.
 pub const FORMAT: u16 = 5;
 pub const OLDEST: u16 = 1;
-/// The format that first told what a machine can carry, and in which homes beat only whom they serve.
+/// The format that first told what a machine can carry, and in which owners heartbeat only whom they serve.
 pub const CAPACITY: u16 = 4;
 /// The format that first told how many attempts at a request its front grants.
 pub const ATTEMPTS: u16 = 5;
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -1,5 +1,5 @@
-//! What routers say to each other about tasks: forwarding one to its function's home, the whole
-//! answer on the way back, and the table a leaving home hands to its successor.
+//! What routers say to each other about tasks: forwarding one to its function's owner, the whole
+//! answer on the way back, and the table a leaving owner hands to its successor.
 
 use crate::{Blob, List, Text};
 use deku::prelude::*;
@@ -69,8 +69,8 @@
     pub body: Blob,
 }
 
-/// What a home knows of one function: handed over to the next home, or kept by the router that would
-/// be home next (`kept`). `begun` names stored tasks that were sent at least once and are not done;
+/// What an owner knows of one function: handed over to the next owner, or kept by the router that would
+/// be owner next (`kept`). `begun` names stored tasks that were sent at least once and are not done;
 /// without `begun_whole` there were more.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct OwnershipTable {
@@ -121,7 +121,7 @@
     pub workers_gone: List<Text>,
 }
 
-/// A request forwarded to its function's home, with the number of attempts that its front grants.
+/// A request forwarded to its function's owner, with the number of attempts that its front grants.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct ForwardRequest {
     pub task: u64,
@@ -129,7 +129,7 @@
     pub binding: Text,
     pub left_ms: u32,
     pub tries: u8,
-    /// To how many instances the home may send it before it asks for more; `UNCOUNTED` if the front
+    /// To how many instances the owner may send it before it asks for more; `UNCOUNTED` if the front
     /// does not count.
     pub attempts: u32,
     pub respond_async: u8,
@@ -161,7 +161,7 @@
     #[deku(id = "2")]
     AnswerInSeconds { task: u64, outcome: Outcome, status: u16, retry_after: u32, head: Blob, body: Blob },
     #[deku(id = "3")]
-    NotHome { task: u64 },
+    NotOwner { task: u64 },
     #[deku(id = "4")]
     Handover { function: Text, membership: u64, slots: List<InstanceSlots>, requests: u32, seconds: u32 },
     #[deku(id = "5")]
@@ -173,7 +173,7 @@
     /// `AnswerInSeconds` with the time to come back in milliseconds.
     #[deku(id = "8")]
     Answer { task: u64, outcome: Outcome, status: u16, again_ms: u32, head: Blob, body: Blob },
-    /// Asks a home to send a heartbeat.
+    /// Asks an owner to send a heartbeat.
     #[deku(id = "9")]
     HeartbeatRequest,
     #[deku(id = "10")]
@@ -184,25 +184,25 @@
     /// `ForwardUncounted` with the attempts that the front grants.
     #[deku(id = "12")]
     Forward { request: Box<ForwardRequest> },
-    /// A home asks a front for so many attempts in all at what was forwarded under this number.
+    /// An owner asks a front for so many attempts in all at what was forwarded under this number.
     #[deku(id = "13")]
     AttemptRequest { task: u64, attempts: u32 },
     /// The attempts granted in all at what was forwarded under this number, whether or not more were asked for.
     #[deku(id = "14")]
     AttemptGrant { task: u64, attempts: u32 },
-    /// `NotHome` for what was sent to so many instances, none of which ran it.
+    /// `NotOwner` for what was sent to so many instances, none of which ran it.
     #[deku(id = "15")]
     Returned { task: u64, attempts: u32 },
 }
 
 impl ForwardMessage {
-    /// Whether it is meant for the receiver's home; if not, it answers the receiver's front.
-    pub fn is_for_home(&self) -> bool {
+    /// Whether it is meant for the receiver's owner; if not, it answers the receiver's front.
+    pub fn is_for_owner(&self) -> bool {
         !matches!(
             self,
             ForwardMessage::Answer { .. }
                 | ForwardMessage::AnswerInSeconds { .. }
-                | ForwardMessage::NotHome { .. }
+                | ForwardMessage::NotOwner { .. }
                 | ForwardMessage::Returned { .. }
                 | ForwardMessage::AttemptRequest { .. }
                 | ForwardMessage::Heartbeat
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -1,5 +1,5 @@
 //! What routers and registries say: joining, renewing a hold and proving a revision, staged steps
-//! and their receipts, roster pushes, and commands or reads a router asks of the chain. Routers
+//! and their replies, membership pushes, and commands or reads a router asks of the chain. Routers
 //! also prove revisions to one another when the core cannot be reached.
 
 use crate::{Blob, Capacity, List, NodeId, Text};
@@ -88,10 +88,10 @@
     /// A majority of that step's quorum held nothing newer, asked after the ask.
     #[deku(id = "24")]
     MajorityReply { request_id: u64, active: u64 },
-    /// What differs in the roster from the one under an earlier number, packed; from none where it is 0.
+    /// What differs in the membership from the one under an earlier number, packed; from none where it is 0.
     #[deku(id = "22")]
     MembershipChange { since: u64, number: u64, size: u32, body: Blob },
-    /// `Join` with the hashing of homes that is known and what the machine can carry.
+    /// `Join` with the hashing of owners that is known and what the machine can carry.
     #[deku(id = "30")]
     JoinWithCapacity { address: Text, zone: Text, ops: Text, hashing: u8, capacity: Capacity },
     /// From the tail of one view to the tail of the next, on adopting it: whose proofs may still hold, and how
--- a/crates/wire/src/ledger.rs
+++ b/crates/wire/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The entries of the chain and the receipts its tail gives for them, as deku records.
+//! The entries of the chain and the replies its tail gives for them, as deku records.
 
 use crate::{Blob, ConfigurationItem, List, NodeId, Text};
 use deku::prelude::*;
@@ -46,7 +46,7 @@
     /// A change with the revision it declares, or 0 for the next; only a taken one is remembered.
     #[deku(id = "13")]
     Declare { op: Text, base: u64, any: u8, whole: u8, revision: u64, scope: Text, items: List<ConfigurationItem> },
-    /// `Join` with the hashing of homes that is known and what the machine can carry.
+    /// `Join` with the hashing of owners that is known and what the machine can carry.
     #[deku(id = "14")]
     JoinWithCapacity {
         id: NodeId,
--- a/crates/wire/src/plan.rs
+++ b/crates/wire/src/plan.rs
@@ -1,4 +1,4 @@
-//! What homes and the optimizer's host say: fifteen-second samples one way, a plan asked for and
+//! What owners and the optimizer's host say: fifteen-second samples one way, a plan asked for and
 //! answered the other, fenced by the number of the view that named the host.
 
 use crate::{List, Text};
@@ -13,7 +13,7 @@
     pub held_milli: u64,
 }
 
-/// What a home saw of a function beside its sample: boots, refusals, turn-aways, usage.
+/// What an owner saw of a function beside its sample: boots, refusals, rejections, usage.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct Measurement {
     pub function: Text,
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/spoken.rs
@@ -1,13 +1,13 @@
 //! One message in an older format, while a fleet rolls from one program revision to the next. Format 2
 //! put away what nobody read (who the tail is and its view, in `NotTail`; the successor in `Leave`) and
-//! brought heartbeats between routers, whole home tables and the entries a registry missed. Who understands only the format before hears
+//! brought heartbeats between routers, whole owner tables and the entries a registry missed. Who understands only the format before hears
 //! the older word, or nothing where it had none. Format 3 brought the
 //! entry of a change with a declared revision, which a registry enters only where all speak it, and
 //! answers that tell the time to come back in milliseconds. Format 4 brought steps and the whole
-//! configuration in packed parts, and differences of the roster; before, both came whole and unpacked.
+//! configuration in packed parts, and differences of the membership; before, both came whole and unpacked.
 //! It also brought what machines can carry, fronts that ask to be beaten, and the provider's inventory
-//! told by one home to the others. Format 5 brought forwards that tell the attempts granted, and homes
-//! that ask for more; before, each home made as many attempts as the binding allows. It also brought a
+//! told by one owner to the others. Format 5 brought forwards that tell the attempts granted, and owners
+//! that ask for more; before, each owner made as many attempts as the binding allows. It also brought a
 //! voter's report on when it last answered the tail of the view before, and what that tail tells the next of the proofs it granted.
 
 use crate::codec::ATTEMPTS;
@@ -17,7 +17,7 @@
     let message = match message {
         message if format >= ATTEMPTS => return Some(message),
         Message::Forward(ForwardMessage::Forward { request }) => Message::Forward(uncounted(*request)),
-        Message::Forward(ForwardMessage::Returned { task, .. }) => Message::Forward(ForwardMessage::NotHome { task }),
+        Message::Forward(ForwardMessage::Returned { task, .. }) => Message::Forward(ForwardMessage::NotOwner { task }),
         Message::Forward(ForwardMessage::AttemptRequest { .. } | ForwardMessage::AttemptGrant { .. }) => return None,
         Message::Chain(ChainMessage::TailLastAnswered { .. }) | Message::Lease(LeaseMessage::Proofs { .. }) => {
             return None;
@@ -131,7 +131,7 @@
         let heard = |message: ForwardMessage, format| spoken(Message::Forward(message), format);
         assert_eq!(heard(counted.clone(), 4), Some(Message::Forward(forward)));
         assert_eq!(heard(counted.clone(), 5), Some(Message::Forward(counted)));
-        let not_home = Some(Message::Forward(ForwardMessage::NotHome { task: 9 }));
+        let not_home = Some(Message::Forward(ForwardMessage::NotOwner { task: 9 }));
         assert_eq!(heard(ForwardMessage::Returned { task: 9, attempts: 1 }, 4), not_home);
         assert_eq!(heard(ForwardMessage::AttemptRequest { task: 9, attempts: 2 }, 4), None);
         assert_eq!(heard(ForwardMessage::AttemptGrant { task: 9, attempts: 2 }, 4), None);
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -39,7 +39,7 @@
         Message::Chain(ChainMessage::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
         Message::Lease(LeaseMessage::Stage { step }),
         Message::Lease(LeaseMessage::ReadReply { request_id: 1, state: 1, items: vec![item].into() }),
-        Message::Forward(ForwardMessage::NotHome { task: 5 }),
+        Message::Forward(ForwardMessage::NotOwner { task: 5 }),
         Message::Forward(ForwardMessage::Forward { request: Box::new(forward()) }),
         Message::Forward(ForwardMessage::AttemptGrant { task: 5, attempts: 2 }),
         Message::Plan(PlanMessage::Reply {
--- a/crates/wire/tests/samples/forward.rs
+++ b/crates/wire/tests/samples/forward.rs
@@ -86,7 +86,7 @@
     [
         uncounted(),
         in_seconds,
-        NotHome { task: 231 },
+        NotOwner { task: 231 },
         Handover { function: "t/f".into(), membership: 232, slots: vec![slot()].into(), requests: 233, seconds: 234 },
         Preempt { function: "t/f".into(), memory_mb: 235 },
         Heartbeat,
