--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -3,7 +3,7 @@
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::api_views::{metrics, ready, status, watch_view};
-use crate::dialect::Operators;
+use crate::operator_dialect::Operators;
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{DefaultBodyLimit, Path, State};
@@ -36,8 +36,8 @@
         .with_state(api)
 }
 
-pub(crate) fn refuse(status: u16, told: &str) -> Response {
-    answer(ApiReply::new(status, json!({"outcome": "refused", "fault": told})), None)
+pub(crate) fn refuse(status: u16, detail: &str) -> Response {
+    answer(ApiReply::new(status, json!({"outcome": "refused", "fault": detail})), None)
 }
 
 pub(crate) fn answer(reply: ApiReply, op: Option<&str>) -> Response {
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -37,13 +37,13 @@
 pub fn apply(state: &State, _seq: u64, body: &[u8]) -> Effect {
     let mut draft = Draft { state, changes: Vec::new() };
     let reply = match wire::from_bytes::<Command>(body) {
-        Some(command) => carry_out(&mut draft, command),
+        Some(command) => execute(&mut draft, command),
         None => CommandReply::Refused { status: 400, body: b"\"an entry that cannot be read\"".to_vec().into() },
     };
     Effect { changes: draft.changes, reply: wire::to_bytes(&reply) }
 }
 
-fn carry_out(draft: &mut Draft, command: Command) -> CommandReply {
+fn execute(draft: &mut Draft, command: Command) -> CommandReply {
     match command {
         Command::Change { op, base, any, whole, scope, items } => {
             let (base, whole, items) = ((any == 0).then_some(base), whole != 0, items.as_slice());
--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -33,7 +33,7 @@
     draft.state.get(key).and_then(|raw| wire::from_bytes::<OpRecord>(raw)).map(|record| record.reply)
 }
 
-fn carry_out(draft: &mut Draft, change: &Change) -> CommandReply {
+fn execute(draft: &mut Draft, change: &Change) -> CommandReply {
     match draw_up(draft, change) {
         Ok(changed) => stage(draft, change.revision, changed),
         Err((status, body)) => CommandReply::Refused { status, body: body.into_bytes().into() },
@@ -51,7 +51,7 @@
     if let Some(reply) = known(draft, &key) {
         return reply;
     }
-    let reply = carry_out(draft, change);
+    let reply = execute(draft, change);
     remember(draft, &key, reply.clone());
     reply
 }
@@ -63,7 +63,7 @@
     if let Some(reply @ CommandReply::Changed { .. }) = known(draft, &key) {
         return reply;
     }
-    let reply = carry_out(draft, change);
+    let reply = execute(draft, change);
     match &reply {
         CommandReply::Refused { status, .. } => {
             let bare = CommandReply::Refused { status: *status, body: Vec::new().into() };
@@ -93,8 +93,8 @@
             ApiReply::new(200, json!({"outcome": "would-change", "set": keys(0), "remove": keys(1)}))
         }
         Err((status, body)) => {
-            let told: Value = serde_json::from_str(&body).unwrap_or_default();
-            ApiReply::new(status, json!({"outcome": "refused", "faults": told}))
+            let detail: Value = serde_json::from_str(&body).unwrap_or_default();
+            ApiReply::new(status, json!({"outcome": "refused", "faults": detail}))
         }
     };
     reply.revision = Some(revision);
@@ -104,8 +104,8 @@
 type Refusal = (u16, String);
 
 fn refusal(status: u16, path: &str, fault: impl Into<String>) -> Refusal {
-    let told = ConfigurationError { path: path.to_owned(), fault: fault.into() };
-    (status, serde_json::to_string(&[told]).unwrap_or_default())
+    let detail = ConfigurationError { path: path.to_owned(), fault: fault.into() };
+    (status, serde_json::to_string(&[detail]).unwrap_or_default())
 }
 
 fn draw_up(draft: &Draft, change: &Change) -> Result<Vec<ConfigurationItem>, Refusal> {
--- a/crates/control/src/reading.rs
+++ b/crates/control/src/configuration_reads.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use wire::{ConfigurationItem, LeaseMessage};
 
-const READ_AGAIN: Duration = Duration::from_millis(400);
+const PAGE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 pub struct ReadJob {
     /// The number under which the newest page was asked for; answers to earlier asks are not for it.
@@ -32,7 +32,7 @@
             if now > read.due {
                 self.reads.remove(&request_id);
                 self.busy(request_id, "the tail could not be reached in time");
-            } else if now > read.asked + READ_AGAIN {
+            } else if now > read.asked + PAGE_RETRY_INTERVAL {
                 self.read_on(request_id, String::new());
             }
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(crate) fn on_piece(
+    pub(crate) fn on_configuration_page(
         &mut self,
         page_request_id: u64,
         step: u64,
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -18,7 +18,7 @@
 const TICK: Duration = Duration::from_millis(10);
 /// How long a planned stop may wait until the others have agreed to go on without this member.
 const LEAVE: Duration = Duration::from_secs(4);
-const VIEW_EVERY: Duration = Duration::from_millis(200);
+const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
 pub struct Control {
     pub core: Core,
@@ -34,7 +34,7 @@
     pub membership: MembershipLog,
     pub seeds: Vec<String>,
     /// Registries that a seed told of while this one is empty.
-    pub told: Vec<String>,
+    pub reported_registries: Vec<String>,
 }
 
 fn addresses(view: &View) -> Vec<String> {
@@ -64,7 +64,7 @@
             };
             if let Some(input) = input {
                 let outputs = self.core.step(begun.elapsed(), input);
-                self.carry_out(outputs);
+                self.execute(outputs);
                 self.membership.tell(self.core.state());
             }
             self.show();
@@ -114,11 +114,11 @@
     }
 
     fn dial(&self, view: &View) {
-        let addresses = addresses(view).into_iter().chain(self.told.iter().cloned());
+        let addresses = addresses(view).into_iter().chain(self.reported_registries.iter().cloned());
         self.order(LinkOrder::Dial { addresses: self.seeds.iter().cloned().chain(addresses).collect() });
     }
 
-    fn carry_out(&mut self, outputs: Vec<CoreOutput>) {
+    fn execute(&mut self, outputs: Vec<CoreOutput>) {
         for output in outputs {
             match output {
                 CoreOutput::Registry { to, message } => {
@@ -128,8 +128,9 @@
                     self.order(LinkOrder::Send { to, message: Message::Lease(message) })
                 }
                 CoreOutput::Seeds { message } => {
-                    let told = self.told.iter().filter(|address| !self.seeds.contains(address));
-                    for address in self.seeds.iter().chain(told).cloned().collect::<Vec<_>>() {
+                    let reported_registries =
+                        self.reported_registries.iter().filter(|address| !self.seeds.contains(address));
+                    for address in self.seeds.iter().chain(reported_registries).cloned().collect::<Vec<_>>() {
                         self.order(LinkOrder::SendAddress { address, message: Message::Chain(message.clone()) });
                     }
                 }
@@ -145,13 +146,13 @@
                 }
                 CoreOutput::ViewLearned { view } => {
                     let addresses = addresses(&view);
-                    if addresses != self.told {
-                        self.told = addresses;
+                    if addresses != self.reported_registries {
+                        self.reported_registries = addresses;
                         self.dial(&view);
                     }
                 }
                 CoreOutput::ViewAdopted { view } => {
-                    self.told.clear();
+                    self.reported_registries.clear();
                     let chain: Vec<String> = view.chain.iter().map(|id| format!("{id:016x}")).collect();
                     event!(view_adopted, "view {} chain {}", view.number, chain.join(" "));
                     self.dial(&view);
@@ -184,7 +185,7 @@
     }
 
     fn show(&mut self) {
-        if self.shown.elapsed() >= VIEW_EVERY {
+        if self.shown.elapsed() >= STATUS_INTERVAL {
             self.shown = Instant::now();
             let status = self.core.status().to_string();
             self.view.send_if_modified(|old| {
@@ -200,13 +201,13 @@
     async fn leave(mut self, begun: Instant, inbox: &mut Inbox<ControlMessage>) {
         event!(stopping);
         let outputs = self.core.step(begun.elapsed(), CoreInput::Leave);
-        self.carry_out(outputs);
+        self.execute(outputs);
         let until = Instant::now() + LEAVE;
         while !self.core.member().may_stop() {
             let Ok(Some(message)) = tokio::time::timeout_at(until.into(), inbox.next()).await else { return };
             if let Some(input) = self.input(message) {
                 let outputs = self.core.step(begun.elapsed(), input);
-                self.carry_out(outputs);
+                self.execute(outputs);
             }
         }
     }
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -3,14 +3,14 @@
 //! sockets and disks, the simulator from seeded ones.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::judging::BehindCall;
+use crate::configuration_reads::ReadJob;
+use crate::deferred_calls::DeferredCall;
 use crate::keys;
 use crate::membership_updates::MembershipUpdates;
-use crate::operators::Activation;
-use crate::parts::PackedSteps;
+use crate::operator_calls::Activation;
+use crate::packed_steps::PackedSteps;
 use crate::proposals::Duty;
-use crate::reading::ReadJob;
-use crate::tenure::{Tenure, ToldProofs};
+use crate::tail_tenure::{PredecessorProofs, Tenure};
 use chain::{Batch, ChainReplica, Input, Output, State, Stored};
 use leases::Sessions;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -73,7 +73,7 @@
     CaughtUp { missed_entries: Option<usize> },
 }
 
-pub enum Wait {
+pub enum PendingProposal {
     Duty(Duty),
     Router {
         to: NodeId,
@@ -98,20 +98,20 @@
     pub(crate) tail_since: Option<Duration>,
     /// The unbroken run of views as the tail that the sessions belong to.
     pub(crate) tenure: Option<Tenure>,
-    pub(crate) told_proofs: Option<ToldProofs>,
+    pub(crate) predecessor_proofs: Option<PredecessorProofs>,
     pub(crate) jobs: VecDeque<(u64, NodeId, u64, LeaseMessage)>,
     /// Renewals that wait for the next round of confirmation.
     pub(crate) renewals: Vec<(NodeId, u64, LeaseMessage)>,
-    pub(crate) rounded: Duration,
-    pub(crate) waits: BTreeMap<u64, (Wait, Duration)>,
+    pub(crate) round_requested_at: Duration,
+    pub(crate) pending_proposals: BTreeMap<u64, (PendingProposal, Duration)>,
     pub(crate) open: BTreeSet<Duty>,
     pub(crate) next_op: u64,
     pub(crate) reads: BTreeMap<u64, ReadJob>,
-    pub(crate) behind: Vec<BehindCall>,
+    pub(crate) deferred_calls: Vec<DeferredCall>,
     pub(crate) activations: Vec<Activation>,
     pub(crate) effective: u64,
-    pub(crate) ticked: Duration,
-    pub(crate) dutied: Duration,
+    pub(crate) ticked_at: Duration,
+    pub(crate) duties_at: Duration,
     pub(crate) membership_updates: MembershipUpdates,
     pub(crate) packed: PackedSteps,
     /// Members by incarnation, as of a membership's number, and when the sessions were last held against them.
@@ -134,19 +134,19 @@
             sessions: Sessions::default(),
             tail_since: None,
             tenure: None,
-            told_proofs: None,
+            predecessor_proofs: None,
             jobs: VecDeque::new(),
             renewals: Vec::new(),
-            rounded: Duration::ZERO,
-            waits: BTreeMap::new(),
+            round_requested_at: Duration::ZERO,
+            pending_proposals: BTreeMap::new(),
             open: BTreeSet::new(),
             next_op: first_op,
             reads: BTreeMap::new(),
-            behind: Vec::new(),
+            deferred_calls: Vec::new(),
             activations: Vec::new(),
             effective: 0,
-            ticked: Duration::ZERO,
-            dutied: Duration::ZERO,
+            ticked_at: Duration::ZERO,
+            duties_at: Duration::ZERO,
             membership_updates: MembershipUpdates::default(),
             packed: PackedSteps::default(),
             known: (0, Rc::default()),
@@ -236,8 +236,8 @@
             }
         }
         if reviewed {
-            self.hand_over_proofs();
-            self.enter_again();
+            self.hand_over_leases();
+            self.propose_again();
         }
     }
 }
--- a/crates/control/src/judging.rs
+++ b/crates/control/src/deferred_calls.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 /// How long a call waits for the revision that it builds on to be committed here.
-pub(crate) const BEHIND: Duration = Duration::from_millis(600);
+pub(crate) const MAX_DEFERRAL: Duration = Duration::from_millis(600);
 
 /// A call to be judged by this registry's state once that is new enough.
-pub struct BehindCall {
+pub struct DeferredCall {
     pub request_id: u64,
     pub call: ApiCall,
     pub due: Duration,
@@ -21,12 +21,12 @@
 impl Core {
     /// Answers the calls whose revision is committed here by now, and those that have waited for long: a
     /// registry that is behind can't tell whether a change fits, and must refuse none.
-    pub(crate) fn judge_behind(&mut self) {
-        if self.behind.is_empty() {
+    pub(crate) fn answer_deferred_calls(&mut self) {
+        if self.deferred_calls.is_empty() {
             return;
         }
         let revision = keys::number(self.state(), keys::LATEST_REVISION);
-        for waiting in std::mem::take(&mut self.behind) {
+        for waiting in std::mem::take(&mut self.deferred_calls) {
             let is_new_enough = waiting.call.builds_on().is_none_or(|needed| needed <= revision);
             match waiting.call {
                 ApiCall::Latest { keys, .. } if is_new_enough || self.now > waiting.due => {
@@ -42,7 +42,7 @@
                 _ if self.now > waiting.due => {
                     self.busy(waiting.request_id, "this registry does not know that revision")
                 }
-                call => self.behind.push(BehindCall { call, ..waiting }),
+                call => self.deferred_calls.push(DeferredCall { call, ..waiting }),
             }
         }
     }
--- a/crates/control/src/membership_updates.rs
+++ b/crates/control/src/membership_updates.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use wire::{LeaseMessage, Packed};
 
-const EVERY: Duration = Duration::from_millis(200);
-const KEPT: usize = 16;
+const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
+const MAX_RETAINED: usize = 16;
 
 #[derive(Default)]
 pub struct MembershipUpdates {
@@ -24,19 +24,19 @@
     pub fn newest(&mut self, now: Duration, state: &State) -> u64 {
         let number = keys::number(state, keys::MEMBERSHIP);
         let newest = self.sent.back().map_or(0, |membership| membership.number);
-        if number <= newest || (newest != 0 && now < self.sent_at + EVERY) {
+        if number <= newest || (newest != 0 && now < self.sent_at + UPDATE_INTERVAL) {
             return newest;
         }
         self.sent_at = now;
         self.changes.clear();
         self.sent.push_back(keys::membership(state));
-        if self.sent.len() > KEPT {
+        if self.sent.len() > MAX_RETAINED {
             self.sent.pop_front();
         }
         number
     }
 
-    pub fn newest_whole(&self) -> Option<LeaseMessage> {
+    pub fn newest_complete(&self) -> Option<LeaseMessage> {
         let membership = self.sent.back()?;
         Some(LeaseMessage::Membership {
             number: membership.number,
--- a/crates/control/src/operators.rs
+++ b/crates/control/src/operator_calls.rs
@@ -4,9 +4,9 @@
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::apply_change;
-use crate::core::{Core, CoreOutput, Wait};
-use crate::judging::{BEHIND, BehindCall};
-use crate::reading::ReadJob;
+use crate::configuration_reads::ReadJob;
+use crate::core::{Core, CoreOutput, PendingProposal};
+use crate::deferred_calls::{DeferredCall, MAX_DEFERRAL};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 
 /// The format that first knew declared revisions.
 const DECLARES: u16 = 3;
-const CALLS: usize = 256;
+const MAX_CALLS: usize = 256;
 
 pub struct Activation {
     pub request_id: u64,
@@ -30,14 +30,14 @@
     }
 
     pub(crate) fn unknown(&mut self, request_id: u64, op: &str) {
-        let told = format!(
+        let detail = format!(
             "the outcome is not known yet; ask for it at /v1/operations/{op}, or repeat the change under the same Operation-Id"
         );
-        self.reply(request_id, ApiReply::new(504, json!({"outcome": "unknown", "operation": op, "fault": told})));
+        self.reply(request_id, ApiReply::new(504, json!({"outcome": "unknown", "operation": op, "fault": detail})));
     }
 
-    pub(crate) fn busy(&mut self, request_id: u64, told: &str) {
-        let mut reply = ApiReply::new(503, json!({"outcome": "not-run", "fault": told}));
+    pub(crate) fn busy(&mut self, request_id: u64, detail: &str) {
+        let mut reply = ApiReply::new(503, json!({"outcome": "not-run", "fault": detail}));
         reply.retry_after = Some(1);
         self.reply(request_id, reply);
     }
@@ -47,15 +47,17 @@
             let body = self.status();
             return self.reply(request_id, ApiReply::new(200, body));
         }
-        if self.waits.len() + self.reads.len() + self.activations.len() + self.behind.len() >= CALLS * 16 {
+        if self.pending_proposals.len() + self.reads.len() + self.activations.len() + self.deferred_calls.len()
+            >= MAX_CALLS * 16
+        {
             return self.busy(request_id, "too many calls at once");
         }
         if !self.member.is_in_chain() {
             return self.busy(request_id, "this registry is not in the chain at present; ask another");
         }
         if call.builds_on().is_some() {
-            self.behind.push(BehindCall { request_id, call, due: self.now + BEHIND });
-            return self.judge_behind();
+            self.deferred_calls.push(DeferredCall { request_id, call, due: self.now + MAX_DEFERRAL });
+            return self.answer_deferred_calls();
         }
         match call {
             ApiCall::Change { op, base, revision, whole, scope, items, .. } => {
@@ -73,7 +75,7 @@
                     }
                 };
                 let body = wire::to_bytes(&command);
-                self.enter_raw(Wait::Change { request_id, op, body: body.clone(), again: false }, body);
+                self.propose_raw(PendingProposal::Change { request_id, op, body: body.clone(), again: false }, body);
             }
             ApiCall::Configuration { scope } => {
                 let due = self.now + self.timing.call;
@@ -115,10 +117,10 @@
                 self.activated(self.effective);
             }
             Some(CommandReply::Refused { status, body }) => {
-                let told: Value = serde_json::from_slice(body.as_slice()).unwrap_or_default();
+                let detail: Value = serde_json::from_slice(body.as_slice()).unwrap_or_default();
                 self.reply(
                     request_id,
-                    ApiReply::new(status, json!({"outcome": "refused", "operation": op, "faults": told})),
+                    ApiReply::new(status, json!({"outcome": "refused", "operation": op, "faults": detail})),
                 );
             }
             _ => self.unknown(request_id, &op),
@@ -144,7 +146,7 @@
         let (late, rest): (Vec<Activation>, Vec<Activation>) = list.into_iter().partition(|w| now > w.due);
         self.activations = rest;
         late.into_iter().for_each(|waiting| self.unknown(waiting.request_id, &waiting.op));
-        self.judge_behind();
+        self.answer_deferred_calls();
         self.tick_reads();
     }
 }
--- a/crates/control/src/dialect.rs
+++ b/crates/control/src/operator_dialect.rs
@@ -33,13 +33,13 @@
     }
 
     pub async fn call(&self, call: ApiCall) -> ApiReply {
-        let (reply, told) = oneshot::channel();
+        let (reply, answered) = oneshot::channel();
         if self.control.send(ControlMessage::Call { call, reply }).is_err() {
             let mut reply = ApiReply::new(503, json!({"outcome": "not-run", "fault": "too busy"}));
             reply.retry_after = Some(1);
             return reply;
         }
-        told.await.unwrap_or_else(|_| ApiReply::new(504, json!({"outcome": "unknown", "fault": "stopping"})))
+        answered.await.unwrap_or_else(|_| ApiReply::new(504, json!({"outcome": "unknown", "fault": "stopping"})))
     }
 
     /// This registry's view of the system as JSON, as it changes.
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -35,7 +35,7 @@
 pub fn run(host: Host, mut inbox: Inbox<OptimizerMessage>) {
     let begun = Instant::now();
     let mut planner = Planner::new(host.tuning, Optimizer::new(host.step, host.fits));
-    let mut told = (0, 0);
+    let mut last_sent = (0, 0);
     let mut active = (0, BTreeMap::new());
     while let Some(message) = inbox.next_blocking() {
         match message {
@@ -62,8 +62,8 @@
                     }
                 }
                 let (fence, lines) = planner.in_force();
-                if tunes && (!lines.is_empty() || told != (fence, lines.len())) {
-                    told = (fence, lines.len());
+                if tunes && (!lines.is_empty() || last_sent != (fence, lines.len())) {
+                    last_sent = (fence, lines.len());
                     show(&host.index, &active, &active.1, &planner);
                 }
             }
--- a/crates/control/src/parts.rs
+++ b/crates/control/src/packed_steps.rs
@@ -9,8 +9,8 @@
 use wire::{ConfigurationEpoch, LeaseMessage, NodeId, Packed};
 
 /// A thin link of 2 Mbit/s takes 64 ms for one; a proof may wait so long.
-const PART: usize = 16 * 1024;
-const STEPS: usize = 8;
+const MAX_PART_BYTES: usize = 16 * 1024;
+const MAX_PACKED_STEPS: usize = 8;
 
 #[derive(Default)]
 pub struct PackedSteps {
@@ -22,7 +22,7 @@
     fn step(&mut self, state: &State, number: u64) -> Option<&Packed> {
         if !self.steps.contains_key(&number) {
             let raw = state.get(&keys::step_key(number))?;
-            if self.steps.len() >= STEPS {
+            if self.steps.len() >= MAX_PACKED_STEPS {
                 self.steps.pop_first();
             }
             self.steps.insert(number, wire::pack(raw));
@@ -41,7 +41,7 @@
                 items: keys::items(state, keys::ACTIVE_PAIRS).into(),
             };
             self.whole = None;
-            self.steps.retain(|step, _| *step + STEPS as u64 > number);
+            self.steps.retain(|step, _| *step + MAX_PACKED_STEPS as u64 > number);
             let packed = wire::pack(&wire::to_bytes(&step));
             return (number, &self.whole.insert((number, packed)).1);
         }
@@ -63,7 +63,7 @@
         };
         // Begun under a step that is no longer active: from the start of the one that is.
         let offset = if whole && number != found { 0 } else { offset };
-        let bytes = packed.bytes.part(offset as usize, PART);
+        let bytes = packed.bytes.part(offset as usize, MAX_PART_BYTES);
         let (size, total) = (packed.size, packed.bytes.len() as u32);
         let whole = whole as u8;
         Some(LeaseMessage::Part { request_id, whole, number: found, size, packed: total, offset, bytes })
@@ -71,7 +71,7 @@
 }
 
 impl Core {
-    pub(crate) fn on_part_ask(&mut self, from: NodeId, request_id: u64, whole: bool, number: u64, offset: u32) {
+    pub(crate) fn on_part_request(&mut self, from: NodeId, request_id: u64, whole: bool, number: u64, offset: u32) {
         if self.tail_since.is_none() {
             return self.not_tail(from);
         }
--- a/crates/control/src/following.rs
+++ b/crates/control/src/periodic.rs
@@ -1,6 +1,6 @@
 //! What a registry does of its own accord: at each tick, and after whatever it took in.
 
-use crate::core::{Core, CoreOutput, Wait};
+use crate::core::{Core, CoreOutput, PendingProposal};
 use crate::keys;
 use chain::Positions;
 use std::time::Duration;
@@ -8,28 +8,29 @@
 
 /// A registry that joins becomes the tail, and a new tail lets no step come into force for a while: one
 /// that is pending goes first, if it can at all.
-const JOINS_WAIT: Duration = Duration::from_secs(1);
-const PUSH_EVERY: Duration = Duration::from_millis(40);
+const JOIN_DEFERRAL: Duration = Duration::from_secs(1);
+const PUSH_INTERVAL: Duration = Duration::from_millis(40);
 
 impl Core {
     pub(crate) fn tick(&mut self) {
         let now = self.now;
-        let late: Vec<u64> = self.waits.iter().filter(|(_, (_, due))| now > *due).map(|(op, _)| *op).collect();
+        let late: Vec<u64> =
+            self.pending_proposals.iter().filter(|(_, (_, due))| now > *due).map(|(op, _)| *op).collect();
         for op in late {
-            match self.waits.remove(&op) {
-                Some((Wait::Router { to, request_id }, _)) => {
+            match self.pending_proposals.remove(&op) {
+                Some((PendingProposal::Router { to, request_id }, _)) => {
                     let message = LeaseMessage::ProposalAck { request_id, state: 2, body: Vec::new().into() };
                     self.outs.push(CoreOutput::Router { to, message });
                 }
-                Some((Wait::Change { request_id, op, .. }, _)) => self.unknown(request_id, &op),
-                Some((Wait::Duty(duty), _)) => drop(self.open.remove(&duty)),
+                Some((PendingProposal::Change { request_id, op, .. }, _)) => self.unknown(request_id, &op),
+                Some((PendingProposal::Duty(duty), _)) => drop(self.open.remove(&duty)),
                 None => {}
             }
         }
         self.tick_calls();
         let pending = keys::number(self.state(), keys::LATEST) > keys::number(self.state(), keys::ACTIVE);
         let since = self.tail_since.unwrap_or(now);
-        self.member.defer_joins(pending && now < since + JOINS_WAIT);
+        self.member.defer_joins(pending && now < since + JOIN_DEFERRAL);
         self.duties();
         self.confirm_renewals();
     }
@@ -43,10 +44,10 @@
             self.outs.push(CoreOutput::Activated { step: active });
             self.activated(active);
         }
-        self.judge_behind();
+        self.answer_deferred_calls();
         let tail = self.member.is_current_tail();
         self.follow_tenure();
-        let due = self.push_due || committed != self.pushed_commit || self.now >= self.pushed_at + PUSH_EVERY;
+        let due = self.push_due || committed != self.pushed_commit || self.now >= self.pushed_at + PUSH_INTERVAL;
         if tail && committed >= synced && due {
             self.push_due = false;
             self.pushed_commit = committed;
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 use wire::{Measurement, NodeId, PlanMessage, TunedParameters, View};
 
-const TELL_EVERY: Duration = Duration::from_secs(5);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
 
 pub struct Planner {
     optimizer: Optimizer,
     functions: BTreeMap<String, Function>,
     view: View,
     tunes: bool,
-    told: BTreeMap<NodeId, Duration>,
+    plans_sent_at: BTreeMap<NodeId, Duration>,
     fence: u64,
     in_force: Vec<TunedParameters>,
 }
@@ -36,8 +36,8 @@
 impl Planner {
     pub fn new(tunes: bool, optimizer: Optimizer) -> Planner {
         let functions = BTreeMap::new();
-        let (told, in_force) = (BTreeMap::new(), Vec::new());
-        Planner { optimizer, functions, view: View::default(), tunes, told, fence: 0, in_force }
+        let (plans_sent_at, in_force) = (BTreeMap::new(), Vec::new());
+        Planner { optimizer, functions, view: View::default(), tunes, plans_sent_at, fence: 0, in_force }
     }
 
     pub fn viewed(&mut self, view: View) {
@@ -117,13 +117,15 @@
         self.fence = self.view.number;
         self.in_force = self.optimizer.tuner.tuned().map(|(name, tuned)| line_of(name, tuned)).collect();
         let others = self.view.chain.iter().copied().filter(|id| *id != me);
-        let due: Vec<NodeId> =
-            others.chain([from]).filter(|to| self.told.get(to).is_none_or(|at| now >= *at + TELL_EVERY)).collect();
-        self.told.retain(|_, at| now < *at + TELL_EVERY * 20);
+        let due: Vec<NodeId> = others
+            .chain([from])
+            .filter(|to| self.plans_sent_at.get(to).is_none_or(|at| now >= *at + ANNOUNCE_INTERVAL))
+            .collect();
+        self.plans_sent_at.retain(|_, at| now < *at + ANNOUNCE_INTERVAL * 20);
         let message = PlanMessage::Tuned { fence: self.fence, lines: self.in_force.clone().into() };
         due.into_iter()
             .map(|to| {
-                self.told.insert(to, now);
+                self.plans_sent_at.insert(to, now);
                 Planned { to, message: message.clone(), fault: None }
             })
             .collect()
--- a/crates/control/src/routers.rs
+++ b/crates/control/src/router_messages.rs
@@ -2,38 +2,38 @@
 //! entered and state read on a router's behalf. Whatever claims to be current waits for a round begun
 //! after it was asked; renewals that come close together share one.
 
-use crate::core::{Core, CoreOutput, Wait};
+use crate::core::{Core, CoreOutput, PendingProposal};
 use crate::keys;
 use crate::proposals::Duty;
 use std::time::Duration;
 use wire::{LeaseMessage, List, NodeId};
 
-const JOBS: usize = 4096;
-const WAITS: usize = 8192;
-const ROUND_EVERY: Duration = Duration::from_millis(15);
+const MAX_JOBS: usize = 4096;
+const MAX_PENDING_PROPOSALS: usize = 8192;
+const SHARED_ROUND_INTERVAL: Duration = Duration::from_millis(15);
 
 impl Core {
     pub(crate) fn router(&mut self, from: NodeId, incarnation: u64, message: LeaseMessage) {
         match message {
-            LeaseMessage::Renew { .. } if self.tail_since.is_some() && self.renewals.len() < JOBS => {
+            LeaseMessage::Renew { .. } if self.tail_since.is_some() && self.renewals.len() < MAX_JOBS => {
                 self.renewals.push((from, incarnation, message));
                 self.confirm_renewals();
             }
             LeaseMessage::PartRequest { request_id, whole, number, offset } => {
-                self.on_part_ask(from, request_id, whole != 0, number, offset)
+                self.on_part_request(from, request_id, whole != 0, number, offset)
             }
             LeaseMessage::Renew { .. } | LeaseMessage::ConfigurationRequest { .. } | LeaseMessage::Read { .. } => {
                 if self.tail_since.is_none() {
                     self.not_tail(from);
-                } else if self.jobs.len() < JOBS {
-                    let round = self.ask_round();
+                } else if self.jobs.len() < MAX_JOBS {
+                    let round = self.request_round();
                     self.jobs.push_back((round, from, incarnation, message));
                 }
             }
             LeaseMessage::Join { address, zone, ops } if self.tail_since.is_some() => {
                 let id = from;
                 let command = wire::Command::Join { id, incarnation, address, zone, ops };
-                self.enter_duty(Duty::Join { id, incarnation }, &command);
+                self.propose_duty(Duty::Join { id, incarnation }, &command);
             }
             LeaseMessage::JoinWithCapacity { address, zone, ops, hashing, capacity } if self.tail_since.is_some() => {
                 let id = from;
@@ -41,11 +41,11 @@
                     true => wire::Command::JoinWithCapacity { id, incarnation, address, zone, ops, hashing, capacity },
                     false => wire::Command::Join { id, incarnation, address, zone, ops },
                 };
-                self.enter_duty(Duty::Join { id, incarnation }, &command);
+                self.propose_duty(Duty::Join { id, incarnation }, &command);
             }
             LeaseMessage::Leave { .. } | LeaseMessage::Leaving if self.tail_since.is_some() => {
                 let id = from;
-                self.enter_duty(Duty::Leaving { id, incarnation }, &wire::Command::Leaving { id, incarnation });
+                self.propose_duty(Duty::Leaving { id, incarnation }, &wire::Command::Leaving { id, incarnation });
             }
             LeaseMessage::Staged { number } => {
                 if let Some(session) = self.sessions.table.get_mut(&from)
@@ -56,14 +56,14 @@
                 }
             }
             LeaseMessage::Propose { request_id, body } => {
-                if self.waits.len() >= WAITS {
+                if self.pending_proposals.len() >= MAX_PENDING_PROPOSALS {
                     let message = LeaseMessage::ProposalAck { request_id, state: 0, body: Vec::new().into() };
                     return self.outs.push(CoreOutput::Router { to: from, message });
                 }
-                self.enter_raw(Wait::Router { to: from, request_id }, body.into_vec());
+                self.propose_raw(PendingProposal::Router { to: from, request_id }, body.into_vec());
             }
             LeaseMessage::ConfigurationPage { request_id, step, revision, items, next, .. } => {
-                self.on_piece(request_id, step, revision, items.into_vec(), next.as_str())
+                self.on_configuration_page(request_id, step, revision, items.into_vec(), next.as_str())
             }
             LeaseMessage::Proofs { view, earlier_millis, proofs } => {
                 self.on_proofs(view, earlier_millis, proofs.into_vec())
@@ -90,7 +90,7 @@
                     self.prove(from, incarnation, request_id, staged, active, membership)
                 }
                 LeaseMessage::ConfigurationRequest { request_id, from: start } => {
-                    self.piece(from, request_id, start.as_str())
+                    self.send_configuration_page(from, request_id, start.as_str())
                 }
                 LeaseMessage::Read { request_id, prefix, from: start } => {
                     let (items, _) = keys::page(self.state(), prefix.as_str(), start.as_str(), false);
@@ -104,8 +104,8 @@
     }
 
     pub(crate) fn confirm_renewals(&mut self) {
-        if !self.renewals.is_empty() && self.now >= self.rounded + ROUND_EVERY {
-            self.ask_round();
+        if !self.renewals.is_empty() && self.now >= self.round_requested_at + SHARED_ROUND_INTERVAL {
+            self.request_round();
         }
     }
 
@@ -119,7 +119,7 @@
             member: member as u8,
         };
         if member {
-            self.sessions.note_proof(from, now);
+            self.sessions.record_proof(from, now);
         }
         if let Some(session) = self.sessions.table.get_mut(&from).filter(|_| member) {
             session.staged = session.staged.max(staged);
@@ -129,7 +129,7 @@
         self.outs.push(CoreOutput::Router { to: from, message });
     }
 
-    fn piece(&mut self, to: NodeId, request_id: u64, start: &str) {
+    fn send_configuration_page(&mut self, to: NodeId, request_id: u64, start: &str) {
         let active = keys::number(self.state(), keys::ACTIVE);
         let (items, next) = keys::page(self.state(), keys::ACTIVE_PAIRS, start, true);
         let message = LeaseMessage::ConfigurationPage {
--- a/crates/control/src/pushes.rs
+++ b/crates/control/src/router_pushes.rs
@@ -10,9 +10,9 @@
 use wire::{LeaseMessage, NodeId};
 
 /// A part or a membership may take so long over a thin link with others before it.
-const AGAIN: Duration = Duration::from_millis(700);
-const TELL_AGAIN: Duration = Duration::from_millis(150);
-const ALIGN_EVERY: Duration = Duration::from_millis(50);
+const PUSH_RETRY_INTERVAL: Duration = Duration::from_millis(700);
+const ACTIVATION_RETRY_INTERVAL: Duration = Duration::from_millis(150);
+const ALIGN_INTERVAL: Duration = Duration::from_millis(50);
 /// The first format with packed parts and differences of memberships.
 const PARTS: u16 = 4;
 
@@ -23,7 +23,7 @@
         if self.known.0 != number {
             self.known = (number, Rc::new(keys::incarnations(self.state())));
         }
-        if self.aligned.is_none_or(|(membership, at)| membership != number || self.now >= at + ALIGN_EVERY) {
+        if self.aligned.is_none_or(|(membership, at)| membership != number || self.now >= at + ALIGN_INTERVAL) {
             self.aligned = Some((number, self.now));
             self.sessions.align(self.now, &self.known.1, self.timing.lapse);
         }
@@ -48,19 +48,20 @@
                 session.pushed_at = now;
                 outs.extend(step.map(|message| (*id, message)));
             }
-            let untold = session.told < active || now >= session.told_at + TELL_AGAIN;
+            let untold =
+                session.activation_sent < active || now >= session.activation_sent_at + ACTIVATION_RETRY_INTERVAL;
             if active > session.active && active <= session.staged && untold {
-                session.told = active;
-                session.told_at = now;
+                session.activation_sent = active;
+                session.activation_sent_at = now;
                 outs.push((*id, LeaseMessage::Activate { number: active }));
             }
             if number > session.membership
-                && (session.membership_sent < number || now >= session.membership_sent_at + AGAIN)
+                && (session.membership_sent < number || now >= session.membership_sent_at + PUSH_RETRY_INTERVAL)
             {
                 session.membership_sent = number;
                 session.membership_sent_at = now;
                 let membership = match self.format {
-                    ..PARTS => self.membership_updates.newest_whole(),
+                    ..PARTS => self.membership_updates.newest_complete(),
                     _ => self.membership_updates.change(session.membership),
                 };
                 outs.extend(membership.map(|message| (*id, message)));
@@ -73,6 +74,6 @@
 /// The step to offer a router. One that is behind the active step takes the whole configuration itself.
 fn next_step(now: Duration, session: &Session, active: u64, latest: u64) -> Option<u64> {
     let next = session.staged + 1;
-    let due = session.pushed < next || now >= session.pushed_at + AGAIN;
+    let due = session.pushed < next || now >= session.pushed_at + PUSH_RETRY_INTERVAL;
     (session.staged >= active && next <= latest && due).then_some(next)
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -4,20 +4,20 @@
 use crate::api::{self, Api};
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::apply::apply;
+use crate::configuration_reads::stored_document;
 use crate::control_loop::Control;
 use crate::core::{Core, CoreTiming};
-use crate::dialect::{ControlDialect, Operators};
 use crate::errors::RunError;
 use crate::membership_log::MembershipLog;
+use crate::operator_dialect::{ControlDialect, Operators};
 use crate::optimizer::{self, Host, OptimizerMessage};
-use crate::reading::stored_document;
 use crate::settings::RegistrySettings;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
 use chain::{ChainReplica, Disk, DiskReport, Store, StoreError, Stored, Timing};
 use events::event;
 use http_server::{ResourceIndex, ServerLimits, Tokens, Views};
-use kernel::{Directory, Inbox, SendError, adopt, behind, find, listen, local, thread};
+use kernel::{Directory, Inbox, SendError, adopt, find, listen, listen_address, local, thread};
 use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -29,7 +29,7 @@
 use tokio::sync::{oneshot, watch};
 use wire::{Message, NodeAddress};
 
-const OPEN_EVERY: Duration = Duration::from_millis(500);
+const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
 pub enum ControlMessage {
     Link(LinkEvent),
@@ -53,7 +53,7 @@
         let page = format!("{:#}\n", stored_document(&stored.state));
         return std::io::stdout().write_all(page.as_bytes()).map_err(RunError::Print);
     }
-    let peers = listen(behind(&settings.bind, &settings.address))?;
+    let peers = listen(listen_address(&settings.bind, &settings.address))?;
     let operators = listen(&settings.api)?;
     let dialect_listener = dialect.pages_address.as_deref().map(listen).transpose()?;
     let node = NodeAddress { id: stored.meta.node.id, address: settings.address.as_str().into() };
@@ -131,13 +131,13 @@
         shown: Instant::now(),
         membership: MembershipLog::default(),
         seeds: settings.seeds.clone(),
-        told: Vec::new(),
+        reported_registries: Vec::new(),
     };
     local(async move {
         if let Some(reread) = dialect.reread {
             let (post, read) = (control.clone(), move || reread().map(|settings| settings.seeds));
-            tokio::task::spawn_local(kernel::follow(settings.seeds, read, async move |told| {
-                post.send_waiting(ControlMessage::Seeds(told)).await;
+            tokio::task::spawn_local(kernel::follow(settings.seeds, read, async move |seeds| {
+                post.send_waiting(ControlMessage::Seeds(seeds)).await;
             }));
         }
         // On the same thread: between threads each frame costs a wake-up each way.
@@ -156,7 +156,7 @@
         match Store::open(file, cluster, newcomer.clone()) {
             Err(fault) if fault.is_disk_full() => {
                 event!(disk_waited, "{fault}");
-                std::thread::sleep(OPEN_EVERY);
+                std::thread::sleep(REOPEN_INTERVAL);
             }
             opened => return opened,
         }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -46,7 +46,7 @@
             "claims": keys::number(state, keys::CLAIMS),
             "deferred": keys::number(state, keys::STORED),
             "members": members,
-            "waits": self.waits.len(), "jobs": self.jobs.len(),
+            "waits": self.pending_proposals.len(), "jobs": self.jobs.len(),
         })
     }
 }
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/tail_duties.rs
@@ -9,22 +9,22 @@
 use wire::Command;
 use wire::NodeId;
 
-const EVERY: Duration = Duration::from_millis(50);
+const DUTIES_INTERVAL: Duration = Duration::from_millis(50);
 /// In a fleet of more, a change of a few machines in the quorum can wait.
-const MANY: usize = 12;
+const SMALL_FLEET: usize = 12;
 
 impl Core {
     pub(crate) fn duties(&mut self) {
-        if self.tail_since.is_none() || self.now < self.dutied + EVERY {
+        if self.tail_since.is_none() || self.now < self.duties_at + DUTIES_INTERVAL {
             return;
         }
-        self.dutied = self.now;
-        self.ask_round();
+        self.duties_at = self.now;
+        self.request_round();
     }
 
-    pub(crate) fn ask_round(&mut self) -> u64 {
+    pub(crate) fn request_round(&mut self) -> u64 {
         let round = self.member.request_confirmation();
-        self.rounded = self.now;
+        self.round_requested_at = self.now;
         let renewals = self.renewals.drain(..).map(|(from, incarnation, message)| (round, from, incarnation, message));
         self.jobs.extend(renewals);
         self.chain(chain::Input::Confirm);
@@ -36,15 +36,15 @@
             return;
         }
         let members = self.align();
-        if self.now >= self.ticked + self.timing.tick {
-            self.ticked = self.now;
+        if self.now >= self.ticked_at + self.timing.tick {
+            self.ticked_at = self.now;
             let number = keys::number(self.state(), keys::TICKS) + 1;
-            self.enter_duty(Duty::Tick, &Command::Tick { number });
+            self.propose_duty(Duty::Tick, &Command::Tick { number });
         }
         for (id, incarnation) in self.sessions.lapsed(self.now, self.timing.proof_over) {
-            self.enter_duty(Duty::Lapse { id, incarnation }, &Command::Lapse { id, incarnation });
+            self.propose_duty(Duty::Lapse { id, incarnation }, &Command::Lapse { id, incarnation });
         }
-        if self.earlier_proofs_are_over() {
+        if self.earlier_leases_are_over() {
             self.activate_staged();
             self.renew_quorum(members.keys().copied().collect());
         }
@@ -62,7 +62,7 @@
             }
         }
         if ready > active {
-            self.enter_duty(Duty::Activate, &Command::Activate { step: ready });
+            self.propose_duty(Duty::Activate, &Command::Activate { step: ready });
         }
     }
 
@@ -79,10 +79,10 @@
         }
         // Each renewal has every router prove itself five times as often for a while.
         let known = members.iter().filter(|id| quorum.contains(id)).count();
-        let few = known * 4 >= members.len().max(quorum.len()) * 3 && members.len() > MANY;
+        let few = known * 4 >= members.len().max(quorum.len()) * 3 && members.len() > SMALL_FLEET;
         let calm = if few { self.timing.calm * 5 } else { self.timing.calm };
         if self.now >= self.members_since.1 + calm {
-            self.enter_duty(Duty::Quorum, &Command::Quorum { after: latest, members: members.into() });
+            self.propose_duty(Duty::Quorum, &Command::Quorum { after: latest, members: members.into() });
         }
     }
 }
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -59,8 +59,10 @@
             revision = reply.revision.expect("an acknowledgement has its revision");
         } else if reply.status == 412 {
             // What the registry could still pass on came first.
-            let told: serde_json::Value = serde_json::from_str(&reply.body).expect("a refusal has its reason");
-            revision = told["faults"]["latest"].as_u64().expect("a stale change is told the latest revision");
+            let activation_sent: serde_json::Value =
+                serde_json::from_str(&reply.body).expect("a refusal has its reason");
+            revision =
+                activation_sent["faults"]["latest"].as_u64().expect("a stale change is told the latest revision");
         }
         cluster.run(Duration::from_secs(1));
     }
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -20,7 +20,7 @@
 }
 
 fn file_bytes(path: &Path) -> u64 {
-    std::fs::metadata(path).map_or(0, |told| told.len())
+    std::fs::metadata(path).map_or(0, |metadata| metadata.len())
 }
 
 /// A registry alone, with the real rules of the state and the real data file.
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -34,7 +34,7 @@
     pub island: BTreeSet<NodeId>,
     pub replies: BTreeMap<u64, (Duration, ApiReply)>,
     /// Which voters an empty registry was told of.
-    told: BTreeMap<NodeId, Vec<NodeId>>,
+    reported_registries: BTreeMap<NodeId, Vec<NodeId>>,
     disks: BTreeMap<NodeId, Stored>,
     queue: BTreeMap<(Duration, u64), Event>,
     events: u64,
@@ -195,13 +195,14 @@
                 CoreOutput::Registry { to, message } => self.send(id, to, Message::Chain(message)),
                 CoreOutput::Router { to, message } => self.send(id, to, Message::Lease(message)),
                 CoreOutput::Seeds { message } => {
-                    let told = self.told.get(&id).into_iter().flatten().copied();
-                    let others: BTreeSet<NodeId> = (1..=3).chain(told).filter(|other| *other != id).collect();
+                    let reported_registries = self.reported_registries.get(&id).into_iter().flatten().copied();
+                    let others: BTreeSet<NodeId> =
+                        (1..=3).chain(reported_registries).filter(|other| *other != id).collect();
                     others.into_iter().for_each(|to| self.send(id, to, Message::Chain(message.clone())));
                 }
                 CoreOutput::Write { ticket, batch } => self.at(WRITE_DELAY, Event::Written { id, ticket, batch }),
                 CoreOutput::ViewLearned { view } => {
-                    self.told.insert(id, view.voters.iter().map(|node| node.id).collect());
+                    self.reported_registries.insert(id, view.voters.iter().map(|node| node.id).collect());
                 }
                 CoreOutput::Reply { request_id, reply } => drop(self.replies.insert(request_id, (now, reply))),
                 _ => {}
--- a/crates/control/tests/membership_log.rs
+++ b/crates/control/tests/membership_log.rs
@@ -14,33 +14,33 @@
     Command::Join { id, incarnation, address, zone, ops }
 }
 
-fn told(membership: &mut MembershipLog, state: &State) -> Vec<(MemberChange, u64)> {
+fn activation_sent(membership: &mut MembershipLog, state: &State) -> Vec<(MemberChange, u64)> {
     membership.changes(state).into_iter().map(|(change, line)| (change, line.id)).collect()
 }
 
 #[test]
 fn joins_leaves_and_lapses_are_told_once_each() {
     let (mut state, mut membership) = (State::new(), MembershipLog::default());
-    assert_eq!(told(&mut membership, &state), []);
+    assert_eq!(activation_sent(&mut membership, &state), []);
     propose(&mut state, &join(1, 1));
-    assert_eq!(told(&mut membership, &state), [], "what is found at the first look is no change");
+    assert_eq!(activation_sent(&mut membership, &state), [], "what is found at the first look is no change");
     propose(&mut state, &join(2, 1));
-    assert_eq!(told(&mut membership, &state), [(MemberChange::Joined, 2)]);
-    assert_eq!(told(&mut membership, &state), []);
+    assert_eq!(activation_sent(&mut membership, &state), [(MemberChange::Joined, 2)]);
+    assert_eq!(activation_sent(&mut membership, &state), []);
     propose(&mut state, &Command::Leaving { id: 1, incarnation: 1 });
     propose(&mut state, &Command::Lapse { id: 2, incarnation: 1 });
-    assert_eq!(told(&mut membership, &state), [(MemberChange::Lapsed, 2), (MemberChange::Leaving, 1)]);
+    assert_eq!(activation_sent(&mut membership, &state), [(MemberChange::Lapsed, 2), (MemberChange::Leaving, 1)]);
     propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
-    assert_eq!(told(&mut membership, &state), [], "that it leaves was told before");
+    assert_eq!(activation_sent(&mut membership, &state), [], "that it leaves was told before");
 }
 
 #[test]
 fn a_router_started_again_is_told_as_joined_and_its_old_lapse_as_nothing() {
     let (mut state, mut membership) = (State::new(), MembershipLog::default());
     propose(&mut state, &join(1, 1));
-    assert_eq!(told(&mut membership, &state), [], "what is found at the first look is no change");
+    assert_eq!(activation_sent(&mut membership, &state), [], "what is found at the first look is no change");
     propose(&mut state, &join(1, 2));
-    assert_eq!(told(&mut membership, &state), [(MemberChange::Joined, 1)]);
+    assert_eq!(activation_sent(&mut membership, &state), [(MemberChange::Joined, 1)]);
     propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
-    assert_eq!(told(&mut membership, &state), []);
+    assert_eq!(activation_sent(&mut membership, &state), []);
 }
--- a/crates/kernel/src/program.rs
+++ b/crates/kernel/src/program.rs
@@ -54,7 +54,7 @@
 }
 
 /// The address to listen at: the one bound to if there is one, else the one others are told.
-pub fn behind<'a>(bind: &'a str, address: &'a str) -> &'a str {
+pub fn listen_address<'a>(bind: &'a str, address: &'a str) -> &'a str {
     if bind.is_empty() { address } else { bind }
 }
 
--- a/crates/leases/src/fetch.rs
+++ b/crates/leases/src/configuration_fetch.rs
@@ -3,7 +3,7 @@
 //! another step than the first are thrown away.
 
 use crate::follower::{Follower, FollowerOutput};
-use crate::parts::Arriving;
+use crate::step_parts::Arriving;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{ConfigurationItem, LeaseMessage, NodeId, Text};
--- a/crates/leases/src/follower.rs
+++ b/crates/leases/src/follower.rs
@@ -2,11 +2,11 @@
 //! activates numbered steps, and says whether it may serve at this moment. A proof counts from
 //! when it was asked, so a frozen or late router can only be too careful.
 
-use crate::fetch::Fetch;
+use crate::configuration_fetch::Fetch;
 use crate::membership::{HASHING, Membership};
-use crate::parts::Arriving;
-use crate::peers::Peers;
+use crate::peer_quorum::Peers;
 use crate::serving_status::{ServingEvent, ServingStateMachine, ServingStatus};
+use crate::step_parts::Arriving;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{Capacity, ConfigurationEpoch, LeaseMessage, NodeId};
@@ -202,9 +202,11 @@
     /// How long the core's word lasts and how long the peers', zero where there is none.
     fn proved_until(&self) -> (Duration, Duration) {
         let limit = if self.is_guarded() { self.timing.guard } else { self.timing.hold };
-        let by_core = self.proof.map_or(Duration::ZERO, |asked| asked + limit);
-        let by_peers =
-            self.peer_proof.filter(|_| !self.is_guarded()).map_or(Duration::ZERO, |asked| asked + self.timing.guard);
+        let by_core = self.proof.map_or(Duration::ZERO, |requested_at| requested_at + limit);
+        let by_peers = self
+            .peer_proof
+            .filter(|_| !self.is_guarded())
+            .map_or(Duration::ZERO, |requested_at| requested_at + self.timing.guard);
         (by_core, by_peers)
     }
 
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -2,15 +2,15 @@
 //! has lapsed. `Follower` is a router's side: proofs of revision, staged steps, the membership. Both
 //! are state machines; `Membership` says which router owns which function.
 
-mod fetch;
+mod configuration_fetch;
 mod follower;
 mod membership;
-mod parts;
-mod peers;
+mod peer_quorum;
+mod registry_messages;
+mod renewal;
 mod serving_status;
 mod sessions;
-mod steps;
-mod ticks;
+mod step_parts;
 
 pub use follower::{Follower, FollowerInput, FollowerOutput, FollowerTiming, first_number};
 pub use membership::{HASHING, Member, Membership, MembershipChange, mix};
--- a/crates/leases/src/peers.rs
+++ b/crates/leases/src/peer_quorum.rs
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use wire::{LeaseMessage, NodeId};
 
-const EVERY: Duration = Duration::from_millis(50);
+const ROUND_TIMEOUT: Duration = Duration::from_millis(50);
 /// Rounds for others begin no sooner after one another, so that many share each.
-const ROUND_EVERY: Duration = Duration::from_millis(30);
+const SHARED_ROUND_INTERVAL: Duration = Duration::from_millis(30);
 /// How often one is asked to ask for others; a proof lasts 200 ms.
-const RELAY_EVERY: Duration = Duration::from_millis(80);
+const RELAY_REQUEST_INTERVAL: Duration = Duration::from_millis(80);
 /// Another is asked when two asks went unanswered.
-const RELAY_TRIES: u32 = 2;
-const RELAYS: usize = 4;
-const WAITING: usize = 4096;
+const MAX_UNANSWERED_RELAY_REQUESTS: u32 = 2;
+const MAX_RELAYS: usize = 4;
+const MAX_WAITING: usize = 4096;
 
 pub struct PeerRound {
     pub request_id: u64,
-    pub asked: Duration,
+    pub requested_at: Duration,
     pub agreeing: BTreeSet<NodeId>,
     done: bool,
 }
@@ -34,7 +34,7 @@
     /// Who answered the last rounds.
     answering: BTreeSet<NodeId>,
     /// Where asking went on last time.
-    turn: usize,
+    next_unknown: usize,
     /// Who asked for a majority, with what ask, and when.
     waiting: Vec<(NodeId, u64, Duration)>,
     relayed: Option<(u64, Duration)>,
@@ -44,7 +44,7 @@
 
 impl Follower {
     fn wants_peers(&self) -> bool {
-        let core_is_near = self.proof.is_some_and(|asked| self.now < asked + self.timing.hold / 2);
+        let core_is_near = self.proof.is_some_and(|requested_at| self.now < requested_at + self.timing.hold / 2);
         !core_is_near && self.answers_peers()
     }
 
@@ -56,19 +56,23 @@
         let able = |id: &NodeId| self.membership.member(*id).map_or(0, |line| line.capacity.processor_milli);
         let mut relays: Vec<NodeId> = self.quorum.clone();
         relays.sort_by_cached_key(|id| (std::cmp::Reverse(able(id)), *id));
-        relays.truncate(RELAYS);
+        relays.truncate(MAX_RELAYS);
         relays
     }
 
     pub(crate) fn peers_due(&self) -> Duration {
-        let near = self.proof.map_or(Duration::ZERO, |asked| asked + self.timing.hold / 2);
+        let near = self.proof.map_or(Duration::ZERO, |requested_at| requested_at + self.timing.hold / 2);
         if !self.answers_peers() || (self.now < near && self.peers.waiting.is_empty()) {
-            return if self.ready { near.max(self.now + EVERY) } else { Duration::MAX };
-        }
-        let idle = self.now + EVERY;
-        let round = self.peers.round.as_ref().map_or(idle, |it| it.asked + if it.done { ROUND_EVERY } else { EVERY });
+            return if self.ready { near.max(self.now + ROUND_TIMEOUT) } else { Duration::MAX };
+        }
+        let idle = self.now + ROUND_TIMEOUT;
+        let round = self
+            .peers
+            .round
+            .as_ref()
+            .map_or(idle, |it| it.requested_at + if it.done { SHARED_ROUND_INTERVAL } else { ROUND_TIMEOUT });
         let round = if self.peers.waiting.is_empty() { round.max(idle) } else { round };
-        self.peers.relayed.map_or(round, |(_, asked)| round.min(asked + RELAY_EVERY))
+        self.peers.relayed.map_or(round, |(_, requested_at)| round.min(requested_at + RELAY_REQUEST_INTERVAL))
     }
 
     pub(crate) fn tick_peers(&mut self) {
@@ -82,27 +86,27 @@
             self.peers.round = None;
             return;
         }
-        self.peers.waiting.retain(|(_, _, asked)| now < *asked + self.timing.guard);
+        self.peers.waiting.retain(|(_, _, requested_at)| now < *requested_at + self.timing.guard);
         let small = self.quorum.len() <= self.timing.relay_above;
         if wants && !small {
-            self.ask_relay();
+            self.request_from_relay();
         }
         if (wants && small) || !self.peers.waiting.is_empty() {
-            self.ask_majority(small);
+            self.maybe_start_round(small);
         } else {
             self.peers.round = None;
         }
     }
 
-    fn ask_relay(&mut self) {
+    fn request_from_relay(&mut self) {
         let now = self.now;
-        if self.peers.relayed.is_some_and(|(_, asked)| now < asked + RELAY_EVERY) {
+        if self.peers.relayed.is_some_and(|(_, requested_at)| now < requested_at + RELAY_REQUEST_INTERVAL) {
             return;
         }
         let request_id = self.next_request_number();
         self.peers.relayed = Some((request_id, now));
         let relays = self.relays();
-        if self.peers.unanswered >= RELAY_TRIES {
+        if self.peers.unanswered >= MAX_UNANSWERED_RELAY_REQUESTS {
             (self.peers.relay, self.peers.unanswered) = (self.peers.relay + 1, 0);
         }
         self.peers.unanswered += 1;
@@ -118,18 +122,18 @@
     }
 
     fn collect(&mut self, from: NodeId, request_id: u64, active: u64) {
-        if active == self.step && self.answers_peers() && self.peers.waiting.len() < WAITING {
+        if active == self.step && self.answers_peers() && self.peers.waiting.len() < MAX_WAITING {
             self.peers.waiting.retain(|(known, ..)| *known != from);
             self.peers.waiting.push((from, request_id, self.now));
-            self.ask_majority(false);
+            self.maybe_start_round(false);
         }
     }
 
     /// Begins a round, unless the last is young and still open.
-    fn ask_majority(&mut self, all: bool) {
+    fn maybe_start_round(&mut self, all: bool) {
         let now = self.now;
-        let every = |round: &PeerRound| if round.done && !all { ROUND_EVERY } else { EVERY };
-        if self.peers.round.as_ref().is_some_and(|round| now < round.asked + every(round)) {
+        let every = |round: &PeerRound| if round.done && !all { SHARED_ROUND_INTERVAL } else { ROUND_TIMEOUT };
+        if self.peers.round.as_ref().is_some_and(|round| now < round.requested_at + every(round)) {
             return;
         }
         let request_id = self.next_request_number();
@@ -138,13 +142,13 @@
             if all { others.len() } else { (self.quorum.len() / 2 + self.quorum.len() / 8 + 1).min(others.len()) };
         let (known, unknown): (Vec<NodeId>, Vec<NodeId>) =
             others.iter().copied().partition(|id| self.peers.answering.contains(id));
-        let turn = self.peers.turn % unknown.len().max(1);
-        let asked: Vec<NodeId> =
-            known.iter().chain(&unknown[turn..]).chain(&unknown[..turn]).copied().take(count).collect();
-        self.peers.turn = turn + count.saturating_sub(known.len());
-        self.peers.answering.retain(|id| !asked.contains(id));
-        self.peers.round = Some(PeerRound { request_id, asked: now, agreeing: [self.me].into(), done: false });
-        for to in asked {
+        let next_unknown = self.peers.next_unknown % unknown.len().max(1);
+        let requested_at: Vec<NodeId> =
+            known.iter().chain(&unknown[next_unknown..]).chain(&unknown[..next_unknown]).copied().take(count).collect();
+        self.peers.next_unknown = next_unknown + count.saturating_sub(known.len());
+        self.peers.answering.retain(|id| !requested_at.contains(id));
+        self.peers.round = Some(PeerRound { request_id, requested_at: now, agreeing: [self.me].into(), done: false });
+        for to in requested_at {
             let message = LeaseMessage::PeerRequest { request_id, active: self.step };
             self.outs.push(FollowerOutput::ToPeer { to, message });
         }
@@ -157,19 +161,19 @@
                 let message = LeaseMessage::PeerReply { request_id, active: self.step, latest };
                 self.outs.push(FollowerOutput::ToPeer { to: from, message });
             }
-            LeaseMessage::PeerReply { request_id, latest, .. } => self.on_peer_receipt(from, request_id, latest),
+            LeaseMessage::PeerReply { request_id, latest, .. } => self.handle_peer_reply(from, request_id, latest),
             LeaseMessage::MajorityRequest { request_id, active } => self.collect(from, request_id, active),
             LeaseMessage::MajorityReply { request_id, active } if active == self.step && !self.is_guarded() => {
-                if let Some((_, asked)) = self.peers.relayed.filter(|(number, _)| *number == request_id) {
+                if let Some((_, requested_at)) = self.peers.relayed.filter(|(number, _)| *number == request_id) {
                     self.peers.unanswered = 0;
-                    self.peer_proof = self.peer_proof.max(Some(asked));
+                    self.peer_proof = self.peer_proof.max(Some(requested_at));
                 }
             }
             _ => {}
         }
     }
 
-    fn on_peer_receipt(&mut self, from: NodeId, request_id: u64, latest: u64) {
+    fn handle_peer_reply(&mut self, from: NodeId, request_id: u64, latest: u64) {
         let guarded = self.is_guarded();
         let Some(round) = self.peers.round.as_mut().filter(|round| round.request_id == request_id) else { return };
         if latest > self.step || !self.quorum.contains(&from) {
@@ -181,10 +185,11 @@
             return;
         }
         round.done = true;
-        let asked = round.asked;
-        self.peer_proof = self.peer_proof.max(Some(asked));
+        let requested_at = round.requested_at;
+        self.peer_proof = self.peer_proof.max(Some(requested_at));
         let active = self.step;
-        for (to, request_id, _) in self.peers.waiting.extract_if(.., |(_, _, came)| *came <= asked).collect::<Vec<_>>()
+        for (to, request_id, _) in
+            self.peers.waiting.extract_if(.., |(_, _, came)| *came <= requested_at).collect::<Vec<_>>()
         {
             let message = LeaseMessage::MajorityReply { request_id, active };
             if to == self.me {
@@ -194,7 +199,7 @@
             }
         }
         if !self.peers.waiting.is_empty() {
-            self.ask_majority(false);
+            self.maybe_start_round(false);
         }
     }
 }
--- a/crates/leases/src/steps.rs
+++ b/crates/leases/src/registry_messages.rs
@@ -2,7 +2,7 @@
 
 use crate::follower::{Follower, FollowerOutput};
 use crate::membership::{Membership, MembershipChange};
-use crate::parts::Part;
+use crate::step_parts::Part;
 use wire::{Blob, ConfigurationEpoch, LeaseMessage, NodeId};
 
 impl Follower {
@@ -70,7 +70,7 @@
     }
 
     fn on_proof(&mut self, from: NodeId, request_id: u64, active: u64, latest: u64, member: bool) {
-        let Some(asked) = self.pending_renewals.remove(&request_id) else { return };
+        let Some(requested_at) = self.pending_renewals.remove(&request_id) else { return };
         self.tail = Some((from, self.now));
         self.latest_known = self.latest_known.max(latest);
         if !member {
@@ -89,7 +89,7 @@
         self.activate_to(active);
         if self.step == active {
             self.ready = true;
-            self.proof = self.proof.max(Some(asked));
+            self.proof = self.proof.max(Some(requested_at));
         } else if self.step < active && self.fetch.is_none() {
             self.begin_fetch(from);
         }
--- a/crates/leases/src/ticks.rs
+++ b/crates/leases/src/renewal.rs
@@ -46,7 +46,7 @@
             let request_id = self.next_request_number();
             self.pending_renewals.insert(request_id, now);
             let hold = self.timing.hold;
-            self.pending_renewals.retain(|_, asked| now < *asked + hold);
+            self.pending_renewals.retain(|_, requested_at| now < *requested_at + hold);
             let (staged, active, membership) = (self.staged_number(), self.step, self.membership.number);
             self.say_leaving();
             self.send_to_registry(heard, LeaseMessage::Renew { request_id, staged, active, membership });
--- a/crates/leases/src/sessions.rs
+++ b/crates/leases/src/sessions.rs
@@ -9,17 +9,17 @@
 pub struct Session {
     pub incarnation: u64,
     /// When it was last given a proof here, or first came into this table.
-    pub proved: Duration,
+    pub proved_at: Duration,
     /// No proof it may still have was asked for after this moment.
-    pub proof_asked_until: Duration,
+    pub lease_requested_until: Duration,
     pub staged: u64,
     pub active: u64,
     pub membership: u64,
     pub departed: bool,
     pub pushed: u64,
     pub pushed_at: Duration,
-    pub told: u64,
-    pub told_at: Duration,
+    pub activation_sent: u64,
+    pub activation_sent_at: Duration,
     /// The newest membership it was sent, and when.
     pub membership_sent: u64,
     pub membership_sent_at: Duration,
@@ -37,19 +37,20 @@
         for (id, session) in &mut self.table {
             session.departed = members.get(id) != Some(&session.incarnation);
         }
-        self.table.retain(|_, session| !session.departed || now <= session.proved + after);
+        self.table.retain(|_, session| !session.departed || now <= session.proved_at + after);
         for (id, incarnation) in members {
             match self.table.get_mut(id) {
                 Some(session) if session.incarnation == *incarnation => {}
                 Some(session) => {
-                    let (proved, proof_asked_until) = (session.proved, session.proof_asked_until);
-                    *session = Session { incarnation: *incarnation, proved, proof_asked_until, ..Session::default() };
+                    let (proved_at, lease_requested_until) = (session.proved_at, session.lease_requested_until);
+                    *session =
+                        Session { incarnation: *incarnation, proved_at, lease_requested_until, ..Session::default() };
                 }
                 None => {
                     let session = Session {
                         incarnation: *incarnation,
-                        proved: now,
-                        proof_asked_until: now,
+                        proved_at: now,
+                        lease_requested_until: now,
                         ..Session::default()
                     };
                     self.table.insert(*id, session);
@@ -59,36 +60,36 @@
     }
 
     pub fn lapsed(&self, now: Duration, after: Duration) -> Vec<(NodeId, u64)> {
-        let silent = |session: &&Session| !session.departed && now > session.proved + after;
+        let silent = |session: &&Session| !session.departed && now > session.proved_at + after;
         self.table.iter().filter(|(_, s)| silent(s)).map(|(id, s)| (*id, s.incarnation)).collect()
     }
 
-    pub fn note_proof(&mut self, id: NodeId, now: Duration) {
+    pub fn record_proof(&mut self, id: NodeId, now: Duration) {
         if let Some(session) = self.table.get_mut(&id) {
-            (session.proved, session.proof_asked_until) = (now, now);
+            (session.proved_at, session.lease_requested_until) = (now, now);
         }
     }
 
     /// Learns that tails before this one granted no proof that was asked for after `until`. Whoever was given
-    /// one here, which is at `begun` or later, is left as it is.
-    pub fn bound_earlier_proofs(&mut self, begun: Duration, until: Duration) {
-        for session in self.table.values_mut().filter(|session| session.proved <= begun) {
-            session.proof_asked_until = session.proof_asked_until.min(until);
+    /// one here, which is at `since` or later, is left as it is.
+    pub fn bound_earlier_proofs(&mut self, since: Duration, until: Duration) {
+        for session in self.table.values_mut().filter(|session| session.proved_at <= since) {
+            session.lease_requested_until = session.lease_requested_until.min(until);
         }
     }
 
-    /// Takes over from the tail before, which has told of everyone it had in its table. A member it did not tell
-    /// of was granted nothing by it; `earlier` bounds what tails before that one granted.
-    pub fn take_over(&mut self, begun: Duration, earlier: Duration, told: &BTreeMap<NodeId, (u64, Duration)>) {
-        for (id, session) in self.table.iter_mut().filter(|(_, session)| session.proved <= begun) {
-            let until = told.get(id).map_or(earlier, |(_, asked)| *asked);
-            session.proof_asked_until = session.proof_asked_until.min(until);
+    /// Takes over from the tail before, which reported everyone it had in its table. A member it did not report
+    /// was granted nothing by it; `earlier` bounds what tails before that one granted.
+    pub fn take_over(&mut self, since: Duration, earlier: Duration, reported: &BTreeMap<NodeId, (u64, Duration)>) {
+        for (id, session) in self.table.iter_mut().filter(|(_, session)| session.proved_at <= since) {
+            let until = reported.get(id).map_or(earlier, |(_, requested_at)| *requested_at);
+            session.lease_requested_until = session.lease_requested_until.min(until);
         }
-        for (id, (incarnation, asked)) in told {
+        for (id, (incarnation, requested_at)) in reported {
             self.table.entry(*id).or_insert_with(|| Session {
                 incarnation: *incarnation,
-                proved: *asked,
-                proof_asked_until: *asked,
+                proved_at: *requested_at,
+                lease_requested_until: *requested_at,
                 departed: true,
                 ..Session::default()
             });
@@ -100,7 +101,7 @@
     pub fn staged_by_all(&self, step: u64, quorums: &[Vec<NodeId>], now: Duration, over: Duration) -> bool {
         let has = |id: &NodeId| self.table.get(id).is_some_and(|session| session.staged >= step);
         let most = |quorum: &Vec<NodeId>| quorum.iter().filter(|id| has(id)).count() * 2 > quorum.len();
-        let unproved = |session: &Session| now > session.proof_asked_until + over;
+        let unproved = |session: &Session| now > session.lease_requested_until + over;
         self.table.values().all(|session| session.staged >= step || unproved(session))
             && quorums.iter().all(|quorum| quorum.is_empty() || most(quorum))
     }
--- a/crates/leases/src/parts.rs
+++ b/crates/leases/src/step_parts.rs
@@ -23,7 +23,7 @@
     size: u32,
     packed: u32,
     bytes: Vec<u8>,
-    pub asked: Duration,
+    pub requested_at: Duration,
     pub moved: Duration,
 }
 
@@ -38,7 +38,7 @@
         let Part { number, size, packed, offset, bytes } = part;
         let same = |known: &Arriving| (known.number, known.size, known.packed) == (number, size, packed);
         if offset == 0 && !slot.as_ref().is_some_and(same) {
-            *slot = Some(Arriving { from, number, size, packed, bytes: Vec::new(), asked: now, moved: now });
+            *slot = Some(Arriving { from, number, size, packed, bytes: Vec::new(), requested_at: now, moved: now });
         }
         let Some(arriving) = slot.as_mut().filter(|known| same(known)) else { return Received::Nothing };
         let fits = bytes.len() <= packed.saturating_sub(offset) as usize;
@@ -46,7 +46,7 @@
             return Received::Nothing;
         }
         arriving.bytes.extend_from_slice(bytes.as_slice());
-        (arriving.from, arriving.asked, arriving.moved) = (from, now, now);
+        (arriving.from, arriving.requested_at, arriving.moved) = (from, now, now);
         if arriving.bytes.len() < packed as usize {
             return Received::More;
         }
@@ -105,16 +105,17 @@
     fn request_next_parts(&mut self) {
         let now = self.now;
         let mut pending_renewals = Vec::new();
-        if let Some(arriving) = self.arriving.as_mut().filter(|it| it.moved == now || now >= it.asked + RETRY_INTERVAL)
+        if let Some(arriving) =
+            self.arriving.as_mut().filter(|it| it.moved == now || now >= it.requested_at + RETRY_INTERVAL)
         {
-            arriving.asked = now;
+            arriving.requested_at = now;
             pending_renewals.push((arriving.from, arriving.request(0, false)));
         }
         if let Some(fetch) = &mut self.fetch
             && let Some(arriving) =
-                fetch.parts.as_mut().filter(|it| it.moved == now || now >= it.asked + RETRY_INTERVAL)
+                fetch.parts.as_mut().filter(|it| it.moved == now || now >= it.requested_at + RETRY_INTERVAL)
         {
-            arriving.asked = now;
+            arriving.requested_at = now;
             pending_renewals.push((arriving.from, arriving.request(fetch.request_id, true)));
         }
         pending_renewals.into_iter().for_each(|(to, message)| self.send_to_registry(Some(to), message));
@@ -122,7 +123,7 @@
 
     pub(crate) fn next_part_due(&self) -> Duration {
         let fetched = self.fetch.as_ref().and_then(|fetch| fetch.parts.as_ref());
-        let due = self.arriving.iter().chain(fetched).map(|it| it.asked + RETRY_INTERVAL).min();
+        let due = self.arriving.iter().chain(fetched).map(|it| it.requested_at + RETRY_INTERVAL).min();
         let given_up = self.fetch.as_ref().map(|fetch| fetch.moved + self.timing.hold);
         due.into_iter().chain(given_up).min().unwrap_or(Duration::MAX)
     }
--- a/crates/leases/tests/follower.rs
+++ b/crates/leases/tests/follower.rs
@@ -119,8 +119,8 @@
 #[test]
 fn a_tail_that_says_it_is_none_any_more_is_left_at_once_for_all_registries() {
     let mut follower = follower(1);
-    let asked = renewals(&tick(&mut follower, 0));
-    tell(&mut follower, 5, proof(asked[0], 0, 0));
+    let requested_at = renewals(&tick(&mut follower, 0));
+    tell(&mut follower, 5, proof(requested_at[0], 0, 0));
     assert_eq!(renewals(&tick(&mut follower, 10)), [], "the next renewal is not due");
     tell(&mut follower, 20, LeaseMessage::RegistryAddresses { addresses: Vec::new().into() });
     let to_all = tick(&mut follower, 30)
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -39,12 +39,12 @@
         for message in std::mem::take(&mut coming) {
             outs.extend(one.step(now, FollowerInput::Registry { from: TAIL, message }));
         }
-        let mut asked = 0;
+        let mut requested_at = 0;
         for out in outs {
             let FollowerOutput::ToRegistry { message, .. } = out else { continue };
             match message {
                 LeaseMessage::PartRequest { request_id, whole, offset, .. } => {
-                    asked += 1;
+                    requested_at += 1;
                     let times = [0, 2, 1, 1, 1][dice.random_range(0..5)];
                     coming.extend((0..times).map(|_| part(request_id, whole != 0, number, packed, offset)));
                 }
@@ -55,7 +55,7 @@
                 _ => {}
             }
         }
-        assert!(asked <= 2, "one part ahead, and once more what was said twice");
+        assert!(requested_at <= 2, "one part ahead, and once more what was said twice");
         if one.step_number() == number {
             return at;
         }
--- a/crates/leases/tests/sessions.rs
+++ b/crates/leases/tests/sessions.rs
@@ -30,7 +30,7 @@
     let mut sessions = met();
     assert!(!ready(&sessions, 11_600));
     assert!(ready(&sessions, 11_601));
-    sessions.note_proof(3, millis(11_000));
+    sessions.record_proof(3, millis(11_000));
     assert!(!ready(&sessions, 12_600));
     assert!(ready(&sessions, 12_601));
 }
@@ -41,7 +41,7 @@
     sessions.bound_earlier_proofs(millis(10_000), millis(9100));
     assert!(!ready(&sessions, 10_700));
     assert!(ready(&sessions, 10_701));
-    sessions.note_proof(3, millis(10_050));
+    sessions.record_proof(3, millis(10_050));
     sessions.bound_earlier_proofs(millis(10_000), millis(9000));
     assert!(!ready(&sessions, 11_650), "its proof is from here");
     assert!(ready(&sessions, 11_651));
@@ -50,7 +50,7 @@
 #[test]
 fn a_member_that_comes_again_as_another_incarnation_keeps_the_time_of_its_last_proof() {
     let mut sessions = met();
-    sessions.note_proof(3, millis(10_900));
+    sessions.record_proof(3, millis(10_900));
     sessions.align(millis(11_000), &BTreeMap::from([(1, 1), (2, 1), (3, 2)]), LAPSE);
     assert!(!ready(&sessions, 12_500));
     assert!(ready(&sessions, 12_501));
@@ -66,8 +66,8 @@
 #[test]
 fn what_the_tail_before_told_stands_for_its_members_its_ghosts_and_those_it_never_met() {
     let mut sessions = met();
-    let told = BTreeMap::from([(1, (1, millis(9900))), (7, (1, millis(9800)))]);
-    sessions.take_over(millis(10_000), millis(5000), &told);
+    let activation_sent = BTreeMap::from([(1, (1, millis(9900))), (7, (1, millis(9800)))]);
+    sessions.take_over(millis(10_000), millis(5000), &activation_sent);
     assert!(!ready(&sessions, 11_400), "7 is a member no more and was proved at 9.8 s");
     assert!(ready(&sessions, 11_401), "3 was never met by the tail before");
     sessions.align(millis(11_551), &BTreeMap::from([(1, 1), (2, 1), (3, 1)]), LAPSE);
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -20,7 +20,7 @@
 use events::event;
 use http_server::{ResourceIndex, ServerLimits, Tokens};
 use instance_provider::{InstanceProvider, OwnInstanceProvider, ProviderOrder};
-use kernel::{Directory, InboxSender, SendError, adopt, behind, find, listen, local, thread, wait_for_signal};
+use kernel::{Directory, InboxSender, SendError, adopt, find, listen, listen_address, local, thread, wait_for_signal};
 use leases::{Follower, FollowerTiming, ServingStatus, mix};
 use links::{LinkEvent, LinkOrder, LocalNode};
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +39,7 @@
     let incarnation = rand::random::<u64>() >> 8;
     let me: NodeId = mix(&[b"router", settings.cluster.as_bytes(), settings.address.as_bytes()]) | 1;
     let (peers, callers, ops) =
-        (listen(behind(&settings.bind, &settings.address))?, listen(&settings.listen)?, listen(&settings.ops)?);
+        (listen(listen_address(&settings.bind, &settings.address))?, listen(&settings.listen)?, listen(&settings.ops)?);
     let pages = dialect.pages_address.as_deref().map(listen).transpose()?;
     event!(
         started,
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -55,7 +55,7 @@
             seconds: seconds as u32,
             turned: scheduler.risk.told(now) as u32,
             begun: begun.into(),
-            begun_whole: whole as u8,
+            is_started_complete: whole as u8,
         })
     }
 
@@ -108,7 +108,7 @@
         let now = self.now;
         if let Some(kept) = self.kept.remove(name).filter(|kept| now < kept.at + LASTS) {
             // The owner may have gone on sending after it: what it names as begun is not all.
-            let table = OwnershipTable { begun_whole: 0, ..kept.table };
+            let table = OwnershipTable { is_started_complete: 0, ..kept.table };
             self.take_table(table, Some(kept.at), (kept.at + FOREIGN * 4).min(now + FOREIGN));
         }
     }
@@ -127,7 +127,7 @@
         for name in names {
             let Some(kept) = self.kept.remove(&name).filter(|kept| now < kept.at + LASTS) else { continue };
             let mut table =
-                OwnershipTable { kept: 0, membership: self.membership.number, begun_whole: 0, ..kept.table };
+                OwnershipTable { kept: 0, membership: self.membership.number, is_started_complete: 0, ..kept.table };
             let earlier = self.history.earlier_homes(now, &name);
             let allowances = &self.timing.allowances;
             allowances.as_of_a_copy(earlier, &mut table.requests, &mut table.seconds, &mut table.turned);
@@ -158,11 +158,11 @@
             scheduler.budget.take_over(now, at, table.requests, table.seconds, copied.is_none());
             scheduler.risk.take_over(now, at, table.turned);
             scheduler.sent_tasks =
-                SentTasks::from_table(table.begun_whole != 0, table.begun.iter().map(|id| id.as_str()));
+                SentTasks::from_table(table.is_started_complete != 0, table.begun.iter().map(|id| id.as_str()));
         } else {
             scheduler.budget.learn(now, table.seconds.saturating_sub(scheduler.told.0));
             scheduler.risk.learn(now, table.turned.saturating_sub(scheduler.told.1));
-            scheduler.sent_tasks.learn_more(table.begun_whole != 0, table.begun.iter().map(|id| id.as_str()));
+            scheduler.sent_tasks.learn_more(table.is_started_complete != 0, table.begun.iter().map(|id| id.as_str()));
         }
         scheduler.told = (scheduler.told.0.max(table.seconds), scheduler.told.1.max(table.turned));
         for slot in table.slots.into_vec() {
--- a/crates/traffic/tests/lapse.rs
+++ b/crates/traffic/tests/lapse.rs
@@ -79,7 +79,7 @@
     let outputs = owner.step(ms(60), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     let told = outputs.iter().any(|output| {
         matches!(output, OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. }
-            if table.begun_whole != 0 && table.begun.as_slice().len() == 1)
+            if table.is_started_complete != 0 && table.begun.as_slice().len() == 1)
     });
     assert!(told, "{outputs:?}");
 }
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -47,7 +47,7 @@
     assert!((1..BACKLOG.len()).contains(&at_once), "some are sent, the others wait: {at_once}");
     let outputs = first.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     let handed = told(&outputs).expect("hands over");
-    assert_eq!((handed.begun_whole, begun(&handed)), (1, ids(&BACKLOG)), "also those that it only held");
+    assert_eq!((handed.is_started_complete, begun(&handed)), (1, ids(&BACKLOG)), "also those that it only held");
     let handed_again = told(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
     assert_eq!(begun(&handed_again), ids(&BACKLOG), "should the first be lost");
 
@@ -63,10 +63,10 @@
 fn what_the_home_before_told_and_is_not_read_yet_is_told_on() {
     let mut owner = owner();
     let begun_before = BACKLOG.iter().map(|number| stored(*number).as_str().into()).collect::<Vec<_>>();
-    owner.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
+    owner.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), is_started_complete: 1, ..table(1) }));
     let outputs = owner.step(ms(10), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     let handed = told(&outputs).expect("hands over");
-    assert_eq!((handed.begun_whole, begun(&handed)), (1, ids(&BACKLOG)));
+    assert_eq!((handed.is_started_complete, begun(&handed)), (1, ids(&BACKLOG)));
 }
 
 /// The owner before told of two; the store no longer lists the second.
@@ -74,7 +74,7 @@
 fn what_the_store_no_longer_lists_is_told_no_longer() {
     let mut owner = owner();
     let begun_before = vec![stored(1).as_str().into(), stored(2).as_str().into()];
-    owner.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), begun_whole: 1, ..table(1) }));
+    owner.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), is_started_complete: 1, ..table(1) }));
     read(&mut owner, 20, &[1]);
     let outputs = owner.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1]));
@@ -102,7 +102,7 @@
 fn a_kept_copy_that_is_handed_back_does_not_tell_all_that_was_sent() {
     let mut keeper = owner();
     keeper.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    keeper.step(ms(10), true, given(OwnershipTable { kept: 1, begun_whole: 1, ..table(2) }));
+    keeper.step(ms(10), true, given(OwnershipTable { kept: 1, is_started_complete: 1, ..table(2) }));
     let mut again = (*membership(3, &[OTHER])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
@@ -114,7 +114,7 @@
         }
         _ => None,
     });
-    assert_eq!(handed.expect("handed back").begun_whole, 0);
+    assert_eq!(handed.expect("handed back").is_started_complete, 0);
 }
 
 /// The store was asked, then another was owner and sent what was stored since; the answer comes late.
@@ -136,7 +136,7 @@
     let mut owner = after_a_crash(ME);
     read(&mut owner, 20, &[1]);
     let begun_later = vec![stored(1).as_str().into(), stored(2).as_str().into()];
-    owner.step(ms(100), true, given(OwnershipTable { begun: begun_later.into(), begun_whole: 1, ..table(1) }));
+    owner.step(ms(100), true, given(OwnershipTable { begun: begun_later.into(), is_started_complete: 1, ..table(1) }));
     let outputs = owner.step(ms(200), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1, 2]));
 }
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -71,7 +71,7 @@
 
 /// What an owner knows of one function: handed over to the next owner, or kept by the router that would
 /// be owner next (`kept`). `begun` names stored tasks that were sent at least once and are not done;
-/// without `begun_whole` there were more.
+/// without `is_started_complete` there were more.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct OwnershipTable {
     pub function: Text,
@@ -82,7 +82,7 @@
     pub seconds: u32,
     pub turned: u32,
     pub begun: List<Text>,
-    pub begun_whole: u8,
+    pub is_started_complete: u8,
 }
 
 /// An instance as the provider lists it.
--- a/crates/wire/tests/samples/forward.rs
+++ b/crates/wire/tests/samples/forward.rs
@@ -20,7 +20,7 @@
         seconds: 204,
         turned: 205,
         begun: vec!["id".into()].into(),
-        begun_whole: 2,
+        is_started_complete: 2,
     }
 }
 
