--- a/crates/control/src/configuration_reads.rs
+++ b/crates/control/src/configuration_reads.rs
@@ -13,26 +13,16 @@
 
 const PAGE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-pub struct ReadJob {
-    /// The number under which the newest page was asked for; answers to earlier asks are not for it.
-    pub page_request_id: u64,
-    pub scope: String,
-    pub step: Option<u64>,
-    pub pairs: BTreeMap<String, Vec<u8>>,
-    pub asked: Duration,
-    pub due: Duration,
-}
-
 impl Core {
     pub(crate) fn tick_reads(&mut self) {
         let now = self.now;
-        let asks: Vec<u64> = self.reads.keys().copied().collect();
-        for request_id in asks {
-            let Some(read) = self.reads.get(&request_id) else { continue };
+        let open: Vec<u64> = self.calls.reads.keys().copied().collect();
+        for request_id in open {
+            let Some(read) = self.calls.reads.get(&request_id) else { continue };
             if now > read.due {
-                self.reads.remove(&request_id);
+                self.calls.reads.remove(&request_id);
                 self.busy(request_id, "the tail could not be reached in time");
-            } else if now > read.asked + PAGE_RETRY_INTERVAL {
+            } else if now > read.requested_at + PAGE_RETRY_INTERVAL {
                 self.read_on(request_id, String::new());
             }
         }
@@ -40,10 +30,10 @@
 
     pub(crate) fn read_on(&mut self, request_id: u64, from: String) {
         let Some(tail) = self.member.view().chain.as_slice().last().copied() else { return };
-        self.next_op += 1;
-        if let Some(read) = self.reads.get_mut(&request_id) {
-            read.asked = self.now;
-            read.page_request_id = self.next_op;
+        let page_request_id = self.proposals.next_number();
+        if let Some(read) = self.calls.reads.get_mut(&request_id) {
+            read.requested_at = self.now;
+            read.page_request_id = page_request_id;
             if from.is_empty() {
                 read.step = None;
                 read.pairs.clear();
@@ -61,7 +51,8 @@
         items: Vec<ConfigurationItem>,
         next: &str,
     ) {
-        let Some((request_id, read)) = self.reads.iter_mut().find(|(_, read)| read.page_request_id == page_request_id)
+        let Some((request_id, read)) =
+            self.calls.reads.iter_mut().find(|(_, read)| read.page_request_id == page_request_id)
         else {
             return;
         };
@@ -74,7 +65,7 @@
         if !next.is_empty() {
             return self.read_on(request_id, next.to_owned());
         }
-        if let Some(read) = self.reads.remove(&request_id) {
+        if let Some(read) = self.calls.reads.remove(&request_id) {
             let mut reply = ApiReply::new(200, document(revision, &read.scope, &read.pairs));
             reply.revision = Some(revision);
             self.reply(request_id, reply);
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -3,18 +3,15 @@
 //! sockets and disks, the simulator from seeded ones.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::configuration_reads::ReadJob;
-use crate::deferred_calls::DeferredCall;
+use crate::duty_timers::DutyTimers;
 use crate::keys;
-use crate::membership_updates::MembershipUpdates;
-use crate::operator_calls::Activation;
-use crate::packed_steps::PackedSteps;
-use crate::proposals::Duty;
-use crate::tail_tenure::{PredecessorProofs, Tenure};
+use crate::open_calls::OpenCalls;
+use crate::pending_proposals::PendingProposals;
+use crate::push_state::PushState;
+use crate::router_requests::RouterRequests;
+use crate::tail_role::TailRole;
 use chain::{Batch, ChainReplica, Input, Output, State, Stored};
 use leases::Sessions;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::rc::Rc;
 use std::time::Duration;
 use wire::{ChainMessage, LeaseMessage, NodeId, View};
 
@@ -73,21 +70,7 @@
     CaughtUp { missed_entries: Option<usize> },
 }
 
-pub enum PendingProposal {
-    Duty(Duty),
-    Router {
-        to: NodeId,
-        request_id: u64,
-    },
-    /// `again`: it was entered before, in an earlier view, and may be in the log already.
-    Change {
-        request_id: u64,
-        op: String,
-        body: Vec<u8>,
-        again: bool,
-    },
-}
-
+/// The control plane's state machine: the coordinator of a chain replica and of what the tail does with it.
 pub struct Core {
     pub(crate) member: ChainReplica,
     pub(crate) timing: CoreTiming,
@@ -95,70 +78,35 @@
     pub(crate) now: Duration,
     pub(crate) outs: Vec<CoreOutput>,
     pub(crate) sessions: Sessions,
-    pub(crate) tail_since: Option<Duration>,
-    /// The unbroken run of views as the tail that the sessions belong to.
-    pub(crate) tenure: Option<Tenure>,
-    pub(crate) predecessor_proofs: Option<PredecessorProofs>,
-    pub(crate) jobs: VecDeque<(u64, NodeId, u64, LeaseMessage)>,
-    /// Renewals that wait for the next round of confirmation.
-    pub(crate) renewals: Vec<(NodeId, u64, LeaseMessage)>,
-    pub(crate) round_requested_at: Duration,
-    pub(crate) pending_proposals: BTreeMap<u64, (PendingProposal, Duration)>,
-    pub(crate) open: BTreeSet<Duty>,
-    pub(crate) next_op: u64,
-    pub(crate) reads: BTreeMap<u64, ReadJob>,
-    pub(crate) deferred_calls: Vec<DeferredCall>,
-    pub(crate) activations: Vec<Activation>,
-    pub(crate) effective: u64,
-    pub(crate) ticked_at: Duration,
-    pub(crate) duties_at: Duration,
-    pub(crate) membership_updates: MembershipUpdates,
-    pub(crate) packed: PackedSteps,
-    /// Members by incarnation, as of a membership's number, and when the sessions were last held against them.
-    pub(crate) known: (u64, Rc<BTreeMap<NodeId, u64>>),
-    pub(crate) aligned: Option<(u64, Duration)>,
-    pub(crate) pushed_at: Duration,
-    pub(crate) pushed_commit: u64,
-    pub(crate) push_due: bool,
-    pub(crate) members_since: (Vec<NodeId>, Duration),
+    pub(crate) tail: TailRole,
+    pub(crate) requests: RouterRequests,
+    pub(crate) proposals: PendingProposals,
+    pub(crate) calls: OpenCalls,
+    pub(crate) duties: DutyTimers,
+    pub(crate) pushes: PushState,
 }
 
 impl Core {
-    pub fn new(member: ChainReplica, timing: CoreTiming, first_op: u64) -> Self {
+    /// A core over a replica, whose proposals and rounds are numbered from `first_number` on, differently in each
+    /// incarnation.
+    pub fn new(member: ChainReplica, timing: CoreTiming, first_number: u64) -> Self {
         Core {
-            member: member.numbering_rounds_from(first_op),
+            member: member.numbering_rounds_from(first_number),
             timing,
             format: wire::FORMAT,
             now: Duration::ZERO,
             outs: Vec::new(),
             sessions: Sessions::default(),
-            tail_since: None,
-            tenure: None,
-            predecessor_proofs: None,
-            jobs: VecDeque::new(),
-            renewals: Vec::new(),
-            round_requested_at: Duration::ZERO,
-            pending_proposals: BTreeMap::new(),
-            open: BTreeSet::new(),
-            next_op: first_op,
-            reads: BTreeMap::new(),
-            deferred_calls: Vec::new(),
-            activations: Vec::new(),
-            effective: 0,
-            ticked_at: Duration::ZERO,
-            duties_at: Duration::ZERO,
-            membership_updates: MembershipUpdates::default(),
-            packed: PackedSteps::default(),
-            known: (0, Rc::default()),
-            aligned: None,
-            pushed_at: Duration::ZERO,
-            pushed_commit: 0,
-            push_due: false,
-            members_since: (Vec::new(), Duration::ZERO),
+            tail: TailRole::default(),
+            requests: RouterRequests::default(),
+            proposals: PendingProposals::new(first_number),
+            calls: OpenCalls::default(),
+            duties: DutyTimers::default(),
+            pushes: PushState::default(),
         }
     }
 
-    /// Enters nothing that a program of this format could not read.
+    /// Proposes nothing that a program of this format could not read.
     pub fn speaking(mut self, format: u16) -> Self {
         self.format = format;
         self
@@ -191,7 +139,7 @@
             CoreInput::Written { ticket } => self.chain(Input::Written { ticket }),
             CoreInput::DiskError => self.chain(Input::DiskError),
             CoreInput::DiskRecovered { stored } => {
-                self.tail_since = None;
+                self.tail.lose();
                 self.chain(Input::DiskRecovered { stored: *stored });
             }
             CoreInput::Router { from, incarnation, message } => self.router(from, incarnation, message),
@@ -229,7 +177,7 @@
                     reviewed = true;
                 }
                 Output::ViewLearned { view } => self.outs.push(CoreOutput::ViewLearned { view }),
-                Output::ProposalDone { op, appended, reply } => self.done(op, appended, reply),
+                Output::ProposalDone { op, appended, reply } => self.handle_proposal_done(op, appended, reply),
                 Output::Confirmed { round } => self.confirmed(round),
                 Output::CaughtUp { missed_entries } => self.outs.push(CoreOutput::CaughtUp { missed_entries }),
                 Output::Committed { .. } => {}
--- a/crates/control/src/deferred_calls.rs
+++ b/crates/control/src/deferred_calls.rs
@@ -5,28 +5,22 @@
 use crate::apply_change::{self, Change};
 use crate::core::Core;
 use crate::keys;
+use crate::open_calls::DeferredCall;
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
 /// How long a call waits for the revision that it builds on to be committed here.
 pub(crate) const MAX_DEFERRAL: Duration = Duration::from_millis(600);
 
-/// A call to be judged by this registry's state once that is new enough.
-pub struct DeferredCall {
-    pub request_id: u64,
-    pub call: ApiCall,
-    pub due: Duration,
-}
-
 impl Core {
     /// Answers the calls whose revision is committed here by now, and those that have waited for long: a
     /// registry that is behind can't tell whether a change fits, and must refuse none.
     pub(crate) fn answer_deferred_calls(&mut self) {
-        if self.deferred_calls.is_empty() {
+        if self.calls.deferred.is_empty() {
             return;
         }
         let revision = keys::number(self.state(), keys::LATEST_REVISION);
-        for waiting in std::mem::take(&mut self.deferred_calls) {
+        for waiting in std::mem::take(&mut self.calls.deferred) {
             let is_new_enough = waiting.call.builds_on().is_none_or(|needed| needed <= revision);
             match waiting.call {
                 ApiCall::Latest { keys, .. } if is_new_enough || self.now > waiting.due => {
@@ -42,7 +36,7 @@
                 _ if self.now > waiting.due => {
                     self.busy(waiting.request_id, "this registry does not know that revision")
                 }
-                call => self.deferred_calls.push(DeferredCall { call, ..waiting }),
+                call => self.calls.deferred.push(DeferredCall { call, ..waiting }),
             }
         }
     }
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -4,25 +4,18 @@
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::apply_change;
-use crate::configuration_reads::ReadJob;
-use crate::core::{Core, CoreOutput, PendingProposal};
-use crate::deferred_calls::{DeferredCall, MAX_DEFERRAL};
+use crate::core::{Core, CoreOutput};
+use crate::deferred_calls::MAX_DEFERRAL;
+use crate::open_calls::{AwaitedActivation, ConfigurationRead, DeferredCall};
+use crate::pending_proposals::Origin;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use std::time::Duration;
 use wire::{Command, CommandReply};
 
 /// The format that first knew declared revisions.
 const DECLARES: u16 = 3;
-const MAX_CALLS: usize = 256;
-
-pub struct Activation {
-    pub request_id: u64,
-    pub op: String,
-    pub step: u64,
-    pub revision: u64,
-    pub due: Duration,
-}
+/// So many calls may be open at once.
+const MAX_OPEN_CALLS: usize = 4096;
 
 impl Core {
     pub(crate) fn reply(&mut self, request_id: u64, reply: ApiReply) {
@@ -47,16 +40,14 @@
             let body = self.status();
             return self.reply(request_id, ApiReply::new(200, body));
         }
-        if self.pending_proposals.len() + self.reads.len() + self.activations.len() + self.deferred_calls.len()
-            >= MAX_CALLS * 16
-        {
+        if self.proposals.len() + self.calls.len() >= MAX_OPEN_CALLS {
             return self.busy(request_id, "too many calls at once");
         }
         if !self.member.is_in_chain() {
             return self.busy(request_id, "this registry is not in the chain at present; ask another");
         }
         if call.builds_on().is_some() {
-            self.deferred_calls.push(DeferredCall { request_id, call, due: self.now + MAX_DEFERRAL });
+            self.calls.deferred.push(DeferredCall { request_id, call, due: self.now + MAX_DEFERRAL });
             return self.answer_deferred_calls();
         }
         match call {
@@ -75,18 +66,24 @@
                     }
                 };
                 let body = wire::to_bytes(&command);
-                self.propose_raw(PendingProposal::Change { request_id, op, body: body.clone(), again: false }, body);
+                self.propose_raw(Origin::Change { request_id, op, body: body.clone(), may_be_appended: false }, body);
             }
             ApiCall::Configuration { scope } => {
                 let due = self.now + self.timing.call;
-                let read =
-                    ReadJob { page_request_id: 0, scope, step: None, pairs: BTreeMap::new(), asked: self.now, due };
-                self.reads.insert(request_id, read);
+                let read = ConfigurationRead {
+                    page_request_id: 0,
+                    scope,
+                    step: None,
+                    pairs: BTreeMap::new(),
+                    requested_at: self.now,
+                    due,
+                };
+                self.calls.reads.insert(request_id, read);
                 self.read_on(request_id, String::new());
             }
             ApiCall::Operation { op } => {
                 let reply = match apply_change::outcome(self.state(), &op) {
-                    Some(CommandReply::Changed { step, revision }) if step <= self.effective => {
+                    Some(CommandReply::Changed { step, revision }) if step <= self.calls.active_step => {
                         ApiReply::new(200, json!({"operation": op, "outcome": "in-force", "revision": revision}))
                     }
                     Some(CommandReply::Changed { revision, .. }) => {
@@ -103,8 +100,15 @@
         }
     }
 
-    pub(crate) fn change_done(&mut self, request_id: u64, op: String, again: bool, appended: bool, reply: &[u8]) {
-        if !appended && again {
+    pub(crate) fn change_done(
+        &mut self,
+        request_id: u64,
+        op: String,
+        may_be_appended: bool,
+        appended: bool,
+        reply: &[u8],
+    ) {
+        if !appended && may_be_appended {
             return self.unknown(request_id, &op);
         }
         if !appended {
@@ -113,8 +117,8 @@
         match wire::from_bytes::<CommandReply>(reply) {
             Some(CommandReply::Changed { step, revision }) => {
                 let due = self.now + self.timing.call;
-                self.activations.push(Activation { request_id, op, step, revision, due });
-                self.activated(self.effective);
+                self.calls.activations.push(AwaitedActivation { request_id, op, step, revision, due });
+                self.activated(self.calls.active_step);
             }
             Some(CommandReply::Refused { status, body }) => {
                 let detail: Value = serde_json::from_slice(body.as_slice()).unwrap_or_default();
@@ -128,11 +132,7 @@
     }
 
     pub(crate) fn activated(&mut self, step: u64) {
-        let list = std::mem::take(&mut self.activations);
-        let (ready, rest) = list.into_iter().partition(|waiting| waiting.step <= step);
-        self.activations = rest;
-        let ready: Vec<Activation> = ready;
-        for done in ready {
+        for done in self.calls.take_activated(step) {
             let body = json!({"outcome": "in-force", "operation": done.op, "revision": done.revision});
             let mut reply = ApiReply::new(200, body);
             reply.revision = Some(done.revision);
@@ -141,11 +141,8 @@
     }
 
     pub(crate) fn tick_calls(&mut self) {
-        let now = self.now;
-        let list = std::mem::take(&mut self.activations);
-        let (late, rest): (Vec<Activation>, Vec<Activation>) = list.into_iter().partition(|w| now > w.due);
-        self.activations = rest;
-        late.into_iter().for_each(|waiting| self.unknown(waiting.request_id, &waiting.op));
+        let overdue = self.calls.take_overdue_activations(self.now);
+        overdue.into_iter().for_each(|waiting| self.unknown(waiting.request_id, &waiting.op));
         self.answer_deferred_calls();
         self.tick_reads();
     }
--- a/crates/control/src/packed_steps.rs
+++ b/crates/control/src/packed_steps.rs
@@ -72,7 +72,7 @@
 
 impl Core {
     pub(crate) fn on_part_request(&mut self, from: NodeId, request_id: u64, whole: bool, number: u64, offset: u32) {
-        if self.tail_since.is_none() {
+        if !self.tail.is_held() {
             return self.not_tail(from);
         }
         let now = self.now;
@@ -80,7 +80,7 @@
             session.pushed_at = now;
         }
         let state = self.state().clone();
-        if let Some(message) = self.packed.part(&state, request_id, whole, number, offset) {
+        if let Some(message) = self.pushes.packed_steps.part(&state, request_id, whole, number, offset) {
             self.outs.push(CoreOutput::Router { to: from, message });
         }
     }
--- a/crates/control/src/proposals.rs
+++ b/crates/control/src/proposals.rs
@@ -1,67 +1,65 @@
-//! Entering commands into the chain on behalf of duties, routers and operators, and what came of them.
+//! Proposing commands to the chain on behalf of duties, routers and operators, and what came of them.
 
-use crate::core::{Core, CoreOutput, PendingProposal};
+use crate::core::{Core, CoreOutput};
+use crate::pending_proposals::{Duty, Origin, PendingProposal};
 use chain::Input;
 use std::time::Duration;
-use wire::{Command, LeaseMessage, NodeId, ProposalId};
+use wire::{Command, LeaseMessage, ProposalId};
 
-/// What the tail enters by itself. Of each, one entry at a time is on its way.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Duty {
-    Tick,
-    Activate,
-    Quorum,
-    Join { id: NodeId, incarnation: u64 },
-    Leaving { id: NodeId, incarnation: u64 },
-    Lapse { id: NodeId, incarnation: u64 },
-}
-
-/// A duty may be entered twice without harm; one that was lost on the way holds up the others no longer.
+/// A duty may be proposed twice without harm; one that was lost on the way holds up the others no longer.
 const DUTY_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Core {
-    /// What was on its way to the head of the view before may be lost with it. Duties are begun anew, and
-    /// a change is entered again: under its operation id it takes effect once.
+    /// What was on its way to the head of the view before may be lost with it. Duties are started anew, and a
+    /// change is proposed again: under its operation id it takes effect once.
     pub(crate) fn propose_again(&mut self) {
-        self.pending_proposals.retain(|_, (wait, _)| !matches!(wait, PendingProposal::Duty(_)));
-        self.open.clear();
-        let again =
-            self.pending_proposals.extract_if(.., |_, (wait, _)| matches!(wait, PendingProposal::Change { .. }));
-        for (_, (mut wait, due)) in again.collect::<Vec<_>>() {
-            let PendingProposal::Change { body, again, .. } = &mut wait else { continue };
-            *again = true;
+        for mut proposal in self.proposals.take_after_view_change() {
+            let Origin::Change { body, may_be_appended, .. } = &mut proposal.origin else { continue };
+            *may_be_appended = true;
             let body = body.clone();
-            self.next_op += 1;
-            let number = self.next_op;
-            self.pending_proposals.insert(number, (wait, due));
-            self.chain(Input::Propose { op: ProposalId { origin: self.me(), number }, body });
+            self.propose_pending(proposal, body);
         }
     }
 
     pub(crate) fn propose_duty(&mut self, duty: Duty, command: &Command) {
-        if self.open.insert(duty) {
-            self.propose_raw(PendingProposal::Duty(duty), wire::to_bytes(command));
+        if self.proposals.start_duty(duty) {
+            self.propose_raw(Origin::Duty(duty), wire::to_bytes(command));
         }
     }
 
-    pub(crate) fn propose_raw(&mut self, wait: PendingProposal, body: Vec<u8>) {
-        self.next_op += 1;
-        let number = self.next_op;
-        let due = self.now + if matches!(wait, PendingProposal::Duty(_)) { DUTY_TIMEOUT } else { self.timing.call };
-        self.pending_proposals.insert(number, (wait, due));
+    pub(crate) fn propose_raw(&mut self, origin: Origin, body: Vec<u8>) {
+        let timeout = if matches!(origin, Origin::Duty(_)) { DUTY_TIMEOUT } else { self.timing.call };
+        self.propose_pending(PendingProposal { origin, due: self.now + timeout }, body);
+    }
+
+    fn propose_pending(&mut self, proposal: PendingProposal, body: Vec<u8>) {
+        let number = self.proposals.add(proposal);
         self.chain(Input::Propose { op: ProposalId { origin: self.me(), number }, body });
     }
 
-    pub(crate) fn done(&mut self, op: ProposalId, appended: bool, reply: Vec<u8>) {
-        let Some((wait, _)) = self.pending_proposals.remove(&op.number) else { return };
-        match wait {
-            PendingProposal::Duty(duty) => drop(self.open.remove(&duty)),
-            PendingProposal::Router { to, request_id } => {
+    pub(crate) fn handle_proposal_done(&mut self, op: ProposalId, appended: bool, reply: Vec<u8>) {
+        match self.proposals.remove(op.number) {
+            Some(Origin::Router { to, request_id }) => {
                 let message = LeaseMessage::ProposalAck { request_id, state: appended as u8, body: reply.into() };
                 self.outs.push(CoreOutput::Router { to, message });
             }
-            PendingProposal::Change { request_id, op, again, .. } => {
-                self.change_done(request_id, op, again, appended, &reply)
+            Some(Origin::Change { request_id, op, may_be_appended, .. }) => {
+                self.change_done(request_id, op, may_be_appended, appended, &reply)
+            }
+            Some(Origin::Duty(_)) | None => {}
+        }
+    }
+
+    /// Gives up proposals whose outcome did not come in time.
+    pub(crate) fn expire_proposals(&mut self) {
+        for number in self.proposals.overdue(self.now) {
+            match self.proposals.remove(number) {
+                Some(Origin::Router { to, request_id }) => {
+                    let message = LeaseMessage::ProposalAck { request_id, state: 2, body: Vec::new().into() };
+                    self.outs.push(CoreOutput::Router { to, message });
+                }
+                Some(Origin::Change { request_id, op, .. }) => self.unknown(request_id, &op),
+                Some(Origin::Duty(_)) | None => {}
             }
         }
     }
--- a/crates/control/src/router_messages.rs
+++ b/crates/control/src/router_messages.rs
@@ -2,40 +2,39 @@
 //! entered and state read on a router's behalf. Whatever claims to be current waits for a round begun
 //! after it was asked; renewals that come close together share one.
 
-use crate::core::{Core, CoreOutput, PendingProposal};
+use crate::core::{Core, CoreOutput};
 use crate::keys;
-use crate::proposals::Duty;
+use crate::pending_proposals::{Duty, Origin};
+use crate::router_requests::RouterRequest;
 use std::time::Duration;
 use wire::{LeaseMessage, List, NodeId};
 
-const MAX_JOBS: usize = 4096;
 const MAX_PENDING_PROPOSALS: usize = 8192;
-const SHARED_ROUND_INTERVAL: Duration = Duration::from_millis(15);
 
 impl Core {
     pub(crate) fn router(&mut self, from: NodeId, incarnation: u64, message: LeaseMessage) {
         match message {
-            LeaseMessage::Renew { .. } if self.tail_since.is_some() && self.renewals.len() < MAX_JOBS => {
-                self.renewals.push((from, incarnation, message));
+            LeaseMessage::Renew { .. } if self.tail.is_held() && self.requests.has_renewal_capacity() => {
+                self.requests.add_renewal(RouterRequest { from, incarnation, message });
                 self.confirm_renewals();
             }
             LeaseMessage::PartRequest { request_id, whole, number, offset } => {
                 self.on_part_request(from, request_id, whole != 0, number, offset)
             }
             LeaseMessage::Renew { .. } | LeaseMessage::ConfigurationRequest { .. } | LeaseMessage::Read { .. } => {
-                if self.tail_since.is_none() {
+                if !self.tail.is_held() {
                     self.not_tail(from);
-                } else if self.jobs.len() < MAX_JOBS {
+                } else if self.requests.has_capacity() {
                     let round = self.request_round();
-                    self.jobs.push_back((round, from, incarnation, message));
+                    self.requests.add(round, RouterRequest { from, incarnation, message });
                 }
             }
-            LeaseMessage::Join { address, zone, ops } if self.tail_since.is_some() => {
+            LeaseMessage::Join { address, zone, ops } if self.tail.is_held() => {
                 let id = from;
                 let command = wire::Command::Join { id, incarnation, address, zone, ops };
                 self.propose_duty(Duty::Join { id, incarnation }, &command);
             }
-            LeaseMessage::JoinWithCapacity { address, zone, ops, hashing, capacity } if self.tail_since.is_some() => {
+            LeaseMessage::JoinWithCapacity { address, zone, ops, hashing, capacity } if self.tail.is_held() => {
                 let id = from;
                 let command = match self.format >= wire::CAPACITY {
                     true => wire::Command::JoinWithCapacity { id, incarnation, address, zone, ops, hashing, capacity },
@@ -43,7 +42,7 @@
                 };
                 self.propose_duty(Duty::Join { id, incarnation }, &command);
             }
-            LeaseMessage::Leave { .. } | LeaseMessage::Leaving if self.tail_since.is_some() => {
+            LeaseMessage::Leave { .. } | LeaseMessage::Leaving if self.tail.is_held() => {
                 let id = from;
                 self.propose_duty(Duty::Leaving { id, incarnation }, &wire::Command::Leaving { id, incarnation });
             }
@@ -52,21 +51,22 @@
                     && session.incarnation == incarnation
                 {
                     session.staged = session.staged.max(number);
-                    self.push_due = true;
+                    self.pushes.make_due();
                 }
             }
             LeaseMessage::Propose { request_id, body } => {
-                if self.pending_proposals.len() >= MAX_PENDING_PROPOSALS {
+                if self.proposals.len() >= MAX_PENDING_PROPOSALS {
                     let message = LeaseMessage::ProposalAck { request_id, state: 0, body: Vec::new().into() };
                     return self.outs.push(CoreOutput::Router { to: from, message });
                 }
-                self.propose_raw(PendingProposal::Router { to: from, request_id }, body.into_vec());
+                self.propose_raw(Origin::Router { to: from, request_id }, body.into_vec());
             }
             LeaseMessage::ConfigurationPage { request_id, step, revision, items, next, .. } => {
                 self.on_configuration_page(request_id, step, revision, items.into_vec(), next.as_str())
             }
             LeaseMessage::Proofs { view, earlier_millis, proofs } => {
-                self.on_proofs(view, earlier_millis, proofs.into_vec())
+                let earlier = Duration::from_millis(earlier_millis);
+                self.tail.record_report(view, earlier, proofs.into_vec(), self.now);
             }
             _ => {}
         }
@@ -81,10 +81,7 @@
     }
 
     pub(crate) fn confirmed(&mut self, round: u64) {
-        while let Some((needed, ..)) = self.jobs.front()
-            && *needed <= round
-        {
-            let Some((_, from, incarnation, message)) = self.jobs.pop_front() else { break };
+        while let Some(RouterRequest { from, incarnation, message }) = self.requests.next_confirmed(round) {
             match message {
                 LeaseMessage::Renew { request_id, staged, active, membership } => {
                     self.prove(from, incarnation, request_id, staged, active, membership)
@@ -104,7 +101,7 @@
     }
 
     pub(crate) fn confirm_renewals(&mut self) {
-        if !self.renewals.is_empty() && self.now >= self.round_requested_at + SHARED_ROUND_INTERVAL {
+        if self.requests.is_round_due(self.now) {
             self.request_round();
         }
     }
--- a/crates/control/src/router_pushes.rs
+++ b/crates/control/src/router_pushes.rs
@@ -12,22 +12,18 @@
 /// A part or a membership may take so long over a thin link with others before it.
 const PUSH_RETRY_INTERVAL: Duration = Duration::from_millis(700);
 const ACTIVATION_RETRY_INTERVAL: Duration = Duration::from_millis(150);
-const ALIGN_INTERVAL: Duration = Duration::from_millis(50);
 /// The first format with packed parts and differences of memberships.
 const PARTS: u16 = 4;
 
 impl Core {
     /// The members by incarnation, with the sessions brought in line with them.
     pub(crate) fn align(&mut self) -> Rc<BTreeMap<NodeId, u64>> {
-        let number = keys::number(self.state(), keys::MEMBERSHIP);
-        if self.known.0 != number {
-            self.known = (number, Rc::new(keys::incarnations(self.state())));
-        }
-        if self.aligned.is_none_or(|(membership, at)| membership != number || self.now >= at + ALIGN_INTERVAL) {
-            self.aligned = Some((number, self.now));
-            self.sessions.align(self.now, &self.known.1, self.timing.lapse);
+        let state = self.state().clone();
+        let members = self.pushes.members(&state);
+        if self.pushes.take_alignment(&state, self.now) {
+            self.sessions.align(self.now, &members, self.timing.lapse);
         }
-        self.known.1.clone()
+        members
     }
 
     pub(crate) fn push(&mut self) {
@@ -36,13 +32,13 @@
         let active = keys::number(&state, keys::ACTIVE);
         let latest = keys::number(&state, keys::LATEST);
         self.align();
-        let number = self.membership_updates.newest(now, &state);
+        let number = self.pushes.membership_updates.newest(now, &state);
         let mut outs = Vec::new();
         for (id, session) in self.sessions.table.iter_mut().filter(|(_, session)| !session.departed) {
             if let Some(next) = next_step(now, session, active, latest) {
                 let step = match self.format {
                     ..PARTS => keys::step(&state, next).map(|step| LeaseMessage::Stage { step }),
-                    _ => self.packed.part(&state, 0, false, next, 0),
+                    _ => self.pushes.packed_steps.part(&state, 0, false, next, 0),
                 };
                 session.pushed = next;
                 session.pushed_at = now;
@@ -61,8 +57,8 @@
                 session.membership_sent = number;
                 session.membership_sent_at = now;
                 let membership = match self.format {
-                    ..PARTS => self.membership_updates.newest_complete(),
-                    _ => self.membership_updates.change(session.membership),
+                    ..PARTS => self.pushes.membership_updates.newest_complete(),
+                    _ => self.pushes.membership_updates.change(session.membership),
                 };
                 outs.extend(membership.map(|message| (*id, message)));
             }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -35,7 +35,7 @@
             },
             "role": if self.member.is_head() { "head" } else if self.member.is_tail() { "tail" }
                 else if self.member.is_in_chain() { "middle" } else { "out" },
-            "current_tail": self.tail_since.is_some(),
+            "current_tail": self.tail.is_held(),
             "positions": {"last": last, "synced": synced, "committed": committed},
             "revision": {
                 "active": keys::number(state, keys::ACTIVE_REVISION), "latest": keys::number(state, keys::LATEST_REVISION),
@@ -46,7 +46,7 @@
             "claims": keys::number(state, keys::CLAIMS),
             "deferred": keys::number(state, keys::STORED),
             "members": members,
-            "waits": self.pending_proposals.len(), "jobs": self.jobs.len(),
+            "waits": self.proposals.len(), "jobs": self.requests.len(),
         })
     }
 }
--- a/crates/control/src/tail_duties.rs
+++ b/crates/control/src/tail_duties.rs
@@ -4,40 +4,34 @@
 
 use crate::core::Core;
 use crate::keys;
-use crate::proposals::Duty;
-use std::time::Duration;
+use crate::pending_proposals::Duty;
 use wire::Command;
 use wire::NodeId;
 
-const DUTIES_INTERVAL: Duration = Duration::from_millis(50);
 /// In a fleet of more, a change of a few machines in the quorum can wait.
 const SMALL_FLEET: usize = 12;
 
 impl Core {
-    pub(crate) fn duties(&mut self) {
-        if self.tail_since.is_none() || self.now < self.duties_at + DUTIES_INTERVAL {
+    pub(crate) fn maybe_start_duties(&mut self) {
+        if !self.tail.is_held() || !self.duties.take_due(self.now) {
             return;
         }
-        self.duties_at = self.now;
         self.request_round();
     }
 
     pub(crate) fn request_round(&mut self) -> u64 {
         let round = self.member.request_confirmation();
-        self.round_requested_at = self.now;
-        let renewals = self.renewals.drain(..).map(|(from, incarnation, message)| (round, from, incarnation, message));
-        self.jobs.extend(renewals);
+        self.requests.record_round(round, self.now);
         self.chain(chain::Input::Confirm);
         round
     }
 
     pub(crate) fn duties_confirmed(&mut self) {
-        if self.tail_since.is_none() {
+        if !self.tail.is_held() {
             return;
         }
         let members = self.align();
-        if self.now >= self.ticked_at + self.timing.tick {
-            self.ticked_at = self.now;
+        if self.duties.take_tick(self.now, self.timing.tick) {
             let number = keys::number(self.state(), keys::TICKS) + 1;
             self.propose_duty(Duty::Tick, &Command::Tick { number });
         }
@@ -67,10 +61,7 @@
     }
 
     fn renew_quorum(&mut self, members: Vec<NodeId>) {
-        if self.members_since.0 != members {
-            self.members_since = (members, self.now);
-            return;
-        }
+        let Some(since) = self.duties.members_since(&members, self.now) else { return };
         let active = keys::number(self.state(), keys::ACTIVE);
         let latest = keys::number(self.state(), keys::LATEST);
         let quorum = keys::quorum(self.state(), active);
@@ -81,7 +72,7 @@
         let known = members.iter().filter(|id| quorum.contains(id)).count();
         let few = known * 4 >= members.len().max(quorum.len()) * 3 && members.len() > SMALL_FLEET;
         let calm = if few { self.timing.calm * 5 } else { self.timing.calm };
-        if self.now >= self.members_since.1 + calm {
+        if self.now >= since + calm {
             self.propose_duty(Duty::Quorum, &Command::Quorum { after: latest, members: members.into() });
         }
     }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -15,4 +15,4 @@
 pub use follower::{Follower, FollowerInput, FollowerOutput, FollowerTiming, first_number};
 pub use membership::{HASHING, Member, Membership, MembershipChange, mix};
 pub use serving_status::{ServingEvent, ServingStateMachine, ServingStatus};
-pub use sessions::{Session, Sessions};
+pub use sessions::{GrantedLease, Session, Sessions};
--- a/crates/leases/src/sessions.rs
+++ b/crates/leases/src/sessions.rs
@@ -25,6 +25,15 @@
     pub membership_sent_at: Duration,
 }
 
+/// A lease that another tail may have granted.
+#[derive(Clone, Copy, Debug)]
+pub struct GrantedLease {
+    /// The router's incarnation.
+    pub incarnation: u64,
+    /// When the router can last have requested it.
+    pub requested_at: Duration,
+}
+
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
     pub table: BTreeMap<NodeId, Session>,
@@ -80,16 +89,16 @@
 
     /// Takes over from the tail before, which reported everyone it had in its table. A member it did not report
     /// was granted nothing by it; `earlier` bounds what tails before that one granted.
-    pub fn take_over(&mut self, since: Duration, earlier: Duration, reported: &BTreeMap<NodeId, (u64, Duration)>) {
+    pub fn take_over(&mut self, since: Duration, earlier: Duration, reported: &BTreeMap<NodeId, GrantedLease>) {
         for (id, session) in self.table.iter_mut().filter(|(_, session)| session.proved_at <= since) {
-            let until = reported.get(id).map_or(earlier, |(_, requested_at)| *requested_at);
+            let until = reported.get(id).map_or(earlier, |lease| lease.requested_at);
             session.lease_requested_until = session.lease_requested_until.min(until);
         }
-        for (id, (incarnation, requested_at)) in reported {
+        for (id, lease) in reported {
             self.table.entry(*id).or_insert_with(|| Session {
-                incarnation: *incarnation,
-                proved_at: *requested_at,
-                lease_requested_until: *requested_at,
+                incarnation: lease.incarnation,
+                proved_at: lease.requested_at,
+                lease_requested_until: lease.requested_at,
                 departed: true,
                 ..Session::default()
             });
--- a/crates/leases/tests/sessions.rs
+++ b/crates/leases/tests/sessions.rs
@@ -1,6 +1,6 @@
 //! The tail's table: which members a step still waits for.
 
-use leases::Sessions;
+use leases::{GrantedLease, Sessions};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -64,10 +64,11 @@
 }
 
 #[test]
-fn what_the_tail_before_told_stands_for_its_members_its_ghosts_and_those_it_never_met() {
+fn what_the_former_tail_reported_bounds_its_members_departed_ones_and_those_it_never_met() {
     let mut sessions = met();
-    let activation_sent = BTreeMap::from([(1, (1, millis(9900))), (7, (1, millis(9800)))]);
-    sessions.take_over(millis(10_000), millis(5000), &activation_sent);
+    let granted_at = |at: u64| GrantedLease { incarnation: 1, requested_at: millis(at) };
+    let reported = BTreeMap::from([(1, granted_at(9900)), (7, granted_at(9800))]);
+    sessions.take_over(millis(10_000), millis(5000), &reported);
     assert!(!ready(&sessions, 11_400), "7 is a member no more and was proved at 9.8 s");
     assert!(ready(&sessions, 11_401), "3 was never met by the tail before");
     sessions.align(millis(11_551), &BTreeMap::from([(1, 1), (2, 1), (3, 1)]), LAPSE);
