--- a/crates/leases/src/configuration_fetch.rs
+++ b/crates/leases/src/configuration_fetch.rs
@@ -19,7 +19,8 @@
 impl Follower {
     pub(crate) fn begin_fetch(&mut self, from: NodeId) {
         let request_id = self.next_request_number();
-        self.fetch = Some(Fetch { request_id, step: None, pairs: BTreeMap::new(), parts: None, moved: self.now });
+        self.transfers.fetch =
+            Some(Fetch { request_id, step: None, pairs: BTreeMap::new(), parts: None, moved: self.now });
         self.send_to_registry(Some(from), LeaseMessage::PartRequest { request_id, whole: 1, number: 0, offset: 0 });
     }
 
@@ -35,9 +36,9 @@
         next: Text,
     ) {
         let now = self.now;
-        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.request_id == request_id) else { return };
-        if fetch.step.is_some_and(|first| first != step) || step <= self.step {
-            self.fetch = None;
+        let Some(fetch) = self.transfers.fetch.as_mut().filter(|fetch| fetch.request_id == request_id) else { return };
+        if fetch.step.is_some_and(|first| first != step) || step <= self.epochs.active() {
+            self.transfers.fetch = None;
             return;
         }
         fetch.step = Some(step);
@@ -52,19 +53,16 @@
         self.install(step, revision, quorum, pairs);
     }
 
-    pub(crate) fn install(&mut self, step: u64, revision: u64, quorum: Vec<NodeId>, pairs: BTreeMap<String, Vec<u8>>) {
-        self.pairs = pairs;
-        self.fetch = None;
-        self.step = step;
-        self.revision = revision;
-        self.quorum = quorum;
-        self.staged.retain(|number, _| *number > step);
-        if self.staged.keys().next().is_some_and(|first| *first != step + 1) {
-            self.staged.clear();
-        }
-        self.proof = None;
-        self.peer_proof = None;
-        self.renewed = None;
-        self.outs.push(FollowerOutput::Activated { step, revision });
+    pub(crate) fn install(
+        &mut self,
+        number: u64,
+        revision: u64,
+        quorum: Vec<NodeId>,
+        items: BTreeMap<String, Vec<u8>>,
+    ) {
+        self.transfers.fetch = None;
+        self.epochs.install(number, revision, quorum, items);
+        self.lease.reset();
+        self.outs.push(FollowerOutput::Activated { step: number, revision });
     }
 }
--- a/crates/leases/src/follower.rs
+++ b/crates/leases/src/follower.rs
@@ -3,13 +3,14 @@
 //! when it was asked, so a frozen or late router can only be too careful.
 
 use crate::configuration_fetch::Fetch;
+use crate::epochs::Epochs;
+use crate::lease::{Lease, LeaseEnds};
 use crate::membership::{HASHING, Membership};
 use crate::peer_quorum::Peers;
 use crate::serving_status::{ServingEvent, ServingStateMachine, ServingStatus};
 use crate::step_parts::Arriving;
-use std::collections::BTreeMap;
 use std::time::Duration;
-use wire::{Capacity, ConfigurationEpoch, LeaseMessage, NodeId};
+use wire::{Capacity, LeaseMessage, NodeId};
 
 #[derive(Clone, Debug)]
 pub struct FollowerTiming {
@@ -55,32 +56,31 @@
     Lapsed,
 }
 
+/// The messages that are on their way in parts.
+#[derive(Default)]
+pub(crate) struct Transfers {
+    /// The complete configuration.
+    pub fetch: Option<Fetch>,
+    /// The next epoch.
+    pub arriving: Option<Arriving>,
+}
+
+/// A router's side of membership and leases, as a state machine: the coordinator of its epochs, its lease, its
+/// peers' quorum and what arrives in parts.
 pub struct Follower {
     pub(crate) me: NodeId,
     pub(crate) joining: LeaseMessage,
     pub(crate) timing: FollowerTiming,
     pub(crate) now: Duration,
     pub(crate) outs: Vec<FollowerOutput>,
-    pub(crate) pairs: BTreeMap<String, Vec<u8>>,
-    pub(crate) step: u64,
-    pub(crate) revision: u64,
-    pub(crate) quorum: Vec<NodeId>,
-    pub(crate) staged: BTreeMap<u64, ConfigurationEpoch>,
-    pub(crate) latest_known: u64,
+    pub(crate) epochs: Epochs,
+    pub(crate) lease: Lease,
     pub(crate) membership: Membership,
-    pub(crate) ready: bool,
-    pub(crate) is_member: bool,
-    pub(crate) leaving: bool,
-    pub(crate) tail: Option<(NodeId, Duration)>,
-    pub(crate) pending_renewals: BTreeMap<u64, Duration>,
-    pub(crate) next_request_id: u64,
-    pub(crate) proof: Option<Duration>,
-    pub(crate) peer_proof: Option<Duration>,
     pub(crate) peers: Peers,
-    pub(crate) fetch: Option<Fetch>,
-    pub(crate) arriving: Option<Arriving>,
-    pub(crate) renewed: Option<Duration>,
-    pub(crate) joined: Option<Duration>,
+    pub(crate) transfers: Transfers,
+    pub(crate) is_leaving: bool,
+    pub(crate) joined_at: Option<Duration>,
+    pub(crate) last_request_id: u64,
     state_machine: ServingStateMachine,
     serving_status: ServingStatus,
 }
@@ -106,26 +106,14 @@
             timing,
             now: Duration::ZERO,
             outs: Vec::new(),
-            pairs: BTreeMap::new(),
-            step: 0,
-            revision: 0,
-            quorum: Vec::new(),
-            staged: BTreeMap::new(),
-            latest_known: 0,
+            epochs: Epochs::default(),
+            lease: Lease::default(),
             membership: Membership::default(),
-            ready: false,
-            is_member: false,
-            leaving: false,
-            tail: None,
-            pending_renewals: BTreeMap::new(),
-            next_request_id: first_number(incarnation),
-            proof: None,
-            peer_proof: None,
             peers: Peers::default(),
-            fetch: None,
-            arriving: None,
-            renewed: None,
-            joined: None,
+            transfers: Transfers::default(),
+            is_leaving: false,
+            joined_at: None,
+            last_request_id: first_number(incarnation),
             state_machine: ServingStateMachine::default(),
             serving_status: ServingStatus::Waiting,
         }
@@ -139,26 +127,33 @@
         self
     }
 
+    /// The resources of the active epoch, by key.
     pub fn pairs(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        self.pairs.iter().map(|(key, value)| (key.as_str(), value.as_slice()))
+        self.epochs.items()
     }
+    /// This router's id.
     pub fn me(&self) -> NodeId {
         self.me
     }
+    /// The number of the active epoch.
     pub fn step_number(&self) -> u64 {
-        self.step
+        self.epochs.active()
     }
+    /// The operators' revision of the active epoch.
     pub fn revision(&self) -> u64 {
-        self.revision
+        self.epochs.revision()
     }
+    /// The newest epoch that is staged or active.
     pub fn staged_number(&self) -> u64 {
-        self.staged.keys().next_back().copied().unwrap_or(self.step)
+        self.epochs.newest_staged()
     }
+    /// The member routers, as far as they are known here.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
+    /// The registry that last confirmed the lease.
     pub fn tail(&self) -> Option<NodeId> {
-        self.tail.map(|(id, _)| id)
+        self.lease.tail.map(|tail| tail.id)
     }
 
     pub fn step(&mut self, now: Duration, input: FollowerInput) -> Vec<FollowerOutput> {
@@ -168,7 +163,7 @@
             FollowerInput::Registry { from, message } => self.registry(from, message),
             FollowerInput::Peer { from, message } => self.peer(from, message),
             FollowerInput::Leave => {
-                self.leaving = true;
+                self.is_leaving = true;
                 self.say_leaving();
             }
         }
@@ -182,10 +177,10 @@
 
     /// Asked again at the very moment of each dispatch.
     pub fn serving_status_at(&mut self, now: Duration) -> ServingStatus {
-        let (by_core, by_peers) = self.proved_until();
-        let event = if now < by_core {
+        let ends = self.lease_ends();
+        let event = if now < ends.by_core {
             ServingEvent::CoreProved
-        } else if now < by_peers {
+        } else if now < ends.by_peers {
             ServingEvent::PeersProved
         } else {
             ServingEvent::Unproved
@@ -195,23 +190,20 @@
 
     /// The moment until which this router may serve by its step, as far as it knows now.
     pub fn serves_until(&self) -> Duration {
-        let (by_core, by_peers) = self.proved_until();
-        by_core.max(by_peers)
+        let ends = self.lease_ends();
+        ends.by_core.max(ends.by_peers)
     }
 
-    /// How long the core's word lasts and how long the peers', zero where there is none.
-    fn proved_until(&self) -> (Duration, Duration) {
-        let limit = if self.is_guarded() { self.timing.guard } else { self.timing.hold };
-        let by_core = self.proof.map_or(Duration::ZERO, |requested_at| requested_at + limit);
-        let by_peers = self
-            .peer_proof
-            .filter(|_| !self.is_guarded())
-            .map_or(Duration::ZERO, |requested_at| requested_at + self.timing.guard);
-        (by_core, by_peers)
+    /// While a newer epoch may come into force, only the core's word counts, and only for a short while.
+    fn lease_ends(&self) -> LeaseEnds {
+        if self.is_guarded() {
+            return self.lease.ends(self.timing.guard, Duration::ZERO).without_peers();
+        }
+        self.lease.ends(self.timing.hold, self.timing.guard)
     }
 
     pub(crate) fn is_guarded(&self) -> bool {
-        self.staged_number().max(self.latest_known) > self.step
+        self.epochs.has_newer()
     }
 
     pub(crate) fn send_to_registry(&mut self, to: Option<NodeId>, message: LeaseMessage) {
@@ -219,7 +211,7 @@
     }
 
     pub(crate) fn next_request_number(&mut self) -> u64 {
-        self.next_request_id += 1;
-        self.next_request_id
+        self.last_request_id += 1;
+        self.last_request_id
     }
 }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -3,7 +3,9 @@
 //! are state machines; `Membership` says which router owns which function.
 
 mod configuration_fetch;
+mod epochs;
 mod follower;
+mod lease;
 mod membership;
 mod peer_quorum;
 mod registry_messages;
--- a/crates/leases/src/peer_quorum.rs
+++ b/crates/leases/src/peer_quorum.rs
@@ -28,6 +28,13 @@
     done: bool,
 }
 
+/// A peer that asked for a majority's word.
+struct WaitingPeer {
+    peer: NodeId,
+    request_id: u64,
+    since: Duration,
+}
+
 #[derive(Default)]
 pub struct Peers {
     round: Option<PeerRound>,
@@ -36,7 +43,7 @@
     /// Where asking went on last time.
     next_unknown: usize,
     /// Who asked for a majority, with what ask, and when.
-    waiting: Vec<(NodeId, u64, Duration)>,
+    waiting: Vec<WaitingPeer>,
     relayed: Option<(u64, Duration)>,
     relay: usize,
     unanswered: u32,
@@ -44,26 +51,27 @@
 
 impl Follower {
     fn wants_peers(&self) -> bool {
-        let core_is_near = self.proof.is_some_and(|requested_at| self.now < requested_at + self.timing.hold / 2);
+        let core_is_near =
+            self.lease.core_confirmed.is_some_and(|requested_at| self.now < requested_at + self.timing.hold / 2);
         !core_is_near && self.answers_peers()
     }
 
     fn answers_peers(&self) -> bool {
-        self.ready && self.quorum.contains(&self.me) && !self.is_guarded()
+        self.epochs.is_initialized && self.epochs.quorum().contains(&self.me) && !self.is_guarded()
     }
 
     fn relays(&self) -> Vec<NodeId> {
         let able = |id: &NodeId| self.membership.member(*id).map_or(0, |line| line.capacity.processor_milli);
-        let mut relays: Vec<NodeId> = self.quorum.clone();
+        let mut relays: Vec<NodeId> = self.epochs.quorum().to_vec();
         relays.sort_by_cached_key(|id| (std::cmp::Reverse(able(id)), *id));
         relays.truncate(MAX_RELAYS);
         relays
     }
 
     pub(crate) fn peers_due(&self) -> Duration {
-        let near = self.proof.map_or(Duration::ZERO, |requested_at| requested_at + self.timing.hold / 2);
+        let near = self.lease.core_confirmed.map_or(Duration::ZERO, |requested_at| requested_at + self.timing.hold / 2);
         if !self.answers_peers() || (self.now < near && self.peers.waiting.is_empty()) {
-            return if self.ready { near.max(self.now + ROUND_TIMEOUT) } else { Duration::MAX };
+            return if self.epochs.is_initialized { near.max(self.now + ROUND_TIMEOUT) } else { Duration::MAX };
         }
         let idle = self.now + ROUND_TIMEOUT;
         let round = self
@@ -86,8 +94,8 @@
             self.peers.round = None;
             return;
         }
-        self.peers.waiting.retain(|(_, _, requested_at)| now < *requested_at + self.timing.guard);
-        let small = self.quorum.len() <= self.timing.relay_above;
+        self.peers.waiting.retain(|waiting| now < waiting.since + self.timing.guard);
+        let small = self.epochs.quorum().len() <= self.timing.relay_above;
         if wants && !small {
             self.request_from_relay();
         }
@@ -112,19 +120,19 @@
         self.peers.unanswered += 1;
         let to = relays[self.peers.relay % relays.len()];
         if to == self.me {
-            self.collect(to, request_id, self.step);
+            self.collect(to, request_id, self.epochs.active());
         } else {
             self.outs.push(FollowerOutput::ToPeer {
                 to,
-                message: LeaseMessage::MajorityRequest { request_id, active: self.step },
+                message: LeaseMessage::MajorityRequest { request_id, active: self.epochs.active() },
             });
         }
     }
 
     fn collect(&mut self, from: NodeId, request_id: u64, active: u64) {
-        if active == self.step && self.answers_peers() && self.peers.waiting.len() < MAX_WAITING {
-            self.peers.waiting.retain(|(known, ..)| *known != from);
-            self.peers.waiting.push((from, request_id, self.now));
+        if active == self.epochs.active() && self.answers_peers() && self.peers.waiting.len() < MAX_WAITING {
+            self.peers.waiting.retain(|waiting| waiting.peer != from);
+            self.peers.waiting.push(WaitingPeer { peer: from, request_id, since: self.now });
             self.maybe_start_round(false);
         }
     }
@@ -137,9 +145,12 @@
             return;
         }
         let request_id = self.next_request_number();
-        let others: Vec<NodeId> = self.quorum.iter().copied().filter(|id| *id != self.me).collect();
-        let count =
-            if all { others.len() } else { (self.quorum.len() / 2 + self.quorum.len() / 8 + 1).min(others.len()) };
+        let others: Vec<NodeId> = self.epochs.quorum().iter().copied().filter(|id| *id != self.me).collect();
+        let count = if all {
+            others.len()
+        } else {
+            (self.epochs.quorum().len() / 2 + self.epochs.quorum().len() / 8 + 1).min(others.len())
+        };
         let (known, unknown): (Vec<NodeId>, Vec<NodeId>) =
             others.iter().copied().partition(|id| self.peers.answering.contains(id));
         let next_unknown = self.peers.next_unknown % unknown.len().max(1);
@@ -149,24 +160,26 @@
         self.peers.answering.retain(|id| !requested_at.contains(id));
         self.peers.round = Some(PeerRound { request_id, requested_at: now, agreeing: [self.me].into(), done: false });
         for to in requested_at {
-            let message = LeaseMessage::PeerRequest { request_id, active: self.step };
+            let message = LeaseMessage::PeerRequest { request_id, active: self.epochs.active() };
             self.outs.push(FollowerOutput::ToPeer { to, message });
         }
     }
 
     pub(crate) fn peer(&mut self, from: NodeId, message: LeaseMessage) {
         match message {
-            LeaseMessage::PeerRequest { request_id, .. } if self.ready => {
-                let latest = self.staged_number().max(self.latest_known);
-                let message = LeaseMessage::PeerReply { request_id, active: self.step, latest };
+            LeaseMessage::PeerRequest { request_id, .. } if self.epochs.is_initialized => {
+                let latest = self.epochs.newest_known();
+                let message = LeaseMessage::PeerReply { request_id, active: self.epochs.active(), latest };
                 self.outs.push(FollowerOutput::ToPeer { to: from, message });
             }
             LeaseMessage::PeerReply { request_id, latest, .. } => self.handle_peer_reply(from, request_id, latest),
             LeaseMessage::MajorityRequest { request_id, active } => self.collect(from, request_id, active),
-            LeaseMessage::MajorityReply { request_id, active } if active == self.step && !self.is_guarded() => {
+            LeaseMessage::MajorityReply { request_id, active }
+                if active == self.epochs.active() && !self.is_guarded() =>
+            {
                 if let Some((_, requested_at)) = self.peers.relayed.filter(|(number, _)| *number == request_id) {
                     self.peers.unanswered = 0;
-                    self.peer_proof = self.peer_proof.max(Some(requested_at));
+                    self.lease.peers_confirmed = self.lease.peers_confirmed.max(Some(requested_at));
                 }
             }
             _ => {}
@@ -176,21 +189,22 @@
     fn handle_peer_reply(&mut self, from: NodeId, request_id: u64, latest: u64) {
         let guarded = self.is_guarded();
         let Some(round) = self.peers.round.as_mut().filter(|round| round.request_id == request_id) else { return };
-        if latest > self.step || !self.quorum.contains(&from) {
+        if latest > self.epochs.active() || !self.epochs.quorum().contains(&from) {
             return;
         }
         self.peers.answering.insert(from);
         round.agreeing.insert(from);
-        if round.agreeing.len() * 2 <= self.quorum.len() || guarded {
+        if round.agreeing.len() * 2 <= self.epochs.quorum().len() || guarded {
             return;
         }
         round.done = true;
         let requested_at = round.requested_at;
-        self.peer_proof = self.peer_proof.max(Some(requested_at));
-        let active = self.step;
-        for (to, request_id, _) in
-            self.peers.waiting.extract_if(.., |(_, _, came)| *came <= requested_at).collect::<Vec<_>>()
-        {
+        self.lease.peers_confirmed = self.lease.peers_confirmed.max(Some(requested_at));
+        let active = self.epochs.active();
+        // Whoever asked after the round began is answered by the next.
+        let answered: Vec<WaitingPeer> =
+            self.peers.waiting.extract_if(.., |waiting| waiting.since <= requested_at).collect();
+        for WaitingPeer { peer: to, request_id, .. } in answered {
             let message = LeaseMessage::MajorityReply { request_id, active };
             if to == self.me {
                 self.peers.unanswered = 0;
--- a/crates/leases/src/registry_messages.rs
+++ b/crates/leases/src/registry_messages.rs
@@ -1,6 +1,7 @@
 //! What registries tell a follower: proofs, steps staged and activated, the membership.
 
 use crate::follower::{Follower, FollowerOutput};
+use crate::lease::ConfirmingTail;
 use crate::membership::{Membership, MembershipChange};
 use crate::step_parts::Part;
 use wire::{Blob, ConfigurationEpoch, LeaseMessage, NodeId};
@@ -48,8 +49,8 @@
 
     /// A registry that says it is not the tail any more is not asked for another half second: all are, at once.
     fn forget_tail(&mut self, said_by: NodeId) {
-        if self.tail.take_if(|(id, _)| *id == said_by).is_some() {
-            self.renewed = None;
+        if self.lease.tail.take_if(|tail| tail.id == said_by).is_some() {
+            self.lease.renewed_at = None;
         }
     }
 
@@ -70,66 +71,42 @@
     }
 
     fn on_proof(&mut self, from: NodeId, request_id: u64, active: u64, latest: u64, member: bool) {
-        let Some(requested_at) = self.pending_renewals.remove(&request_id) else { return };
-        self.tail = Some((from, self.now));
-        self.latest_known = self.latest_known.max(latest);
+        let Some(requested_at) = self.lease.take_renewal(request_id) else { return };
+        self.lease.tail = Some(ConfirmingTail { id: from, heard_at: self.now });
+        self.epochs.record_known(latest);
         if !member {
-            self.proof = None;
-            if std::mem::take(&mut self.is_member) {
+            self.lease.core_confirmed = None;
+            if std::mem::take(&mut self.lease.is_member) {
                 self.outs.push(FollowerOutput::Lapsed);
             }
-            if self.joined.is_none_or(|last| self.now >= last + self.timing.renew) {
-                self.joined = Some(self.now);
+            if self.joined_at.is_none_or(|last| self.now >= last + self.timing.renew) {
+                self.joined_at = Some(self.now);
                 let message = self.joining.clone();
                 self.send_to_registry(Some(from), message);
             }
             return;
         }
-        self.is_member = true;
+        self.lease.is_member = true;
         self.activate_to(active);
-        if self.step == active {
-            self.ready = true;
-            self.proof = self.proof.max(Some(requested_at));
-        } else if self.step < active && self.fetch.is_none() {
+        if self.epochs.active() == active {
+            self.epochs.is_initialized = true;
+            self.lease.core_confirmed = self.lease.core_confirmed.max(Some(requested_at));
+        } else if self.epochs.active() < active && self.transfers.fetch.is_none() {
             self.begin_fetch(from);
         }
     }
 
-    pub(crate) fn on_stage(&mut self, from: NodeId, step: ConfigurationEpoch) {
-        self.latest_known = self.latest_known.max(step.number);
-        if self.takes(step.number) {
-            self.staged.insert(step.number, step);
-        }
+    pub(crate) fn on_stage(&mut self, from: NodeId, epoch: ConfigurationEpoch) {
+        self.epochs.stage(epoch);
         let number = self.staged_number();
         self.send_to_registry(Some(from), LeaseMessage::Staged { number });
     }
 
-    /// Whether it is the next step after what is held here.
-    pub(crate) fn takes(&self, number: u64) -> bool {
-        number == self.staged_number() + 1 && (self.ready || self.step + 1 == number)
-    }
-
     fn activate_to(&mut self, number: u64) {
-        let mut moved = false;
-        while self.step < number {
-            let Some(step) = self.staged.remove(&(self.step + 1)) else { break };
-            self.step = step.number;
-            self.revision = step.revision;
-            self.quorum = step.quorum.into_vec();
-            for item in step.items.into_vec() {
-                if item.gone != 0 {
-                    self.pairs.remove(item.key.as_str());
-                } else {
-                    self.pairs.insert(item.key.as_str().to_owned(), item.value.into_vec());
-                }
-            }
-            moved = true;
-        }
-        if moved {
-            self.proof = None;
-            self.peer_proof = None;
-            self.renewed = None;
-            self.outs.push(FollowerOutput::Activated { step: self.step, revision: self.revision });
+        if self.epochs.activate_to(number) {
+            self.lease.reset();
+            let (step, revision) = (self.epochs.active(), self.epochs.revision());
+            self.outs.push(FollowerOutput::Activated { step, revision });
         }
     }
 }
--- a/crates/leases/src/renewal.rs
+++ b/crates/leases/src/renewal.rs
@@ -13,14 +13,14 @@
     /// have let the first word fall.
     pub(crate) fn say_leaving(&mut self) {
         let shown = self.membership.member(self.me).is_none_or(|line| line.leaving != 0);
-        if self.leaving && !shown {
+        if self.is_leaving && !shown {
             self.send_to_registry(None, LeaseMessage::Leaving);
         }
     }
 
     /// The registry that proved lately, and how soon the next renewal is due: asking all of them costs more.
     fn renewing(&self) -> (Option<NodeId>, Duration) {
-        let heard = self.tail.filter(|(_, heard)| self.now < *heard + self.timing.renew * 2).map(|(id, _)| id);
+        let heard = self.lease.tail.filter(|tail| self.now < tail.heard_at + self.timing.renew * 2).map(|tail| tail.id);
         match (self.is_guarded(), heard) {
             (false, _) => (heard, self.timing.renew),
             (true, Some(_)) if self.membership.members.as_slice().len() > self.timing.relay_above => {
@@ -33,7 +33,7 @@
 
     /// The moment of the next tick that does something, as far as is known now.
     pub fn due(&self) -> Duration {
-        let renewal = self.renewed.map_or(self.now, |last| last + self.renewing().1);
+        let renewal = self.lease.renewed_at.map_or(self.now, |last| last + self.renewing().1);
         let parts = self.next_part_due();
         renewal.min(parts).min(self.peers_due())
     }
@@ -41,13 +41,11 @@
     pub(crate) fn tick(&mut self) {
         let now = self.now;
         let (heard, every) = self.renewing();
-        if self.renewed.is_none_or(|last| now >= last + every) {
-            self.renewed = Some(now);
+        if self.lease.renewed_at.is_none_or(|last| now >= last + every) {
+            self.lease.renewed_at = Some(now);
             let request_id = self.next_request_number();
-            self.pending_renewals.insert(request_id, now);
-            let hold = self.timing.hold;
-            self.pending_renewals.retain(|_, requested_at| now < *requested_at + hold);
-            let (staged, active, membership) = (self.staged_number(), self.step, self.membership.number);
+            self.lease.record_renewal(request_id, now, self.timing.hold);
+            let (staged, active, membership) = (self.staged_number(), self.epochs.active(), self.membership.number);
             self.say_leaving();
             self.send_to_registry(heard, LeaseMessage::Renew { request_id, staged, active, membership });
         }
--- a/crates/leases/src/step_parts.rs
+++ b/crates/leases/src/step_parts.rs
@@ -69,12 +69,12 @@
 
 impl Follower {
     pub(crate) fn on_step_part(&mut self, from: NodeId, part: Part) {
-        if !self.takes(part.number) {
-            self.latest_known = self.latest_known.max(part.number);
+        if !self.epochs.accepts(part.number) {
+            self.epochs.record_known(part.number);
             let number = self.staged_number();
             return self.send_to_registry(Some(from), LeaseMessage::Staged { number });
         }
-        match Arriving::take(&mut self.arriving, self.now, from, part) {
+        match Arriving::take(&mut self.transfers.arriving, self.now, from, part) {
             Received::Complete(Some(step)) => self.on_stage(from, step),
             Received::More => self.request_next_parts(),
             Received::Nothing | Received::Complete(None) => {}
@@ -82,21 +82,21 @@
     }
 
     pub(crate) fn on_configuration_part(&mut self, from: NodeId, request_id: u64, part: Part) {
-        let (now, step) = (self.now, self.step);
-        let Some(fetch) = self.fetch.as_mut().filter(|fetch| fetch.request_id == request_id) else { return };
+        let (now, step) = (self.now, self.epochs.active());
+        let Some(fetch) = self.transfers.fetch.as_mut().filter(|fetch| fetch.request_id == request_id) else { return };
         if part.number <= step {
-            self.fetch = None;
+            self.transfers.fetch = None;
             return;
         }
         fetch.moved = now;
         match Arriving::take(&mut fetch.parts, now, from, part) {
             Received::Complete(Some(whole)) => {
-                self.fetch = None;
+                self.transfers.fetch = None;
                 let pairs = whole.items.into_vec().into_iter();
                 let pairs = pairs.map(|item| (item.key.as_str().to_owned(), item.value.into_vec())).collect();
                 self.install(whole.number, whole.revision, whole.quorum.into_vec(), pairs);
             }
-            Received::Complete(None) => self.fetch = None,
+            Received::Complete(None) => self.transfers.fetch = None,
             Received::More => self.request_next_parts(),
             Received::Nothing => {}
         }
@@ -106,12 +106,12 @@
         let now = self.now;
         let mut pending_renewals = Vec::new();
         if let Some(arriving) =
-            self.arriving.as_mut().filter(|it| it.moved == now || now >= it.requested_at + RETRY_INTERVAL)
+            self.transfers.arriving.as_mut().filter(|it| it.moved == now || now >= it.requested_at + RETRY_INTERVAL)
         {
             arriving.requested_at = now;
             pending_renewals.push((arriving.from, arriving.request(0, false)));
         }
-        if let Some(fetch) = &mut self.fetch
+        if let Some(fetch) = &mut self.transfers.fetch
             && let Some(arriving) =
                 fetch.parts.as_mut().filter(|it| it.moved == now || now >= it.requested_at + RETRY_INTERVAL)
         {
@@ -122,20 +122,20 @@
     }
 
     pub(crate) fn next_part_due(&self) -> Duration {
-        let fetched = self.fetch.as_ref().and_then(|fetch| fetch.parts.as_ref());
-        let due = self.arriving.iter().chain(fetched).map(|it| it.requested_at + RETRY_INTERVAL).min();
-        let given_up = self.fetch.as_ref().map(|fetch| fetch.moved + self.timing.hold);
+        let fetched = self.transfers.fetch.as_ref().and_then(|fetch| fetch.parts.as_ref());
+        let due = self.transfers.arriving.iter().chain(fetched).map(|it| it.requested_at + RETRY_INTERVAL).min();
+        let given_up = self.transfers.fetch.as_ref().map(|fetch| fetch.moved + self.timing.hold);
         due.into_iter().chain(given_up).min().unwrap_or(Duration::MAX)
     }
 
     pub(crate) fn tick_parts(&mut self) {
         let (now, hold) = (self.now, self.timing.hold);
-        if self.fetch.as_ref().is_some_and(|fetch| now > fetch.moved + hold) {
-            self.fetch = None;
+        if self.transfers.fetch.as_ref().is_some_and(|fetch| now > fetch.moved + hold) {
+            self.transfers.fetch = None;
         }
         let staged = self.staged_number();
-        if self.arriving.as_ref().is_some_and(|it| now > it.moved + hold || it.number <= staged) {
-            self.arriving = None;
+        if self.transfers.arriving.as_ref().is_some_and(|it| now > it.moved + hold || it.number <= staged) {
+            self.transfers.arriving = None;
         }
         self.request_next_parts();
     }
