--- a/crates/control/examples/change_cost.rs
+++ b/crates/control/examples/change_cost.rs
@@ -47,9 +47,9 @@
     });
 }
 
-fn change(op: &str, base: u64, whole: bool, items: Vec<ConfigurationItem>) -> Command {
+fn change(op: &str, base: u64, full: bool, items: Vec<ConfigurationItem>) -> Command {
     let (op, scope, items) = (op.into(), "main".into(), items.into());
-    Command::Declare { op, base, any: 0, whole: whole as u8, revision: base + 3, scope, items }
+    Command::Declare { op, base, any: 0, full: full as u8, revision: base + 3, scope, items }
 }
 
 fn main() {
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -65,7 +65,7 @@
         self.tokens.scope(headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok()))
     }
 
-    async fn change(&self, headers: &HeaderMap, uri: &Uri, whole: bool, items: Vec<ConfigurationItem>) -> Response {
+    async fn change(&self, headers: &HeaderMap, uri: &Uri, full: bool, items: Vec<ConfigurationItem>) -> Response {
         let dry = uri.query().is_some_and(|query| query.split('&').any(|part| part == "dry-run=true"));
         let Some(scope) = self.scope(headers) else { return refuse(401, "a bearer token is needed") };
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
@@ -86,7 +86,7 @@
             Some(Ok(revision)) if revision > 0 => Some(revision),
             Some(_) => return refuse(400, "Revision is the number the change declares, 1 or more"),
         };
-        let call = ApiCall::Change { op: op.clone(), base, revision, whole, scope, items, dry };
+        let call = ApiCall::Change { op: op.clone(), base, revision, full, scope, items, dry };
         let reply = self.operators.call(call).await;
         if reply.status != 200 {
             events::event!(change_refused, "operation {op}: {}", reply.status);
@@ -116,8 +116,8 @@
     let Some(scope) = api.scope(headers) else { return refuse(401, "a bearer token is needed") };
     let mut reply = api.operators.call(ApiCall::Configuration { scope }).await;
     if reply.status == 200 {
-        let whole: Value = serde_json::from_str(&reply.body).unwrap_or_default();
-        match whole.pointer(pointer) {
+        let full: Value = serde_json::from_str(&reply.body).unwrap_or_default();
+        match full.pointer(pointer) {
             Some(part) => reply.body = part.to_string(),
             None => return refuse(404, "no such resource"),
         }
@@ -158,11 +158,11 @@
 }
 
 async fn replace(State(api): State<Api>, headers: HeaderMap, uri: Uri, body: Bytes) -> Response {
-    let Ok(Value::Object(whole)) = serde_json::from_slice::<Value>(&body) else {
+    let Ok(Value::Object(full)) = serde_json::from_slice::<Value>(&body) else {
         return refuse(400, "the body is not a JSON object");
     };
     let mut items = Vec::new();
-    for (kind, list) in &whole {
+    for (kind, list) in &full {
         if kind == "revision" {
             continue;
         }
--- a/crates/control/src/api_calls.rs
+++ b/crates/control/src/api_calls.rs
@@ -9,7 +9,7 @@
         base: Option<u64>,
         /// The number the change declares for its revision; without, it gets the next.
         revision: Option<u64>,
-        whole: bool,
+        full: bool,
         scope: String,
         items: Vec<ConfigurationItem>,
         dry: bool,
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -3,7 +3,7 @@
 
 use crate::apply_change::{Change, activate, change, declare, quorum};
 use crate::apply_member::{join, lapse, leaving, tick};
-use crate::apply_task::{claim, finish, release, settle, store};
+use crate::apply_task::{claim, finish, record_answer, release, store};
 use crate::keys;
 use chain::{Effect, State, Value};
 use leases::Member;
@@ -45,13 +45,13 @@
 
 fn execute(draft: &mut Draft, command: Command) -> CommandReply {
     match command {
-        Command::Change { op, base, any, whole, scope, items } => {
-            let (base, whole, items) = ((any == 0).then_some(base), whole != 0, items.as_slice());
-            change(draft, op.as_str(), &Change { base, revision: 0, whole, scope: scope.as_str(), items })
+        Command::Change { op, base, any, full, scope, items } => {
+            let (base, full, items) = ((any == 0).then_some(base), full != 0, items.as_slice());
+            change(draft, op.as_str(), &Change { base, revision: 0, full, scope: scope.as_str(), items })
         }
-        Command::Declare { op, base, any, whole, revision, scope, items } => {
-            let (base, whole, items) = ((any == 0).then_some(base), whole != 0, items.as_slice());
-            declare(draft, op.as_str(), &Change { base, revision, whole, scope: scope.as_str(), items })
+        Command::Declare { op, base, any, full, revision, scope, items } => {
+            let (base, full, items) = ((any == 0).then_some(base), full != 0, items.as_slice());
+            declare(draft, op.as_str(), &Change { base, revision, full, scope: scope.as_str(), items })
         }
         Command::Quorum { after, members } => quorum(draft, after, members.into_vec()),
         Command::Activate { step } => activate(draft, step),
@@ -67,8 +67,8 @@
         Command::Claim { scope, digest, member, incarnation, request_id } => {
             claim(draft, scope.as_str(), digest, (member, incarnation, request_id))
         }
-        Command::Settle { scope, member, incarnation, request_id, answer } => {
-            settle(draft, scope.as_str(), (member, incarnation, request_id), answer)
+        Command::RecordAnswer { scope, member, incarnation, request_id, answer } => {
+            record_answer(draft, scope.as_str(), (member, incarnation, request_id), answer)
         }
         Command::Release { scope, member, incarnation, request_id } => {
             release(draft, scope.as_str(), (member, incarnation, request_id))
--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -24,7 +24,7 @@
     pub base: Option<u64>,
     /// The revision it declares, or 0 for the next.
     pub revision: u64,
-    pub whole: bool,
+    pub full: bool,
     pub scope: &'a str,
     pub items: &'a [ConfigurationItem],
 }
@@ -109,7 +109,7 @@
 }
 
 fn draw_up(draft: &Draft, change: &Change) -> Result<Vec<ConfigurationItem>, Refusal> {
-    let Change { base, whole, scope, items, .. } = *change;
+    let Change { base, full, scope, items, .. } = *change;
     let latest = draft.number(keys::LATEST_REVISION);
     if base.is_some_and(|base| base != latest) {
         return Err((412, format!("{{\"fault\":\"stale revision\",\"latest\":{latest}}}")));
@@ -125,7 +125,7 @@
         .map(|(key, value)| (&key[keys::LATEST_PAIRS.len()..], &value[..]))
         .collect();
     let mut changed: BTreeMap<&str, ConfigurationItem> = BTreeMap::new();
-    if whole {
+    if full {
         let dropped: Vec<&str> = pairs.keys().copied().filter(|key| in_scope(key)).collect();
         for key in dropped {
             pairs.remove(key);
--- a/crates/control/src/apply_task.rs
+++ b/crates/control/src/apply_task.rs
@@ -32,7 +32,8 @@
         }
         let (member, incarnation, request_id) = asker;
         let due = draft.number(keys::TICKS) + KEY_TICKS;
-        let record = ClaimRecord { digest, member, incarnation, request_id, due, settled: 0, answer: Blob::default() };
+        let record =
+            ClaimRecord { digest, member, incarnation, request_id, due, is_answered: 0, answer: Blob::default() };
         draft.put(key.clone(), wire::to_bytes(&record));
         draft.put_number(keys::CLAIMS, count + 1);
         draft.expire(&key, KEY_TICKS);
@@ -41,8 +42,8 @@
     if record.digest != digest {
         return reply(ClaimState::OtherBody, Blob::default());
     }
-    if record.settled != 0 {
-        return reply(ClaimState::Settled, record.answer);
+    if record.is_answered != 0 {
+        return reply(ClaimState::Answered, record.answer);
     }
     if owner(&record) == asker {
         return reply(ClaimState::Granted, Blob::default());
@@ -53,13 +54,13 @@
     reply(state, Blob::default())
 }
 
-pub fn settle(draft: &mut Draft, scope: &str, asker: Asker, answer: Blob) -> CommandReply {
+pub fn record_answer(draft: &mut Draft, scope: &str, asker: Asker, answer: Blob) -> CommandReply {
     let key = format!("k/{scope}");
     if let Some(mut record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw))
         && owner(&record) == asker
-        && record.settled == 0
+        && record.is_answered == 0
     {
-        record.settled = 1;
+        record.is_answered = 1;
         record.answer = answer;
         draft.put(key, wire::to_bytes(&record));
     }
@@ -70,7 +71,7 @@
     let key = format!("k/{scope}");
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw))
         && owner(&record) == asker
-        && record.settled == 0
+        && record.is_answered == 0
     {
         draft.drop(key);
         let count = draft.number(keys::CLAIMS);
@@ -84,7 +85,7 @@
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw)) {
         let state = match () {
             () if record.digest != digest => ClaimState::OtherBody,
-            () if record.done != 0 => ClaimState::Settled,
+            () if record.done != 0 => ClaimState::Answered,
             () => ClaimState::Running,
         };
         return CommandReply::Stored { state, answer: record.answer };
--- a/crates/control/src/configuration_reads.rs
+++ b/crates/control/src/configuration_reads.rs
@@ -93,9 +93,9 @@
             list.insert(name.to_owned(), serde_json::from_slice(value).unwrap_or_default());
         }
     }
-    let mut whole = json!({"revision": revision});
+    let mut full = json!({"revision": revision});
     for (kind, list) in kinds {
-        whole[kind] = Value::Object(list);
+        full[kind] = Value::Object(list);
     }
-    whole
+    full
 }
--- a/crates/control/src/deferred_calls.rs
+++ b/crates/control/src/deferred_calls.rs
@@ -27,9 +27,9 @@
                     let reply = self.latest(&keys);
                     self.reply(waiting.request_id, reply);
                 }
-                ApiCall::Change { base, revision, whole, scope, items, .. } if is_new_enough => {
+                ApiCall::Change { base, revision, full, scope, items, .. } if is_new_enough => {
                     let (revision, scope, items) = (revision.unwrap_or_default(), scope.as_str(), items.as_slice());
-                    let change = Change { base, revision, whole, scope, items };
+                    let change = Change { base, revision, full, scope, items };
                     let reply = apply_change::dry_run(self.state(), &change);
                     self.reply(waiting.request_id, reply);
                 }
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -51,18 +51,18 @@
             return self.answer_deferred_calls();
         }
         match call {
-            ApiCall::Change { op, base, revision, whole, scope, items, .. } => {
+            ApiCall::Change { op, base, revision, full, scope, items, .. } => {
                 let (name, scope, items) = (op.as_str().into(), scope.into(), items.into());
-                let (base, any, whole) = (base.unwrap_or_default(), base.is_none() as u8, whole as u8);
+                let (base, any, full) = (base.unwrap_or_default(), base.is_none() as u8, full as u8);
                 let command = match (self.format, revision) {
-                    (..DECLARES, None) => Command::Change { op: name, base, any, whole, scope, items },
+                    (..DECLARES, None) => Command::Change { op: name, base, any, full, scope, items },
                     (..DECLARES, Some(_)) => {
                         return self
                             .busy(request_id, "revisions are declared once every registry speaks the newest format");
                     }
                     _ => {
                         let revision = revision.unwrap_or_default();
-                        Command::Declare { op: name, base, any, whole, revision, scope, items }
+                        Command::Declare { op: name, base, any, full, revision, scope, items }
                     }
                 };
                 let body = wire::to_bytes(&command);
--- a/crates/control/src/packed_steps.rs
+++ b/crates/control/src/packed_steps.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub struct PackedSteps {
     steps: BTreeMap<u64, Packed>,
-    whole: Option<(u64, Packed)>,
+    full: Option<(u64, Packed)>,
 }
 
 impl PackedSteps {
@@ -31,21 +31,21 @@
     }
 
     /// The active configuration as one step that sets all there is.
-    fn whole(&mut self, state: &State) -> (u64, &Packed) {
+    fn full(&mut self, state: &State) -> (u64, &Packed) {
         let number = keys::number(state, keys::ACTIVE);
-        if self.whole.as_ref().is_none_or(|(packed, _)| *packed != number) {
+        if self.full.as_ref().is_none_or(|(packed, _)| *packed != number) {
             let step = ConfigurationEpoch {
                 number,
                 revision: keys::number(state, keys::ACTIVE_REVISION),
                 quorum: keys::quorum(state, number).into(),
                 items: keys::items(state, keys::ACTIVE_PAIRS).into(),
             };
-            self.whole = None;
+            self.full = None;
             self.steps.retain(|step, _| *step + MAX_PACKED_STEPS as u64 > number);
             let packed = wire::pack(&wire::to_bytes(&step));
-            return (number, &self.whole.insert((number, packed)).1);
+            return (number, &self.full.insert((number, packed)).1);
         }
-        let (number, packed) = self.whole.as_ref().expect("it was packed above or before");
+        let (number, packed) = self.full.as_ref().expect("it was packed above or before");
         (*number, packed)
     }
 
@@ -53,25 +53,25 @@
         &mut self,
         state: &State,
         request_id: u64,
-        whole: bool,
+        full: bool,
         number: u64,
         offset: u32,
     ) -> Option<LeaseMessage> {
-        let (found, packed) = match whole {
-            true => self.whole(state),
+        let (found, packed) = match full {
+            true => self.full(state),
             false => (number, self.step(state, number)?),
         };
         // Begun under a step that is no longer active: from the start of the one that is.
-        let offset = if whole && number != found { 0 } else { offset };
+        let offset = if full && number != found { 0 } else { offset };
         let bytes = packed.bytes.part(offset as usize, MAX_PART_BYTES);
         let (size, total) = (packed.size, packed.bytes.len() as u32);
-        let whole = whole as u8;
-        Some(LeaseMessage::Part { request_id, whole, number: found, size, packed: total, offset, bytes })
+        let full = full as u8;
+        Some(LeaseMessage::Part { request_id, full, number: found, size, packed: total, offset, bytes })
     }
 }
 
 impl Core {
-    pub(crate) fn on_part_request(&mut self, from: NodeId, request_id: u64, whole: bool, number: u64, offset: u32) {
+    pub(crate) fn on_part_request(&mut self, from: NodeId, request_id: u64, full: bool, number: u64, offset: u32) {
         if !self.tail.is_held() {
             return self.not_tail(from);
         }
@@ -80,7 +80,7 @@
             session.pushed_at = now;
         }
         let state = self.state().clone();
-        if let Some(message) = self.pushes.packed_steps.part(&state, request_id, whole, number, offset) {
+        if let Some(message) = self.pushes.packed_steps.part(&state, request_id, full, number, offset) {
             self.outs.push(CoreOutput::Router { to: from, message });
         }
     }
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -70,15 +70,15 @@
                         rate: line.rate_milli as f64 / 1000.0,
                         response: Duration::from_micros(line.response_micro),
                         waiting: line.waiting_milli as f64 / 1000.0,
-                        held: line.held_milli as f64 / 1000.0,
+                        queued: line.queued_milli as f64 / 1000.0,
                     };
                     self.optimizer.sample(now, line.function.as_str(), sample);
                 }
                 Vec::new()
             }
-            PlanMessage::Request { request_id, function, current, held, waiting } if self.view.optimizer == me => {
+            PlanMessage::Request { request_id, function, current, queued, waiting } if self.view.optimizer == me => {
                 let Some(function) = self.functions.get(function.as_str()) else { return Vec::new() };
-                let gauge = Sample { held: held.into(), waiting: waiting.into(), ..Sample::default() };
+                let gauge = Sample { queued: queued.into(), waiting: waiting.into(), ..Sample::default() };
                 let planned = self.optimizer.plan(now, function, current, gauge, limit);
                 let message = PlanMessage::Reply {
                     request_id,
@@ -108,7 +108,7 @@
                 boot: Duration::from_micros(line.boot_micro),
                 boots: line.boots,
                 refused: line.refused,
-                turned: line.turned,
+                rejections: line.rejections,
                 waiting: line.waiting_milli as f64 / 1000.0,
                 usage: line.usage_milli as f64 / 1000.0,
             };
--- a/crates/control/src/router_messages.rs
+++ b/crates/control/src/router_messages.rs
@@ -18,8 +18,8 @@
                 self.requests.add_renewal(RouterRequest { from, incarnation, message });
                 self.confirm_renewals();
             }
-            LeaseMessage::PartRequest { request_id, whole, number, offset } => {
-                self.on_part_request(from, request_id, whole != 0, number, offset)
+            LeaseMessage::PartRequest { request_id, full, number, offset } => {
+                self.on_part_request(from, request_id, full != 0, number, offset)
             }
             LeaseMessage::Renew { .. } | LeaseMessage::ConfigurationRequest { .. } | LeaseMessage::Read { .. } => {
                 if !self.tail.is_held() {
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -17,7 +17,7 @@
 
 fn declare(op: &str, base: Option<u64>, revision: u64, fixed: u32) -> Command {
     let (any, base) = (base.is_none() as u8, base.unwrap_or_default());
-    Command::Declare { op: op.into(), base, any, whole: 0, revision, scope: "".into(), items: plan(fixed).into() }
+    Command::Declare { op: op.into(), base, any, full: 0, revision, scope: "".into(), items: plan(fixed).into() }
 }
 
 fn refused(reply: CommandReply) -> u16 {
@@ -83,7 +83,7 @@
         op: op.into(),
         base,
         any: 0,
-        whole: 0,
+        full: 0,
         scope: "".into(),
         items: plan(1).into(),
     };
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -188,7 +188,7 @@
         op: op.to_owned(),
         base: Some(base),
         revision: None,
-        whole: false,
+        full: false,
         scope: String::new(),
         items,
         dry: false,
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -112,7 +112,7 @@
     assert_eq!(cluster.call_and_wait(head, change("first", 0)).status, 200);
     cut_off(&mut cluster, head, Cut::Both);
     cluster.call(head, change("undecided", 1));
-    let ApiCall::Change { op, base, revision, whole, scope, items, .. } = change("other", 1) else { return };
-    let reply = cluster.call_and_wait(head, ApiCall::Change { op, base, revision, whole, scope, items, dry: true });
+    let ApiCall::Change { op, base, revision, full, scope, items, .. } = change("other", 1) else { return };
+    let reply = cluster.call_and_wait(head, ApiCall::Change { op, base, revision, full, scope, items, dry: true });
     assert!(!(400..500).contains(&reply.status), "{reply:?}");
 }
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -74,7 +74,7 @@
         let items: Vec<ConfigurationItem> = (0..FUNCTIONS).map(function).chain(bindings).collect();
         let op = format!("change {number}").as_str().into();
         let command =
-            Command::Declare { op, base: 0, any: 1, whole: 1, revision: 0, scope: "main".into(), items: items.into() };
+            Command::Declare { op, base: 0, any: 1, full: 1, revision: 0, scope: "main".into(), items: items.into() };
         self.propose(&command);
         self.propose(&Command::Activate { step: number });
     }
--- a/crates/control/tests/fuzz.rs
+++ b/crates/control/tests/fuzz.rs
@@ -30,12 +30,12 @@
             let key = format!("function-bindings/t{tenant}/b{}", dice.random_range(0..6));
             let gone = dice.random_ratio(1, 5) as u8;
             let item = ConfigurationItem { key: key.into(), gone, value: binding(dice).into() };
-            let whole = dice.random_ratio(1, 10) as u8;
+            let full = dice.random_ratio(1, 10) as u8;
             Command::Change {
                 op: format!("op{round}").into(),
                 base: dice.random_range(0..40),
                 any: dice.random_ratio(3, 4) as u8,
-                whole,
+                full,
                 scope: if dice.random_bool(0.5) { format!("t{tenant}").into() } else { "".into() },
                 items: vec![item].into(),
             }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -91,7 +91,7 @@
     /// latest.
     pub async fn send(&self, order: DispatchOrder) -> DispatchOutcome {
         let Some(request) = InstanceRequest::new(&order, &self.words) else {
-            return DispatchOutcome::Whole { status: 400, head: Vec::new(), body: Vec::new(), turned_away: false };
+            return DispatchOutcome::Complete { status: 400, head: Vec::new(), body: Vec::new(), turned_away: false };
         };
         match timeout(order.limit + LAST_WORD, self.exchange(&order, &request)).await {
             Ok(outcome) => outcome,
@@ -147,7 +147,7 @@
             _ => {}
         }
         let turned_away = words.not_run.is_none() && matches!(start.status, 429 | 503);
-        DispatchOutcome::Whole { status: start.status, head: start.head, body, turned_away }
+        DispatchOutcome::Complete { status: start.status, head: start.head, body, turned_away }
     }
 
     /// Whether the instance took a connection within the limit; one that it took is kept.
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatchOutcome {
     /// `turned_away` is a guess by the status, where the dialect has no word for it.
-    Whole {
+    Complete {
         /// The status of the answer.
         status: u16,
         /// The answer's head, as an encoded `wire::AnswerHead`.
--- a/crates/dispatch/tests/kept.rs
+++ b/crates/dispatch/tests/kept.rs
@@ -38,7 +38,7 @@
         let instance = StandIn::start(vec![vec![answer(first)], vec![answer(GOOD)]]).await;
         let dispatcher = dispatcher();
         for id in ["a", "b"] {
-            let DispatchOutcome::Whole { status: 200, body, .. } = dispatcher.send(instance.order(id)).await else {
+            let DispatchOutcome::Complete { status: 200, body, .. } = dispatcher.send(instance.order(id)).await else {
                 panic!("{id} is answered")
             };
             assert_eq!(body, b"done");
--- a/crates/dispatch/tests/stand_in/mod.rs
+++ b/crates/dispatch/tests/stand_in/mod.rs
@@ -129,7 +129,7 @@
 
 pub fn status(outcome: &DispatchOutcome) -> u16 {
     match outcome {
-        DispatchOutcome::Whole { status, .. } => *status,
+        DispatchOutcome::Complete { status, .. } => *status,
         _ => 0,
     }
 }
--- a/crates/hollow/src/offline.rs
+++ b/crates/hollow/src/offline.rs
@@ -160,7 +160,7 @@
         for (number, function) in functions.iter().enumerate() {
             let wave = (step as f64 / 240.0 * std::f64::consts::TAU + number as f64).sin();
             let rate = (5.0 + 3.0 * wave + dice.random::<f64>()).max(0.0);
-            let sample = Sample { rate, response: Duration::from_millis(50), waiting: 0.0, held: 0.0 };
+            let sample = Sample { rate, response: Duration::from_millis(50), waiting: 0.0, queued: 0.0 };
             optimizer.sample(now, &function.name, sample);
         }
         if [39, 239, STEPS - 1].contains(&step) {
--- a/crates/hollow/src/offline_tasks.rs
+++ b/crates/hollow/src/offline_tasks.rs
@@ -38,7 +38,7 @@
         function: name.as_str().into(),
         binding: name.as_str().into(),
         left_ms: 4000,
-        tries: 0,
+        resends: 0,
         respond_async: 0,
         key: "".into(),
         head: head.clone().into(),
@@ -55,7 +55,7 @@
     let (there, back) = (frame(forward(1)), frame(forwarded.clone()));
     let mut now = from;
     let (mut next, mut answered) = (0, 0);
-    let whole = |head: &[u8]| DispatchOutcome::Whole {
+    let full = |head: &[u8]| DispatchOutcome::Complete {
         status: 200,
         head: head.to_vec(),
         body: vec![b'b'; bytes],
@@ -68,7 +68,7 @@
             let outputs = owner.step(now, true, OwnerInput::Forward { from: 9, message: forward(next) });
             for output in outputs {
                 let OwnerOutput::Dispatch(order) = output else { continue };
-                let outcome = whole(&head);
+                let outcome = full(&head);
                 let outputs = owner.step(now, true, OwnerInput::Dispatched { number: order.number, outcome });
                 answered += outputs.iter().filter(|output| matches!(output, OwnerOutput::Forward { .. })).count();
             }
--- a/crates/hollow/src/platform_stub.rs
+++ b/crates/hollow/src/platform_stub.rs
@@ -34,13 +34,13 @@
         };
         let head = String::from_utf8_lossy(&read[..end]).to_ascii_lowercase();
         let body = head.lines().find_map(|line| line.strip_prefix("content-length:")?.trim().parse::<usize>().ok());
-        let whole = end + body.unwrap_or(0);
-        while read.len() < whole {
+        let full = end + body.unwrap_or(0);
+        while read.len() < full {
             let mut part = [0u8; 4096];
             let count = stream.read(&mut part).await.ok().filter(|count| *count > 0)?;
             read.extend_from_slice(&part[..count]);
         }
-        read.drain(..whole);
+        read.drain(..full);
         let (status, body): (&str, &[u8]) = if head.starts_with("get /v1/instances") {
             asked.lists.set(asked.lists.get() + 1);
             asked.bytes.set(asked.bytes.get() + page.len() as u64);
--- a/crates/hollow/src/report.rs
+++ b/crates/hollow/src/report.rs
@@ -63,11 +63,11 @@
     println!("{title}\n{text}");
     let Some(out) = out else { return Ok(()) };
     let slopes: Vec<Value> = series.iter().map(Series::to_json).collect();
-    let whole = json!({"title": title, "points": points, "slopes": slopes});
+    let full = json!({"title": title, "points": points, "slopes": slopes});
     let write = |path: &Path, words: String| {
         std::fs::write(path, words).map_err(|error| format!("{}: {error}", path.display()))
     };
-    write(out, format!("{whole:#}\n"))?;
+    write(out, format!("{full:#}\n"))?;
     write(&out.with_extension("txt"), format!("{title}\n{text}"))?;
     write(&out.with_extension("svg"), plot(title, series))
 }
--- a/crates/hollow/src/run.rs
+++ b/crates/hollow/src/run.rs
@@ -115,7 +115,7 @@
     let begun = Instant::now();
     let mut fleet = Fleet::start(order, nodes, folder).await?;
     let (hollow, total) = (fleet.hollow, fleet.total);
-    fleet.until("the whole fleet", |view| whole(view, hollow, total) && view.assigned).await?;
+    fleet.until("the whole fleet", |view| full(view, hollow, total) && view.assigned).await?;
     let stood = begun.elapsed();
     eprintln!("{nodes} nodes stand after {stood:.1?}");
     sleep(CALM).await;
@@ -135,7 +135,7 @@
     }))
 }
 
-fn whole(view: &NodeGroupView, left: usize, members: usize) -> bool {
+fn full(view: &NodeGroupView, left: usize, members: usize) -> bool {
     view.serving == left && view.least_members == members && view.most_members == members
 }
 
@@ -174,7 +174,7 @@
             let begun = Instant::now();
             fleet.silence(&[n % hollow], true);
             sleep(GAP).await;
-            fleet.until("a restarted node", |view| whole(view, hollow, total)).await?;
+            fleet.until("a restarted node", |view| full(view, hollow, total)).await?;
             back.push(millis(begun.elapsed()));
             sleep(GAP).await;
         }
@@ -193,7 +193,7 @@
         fleet.silence(&lost, false);
         let begun = Instant::now();
         let members = total - lost.len();
-        fleet.until("the roster without the lost", |view| whole(view, left, members)).await?;
+        fleet.until("the roster without the lost", |view| full(view, left, members)).await?;
         let noticed = millis(begun.elapsed());
         let (receipt, everywhere) = change(order, fleet, 0, 3500).await?;
         let next = mark(fleet).await;
--- a/crates/leases/src/configuration_fetch.rs
+++ b/crates/leases/src/configuration_fetch.rs
@@ -21,7 +21,7 @@
         let request_id = self.next_request_number();
         self.transfers.fetch =
             Some(Fetch { request_id, step: None, pairs: BTreeMap::new(), parts: None, moved: self.now });
-        self.send_to_registry(Some(from), LeaseMessage::PartRequest { request_id, whole: 1, number: 0, offset: 0 });
+        self.send_to_registry(Some(from), LeaseMessage::PartRequest { request_id, full: 1, number: 0, offset: 0 });
     }
 
     #[allow(clippy::too_many_arguments)]
--- a/crates/leases/src/registry_messages.rs
+++ b/crates/leases/src/registry_messages.rs
@@ -32,9 +32,9 @@
             LeaseMessage::MembershipChange { since, number, size, body } => {
                 self.on_membership_change(since, number, size, &body)
             }
-            LeaseMessage::Part { request_id, whole, number, size, packed, offset, bytes } => {
+            LeaseMessage::Part { request_id, full, number, size, packed, offset, bytes } => {
                 let part = Part { number, size, packed, offset, bytes };
-                if whole != 0 {
+                if full != 0 {
                     self.on_configuration_part(from, request_id, part)
                 } else {
                     self.on_step_part(from, part)
--- a/crates/leases/src/step_parts.rs
+++ b/crates/leases/src/step_parts.rs
@@ -57,13 +57,8 @@
         )
     }
 
-    fn request(&self, request_id: u64, whole: bool) -> LeaseMessage {
-        LeaseMessage::PartRequest {
-            request_id,
-            whole: whole as u8,
-            number: self.number,
-            offset: self.bytes.len() as u32,
-        }
+    fn request(&self, request_id: u64, full: bool) -> LeaseMessage {
+        LeaseMessage::PartRequest { request_id, full: full as u8, number: self.number, offset: self.bytes.len() as u32 }
     }
 }
 
@@ -90,11 +85,11 @@
         }
         fetch.moved = now;
         match Arriving::take(&mut fetch.parts, now, from, part) {
-            Received::Complete(Some(whole)) => {
+            Received::Complete(Some(full)) => {
                 self.transfers.fetch = None;
-                let pairs = whole.items.into_vec().into_iter();
+                let pairs = full.items.into_vec().into_iter();
                 let pairs = pairs.map(|item| (item.key.as_str().to_owned(), item.value.into_vec())).collect();
-                self.install(whole.number, whole.revision, whole.quorum.into_vec(), pairs);
+                self.install(full.number, full.revision, full.quorum.into_vec(), pairs);
             }
             Received::Complete(None) => self.transfers.fetch = None,
             Received::More => self.request_next_parts(),
--- a/crates/leases/tests/membership.rs
+++ b/crates/leases/tests/membership.rs
@@ -33,13 +33,13 @@
 
 /// Whatever machine is lost, only its own functions move, and to those who were told to keep them.
 fn loses_one_by_one(members: &[Member]) {
-    let (whole, names) = (membership(members.to_vec()), names(600));
+    let (full, names) = (membership(members.to_vec()), names(600));
     for gone in members {
         let left = members.iter().filter(|line| line.id != gone.id).cloned().collect();
         let less = membership(left);
         for name in &names {
-            let (before, after) = (whole.owner(name).unwrap(), less.owner(name).unwrap());
-            assert!(before != gone.id || whole.owner_after(name, gone.id) == Some(after), "{name}: the next home");
+            let (before, after) = (full.owner(name).unwrap(), less.owner(name).unwrap());
+            assert!(before != gone.id || full.owner_after(name, gone.id) == Some(after), "{name}: the next home");
             assert!(before == after || before == gone.id, "{name} moved from {before} to {after}");
         }
     }
@@ -58,10 +58,10 @@
     let strong = (1..=6).map(|id| line(id, 260, 100_000));
     let members: Vec<Member> = strong.chain((7..=79).map(|id| line(id, 120, 2000))).collect();
     loses_one_by_one(&members[..12]);
-    let whole = membership(members);
+    let full = membership(members);
     let strong: Vec<NodeId> = (1..=6).map(|id| id * 7919).collect();
-    assert_eq!(whole.owners(), strong);
-    let counts = counts(&whole, &names(1030));
+    assert_eq!(full.owners(), strong);
+    let counts = counts(&full, &names(1030));
     assert!(counts.values().all(|count| (110..240).contains(count)), "{counts:?}");
 }
 
@@ -97,11 +97,11 @@
 
 #[test]
 fn records_are_read_in_both_shapes_and_written_as_the_format_has_them() {
-    let whole = membership((1..=3).map(|id| line(id, 260, 2000)).collect());
-    assert_eq!(Membership::read(&whole.clone().written(wire::FORMAT)), Some(whole.clone()));
-    let older = Membership::read(&whole.clone().written(wire::CAPACITY - 1)).unwrap();
+    let full = membership((1..=3).map(|id| line(id, 260, 2000)).collect());
+    assert_eq!(Membership::read(&full.clone().written(wire::FORMAT)), Some(full.clone()));
+    let older = Membership::read(&full.clone().written(wire::CAPACITY - 1)).unwrap();
     let plain = |line: &Member| Member { hashing: 1, capacity: Capacity::default(), ..line.clone() };
-    assert_eq!(older.members.iter().cloned().collect::<Vec<_>>(), whole.members.iter().map(plain).collect::<Vec<_>>());
+    assert_eq!(older.members.iter().cloned().collect::<Vec<_>>(), full.members.iter().map(plain).collect::<Vec<_>>());
 }
 
 #[test]
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -22,10 +22,10 @@
     pack(&to_bytes(&ConfigurationEpoch { number, revision: number, quorum: vec![9].into(), items: items.into() }))
 }
 
-fn part(request_id: u64, whole: bool, number: u64, packed: &Packed, offset: u32) -> LeaseMessage {
+fn part(request_id: u64, full: bool, number: u64, packed: &Packed, offset: u32) -> LeaseMessage {
     let bytes = packed.bytes.part(offset as usize, PART);
     let (size, total) = (packed.size, packed.bytes.len() as u32);
-    LeaseMessage::Part { request_id, whole: whole as u8, number, size, packed: total, offset, bytes }
+    LeaseMessage::Part { request_id, full: full as u8, number, size, packed: total, offset, bytes }
 }
 
 /// The core's side over a bad network: answers what is asked, drops a fifth, says a fifth twice.
@@ -43,10 +43,10 @@
         for out in outs {
             let FollowerOutput::ToRegistry { message, .. } = out else { continue };
             match message {
-                LeaseMessage::PartRequest { request_id, whole, offset, .. } => {
+                LeaseMessage::PartRequest { request_id, full, offset, .. } => {
                     requested_at += 1;
                     let times = [0, 2, 1, 1, 1][dice.random_range(0..5)];
-                    coming.extend((0..times).map(|_| part(request_id, whole != 0, number, packed, offset)));
+                    coming.extend((0..times).map(|_| part(request_id, full != 0, number, packed, offset)));
                 }
                 LeaseMessage::Staged { number: staged } if staged == number => return at,
                 LeaseMessage::Renew { request_id, .. } => {
@@ -85,7 +85,7 @@
     for seed in 0..40 {
         let mut dice = ChaCha8Rng::seed_from_u64(seed);
         let mut one = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
-        let whole = packed(&mut dice, 7, 80);
+        let full = packed(&mut dice, 7, 80);
         // The first proof names a step it has not: it begins to fetch.
         let renewed = one.step(Duration::ZERO, FollowerInput::Tick);
         let request_id = renewed.iter().find_map(|out| match out {
@@ -97,13 +97,13 @@
         let outs = one.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message });
         let fetch = outs.iter().find_map(|out| match out {
             FollowerOutput::ToRegistry {
-                message: LeaseMessage::PartRequest { request_id, whole: 1, offset: 0, .. },
+                message: LeaseMessage::PartRequest { request_id, full: 1, offset: 0, .. },
                 ..
             } => Some(*request_id),
             _ => None,
         });
-        let first = part(fetch.expect("it fetches"), true, 7, &whole, 0);
-        play(&mut dice, &mut one, Some(first), 7, &whole);
+        let first = part(fetch.expect("it fetches"), true, 7, &full, 0);
+        play(&mut dice, &mut one, Some(first), 7, &full);
         assert_eq!((one.step_number(), one.pairs().count()), (7, 80), "seed {seed}");
     }
 }
--- a/crates/links/src/stream.rs
+++ b/crates/links/src/stream.rs
@@ -15,7 +15,7 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
-use wire::{Frame, FrameError, Message, spoken};
+use wire::{Frame, FrameError, Message, downgrade};
 
 /// How long the first frame may take.
 const GREETING: Duration = Duration::from_secs(3);
@@ -115,7 +115,7 @@
 ) -> Result<(), FrameError> {
     loop {
         let message = match timeout(QUIET, queue.recv()).await {
-            Ok(Some(message)) => spoken(message, me.format).map(|message| frame(me, message)),
+            Ok(Some(message)) => downgrade(message, me.format).map(|message| frame(me, message)),
             Ok(None) => break,
             Err(_) if idle() => break,
             Err(_) => Some(hello(me)),
@@ -125,7 +125,7 @@
                 wire::write_frame(write, &message).await?;
             }
             while let Ok(message) = queue.try_recv() {
-                if let Some(message) = spoken(message, me.format) {
+                if let Some(message) = downgrade(message, me.format) {
                     wire::write_frame(write, &frame(me, message)).await?;
                 }
             }
--- a/crates/scaler/src/demand.rs
+++ b/crates/scaler/src/demand.rs
@@ -22,7 +22,7 @@
     /// Mean number of requests waiting for room on an instance.
     pub waiting: f64,
     /// Mean number of requests waiting for a first instance.
-    pub held: f64,
+    pub queued: f64,
 }
 
 impl Level {
@@ -34,7 +34,7 @@
         Level {
             response: Duration::from_secs_f64(answered.iter().sum::<f64>() / answered.len().max(1) as f64),
             waiting: three.iter().map(|s| s.waiting).sum::<f64>() / count,
-            held: three.iter().map(|s| s.held).sum::<f64>() / count,
+            queued: three.iter().map(|s| s.queued).sum::<f64>() / count,
         }
     }
 }
@@ -42,7 +42,7 @@
 /// The demand, in requests in flight, for each forecast rate (requests a second).
 pub fn demand(rates: &[f64], level: Level, sheet: &WeightSheet) -> Vec<f64> {
     let units = level.response.as_secs_f64() / UNIT.as_secs_f64();
-    let standing = level.waiting * sheet.waiting_weight + level.held * sheet.held_weight;
+    let standing = level.waiting * sheet.waiting_weight + level.queued * sheet.held_weight;
     let whole = rates.iter().map(|rate| rate * units * sheet.work_weight + standing);
     whole.map(|demand| if demand < sheet.demand_floor { 0.0 } else { demand }).collect()
 }
@@ -63,8 +63,8 @@
 mod tests {
     use super::*;
 
-    fn sample(response_ms: u64, waiting: f64, held: f64) -> Sample {
-        Sample { rate: 0.0, response: Duration::from_millis(response_ms), waiting, held }
+    fn sample(response_ms: u64, waiting: f64, queued: f64) -> Sample {
+        Sample { rate: 0.0, response: Duration::from_millis(response_ms), waiting, queued }
     }
 
     #[test]
--- a/crates/scaler/src/player.rs
+++ b/crates/scaler/src/player.rs
@@ -38,7 +38,7 @@
     /// Instances ordered or coming up.
     pub starting: u32,
     /// Requests waiting for room.
-    pub held: u32,
+    pub queued: u32,
     /// Requests on instances.
     pub in_flight: u32,
     /// Requests one instance may have at once.
@@ -124,7 +124,7 @@
 
     /// Says what the count should be now, and whether a plan is to be asked for under `request_id`.
     pub fn step(&mut self, now: Duration, request_id: u64, situation: Situation, timing: &PlayerTiming) -> Decision {
-        let Situation { running, starting, held, in_flight, capacity, min, max, fixed, may_ask, live } = situation;
+        let Situation { running, starting, queued, in_flight, capacity, min, max, fixed, may_ask, live } = situation;
         if let Some(count) = fixed {
             return Decision { desired: count, wants_plan: false };
         }
@@ -141,8 +141,8 @@
         }
         let count = running + starting;
         let played = self.played(now);
-        let beyond = played.is_some_and(|step| f64::from(held + in_flight) > f64::from(step.max(count)) * capacity);
-        let early = held > 0 && beyond && self.early_at.is_none_or(|at| now >= at + timing.early);
+        let beyond = played.is_some_and(|step| f64::from(queued + in_flight) > f64::from(step.max(count)) * capacity);
+        let early = queued > 0 && beyond && self.early_at.is_none_or(|at| now >= at + timing.early);
         let rested = self.resting.is_none_or(|until| now >= until);
         let wanted = played.is_none() || early;
         let is_requested = may_ask && wanted && rested && self.asked.is_none();
@@ -153,9 +153,9 @@
                 self.early_asks += 1;
             }
         }
-        let demand = held + in_flight > 0;
+        let demand = queued + in_flight > 0;
         let desired = played.unwrap_or_else(|| fallback(count, demand, min, max));
-        let woken = if held > 0 { desired.max(1) } else { desired };
+        let woken = if queued > 0 { desired.max(1) } else { desired };
         Decision { desired: woken.max(live).clamp(min.min(max), max), wants_plan: is_requested }
     }
 
@@ -180,8 +180,8 @@
 
     const S: Duration = Duration::from_secs(1);
 
-    fn situation(running: u32, held: u32) -> Situation {
-        Situation { running, held, capacity: 3.0, min: 0, max: 9, may_ask: true, ..Situation::default() }
+    fn situation(running: u32, queued: u32) -> Situation {
+        Situation { running, queued, capacity: 3.0, min: 0, max: 9, may_ask: true, ..Situation::default() }
     }
 
     #[test]
--- a/crates/scaler/src/tuner.rs
+++ b/crates/scaler/src/tuner.rs
@@ -28,7 +28,7 @@
     /// Requests refused by the owner.
     pub refused: u32,
     /// Requests that instances rejected for want of room.
-    pub turned: u32,
+    pub rejections: u32,
     /// Mean number of requests waiting.
     pub waiting: f64,
     /// Utilization of the instances' slots, 0 to 1.
@@ -77,7 +77,7 @@
 
     fn take(&mut self, measure: Measure, step: Duration) {
         self.follow_boots(measure, step);
-        let short = measure.refused > 0 || measure.turned > 0 || measure.waiting > WAITING;
+        let short = measure.refused > 0 || measure.rejections > 0 || measure.waiting > WAITING;
         self.calm = if short { 0 } else { self.calm + 1 };
         self.rest = self.rest.saturating_sub(1);
         if self.rest > 0 {
@@ -85,11 +85,11 @@
         }
         if short {
             self.rest = REST;
-            let Measure { refused, turned, waiting, .. } = measure;
+            let Measure { refused, rejections, waiting, .. } = measure;
             self.move_to(
                 -LOWER,
                 SHARPER,
-                format!("short: {refused} refused, {turned} turned away, {waiting:.2} waiting"),
+                format!("short: {refused} refused, {rejections} turned away, {waiting:.2} waiting"),
             );
         } else if self.calm >= CALM {
             self.calm = CALM / 2;
--- a/crates/scaler/src/tuner_tests.rs
+++ b/crates/scaler/src/tuner_tests.rs
@@ -14,9 +14,9 @@
     (tuner, function)
 }
 
-const SHORT: Measure = Measure { boot: Duration::ZERO, boots: 0, refused: 2, turned: 0, waiting: 0.0, usage: 0.5 };
+const SHORT: Measure = Measure { boot: Duration::ZERO, boots: 0, refused: 2, rejections: 0, waiting: 0.0, usage: 0.5 };
 const SLOW: Measure =
-    Measure { boot: Duration::from_secs(40), boots: 1, refused: 0, turned: 0, waiting: 0.0, usage: 0.5 };
+    Measure { boot: Duration::from_secs(40), boots: 1, refused: 0, rejections: 0, waiting: 0.0, usage: 0.5 };
 
 #[test]
 fn a_short_function_is_planned_with_more_room_slowly_and_within_its_bounds() {
--- a/crates/scaler/src/window.rs
+++ b/crates/scaler/src/window.rs
@@ -28,7 +28,7 @@
     /// Requests waiting for room on an instance.
     pub waiting: f64,
     /// Requests waiting for a first instance.
-    pub held: f64,
+    pub queued: f64,
 }
 
 /// A fit and what it was made from.
--- a/crates/sim/src/callers.rs
+++ b/crates/sim/src/callers.rs
@@ -17,7 +17,7 @@
     pub class: &'static str,
     pub path: String,
     pub service: String,
-    pub tries: u32,
+    pub resends: u32,
     pub begun: Duration,
 }
 
@@ -90,14 +90,14 @@
             class: self.class_of(function),
             path: format!("/{service}"),
             service,
-            tries: 1,
+            resends: 1,
             begun: self.now,
         };
         let eager = self.now < self.callers.eager_until;
         if is_keyed(task.class) && (eager || self.dice.random_ratio(1, 10)) {
             for twin in 0..if eager { 4 } else { 1 } {
                 let label = format!("{number}#twin{twin}");
-                self.call(SimTask { label, tries: 9, ..task.clone() });
+                self.call(SimTask { label, resends: 9, ..task.clone() });
             }
         }
         self.call(task);
@@ -185,9 +185,9 @@
             self.rules.tell(now, format!("{} waited {} ms", task.label, waited.as_millis()));
         }
         let good = matches!(reply.outcome, Some(Outcome::Answered | Outcome::Accepted));
-        if !good && task.tries < 3 && self.dice.random_bool(0.5) {
-            task.tries += 1;
-            task.label = format!("{}#{}", task.key, task.tries);
+        if !good && task.resends < 3 && self.dice.random_bool(0.5) {
+            task.resends += 1;
+            task.label = format!("{}#{}", task.key, task.resends);
             task.begun = now + Duration::from_millis(30);
             self.callers.next += 1;
             let number = self.callers.next;
--- a/crates/sim/src/failing.rs
+++ b/crates/sim/src/failing.rs
@@ -74,12 +74,12 @@
     /// back empty, sometimes at a new address.
     pub(crate) fn lose_disk(&mut self, n: usize, back: Duration) {
         let live = self.live_registries();
-        let whole = |n: &usize| {
+        let full = |n: &usize| {
             let Some(core) = &self.registries[*n].core else { return false };
             let view = core.member().view();
             view.chain.as_slice().len() == live.len() && view.learner == 0
         };
-        if !live.iter().all(whole) {
+        if !live.iter().all(full) {
             return;
         }
         self.kill_registry(n);
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -22,7 +22,7 @@
         self.say(|| format!("task {label} goes from router {n} to {}", order.address));
         let lost = self.dice.random_bool(self.yard.lose);
         let garbled = self.dice.random_bool(self.yard.garble);
-        let turned = self.dice.random_bool(self.yard.turn_away);
+        let rejections = self.dice.random_bool(self.yard.turn_away);
         self.count_instance(&label, &order.address);
         let limits = &self.yard.limits;
         let longest = if self.plan.sort == Sort::Resets { 500 } else { 120 };
@@ -37,11 +37,16 @@
         let outcome = match self.yard.instances.get_mut(&order.address) {
             None => DispatchOutcome::NotSent,
             Some(instance) if instance.ready_at > now => DispatchOutcome::NotSent,
-            Some(instance) if instance.busy >= limit(&instance.service) || turned => {
+            Some(instance) if instance.busy >= limit(&instance.service) || rejections => {
                 let service = instance.service.clone();
                 let over = instance.busy >= declared;
                 self.rules.turned_away(now, &service, over);
-                DispatchOutcome::Whole { status: 503, head: empty(), body: b"at its limit".to_vec(), turned_away: true }
+                DispatchOutcome::Complete {
+                    status: 503,
+                    head: empty(),
+                    body: b"at its limit".to_vec(),
+                    turned_away: true,
+                }
             }
             Some(instance) => {
                 instance.busy += 1;
@@ -51,7 +56,7 @@
                     let told = if lost { "lost" } else { "bytes after the answer's declared end" };
                     DispatchOutcome::InDoubt { told: told.into(), late: false }
                 } else {
-                    DispatchOutcome::Whole {
+                    DispatchOutcome::Complete {
                         status: 200,
                         head: empty(),
                         body: label.clone().into_bytes(),
@@ -60,7 +65,7 @@
                 }
             }
         };
-        let ran = matches!(&outcome, DispatchOutcome::Whole { status: 200, .. } | DispatchOutcome::InDoubt { .. });
+        let ran = matches!(&outcome, DispatchOutcome::Complete { status: 200, .. } | DispatchOutcome::InDoubt { .. });
         if !ran {
             took = Duration::from_millis(self.dice.random_range(1..15));
         }
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -104,14 +104,14 @@
             self.operators.next += 1;
             let request_id = self.operators.next;
             let mark = format!("m{request_id}");
-            let whole = !self.operators.founded || self.dice.random_ratio(1, 3);
+            let full = !self.operators.founded || self.dice.random_ratio(1, 3);
             let invalid = self.operators.founded && self.dice.random_ratio(1, 10);
             let mut grown = if self.operators.founded && self.dice.random_ratio(1, 12) { 400 } else { 0 };
             if self.operators.founded && std::mem::take(&mut self.operators.grows) {
                 grown = 3000;
             }
             let any = self.dice.random_ratio(1, 5);
-            let mut items = if whole { self.items(&mark) } else { vec![mark_line(&mark)] };
+            let mut items = if full { self.items(&mark) } else { vec![mark_line(&mark)] };
             if invalid {
                 items.push(line(
                     "function-bindings/t9/bad",
@@ -132,7 +132,7 @@
                 op: mark.clone(),
                 base,
                 revision: None,
-                whole,
+                full,
                 scope: String::new(),
                 items,
                 dry: false,
--- a/crates/sim/src/resending.rs
+++ b/crates/sim/src/resending.rs
@@ -20,7 +20,7 @@
 pub struct Order {
     pub mark: String,
     pub base: Option<u64>,
-    pub whole: bool,
+    pub full: bool,
     pub items: Vec<ConfigurationItem>,
 }
 
@@ -70,9 +70,9 @@
             return;
         }
         let mark = format!("m{number}");
-        let whole = !self.operators.founded || self.dice.random_ratio(1, 4);
-        let items = if whole { self.items(&mark) } else { vec![mark_line(&mark)] };
-        let order = Order { mark: mark.clone(), base: Some(self.operators.revision), whole, items };
+        let full = !self.operators.founded || self.dice.random_ratio(1, 4);
+        let items = if full { self.items(&mark) } else { vec![mark_line(&mark)] };
+        let order = Order { mark: mark.clone(), base: Some(self.operators.revision), full, items };
         self.operators.orders.insert(mark.clone(), order);
         self.send_order(&mark);
     }
@@ -81,7 +81,7 @@
     fn send_order(&mut self, mark: &str) {
         let n = self.dice.random_range(0..self.registries.len());
         let Some(order) = self.operators.orders.get(mark).cloned() else { return };
-        let Order { mark, base, whole, items } = order;
+        let Order { mark, base, full, items } = order;
         self.operators.next += 1;
         let request_id = self.operators.next;
         let asked = Asked { mark: mark.clone(), base, invalid: false, sent: self.now };
@@ -91,7 +91,7 @@
         }
         self.operators.open.insert((n, request_id), asked);
         let scope = String::new();
-        let call = ApiCall::Change { op: mark, base, revision: None, whole, scope, items, dry: false };
+        let call = ApiCall::Change { op: mark, base, revision: None, full, scope, items, dry: false };
         self.feed_registry(n, CoreInput::Call { request_id, call });
     }
 
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -6,7 +6,7 @@
 
 const SLIP: Duration = Duration::from_millis(250);
 const OLD: Duration = Duration::from_secs(3);
-const TURNED_MOST: usize = 11;
+const MAX_REJECTIONS: usize = 11;
 
 #[derive(Default)]
 pub struct Rules {
@@ -22,8 +22,8 @@
     acked: Vec<(Duration, u64)>,
     first_served: BTreeMap<u64, Duration>,
     newest_served: u64,
-    turned: BTreeMap<String, VecDeque<Duration>>,
-    tries: BTreeMap<String, VecDeque<(Duration, bool)>>,
+    rejections: BTreeMap<String, VecDeque<Duration>>,
+    resends: BTreeMap<String, VecDeque<(Duration, bool)>>,
     chain: BTreeMap<u64, (u64, u64)>,
     chain_seen: BTreeMap<usize, u64>,
     faults: Vec<(Duration, Duration)>,
@@ -82,7 +82,7 @@
     }
 
     fn try_counted(&mut self, now: Duration, service: &str, second: bool) {
-        let list = self.tries.entry(service.to_owned()).or_default();
+        let list = self.resends.entry(service.to_owned()).or_default();
         list.push_back((now, second));
         while list.front().is_some_and(|(at, _)| now > *at + Duration::from_secs(10)) {
             list.pop_front();
@@ -94,12 +94,12 @@
     }
 
     pub fn turned_away(&mut self, now: Duration, service: &str, over: bool) {
-        let list = self.turned.entry(service.to_owned()).or_default();
+        let list = self.rejections.entry(service.to_owned()).or_default();
         list.push_back(now);
         while list.front().is_some_and(|at| now > *at + Duration::from_secs(5)) {
             list.pop_front();
         }
-        if list.len() > TURNED_MOST {
+        if list.len() > MAX_REJECTIONS {
             let (count, why) = (list.len(), if over { "over their limit" } else { "by their own choice" });
             self.tell(now, format!("{service} turned away {count} in 5 s, {why}"));
         }
--- a/crates/sim/src/strikes.rs
+++ b/crates/sim/src/strikes.rs
@@ -136,7 +136,7 @@
                 op: mark.clone(),
                 base,
                 revision: None,
-                whole: false,
+                full: false,
                 scope: String::new(),
                 items,
                 dry: false,
--- a/crates/traffic/src/admission.rs
+++ b/crates/traffic/src/admission.rs
@@ -11,7 +11,7 @@
 
 impl FunctionOwner {
     pub(crate) fn admit(&mut self, from: NodeId, request: ForwardRequest) {
-        let ForwardRequest { task, function, binding, left_ms, tries, attempts, respond_async, key, head, body } =
+        let ForwardRequest { task, function, binding, left_ms, resends, attempts, respond_async, key, head, body } =
             request;
         let id = TaskId { from, task };
         if self.seen.insert(id, self.now).is_some() {
@@ -28,9 +28,9 @@
             return self.outs.push(OwnerOutput::Forward { to: from, message: ForwardMessage::NotOwner { task } });
         }
         scheduler.arrivals += 1;
-        let full = scheduler.held.len() >= self.timing.function_inbox;
+        let full = scheduler.queued.len() >= self.timing.function_inbox;
         let last = bound.class == Class::Deferred || bound.player_weight <= 0.0;
-        let (keyless, again) = (matches!(bound.class, Class::Ordinary | Class::Single), tries > 0);
+        let (keyless, again) = (matches!(bound.class, Class::Ordinary | Class::Single), resends > 0);
         let spent = again && keyless && (bound.class == Class::Single || !scheduler.budget.try_second(self.now));
         let (scope, digest) = match keyless {
             true => (String::new(), Vec::new()),
@@ -46,7 +46,7 @@
             due: self.now + Duration::from_millis(left_ms.into()),
             aim: bound.aim_ms.map(|aim| Duration::from_millis(aim.into())),
             not_before: self.now,
-            place: Place::Held,
+            place: Place::Queued,
             scope,
             digest,
             head: head.into_vec(),
--- a/crates/traffic/src/allowances.rs
+++ b/crates/traffic/src/allowances.rs
@@ -19,8 +19,8 @@
     pub retry_slack: usize,
     pub retry_window: Duration,
     /// Tasks that the instances of one function may turn away, in any window.
-    pub turned_most: usize,
-    pub turned_window: Duration,
+    pub max_rejections: usize,
+    pub rejection_window: Duration,
 }
 
 impl Default for Allowances {
@@ -29,8 +29,8 @@
             retry_ratio: 0.2,
             retry_slack: 60,
             retry_window: Duration::from_secs(10),
-            turned_most: 11,
-            turned_window: Duration::from_secs(5),
+            max_rejections: 11,
+            rejection_window: Duration::from_secs(5),
         }
     }
 }
@@ -59,16 +59,16 @@
         Most { known, at_first }
     }
 
-    pub fn turned(&self) -> Most {
-        let known = ((self.turned_most * 2 + 1) / 3).max(1);
-        Most { known, at_first: self.turned_most.saturating_sub(known).max(1) }
+    pub fn rejections(&self) -> Most {
+        let known = ((self.max_rejections * 2 + 1) / 3).max(1);
+        Most { known, at_first: self.max_rejections.saturating_sub(known).max(1) }
     }
 
     /// Counts of a copy, told as those of an owner that has only its part at first left to spend.
-    pub fn as_of_a_copy(&self, earlier: EarlierOwners, requests: &mut u32, seconds: &mut u32, turned: &mut u32) {
+    pub fn as_of_a_copy(&self, earlier: EarlierOwners, requests: &mut u32, retries: &mut u32, rejections: &mut u32) {
         let kept_back = |most: Most| most.known.saturating_sub(most.at_first) as u32;
-        *seconds = (*seconds).max(self.share(*requests as usize) as u32 + kept_back(self.spare(earlier)));
-        *turned = (*turned).max(kept_back(self.turned()));
+        *retries = (*retries).max(self.share(*requests as usize) as u32 + kept_back(self.spare(earlier)));
+        *rejections = (*rejections).max(kept_back(self.rejections()));
     }
 
     pub fn remembered(window: Duration) -> Duration {
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -100,7 +100,7 @@
     earlier: EarlierOwners,
     requests: Window,
     own_requests: Window,
-    seconds: Spent,
+    retries: Spent,
 }
 
 impl Budget {
@@ -114,7 +114,7 @@
             earlier: EarlierOwners::AtMost(1),
             requests: Window::new(credited),
             own_requests: Window::new(credited),
-            seconds: Spent::new(now, remembered, remembered),
+            retries: Spent::new(now, remembered, remembered),
         }
     }
 
@@ -140,36 +140,36 @@
 
     pub fn may_second(&mut self, now: Duration) -> bool {
         let most = self.most(now);
-        self.seconds.room(now, most) > 0
+        self.retries.room(now, most) > 0
     }
 
     pub fn try_second(&mut self, now: Duration) -> bool {
         let may = self.may_second(now);
         if may {
-            self.seconds.add(now);
+            self.retries.add(now);
         }
         may
     }
 
     /// An arrival that an instance rejected counts as one more.
     pub fn turned_away(&mut self, now: Duration) {
-        self.seconds.add(now);
+        self.retries.add(now);
     }
 
     pub fn counts(&mut self, now: Duration) -> (usize, usize) {
-        (self.requests.count(now), self.seconds.count(now))
+        (self.requests.count(now), self.retries.count(now))
     }
 
     /// Requests and retries as the next owner is to know them.
     pub fn told(&mut self, now: Duration) -> (usize, usize) {
         let most = self.most(now);
-        (self.requests.count(now), self.seconds.told(now, most))
+        (self.requests.count(now), self.retries.told(now, most))
     }
 
     /// Another owner may have been here meanwhile.
     pub fn be_careful(&mut self, now: Duration) {
         self.own_requests.times.clear();
-        self.seconds.be_careful(now);
+        self.retries.be_careful(now);
     }
 
     /// How many owners may have spent in this window before this one came, as far as the memberships tell.
@@ -179,22 +179,22 @@
 
     /// Nothing was learned of what was spent before this owner came.
     pub fn stay_careful(&mut self, now: Duration) {
-        self.seconds.stay_careful(now);
+        self.retries.stay_careful(now);
     }
 
     /// The owner before told of more retries than it had.
     pub fn learn(&mut self, now: Duration, more: u32) {
-        self.seconds.learn(now, more.min(20_000) as usize);
+        self.retries.learn(now, more.min(20_000) as usize);
     }
 
     /// The owner before told its counts at a moment; of the requests it is not known when they came.
-    pub fn take_over(&mut self, now: Duration, at: Duration, requests: u32, seconds: u32, whole: bool) {
-        let (requests, seconds) = (requests.min(20_000) as usize, seconds.min(20_000) as usize);
+    pub fn take_over(&mut self, now: Duration, at: Duration, requests: u32, retries: u32, whole: bool) {
+        let (requests, retries) = (requests.min(20_000) as usize, retries.min(20_000) as usize);
         if requests > self.requests.count(now) {
             let length = self.requests.length;
             let came = |n: usize| at.saturating_sub(length.mul_f64(n as f64 / requests as f64));
             self.requests.times = (0..requests).rev().map(came).collect();
         }
-        self.seconds.take_over(now, at, seconds, whole);
+        self.retries.take_over(now, at, retries, whole);
     }
 }
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -6,7 +6,7 @@
 use bindings::Class;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use wire::{ConfigurationItem, StoredTask};
+use wire::{ConfigurationItem, StoredRequest};
 
 const READS_AT_ONCE: usize = 4;
 const WHOLE: usize = 500;
@@ -53,8 +53,8 @@
     /// Another owner may have sent what is stored. What was held here is let go of, and read back as the
     /// store tells of it; what is just being stored counts as sent.
     pub(crate) fn doubt_stored(&mut self) {
-        let held = |task: &OwnedRequest| task.stored.is_some() && task.place == Place::Held;
-        let numbers: Vec<u64> = self.tasks.iter().filter(|(_, task)| held(task)).map(|(number, _)| *number).collect();
+        let queued = |task: &OwnedRequest| task.stored.is_some() && task.place == Place::Queued;
+        let numbers: Vec<u64> = self.tasks.iter().filter(|(_, task)| queued(task)).map(|(number, _)| *number).collect();
         for number in numbers {
             self.accept(number);
             self.forget(number);
@@ -92,8 +92,8 @@
             let room = self
                 .schedulers
                 .get(&name)
-                .is_some_and(|scheduler| scheduler.held.len() < self.timing.function_inbox / 2);
-            let Some(kept) = wire::from_bytes::<StoredTask>(item.value.as_slice()) else { continue };
+                .is_some_and(|scheduler| scheduler.queued.len() < self.timing.function_inbox / 2);
+            let Some(kept) = wire::from_bytes::<StoredRequest>(item.value.as_slice()) else { continue };
             if known || !room || self.finished.contains_key(&id) {
                 continue;
             }
@@ -109,7 +109,7 @@
                 due: Duration::MAX,
                 aim: None,
                 not_before: self.now,
-                place: Place::Held,
+                place: Place::Queued,
                 scope: String::new(),
                 digest: Vec::new(),
                 head: kept.head.into_vec(),
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -38,22 +38,22 @@
                 if leaves { self.send_back(number) } else { self.hold(number) }
             }
             (DispatchOutcome::NotRun { .. }, Class::Ordinary | Class::Single | Class::Once) => {
-                let wait = |scheduler: &FunctionScheduler| scheduler.expected_wait(now, scheduler.held.len());
+                let wait = |scheduler: &FunctionScheduler| scheduler.expected_wait(now, scheduler.queued.len());
                 let wait = self.schedulers.get(&name).map_or(Duration::ZERO, wait);
                 let again = self.time_to_come_back(number, wait);
                 self.try_again(number, false, Failure::not_run(again));
             }
-            (DispatchOutcome::Whole { status, head, body, .. }, Class::Once) => {
+            (DispatchOutcome::Complete { status, head, body, .. }, Class::Once) => {
                 let answer = stored(status, &head, &body);
-                self.settle(number, &answer);
+                self.record_answer(number, &answer);
                 self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
             }
             (DispatchOutcome::InDoubt { .. }, Class::Once) => {
                 let answer = StoredAnswer { outcome: Outcome::Unknown, ..stored(504, &[], &[]) };
-                self.settle(number, &answer);
+                self.record_answer(number, &answer);
                 self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO);
             }
-            (DispatchOutcome::Whole { status, head, body, turned_away }, Class::Ordinary | Class::Single) => {
+            (DispatchOutcome::Complete { status, head, body, turned_away }, Class::Ordinary | Class::Single) => {
                 let failed = status >= 500 && status != 504;
                 if class == Class::Ordinary && (turned_away || failed) {
                     self.try_again(number, !turned_away, Failure::answered(status, head, body));
@@ -68,7 +68,7 @@
                     _ => self.try_again(number, true, Failure::unknown(status)),
                 }
             }
-            (DispatchOutcome::Whole { status, head, body, turned_away }, Class::Deferred)
+            (DispatchOutcome::Complete { status, head, body, turned_away }, Class::Deferred)
                 if status < 500 && !turned_away =>
             {
                 self.finish(number, &stored(status, &head, &body));
@@ -99,7 +99,7 @@
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
         let turned_away = matches!(
             outcome,
-            DispatchOutcome::Whole { turned_away: true, .. } | DispatchOutcome::NotRun { wrong_instance: false }
+            DispatchOutcome::Complete { turned_away: true, .. } | DispatchOutcome::NotRun { wrong_instance: false }
         );
         scheduler.in_flight = scheduler.in_flight.saturating_sub(1);
         scheduler.risk.ended(now, order, begun, turned_away);
@@ -107,7 +107,7 @@
             instance.busy = instance.busy.saturating_sub(1);
             instance.used = now;
             match outcome {
-                DispatchOutcome::Whole { .. } if !turned_away => instance.proven = instance.proven.max(level),
+                DispatchOutcome::Complete { .. } if !turned_away => instance.proven = instance.proven.max(level),
                 DispatchOutcome::NotSent | DispatchOutcome::Crowded => instance.paused_until = now + PAUSE,
                 DispatchOutcome::InDoubt { late: true, .. } => {
                     instance.foreign = if now < instance.foreign_until { instance.foreign + 1 } else { 1 };
@@ -121,9 +121,9 @@
                 event!(turned_away, "{instance_id}");
                 scheduler.turned_away(now, instance_id);
                 scheduler.budget.turned_away(now);
-                scheduler.seen.turned += 1;
+                scheduler.seen.rejections += 1;
             }
-            DispatchOutcome::Whole { .. } => scheduler.took(now.saturating_sub(begun)),
+            DispatchOutcome::Complete { .. } => scheduler.took(now.saturating_sub(begun)),
             DispatchOutcome::NotRun { .. } => event!(instance_doubted, "{instance_id}: another answers at its address"),
             DispatchOutcome::InDoubt { told, .. } => event!(instance_doubted, "{instance_id}: {told}"),
             DispatchOutcome::NotSent | DispatchOutcome::Crowded => {}
--- a/crates/traffic/src/dispatch_pass.rs
+++ b/crates/traffic/src/dispatch_pass.rs
@@ -16,7 +16,7 @@
         let names: Vec<String> = self
             .schedulers
             .iter()
-            .filter(|(_, scheduler)| !scheduler.held.is_empty())
+            .filter(|(_, scheduler)| !scheduler.queued.is_empty())
             .map(|(name, _)| name.clone())
             .collect();
         for name in names {
@@ -44,10 +44,10 @@
         if !scheduler.risk.may_send(now, proven) {
             return None;
         }
-        let may_go = |task: &&OwnedRequest| task.place == Place::Held && now >= task.not_before;
+        let may_go = |task: &&OwnedRequest| task.place == Place::Queued && now >= task.not_before;
         let (tasks, expected) = (&self.tasks, scheduler.expected_time());
         let mut late = None;
-        for number in &scheduler.held {
+        for number in &scheduler.queued {
             let Some(task) = tasks.get(number).filter(may_go) else { continue };
             let in_aim = task.inherits || task.aim.is_none_or(|aim| now + expected <= task.arrived + aim);
             if !in_aim && late.is_some() {
@@ -73,7 +73,7 @@
             return;
         };
         if !still_bound {
-            scheduler.held.retain(|held| *held != number);
+            scheduler.queued.retain(|queued| *queued != number);
             return self.send_back(number);
         }
         if task.dispatches > 0 && !scheduler.budget.try_second(now) {
@@ -88,7 +88,7 @@
         let level = instance.busy;
         scheduler.in_flight += 1;
         scheduler.risk.sent(now, order, level <= instance.proven);
-        scheduler.held.retain(|held| *held != number);
+        scheduler.queued.retain(|queued| *queued != number);
         task.dispatches += 1;
         if let Some(id) = &task.stored {
             scheduler.sent_tasks.insert(id);
--- a/crates/traffic/src/expiry.rs
+++ b/crates/traffic/src/expiry.rs
@@ -12,7 +12,7 @@
 const STALE: f64 = 0.45;
 
 fn is_stale(now: Duration, task: &OwnedRequest) -> bool {
-    let unsent = task.place == Place::Held && task.dispatches == 0 && !task.reached;
+    let unsent = task.place == Place::Queued && task.dispatches == 0 && !task.reached;
     let whole = task.due.saturating_sub(task.arrived);
     unsent && task.aim.is_some() && now >= task.arrived + whole.mul_f64(STALE)
 }
@@ -21,7 +21,7 @@
     /// A held task without the time its answer takes is given up now, not sent in vain.
     fn least_time(&self, task: &OwnedRequest) -> Duration {
         match (&task.place, self.schedulers.get(&task.function)) {
-            (Place::Held, Some(scheduler)) => scheduler.least_time(),
+            (Place::Queued, Some(scheduler)) => scheduler.least_time(),
             _ => Duration::ZERO,
         }
     }
@@ -71,7 +71,7 @@
     pub(crate) fn send_back(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
-            scheduler.held.retain(|held| *held != number);
+            scheduler.queued.retain(|queued| *queued != number);
         }
         if task.class == Class::Once && task.claim != 0 {
             task.place = Place::Releasing;
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -31,7 +31,7 @@
             function: record.function.as_str().into(),
             binding: record.binding.as_str().into(),
             left_ms: (record.due - self.now).as_millis() as u32,
-            tries: record.tries,
+            resends: record.resends,
             attempts: record.attempts.forward(),
             respond_async: record.call.respond_async as u8,
             key: record.key.as_str().into(),
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -134,7 +134,7 @@
             patience,
             stage: Stage::Waiting,
             again_at: self.now,
-            tries: 0,
+            resends: 0,
             doubt: false,
             attempts: AttemptCount::default(),
         };
--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -29,7 +29,7 @@
             {
                 record.stage = Stage::Waiting;
                 record.again_at = self.now;
-                record.tries = record.tries.saturating_add(1);
+                record.resends = record.resends.saturating_add(1);
                 record.doubt = true;
                 if record.class == Some(Class::Single) || record.attempts.is_spent() {
                     over.push(*task);
@@ -83,8 +83,8 @@
             return;
         }
         match message {
-            ForwardMessage::Answer { outcome, status, again_ms, head, body, .. } => {
-                let after = Duration::from_millis(again_ms.into());
+            ForwardMessage::Answer { outcome, status, retry_after_ms, head, body, .. } => {
+                let after = Duration::from_millis(retry_after_ms.into());
                 self.told(task, outcome, status, after, head.into_vec(), body.into_vec());
             }
             ForwardMessage::AnswerInSeconds { outcome, status, retry_after, head, body, .. } => {
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -98,7 +98,7 @@
     pub patience: Duration,
     pub stage: Stage,
     pub again_at: Duration,
-    pub tries: u8,
+    pub resends: u8,
     pub doubt: bool,
     pub attempts: AttemptCount,
 }
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -8,7 +8,7 @@
 use crate::inventory::Inventory;
 use crate::owner_types::{Ledger, LedgerAsk, OwnedRequest, OwnerInput, OwnerOutput, OwnerTiming, TaskId};
 use crate::placement::Workers;
-use crate::standby::Kept;
+use crate::standby::StandbyCopy;
 use bindings::RouteTable;
 use leases::{Membership, first_number};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
     pub(crate) tuned: (u64, Vec<TunedParameters>),
     pub(crate) heartbeat_sent: Duration,
     pub(crate) kept_at: Duration,
-    pub(crate) kept: BTreeMap<String, Kept>,
+    pub(crate) standby_copies: BTreeMap<String, StandbyCopy>,
     pub(crate) no_growth: Duration,
     pub(crate) listed: BTreeMap<String, u32>,
     pub(crate) leaving: BTreeMap<String, Duration>,
@@ -85,7 +85,7 @@
             tuned: (0, Vec::new()),
             heartbeat_sent: Duration::ZERO,
             kept_at: Duration::ZERO,
-            kept: BTreeMap::new(),
+            standby_copies: BTreeMap::new(),
             no_growth: Duration::ZERO,
             listed: BTreeMap::new(),
             leaving: BTreeMap::new(),
@@ -115,11 +115,11 @@
                 }
             }
             OwnerInput::Forward {
-                message: ForwardMessage::Handover { function, membership, slots, requests, seconds },
+                message: ForwardMessage::Handover { function, membership, slots, requests, retries },
                 ..
             } => {
                 let table =
-                    OwnershipTable { function, membership, slots, requests, seconds, ..OwnershipTable::default() };
+                    OwnershipTable { function, membership, slots, requests, retries, ..OwnershipTable::default() };
                 self.take_handover(table)
             }
             OwnerInput::Forward { message: ForwardMessage::Preempt { function, .. }, .. } => {
@@ -198,9 +198,15 @@
             }
             let (to, id) = (task.id.from, task.id.task);
             task.caller = false;
-            let again_ms = retry_after.as_millis() as u32;
-            let message =
-                ForwardMessage::Answer { task: id, outcome, status, again_ms, head: head.into(), body: body.into() };
+            let retry_after_ms = retry_after.as_millis() as u32;
+            let message = ForwardMessage::Answer {
+                task: id,
+                outcome,
+                status,
+                retry_after_ms,
+                head: head.into(),
+                body: body.into(),
+            };
             self.outs.push(OwnerOutput::Forward { to, message });
         }
         let lives_on = task.stored.is_some() && outcome == Outcome::Accepted;
@@ -213,7 +219,7 @@
         if let Some(task) = self.tasks.remove(&number)
             && let Some(scheduler) = self.schedulers.get_mut(&task.function)
         {
-            scheduler.held.retain(|held| *held != number);
+            scheduler.queued.retain(|queued| *queued != number);
         }
     }
 
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -17,7 +17,7 @@
 
 pub struct FunctionScheduler {
     pub function: Function,
-    pub held: VecDeque<u64>,
+    pub queued: VecDeque<u64>,
     pub instances: BTreeMap<String, Instance>,
     pub player: Player,
     pub budget: Budget,
@@ -53,7 +53,7 @@
     pub boot: Duration,
     pub boots: u32,
     pub refused: u32,
-    pub turned: u32,
+    pub rejections: u32,
     pub usage_sum: f64,
 }
 
@@ -61,7 +61,7 @@
     pub fn new(now: Duration, function: Function, membership: u64, allowances: &Allowances) -> FunctionScheduler {
         FunctionScheduler {
             function,
-            held: VecDeque::new(),
+            queued: VecDeque::new(),
             instances: BTreeMap::new(),
             player: Player::default(),
             budget: Budget::new(now, allowances),
@@ -95,7 +95,7 @@
     /// Whether anything is, was lately or should be going on here; a scheduler asleep costs nothing.
     pub fn is_awake(&self) -> bool {
         let wanted = self.function.fixed.unwrap_or(self.function.min) > 0 || self.desired > 0;
-        wanted || !self.held.is_empty() || !self.instances.is_empty() || self.in_flight > 0 || self.arrivals > 0
+        wanted || !self.queued.is_empty() || !self.instances.is_empty() || self.in_flight > 0 || self.arrivals > 0
     }
 
     /// How long one start takes on average.
@@ -157,7 +157,7 @@
     pub fn grow_back(&mut self, now: Duration) {
         let limit = self.function.instance_limit;
         self.risk.fade();
-        let pause = if self.risk.turned(now) == 0 { GROW_CALM } else { GROW };
+        let pause = if self.risk.rejections(now) == 0 { GROW_CALM } else { GROW };
         for instance in self.instances.values_mut() {
             if instance.allowed < limit && now > instance.allowed_at + pause {
                 instance.allowed += 1;
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -42,7 +42,7 @@
                         FunctionScheduler::new(now, function.clone(), self.membership.number, &self.timing.allowances);
                     scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, &function.name));
                     self.schedulers.insert(function.name.clone(), scheduler);
-                    self.take_kept(&function.name);
+                    self.take_standby_copy(&function.name);
                     begun_anew.push(function.name.clone());
                 }
                 None => {}
@@ -59,13 +59,13 @@
             match next {
                 Some(next) if scheduler.leaving.is_none_or(|(known, _)| known != next) => {
                     scheduler.leaving = Some((next, now));
-                    let held: Vec<u64> = scheduler.held.drain(..).collect();
-                    held.into_iter().for_each(|number| self.send_back(number));
+                    let queued: Vec<u64> = scheduler.queued.drain(..).collect();
+                    queued.into_iter().for_each(|number| self.send_back(number));
                     self.hand_over(&name);
                 }
                 None if !bound => {
-                    let held: Vec<u64> = scheduler.held.iter().copied().collect();
-                    held.into_iter().for_each(|number| self.send_back(number));
+                    let queued: Vec<u64> = scheduler.queued.iter().copied().collect();
+                    queued.into_iter().for_each(|number| self.send_back(number));
                 }
                 _ => {}
             }
@@ -90,11 +90,11 @@
 
     /// Stored tasks held here and not being run: whoever is the owner finds them in the chain.
     pub(crate) fn drop_deferred(&mut self, which: impl Fn(&FunctionOwner, &str) -> bool) {
-        let held = |task: &OwnedRequest| task.stored.is_some() && task.place == Place::Held;
+        let queued = |task: &OwnedRequest| task.stored.is_some() && task.place == Place::Queued;
         let dropped: Vec<u64> = self
             .tasks
             .iter()
-            .filter(|(_, task)| held(task) && which(self, &task.function))
+            .filter(|(_, task)| queued(task) && which(self, &task.function))
             .map(|(number, _)| *number)
             .collect();
         for number in dropped {
@@ -147,7 +147,7 @@
             let done = self
                 .schedulers
                 .get(&name)
-                .is_some_and(|scheduler| scheduler.in_flight == 0 && scheduler.held.is_empty());
+                .is_some_and(|scheduler| scheduler.in_flight == 0 && scheduler.queued.is_empty());
             if done {
                 self.schedulers.remove(&name);
             }
--- a/crates/traffic/src/instance.rs
+++ b/crates/traffic/src/instance.rs
@@ -70,7 +70,7 @@
 /// A wish whose order has no clear outcome yet; its instance stands under the nonce until then.
 pub struct Pending {
     pub asked: bool,
-    pub tries: u32,
+    pub resends: u32,
     pub hops: u32,
     pub again: Duration,
 }
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -5,7 +5,7 @@
 use crate::function_owner::FunctionOwner;
 use crate::owner_types::{Ledger, Place};
 use std::time::Duration;
-use wire::{ClaimState, Command, CommandReply, LeaseMessage, Outcome, StoredAnswer, StoredTask};
+use wire::{ClaimState, Command, CommandReply, LeaseMessage, Outcome, StoredAnswer, StoredRequest};
 
 const LASTING: Duration = Duration::from_secs(60);
 
@@ -52,9 +52,9 @@
         }
     }
 
-    pub(crate) fn settle(&mut self, number: u64, answer: &StoredAnswer) {
+    pub(crate) fn record_answer(&mut self, number: u64, answer: &StoredAnswer) {
         let Some(task) = self.tasks.get(&number) else { return };
-        let command = Command::Settle {
+        let command = Command::RecordAnswer {
             scope: task.scope.as_str().into(),
             member: self.me,
             incarnation: self.incarnation,
@@ -70,7 +70,7 @@
         task.place = Place::Storing;
         let id = stored_id(&task.scope);
         task.stored = Some(id.clone());
-        let kept = StoredTask {
+        let kept = StoredRequest {
             binding: task.binding.as_str().into(),
             head: task.head.clone().into(),
             body: task.body.clone().into(),
@@ -167,7 +167,7 @@
             }
             ClaimState::Granted => self.hold(number),
             ClaimState::Running => task.place = Place::Following { at: self.now + self.timing.follow },
-            ClaimState::Settled => self.answer_stored(number, answer),
+            ClaimState::Answered => self.answer_stored(number, answer),
             ClaimState::Unknown => self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO),
             ClaimState::OtherBody => self.answer_own(number, Outcome::NotRun, 422, Duration::ZERO),
             ClaimState::Full => self.refuse(number),
@@ -191,7 +191,7 @@
                 self.accept(number);
                 self.forget(number);
             }
-            ClaimState::Settled => self.answer_stored(number, answer),
+            ClaimState::Answered => self.answer_stored(number, answer),
             ClaimState::OtherBody => {
                 task.stored = None;
                 self.answer_own(number, Outcome::NotRun, 422, Duration::ZERO);
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -87,7 +87,7 @@
     /// to be worked off within a second; little more than twice what is ready, until that is.
     pub fn live(&self, now: Duration) -> u32 {
         let mean = if self.usual.time.is_zero() { self.answer_mean() } else { self.usual.time };
-        let tasks = self.load.rate(now) + self.held.len() as f64;
+        let tasks = self.load.rate(now) + self.queued.len() as f64;
         let wanted = (tasks * mean.as_secs_f64() / self.capacity()).ceil() as u32;
         let most = self.count(Phase::Ready) * 2 + 2;
         if tasks == 0.0 { 0 } else { wanted.min(most) }
--- a/crates/traffic/src/owner_types.rs
+++ b/crates/traffic/src/owner_types.rs
@@ -111,7 +111,7 @@
 pub enum Place {
     Claiming,
     Storing,
-    Held,
+    Queued,
     Running {
         number: u64,
     },
--- a/crates/traffic/src/preemption.rs
+++ b/crates/traffic/src/preemption.rs
@@ -23,7 +23,7 @@
 impl FunctionOwner {
     pub(crate) fn ask_to_give_way(&mut self, name: &str) {
         let Some(scheduler) = self.schedulers.get(name) else { return };
-        if scheduler.held.is_empty() {
+        if scheduler.queued.is_empty() {
             return;
         }
         let memory_mb = scheduler.function.memory_mb;
@@ -78,7 +78,7 @@
             let spare = scheduler.count(Phase::Ready) > scheduler.function.fixed.unwrap_or(scheduler.function.min);
             let last = scheduler.count(Phase::Ready) < 2;
             name.as_str() != asking
-                && scheduler.held.is_empty()
+                && scheduler.queued.is_empty()
                 && scheduler.leaving.is_none()
                 && spare
                 && !(grows && last)
@@ -98,7 +98,7 @@
         self.gave_way = now;
         if let Some(scheduler) = self.schedulers.get_mut(&name) {
             scheduler.holds_back = now + HOLDS_BACK;
-            scheduler.refused_until = now + if scheduler.held.is_empty() { NO_GROWTH } else { REST };
+            scheduler.refused_until = now + if scheduler.queued.is_empty() { NO_GROWTH } else { REST };
             if let Some(instance) = scheduler.instances.get_mut(&id) {
                 instance.take(InstanceEvent::Drain);
             }
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -22,7 +22,7 @@
 impl FunctionOwner {
     pub(crate) fn tick(&mut self) {
         self.handover_pass();
-        self.keeping_pass();
+        self.standby_pass();
         self.grant_pass();
         self.expire_pass();
         self.ledger_pass();
@@ -64,12 +64,13 @@
             scheduler.load.pass(now, scheduler.arrivals);
             scheduler.usual.pass(scheduler.mean_time);
             let (ready, starting) = (scheduler.count(Phase::Ready), scheduler.count(Phase::Starting));
-            let held =
-                scheduler.held.iter().filter(|n| self.tasks.get(n).is_some_and(|t| now >= t.not_before)).count() as u32;
+            let queued =
+                scheduler.queued.iter().filter(|n| self.tasks.get(n).is_some_and(|t| now >= t.not_before)).count()
+                    as u32;
             let situation = Situation {
                 running: ready,
                 starting,
-                held,
+                queued,
                 in_flight: scheduler.in_flight,
                 capacity: scheduler.capacity(),
                 min: scheduler.function.min,
@@ -90,18 +91,18 @@
                     request_id,
                     function: name.as_str().into(),
                     current: ready + starting,
-                    held: if ready == 0 { held } else { 0 },
-                    waiting: if ready == 0 { 0 } else { held },
+                    queued: if ready == 0 { queued } else { 0 },
+                    waiting: if ready == 0 { 0 } else { queued },
                 };
                 self.plan_asks.insert(request_id, name.clone());
                 self.outs.push(OwnerOutput::PlanAsk { message });
             }
             let count = ready + starting;
             let kept = scheduler.peak.pass(now, scheduler.desired, scheduler.function.boot);
-            let willing = now >= scheduler.refused_until && (held > 0 || now >= scheduler.holds_back);
+            let willing = now >= scheduler.refused_until && (queued > 0 || now >= scheduler.holds_back);
             let may_grow = count == 0 || now >= self.no_growth;
             if scheduler.desired > count && willing && may_grow {
-                let waking = held > 0 && count == 0;
+                let waking = queued > 0 && count == 0;
                 let more = if now < self.no_growth { 1 } else { scheduler.desired - count };
                 wanting.push((waking, scheduler.function.player_weight, more, name));
             } else if kept < count {
@@ -128,7 +129,7 @@
     /// Functions that are awake, those whose callers wait first.
     fn by_need(&self) -> Vec<String> {
         let awake = self.schedulers.iter().filter(|(_, scheduler)| scheduler.is_awake());
-        let (waited, others): (Vec<_>, Vec<_>) = awake.partition(|(_, scheduler)| !scheduler.held.is_empty());
+        let (waited, others): (Vec<_>, Vec<_>) = awake.partition(|(_, scheduler)| !scheduler.queued.is_empty());
         waited.into_iter().chain(others).map(|(name, _)| name.clone()).collect()
     }
 
@@ -175,14 +176,14 @@
     fn sample_pass(&mut self) {
         let now = self.now;
         for scheduler in self.schedulers.values_mut().filter(|scheduler| scheduler.is_awake()) {
-            let held = scheduler.held.len() as f64;
+            let queued = scheduler.queued.len() as f64;
             scheduler.looks += 1;
             let slots = f64::from(scheduler.count(Phase::Ready) * scheduler.function.instance_limit);
             scheduler.seen.usage_sum += f64::from(scheduler.in_flight) / slots.max(1.0);
             if scheduler.count(Phase::Ready) == 0 {
-                scheduler.held_sum += held;
+                scheduler.held_sum += queued;
             } else {
-                scheduler.waiting_sum += held;
+                scheduler.waiting_sum += queued;
             }
         }
         if now < self.sampled + self.timing.sample {
@@ -203,7 +204,7 @@
                 rate_milli: (f64::from(scheduler.arrivals) * 1000.0 / lasted) as u64,
                 response_micro: (scheduler.answer_time.as_micros() / u128::from(scheduler.answered.max(1))) as u64,
                 waiting_milli: (scheduler.waiting_sum * 1000.0 / looks) as u64,
-                held_milli: (scheduler.held_sum * 1000.0 / looks) as u64,
+                queued_milli: (scheduler.held_sum * 1000.0 / looks) as u64,
             });
             measures.extend(scheduler.measure(name, looks));
             (scheduler.arrivals, scheduler.answered, scheduler.looks) = (0, 0, 0);
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -54,7 +54,7 @@
             retry_ratio: self.retry_ratio,
             retry_slack: self.retry_slack,
             retry_window: self.retry_window,
-            turned_most: self.turned_most,
+            max_rejections: self.turned_most,
             ..Allowances::default()
         }
     }
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -16,10 +16,10 @@
 const LASTS: Duration = Duration::from_secs(6);
 const HEARTBEAT: Duration = Duration::from_millis(100);
 const FOREIGN: Duration = Duration::from_millis(600);
-const BEGUN_MOST: usize = 256;
-const KEPT_MOST: usize = 20_000;
+const MAX_STARTED_NAMES: usize = 256;
+const MAX_STANDBY_COPIES: usize = 20_000;
 
-pub struct Kept {
+pub struct StandbyCopy {
     pub at: Duration,
     pub from: NodeId,
     pub incarnation: u64,
@@ -27,10 +27,10 @@
 }
 
 impl FunctionOwner {
-    pub(crate) fn table_of(&mut self, name: &str, kept: bool) -> Option<OwnershipTable> {
+    pub(crate) fn table_of(&mut self, name: &str, is_standby_copy: bool) -> Option<OwnershipTable> {
         let now = self.now;
         let scheduler = self.schedulers.get_mut(name)?;
-        let (requests, seconds) = scheduler.budget.told(now);
+        let (requests, retries) = scheduler.budget.told(now);
         let known = |instance: &Instance| matches!(instance.phase(), Phase::Ready | Phase::Starting);
         let slots: Vec<InstanceSlots> = scheduler
             .instances
@@ -43,25 +43,25 @@
                 busy: instance.busy,
             })
             .collect();
-        let sent_tasks = scheduler.sent_tasks.told(BEGUN_MOST);
+        let sent_tasks = scheduler.sent_tasks.told(MAX_STARTED_NAMES);
         let whole = sent_tasks.is_some();
-        let begun: Vec<Text> = sent_tasks.into_iter().flatten().map(Text::from).collect();
+        let started: Vec<Text> = sent_tasks.into_iter().flatten().map(Text::from).collect();
         Some(OwnershipTable {
             function: name.into(),
             membership: self.membership.number,
-            kept: kept as u8,
+            is_standby_copy: is_standby_copy as u8,
             slots: slots.into(),
             requests: requests as u32,
-            seconds: seconds as u32,
-            turned: scheduler.risk.told(now) as u32,
-            begun: begun.into(),
+            retries: retries as u32,
+            rejections: scheduler.risk.told(now) as u32,
+            started: started.into(),
             is_started_complete: whole as u8,
         })
     }
 
     /// Heartbeats to the fronts whose tasks are here, and to those that count on heartbeats, while this owner may
     /// serve, and tables to those who keep them.
-    pub(crate) fn keeping_pass(&mut self) {
+    pub(crate) fn standby_pass(&mut self) {
         let now = self.now;
         if self.may_serve && now >= self.heartbeat_sent + HEARTBEAT {
             self.heartbeat_sent = now;
@@ -75,7 +75,7 @@
             return;
         }
         self.kept_at = now;
-        self.kept.retain(|_, kept| now < kept.at + LASTS);
+        self.standby_copies.retain(|_, copy| now < copy.at + LASTS);
         let in_use = |scheduler: &mut crate::function_scheduler::FunctionScheduler| {
             scheduler.leaving.is_none() && (!scheduler.instances.is_empty() || scheduler.budget.counts(now) != (0, 0))
         };
@@ -93,23 +93,23 @@
     }
 
     pub(crate) fn on_table(&mut self, from: NodeId, table: OwnershipTable) {
-        if table.kept == 0 {
+        if table.is_standby_copy == 0 {
             return self.take_handover(table);
         }
         let Some(incarnation) = self.membership.member(from).map(|line| line.incarnation) else { return };
-        if self.kept.len() < KEPT_MOST || self.kept.contains_key(table.function.as_str()) {
+        if self.standby_copies.len() < MAX_STANDBY_COPIES || self.standby_copies.contains_key(table.function.as_str()) {
             let name = table.function.as_str().to_owned();
-            self.kept.insert(name, Kept { at: self.now, from, incarnation, table });
+            self.standby_copies.insert(name, StandbyCopy { at: self.now, from, incarnation, table });
         }
     }
 
     /// The owner a table was kept for was lost, and this is the owner now.
-    pub(crate) fn take_kept(&mut self, name: &str) {
+    pub(crate) fn take_standby_copy(&mut self, name: &str) {
         let now = self.now;
-        if let Some(kept) = self.kept.remove(name).filter(|kept| now < kept.at + LASTS) {
+        if let Some(copy) = self.standby_copies.remove(name).filter(|copy| now < copy.at + LASTS) {
             // The owner may have gone on sending after it: what it names as begun is not all.
-            let table = OwnershipTable { is_started_complete: 0, ..kept.table };
-            self.take_table(table, Some(kept.at), (kept.at + FOREIGN * 4).min(now + FOREIGN));
+            let table = OwnershipTable { is_started_complete: 0, ..copy.table };
+            self.take_table(table, Some(copy.at), (copy.at + FOREIGN * 4).min(now + FOREIGN));
         }
     }
 
@@ -117,21 +117,27 @@
     /// was kept for it.
     pub(crate) fn hand_back(&mut self) {
         let now = self.now;
-        let back = |kept: &Kept| {
-            let line = self.membership.member(kept.from);
-            line.is_some_and(|line| line.incarnation != kept.incarnation && line.leaving == 0)
-                && self.membership.owner(kept.table.function.as_str()) == Some(kept.from)
+        let back = |copy: &StandbyCopy| {
+            let line = self.membership.member(copy.from);
+            line.is_some_and(|line| line.incarnation != copy.incarnation && line.leaving == 0)
+                && self.membership.owner(copy.table.function.as_str()) == Some(copy.from)
         };
         let names: Vec<String> =
-            self.kept.iter().filter(|(_, kept)| back(kept)).map(|(name, _)| name.clone()).collect();
+            self.standby_copies.iter().filter(|(_, copy)| back(copy)).map(|(name, _)| name.clone()).collect();
         for name in names {
-            let Some(kept) = self.kept.remove(&name).filter(|kept| now < kept.at + LASTS) else { continue };
-            let mut table =
-                OwnershipTable { kept: 0, membership: self.membership.number, is_started_complete: 0, ..kept.table };
+            let Some(copy) = self.standby_copies.remove(&name).filter(|copy| now < copy.at + LASTS) else {
+                continue;
+            };
+            let mut table = OwnershipTable {
+                is_standby_copy: 0,
+                membership: self.membership.number,
+                is_started_complete: 0,
+                ..copy.table
+            };
             let earlier = self.history.earlier_homes(now, &name);
             let allowances = &self.timing.allowances;
-            allowances.as_of_a_copy(earlier, &mut table.requests, &mut table.seconds, &mut table.turned);
-            self.outs.push(OwnerOutput::Forward { to: kept.from, message: ForwardMessage::Table { table } });
+            allowances.as_of_a_copy(earlier, &mut table.requests, &mut table.retries, &mut table.rejections);
+            self.outs.push(OwnerOutput::Forward { to: copy.from, message: ForwardMessage::Table { table } });
         }
     }
 
@@ -155,16 +161,16 @@
         if scheduler.adopting.take().is_some() {
             let at = copied.unwrap_or(now);
             scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, table.function.as_str()));
-            scheduler.budget.take_over(now, at, table.requests, table.seconds, copied.is_none());
-            scheduler.risk.take_over(now, at, table.turned);
+            scheduler.budget.take_over(now, at, table.requests, table.retries, copied.is_none());
+            scheduler.risk.take_over(now, at, table.rejections);
             scheduler.sent_tasks =
-                SentTasks::from_table(table.is_started_complete != 0, table.begun.iter().map(|id| id.as_str()));
+                SentTasks::from_table(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         } else {
-            scheduler.budget.learn(now, table.seconds.saturating_sub(scheduler.told.0));
-            scheduler.risk.learn(now, table.turned.saturating_sub(scheduler.told.1));
-            scheduler.sent_tasks.learn_more(table.is_started_complete != 0, table.begun.iter().map(|id| id.as_str()));
+            scheduler.budget.learn(now, table.retries.saturating_sub(scheduler.told.0));
+            scheduler.risk.learn(now, table.rejections.saturating_sub(scheduler.told.1));
+            scheduler.sent_tasks.learn_more(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         }
-        scheduler.told = (scheduler.told.0.max(table.seconds), scheduler.told.1.max(table.turned));
+        scheduler.told = (scheduler.told.0.max(table.retries), scheduler.told.1.max(table.rejections));
         for slot in table.slots.into_vec() {
             let id = slot.instance.as_str();
             if self.stopped.contains_key(id) || self.leaving.contains_key(id) {
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -124,10 +124,10 @@
             StartReply::Accepted { id, address } => self.accepted(&name, nonce, id, address),
             _ if !wished => drop(scheduler.instances.remove(nonce)),
             StartReply::Unanswered => {
-                pending.tries += 1;
-                pending.again = now + AGAIN * 2u32.pow(pending.tries.min(4));
+                pending.resends += 1;
+                pending.again = now + AGAIN * 2u32.pow(pending.resends.min(4));
                 event!(platform_refused, "start {nonce} unanswered");
-                if pending.tries >= TRIES {
+                if pending.resends >= TRIES {
                     scheduler.instances.remove(nonce);
                 }
             }
@@ -190,7 +190,7 @@
     fn no_room(&mut self, name: &str) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
-        let wakes = scheduler.instances.is_empty() && !scheduler.held.is_empty();
+        let wakes = scheduler.instances.is_empty() && !scheduler.queued.is_empty();
         scheduler.refused_until = now + if wakes { LIMITED_PAUSE } else { NO_ROOM_PAUSE };
         self.ask_to_give_way(name);
     }
@@ -199,6 +199,6 @@
 impl Pending {
     /// A wish handed over by another owner, whose order may be on its way.
     pub(crate) fn handed(now: Duration) -> Pending {
-        Pending { asked: false, tries: 0, hops: 0, again: now }
+        Pending { asked: false, resends: 0, hops: 0, again: now }
     }
 }
--- a/crates/traffic/src/status.rs
+++ b/crates/traffic/src/status.rs
@@ -56,14 +56,14 @@
             functions.insert(
                 name.clone(),
                 json!({
-                    "held": scheduler.held.len(), "in_flight": scheduler.in_flight,
+                    "held": scheduler.queued.len(), "in_flight": scheduler.in_flight,
                     "starting": scheduler.count(Phase::Starting), "ready": scheduler.count(Phase::Ready),
                     "draining": scheduler.count(Phase::Draining),
                     "desired": scheduler.desired, "plan": scheduler.player.plan(), "played": scheduler.player.played(now),
                     "fixed": scheduler.function.fixed, "fallbacks": scheduler.player.fallbacks,
                     "early_asks": scheduler.player.early_asks,
                     "requests_10s": requests, "second_tries_10s": seconds,
-                    "turned_away_5s": scheduler.risk.turned(now),
+                    "turned_away_5s": scheduler.risk.rejections(now),
                     "adopting": scheduler.adopting.is_some(), "leaving": scheduler.leaving.is_some(),
                 }),
             );
--- a/crates/traffic/src/tuned.rs
+++ b/crates/traffic/src/tuned.rs
@@ -15,7 +15,7 @@
             boot_micro: (seen.boot / seen.boots.max(1)).as_micros() as u64,
             boots: seen.boots,
             refused: seen.refused,
-            turned: seen.turned,
+            rejections: seen.rejections,
             waiting_milli: (self.waiting_sum * 1000.0 / looks) as u64,
             usage_milli: (seen.usage_sum * 1000.0 / looks) as u64,
         })
--- a/crates/traffic/src/unproven.rs
+++ b/crates/traffic/src/unproven.rs
@@ -16,7 +16,7 @@
 
 pub struct Risk {
     most: Most,
-    turned: Spent,
+    rejections: Spent,
     sent: BTreeMap<u64, (Duration, bool)>,
     usual: Duration,
     looked: Duration,
@@ -25,10 +25,10 @@
 impl Risk {
     /// An owner that does not know what was rejected before it came is careful at first.
     pub fn new(now: Duration, allowances: &Allowances) -> Risk {
-        let remembered = Allowances::remembered(allowances.turned_window);
+        let remembered = Allowances::remembered(allowances.rejection_window);
         Risk {
-            most: allowances.turned(),
-            turned: Spent::new(now, remembered, remembered + LONGEST),
+            most: allowances.rejections(),
+            rejections: Spent::new(now, remembered, remembered + LONGEST),
             sent: BTreeMap::new(),
             usual: USUAL,
             looked: now,
@@ -37,26 +37,26 @@
 
     /// Another owner may have been here meanwhile.
     pub fn be_careful(&mut self, now: Duration) {
-        self.turned.be_careful(now);
+        self.rejections.be_careful(now);
     }
 
     /// The owner before told, at a moment, how many were rejected lately; what it had sent may be yet.
-    pub fn take_over(&mut self, now: Duration, at: Duration, turned: u32) {
-        self.turned.take_over(now, at, turned.min(64) as usize, false);
+    pub fn take_over(&mut self, now: Duration, at: Duration, rejections: u32) {
+        self.rejections.take_over(now, at, rejections.min(64) as usize, false);
     }
 
     /// The owner before told of more than it had.
     pub fn learn(&mut self, now: Duration, more: u32) {
-        self.turned.learn(now, more.min(64) as usize);
+        self.rejections.learn(now, more.min(64) as usize);
     }
 
-    pub fn turned(&mut self, now: Duration) -> usize {
-        self.turned.count(now)
+    pub fn rejections(&mut self, now: Duration) -> usize {
+        self.rejections.count(now)
     }
 
     /// What the next owner is to count as rejected.
     pub fn told(&mut self, now: Duration) -> usize {
-        self.turned.told(now, self.most)
+        self.rejections.told(now, self.most)
     }
 
     fn look(&mut self, now: Duration) {
@@ -73,8 +73,8 @@
     pub fn may_send(&mut self, now: Duration, proven: bool) -> bool {
         self.look(now);
         let unproven = self.sent.values().filter(|(_, proven)| !proven).count();
-        let known = self.sent.len() < self.turned.known_room(now, self.most);
-        known && (proven || unproven < self.turned.room(now, self.most))
+        let known = self.sent.len() < self.rejections.known_room(now, self.most);
+        known && (proven || unproven < self.rejections.room(now, self.most))
     }
 
     pub fn sent(&mut self, now: Duration, order: u64, proven: bool) {
@@ -84,7 +84,7 @@
     pub fn ended(&mut self, now: Duration, order: u64, begun: Duration, turned_away: bool) {
         self.sent.remove(&order);
         if turned_away {
-            self.turned.add(now);
+            self.rejections.add(now);
             let took = now.saturating_sub(begun);
             self.usual = self.usual.max(took.mul_f64(1.5)).min(LONGEST);
         }
--- a/crates/traffic/src/wait_queue.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -20,15 +20,15 @@
     pub(crate) fn hold(&mut self, number: u64) {
         let now = self.now;
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        task.place = Place::Held;
+        task.place = Place::Queued;
         let (order, refusable) = ((task.rank, task.due), task.stored.is_none() && !task.reached);
         let left = task.due.saturating_sub(now);
         let aim = task.aim.filter(|aim| !task.inherits && now <= task.arrived + *aim / EARLY);
         let Some(scheduler) = self.schedulers.get_mut(&task.function) else { return };
-        let before = |held: &&u64| self.tasks.get(held).is_some_and(|task| (task.rank, task.due) <= order);
-        let ahead = scheduler.held.iter().take_while(before).count();
+        let before = |queued: &&u64| self.tasks.get(queued).is_some_and(|task| (task.rank, task.due) <= order);
+        let ahead = scheduler.queued.iter().take_while(before).count();
         let wait = scheduler.expected_wait(now, ahead);
-        scheduler.held.insert(ahead, number);
+        scheduler.queued.insert(ahead, number);
         let worth = match aim {
             Some(aim) if scheduler.has_any() => aim.saturating_sub(scheduler.mean_time).max(aim / 2).min(left),
             _ => left.mul_f64(HOPE),
--- a/crates/traffic/tests/answers.rs
+++ b/crates/traffic/tests/answers.rs
@@ -45,7 +45,7 @@
 #[test_case("HTTP/1.1 503 Busy\ncontent-length: 0\n\n", 503, ""; "its own refusal")]
 fn a_whole_answer_is_passed_on(words: &str, wanted: u16, text: &str) {
     match outcome(http(words)) {
-        DispatchOutcome::Whole { status, body, turned_away, .. } => {
+        DispatchOutcome::Complete { status, body, turned_away, .. } => {
             assert_eq!((status, body, turned_away), (wanted, text.as_bytes().to_vec(), wanted == 503));
         }
         other => panic!("{other:?}"),
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -63,7 +63,7 @@
 }
 
 fn failed() -> DispatchOutcome {
-    DispatchOutcome::Whole { status: 500, head: Vec::new(), body: b"first".to_vec(), turned_away: false }
+    DispatchOutcome::Complete { status: 500, head: Vec::new(), body: b"first".to_vec(), turned_away: false }
 }
 
 fn tell(front: &mut Front, from: NodeId, at: u64, message: ForwardMessage) -> Vec<FrontOutput> {
@@ -228,7 +228,7 @@
         function: "t/f".into(),
         binding: "t/f".into(),
         left_ms: 4000,
-        tries: 0,
+        resends: 0,
         respond_async: 0,
         key: "a".into(),
         head: wire::to_bytes(&wire::RequestHead::default()).into(),
--- a/crates/traffic/tests/budget.rs
+++ b/crates/traffic/tests/budget.rs
@@ -9,7 +9,7 @@
     let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(5);
     let allowances = Allowances::default();
     let mut budget = Budget::new(Duration::ZERO, &allowances);
-    let (mut firsts, mut seconds): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
+    let (mut firsts, mut retries): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
     let mut refused = 0;
     for ms in 0..60_000u64 {
         let now = Duration::from_millis(ms);
@@ -22,15 +22,15 @@
         }
         if dice.random_ratio(3, 10) {
             if budget.try_second(now) {
-                seconds.push(ms);
+                retries.push(ms);
             } else {
                 refused += 1;
             }
         }
         let within = |list: &Vec<u64>| list.iter().rev().take_while(|at| **at + 10_000 >= ms).count();
-        assert!(within(&seconds) <= within(&firsts) / 5 + 60, "at {ms} ms");
+        assert!(within(&retries) <= within(&firsts) / 5 + 60, "at {ms} ms");
     }
-    assert!(seconds.len() > 100 && refused > 1000);
+    assert!(retries.len() > 100 && refused > 1000);
 }
 
 /// The clock of an owner runs half a hundredth fast; it spends all it may as soon as it may.
@@ -64,10 +64,10 @@
         let mut all: Vec<Duration> = Vec::new();
         for order in 0..30_000u64 {
             let now = Duration::from_millis(order);
-            for (_, number, begun) in open.extract_if(.., |(at, ..)| *at <= now) {
+            for (_, number, started) in open.extract_if(.., |(at, ..)| *at <= now) {
                 all.push(now);
-                if !crashed || begun >= crash {
-                    risk.ended(now, number, begun, true);
+                if !crashed || started >= crash {
+                    risk.ended(now, number, started, true);
                 }
             }
             if now >= crash && !crashed {
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -4,7 +4,9 @@
 use leases::Membership;
 use std::rc::Rc;
 use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
-use wire::{ConfigurationItem, ForwardMessage, InstanceSlots, LeaseMessage, OwnershipTable, RequestHead, StoredTask};
+use wire::{
+    ConfigurationItem, ForwardMessage, InstanceSlots, LeaseMessage, OwnershipTable, RequestHead, StoredRequest,
+};
 
 pub const FUNCTION: &str = "t/f";
 
@@ -38,7 +40,7 @@
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
         left_ms: 60_000,
-        tries: 0,
+        resends: 0,
         respond_async: 1,
         key: format!("k-{number}").as_str().into(),
         head: head().into(),
@@ -101,10 +103,10 @@
 
 /// The store's answer: these are pending.
 pub fn listed(request_id: u64, numbers: &[u64]) -> OwnerInput {
-    let kept = StoredTask { binding: FUNCTION.into(), head: head().into(), body: Vec::new().into() };
+    let is_standby_copy = StoredRequest { binding: FUNCTION.into(), head: head().into(), body: Vec::new().into() };
     let item = |number: &u64| ConfigurationItem {
         key: format!("p/{FUNCTION}/{}", stored(*number)).as_str().into(),
-        value: wire::to_bytes(&kept).into(),
+        value: wire::to_bytes(&is_standby_copy).into(),
         gone: 0,
     };
     let items: Vec<ConfigurationItem> = numbers.iter().map(item).collect();
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -32,7 +32,7 @@
     let again = front.step(ms(40), true, FrontInput::Link { id: OTHER, up: true });
     assert!(again.is_empty());
     let (task, message) = forward(&front.step(ms(60), true, FrontInput::Tick));
-    assert!(matches!(message, ForwardMessage::Forward { request } if request.tries == 1));
+    assert!(matches!(message, ForwardMessage::Forward { request } if request.resends == 1));
     let told = front.step(ms(70), true, answer(task, Outcome::NotRun, 503));
     assert_eq!(reply(&told).map(|r| (r.outcome, r.status)), Some((Some(Outcome::Unknown), 504)));
 }
@@ -100,7 +100,7 @@
         let done = running.iter().position(|(_, due)| at >= *due).map(|place| running.remove(place));
         if let Some((number, _)) = done {
             let outcome =
-                DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+                DispatchOutcome::Complete { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
             inputs.push(OwnerInput::Dispatched { number, outcome });
         }
         for output in inputs.into_iter().flat_map(|input| owner.step(ms(at), true, input)).collect::<Vec<_>>() {
@@ -111,10 +111,10 @@
                 OwnerOutput::Dispatch(order) => running.push((order.number, at + 500)),
                 OwnerOutput::Supply(instance_provider::ProviderOrder::Start(order)) => instance = Some(order.nonce),
                 OwnerOutput::Forward {
-                    message: ForwardMessage::Answer { outcome: Outcome::NotRun, again_ms, .. },
+                    message: ForwardMessage::Answer { outcome: Outcome::NotRun, retry_after_ms, .. },
                     ..
                 } => {
-                    refused.push((at, again_ms));
+                    refused.push((at, retry_after_ms));
                 }
                 _ => {}
             }
--- a/crates/traffic/tests/lapse.rs
+++ b/crates/traffic/tests/lapse.rs
@@ -74,12 +74,12 @@
         _ => None,
     });
     read(&mut owner, 20, &[]);
-    let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+    let outcome = DispatchOutcome::Complete { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
     owner.step(ms(50), true, OwnerInput::Dispatched { number: order.expect("sent"), outcome });
     let outputs = owner.step(ms(60), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     let told = outputs.iter().any(|output| {
         matches!(output, OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. }
-            if table.is_started_complete != 0 && table.begun.as_slice().len() == 1)
+            if table.is_started_complete != 0 && table.started.as_slice().len() == 1)
     });
     assert!(told, "{outputs:?}");
 }
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -20,7 +20,7 @@
         let at = owner.at;
         for (number, _) in open.extract_if(.., |(_, due)| *due <= at).collect::<Vec<_>>() {
             let outcome =
-                DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+                DispatchOutcome::Complete { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
             owner.feed(OwnerInput::Dispatched { number, outcome });
         }
         for _ in 0..rate / 100 {
@@ -30,7 +30,7 @@
                 function: FUNCTION.into(),
                 binding: FUNCTION.into(),
                 left_ms: 4000,
-                tries: 0,
+                resends: 0,
                 respond_async: 0,
                 key: format!("a-{next}").as_str().into(),
                 head: wire::to_bytes(&RequestHead::default()).into(),
@@ -65,8 +65,8 @@
     let met = owner.count("ready");
     assert!((20..=40).contains(&met), "200 a second at 100 ms keep 20 in use: {met}");
     crowd(&mut owner, 0, 600, &mut next, &mut open);
-    let kept = owner.count("ready");
-    assert!(kept >= 20, "{kept} are left of what the crowd took, though a start takes a second");
+    let is_standby_copy = owner.count("ready");
+    assert!(is_standby_copy >= 20, "{is_standby_copy} are left of what the crowd took, though a start takes a second");
     crowd(&mut owner, 0, 6000, &mut next, &mut open);
     assert!(owner.count("ready") <= 2, "what nobody needs is taken back: {}", owner.count("ready"));
 }
--- a/crates/traffic/tests/order.rs
+++ b/crates/traffic/tests/order.rs
@@ -15,7 +15,7 @@
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
         left_ms,
-        tries: 0,
+        resends: 0,
         respond_async: 0,
         key: format!("a-{task}").as_str().into(),
         head: wire::to_bytes(&RequestHead::default()).into(),
@@ -54,7 +54,7 @@
     forward(&mut owner, 3, 4000);
     forward(&mut owner, 4, 2600);
     for expected in [4, 3, 2] {
-        let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+        let outcome = DispatchOutcome::Complete { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
         owner.feed(OwnerInput::Dispatched { number: last[0].1, outcome });
         last = sent(&mut owner);
         assert_eq!(last.iter().map(|(task, _)| *task).collect::<Vec<_>>(), [expected]);
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -17,8 +17,8 @@
     numbers.iter().map(|number| stored(*number)).collect()
 }
 
-fn begun(table: &OwnershipTable) -> BTreeSet<String> {
-    table.begun.iter().map(|id| id.as_str().to_owned()).collect()
+fn started(table: &OwnershipTable) -> BTreeSet<String> {
+    table.started.iter().map(|id| id.as_str().to_owned()).collect()
 }
 
 fn retries(owner: &mut FunctionOwner) -> Option<u64> {
@@ -47,12 +47,12 @@
     assert!((1..BACKLOG.len()).contains(&at_once), "some are sent, the others wait: {at_once}");
     let outputs = first.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     let handed = told(&outputs).expect("hands over");
-    assert_eq!((handed.is_started_complete, begun(&handed)), (1, ids(&BACKLOG)), "also those that it only held");
+    assert_eq!((handed.is_started_complete, started(&handed)), (1, ids(&BACKLOG)), "also those that it only held");
     let handed_again = told(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
-    assert_eq!(begun(&handed_again), ids(&BACKLOG), "should the first be lost");
+    assert_eq!(started(&handed_again), ids(&BACKLOG), "should the first be lost");
 
     let mut second = home_of(OTHER, 2);
-    let spent_before = u64::from(handed.seconds);
+    let spent_before = u64::from(handed.retries);
     second.step(ms(1), true, given(handed));
     let sent_again = sent(&read(&mut second, 20, &BACKLOG)) as u64;
     assert_eq!(retries(&mut second), Some(spent_before + sent_again), "each of them is a retry");
@@ -63,10 +63,10 @@
 fn what_the_home_before_told_and_is_not_read_yet_is_told_on() {
     let mut owner = owner();
     let begun_before = BACKLOG.iter().map(|number| stored(*number).as_str().into()).collect::<Vec<_>>();
-    owner.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), is_started_complete: 1, ..table(1) }));
+    owner.step(ms(1), true, given(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }));
     let outputs = owner.step(ms(10), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     let handed = told(&outputs).expect("hands over");
-    assert_eq!((handed.is_started_complete, begun(&handed)), (1, ids(&BACKLOG)));
+    assert_eq!((handed.is_started_complete, started(&handed)), (1, ids(&BACKLOG)));
 }
 
 /// The owner before told of two; the store no longer lists the second.
@@ -74,10 +74,10 @@
 fn what_the_store_no_longer_lists_is_told_no_longer() {
     let mut owner = owner();
     let begun_before = vec![stored(1).as_str().into(), stored(2).as_str().into()];
-    owner.step(ms(1), true, given(OwnershipTable { begun: begun_before.into(), is_started_complete: 1, ..table(1) }));
+    owner.step(ms(1), true, given(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }));
     read(&mut owner, 20, &[1]);
     let outputs = owner.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1]));
+    assert_eq!(started(&told(&outputs).expect("hands over")), ids(&[1]));
 }
 
 #[test]
@@ -86,15 +86,16 @@
     read(&mut owner, 20, &[]);
     let outputs = owner.step(ms(30), true, forward(7));
     let outputs = owner.step(ms(31), true, granted(&outputs));
-    let outcome = DispatchOutcome::Whole { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
+    let outcome = DispatchOutcome::Complete { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
     let number = order(&outputs).expect("sent");
     let outputs = owner.step(ms(40), true, OwnerInput::Dispatched { number, outcome });
-    let kept = told(&owner.step(ms(600), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) }))
-        .expect("a table");
-    assert_eq!(begun(&kept), ids(&[7]), "the store may not have heard of it");
+    let is_standby_copy =
+        told(&owner.step(ms(600), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) }))
+            .expect("a table");
+    assert_eq!(started(&is_standby_copy), ids(&[7]), "the store may not have heard of it");
     owner.step(ms(610), true, granted(&outputs));
     let later = told(&owner.step(ms(900), true, OwnerInput::Tick)).expect("a table");
-    assert_eq!(begun(&later), ids(&[]));
+    assert_eq!(started(&later), ids(&[]));
 }
 
 /// The machine that is back knows nothing, and what it sent after the copy was made is in no table.
@@ -102,7 +103,7 @@
 fn a_kept_copy_that_is_handed_back_does_not_tell_all_that_was_sent() {
     let mut keeper = owner();
     keeper.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    keeper.step(ms(10), true, given(OwnershipTable { kept: 1, is_started_complete: 1, ..table(2) }));
+    keeper.step(ms(10), true, given(OwnershipTable { is_standby_copy: 1, is_started_complete: 1, ..table(2) }));
     let mut again = (*membership(3, &[OTHER])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
@@ -136,7 +137,11 @@
     let mut owner = after_a_crash(ME);
     read(&mut owner, 20, &[1]);
     let begun_later = vec![stored(1).as_str().into(), stored(2).as_str().into()];
-    owner.step(ms(100), true, given(OwnershipTable { begun: begun_later.into(), is_started_complete: 1, ..table(1) }));
+    owner.step(
+        ms(100),
+        true,
+        given(OwnershipTable { started: begun_later.into(), is_started_complete: 1, ..table(1) }),
+    );
     let outputs = owner.step(ms(200), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    assert_eq!(begun(&told(&outputs).expect("hands over")), ids(&[1, 2]));
+    assert_eq!(started(&told(&outputs).expect("hands over")), ids(&[1, 2]));
 }
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -36,7 +36,7 @@
         function: "t/f".into(),
         binding: "t/f".into(),
         left_ms: 4000,
-        tries: 0,
+        resends: 0,
         respond_async: 0,
         key: "a".into(),
         head: wire::to_bytes(&head).into(),
@@ -55,8 +55,8 @@
 
 fn told(outputs: &[OwnerOutput]) -> Option<(Outcome, u16, u32)> {
     outputs.iter().find_map(|output| match output {
-        OwnerOutput::Forward { message: ForwardMessage::Answer { outcome, status, again_ms, .. }, .. } => {
-            Some((*outcome, *status, *again_ms))
+        OwnerOutput::Forward { message: ForwardMessage::Answer { outcome, status, retry_after_ms, .. }, .. } => {
+            Some((*outcome, *status, *retry_after_ms))
         }
         _ => None,
     })
@@ -83,7 +83,7 @@
 #[test]
 fn an_instances_own_failure_is_its_answer() {
     let (mut owner, first) = owner(3);
-    let failed = DispatchOutcome::Whole { status: 500, head: Vec::new(), body: b"no".to_vec(), turned_away: false };
+    let failed = DispatchOutcome::Complete { status: 500, head: Vec::new(), body: b"no".to_vec(), turned_away: false };
     let outputs = outcome(&mut owner, &first, failed);
     assert_eq!((told(&outputs), sent(&outputs)), (Some((Outcome::Answered, 500, 0)), None));
 }
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -8,11 +8,17 @@
 
 const FUNCTION: &str = "t/f";
 
-fn table(membership: u64, kept: u8, instance: &str) -> ForwardMessage {
+fn table(membership: u64, is_standby_copy: u8, instance: &str) -> ForwardMessage {
     let slot = InstanceSlots { instance: instance.into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 };
     let slots = vec![slot].into();
     ForwardMessage::Table {
-        table: OwnershipTable { function: FUNCTION.into(), membership, kept, slots, ..OwnershipTable::default() },
+        table: OwnershipTable {
+            function: FUNCTION.into(),
+            membership,
+            is_standby_copy,
+            slots,
+            ..OwnershipTable::default()
+        },
     }
 }
 
@@ -23,7 +29,7 @@
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
         left_ms: 4000,
-        tries: 0,
+        resends: 0,
         respond_async: 0,
         key: "a".into(),
         head: wire::to_bytes(&head).into(),
@@ -32,11 +38,11 @@
 }
 
 /// An owner that has just lost the other, with or without a table kept for it.
-fn after_the_crash(kept: Option<ForwardMessage>) -> FunctionOwner {
+fn after_the_crash(is_standby_copy: Option<ForwardMessage>) -> FunctionOwner {
     let mut owner = FunctionOwner::new(ME, 1, OwnerTiming::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
-    if let Some(message) = kept {
+    if let Some(message) = is_standby_copy {
         owner.step(ms(10), true, OwnerInput::Forward { from: OTHER, message });
     }
     owner.step(ms(2000), true, OwnerInput::Membership { membership: membership(2, &[ME]) });
@@ -79,7 +85,7 @@
     let outputs = keeper.step(ms(500), true, OwnerInput::Membership { membership: again.into() });
     let handed = outputs.iter().any(|output| {
         matches!(output, OwnerOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } }
-            if table.kept == 0 && table.membership == 2 && table.slots.as_slice().len() == 1)
+            if table.is_standby_copy == 0 && table.membership == 2 && table.slots.as_slice().len() == 1)
     });
     assert!(handed, "{outputs:?}");
 }
@@ -148,7 +154,7 @@
     owner.step(ms(3000), false, OwnerInput::Lapsed);
     assert!(!dispatched(&owner.step(ms(3001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
     let ForwardMessage::Table { table: mut between } = table(2, 0, "i2") else { panic!("a table") };
-    between.turned = 9;
+    between.rejections = 9;
     let handed = ForwardMessage::Table { table: between.clone() };
     assert!(
         !dispatched(&owner.step(ms(3002), true, OwnerInput::Forward { from: OTHER, message: handed })),
@@ -165,15 +171,15 @@
 fn what_a_later_table_tells_beyond_the_copy_counts_too() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     let ForwardMessage::Table { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
-    let turned = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["turned_away_5s"].as_u64();
+    let rejections = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["turned_away_5s"].as_u64();
     for (at, told, wanted) in [(2100, 5, 5), (2300, 7, 7), (2500, 7, 7)] {
-        whole.turned = told;
+        whole.rejections = told;
         owner.step(
             ms(at),
             true,
             OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table: whole.clone() } },
         );
-        assert_eq!(turned(&mut owner), Some(wanted), "at {at} ms");
+        assert_eq!(rejections(&mut owner), Some(wanted), "at {at} ms");
     }
     assert!(!dispatched(&owner.step(ms(2600), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
 }
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -31,10 +31,10 @@
     let mut owner = Supplied::new(1, six_workers());
     owner.pass(100);
     let first = owner.starts[0].clone();
-    for tries in 1..5 {
+    for resends in 1..5 {
         owner.started(&first.nonce, StartReply::Unanswered);
         owner.pass(1700);
-        assert_eq!(owner.starts.len(), tries + 1);
+        assert_eq!(owner.starts.len(), resends + 1);
     }
     assert!(owner.starts.iter().all(|order| *order == first), "{:?}", owner.starts);
     owner.accepted(&first.nonce, "i1");
@@ -102,7 +102,7 @@
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
         left_ms: 4000,
-        tries: 0,
+        resends: 0,
         respond_async: 0,
         key: "".into(),
         head: wire::to_bytes(&head).into(),
@@ -171,7 +171,9 @@
     let nonce = owner.starts[0].nonce.clone();
     owner.feed(OwnerInput::Membership { membership: membership(8, &[OTHER]) });
     let table = owner.others.iter().find_map(|output| match output {
-        OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. } if table.kept == 0 => Some(table.clone()),
+        OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. } if table.is_standby_copy == 0 => {
+            Some(table.clone())
+        }
         _ => None,
     });
     let mut next = Supplied::beside(OTHER, 1, six_workers());
--- a/crates/wire/src/ledger.rs
+++ b/crates/wire/src/commands.rs
@@ -20,7 +20,7 @@
 #[deku(id_type = "u8")]
 pub enum Command {
     #[deku(id = "1")]
-    Change { op: Text, base: u64, any: u8, whole: u8, scope: Text, items: List<ConfigurationItem> },
+    Change { op: Text, base: u64, any: u8, full: u8, scope: Text, items: List<ConfigurationItem> },
     #[deku(id = "2")]
     Quorum { after: u64, members: List<NodeId> },
     #[deku(id = "3")]
@@ -34,7 +34,7 @@
     #[deku(id = "7")]
     Claim { scope: Text, digest: Blob, member: NodeId, incarnation: u64, request_id: u64 },
     #[deku(id = "8")]
-    Settle { scope: Text, member: NodeId, incarnation: u64, request_id: u64, answer: Blob },
+    RecordAnswer { scope: Text, member: NodeId, incarnation: u64, request_id: u64, answer: Blob },
     #[deku(id = "9")]
     Release { scope: Text, member: NodeId, incarnation: u64, request_id: u64 },
     #[deku(id = "10")]
@@ -45,7 +45,7 @@
     Tick { number: u64 },
     /// A change with the revision it declares, or 0 for the next; only a taken one is remembered.
     #[deku(id = "13")]
-    Declare { op: Text, base: u64, any: u8, whole: u8, revision: u64, scope: Text, items: List<ConfigurationItem> },
+    Declare { op: Text, base: u64, any: u8, full: u8, revision: u64, scope: Text, items: List<ConfigurationItem> },
     /// `Join` with the hashing of owners that is known and what the machine can carry.
     #[deku(id = "14")]
     JoinWithCapacity {
@@ -82,7 +82,7 @@
     #[deku(id = "2")]
     Running,
     #[deku(id = "3")]
-    Settled,
+    Answered,
     #[deku(id = "4")]
     Unknown,
     #[deku(id = "5")]
@@ -98,7 +98,7 @@
     pub incarnation: u64,
     pub request_id: u64,
     pub due: u64,
-    pub settled: u8,
+    pub is_answered: u8,
     pub answer: Blob,
 }
 
--- a/crates/wire/src/spoken.rs
+++ b/crates/wire/src/downgrade.rs
@@ -13,7 +13,7 @@
 use crate::codec::ATTEMPTS;
 use crate::{ChainMessage, ForwardMessage, ForwardRequest, LeaseMessage, Message, PlanMessage, Text};
 
-pub fn spoken(message: Message, format: u16) -> Option<Message> {
+pub fn downgrade(message: Message, format: u16) -> Option<Message> {
     let message = match message {
         message if format >= ATTEMPTS => return Some(message),
         Message::Forward(ForwardMessage::Forward { request }) => Message::Forward(uncounted(*request)),
@@ -34,7 +34,7 @@
         ) => {
             return None;
         }
-        Message::Lease(LeaseMessage::PartRequest { request_id, whole, offset: 0, .. }) if whole != 0 => {
+        Message::Lease(LeaseMessage::PartRequest { request_id, full, offset: 0, .. }) if full != 0 => {
             Message::Lease(LeaseMessage::ConfigurationRequest { request_id, from: Text::default() })
         }
         Message::Lease(
@@ -48,8 +48,8 @@
     };
     let message = match message {
         message if format >= 3 => return Some(message),
-        Message::Forward(ForwardMessage::Answer { task, outcome, status, again_ms, head, body }) => {
-            let retry_after = again_ms.div_ceil(1000);
+        Message::Forward(ForwardMessage::Answer { task, outcome, status, retry_after_ms, head, body }) => {
+            let retry_after = retry_after_ms.div_ceil(1000);
             Message::Forward(ForwardMessage::AnswerInSeconds { task, outcome, status, retry_after, head, body })
         }
         other => other,
@@ -65,13 +65,13 @@
         }
         Message::Plan(PlanMessage::Measures { .. } | PlanMessage::Tuned { .. }) => None,
         Message::Forward(ForwardMessage::Heartbeat) => None,
-        Message::Forward(ForwardMessage::Table { table }) if table.kept != 0 => None,
+        Message::Forward(ForwardMessage::Table { table }) if table.is_standby_copy != 0 => None,
         Message::Forward(ForwardMessage::Table { table }) => Some(Message::Forward(ForwardMessage::Handover {
             function: table.function,
             membership: table.membership,
             slots: table.slots,
             requests: table.requests,
-            seconds: table.seconds,
+            retries: table.retries,
         })),
         other => Some(other),
     }
@@ -79,8 +79,8 @@
 
 /// A forward as it was told before fronts granted attempts.
 fn uncounted(request: ForwardRequest) -> ForwardMessage {
-    let ForwardRequest { task, function, binding, left_ms, tries, respond_async, key, head, body, .. } = request;
-    ForwardMessage::ForwardUncounted { task, function, binding, left_ms, tries, respond_async, key, head, body }
+    let ForwardRequest { task, function, binding, left_ms, resends, respond_async, key, head, body, .. } = request;
+    ForwardMessage::ForwardUncounted { task, function, binding, left_ms, resends, respond_async, key, head, body }
 }
 
 #[cfg(test)]
@@ -90,17 +90,17 @@
 
     #[test]
     fn format_one_hears_only_its_own_words() {
-        let old = |message| spoken(message, 1);
+        let old = |message| downgrade(message, 1);
         assert_eq!(old(Message::Forward(ForwardMessage::Heartbeat)), None);
         let table = OwnershipTable {
             function: "t/f".into(),
             membership: 4,
             requests: 9,
-            turned: 3,
+            rejections: 3,
             ..OwnershipTable::default()
         };
-        let kept = OwnershipTable { kept: 1, ..table.clone() };
-        assert_eq!(old(Message::Forward(ForwardMessage::Table { table: kept })), None);
+        let is_standby_copy = OwnershipTable { is_standby_copy: 1, ..table.clone() };
+        assert_eq!(old(Message::Forward(ForwardMessage::Table { table: is_standby_copy })), None);
         let handed = old(Message::Forward(ForwardMessage::Table { table: table.clone() }));
         assert!(
             matches!(handed, Some(Message::Forward(ForwardMessage::Handover { membership: 4, requests: 9, .. }))),
@@ -109,7 +109,7 @@
         let addresses = Message::Lease(LeaseMessage::RegistryAddresses { addresses: vec!["a:1".into()].into() });
         assert!(matches!(old(addresses.clone()), Some(Message::Lease(LeaseMessage::NotTail { .. }))));
         assert!(matches!(old(Message::Lease(LeaseMessage::Leaving)), Some(Message::Lease(LeaseMessage::Leave { .. }))));
-        assert_eq!(spoken(addresses.clone(), 2), Some(addresses));
+        assert_eq!(downgrade(addresses.clone(), 2), Some(addresses));
     }
 
     #[test]
@@ -119,7 +119,7 @@
             function: "t/f".into(),
             binding: "t/b".into(),
             left_ms: 700,
-            tries: 1,
+            resends: 1,
             respond_async: 0,
             key: "k".into(),
             head: vec![1].into(),
@@ -128,7 +128,7 @@
         let request = forward.clone().into_forwarded().expect("a forward");
         assert_eq!(request.attempts, ForwardRequest::UNCOUNTED);
         let counted = ForwardMessage::Forward { request: Box::new(ForwardRequest { attempts: 1, ..request }) };
-        let heard = |message: ForwardMessage, format| spoken(Message::Forward(message), format);
+        let heard = |message: ForwardMessage, format| downgrade(Message::Forward(message), format);
         assert_eq!(heard(counted.clone(), 4), Some(Message::Forward(forward)));
         assert_eq!(heard(counted.clone(), 5), Some(Message::Forward(counted)));
         let not_home = Some(Message::Forward(ForwardMessage::NotOwner { task: 9 }));
@@ -140,10 +140,10 @@
     #[test]
     fn formats_before_four_fetch_the_configuration_unpacked() {
         let part_request =
-            |offset| Message::Lease(LeaseMessage::PartRequest { request_id: 7, whole: 1, number: 0, offset });
+            |offset| Message::Lease(LeaseMessage::PartRequest { request_id: 7, full: 1, number: 0, offset });
         let fetch = Message::Lease(LeaseMessage::ConfigurationRequest { request_id: 7, from: Text::default() });
         assert_eq!(
-            [spoken(part_request(0), 3), spoken(part_request(9), 3), spoken(part_request(9), 4)],
+            [downgrade(part_request(0), 3), downgrade(part_request(9), 3), downgrade(part_request(9), 4)],
             [Some(fetch), None, Some(part_request(9))]
         );
     }
@@ -152,10 +152,10 @@
     fn formats_before_three_hear_the_time_to_come_back_in_whole_seconds() {
         let (head, body) = (Blob::default(), Blob::default());
         let message =
-            ForwardMessage::Answer { task: 1, outcome: Outcome::NotRun, status: 503, again_ms: 1001, head, body };
+            ForwardMessage::Answer { task: 1, outcome: Outcome::NotRun, status: 503, retry_after_ms: 1001, head, body };
         let answer = Message::Forward(message);
         for format in [1, 2] {
-            let heard = spoken(answer.clone(), format);
+            let heard = downgrade(answer.clone(), format);
             assert!(
                 matches!(
                     heard,
@@ -164,6 +164,6 @@
                 "{heard:?}"
             );
         }
-        assert_eq!(spoken(answer.clone(), 3), Some(answer));
+        assert_eq!(downgrade(answer.clone(), 3), Some(answer));
     }
 }
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -63,25 +63,25 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct StoredTask {
+pub struct StoredRequest {
     pub binding: Text,
     pub head: Blob,
     pub body: Blob,
 }
 
 /// What an owner knows of one function: handed over to the next owner, or kept by the router that would
-/// be owner next (`kept`). `begun` names stored tasks that were sent at least once and are not done;
+/// be owner next (`is_standby_copy`). `started` names stored tasks that were sent at least once and are not done;
 /// without `is_started_complete` there were more.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct OwnershipTable {
     pub function: Text,
     pub membership: u64,
-    pub kept: u8,
+    pub is_standby_copy: u8,
     pub slots: List<InstanceSlots>,
     pub requests: u32,
-    pub seconds: u32,
-    pub turned: u32,
-    pub begun: List<Text>,
+    pub retries: u32,
+    pub rejections: u32,
+    pub started: List<Text>,
     pub is_started_complete: u8,
 }
 
@@ -128,7 +128,7 @@
     pub function: Text,
     pub binding: Text,
     pub left_ms: u32,
-    pub tries: u8,
+    pub resends: u8,
     /// To how many instances the owner may send it before it asks for more; `UNCOUNTED` if the front
     /// does not count.
     pub attempts: u32,
@@ -152,7 +152,7 @@
         function: Text,
         binding: Text,
         left_ms: u32,
-        tries: u8,
+        resends: u8,
         respond_async: u8,
         key: Text,
         head: Blob,
@@ -163,7 +163,7 @@
     #[deku(id = "3")]
     NotOwner { task: u64 },
     #[deku(id = "4")]
-    Handover { function: Text, membership: u64, slots: List<InstanceSlots>, requests: u32, seconds: u32 },
+    Handover { function: Text, membership: u64, slots: List<InstanceSlots>, requests: u32, retries: u32 },
     #[deku(id = "5")]
     Preempt { function: Text, memory_mb: u32 },
     #[deku(id = "6")]
@@ -172,7 +172,7 @@
     Table { table: OwnershipTable },
     /// `AnswerInSeconds` with the time to come back in milliseconds.
     #[deku(id = "8")]
-    Answer { task: u64, outcome: Outcome, status: u16, again_ms: u32, head: Blob, body: Blob },
+    Answer { task: u64, outcome: Outcome, status: u16, retry_after_ms: u32, head: Blob, body: Blob },
     /// Asks an owner to send a heartbeat.
     #[deku(id = "9")]
     HeartbeatRequest,
@@ -218,7 +218,7 @@
                 function,
                 binding,
                 left_ms,
-                tries,
+                resends,
                 respond_async,
                 key,
                 head,
@@ -230,7 +230,7 @@
                     function,
                     binding,
                     left_ms,
-                    tries,
+                    resends,
                     attempts,
                     respond_async,
                     key,
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -76,12 +76,12 @@
     RegistryAddresses { addresses: List<Text> },
     #[deku(id = "19")]
     Leaving,
-    /// A part of a packed step; of the whole active configuration as one step where `whole` is not 0.
+    /// A part of a packed step; of the whole active configuration as one step where `full` is not 0.
     #[deku(id = "20")]
-    Part { request_id: u64, whole: u8, number: u64, size: u32, packed: u32, offset: u32, bytes: Blob },
+    Part { request_id: u64, full: u8, number: u64, size: u32, packed: u32, offset: u32, bytes: Blob },
     /// Asks for the part at an offset; number 0 for whichever step is active.
     #[deku(id = "21")]
-    PartRequest { request_id: u64, whole: u8, number: u64, offset: u32 },
+    PartRequest { request_id: u64, full: u8, number: u64, offset: u32 },
     /// Asks a peer to ask a majority of the quorum of the active step.
     #[deku(id = "23")]
     MajorityRequest { request_id: u64, active: u64 },
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,27 +4,27 @@
 
 mod chain;
 mod codec;
+mod commands;
+mod downgrade;
 mod forward;
 mod lease;
-mod ledger;
 mod packed;
-mod parts;
 mod plan;
-mod spoken;
+mod primitives;
 
 pub use chain::{ChainMessage, KeyValue, LogEntry, NodeAddress, ProposalId, View};
 pub use codec::{
     ATTEMPTS, CAPACITY, FORMAT, Frame, FrameError, LIMIT, Message, OLDEST, decode, encode, read_frame, write_frame,
 };
+pub use commands::{Capacity, ClaimRecord, ClaimState, Command, CommandReply, DeferredRecord, OpRecord};
+pub use downgrade::downgrade;
 pub use forward::{
     AnswerHead, ForwardMessage, ForwardRequest, HeaderField, InstanceRecord, InstanceSlots, InventoryChange, Outcome,
-    OwnershipTable, RequestHead, StoredAnswer, StoredTask, WorkerRecord,
+    OwnershipTable, RequestHead, StoredAnswer, StoredRequest, WorkerRecord,
 };
 pub use lease::{ConfigurationEpoch, ConfigurationItem, LeaseMessage, ProofAge};
-pub use ledger::{Capacity, ClaimRecord, ClaimState, Command, CommandReply, DeferredRecord, OpRecord};
 pub use packed::{Packed, pack, unpack};
-pub use parts::{Blob, List, Text, from_bytes, to_bytes};
 pub use plan::{DemandSample, Measurement, PlanMessage, TunedParameters};
-pub use spoken::spoken;
+pub use primitives::{Blob, List, Text, from_bytes, to_bytes};
 
 pub type NodeId = u64;
--- a/crates/wire/src/packed.rs
+++ b/crates/wire/src/packed.rs
@@ -2,7 +2,7 @@
 //! their receiver to no more than the size that was told, itself bounded.
 
 use crate::Blob;
-use crate::parts::BYTES;
+use crate::primitives::BYTES;
 
 /// The best of what is cheap: beyond it JSON shrinks by little more and the time doubles.
 const LEVEL: u8 = 4;
--- a/crates/wire/src/plan.rs
+++ b/crates/wire/src/plan.rs
@@ -10,7 +10,7 @@
     pub rate_milli: u64,
     pub response_micro: u64,
     pub waiting_milli: u64,
-    pub held_milli: u64,
+    pub queued_milli: u64,
 }
 
 /// What an owner saw of a function beside its sample: boots, refusals, rejections, usage.
@@ -20,7 +20,7 @@
     pub boot_micro: u64,
     pub boots: u32,
     pub refused: u32,
-    pub turned: u32,
+    pub rejections: u32,
     pub waiting_milli: u64,
     pub usage_milli: u64,
 }
@@ -41,7 +41,7 @@
     #[deku(id = "1")]
     Samples { lines: List<DemandSample> },
     #[deku(id = "2")]
-    Request { request_id: u64, function: Text, current: u32, held: u32, waiting: u32 },
+    Request { request_id: u64, function: Text, current: u32, queued: u32, waiting: u32 },
     #[deku(id = "3")]
     Reply { request_id: u64, fence: u64, state: u8, step_ms: u32, desired: List<u32> },
     #[deku(id = "4")]
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -13,7 +13,7 @@
         function: "a/f".into(),
         binding: "a/b".into(),
         left_ms: 4000,
-        tries: 0,
+        resends: 0,
         attempts: 1,
         respond_async: 0,
         key: "k".into(),
@@ -61,8 +61,8 @@
     let mut dice = ChaCha8Rng::seed_from_u64(4);
     let (mut refused, mut read) = (0, 0);
     for round in 0..60_000 {
-        let whole = frame(samples()[round % 8].clone());
-        let mut record = to_bytes(&whole);
+        let full = frame(samples()[round % 8].clone());
+        let mut record = to_bytes(&full);
         for _ in 0..dice.random_range(1..6) {
             let place = dice.random_range(0..record.len());
             match dice.random_range(0..4) {
--- a/crates/wire/tests/samples/forward.rs
+++ b/crates/wire/tests/samples/forward.rs
@@ -14,12 +14,12 @@
     OwnershipTable {
         function: "t/f".into(),
         membership: 202,
-        kept: 1,
+        is_standby_copy: 1,
         slots: vec![slot()].into(),
         requests: 203,
-        seconds: 204,
-        turned: 205,
-        begun: vec!["id".into()].into(),
+        retries: 204,
+        rejections: 205,
+        started: vec!["id".into()].into(),
         is_started_complete: 2,
     }
 }
@@ -53,7 +53,7 @@
         function: "t/f".into(),
         binding: "t/b".into(),
         left_ms: 213,
-        tries: 3,
+        resends: 3,
         attempts: 214,
         respond_async: 1,
         key: "k".into(),
@@ -68,7 +68,7 @@
         function: "t/f".into(),
         binding: "t/b".into(),
         left_ms: 218,
-        tries: 4,
+        resends: 4,
         respond_async: 1,
         key: "k".into(),
         head: vec![219].into(),
@@ -82,12 +82,12 @@
     let in_seconds =
         AnswerInSeconds { task: 223, outcome: Outcome::Unknown, status: 224, retry_after: 225, head, body };
     let (head, body) = (vec![226].into(), vec![227].into());
-    let answer = Answer { task: 228, outcome: Outcome::Accepted, status: 229, again_ms: 230, head, body };
+    let answer = Answer { task: 228, outcome: Outcome::Accepted, status: 229, retry_after_ms: 230, head, body };
     [
         uncounted(),
         in_seconds,
         NotOwner { task: 231 },
-        Handover { function: "t/f".into(), membership: 232, slots: vec![slot()].into(), requests: 233, seconds: 234 },
+        Handover { function: "t/f".into(), membership: 232, slots: vec![slot()].into(), requests: 233, retries: 234 },
         Preempt { function: "t/f".into(), memory_mb: 235 },
         Heartbeat,
         Table { table: table() },
@@ -111,14 +111,14 @@
         rate_milli: 251,
         response_micro: 252,
         waiting_milli: 253,
-        held_milli: 254,
+        queued_milli: 254,
     };
     let measure = Measurement {
         function: "t/f".into(),
         boot_micro: 255,
         boots: 256,
         refused: 257,
-        turned: 258,
+        rejections: 258,
         waiting_milli: 259,
         usage_milli: 260,
     };
@@ -131,7 +131,7 @@
     };
     [
         PlanMessage::Samples { lines: vec![sample].into() },
-        PlanMessage::Request { request_id: 264, function: "t/f".into(), current: 265, held: 266, waiting: 267 },
+        PlanMessage::Request { request_id: 264, function: "t/f".into(), current: 265, queued: 266, waiting: 267 },
         PlanMessage::Reply { request_id: 268, fence: 269, state: 1, step_ms: 270, desired: vec![271].into() },
         PlanMessage::Measures { lines: vec![measure].into() },
         PlanMessage::Tuned { fence: 272, lines: vec![tuned].into() },
--- a/crates/wire/tests/samples/lease.rs
+++ b/crates/wire/tests/samples/lease.rs
@@ -55,8 +55,8 @@
 fn later_messages() -> Vec<LeaseMessage> {
     use LeaseMessage::*;
     vec![
-        Part { request_id: 141, whole: 1, number: 142, size: 143, packed: 144, offset: 145, bytes: vec![146].into() },
-        PartRequest { request_id: 147, whole: 1, number: 148, offset: 149 },
+        Part { request_id: 141, full: 1, number: 142, size: 143, packed: 144, offset: 145, bytes: vec![146].into() },
+        PartRequest { request_id: 147, full: 1, number: 148, offset: 149 },
         MajorityRequest { request_id: 150, active: 151 },
         MajorityReply { request_id: 152, active: 153 },
         MembershipChange { since: 154, number: 155, size: 156, body: vec![157].into() },
--- a/crates/wire/tests/samples/record.rs
+++ b/crates/wire/tests/samples/record.rs
@@ -4,7 +4,7 @@
 use super::lease::capacity;
 use wire::{
     AnswerHead, ClaimRecord, ClaimState, Command, CommandReply, ConfigurationItem, DeferredRecord, HeaderField,
-    Message, OpRecord, Outcome, RequestHead, StoredAnswer, StoredTask, to_bytes,
+    Message, OpRecord, Outcome, RequestHead, StoredAnswer, StoredRequest, to_bytes,
 };
 
 fn item() -> ConfigurationItem {
@@ -14,14 +14,14 @@
 fn commands() -> Vec<Command> {
     use Command::*;
     vec![
-        Change { op: "o".into(), base: 301, any: 1, whole: 2, scope: "s".into(), items: vec![item()].into() },
+        Change { op: "o".into(), base: 301, any: 1, full: 2, scope: "s".into(), items: vec![item()].into() },
         Quorum { after: 302, members: vec![303].into() },
         Activate { step: 304 },
         Join { id: 305, incarnation: 306, address: "a:1".into(), zone: "z".into(), ops: "o:2".into() },
         Lapse { id: 307, incarnation: 308 },
         Leaving { id: 309, incarnation: 310 },
         Claim { scope: "c".into(), digest: vec![2].into(), member: 311, incarnation: 312, request_id: 313 },
-        Settle { scope: "c".into(), member: 314, incarnation: 315, request_id: 316, answer: vec![3].into() },
+        RecordAnswer { scope: "c".into(), member: 314, incarnation: 315, request_id: 316, answer: vec![3].into() },
         Release { scope: "c".into(), member: 317, incarnation: 318, request_id: 319 },
         Store { id: "i".into(), function: "t/f".into(), digest: vec![4].into(), task: vec![5].into() },
         Finish { id: "i".into(), function: "t/f".into(), answer: vec![6].into() },
@@ -30,7 +30,7 @@
             op: "o".into(),
             base: 321,
             any: 1,
-            whole: 2,
+            full: 2,
             revision: 322,
             scope: "s".into(),
             items: vec![item()].into(),
@@ -55,7 +55,7 @@
         CommandReply::Plain,
     ];
     use ClaimState::*;
-    for state in [Granted, Running, Settled, Unknown, OtherBody] {
+    for state in [Granted, Running, Answered, Unknown, OtherBody] {
         replies.push(CommandReply::Claim { state, answer: vec![9].into() });
     }
     replies
@@ -71,13 +71,13 @@
         incarnation: 342,
         request_id: 343,
         due: 344,
-        settled: 1,
+        is_answered: 1,
         answer: vec![11].into(),
     };
     let deferred = DeferredRecord { function: "t/f".into(), digest: digest(), done: 1, answer: vec![12].into() };
     let header = HeaderField { name: "n".into(), value: vec![13].into() };
     let head = RequestHead { method: "GET".into(), target: "/t".into(), headers: vec![header.clone()].into() };
-    let task = StoredTask { binding: "t/b".into(), head: to_bytes(&head).into(), body: vec![14].into() };
+    let task = StoredRequest { binding: "t/b".into(), head: to_bytes(&head).into(), body: vec![14].into() };
     samples.push(to_bytes(&claim));
     samples.push(to_bytes(&deferred));
     samples.push(to_bytes(&OpRecord { reply: CommandReply::Plain }));
