--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -21,7 +21,7 @@
         memory_mb: u32 = 5427, in_range(64, 1_000_000), "memory of each worker";
         calls: u32 = 80, in_range(1, 10_000), "starts and stops taken in a second";
         lag: Duration = Duration::from_millis(1200), in_range(Duration::ZERO, Duration::from_secs(30)), "how late the list is";
-        seed: u64 = 1, any, "seed of the yard's chances";
+        seed: u64 = 1, any, "seed of the random source";
     }
 }
 
--- a/crates/fleet/src/drawing.rs
+++ b/crates/fleet/src/drawing.rs
@@ -35,9 +35,9 @@
         let mut port = || free.next().unwrap_or_default();
         let words = |list: &[&str]| list.iter().map(|word| (*word).to_owned()).collect::<Vec<String>>();
         let platform = port();
-        let yard = Node {
-            name: "yard".into(),
-            program: "yard",
+        let emulator = Node {
+            name: "platform-emulator".into(),
+            program: "platform-emulator",
             peer: platform.clone(),
             bind: String::new(),
             door: String::new(),
@@ -137,7 +137,7 @@
         });
         let routers: Vec<Node> = routers.collect();
         Ok(Fleet {
-            yard,
+            emulator,
             registries,
             routers,
             running: Vec::new(),
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -1,8 +1,8 @@
 //! The timetable of faults and how each is brought about.
 
 use crate::processes::{Fleet, Start, TOKEN};
-use heron::{Call, send_call};
 use hyper::Method;
+use operator_client::{Call, send_call};
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
@@ -148,7 +148,7 @@
     pub async fn platform(&self, path: &str, body: Value) -> Result<(), String> {
         let call = Call {
             method: Method::POST,
-            address: self.yard.peer.clone(),
+            address: self.emulator.peer.clone(),
             path: path.into(),
             body: body.to_string().into_bytes(),
             limit: Duration::from_secs(5),
--- a/crates/fleet/src/processes.rs
+++ b/crates/fleet/src/processes.rs
@@ -32,7 +32,7 @@
 }
 
 pub struct Fleet {
-    pub yard: Node,
+    pub emulator: Node,
     pub registries: Vec<Node>,
     pub routers: Vec<Node>,
     pub running: Vec<(String, Child)>,
@@ -153,7 +153,7 @@
                 return;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
-            if self.running.iter().all(|(name, _)| name == "yard") {
+            if self.running.iter().all(|(name, _)| name == "platform-emulator") {
                 break;
             }
         }
--- a/crates/fleet/src/prove.rs
+++ b/crates/fleet/src/prove.rs
@@ -6,8 +6,8 @@
 use crate::processes::{Fleet, TOKEN};
 use crate::timeline::Timeline;
 use crate::turns::{Turns, wall_ms, with_probe};
-use heron::{Answer, Call, send_call};
 use hyper::Method;
+use operator_client::{Answer, Call, send_call};
 use serde_json::Value;
 use std::cell::RefCell;
 use std::process::{Command, Stdio};
@@ -32,7 +32,7 @@
 /// Starts every process, applies the configuration, and returns once every router is ready.
 pub async fn bring_up(deployment: &Deployment, fleet: &mut Fleet) -> Result<(), String> {
     fleet.open_relays().await?;
-    for node in [vec![fleet.yard.clone()], fleet.registries.clone(), fleet.routers.clone()].concat() {
+    for node in [vec![fleet.emulator.clone()], fleet.registries.clone(), fleet.routers.clone()].concat() {
         fleet.start(&node)?;
     }
     let api = fleet.registries[0].door.clone();
@@ -100,7 +100,7 @@
 
 async fn prove(order: &Order, deployment: &Deployment, fleet: &mut Fleet) -> Result<bool, String> {
     let tasks = fleet.folder.join("tasks.jsonl");
-    let mut load = Command::new(fleet.programs.join("swarm"));
+    let mut load = Command::new(fleet.programs.join("loadgen"));
     load.arg("load").args(["--targets", &doors(fleet)]);
     load.arg("--configuration").arg(&deployment.configuration).arg("--services").arg(&deployment.services);
     load.arg("--out").arg(&tasks).args(["--seconds", &order.seconds.to_string(), "--seed", &order.seed.to_string()]);
@@ -108,7 +108,7 @@
     for crowd in &order.crowds {
         load.args(["--crowd", crowd]);
     }
-    let mut child = load.stdin(Stdio::null()).spawn().map_err(|fault| format!("swarm: {fault}"))?;
+    let mut child = load.stdin(Stdio::null()).spawn().map_err(|fault| format!("loadgen: {fault}"))?;
     let (begun, mut timeline) = (Instant::now(), Timeline::default());
     order.crowds.iter().for_each(|words| timeline.crowd(wall_ms(), words));
     let turns = Rc::new(Turns {
@@ -147,17 +147,17 @@
     settle_deferred(fleet).await?;
     let kept = final_fault(fleet).await?;
     let counts =
-        Call { address: fleet.yard.peer.clone(), path: "/v1/counts".into(), limit: PATIENCE, ..Call::default() };
+        Call { address: fleet.emulator.peer.clone(), path: "/v1/counts".into(), limit: PATIENCE, ..Call::default() };
     let counted = send_call(&counts).await.map_err(|fault| fault.to_string())?;
     println!("platform: {}", String::from_utf8_lossy(&counted.body));
     sleep(Duration::from_millis(300)).await;
-    let mut check = Command::new(fleet.programs.join("swarm"));
+    let mut check = Command::new(fleet.programs.join("loadgen"));
     check.arg("check").arg("--tasks").arg(&tasks).arg("--runs").arg(fleet.folder.join("runs.jsonl"));
     check.arg("--changes").arg(changes).arg("--spans").arg(spans);
     if let Some(most) = order.refusals {
         check.args(["--refusals", &most.to_string()]);
     }
-    let verdict = check.status().map_err(|fault| format!("swarm: {fault}"))?;
+    let verdict = check.status().map_err(|fault| format!("loadgen: {fault}"))?;
     Ok(verdict.success() && kept)
 }
 
--- a/crates/fleet/src/smoke.rs
+++ b/crates/fleet/src/smoke.rs
@@ -6,8 +6,8 @@
 use crate::processes::{Fleet, Node, TOKEN};
 use crate::prove::{bring_up, until};
 use crate::smoke_views::{declarations, views};
-use heron::{Answer, Call, send_call};
 use hyper::Method;
+use operator_client::{Answer, Call, send_call};
 use serde_json::{Value, json};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
@@ -71,8 +71,8 @@
         ("registry", vec!["--adress", "127.0.0.1:1"], 2, "no flag --adress"),
         ("router", vec!["--hold", "1ms", "--address", "127.0.0.1:1"], 2, "setting"),
         ("router", vec!["--version"], 0, "router"),
-        ("heron", vec!["--api", "127.0.0.1:1"], 2, "say a command"),
-        ("swarm", vec!["load", "--targets", "192.0.2.1:80"], 2, "loopback"),
+        ("heronlinkctl", vec!["--api", "127.0.0.1:1"], 2, "say a command"),
+        ("loadgen", vec!["load", "--targets", "192.0.2.1:80"], 2, "loopback"),
     ] {
         let output = run(program, &words)?;
         let text = format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
--- a/crates/fleet/src/smoke_views.rs
+++ b/crates/fleet/src/smoke_views.rs
@@ -4,7 +4,7 @@
 use crate::line::Order;
 use crate::processes::{Fleet, Node, TOKEN};
 use crate::smoke::{Smoke, TENANT};
-use heron::{Call, send_call};
+use operator_client::{Call, send_call};
 use serde_json::Value;
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
@@ -71,28 +71,34 @@
     write("all.json", whole)?;
     write("more.json", r#"{"weight-sheets": {"pixelkrov/new-one": {"target_usage": 0.5}}}"#)?;
     let (api, path) = (fleet.registries[0].door.clone(), folder.display().to_string());
-    let heron = async |words: &[&str]| run(order, "heron", &[&["--api", api.as_str()], words].concat()).await;
+    let heronlinkctl =
+        async |words: &[&str]| run(order, "heronlinkctl", &[&["--api", api.as_str()], words].concat()).await;
     let mut see = |what: &str, output: Output, code: i32, words: &str| {
         let told = text(&output);
         smoke.see(what, output.status.code() == Some(code) && told.contains(words), told);
     };
-    see("heron diff tells what would change", heron(&["diff", &path]).await?, 1, "+ weight-sheets/pixelkrov/new-one");
-    see("a dry run is checked by the server", heron(&["--dry-run", "apply", &path]).await?, 0, "would-change");
-    see("and changes nothing", heron(&["diff", &path]).await?, 1, "+ weight-sheets/pixelkrov/new-one");
-    see("heron apply takes the folder", heron(&["apply", &path]).await?, 0, "in-force");
-    see("after which there is nothing to tell", heron(&["diff", &path]).await?, 0, "");
+    see(
+        "heronlinkctl diff tells what would change",
+        heronlinkctl(&["diff", &path]).await?,
+        1,
+        "+ weight-sheets/pixelkrov/new-one",
+    );
+    see("a dry run is checked by the server", heronlinkctl(&["--dry-run", "apply", &path]).await?, 0, "would-change");
+    see("and changes nothing", heronlinkctl(&["diff", &path]).await?, 1, "+ weight-sheets/pixelkrov/new-one");
+    see("heronlinkctl apply takes the folder", heronlinkctl(&["apply", &path]).await?, 0, "in-force");
+    see("after which there is nothing to tell", heronlinkctl(&["diff", &path]).await?, 0, "");
     write("again.json", r#"{"weight-sheets": {"pixelkrov/new-one": {}}}"#)?;
-    let twice = heron(&["apply", &path]).await?;
+    let twice = heronlinkctl(&["apply", &path]).await?;
     see("a resource declared twice is refused, with both files", twice, 2, "again.json and in");
     write("again.json", r#"{"weight-sheets": {"pixelkrov/other-one": {"tuning": {"target_usage": {"least": 7}}}}"#)?;
-    see("a file that is no JSON is refused by name", heron(&["diff", &path]).await?, 2, "again.json");
+    see("a file that is no JSON is refused by name", heronlinkctl(&["diff", &path]).await?, 2, "again.json");
     write("again.json", r#"{"weight-sheets": {"pixelkrov/other-one": {"tuning": {"target_usage": {"least": 7}}}}}"#)?;
-    let bound = heron(&["--dry-run", "apply", &path]).await?;
+    let bound = heronlinkctl(&["--dry-run", "apply", &path]).await?;
     see("a tuning bound out of range is 422 with its path", bound, 1, "pixelkrov/other-one/tuning/target_usage/least");
     let bad = folder.join("cut.har");
     std::fs::write(&bad, "{\"log\": {").map_err(|fault| fault.to_string())?;
     let replay = ["replay", "--har", &bad.display().to_string(), "--targets", &fleet.routers[0].door];
-    see("an archive that is cut is refused", run(order, "swarm", &replay).await?, 2, "not a whole HTTP archive");
+    see("an archive that is cut is refused", run(order, "loadgen", &replay).await?, 2, "not a whole HTTP archive");
     let mistimed = ["prove", "--deployment", &order.deployment.display().to_string(), "--fault", "1:kill-router:77"];
     let scratch = order.folder.join("refused").display().to_string();
     let output = run(order, "fleet", &[&mistimed[..], &["--folder", &scratch]].concat()).await?;
--- a/crates/fleet/src/turns.rs
+++ b/crates/fleet/src/turns.rs
@@ -4,8 +4,8 @@
 
 use crate::deployment::Deployment;
 use crate::processes::{Node, TOKEN};
-use heron::{Answer, Call, send_call};
 use hyper::Method;
+use operator_client::{Answer, Call, send_call};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
--- a/crates/loadgen/src/line.rs
+++ b/crates/loadgen/src/line.rs
@@ -6,11 +6,11 @@
 use config::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
-pub const HELP: &str = "swarm: load generator and checker
+pub const HELP: &str = "loadgen: load generator and checker
 
-Usage: swarm load --targets A,B --configuration FILE --services FILE --out FILE [options]
-       swarm replay --har FILE --targets A,B --out FILE [--speed F]
-       swarm check --tasks FILE --runs FILE [options]
+Usage: loadgen load --targets A,B --configuration FILE --services FILE --out FILE [options]
+       loadgen replay --har FILE --targets A,B --out FILE [--speed F]
+       loadgen check --tasks FILE --runs FILE [options]
 
 load:
   --targets LIST        routers' callers' addresses (loopback only)
--- a/crates/loadgen/src/main.rs
+++ b/crates/loadgen/src/main.rs
@@ -1,5 +1,5 @@
-//! `swarm`: the load generator and its checker. `swarm load` sends a seeded open-loop load and
-//! records every attempt; `swarm replay` sends what an HTTP archive holds; `swarm check` holds that record against what the instances say they
+//! `loadgen`: the load generator and its checker. `loadgen load` sends a seeded open-loop load and
+//! records every attempt; `loadgen replay` sends what an HTTP archive holds; `loadgen check` holds that record against what the instances say they
 //! ran and names each broken rule.
 
 mod attempt;
@@ -23,14 +23,14 @@
             ExitCode::SUCCESS
         }
         Ok(line::Order::Version) => {
-            println!("swarm {}", env!("CARGO_PKG_VERSION"));
+            println!("loadgen {}", env!("CARGO_PKG_VERSION"));
             ExitCode::SUCCESS
         }
         Ok(line::Order::Load(order)) => end(load::run(order)),
         Ok(line::Order::Replay(order)) => end(replay::run(&order)),
         Ok(line::Order::Check(order)) => end(check::run(&order)),
         Err(told) => {
-            eprintln!("swarm: {told}");
+            eprintln!("loadgen: {told}");
             ExitCode::from(2)
         }
     }
@@ -41,7 +41,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
-            eprintln!("swarm: {error}");
+            eprintln!("loadgen: {error}");
             ExitCode::from(if matches!(error, errors::WorkError::Replay(_)) { 2 } else { 1 })
         }
     }
--- a/crates/loadgen/src/replay.rs
+++ b/crates/loadgen/src/replay.rs
@@ -124,7 +124,7 @@
     use super::*;
 
     fn archive(name: &str, text: &str) -> PathBuf {
-        let path = std::env::temp_dir().join(format!("swarm-{name}-{}.har", std::process::id()));
+        let path = std::env::temp_dir().join(format!("loadgen-{name}-{}.har", std::process::id()));
         std::fs::write(&path, text).unwrap();
         path
     }
--- a/crates/heron/src/main.rs
+++ b/crates/operator_client/src/main.rs
@@ -1,8 +1,8 @@
-//! `heron`: the operators' client.
+//! `operator_client`: the operators' client.
 
-use heron::{Call, Declared, differences, document, read, resources, send_call, watch};
 use hyper::Method;
 use lexopt::prelude::*;
+use operator_client::{Call, Declared, differences, document, read, resources, send_call, watch};
 use serde_json::Value;
 use std::fmt::Display;
 use std::io::Write;
@@ -10,9 +10,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-const HELP: &str = "heron: operators' client
+const HELP: &str = "heronlinkctl: operators' client
 
-Usage: heron [--api ADDRESS] [--token TOKEN | --token-file FILE] [--if-match REVISION|*]
+Usage: heronlinkctl [--api ADDRESS] [--token TOKEN | --token-file FILE] [--if-match REVISION|*]
              [--operation ID] [--dry-run] COMMAND
 
   get [KIND[/TENANT/NAME]]   the configuration, or a part of it
@@ -89,7 +89,7 @@
                 return Ok(None);
             }
             Short('V') | Long("version") => {
-                println!("heron {}", env!("CARGO_PKG_VERSION"));
+                println!("heronlinkctl {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
             Value(word) => found.words.push(word.string().map_err(|error| error.to_string())?),
@@ -124,21 +124,21 @@
         Ok(Some(line)) => line,
         Ok(None) => return ExitCode::SUCCESS,
         Err(told) => {
-            eprintln!("heron: {told}");
+            eprintln!("heronlinkctl: {told}");
             return ExitCode::from(exit_code::WRONG_USE);
         }
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("heron: {error}");
+            eprintln!("heronlinkctl: {error}");
             return ExitCode::FAILURE;
         }
     };
     match runtime.block_on(carry_out(line)) {
         Ok(code) => ExitCode::from(code),
         Err(failure) => {
-            eprintln!("heron: {}", failure.message);
+            eprintln!("heronlinkctl: {}", failure.message);
             ExitCode::from(failure.exit_code)
         }
     }
