--- a/crates/traffic/src/caller_server.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -139,7 +139,7 @@
             headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         }
         if let (Some(name), Some(outcome)) = (&self.words.outcome, reply.outcome) {
-            headers.insert(name, HeaderValue::from_static(outcome.word()));
+            headers.insert(name, HeaderValue::from_static(outcome.as_str()));
         }
         let refused = reply.outcome == Some(Outcome::NotRun) && reply.status == 503;
         if refused || !reply.retry_after.is_zero() {
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -114,7 +114,7 @@
     }
 
     fn reply(&mut self, request_id: u64, reply: Reply) {
-        let word = reply.outcome.map_or("refused", |outcome| outcome.word());
+        let word = reply.outcome.map_or("refused", |outcome| outcome.as_str());
         *self.counts.entry(word).or_default() += 1;
         if let Some(waiting) = self.replies.remove(&request_id) {
             let _ = waiting.send(reply);
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -7,56 +7,78 @@
 use derive_more::{Display, Error, From};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The newest format spoken, and the oldest still understood.
+/// The newest format.
 pub const FORMAT: u16 = 5;
+/// The oldest format that is still understood.
 pub const OLDEST: u16 = 1;
 /// The format that first told what a machine can carry, and in which owners heartbeat only whom they serve.
 pub const CAPACITY: u16 = 4;
 /// The format that first told how many attempts at a request its front grants.
 pub const ATTEMPTS: u16 = 5;
+/// A frame holds no more bytes than this.
 pub const LIMIT: usize = 8 * 1024 * 1024;
 
+/// What a frame holds.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum Message {
+    /// Between registries.
     #[deku(id = "1")]
     Chain(ChainMessage),
+    /// Between routers and registries.
     #[deku(id = "2")]
     Lease(LeaseMessage),
+    /// Between routers.
     #[deku(id = "3")]
     Forward(ForwardMessage),
+    /// Between owners and the optimizer's host.
     #[deku(id = "4")]
     Plan(PlanMessage),
+    /// The first frame on a connection: the address the sender is reached at.
     #[deku(id = "5")]
     Hello { address: Text },
 }
 
+/// One frame.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct Frame {
+    /// The format it is written in.
     pub format: u16,
+    /// The cluster's name.
     pub cluster: Text,
+    /// The sender.
     pub sender: NodeId,
+    /// The sender's incarnation.
     pub incarnation: u64,
+    /// The message.
     pub message: Message,
 }
 
+/// Why a frame cannot be read or written; the connection is of no more use after it.
 #[derive(Debug, Display, Error, From)]
 pub enum FrameError {
+    /// The connection failed.
     #[display("connection: {_0}")]
     #[from]
     Connection(std::io::Error),
+    /// Its length is over the limit.
     #[display("frame of {_0} bytes is over the limit")]
     TooLong(#[error(not(source))] usize),
+    /// Its checksum does not match.
     #[display("checksum does not match")]
     Checksum,
+    /// It cannot be decoded.
     #[display("frame cannot be read")]
     Malformed,
+    /// Its format is not understood.
     #[display("format {_0} is not spoken here")]
     Format(#[error(not(source))] u16),
+    /// It is of another cluster.
     #[display("frame of another cluster, {_0}")]
     Foreign(#[error(not(source))] String),
 }
 
+/// A frame as it travels: length, checksum and record.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let record = to_bytes(frame);
     let mut bytes = Vec::with_capacity(record.len() + 8);
@@ -66,6 +88,7 @@
     bytes
 }
 
+/// Reads a record whose checksum is given.
 pub fn decode(cluster: &str, checksum: u32, record: &[u8]) -> Result<Frame, FrameError> {
     if crc32fast::hash(record) != checksum {
         return Err(FrameError::Checksum);
@@ -81,6 +104,7 @@
     Ok(frame)
 }
 
+/// Reads the next frame of a stream.
 pub async fn read_frame<R: AsyncRead + Unpin>(cluster: &str, stream: &mut R) -> Result<Frame, FrameError> {
     let mut head = [0u8; 8];
     stream.read_exact(&mut head).await?;
@@ -97,6 +121,7 @@
     decode(cluster, checksum, &record)
 }
 
+/// Writes a frame to a stream.
 pub async fn write_frame<W: AsyncWrite + Unpin>(stream: &mut W, frame: &Frame) -> Result<(), FrameError> {
     let bytes = encode(frame);
     if bytes.len() > LIMIT {
@@ -105,38 +130,3 @@
     stream.write_all(&bytes).await?;
     Ok(())
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn frame() -> Frame {
-        let message = Message::Chain(ChainMessage::Heartbeat { view: 3, round: 9, unhealthy: 0 });
-        Frame { format: FORMAT, cluster: "posta".into(), sender: 7, incarnation: 2, message }
-    }
-
-    #[test]
-    fn a_frame_comes_back_as_it_went_and_a_flipped_bit_never_passes() {
-        let bytes = encode(&frame());
-        let checksum = u32::from_le_bytes(bytes[4..8].try_into().unwrap());
-        assert_eq!(decode("posta", checksum, &bytes[8..]).unwrap(), frame());
-        for place in 8..bytes.len() {
-            let mut damaged = bytes.clone();
-            damaged[place] ^= 0x10;
-            assert!(decode("posta", checksum, &damaged[8..]).is_err());
-        }
-        assert!(matches!(decode("pixel", checksum, &bytes[8..]), Err(FrameError::Foreign(_))));
-        let later = encode(&Frame { format: FORMAT + 1, ..frame() });
-        let checksum = u32::from_le_bytes(later[4..8].try_into().unwrap());
-        assert!(matches!(decode("posta", checksum, &later[8..]), Err(FrameError::Format(_))));
-    }
-
-    #[test]
-    fn a_length_that_lies_is_refused_without_allocating_for_it() {
-        let mut record = to_bytes(&frame());
-        // The length of the cluster's name, which follows the two bytes of the format.
-        let lie = 2 + record[2..].iter().position(|b| *b == 5).unwrap();
-        record[lie..lie + 4].copy_from_slice(&u32::MAX.to_le_bytes());
-        assert!(matches!(decode("posta", crc32fast::hash(&record), &record), Err(FrameError::Malformed)));
-    }
-}
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -1,24 +1,30 @@
 //! What routers say to each other about tasks: forwarding one to its function's owner, the whole
 //! answer on the way back, and the table a leaving owner hands to its successor.
 
-use crate::{Blob, List, Text};
+use crate::{Blob, InventoryChange, List, Text};
 use deku::prelude::*;
 
+/// What may be believed about a request that is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum Outcome {
+    /// An instance ran it, and this is its complete answer.
     #[deku(id = "1")]
     Answered,
+    /// It has not run and never will.
     #[deku(id = "2")]
     NotRun,
+    /// It may have run.
     #[deku(id = "3")]
     Unknown,
+    /// It is stored, and runs later.
     #[deku(id = "4")]
     Accepted,
 }
 
 impl Outcome {
-    pub fn word(self) -> &'static str {
+    /// The word for it in headers and JSON.
+    pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
             Outcome::NotRun => "not-run",
@@ -28,6 +34,7 @@
     }
 }
 
+/// An instance of a function and how many requests it has in flight.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct InstanceSlots {
     pub instance: Text,
@@ -36,12 +43,14 @@
     pub busy: u32,
 }
 
+/// One header field.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct HeaderField {
     pub name: Text,
     pub value: Blob,
 }
 
+/// Method, target and headers of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct RequestHead {
     pub method: Text,
@@ -49,23 +58,31 @@
     pub headers: List<HeaderField>,
 }
 
+/// An answer's headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct AnswerHead {
     pub headers: List<HeaderField>,
 }
 
+/// An answer as it is stored under a run-once key.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct StoredAnswer {
     pub outcome: Outcome,
     pub status: u16,
+    /// Method, target and headers.
     pub head: Blob,
+    /// The body.
     pub body: Blob,
 }
 
+/// A deferred request as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct StoredRequest {
+    /// The binding that its route led to.
     pub binding: Text,
+    /// Method, target and headers.
     pub head: Blob,
+    /// The body.
     pub body: Blob,
 }
 
@@ -74,67 +91,46 @@
 /// without `is_started_complete` there were more.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct OwnershipTable {
+    /// Tenant and name.
     pub function: Text,
+    /// The membership by which the sender was the owner.
     pub membership: u64,
     pub is_standby_copy: u8,
+    /// Its instances.
     pub slots: List<InstanceSlots>,
+    /// Requests in the retry budget's window.
     pub requests: u32,
+    /// Retries in that window.
     pub retries: u32,
+    /// Rejections by instances lately.
     pub rejections: u32,
     pub started: List<Text>,
     pub is_started_complete: u8,
 }
 
-/// An instance as the provider lists it.
-#[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct InstanceRecord {
-    pub id: Text,
-    pub function: Text,
-    pub address: Text,
-    pub zone: Text,
-    pub worker: Text,
-    /// 0 starting, 1 running, 2 leaving
-    pub state: u8,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct WorkerRecord {
-    pub name: Text,
-    pub zone: Text,
-    pub memory_mb: u32,
-    pub free_mb: u32,
-    pub ready: u8,
-}
-
-/// What the provider's list shows otherwise than under an earlier number, or than nothing where that
-/// is 0, and how long ago it was asked for; the workers likewise where they were read as well.
-#[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
-pub struct InventoryChange {
-    pub number: u64,
-    pub since: u64,
-    pub age_ms: u32,
-    pub instances: List<InstanceRecord>,
-    pub gone: List<Text>,
-    pub workers_read: u8,
-    pub workers_age_ms: u32,
-    pub workers: List<WorkerRecord>,
-    pub workers_gone: List<Text>,
-}
-
 /// A request forwarded to its function's owner, with the number of attempts that its front grants.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct ForwardRequest {
+    /// The front's number of it.
     pub task: u64,
+    /// Tenant and name.
     pub function: Text,
+    /// The binding that its route led to.
     pub binding: Text,
+    /// The time that is left for it.
     pub left_ms: u32,
+    /// How often the front forwarded it before.
     pub resends: u8,
     /// To how many instances the owner may send it before it asks for more; `UNCOUNTED` if the front
     /// does not count.
     pub attempts: u32,
+    /// Not 0 if the caller takes an answer that it is stored.
     pub respond_async: u8,
+    /// The run-once key, empty for none.
     pub key: Text,
+    /// Method, target and headers.
     pub head: Blob,
+    /// The body.
     pub body: Blob,
 }
 
@@ -143,9 +139,11 @@
     pub const UNCOUNTED: u32 = 0;
 }
 
+/// What routers say to each other about requests. `task` is the front's number of a request.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum ForwardMessage {
+    /// As `Forward`, by a front that does not count attempts (before format 5).
     #[deku(id = "1")]
     ForwardUncounted {
         task: u64,
@@ -158,16 +156,22 @@
         head: Blob,
         body: Blob,
     },
+    /// As `Answer`, with the time to come back in seconds (before format 3).
     #[deku(id = "2")]
     AnswerInSeconds { task: u64, outcome: Outcome, status: u16, retry_after: u32, head: Blob, body: Blob },
+    /// The receiver is not the function's owner, and the request was sent nowhere.
     #[deku(id = "3")]
     NotOwner { task: u64 },
+    /// As `Table`, in format 1.
     #[deku(id = "4")]
     Handover { function: Text, membership: u64, slots: List<InstanceSlots>, requests: u32, retries: u32 },
+    /// Asks the owner of another function to free memory.
     #[deku(id = "5")]
     Preempt { function: Text, memory_mb: u32 },
+    /// The sender lives, and owns what it owned.
     #[deku(id = "6")]
     Heartbeat,
+    /// What an owner knows of a function.
     #[deku(id = "7")]
     Table { table: OwnershipTable },
     /// `AnswerInSeconds` with the time to come back in milliseconds.
@@ -176,6 +180,7 @@
     /// Asks an owner to send a heartbeat.
     #[deku(id = "9")]
     HeartbeatRequest,
+    /// Changes of the provider's list, from the owner that reads it.
     #[deku(id = "10")]
     Inventory { inventory: InventoryChange },
     /// Asks for the inventory whole.
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -5,50 +5,74 @@
 use crate::{Blob, Capacity, List, NodeId, Text};
 use deku::prelude::*;
 
+/// One declared resource: its key, whether it is removed, and its JSON.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct ConfigurationItem {
+    /// Kind, tenant and name.
     pub key: Text,
+    /// Not 0 if it is removed.
     pub gone: u8,
+    /// Its JSON.
     pub value: Blob,
 }
 
+/// A numbered configuration, as what it changes in the one before: staged at the routers, then activated.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct ConfigurationEpoch {
+    /// Counted from 1.
     pub number: u64,
+    /// The operators' number of it.
     pub revision: u64,
+    /// The routers whose majority can confirm it without the core.
     pub quorum: List<NodeId>,
+    /// What it changes.
     pub items: List<ConfigurationItem>,
 }
 
 /// How long ago a router can last have asked for a proof that it was granted.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct ProofAge {
+    /// The router.
     pub id: NodeId,
+    /// Its incarnation.
     pub incarnation: u64,
+    /// In milliseconds.
     pub millis: u64,
 }
 
+/// What routers and registries say to each other, and routers among themselves about leases. `request_id` pairs an
+/// answer with its request; `active`, `latest` and `staged` are numbers of epochs.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum LeaseMessage {
+    /// A router asks to become a member. `ops` is the address of its pages for operators.
     #[deku(id = "1")]
     Join { address: Text, zone: Text, ops: Text },
+    /// A router asks for its lease to be confirmed, and says how far it is.
     #[deku(id = "2")]
     Renew { request_id: u64, staged: u64, active: u64, membership: u64 },
+    /// The tail confirms that no epoch after `latest` exists; `member` is 0 if the router is none.
     #[deku(id = "3")]
     Proof { request_id: u64, active: u64, latest: u64, member: u8 },
+    /// As `RegistryAddresses`, in format 1.
     #[deku(id = "4")]
     NotTail { tail: NodeId, view: u64, addresses: List<Text> },
+    /// A complete epoch to be staged, before format 4.
     #[deku(id = "5")]
     Stage { step: ConfigurationEpoch },
+    /// The newest epoch that the router has staged.
     #[deku(id = "6")]
     Staged { number: u64 },
+    /// This epoch is in force.
     #[deku(id = "7")]
     Activate { number: u64 },
+    /// The complete membership, before format 4.
     #[deku(id = "8")]
     Membership { number: u64, body: Blob },
+    /// Requests a page of the active configuration, from a key on.
     #[deku(id = "9")]
     ConfigurationRequest { request_id: u64, from: Text },
+    /// A page; `next` is the key to go on from, empty for none.
     #[deku(id = "10")]
     ConfigurationPage {
         request_id: u64,
@@ -58,22 +82,31 @@
         items: List<ConfigurationItem>,
         next: Text,
     },
+    /// A command that a router wants appended.
     #[deku(id = "11")]
     Propose { request_id: u64, body: Blob },
+    /// What came of it: state 0 not appended, 1 committed with this reply, 2 unknown.
     #[deku(id = "12")]
     ProposalAck { request_id: u64, state: u8, body: Blob },
+    /// Requests committed pairs below a prefix, from a key on.
     #[deku(id = "13")]
     Read { request_id: u64, prefix: Text, from: Text },
+    /// The pairs; state 0 if they could not be read.
     #[deku(id = "14")]
     ReadReply { request_id: u64, state: u8, items: List<ConfigurationItem> },
+    /// As `Leaving`, in format 1.
     #[deku(id = "15")]
     Leave { successor: NodeId },
+    /// Asks a peer which epochs it has.
     #[deku(id = "16")]
     PeerRequest { request_id: u64, active: u64 },
+    /// The epochs that the peer has active and knows of.
     #[deku(id = "17")]
     PeerReply { request_id: u64, active: u64, latest: u64 },
+    /// Where the registries are; the sender is not the tail.
     #[deku(id = "18")]
     RegistryAddresses { addresses: List<Text> },
+    /// The router is about to stop.
     #[deku(id = "19")]
     Leaving,
     /// A part of a packed step; of the whole active configuration as one step where `full` is not 0.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -7,6 +7,7 @@
 mod commands;
 mod downgrade;
 mod forward;
+mod inventory;
 mod lease;
 mod packed;
 mod plan;
@@ -19,12 +20,14 @@
 pub use commands::{Capacity, ClaimRecord, ClaimState, Command, CommandReply, DeferredRecord, OpRecord};
 pub use downgrade::downgrade;
 pub use forward::{
-    AnswerHead, ForwardMessage, ForwardRequest, HeaderField, InstanceRecord, InstanceSlots, InventoryChange, Outcome,
-    OwnershipTable, RequestHead, StoredAnswer, StoredRequest, WorkerRecord,
+    AnswerHead, ForwardMessage, ForwardRequest, HeaderField, InstanceSlots, Outcome, OwnershipTable, RequestHead,
+    StoredAnswer, StoredRequest,
 };
+pub use inventory::{InstanceRecord, InventoryChange, WorkerRecord};
 pub use lease::{ConfigurationEpoch, ConfigurationItem, LeaseMessage, ProofAge};
 pub use packed::{Packed, pack, unpack};
 pub use plan::{DemandSample, Measurement, PlanMessage, TunedParameters};
 pub use primitives::{Blob, List, Text, from_bytes, to_bytes};
 
+/// Identifies a registry or a router; drawn at random.
 pub type NodeId = u64;
--- a/crates/wire/src/packed.rs
+++ b/crates/wire/src/packed.rs
@@ -7,17 +7,21 @@
 /// The best of what is cheap: beyond it JSON shrinks by little more and the time doubles.
 const LEVEL: u8 = 4;
 
+/// Packed bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Packed {
     /// Bytes before packing.
     pub size: u32,
+    /// The bytes, packed.
     pub bytes: Blob,
 }
 
+/// Packs bytes.
 pub fn pack(raw: &[u8]) -> Packed {
     Packed { size: raw.len() as u32, bytes: miniz_oxide::deflate::compress_to_vec(raw, LEVEL).into() }
 }
 
+/// Unpacks bytes that must come to this size; none if they do not.
 pub fn unpack(packed: &[u8], size: u32) -> Option<Vec<u8>> {
     if size > BYTES * 2 {
         return None;
@@ -25,20 +29,3 @@
     let raw = miniz_oxide::inflate::decompress_to_vec_with_limit(packed, size as usize).ok()?;
     (raw.len() == size as usize).then_some(raw)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_packed_comes_back_and_never_more_than_was_told() {
-        let raw: Vec<u8> = (0..200_000u32).flat_map(|n| format!("\"f{}\":{{}},", n % 977).into_bytes()).collect();
-        let packed = pack(&raw);
-        assert!(packed.bytes.len() * 4 < raw.len());
-        assert_eq!(unpack(packed.bytes.as_slice(), packed.size).as_deref(), Some(&raw[..]));
-        assert_eq!(unpack(packed.bytes.as_slice(), packed.size - 1), None);
-        assert_eq!(unpack(packed.bytes.as_slice(), packed.size + 1), None);
-        assert_eq!(unpack(&packed.bytes.as_slice()[..packed.bytes.len() / 2], packed.size), None);
-        assert_eq!(unpack(packed.bytes.as_slice(), u32::MAX), None);
-    }
-}
--- a/crates/wire/src/primitives.rs
+++ b/crates/wire/src/primitives.rs
@@ -9,6 +9,7 @@
 use deku::writer::Writer;
 use deku::{DekuReader, DekuWriter};
 
+/// A byte string holds no more than this.
 pub const BYTES: u32 = 6 * 1024 * 1024;
 const STEP: usize = 256 * 1024;
 const ITEMS: u32 = 65_536;
@@ -45,12 +46,15 @@
 }
 
 impl Blob {
+    /// What it holds.
     pub fn as_slice(&self) -> &[u8] {
         &self.data
     }
+    /// What it holds, taken out.
     pub fn into_vec(self) -> Vec<u8> {
         self.data.into()
     }
+    /// How many bytes it holds.
     pub fn len(&self) -> usize {
         self.data.len()
     }
@@ -60,6 +64,7 @@
         let to = from.saturating_add(most).min(self.data.len());
         self.data.slice(from..to).into()
     }
+    /// Whether it holds none.
     pub fn is_empty(&self) -> bool {
         self.data.is_empty()
     }
@@ -77,6 +82,7 @@
     }
 }
 
+/// UTF-8 text.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Default, DekuRead, DekuWrite)]
 pub struct Text {
     #[deku(assert = "std::str::from_utf8(raw.as_slice()).is_ok()")]
@@ -90,6 +96,7 @@
 }
 
 impl Text {
+    /// The text.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(self.raw.as_slice()).unwrap_or_default()
     }
@@ -107,6 +114,7 @@
     }
 }
 
+/// A list of records.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct List<T>
 where
@@ -119,12 +127,15 @@
 }
 
 impl<T: DekuWriter + for<'a> DekuReader<'a>> List<T> {
+    /// What it holds.
     pub fn as_slice(&self) -> &[T] {
         &self.items
     }
+    /// What it holds, taken out.
     pub fn into_vec(self) -> Vec<T> {
         self.items
     }
+    /// What it holds, one by one.
     pub fn iter(&self) -> std::slice::Iter<'_, T> {
         self.items.iter()
     }
@@ -142,10 +153,12 @@
     }
 }
 
+/// A record as it travels and lies on disk.
 pub fn to_bytes<T: DekuContainerWrite>(value: &T) -> Vec<u8> {
     value.to_bytes().expect("every heronlink record can be written")
 }
 
+/// Reads a record; none if the bytes are not just one.
 pub fn from_bytes<T: for<'a> DekuContainerRead<'a>>(bytes: &[u8]) -> Option<T> {
     match T::from_bytes((bytes, 0)) {
         Ok((([], 0), value)) => Some(value),
--- /dev/null
+++ b/crates/wire/tests/downgrade.rs
@@ -0,0 +1,78 @@
+//! What peers that understand only an earlier format are sent.
+
+use wire::{Blob, ForwardMessage, ForwardRequest, LeaseMessage, Message, Outcome, OwnershipTable, Text, downgrade};
+
+#[test]
+fn format_one_hears_only_its_own_words() {
+    let old = |message| downgrade(message, 1);
+    assert_eq!(old(Message::Forward(ForwardMessage::Heartbeat)), None);
+    let table = OwnershipTable {
+        function: "t/f".into(),
+        membership: 4,
+        requests: 9,
+        rejections: 3,
+        ..OwnershipTable::default()
+    };
+    let is_standby_copy = OwnershipTable { is_standby_copy: 1, ..table.clone() };
+    assert_eq!(old(Message::Forward(ForwardMessage::Table { table: is_standby_copy })), None);
+    let handed = old(Message::Forward(ForwardMessage::Table { table: table.clone() }));
+    assert!(
+        matches!(handed, Some(Message::Forward(ForwardMessage::Handover { membership: 4, requests: 9, .. }))),
+        "{handed:?}"
+    );
+    let addresses = Message::Lease(LeaseMessage::RegistryAddresses { addresses: vec!["a:1".into()].into() });
+    assert!(matches!(old(addresses.clone()), Some(Message::Lease(LeaseMessage::NotTail { .. }))));
+    assert!(matches!(old(Message::Lease(LeaseMessage::Leaving)), Some(Message::Lease(LeaseMessage::Leave { .. }))));
+    assert_eq!(downgrade(addresses.clone(), 2), Some(addresses));
+}
+
+#[test]
+fn formats_before_five_hear_of_no_granted_attempts() {
+    let forward = ForwardMessage::ForwardUncounted {
+        task: 9,
+        function: "t/f".into(),
+        binding: "t/b".into(),
+        left_ms: 700,
+        resends: 1,
+        respond_async: 0,
+        key: "k".into(),
+        head: vec![1].into(),
+        body: vec![2].into(),
+    };
+    let request = forward.clone().into_forwarded().expect("a forward");
+    assert_eq!(request.attempts, ForwardRequest::UNCOUNTED);
+    let counted = ForwardMessage::Forward { request: Box::new(ForwardRequest { attempts: 1, ..request }) };
+    let heard = |message: ForwardMessage, format| downgrade(Message::Forward(message), format);
+    assert_eq!(heard(counted.clone(), 4), Some(Message::Forward(forward)));
+    assert_eq!(heard(counted.clone(), 5), Some(Message::Forward(counted)));
+    let not_home = Some(Message::Forward(ForwardMessage::NotOwner { task: 9 }));
+    assert_eq!(heard(ForwardMessage::Returned { task: 9, attempts: 1 }, 4), not_home);
+    assert_eq!(heard(ForwardMessage::AttemptRequest { task: 9, attempts: 2 }, 4), None);
+    assert_eq!(heard(ForwardMessage::AttemptGrant { task: 9, attempts: 2 }, 4), None);
+}
+
+#[test]
+fn formats_before_four_fetch_the_configuration_unpacked() {
+    let part_request = |offset| Message::Lease(LeaseMessage::PartRequest { request_id: 7, full: 1, number: 0, offset });
+    let fetch = Message::Lease(LeaseMessage::ConfigurationRequest { request_id: 7, from: Text::default() });
+    assert_eq!(
+        [downgrade(part_request(0), 3), downgrade(part_request(9), 3), downgrade(part_request(9), 4)],
+        [Some(fetch), None, Some(part_request(9))]
+    );
+}
+
+#[test]
+fn formats_before_three_hear_the_time_to_come_back_in_whole_seconds() {
+    let (head, body) = (Blob::default(), Blob::default());
+    let message =
+        ForwardMessage::Answer { task: 1, outcome: Outcome::NotRun, status: 503, retry_after_ms: 1001, head, body };
+    let answer = Message::Forward(message);
+    for format in [1, 2] {
+        let heard = downgrade(answer.clone(), format);
+        assert!(
+            matches!(heard, Some(Message::Forward(ForwardMessage::AnswerInSeconds { task: 1, retry_after: 2, .. }))),
+            "{heard:?}"
+        );
+    }
+    assert_eq!(downgrade(answer.clone(), 3), Some(answer));
+}
