--- a/crates/chain/src/write_queue.rs
+++ b/crates/chain/src/write_queue.rs
@@ -38,7 +38,7 @@
     /// An empty queue behind a disk that holds entries up to `last`, none of them below `trim_below`.
     pub fn new(last: u64, trim_below: u64) -> Self {
         WriteQueue {
-            next: Batch { last, trim_below, ..Batch::default() },
+            next: Batch { trim_below, last, ..Batch::default() },
             next_on_synced: Vec::new(),
             next_completes_catch_up: false,
             is_dirty: false,
--- a/crates/emulator/src/api.rs
+++ b/crates/emulator/src/api.rs
@@ -125,7 +125,7 @@
                     if calls && emulator.chance(hang) {
                         continue;
                     }
-                    let answer = carry_out(&mut emulator, &record, &orders, what, &id, &body).await;
+                    let answer = execute_order(&mut emulator, &record, &orders, what, &id, &body);
                     if !(calls && emulator.chance(lost)) {
                         let _ = reply.send(answer);
                     }
@@ -136,7 +136,7 @@
     }
 }
 
-async fn carry_out(
+fn execute_order(
     emulator: &mut Emulator,
     record: &Record,
     orders: &mpsc::Sender<Order>,
