--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -119,7 +119,7 @@
             }
             Message::Plan(message) => self.feed_home(OwnerInput::Plan { message }),
             Message::Lease(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
-                self.feed_home(OwnerInput::Ledger { message });
+                self.feed_home(OwnerInput::StoreOperation { message });
             }
             Message::Lease(message @ (LeaseMessage::PeerRequest { .. } | LeaseMessage::PeerReply { .. })) => {
                 self.follow(FollowerInput::Peer { from, message });
@@ -182,7 +182,7 @@
                 OwnerOutput::Read { request_id, prefix } => {
                     self.tell_core(LeaseMessage::Read { request_id, prefix: prefix.into(), from: "".into() });
                 }
-                OwnerOutput::PlanAsk { message } => self.tell_registries(Message::Plan(message)),
+                OwnerOutput::PlanRequest { message } => self.tell_registries(Message::Plan(message)),
                 OwnerOutput::Samples { lines } => {
                     self.tell_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
                 }
--- a/crates/hollow/src/tally.rs
+++ b/crates/hollow/src/tally.rs
@@ -47,12 +47,12 @@
         let mut left = Tally::default();
         for (key, count) in &self.lines {
             let before = earlier.lines.get(key).copied().unwrap_or_default();
-            let news = Count {
+            let has_changes = Count {
                 messages: count.messages.saturating_sub(before.messages),
                 bytes: count.bytes.saturating_sub(before.bytes),
             };
-            if news != Count::default() {
-                left.lines.insert(key.clone(), news);
+            if has_changes != Count::default() {
+                left.lines.insert(key.clone(), has_changes);
             }
         }
         left
--- a/crates/hollow/tests/parts.rs
+++ b/crates/hollow/tests/parts.rs
@@ -31,10 +31,10 @@
     let before = tally.clone();
     tally.add("tail", Way::In, "hold.renew", 3, 150);
     tally.add("tail", Way::Out, "hold.proof", 1, 40);
-    let news = tally.since(&before);
-    assert_eq!(news.of("tail", Way::In, "hold.renew"), Count { messages: 3, bytes: 150 });
-    assert_eq!(news.of("tail", Way::Out, ""), Count { messages: 1, bytes: 40 });
-    assert_eq!(news.of("head", Way::In, ""), Count::default());
+    let has_changes = tally.since(&before);
+    assert_eq!(has_changes.of("tail", Way::In, "hold.renew"), Count { messages: 3, bytes: 150 });
+    assert_eq!(has_changes.of("tail", Way::Out, ""), Count { messages: 1, bytes: 40 });
+    assert_eq!(has_changes.of("head", Way::In, ""), Count::default());
 }
 
 #[test]
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -179,7 +179,7 @@
         match message {
             Message::Lease(message) if message.is_from_peer() => self.follow(n, FollowerInput::Peer { from, message }),
             Message::Lease(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
-                self.turn(n, Turn::FunctionOwner(OwnerInput::Ledger { message }))
+                self.turn(n, Turn::FunctionOwner(OwnerInput::StoreOperation { message }))
             }
             Message::Lease(message) => {
                 if let (LeaseMessage::Proof { .. }, Some(machines)) = (&message, &mut self.routers[n].machines) {
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -59,7 +59,7 @@
                             OwnerOutput::Supply(order) => self.platform_order(n, order),
                             OwnerOutput::Probe { id, after, limit, .. } => self.probe(n, id, after, limit),
                             OwnerOutput::Forget { .. } => {}
-                            OwnerOutput::PlanAsk { message } => self.ask_registries(n, message),
+                            OwnerOutput::PlanRequest { message } => self.ask_registries(n, message),
                             OwnerOutput::Measures { lines } => {
                                 self.ask_registries(n, PlanMessage::Measures { lines: lines.into() });
                             }
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/yard.rs
@@ -145,8 +145,8 @@
     fn free_places(&self) -> Vec<usize> {
         let all = self.plan.instances;
         let on = |worker| self.yard.instances.values().filter(|instance| instance.worker == worker).count();
-        let room = |worker| all / WORKERS + usize::from(worker < all % WORKERS);
-        (0..WORKERS).map(|worker| room(worker).saturating_sub(on(worker))).collect()
+        let capacity = |worker| all / WORKERS + usize::from(worker < all % WORKERS);
+        (0..WORKERS).map(|worker| capacity(worker).saturating_sub(on(worker))).collect()
     }
 
     /// A look whether an instance takes connections: it does from its start on, if it lives.
--- a/crates/sim/tests/rules.rs
+++ b/crates/sim/tests/rules.rs
@@ -41,7 +41,7 @@
     rules.served(ms(if planted { 251 } else { 249 }), 4);
 }
 
-fn turned_away_twelve_times(rules: &mut Rules, planted: bool) {
+fn twelve_rejections(rules: &mut Rules, planted: bool) {
     let count = if planted { 12 } else { 11 };
     (0..count).for_each(|n| rules.turned_away(ms(n * 400), "t0/f0", true));
 }
@@ -128,7 +128,7 @@
 #[test_case(anothers_answer; "the answer to another task")]
 #[test_case(older_than_acknowledged; "an older revision three seconds on")]
 #[test_case(slipped_back; "a slip back after a quarter second")]
-#[test_case(turned_away_twelve_times; "a twelfth turn-away in five seconds")]
+#[test_case(twelve_rejections; "a twelfth turn-away in five seconds")]
 #[test_case(sent_to_three_instances; "a try sent to more instances than its route allows")]
 #[test_case(single_run_twice; "a try that may run once runs twice")]
 #[test_case(second_tries; "second tries beyond their share")]
--- a/crates/traffic/src/allowances.rs
+++ b/crates/traffic/src/allowances.rs
@@ -37,7 +37,7 @@
 
 /// The most an owner may spend by all that it knows, and the most while it does not know all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Most {
+pub struct Max {
     pub known: usize,
     pub at_first: usize,
 }
@@ -50,23 +50,23 @@
     /// Of the slack, an owner that knows all spends half. Of those that do not, each spends half of what the
     /// one before it might: however many there are in one window, together they spend no more than the
     /// other half. One that cannot tell how many there were spends nothing of it.
-    pub fn spare(&self, earlier: EarlierOwners) -> Most {
+    pub fn spare(&self, earlier: EarlierOwners) -> Max {
         let known = self.retry_slack / 2;
         let at_first = match earlier {
-            EarlierOwners::AtMost(owners) => known.checked_shr(owners.max(1)).unwrap_or(0),
+            EarlierOwners::Bounded(owners) => known.checked_shr(owners.max(1)).unwrap_or(0),
             EarlierOwners::Unknown => 0,
         };
-        Most { known, at_first }
+        Max { known, at_first }
     }
 
-    pub fn rejections(&self) -> Most {
+    pub fn rejections(&self) -> Max {
         let known = ((self.max_rejections * 2 + 1) / 3).max(1);
-        Most { known, at_first: self.max_rejections.saturating_sub(known).max(1) }
+        Max { known, at_first: self.max_rejections.saturating_sub(known).max(1) }
     }
 
     /// Counts of a copy, told as those of an owner that has only its part at first left to spend.
     pub fn as_of_a_copy(&self, earlier: EarlierOwners, requests: &mut u32, retries: &mut u32, rejections: &mut u32) {
-        let kept_back = |most: Most| most.known.saturating_sub(most.at_first) as u32;
+        let kept_back = |most: Max| most.known.saturating_sub(most.at_first) as u32;
         *retries = (*retries).max(self.share(*requests as usize) as u32 + kept_back(self.spare(earlier)));
         *rejections = (*rejections).max(kept_back(self.rejections()));
     }
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -1,7 +1,7 @@
 //! Sliding windows, and retries counted in them: below the users' ratio of the requests and
 //! their slack, by what this owner knows and by what it has to leave to owners it knows nothing of.
 
-use crate::allowances::{Allowances, Most};
+use crate::allowances::{Allowances, Max};
 use crate::earlier_owners::EarlierOwners;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -76,21 +76,21 @@
         }
     }
     /// Room by all that is known here, as if nobody else had been owner lately.
-    pub fn known_room(&mut self, now: Duration, most: Most) -> usize {
+    pub fn known_capacity(&mut self, now: Duration, most: Max) -> usize {
         most.known.saturating_sub(self.all.count(now))
     }
     /// Another owner told more than it had before.
     pub fn learn(&mut self, now: Duration, more: usize) {
         self.all.insert(now, more);
     }
-    pub fn room(&mut self, now: Duration, most: Most) -> usize {
-        let room = self.known_room(now, most);
+    pub fn capacity(&mut self, now: Duration, most: Max) -> usize {
+        let capacity = self.known_capacity(now, most);
         let own = most.at_first.saturating_sub(self.own.count(now));
-        if now < self.careful_until { room.min(own) } else { room }
+        if now < self.careful_until { capacity.min(own) } else { capacity }
     }
     /// What to tell the next owner: what this one may not spend it may not spend either.
-    pub fn told(&mut self, now: Duration, most: Most) -> usize {
-        self.count(now).max(most.known - self.room(now, most))
+    pub fn told(&mut self, now: Duration, most: Max) -> usize {
+        self.count(now).max(most.known - self.capacity(now, most))
     }
 }
 
@@ -111,7 +111,7 @@
             (Allowances::credited(allowances.retry_window), Allowances::remembered(allowances.retry_window));
         Budget {
             allowances: allowances.clone(),
-            earlier: EarlierOwners::AtMost(1),
+            earlier: EarlierOwners::Bounded(1),
             requests: Window::new(credited),
             own_requests: Window::new(credited),
             retries: Spent::new(now, remembered, remembered),
@@ -130,9 +130,9 @@
         self.own_requests.take_back();
     }
 
-    fn most(&mut self, now: Duration) -> Most {
+    fn most(&mut self, now: Duration) -> Max {
         let spare = self.allowances.spare(self.earlier);
-        Most {
+        Max {
             known: self.allowances.share(self.requests.count(now)) + spare.known,
             at_first: self.allowances.share(self.own_requests.count(now)) + spare.at_first,
         }
@@ -140,7 +140,7 @@
 
     pub fn may_second(&mut self, now: Duration) -> bool {
         let most = self.most(now);
-        self.retries.room(now, most) > 0
+        self.retries.capacity(now, most) > 0
     }
 
     pub fn try_second(&mut self, now: Duration) -> bool {
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -161,7 +161,7 @@
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
                     self.tell_status(request_id & !STATUS_BIT, first);
                 }
-                Message::Lease(message) => self.turn(Turn::FunctionOwner(OwnerInput::Ledger { message })),
+                Message::Lease(message) => self.turn(Turn::FunctionOwner(OwnerInput::StoreOperation { message })),
                 _ => {}
             },
             TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, outcome }) => {
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -88,7 +88,7 @@
                     event!(inbox_full, "platform");
                 }
             }
-            OwnerOutput::PlanAsk { message } => self.to_registries(Message::Plan(message)),
+            OwnerOutput::PlanRequest { message } => self.to_registries(Message::Plan(message)),
             OwnerOutput::Measures { lines } => {
                 self.to_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
             }
--- a/crates/traffic/src/declared_views.rs
+++ b/crates/traffic/src/declared_views.rs
@@ -16,18 +16,18 @@
     items: BTreeMap<String, Value>,
     told: (u64, u64, usize),
     plans: BTreeMap<String, Played>,
-    news: bool,
+    has_changes: bool,
 }
 
 impl DeclaredViews {
     pub fn new(index: watch::Sender<ResourceIndex>) -> DeclaredViews {
         let (items, plans) = (BTreeMap::new(), BTreeMap::new());
-        DeclaredViews { index, routes: None, items, told: (0, 0, 0), plans, news: false }
+        DeclaredViews { index, routes: None, items, told: (0, 0, 0), plans, has_changes: false }
     }
 
     pub fn routes(&mut self, routes: Rc<RouteTable>) {
         self.routes = Some(routes);
-        self.news = true;
+        self.has_changes = true;
     }
 
     /// Brings the index in line with the route table and the owner; what is as it was costs nothing.
@@ -36,8 +36,8 @@
         let (fence, lines) = owner.tuned();
         let sum = lines.iter().map(|line| line.usage_micro ^ line.hard_milli).fold(0, u64::wrapping_add);
         let told = (*fence, sum, lines.len());
-        if self.news || told != self.told {
-            (self.news, self.told) = (false, told);
+        if self.has_changes || told != self.told {
+            (self.has_changes, self.told) = (false, told);
             self.items = http_server::kinds(routes.declared(), *fence, lines);
             self.plans.clear();
         }
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -2,7 +2,7 @@
 //! chain's store, after an owner has moved or restarted and now and then besides, and run to the end.
 
 use crate::function_owner::FunctionOwner;
-use crate::owner_types::{Ledger, LedgerAsk, OwnedRequest, OwnerOutput, Place, TaskId};
+use crate::owner_types::{OwnedRequest, OwnerOutput, Place, StoreOperation, StoreRequest, TaskId};
 use bindings::Class;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -22,7 +22,8 @@
         if !self.core_near || !self.may_serve {
             return;
         }
-        let reading = self.asks.values().filter(|request_id| request_id.kind == Ledger::Deferred).count();
+        let reading =
+            self.store_requests.values().filter(|request_id| request_id.kind == StoreOperation::Deferred).count();
         let due: Vec<String> = self
             .schedulers
             .iter()
@@ -37,15 +38,15 @@
                 scheduler.read_at = Some(now);
             }
             let request_id = self.number();
-            let record = LedgerAsk {
-                kind: Ledger::Deferred,
+            let record = StoreRequest {
+                kind: StoreOperation::Deferred,
                 task: 0,
                 function: name.clone(),
                 body: Vec::new(),
                 sent: now,
                 due: now + Duration::from_secs(3),
             };
-            self.asks.insert(request_id, record);
+            self.store_requests.insert(request_id, record);
             self.outs.push(OwnerOutput::Read { request_id, prefix: format!("p/{name}/") });
         }
     }
@@ -80,7 +81,7 @@
     }
 
     pub(crate) fn take_deferred(&mut self, request_id: u64, items: Vec<ConfigurationItem>) {
-        let Some(record) = self.asks.remove(&request_id) else { return };
+        let Some(record) = self.store_requests.remove(&request_id) else { return };
         let name = record.function;
         if !self.is_home(&name) || !self.schedulers.contains_key(&name) {
             return;
@@ -89,12 +90,12 @@
         for item in items {
             let id = task_id(&item).to_owned();
             let known = self.tasks.values().any(|task| task.stored.as_deref() == Some(id.as_str()));
-            let room = self
+            let capacity = self
                 .schedulers
                 .get(&name)
                 .is_some_and(|scheduler| scheduler.queued.len() < self.timing.function_inbox / 2);
             let Some(kept) = wire::from_bytes::<StoredRequest>(item.value.as_slice()) else { continue };
-            if known || !room || self.finished.contains_key(&id) {
+            if known || !capacity || self.finished.contains_key(&id) {
                 continue;
             }
             let number = self.number();
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -12,7 +12,7 @@
 use wire::{Outcome, StoredAnswer};
 
 const BACKOFF: Duration = Duration::from_millis(500);
-const BACKOFF_MOST: Duration = Duration::from_secs(30);
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
 const PAUSE: Duration = Duration::from_millis(300);
 
 impl FunctionOwner {
@@ -41,7 +41,7 @@
                 let wait = |scheduler: &FunctionScheduler| scheduler.expected_wait(now, scheduler.queued.len());
                 let wait = self.schedulers.get(&name).map_or(Duration::ZERO, wait);
                 let again = self.time_to_come_back(number, wait);
-                self.try_again(number, false, Failure::not_run(again));
+                self.retry(number, false, Failure::not_run(again));
             }
             (DispatchOutcome::Complete { status, head, body, .. }, Class::Once) => {
                 let answer = stored(status, &head, &body);
@@ -56,7 +56,7 @@
             (DispatchOutcome::Complete { status, head, body, turned_away }, Class::Ordinary | Class::Single) => {
                 let failed = status >= 500 && status != 504;
                 if class == Class::Ordinary && (turned_away || failed) {
-                    self.try_again(number, !turned_away, Failure::answered(status, head, body));
+                    self.retry(number, !turned_away, Failure::answered(status, head, body));
                 } else {
                     self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
                 }
@@ -65,7 +65,7 @@
                 let status = if late { 504 } else { 502 };
                 match class {
                     Class::Single => self.answer_own(number, Outcome::Unknown, status, Duration::ZERO),
-                    _ => self.try_again(number, true, Failure::unknown(status)),
+                    _ => self.retry(number, true, Failure::unknown(status)),
                 }
             }
             (DispatchOutcome::Complete { status, head, body, turned_away }, Class::Deferred)
@@ -80,7 +80,7 @@
             }
             (_, Class::Deferred) => {
                 let wait = BACKOFF * 2u32.pow(task.dispatches.min(7));
-                task.not_before = now + wait.min(BACKOFF_MOST);
+                task.not_before = now + wait.min(MAX_BACKOFF);
                 self.hold(number);
             }
         }
@@ -102,7 +102,7 @@
             DispatchOutcome::Complete { turned_away: true, .. } | DispatchOutcome::NotRun { wrong_instance: false }
         );
         scheduler.in_flight = scheduler.in_flight.saturating_sub(1);
-        scheduler.risk.ended(now, order, begun, turned_away);
+        scheduler.unproven.ended(now, order, begun, turned_away);
         if let Some(instance) = scheduler.instances.get_mut(instance_id) {
             instance.busy = instance.busy.saturating_sub(1);
             instance.used = now;
--- a/crates/traffic/src/dispatch_pass.rs
+++ b/crates/traffic/src/dispatch_pass.rs
@@ -41,7 +41,7 @@
         let scheduler = self.schedulers.get_mut(name)?;
         let roomiest = scheduler.roomiest(now)?;
         let proven = scheduler.instances.get(&roomiest).is_some_and(|instance| instance.busy < instance.proven);
-        if !scheduler.risk.may_send(now, proven) {
+        if !scheduler.unproven.may_send(now, proven) {
             return None;
         }
         let may_go = |task: &&OwnedRequest| task.place == Place::Queued && now >= task.not_before;
@@ -87,7 +87,7 @@
         instance.busy += 1;
         let level = instance.busy;
         scheduler.in_flight += 1;
-        scheduler.risk.sent(now, order, level <= instance.proven);
+        scheduler.unproven.sent(now, order, level <= instance.proven);
         scheduler.queued.retain(|queued| *queued != number);
         task.dispatches += 1;
         if let Some(id) = &task.stored {
@@ -119,9 +119,9 @@
     }
     let limit = scheduler.function.instance_limit;
     let others = scheduler.instances.iter().filter(|(id, instance)| *id != avoid && instance.phase() == Phase::Ready);
-    let mut others = others.map(|(id, instance)| (instance.room(now, limit), id)).peekable();
+    let mut others = others.map(|(id, instance)| (instance.capacity(now, limit), id)).peekable();
     if others.peek().is_none() {
         return Some(roomiest);
     }
-    others.filter(|(room, _)| *room > 0).max().map(|(_, id)| id.clone())
+    others.filter(|(capacity, _)| *capacity > 0).max().map(|(_, id)| id.clone())
 }
--- a/crates/traffic/src/earlier_owners.rs
+++ b/crates/traffic/src/earlier_owners.rs
@@ -9,7 +9,7 @@
 /// Owners of one function that may have spent within a window, this one not counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlierOwners {
-    AtMost(u32),
+    Bounded(u32),
     /// This machine has not followed the memberships for a whole window.
     Unknown,
 }
@@ -53,6 +53,6 @@
                 }
             },
         );
-        EarlierOwners::AtMost(changes.sum())
+        EarlierOwners::Bounded(changes.sum())
     }
 }
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -44,7 +44,7 @@
 
     /// Tells an owner how many attempts it has in all, with one more where one is left; none where the request is no
     /// longer with it.
-    pub(crate) fn attempt_asked(&mut self, from: NodeId, forward: u64, wanted: u32) {
+    pub(crate) fn attempt_requested(&mut self, from: NodeId, forward: u64, wanted: u32) {
         let task = self.by_forward.get(&forward).copied();
         let record = task.and_then(|task| self.table.get_mut(&task));
         let present =
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -17,14 +17,14 @@
 /// When to come back to a router that is full, or that waits for a proof or an owner.
 pub(crate) const SOON: Duration = Duration::from_millis(300);
 /// A task with an aim waits to be forwarded for a quarter of it, or a little longer where that is short.
-const PATIENCE_LEAST: Duration = Duration::from_millis(120);
+const MIN_PATIENCE: Duration = Duration::from_millis(120);
 
 pub struct Front {
     pub(crate) me: NodeId,
     pub(crate) incarnation: u64,
     pub(crate) limits: FrontLimits,
     pub(crate) table: BTreeMap<u64, Record>,
-    pub(crate) by_ask: BTreeMap<u64, u64>,
+    pub(crate) by_request_id: BTreeMap<u64, u64>,
     pub(crate) by_forward: BTreeMap<u64, u64>,
     pub(crate) per_tenant: BTreeMap<String, usize>,
     pub(crate) linked: BTreeSet<NodeId>,
@@ -45,7 +45,7 @@
             incarnation,
             limits,
             table: BTreeMap::new(),
-            by_ask: BTreeMap::new(),
+            by_request_id: BTreeMap::new(),
             by_forward: BTreeMap::new(),
             per_tenant: BTreeMap::new(),
             linked: BTreeSet::new(),
@@ -95,7 +95,7 @@
                 self.pass();
             }
             FrontInput::Gone { request_id } => {
-                if let Some(task) = self.by_ask.get(&request_id).copied()
+                if let Some(task) = self.by_request_id.get(&request_id).copied()
                     && self.table.get(&task).is_some_and(|record| record.stage == Stage::Waiting && !record.doubt)
                 {
                     self.remove(task);
@@ -139,7 +139,7 @@
             attempts: AttemptCount::default(),
         };
         self.table.insert(task, record);
-        self.by_ask.insert(request_id, task);
+        self.by_request_id.insert(request_id, task);
         self.attempt(task);
     }
 
@@ -150,7 +150,7 @@
             self.routes.as_ref().and_then(|routes| routes.find_route(&call.host, &call.path)).map(|found| found.1);
         let inherits = |most: u32| call.deadline.is_some_and(|left| left < Duration::from_millis(most.into()) * 7 / 8);
         let aim = binding.filter(|binding| !inherits(binding.deadline_ms)).and_then(|binding| binding.aim_ms);
-        aim.map_or(Duration::MAX, |aim| self.now + PATIENCE_LEAST.max(Duration::from_millis(aim.into()) / 4))
+        aim.map_or(Duration::MAX, |aim| self.now + MIN_PATIENCE.max(Duration::from_millis(aim.into()) / 4))
     }
 
     /// Up to twice as long, so that those told so together come back one by one.
@@ -160,7 +160,7 @@
 
     pub(crate) fn remove(&mut self, task: u64) {
         if let Some(record) = self.table.remove(&task) {
-            self.by_ask.remove(&record.request_id);
+            self.by_request_id.remove(&record.request_id);
             self.by_forward.remove(&record.forward);
             if let Some(count) = self.per_tenant.get_mut(&record.tenant) {
                 *count = count.saturating_sub(1);
--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -70,7 +70,7 @@
 
     pub(crate) fn forwarded(&mut self, from: NodeId, message: ForwardMessage) {
         let forward = match &message {
-            ForwardMessage::AttemptRequest { task, attempts } => return self.attempt_asked(from, *task, *attempts),
+            ForwardMessage::AttemptRequest { task, attempts } => return self.attempt_requested(from, *task, *attempts),
             ForwardMessage::Answer { task, .. }
             | ForwardMessage::AnswerInSeconds { task, .. }
             | ForwardMessage::NotOwner { task }
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -6,7 +6,7 @@
 use crate::earlier_owners::MembershipHistory;
 use crate::function_scheduler::FunctionScheduler;
 use crate::inventory::Inventory;
-use crate::owner_types::{Ledger, LedgerAsk, OwnedRequest, OwnerInput, OwnerOutput, OwnerTiming, TaskId};
+use crate::owner_types::{OwnedRequest, OwnerInput, OwnerOutput, OwnerTiming, StoreOperation, StoreRequest, TaskId};
 use crate::placement::Workers;
 use crate::standby::StandbyCopy;
 use bindings::RouteTable;
@@ -29,8 +29,8 @@
     pub(crate) tasks: BTreeMap<u64, OwnedRequest>,
     pub(crate) seen: BTreeMap<TaskId, Duration>,
     pub(crate) schedulers: BTreeMap<String, FunctionScheduler>,
-    pub(crate) asks: BTreeMap<u64, LedgerAsk>,
-    pub(crate) plan_asks: BTreeMap<u64, String>,
+    pub(crate) store_requests: BTreeMap<u64, StoreRequest>,
+    pub(crate) plan_requests: BTreeMap<u64, String>,
     pub(crate) running: BTreeMap<u64, (u64, String, String, Duration, u32)>,
     pub(crate) stopped: BTreeMap<String, Duration>,
     pub(crate) unbound: BTreeMap<String, Duration>,
@@ -40,10 +40,10 @@
     pub(crate) refilled: Duration,
     pub(crate) scaled: Duration,
     pub(crate) sampled: Duration,
-    pub(crate) gave_way: Duration,
+    pub(crate) last_preemption_at: Duration,
     pub(crate) tuned: (u64, Vec<TunedParameters>),
     pub(crate) heartbeat_sent: Duration,
-    pub(crate) kept_at: Duration,
+    pub(crate) replicated_at: Duration,
     pub(crate) standby_copies: BTreeMap<String, StandbyCopy>,
     pub(crate) no_growth: Duration,
     pub(crate) listed: BTreeMap<String, u32>,
@@ -70,8 +70,8 @@
             tasks: BTreeMap::new(),
             seen: BTreeMap::new(),
             schedulers: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            plan_asks: BTreeMap::new(),
+            store_requests: BTreeMap::new(),
+            plan_requests: BTreeMap::new(),
             running: BTreeMap::new(),
             stopped: BTreeMap::new(),
             unbound: BTreeMap::new(),
@@ -81,10 +81,10 @@
             refilled: Duration::ZERO,
             scaled: Duration::ZERO,
             sampled: Duration::ZERO,
-            gave_way: Duration::ZERO,
+            last_preemption_at: Duration::ZERO,
             tuned: (0, Vec::new()),
             heartbeat_sent: Duration::ZERO,
-            kept_at: Duration::ZERO,
+            replicated_at: Duration::ZERO,
             standby_copies: BTreeMap::new(),
             no_growth: Duration::ZERO,
             listed: BTreeMap::new(),
@@ -123,19 +123,19 @@
                 self.take_handover(table)
             }
             OwnerInput::Forward { message: ForwardMessage::Preempt { function, .. }, .. } => {
-                self.give_way(function.as_str())
+                self.preempt(function.as_str())
             }
             OwnerInput::Forward { from, message: ForwardMessage::Inventory { inventory } } => {
-                self.inventory_told(from, inventory)
+                self.inventory_received(from, inventory)
             }
-            OwnerInput::Forward { from, message: ForwardMessage::InventoryRequest } => self.inventory_asked(from),
+            OwnerInput::Forward { from, message: ForwardMessage::InventoryRequest } => self.inventory_requested(from),
             OwnerInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
             OwnerInput::Forward { .. } => {}
             OwnerInput::Dispatched { number, outcome } => self.dispatched(number, outcome),
-            OwnerInput::Ledger { message } => self.ledger_receipt(message),
+            OwnerInput::StoreOperation { message } => self.handle_store_reply(message),
             OwnerInput::Platform { report, listed_at } => self.platform(report, listed_at),
             OwnerInput::Probed { id, ready } => self.probed(&id, ready),
-            OwnerInput::Plan { message } => self.plan_receipt(message),
+            OwnerInput::Plan { message } => self.handle_plan_reply(message),
             OwnerInput::RouteTable { routes } => {
                 let before = self.routes.replace(routes);
                 self.align_schedulers();
@@ -144,7 +144,7 @@
             OwnerInput::Membership { membership } => {
                 self.history.add(now, membership.clone());
                 self.membership = membership;
-                self.inventory_turn();
+                self.is_inventory_reader();
                 self.align_schedulers();
                 self.hand_back();
             }
@@ -157,16 +157,16 @@
     }
 
     pub fn depths(&self) -> (usize, usize, usize) {
-        (self.tasks.len(), self.running.len(), self.asks.len())
+        (self.tasks.len(), self.running.len(), self.store_requests.len())
     }
 
     pub fn is_idle(&self) -> bool {
-        self.tasks.values().all(|task| !task.caller) && self.running.is_empty() && self.asks.is_empty()
+        self.tasks.values().all(|task| !task.caller) && self.running.is_empty() && self.store_requests.is_empty()
     }
 
     /// Whether some task waits here for anything but the answer of the instance it was sent to.
     pub fn waits(&self) -> bool {
-        self.tasks.len() > self.running.len() || !self.asks.is_empty()
+        self.tasks.len() > self.running.len() || !self.store_requests.is_empty()
     }
 
     pub(crate) fn number(&mut self) -> u64 {
@@ -223,11 +223,19 @@
         }
     }
 
-    pub(crate) fn ask_chain(&mut self, kind: Ledger, task: u64, function: &str, body: Vec<u8>, lasts: Duration) -> u64 {
+    pub(crate) fn request_store(
+        &mut self,
+        kind: StoreOperation,
+        task: u64,
+        function: &str,
+        body: Vec<u8>,
+        lasts: Duration,
+    ) -> u64 {
         let request_id = self.number();
         let due = self.now + lasts;
-        let record = LedgerAsk { kind, task, function: function.to_owned(), body: body.clone(), sent: self.now, due };
-        self.asks.insert(request_id, record);
+        let record =
+            StoreRequest { kind, task, function: function.to_owned(), body: body.clone(), sent: self.now, due };
+        self.store_requests.insert(request_id, record);
         self.outs.push(OwnerOutput::Propose { request_id, body });
         request_id
     }
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -5,7 +5,7 @@
 use crate::instance::{Instance, Phase};
 use crate::load::{Load, Peak, Usual};
 use crate::sent_tasks::SentTasks;
-use crate::unproven::Risk;
+use crate::unproven::UnprovenLimit;
 use bindings::Function;
 use scaler::Player;
 use std::collections::{BTreeMap, VecDeque};
@@ -21,7 +21,7 @@
     pub instances: BTreeMap<String, Instance>,
     pub player: Player,
     pub budget: Budget,
-    pub risk: Risk,
+    pub unproven: UnprovenLimit,
     pub in_flight: u32,
     pub adopting: Option<(Duration, bool)>,
     pub taken: u64,
@@ -36,11 +36,11 @@
     pub answer_time: Duration,
     pub mean_time: Duration,
     pub waiting_sum: f64,
-    pub held_sum: f64,
+    pub queued_sum: f64,
     pub looks: u32,
     pub read_at: Option<Duration>,
     pub refused_until: Duration,
-    pub holds_back: Duration,
+    pub backs_off: Duration,
     pub desired: u32,
     pub seen: Seen,
     pub tuned_usage: Option<f64>,
@@ -65,7 +65,7 @@
             instances: BTreeMap::new(),
             player: Player::default(),
             budget: Budget::new(now, allowances),
-            risk: Risk::new(now, allowances),
+            unproven: UnprovenLimit::new(now, allowances),
             in_flight: 0,
             adopting: Some((now, false)),
             taken: membership,
@@ -80,11 +80,11 @@
             answer_time: Duration::ZERO,
             mean_time: Duration::ZERO,
             waiting_sum: 0.0,
-            held_sum: 0.0,
+            queued_sum: 0.0,
             looks: 0,
             read_at: None,
             refused_until: Duration::ZERO,
-            holds_back: Duration::ZERO,
+            backs_off: Duration::ZERO,
             desired: 0,
             seen: Seen::default(),
             tuned_usage: None,
@@ -105,7 +105,7 @@
 
     /// Others may have been owner here meanwhile: what they spent and sent is not known.
     pub fn begin_anew(&mut self, now: Duration) {
-        self.risk.be_careful(now);
+        self.unproven.be_careful(now);
         self.budget.be_careful(now);
         (self.adopting, self.told, self.read_at) = (Some((now, false)), (0, 0), None);
         self.sent_tasks = SentTasks::Unknown;
@@ -137,9 +137,9 @@
         let limit = self.function.instance_limit;
         self.instances
             .iter()
-            .map(|(id, instance)| (instance.room(now, limit), id))
-            .filter(|(room, _)| *room > 0)
-            .max_by_key(|(room, id)| (*room, std::cmp::Reverse(*id)))
+            .map(|(id, instance)| (instance.capacity(now, limit), id))
+            .filter(|(capacity, _)| *capacity > 0)
+            .max_by_key(|(capacity, id)| (*capacity, std::cmp::Reverse(*id)))
             .map(|(_, id)| id.clone())
     }
 
@@ -156,8 +156,8 @@
 
     pub fn grow_back(&mut self, now: Duration) {
         let limit = self.function.instance_limit;
-        self.risk.fade();
-        let pause = if self.risk.rejections(now) == 0 { GROW_CALM } else { GROW };
+        self.unproven.fade();
+        let pause = if self.unproven.rejections(now) == 0 { GROW_CALM } else { GROW };
         for instance in self.instances.values_mut() {
             if instance.allowed < limit && now > instance.allowed_at + pause {
                 instance.allowed += 1;
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -4,7 +4,7 @@
 
 use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
-use crate::owner_types::{Ledger, OwnedRequest, OwnerOutput, Place};
+use crate::owner_types::{OwnedRequest, OwnerOutput, Place, StoreOperation};
 use bindings::RouteTable;
 use events::event;
 use std::rc::Rc;
@@ -49,8 +49,9 @@
             }
         }
         // What the store listed before another owner was owner is outdated.
-        self.asks
-            .retain(|_, request_id| request_id.kind != Ledger::Deferred || !begun_anew.contains(&request_id.function));
+        self.store_requests.retain(|_, request_id| {
+            request_id.kind != StoreOperation::Deferred || !begun_anew.contains(&request_id.function)
+        });
         let names: Vec<String> = self.schedulers.keys().cloned().collect();
         for name in names {
             let next = self.membership.owner(&name).filter(|owner| *owner != self.me);
@@ -125,7 +126,7 @@
                 && ((listed && now > since + FOREIGN_ON_CRASH / 2) || now > since + self.timing.adopt)
             {
                 scheduler.adopting = None;
-                scheduler.risk.be_careful(now);
+                scheduler.unproven.be_careful(now);
                 scheduler.budget.stay_careful(now);
                 scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, name));
                 for instance in scheduler.instances.values_mut() {
--- a/crates/traffic/src/instance.rs
+++ b/crates/traffic/src/instance.rs
@@ -140,7 +140,7 @@
     }
 
     /// Tasks this owner may have on it now: its limit, less others' tasks, less what it rejected.
-    pub fn room(&self, now: Duration, limit: u32) -> u32 {
+    pub fn capacity(&self, now: Duration, limit: u32) -> u32 {
         if self.phase() != Phase::Ready || now < self.paused_until || self.address.is_empty() {
             return 0;
         }
@@ -157,10 +157,10 @@
     fn nothing_leads_back_from_draining_and_only_a_connection_from_gone() {
         let mut instance = Instance::new(Duration::ZERO, "127.0.0.1:1");
         instance.take(InstanceEvent::Ready);
-        assert_eq!(instance.room(Duration::ZERO, 4), 4);
+        assert_eq!(instance.capacity(Duration::ZERO, 4), 4);
         instance.take(InstanceEvent::Drain);
         instance.take(InstanceEvent::Ready);
-        assert_eq!((instance.phase(), instance.room(Duration::ZERO, 4)), (Phase::Draining, 0));
+        assert_eq!((instance.phase(), instance.capacity(Duration::ZERO, 4)), (Phase::Draining, 0));
         instance.take(InstanceEvent::Lost);
         instance.take(InstanceEvent::Ready);
         assert_eq!(instance.phase(), Phase::Gone);
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -14,7 +14,7 @@
 /// How long after the list was due the next in turn waits before it reads in the other's place.
 const STAND_IN: Duration = Duration::from_secs(1);
 const OWN_PAUSE: Duration = Duration::from_millis(500);
-const ASK_PAUSE: Duration = Duration::from_millis(500);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 const WORKERS_SOON: Duration = Duration::from_millis(1900);
 const WORKERS_SELDOM: Duration = Duration::from_secs(6);
 const CHANGES_LAST: Duration = Duration::from_secs(4);
@@ -45,7 +45,7 @@
 
 impl FunctionOwner {
     /// The owners in the order in which they read for all, under a new membership.
-    pub(crate) fn inventory_turn(&mut self) {
+    pub(crate) fn is_inventory_reader(&mut self) {
         let turn = self.membership.in_turn("inventory");
         let (now, inventory) = (self.now, &mut self.inventory);
         if !inventory.turn.contains(&self.me) {
@@ -103,7 +103,7 @@
         inventory.instances = list;
         (inventory.asked, inventory.heard) = (asked, self.now);
         inventory.source = Some((self.me, number));
-        let change = if since == 0 { self.whole_inventory(number) } else { change };
+        let change = if since == 0 { self.complete_inventory(number) } else { change };
         self.tell_homes(change);
     }
 
@@ -144,14 +144,14 @@
     }
 
     /// Another owner misses what went before, or has just begun.
-    pub(crate) fn inventory_asked(&mut self, to: NodeId) {
+    pub(crate) fn inventory_requested(&mut self, to: NodeId) {
         if let Some((_, number)) = self.inventory.source.filter(|(from, _)| *from == self.me) {
-            let inventory = self.with_ages(self.whole_inventory(number));
+            let inventory = self.with_ages(self.complete_inventory(number));
             self.outs.push(OwnerOutput::Forward { to, message: ForwardMessage::Inventory { inventory } });
         }
     }
 
-    fn whole_inventory(&self, number: u64) -> InventoryChange {
+    fn complete_inventory(&self, number: u64) -> InventoryChange {
         let workers: Vec<_> = self.inventory.workers.values().map(worker_record).collect();
         InventoryChange {
             number,
@@ -168,7 +168,7 @@
     }
 
     /// What another owner read. Whatever it shows as leaving counts at once, whoever read it.
-    pub(crate) fn inventory_told(&mut self, from: NodeId, change: InventoryChange) {
+    pub(crate) fn inventory_received(&mut self, from: NodeId, change: InventoryChange) {
         let now = self.now;
         let lines: Vec<InstanceLine> = change.instances.iter().map(from_record).collect();
         let leaving = lines.iter().filter(|line| line.state == InstanceState::Leaving);
@@ -182,7 +182,7 @@
             return;
         }
         if change.since != 0 && self.inventory.source != Some((from, change.since)) {
-            if self.inventory.missed.is_none_or(|at| now >= at + ASK_PAUSE) {
+            if self.inventory.missed.is_none_or(|at| now >= at + REQUEST_INTERVAL) {
                 self.inventory.missed = Some(now);
                 self.outs.push(OwnerOutput::Forward { to: from, message: ForwardMessage::InventoryRequest });
             }
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -3,7 +3,7 @@
 //! promised. Each ask may be sent again; the chain gives the same reply.
 
 use crate::function_owner::FunctionOwner;
-use crate::owner_types::{Ledger, Place};
+use crate::owner_types::{Place, StoreOperation};
 use std::time::Duration;
 use wire::{ClaimState, Command, CommandReply, LeaseMessage, Outcome, StoredAnswer, StoredRequest};
 
@@ -29,7 +29,7 @@
             request_id: number,
         };
         let function = task.function.clone();
-        self.ask_chain(Ledger::Claim, number, &function, wire::to_bytes(&command), LASTING);
+        self.request_store(StoreOperation::Claim, number, &function, wire::to_bytes(&command), LASTING);
     }
 
     pub(crate) fn release(&mut self, number: u64) {
@@ -41,14 +41,14 @@
             request_id: task.claim,
         };
         let function = task.function.clone();
-        self.ask_chain(Ledger::Release, number, &function, wire::to_bytes(&command), LASTING);
+        self.request_store(StoreOperation::Release, number, &function, wire::to_bytes(&command), LASTING);
     }
 
     /// A claim granted after its task was given up is released, or its key would stay taken.
     fn release_late(&mut self, claim: &[u8], function: &str) {
         if let Some(Command::Claim { scope, member, incarnation, request_id, .. }) = wire::from_bytes(claim) {
             let command = Command::Release { scope, member, incarnation, request_id };
-            self.ask_chain(Ledger::Release, 0, function, wire::to_bytes(&command), LASTING);
+            self.request_store(StoreOperation::Release, 0, function, wire::to_bytes(&command), LASTING);
         }
     }
 
@@ -62,7 +62,7 @@
             answer: wire::to_bytes(answer).into(),
         };
         let function = task.function.clone();
-        self.ask_chain(Ledger::Settle, number, &function, wire::to_bytes(&command), LASTING);
+        self.request_store(StoreOperation::RecordAnswer, number, &function, wire::to_bytes(&command), LASTING);
     }
 
     pub(crate) fn store(&mut self, number: u64) {
@@ -82,7 +82,7 @@
             task: wire::to_bytes(&kept).into(),
         };
         let (function, left) = (task.function.clone(), task.due.saturating_sub(self.now));
-        self.ask_chain(Ledger::Store, number, &function, wire::to_bytes(&command), left);
+        self.request_store(StoreOperation::Store, number, &function, wire::to_bytes(&command), left);
     }
 
     pub(crate) fn finish(&mut self, number: u64, answer: &StoredAnswer) {
@@ -94,22 +94,22 @@
             function: function.as_str().into(),
             answer: wire::to_bytes(answer).into(),
         };
-        self.ask_chain(Ledger::Finish, number, &function, wire::to_bytes(&command), LASTING);
+        self.request_store(StoreOperation::Finish, number, &function, wire::to_bytes(&command), LASTING);
     }
 
     /// Stored tasks that were answered, of which the store may not have heard yet.
     pub(crate) fn being_finished(&self, function: &str) -> impl Iterator<Item = wire::Text> {
-        let asks = self
-            .asks
+        let store_requests = self
+            .store_requests
             .values()
-            .filter(move |request_id| request_id.kind == Ledger::Finish && request_id.function == function);
-        asks.filter_map(|request_id| match wire::from_bytes(&request_id.body) {
+            .filter(move |request_id| request_id.kind == StoreOperation::Finish && request_id.function == function);
+        store_requests.filter_map(|request_id| match wire::from_bytes(&request_id.body) {
             Some(Command::Finish { id, .. }) => Some(id),
             _ => None,
         })
     }
 
-    pub(crate) fn ledger_receipt(&mut self, message: LeaseMessage) {
+    pub(crate) fn handle_store_reply(&mut self, message: LeaseMessage) {
         let (request_id, state, body) = match message {
             LeaseMessage::ProposalAck { request_id, state, body } => (request_id, state, body),
             LeaseMessage::ReadReply { request_id, items, .. } => {
@@ -120,27 +120,27 @@
         if state != 1 {
             return;
         }
-        let Some(record) = self.asks.remove(&request_id) else { return };
+        let Some(record) = self.store_requests.remove(&request_id) else { return };
         let Some(receipt) = wire::from_bytes::<CommandReply>(body.as_slice()) else { return };
         match (record.kind, receipt) {
-            (Ledger::Claim, CommandReply::Claim { state: ClaimState::Granted, .. })
+            (StoreOperation::Claim, CommandReply::Claim { state: ClaimState::Granted, .. })
                 if !self.tasks.contains_key(&record.task) =>
             {
                 self.release_late(&record.body, &record.function);
             }
-            (Ledger::Claim, CommandReply::Claim { state, answer }) => {
+            (StoreOperation::Claim, CommandReply::Claim { state, answer }) => {
                 self.claimed(record.task, state, answer.as_slice())
             }
-            (Ledger::Store, CommandReply::Stored { state, answer }) => {
+            (StoreOperation::Store, CommandReply::Stored { state, answer }) => {
                 self.stored(record.task, state, answer.as_slice())
             }
-            (Ledger::Release, _) => {
+            (StoreOperation::Release, _) => {
                 let releasing = self.tasks.get(&record.task).is_some_and(|task| task.place == Place::Releasing);
                 if releasing {
                     self.not_home(record.task);
                 }
             }
-            (Ledger::Finish, _) => self.finish_recorded(&record.function, &record.body),
+            (StoreOperation::Finish, _) => self.finish_recorded(&record.function, &record.body),
             _ => {}
         }
     }
@@ -221,16 +221,16 @@
     }
 
     /// Sends again what was not answered, and lets go of what is past its time.
-    pub(crate) fn ledger_pass(&mut self) {
+    pub(crate) fn store_pass(&mut self) {
         let now = self.now;
         let mut again = Vec::new();
-        self.asks.retain(|request_id, record| {
+        self.store_requests.retain(|request_id, record| {
             if now >= record.due {
                 return false;
             }
             if now >= record.sent + self.timing.resend {
                 record.sent = now;
-                if record.kind != Ledger::Deferred {
+                if record.kind != StoreOperation::Deferred {
                     again.push((*request_id, record.body.clone()));
                 }
             }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -53,7 +53,7 @@
 mod unproven;
 mod wait_queue;
 
-pub use allowances::{Allowances, Most};
+pub use allowances::{Allowances, Max};
 pub use budget::{Budget, Spent, Window};
 pub use dialect::{Dialect, MakePages};
 pub use dispatch::{DispatchOrder, DispatchOutcome, Words, send_to_instance};
@@ -64,7 +64,7 @@
 pub use function_owner::FunctionOwner;
 pub use ledger::stored_id;
 pub use ops::Views;
-pub use owner_types::{Ledger, OwnerInput, OwnerOutput, OwnerTiming, TaskId};
+pub use owner_types::{OwnerInput, OwnerOutput, OwnerTiming, StoreOperation, TaskId};
 pub use service::run;
 pub use settings::RouterSettings;
-pub use unproven::Risk;
+pub use unproven::UnprovenLimit;
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -6,11 +6,11 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-const KEPT: Duration = Duration::from_secs(1);
+const LOAD_RETENTION: Duration = Duration::from_secs(1);
 /// How far the usual time follows in one pass, ten to a second.
 const RISE: f64 = 1.12;
 const FALL: f64 = 0.9;
-const LEAST: Duration = Duration::from_millis(300);
+const MIN_MEASURED_SPAN: Duration = Duration::from_millis(300);
 
 /// Arrivals by the pass that counted them.
 #[derive(Default)]
@@ -23,21 +23,21 @@
 impl Load {
     /// `arrivals` goes up with each task and back to zero with each sample.
     pub fn pass(&mut self, now: Duration, arrivals: u32) {
-        let news = if arrivals >= self.counted { arrivals - self.counted } else { arrivals };
+        let has_changes = if arrivals >= self.counted { arrivals - self.counted } else { arrivals };
         self.counted = arrivals;
-        if news > 0 {
-            self.passes.push_back((now, news));
-            self.total += news;
+        if has_changes > 0 {
+            self.passes.push_back((now, has_changes));
+            self.total += has_changes;
         }
-        while let Some((_, old)) = self.passes.pop_front_if(|(at, _)| now >= *at + KEPT) {
+        while let Some((_, old)) = self.passes.pop_front_if(|(at, _)| now >= *at + LOAD_RETENTION) {
             self.total -= old;
         }
     }
 
     /// Tasks a second.
     pub fn rate(&self, now: Duration) -> f64 {
-        let since = self.passes.front().map_or(KEPT, |(at, _)| now.saturating_sub(*at));
-        f64::from(self.total) / since.clamp(LEAST, KEPT).as_secs_f64()
+        let since = self.passes.front().map_or(LOAD_RETENTION, |(at, _)| now.saturating_sub(*at));
+        f64::from(self.total) / since.clamp(MIN_MEASURED_SPAN, LOAD_RETENTION).as_secs_f64()
     }
 }
 
--- a/crates/traffic/src/owner_liveness.rs
+++ b/crates/traffic/src/owner_liveness.rs
@@ -10,19 +10,19 @@
 /// An owner not heard for so long after a forward is forwarded nothing more, so that only what it had before
 /// is in doubt.
 const QUIET: Duration = Duration::from_millis(350);
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+const HEARTBEAT_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Watched {
     /// When it was first forwarded something since it was last heard.
     unheard: Option<Duration>,
-    asked: Option<Duration>,
+    requested_at: Option<Duration>,
 }
 
 impl Front {
     pub(crate) fn heard(&mut self, owner: NodeId) {
         let known = self.watched.get_mut(&owner).map(std::mem::take);
-        if known.is_some_and(|watched| watched.asked.is_some()) {
+        if known.is_some_and(|watched| watched.requested_at.is_some()) {
             self.attempt_waiting(owner);
         }
     }
@@ -38,8 +38,8 @@
             watched.unheard.get_or_insert(now);
             return true;
         }
-        if watched.asked.is_none_or(|at| now >= at + ASK_AGAIN) {
-            watched.asked = Some(now);
+        if watched.requested_at.is_none_or(|at| now >= at + HEARTBEAT_REQUEST_INTERVAL) {
+            watched.requested_at = Some(now);
             self.outs.push(FrontOutput::Forward { to: owner, message: ForwardMessage::HeartbeatRequest });
         }
         false
--- a/crates/traffic/src/owner_types.rs
+++ b/crates/traffic/src/owner_types.rs
@@ -18,7 +18,7 @@
 pub enum OwnerInput {
     Forward { from: NodeId, message: ForwardMessage },
     Dispatched { number: u64, outcome: DispatchOutcome },
-    Ledger { message: LeaseMessage },
+    StoreOperation { message: LeaseMessage },
     Platform { report: ProviderReport, listed_at: Duration },
     Probed { id: String, ready: bool },
     Plan { message: PlanMessage },
@@ -56,7 +56,7 @@
     Forget {
         id: String,
     },
-    PlanAsk {
+    PlanRequest {
         message: PlanMessage,
     },
     Samples {
@@ -192,17 +192,17 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ledger {
+pub enum StoreOperation {
     Claim,
-    Settle,
+    RecordAnswer,
     Release,
     Store,
     Finish,
     Deferred,
 }
 
-pub struct LedgerAsk {
-    pub kind: Ledger,
+pub struct StoreRequest {
+    pub kind: StoreOperation,
     pub task: u64,
     pub function: String,
     pub body: Vec<u8>,
--- a/crates/traffic/src/preemption.rs
+++ b/crates/traffic/src/preemption.rs
@@ -13,7 +13,7 @@
 use wire::ForwardMessage;
 
 const PAUSE: Duration = Duration::from_millis(250);
-const HOLDS_BACK: Duration = Duration::from_secs(10);
+const PREEMPTION_COOLDOWN: Duration = Duration::from_secs(10);
 /// While a function with nothing at all waits for memory, none that has some grows.
 const NO_GROWTH: Duration = Duration::from_millis(800);
 /// One that gave way does not take the place back at once, later still if its callers wait then.
@@ -21,7 +21,7 @@
 const IDLE: Duration = Duration::from_millis(250);
 
 impl FunctionOwner {
-    pub(crate) fn ask_to_give_way(&mut self, name: &str) {
+    pub(crate) fn request_preemption(&mut self, name: &str) {
         let Some(scheduler) = self.schedulers.get(name) else { return };
         if scheduler.queued.is_empty() {
             return;
@@ -65,12 +65,12 @@
         ready.min_by_key(|(_, instance)| instance.busy).map(|(id, _)| (name.clone(), id.clone()))
     }
 
-    pub(crate) fn give_way(&mut self, asking: &str) {
+    pub(crate) fn preempt(&mut self, asking: &str) {
         let now = self.now;
         if !self.has_some(asking) {
             self.no_growth = now + NO_GROWTH;
         }
-        if now < self.gave_way + PAUSE {
+        if now < self.last_preemption_at + PAUSE {
             return;
         }
         let (per_tenant, grows) = (self.per_tenant(), self.has_some(asking));
@@ -95,9 +95,9 @@
             })
             .map(|(name, _, id, _)| (name.clone(), id.clone()));
         let Some((name, id)) = selected.or_else(|| self.busy_beyond_its_share(asking)) else { return };
-        self.gave_way = now;
+        self.last_preemption_at = now;
         if let Some(scheduler) = self.schedulers.get_mut(&name) {
-            scheduler.holds_back = now + HOLDS_BACK;
+            scheduler.backs_off = now + PREEMPTION_COOLDOWN;
             scheduler.refused_until = now + if scheduler.queued.is_empty() { NO_GROWTH } else { REST };
             if let Some(instance) = scheduler.instances.get_mut(&id) {
                 instance.take(InstanceEvent::Drain);
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -5,17 +5,17 @@
 use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, Phase};
 use crate::owner_types::OwnerOutput;
-use crate::starting::look_limit;
+use crate::starting::probe_limit;
 use events::event;
 use instance_provider::{InstanceLine, InstanceState, ProviderOrder, ProviderReport, StopReply, WorkerLine};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const UNBOUND_LASTS: Duration = Duration::from_secs(15);
+const UNBOUND_INSTANCE_TTL: Duration = Duration::from_secs(15);
 const LIMITED: Duration = Duration::from_millis(300);
 const UNANSWERED: Duration = Duration::from_millis(800);
 /// A worker's crash is believed of a start ordered so long before the list of workers was read.
-const CRASH_TOLD: Duration = Duration::from_millis(1500);
+const CRASH_REPORT_DELAY: Duration = Duration::from_millis(1500);
 const REFUSED_AFTER: Duration = Duration::from_millis(150);
 const REFUSED_LIMIT: Duration = Duration::from_millis(1500);
 
@@ -23,7 +23,7 @@
     pub(crate) fn platform(&mut self, report: ProviderReport, listed_at: Duration) {
         match report {
             ProviderReport::Started { nonce, receipt } => self.started(&nonce, receipt),
-            ProviderReport::Stopped { id, receipt } => self.stop_told(&id, receipt),
+            ProviderReport::Stopped { id, receipt } => self.stop_reported(&id, receipt),
             ProviderReport::Listed { listing, .. } => self.read(listing, listed_at),
             ProviderReport::Workers { lines, .. } => self.workers_read(lines, listed_at),
             ProviderReport::ListError => event!(platform_refused, "list"),
@@ -64,7 +64,7 @@
         self.outs.push(OwnerOutput::Probe { id, address, after: REFUSED_AFTER, limit: REFUSED_LIMIT });
     }
 
-    fn stop_told(&mut self, id: &str, receipt: StopReply) {
+    fn stop_reported(&mut self, id: &str, receipt: StopReply) {
         let now = self.now;
         for scheduler in self.schedulers.values_mut() {
             let Some(instance) = scheduler.instances.get_mut(id) else { continue };
@@ -84,7 +84,7 @@
         for scheduler in self.schedulers.values_mut().filter(|scheduler| !scheduler.instances.is_empty()) {
             scheduler.instances.retain(|_, instance| {
                 let starting = instance.phase() == Phase::Starting && instance.pending.is_none();
-                let told = asked > instance.ordered + CRASH_TOLD;
+                let told = asked > instance.ordered + CRASH_REPORT_DELAY;
                 let down = !instance.worker.is_empty() && !workers.knows(&instance.worker);
                 !starting || !told || !down
             });
@@ -104,7 +104,7 @@
         let mut never_came = Vec::new();
         for (name, scheduler) in &mut self.schedulers {
             let lines = by_function.remove(name.as_str()).unwrap_or_default();
-            let overlay = self.timing.start_expiry.max(look_limit(scheduler.boot()));
+            let overlay = self.timing.start_expiry.max(probe_limit(scheduler.boot()));
             let known: BTreeMap<&str, &InstanceLine> = lines.iter().map(|line| (line.id.as_str(), *line)).collect();
             for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
                 match known.get(id.as_str()) {
@@ -173,7 +173,7 @@
         self.unbound.retain(|id, _| orphans.contains(id));
         for id in orphans {
             let since = *self.unbound.entry(id.clone()).or_insert(now);
-            if now > since + UNBOUND_LASTS {
+            if now > since + UNBOUND_INSTANCE_TTL {
                 self.stop(id, "of a function bound no longer");
             }
         }
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -13,7 +13,7 @@
 impl FunctionOwner {
     /// Queues a request for another instance, while its time, its attempts and the budget last, or
     /// answers with the failure.
-    pub(crate) fn try_again(&mut self, number: u64, may_have_run: bool, failure: Failure) {
+    pub(crate) fn retry(&mut self, number: u64, may_have_run: bool, failure: Failure) {
         let (now, margin) = (self.now, self.timing.margin);
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.reached |= may_have_run;
@@ -29,7 +29,7 @@
             return self.fail(number);
         }
         if task.dispatches < task.granted {
-            return self.queue_again(number);
+            return self.requeue(number);
         }
         task.place = Place::AwaitingGrant { until: now + GRANT_PATIENCE };
         let (to, attempts) = (task.id.from, task.dispatches + 1);
@@ -51,10 +51,10 @@
         }
         let owned = self.membership.owner(&task.function) == Some(self.me);
         let stays = self.schedulers.get(&task.function).is_some_and(|scheduler| scheduler.leaving.is_none());
-        if owned && stays { self.queue_again(number) } else { self.send_back(number) }
+        if owned && stays { self.requeue(number) } else { self.send_back(number) }
     }
 
-    fn queue_again(&mut self, number: u64) {
+    fn requeue(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.failure = None;
         task.not_before = self.now;
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use wire::{DemandSample, PlanMessage};
 
-const EVERY: Duration = Duration::from_millis(100);
+const SCALE_INTERVAL: Duration = Duration::from_millis(100);
 const BURST: f64 = 8.0;
-const ASKS_PER_PASS: usize = 8;
-const SEEN_LASTS: Duration = Duration::from_secs(90);
-const STOP_AGAIN: Duration = Duration::from_secs(4);
+const MAX_PLAN_REQUESTS_PER_PASS: usize = 8;
+const OBSERVATION_TTL: Duration = Duration::from_secs(90);
+const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(4);
 /// One that refused a connection and is still listed so long after is stopped.
-const LOST_LASTS: Duration = Duration::from_secs(4);
+const LOST_INSTANCE_TTL: Duration = Duration::from_secs(4);
 
 impl FunctionOwner {
     pub(crate) fn tick(&mut self) {
@@ -25,10 +25,10 @@
         self.standby_pass();
         self.grant_pass();
         self.expire_pass();
-        self.ledger_pass();
+        self.store_pass();
         self.deferred_pass();
         self.inventory_pass();
-        if self.now < self.scaled + EVERY {
+        if self.now < self.scaled + SCALE_INTERVAL {
             return;
         }
         let lasted = self.now.saturating_sub(self.refilled).as_secs_f64();
@@ -40,7 +40,7 @@
         let now = self.now;
         self.stopped.retain(|_, at| now < *at + overlay);
         self.leaving.retain(|_, at| now < *at + overlay);
-        self.seen.retain(|_, at| now < *at + SEEN_LASTS);
+        self.seen.retain(|_, at| now < *at + OBSERVATION_TTL);
         self.finished.retain(|_, at| now < *at + overlay * 2);
         if self.may_serve {
             self.scale_pass();
@@ -52,7 +52,7 @@
         let now = self.now;
         self.pending_pass();
         let mut wanting: Vec<(bool, f64, u32, String)> = Vec::new();
-        let mut asks_left = ASKS_PER_PASS;
+        let mut asks_left = MAX_PLAN_REQUESTS_PER_PASS;
         for name in self.by_need() {
             let request_id = self.number();
             let bound = self.routes.as_ref().is_some_and(|routes| routes.function(&name).is_some());
@@ -94,12 +94,12 @@
                     queued: if ready == 0 { queued } else { 0 },
                     waiting: if ready == 0 { 0 } else { queued },
                 };
-                self.plan_asks.insert(request_id, name.clone());
-                self.outs.push(OwnerOutput::PlanAsk { message });
+                self.plan_requests.insert(request_id, name.clone());
+                self.outs.push(OwnerOutput::PlanRequest { message });
             }
             let count = ready + starting;
             let kept = scheduler.peak.pass(now, scheduler.desired, scheduler.function.boot);
-            let willing = now >= scheduler.refused_until && (queued > 0 || now >= scheduler.holds_back);
+            let willing = now >= scheduler.refused_until && (queued > 0 || now >= scheduler.backs_off);
             let may_grow = count == 0 || now >= self.no_growth;
             if scheduler.desired > count && willing && may_grow {
                 let waking = queued > 0 && count == 0;
@@ -123,7 +123,7 @@
             }
         }
         let oldest = self.next.saturating_sub(100_000);
-        self.plan_asks.retain(|request_id, _| *request_id > oldest);
+        self.plan_requests.retain(|request_id, _| *request_id > oldest);
     }
 
     /// Functions that are awake, those whose callers wait first.
@@ -158,13 +158,13 @@
             for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
                 let ended = match instance.phase() {
                     Phase::Draining => true,
-                    Phase::Gone => instance.lost.is_some_and(|at| now > at + LOST_LASTS),
+                    Phase::Gone => instance.lost.is_some_and(|at| now > at + LOST_INSTANCE_TTL),
                     Phase::Starting | Phase::Ready => false,
                 };
                 let quiet = instance.busy == 0 && (instance.foreign == 0 || now >= instance.foreign_until);
                 if ended && quiet && (instance.stopping.is_none() || now >= instance.stop_again) {
                     instance.stopping = Some(now);
-                    instance.stop_again = now + STOP_AGAIN;
+                    instance.stop_again = now + STOP_RETRY_INTERVAL;
                     self.stopped.insert(id.clone(), now);
                     event!(stop_ordered, "{id}");
                     self.outs.push(OwnerOutput::Supply(ProviderOrder::Stop { id: id.clone(), fence }));
@@ -181,7 +181,7 @@
             let slots = f64::from(scheduler.count(Phase::Ready) * scheduler.function.instance_limit);
             scheduler.seen.usage_sum += f64::from(scheduler.in_flight) / slots.max(1.0);
             if scheduler.count(Phase::Ready) == 0 {
-                scheduler.held_sum += queued;
+                scheduler.queued_sum += queued;
             } else {
                 scheduler.waiting_sum += queued;
             }
@@ -204,11 +204,11 @@
                 rate_milli: (f64::from(scheduler.arrivals) * 1000.0 / lasted) as u64,
                 response_micro: (scheduler.answer_time.as_micros() / u128::from(scheduler.answered.max(1))) as u64,
                 waiting_milli: (scheduler.waiting_sum * 1000.0 / looks) as u64,
-                queued_milli: (scheduler.held_sum * 1000.0 / looks) as u64,
+                queued_milli: (scheduler.queued_sum * 1000.0 / looks) as u64,
             });
             measures.extend(scheduler.measure(name, looks));
             (scheduler.arrivals, scheduler.answered, scheduler.looks) = (0, 0, 0);
-            (scheduler.answer_time, scheduler.waiting_sum, scheduler.held_sum) = (Duration::ZERO, 0.0, 0.0);
+            (scheduler.answer_time, scheduler.waiting_sum, scheduler.queued_sum) = (Duration::ZERO, 0.0, 0.0);
         }
         if !lines.is_empty() {
             self.outs.push(OwnerOutput::Samples { lines });
@@ -218,12 +218,12 @@
         }
     }
 
-    pub(crate) fn plan_receipt(&mut self, message: PlanMessage) {
+    pub(crate) fn handle_plan_reply(&mut self, message: PlanMessage) {
         if let PlanMessage::Tuned { fence, lines } = message {
             return self.take_tuned(fence, lines.into_vec());
         }
         let PlanMessage::Reply { request_id, fence, step_ms, desired, .. } = message else { return };
-        let Some(name) = self.plan_asks.remove(&request_id) else { return };
+        let Some(name) = self.plan_requests.remove(&request_id) else { return };
         let now = self.now;
         if let Some(scheduler) = self.schedulers.get_mut(&name) {
             let step = Duration::from_millis(step_ms.into());
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -5,15 +5,15 @@
 
 use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, Pending, Phase};
-use crate::owner_types::{Ledger, OwnerOutput, Place};
+use crate::owner_types::{OwnerOutput, Place, StoreOperation};
 use crate::sent_tasks::SentTasks;
-use crate::starting::look_limit;
+use crate::starting::probe_limit;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use wire::{ForwardMessage, InstanceSlots, NodeId, OwnershipTable, Text};
 
-const EVERY: Duration = Duration::from_millis(500);
-const LASTS: Duration = Duration::from_secs(6);
+const REPLICATION_INTERVAL: Duration = Duration::from_millis(500);
+const STANDBY_COPY_TTL: Duration = Duration::from_secs(6);
 const HEARTBEAT: Duration = Duration::from_millis(100);
 const FOREIGN: Duration = Duration::from_millis(600);
 const MAX_STARTED_NAMES: usize = 256;
@@ -53,7 +53,7 @@
             slots: slots.into(),
             requests: requests as u32,
             retries: retries as u32,
-            rejections: scheduler.risk.told(now) as u32,
+            rejections: scheduler.unproven.told(now) as u32,
             started: started.into(),
             is_started_complete: whole as u8,
         })
@@ -71,11 +71,11 @@
             let others = fronts.into_iter().filter(|id| *id != self.me);
             self.outs.extend(others.map(|to| OwnerOutput::Forward { to, message: ForwardMessage::Heartbeat }));
         }
-        if now < self.kept_at + EVERY {
+        if now < self.replicated_at + REPLICATION_INTERVAL {
             return;
         }
-        self.kept_at = now;
-        self.standby_copies.retain(|_, copy| now < copy.at + LASTS);
+        self.replicated_at = now;
+        self.standby_copies.retain(|_, copy| now < copy.at + STANDBY_COPY_TTL);
         let in_use = |scheduler: &mut crate::function_scheduler::FunctionScheduler| {
             scheduler.leaving.is_none() && (!scheduler.instances.is_empty() || scheduler.budget.counts(now) != (0, 0))
         };
@@ -106,7 +106,7 @@
     /// The owner a table was kept for was lost, and this is the owner now.
     pub(crate) fn take_standby_copy(&mut self, name: &str) {
         let now = self.now;
-        if let Some(copy) = self.standby_copies.remove(name).filter(|copy| now < copy.at + LASTS) {
+        if let Some(copy) = self.standby_copies.remove(name).filter(|copy| now < copy.at + STANDBY_COPY_TTL) {
             // The owner may have gone on sending after it: what it names as begun is not all.
             let table = OwnershipTable { is_started_complete: 0, ..copy.table };
             self.take_table(table, Some(copy.at), (copy.at + FOREIGN * 4).min(now + FOREIGN));
@@ -125,7 +125,7 @@
         let names: Vec<String> =
             self.standby_copies.iter().filter(|(_, copy)| back(copy)).map(|(name, _)| name.clone()).collect();
         for name in names {
-            let Some(copy) = self.standby_copies.remove(&name).filter(|copy| now < copy.at + LASTS) else {
+            let Some(copy) = self.standby_copies.remove(&name).filter(|copy| now < copy.at + STANDBY_COPY_TTL) else {
                 continue;
             };
             let mut table = OwnershipTable {
@@ -162,12 +162,12 @@
             let at = copied.unwrap_or(now);
             scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, table.function.as_str()));
             scheduler.budget.take_over(now, at, table.requests, table.retries, copied.is_none());
-            scheduler.risk.take_over(now, at, table.rejections);
+            scheduler.unproven.take_over(now, at, table.rejections);
             scheduler.sent_tasks =
                 SentTasks::from_table(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         } else {
             scheduler.budget.learn(now, table.retries.saturating_sub(scheduler.told.0));
-            scheduler.risk.learn(now, table.rejections.saturating_sub(scheduler.told.1));
+            scheduler.unproven.learn(now, table.rejections.saturating_sub(scheduler.told.1));
             scheduler.sent_tasks.learn_more(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         }
         scheduler.told = (scheduler.told.0.max(table.retries), scheduler.told.1.max(table.rejections));
@@ -182,7 +182,7 @@
             let instance = scheduler.instances.entry(id.to_owned()).or_insert_with(|| Instance::new(now, address));
             if fresh && slot.ready == 0 && !address.is_empty() {
                 let (id, address, after) = (id.to_owned(), address.to_owned(), Duration::ZERO);
-                self.outs.push(OwnerOutput::Probe { id, address, after, limit: look_limit(boot) });
+                self.outs.push(OwnerOutput::Probe { id, address, after, limit: probe_limit(boot) });
             } else if fresh && slot.ready == 0 {
                 instance.pending = Some(Pending::handed(now));
             }
@@ -206,7 +206,7 @@
         for scheduler in self.schedulers.values_mut() {
             scheduler.begin_anew(now);
         }
-        self.asks.retain(|_, request_id| request_id.kind != Ledger::Deferred);
+        self.store_requests.retain(|_, request_id| request_id.kind != StoreOperation::Deferred);
         self.doubt_stored();
         let undone: Vec<u64> = self
             .tasks
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -10,19 +10,19 @@
 use instance_provider::{ProviderOrder, StartOrder, StartReply};
 use std::time::Duration;
 
-const NO_ROOM_PAUSE: Duration = Duration::from_millis(1000);
+const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(1000);
 const LIMITED_PAUSE: Duration = Duration::from_millis(250);
 const REFUSED_PAUSE: Duration = Duration::from_secs(1);
-const AGAIN: Duration = Duration::from_millis(100);
-const TRIES: u32 = 6;
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_START_ATTEMPTS: u32 = 6;
 const HOPS: u32 = 4;
 /// Where in an average start the first look at the new instance is worth it, and when looking ends.
-const LOOK_AFTER: f64 = 0.45;
-const LOOK_FOR: u32 = 6;
-const LOOK_MORE: Duration = Duration::from_secs(2);
+const FIRST_PROBE_AT_BOOT_FRACTION: f64 = 0.45;
+const MAX_EARLY_PROBES: u32 = 6;
+const PROBE_EXTENSION: Duration = Duration::from_secs(2);
 
-pub(crate) fn look_limit(boot: Duration) -> Duration {
-    boot * LOOK_FOR + LOOK_MORE
+pub(crate) fn probe_limit(boot: Duration) -> Duration {
+    boot * MAX_EARLY_PROBES + PROBE_EXTENSION
 }
 
 impl FunctionOwner {
@@ -33,7 +33,7 @@
             Placed::On(worker) => worker,
             Placed::Wait => return false,
             Placed::Full => {
-                self.no_room(name);
+                self.record_no_capacity(name);
                 return false;
             }
         };
@@ -125,9 +125,9 @@
             _ if !wished => drop(scheduler.instances.remove(nonce)),
             StartReply::Unanswered => {
                 pending.resends += 1;
-                pending.again = now + AGAIN * 2u32.pow(pending.resends.min(4));
+                pending.again = now + START_RETRY_INTERVAL * 2u32.pow(pending.resends.min(4));
                 event!(platform_refused, "start {nonce} unanswered");
-                if pending.resends >= TRIES {
+                if pending.resends >= MAX_START_ATTEMPTS {
                     scheduler.instances.remove(nonce);
                 }
             }
@@ -154,7 +154,7 @@
                         if let Some(scheduler) = self.schedulers.get_mut(&name) {
                             scheduler.instances.remove(nonce);
                         }
-                        self.no_room(&name);
+                        self.record_no_capacity(&name);
                     }
                 }
             }
@@ -180,19 +180,19 @@
         }
         if instance.phase() == Phase::Starting {
             let boot = scheduler.boot();
-            let after = (instance.ordered + boot.mul_f64(LOOK_AFTER)).saturating_sub(now);
-            self.outs.push(OwnerOutput::Probe { id: id.clone(), address, after, limit: look_limit(boot) });
+            let after = (instance.ordered + boot.mul_f64(FIRST_PROBE_AT_BOOT_FRACTION)).saturating_sub(now);
+            self.outs.push(OwnerOutput::Probe { id: id.clone(), address, after, limit: probe_limit(boot) });
         }
         scheduler.instances.insert(id, instance);
     }
 
     /// No worker has room: callers who wait ask others to give way.
-    fn no_room(&mut self, name: &str) {
+    fn record_no_capacity(&mut self, name: &str) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
         let wakes = scheduler.instances.is_empty() && !scheduler.queued.is_empty();
-        scheduler.refused_until = now + if wakes { LIMITED_PAUSE } else { NO_ROOM_PAUSE };
-        self.ask_to_give_way(name);
+        scheduler.refused_until = now + if wakes { LIMITED_PAUSE } else { NO_CAPACITY_PAUSE };
+        self.request_preemption(name);
     }
 }
 
--- a/crates/traffic/src/status.rs
+++ b/crates/traffic/src/status.rs
@@ -63,14 +63,14 @@
                     "fixed": scheduler.function.fixed, "fallbacks": scheduler.player.fallbacks,
                     "early_asks": scheduler.player.early_asks,
                     "requests_10s": requests, "second_tries_10s": seconds,
-                    "turned_away_5s": scheduler.risk.rejections(now),
+                    "turned_away_5s": scheduler.unproven.rejections(now),
                     "adopting": scheduler.adopting.is_some(), "leaving": scheduler.leaving.is_some(),
                 }),
             );
         }
-        let (tasks, running, asks) = self.depths();
+        let (tasks, running, store_requests) = self.depths();
         json!({
-            "tasks": tasks, "running": running, "ledger_asks": asks, "refusals": self.refusals,
+            "tasks": tasks, "running": running, "ledger_asks": store_requests, "refusals": self.refusals,
             "core_near": self.core_near, "starts_left": self.starts_left, "functions": functions,
         })
     }
--- a/crates/traffic/src/unproven.rs
+++ b/crates/traffic/src/unproven.rs
@@ -3,35 +3,35 @@
 //! What was rejected and what is at risk together stay below a limit, of which a part is kept back
 //! for the owner that follows after a crash, since it knows nothing of the count before.
 
-use crate::allowances::{Allowances, Most};
+use crate::allowances::{Allowances, Max};
 use crate::budget::Spent;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const USUAL: Duration = Duration::from_millis(25);
-const LONGEST: Duration = Duration::from_millis(500);
+const INITIAL_REJECTION_LATENCY: Duration = Duration::from_millis(25);
+const MAX_REJECTION_LATENCY: Duration = Duration::from_millis(500);
 const FORGET: f64 = 0.99;
 /// Not looked for so long, this process was stopped: what was sent before is at risk anew.
 const STOPPED: Duration = Duration::from_millis(300);
 
-pub struct Risk {
-    most: Most,
+pub struct UnprovenLimit {
+    max_rejections: Max,
     rejections: Spent,
     sent: BTreeMap<u64, (Duration, bool)>,
     usual: Duration,
-    looked: Duration,
+    polled_at: Duration,
 }
 
-impl Risk {
+impl UnprovenLimit {
     /// An owner that does not know what was rejected before it came is careful at first.
-    pub fn new(now: Duration, allowances: &Allowances) -> Risk {
+    pub fn new(now: Duration, allowances: &Allowances) -> UnprovenLimit {
         let remembered = Allowances::remembered(allowances.rejection_window);
-        Risk {
-            most: allowances.rejections(),
-            rejections: Spent::new(now, remembered, remembered + LONGEST),
+        UnprovenLimit {
+            max_rejections: allowances.rejections(),
+            rejections: Spent::new(now, remembered, remembered + MAX_REJECTION_LATENCY),
             sent: BTreeMap::new(),
-            usual: USUAL,
-            looked: now,
+            usual: INITIAL_REJECTION_LATENCY,
+            polled_at: now,
         }
     }
 
@@ -56,25 +56,25 @@
 
     /// What the next owner is to count as rejected.
     pub fn told(&mut self, now: Duration) -> usize {
-        self.rejections.told(now, self.most)
+        self.rejections.told(now, self.max_rejections)
     }
 
-    fn look(&mut self, now: Duration) {
-        let (usual, stopped) = (self.usual, now > self.looked + STOPPED);
+    fn poll(&mut self, now: Duration) {
+        let (usual, stopped) = (self.usual, now > self.polled_at + STOPPED);
         if stopped {
             self.sent.values_mut().for_each(|(at, _)| *at = now);
         }
-        self.looked = now;
+        self.polled_at = now;
         self.sent.retain(|_, (at, _)| now < *at + usual);
     }
 
     /// `proven`: the instance has answered this owner with as many tasks on it. While the owner is careful,
     /// only the others count against the part it may spend without knowing what the one before spent.
     pub fn may_send(&mut self, now: Duration, proven: bool) -> bool {
-        self.look(now);
+        self.poll(now);
         let unproven = self.sent.values().filter(|(_, proven)| !proven).count();
-        let known = self.sent.len() < self.rejections.known_room(now, self.most);
-        known && (proven || unproven < self.rejections.room(now, self.most))
+        let known = self.sent.len() < self.rejections.known_capacity(now, self.max_rejections);
+        known && (proven || unproven < self.rejections.capacity(now, self.max_rejections))
     }
 
     pub fn sent(&mut self, now: Duration, order: u64, proven: bool) {
@@ -86,12 +86,12 @@
         if turned_away {
             self.rejections.add(now);
             let took = now.saturating_sub(begun);
-            self.usual = self.usual.max(took.mul_f64(1.5)).min(LONGEST);
+            self.usual = self.usual.max(took.mul_f64(1.5)).min(MAX_REJECTION_LATENCY);
         }
     }
 
     /// What was learned of slow rejections fades, a little each time.
     pub fn fade(&mut self) {
-        self.usual = USUAL + self.usual.saturating_sub(USUAL).mul_f64(FORGET);
+        self.usual = INITIAL_REJECTION_LATENCY + self.usual.saturating_sub(INITIAL_REJECTION_LATENCY).mul_f64(FORGET);
     }
 }
--- a/crates/traffic/tests/budget.rs
+++ b/crates/traffic/tests/budget.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
-use traffic::{Allowances, Budget, Most, Risk, Spent};
+use traffic::{Allowances, Budget, Max, Spent, UnprovenLimit};
 
 #[test]
 fn second_tries_stay_below_a_fifth_and_sixty_in_every_ten_seconds() {
@@ -38,11 +38,11 @@
 fn a_fast_clock_does_not_shorten_the_window() {
     let length = Allowances::remembered(Duration::from_secs(5));
     let mut spent = Spent::new(Duration::ZERO, length, length);
-    let most = Most { known: 7, at_first: 4 };
+    let most = Max { known: 7, at_first: 4 };
     let mut times: Vec<u64> = Vec::new();
     for ms in 20_000..60_000u64 {
         let told = Duration::from_millis(ms).mul_f64(1.005);
-        if spent.room(told, most) > 0 {
+        if spent.capacity(told, most) > 0 {
             spent.add(told);
             times.push(ms);
         }
@@ -57,7 +57,7 @@
 fn an_old_home_and_the_next_stay_within_eleven_though_every_task_is_turned_away() {
     for seed in 0..40u64 {
         let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-        let mut risk = Risk::new(Duration::ZERO, &Allowances::default());
+        let mut unproven = UnprovenLimit::new(Duration::ZERO, &Allowances::default());
         let crash = Duration::from_millis(dice.random_range(6_000..9_000));
         let mut crashed = false;
         let mut open: Vec<(Duration, u64, Duration)> = Vec::new();
@@ -67,15 +67,15 @@
             for (_, number, started) in open.extract_if(.., |(at, ..)| *at <= now) {
                 all.push(now);
                 if !crashed || started >= crash {
-                    risk.ended(now, number, started, true);
+                    unproven.ended(now, number, started, true);
                 }
             }
             if now >= crash && !crashed {
                 crashed = true;
-                risk = Risk::new(now, &Allowances::default());
+                unproven = UnprovenLimit::new(now, &Allowances::default());
             }
-            if now > Duration::from_secs(4) && risk.may_send(now, false) {
-                risk.sent(now, order, false);
+            if now > Duration::from_secs(4) && unproven.may_send(now, false) {
+                unproven.sent(now, order, false);
                 open.push((now + Duration::from_millis(dice.random_range(1..20)), order, now));
             }
         }
@@ -89,13 +89,13 @@
 #[test]
 fn a_home_that_begins_from_a_kept_copy_spends_only_its_own_part_at_first() {
     let (at, now) = (Duration::from_secs(20), Duration::from_millis(20_400));
-    let most = Most { known: 7, at_first: 4 };
+    let most = Max { known: 7, at_first: 4 };
     let mut spent = Spent::new(now, Duration::from_secs(5), Duration::from_secs(5));
     spent.take_over(now, at, 1, false);
-    assert_eq!(spent.room(now, most), 4, "not six");
+    assert_eq!(spent.capacity(now, most), 4, "not six");
     spent.add(now);
-    assert_eq!((spent.room(now, most), spent.told(now, most)), (3, 4));
+    assert_eq!((spent.capacity(now, most), spent.told(now, most)), (3, 4));
     let mut handed = Spent::new(now, Duration::from_secs(5), Duration::from_secs(5));
     handed.take_over(now, now, 1, true);
-    assert_eq!(handed.room(now, most), 6, "a table handed over is whole");
+    assert_eq!(handed.capacity(now, most), 6, "a table handed over is whole");
 }
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -56,7 +56,7 @@
     });
     let receipt = wire::CommandReply::Stored { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&receipt).into();
-    OwnerInput::Ledger {
+    OwnerInput::StoreOperation {
         message: LeaseMessage::ProposalAck { request_id: request_id.expect("asked to store"), state: 1, body },
     }
 }
@@ -110,7 +110,7 @@
         gone: 0,
     };
     let items: Vec<ConfigurationItem> = numbers.iter().map(item).collect();
-    OwnerInput::Ledger { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
+    OwnerInput::StoreOperation { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
 }
 
 pub fn stored(number: u64) -> String {
--- a/crates/traffic/tests/earlier_owners.rs
+++ b/crates/traffic/tests/earlier_owners.rs
@@ -63,9 +63,9 @@
 
 #[test]
 fn each_home_may_spend_half_of_what_the_one_before_it_might() {
-    let spent: Vec<usize> = (1..7).map(|owners| most_at_first(EarlierOwners::AtMost(owners))).collect();
+    let spent: Vec<usize> = (1..7).map(|owners| most_at_first(EarlierOwners::Bounded(owners))).collect();
     assert_eq!(spent, [15, 7, 3, 1, 0, 0]);
-    assert_eq!(most_at_first(EarlierOwners::AtMost(u32::MAX)), 0);
+    assert_eq!(most_at_first(EarlierOwners::Bounded(u32::MAX)), 0);
     assert_eq!(most_at_first(EarlierOwners::Unknown), 0);
 }
 
@@ -75,7 +75,7 @@
     assert_eq!(history.earlier_homes(ms(20_000), FUNCTION), EarlierOwners::Unknown);
     history.add(ms(500), membership(7, &[1]));
     assert_eq!(history.earlier_homes(ms(10_000), FUNCTION), EarlierOwners::Unknown);
-    assert_eq!(history.earlier_homes(ms(10_501), FUNCTION), EarlierOwners::AtMost(0));
+    assert_eq!(history.earlier_homes(ms(10_501), FUNCTION), EarlierOwners::Bounded(0));
 }
 
 #[test]
@@ -85,15 +85,15 @@
     history.add(ms(20_000), membership(2, &[2]));
     history.add(ms(21_000), membership(3, &[2]));
     history.add(ms(22_000), membership(4, &[1]));
-    assert_eq!(history.earlier_homes(ms(23_000), FUNCTION), EarlierOwners::AtMost(2), "one changed nothing");
+    assert_eq!(history.earlier_homes(ms(23_000), FUNCTION), EarlierOwners::Bounded(2), "one changed nothing");
     history.add(ms(24_000), membership(7, &[1]));
-    assert_eq!(history.earlier_homes(ms(24_000), FUNCTION), EarlierOwners::AtMost(5), "two were never seen");
+    assert_eq!(history.earlier_homes(ms(24_000), FUNCTION), EarlierOwners::Bounded(5), "two were never seen");
     let mut again = (*membership(8, &[1])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
     again.members = members.into();
     history.add(ms(25_000), again.into());
-    assert_eq!(history.earlier_homes(ms(25_000), FUNCTION), EarlierOwners::AtMost(6), "the same, begun anew");
-    assert_eq!(history.earlier_homes(ms(30_001), FUNCTION), EarlierOwners::AtMost(5), "the first was long ago");
-    assert_eq!(history.earlier_homes(ms(35_001), FUNCTION), EarlierOwners::AtMost(0));
+    assert_eq!(history.earlier_homes(ms(25_000), FUNCTION), EarlierOwners::Bounded(6), "the same, begun anew");
+    assert_eq!(history.earlier_homes(ms(30_001), FUNCTION), EarlierOwners::Bounded(5), "the first was long ago");
+    assert_eq!(history.earlier_homes(ms(35_001), FUNCTION), EarlierOwners::Bounded(0));
 }
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -41,7 +41,7 @@
         for output in std::mem::take(&mut owner.others) {
             match output {
                 OwnerOutput::Dispatch(order) => open.push((order.number, at + 100)),
-                OwnerOutput::PlanAsk { message: PlanMessage::Request { request_id, .. } } => {
+                OwnerOutput::PlanRequest { message: PlanMessage::Request { request_id, .. } } => {
                     owner.feed(OwnerInput::Plan { message: one(request_id) })
                 }
                 _ => {}
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -142,7 +142,7 @@
     let granted = wire::CommandReply::Claim { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&granted).into();
     let message = wire::LeaseMessage::ProposalAck { request_id: request_id.expect("a claim"), state: 1, body };
-    owner.step(ms(2), true, OwnerInput::Ledger { message });
+    owner.step(ms(2), true, OwnerInput::StoreOperation { message });
     owner.step(ms(3), false, OwnerInput::Lapsed);
     let outputs = owner.step(ms(4), true, OwnerInput::Forward { from: OTHER, message: table(1, 0, "i1") });
     assert!(!dispatched(&outputs), "its key is being released");
