--- a/crates/dispatch/src/answer.rs
+++ b/crates/dispatch/src/answer.rs
@@ -93,8 +93,8 @@
         (_, None, Some(coding)) if coding.eq_ignore_ascii_case(b"chunked") && codings.next().is_none() => {
             Ok(Length::Chunked)
         }
-        (_, Some(told), None) if lengths.next().is_none() => {
-            let digits = std::str::from_utf8(told).ok().filter(|told| told.bytes().all(|b| b.is_ascii_digit()));
+        (_, Some(detail), None) if lengths.next().is_none() => {
+            let digits = std::str::from_utf8(detail).ok().filter(|detail| detail.bytes().all(|b| b.is_ascii_digit()));
             match digits.and_then(|digits| digits.parse().ok()) {
                 Some(length) if length <= BODY_BYTES => Ok(Length::Exactly(length)),
                 _ => Err("a length beyond bounds"),
--- a/crates/dispatch/src/connection.rs
+++ b/crates/dispatch/src/connection.rs
@@ -56,8 +56,8 @@
     Doubt(String),
 }
 
-fn doubt<T>(told: impl Into<String>) -> Result<T, Broken> {
-    Err(Broken::Doubt(told.into()))
+fn doubt<T>(detail: impl Into<String>) -> Result<T, Broken> {
+    Err(Broken::Doubt(detail.into()))
 }
 
 impl Connection {
@@ -102,7 +102,7 @@
     async fn start(&mut self, bytes: &mut Vec<u8>, request: &InstanceRequest, words: &Words) -> Result<Start, Broken> {
         loop {
             match read_start(bytes, words, request.bare) {
-                Err(told) => return doubt(told),
+                Err(detail) => return doubt(detail),
                 Ok(None) => self.read(bytes).await?,
                 Ok(Some(Start { length: Length::Interim, size, .. })) => drop(bytes.drain(..size)),
                 Ok(Some(start)) if request.id.is_some() && start.id != request.id => {
@@ -126,7 +126,7 @@
         let mut chunks = Chunks::new(start.size);
         loop {
             match chunks.take(bytes) {
-                Err(told) => return doubt(told),
+                Err(detail) => return doubt(detail),
                 Ok(Some(end)) => return Ok((chunks.body, end)),
                 Ok(None) => self.read(bytes).await?,
             }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -95,7 +95,7 @@
         };
         match timeout(order.limit + LAST_WORD, self.exchange(&order, &request)).await {
             Ok(outcome) => outcome,
-            Err(_) => DispatchOutcome::InDoubt { told: "no whole answer in time".into(), late: true },
+            Err(_) => DispatchOutcome::InDoubt { detail: "no whole answer in time".into(), late: true },
         }
     }
 
@@ -117,7 +117,7 @@
             match connection.exchange(request, &self.words).await {
                 Err(Broken::Unsent) if kept => {}
                 Err(Broken::Unsent) => return DispatchOutcome::Crowded,
-                Err(Broken::Doubt(told)) => return DispatchOutcome::InDoubt { told, late: false },
+                Err(Broken::Doubt(detail)) => return DispatchOutcome::InDoubt { detail, late: false },
                 Ok(Answer { start, body, reusable }) => {
                     if reusable {
                         self.pool.put(Instant::now(), &order.instance, connection, Some(start.keep));
@@ -135,12 +135,12 @@
             421 if words.pinned.is_some() => return DispatchOutcome::NotRun { wrong_instance: true },
             408 | 429 | 500..600 if start.not_run => return DispatchOutcome::NotRun { wrong_instance: false },
             100..400 if start.not_run => {
-                return DispatchOutcome::InDoubt { told: "not run and yet answered".into(), late: false };
+                return DispatchOutcome::InDoubt { detail: "not run and yet answered".into(), late: false };
             }
             // Passed on, it would be a promise that the instance did not give.
             status if words.not_run.is_some() && !start.not_run && refuses => {
                 return DispatchOutcome::InDoubt {
-                    told: format!("{status} without a word that it was not run"),
+                    detail: format!("{status} without a word that it was not run"),
                     late: false,
                 };
             }
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -70,7 +70,7 @@
     /// The request may have run.
     InDoubt {
         /// What happened, for the log.
-        told: String,
+        detail: String,
         /// Whether the time ran out, rather than the connection failing.
         late: bool,
     },
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -53,10 +53,10 @@
     }
 
     /// Keeps a connection, unless its instance was forgotten meanwhile.
-    pub fn put(&self, now: Instant, id: &str, mut connection: Connection, told: Option<Option<Duration>>) {
+    pub fn put(&self, now: Instant, id: &str, mut connection: Connection, detail: Option<Option<Duration>>) {
         let mut slots = self.slots.borrow_mut();
         let Some(slot) = slots.get_mut(id).filter(|slot| connection.open.is_of(&slot.open)) else { return };
-        match told {
+        match detail {
             Some(Some(keep)) => slot.keep = keep.saturating_sub(AHEAD.min(keep / 4)),
             Some(None) => slot.keep = UNTOLD,
             None => {}
--- a/crates/dispatch/tests/kept.rs
+++ b/crates/dispatch/tests/kept.rs
@@ -119,8 +119,8 @@
             tokio::task::yield_now().await;
             dispatcher.send(order("b")).await
         };
-        let told = tokio::select! { biased; told = silent => told, told = second => told };
-        assert_eq!(told, DispatchOutcome::Crowded);
+        let detail = tokio::select! { biased; detail = silent => detail, detail = second => detail };
+        assert_eq!(detail, DispatchOutcome::Crowded);
     });
 }
 
--- a/crates/dispatch/tests/outcomes.rs
+++ b/crates/dispatch/tests/outcomes.rs
@@ -41,8 +41,8 @@
 #[test_case("HTTP/1.1 200 OK\nx-id: {id}\ncontent-length: +1\n\nx"; "a length that is no number")]
 #[test_case("HTTP/1.1 101 Switch\nx-id: {id}\n\n"; "another protocol")]
 fn what_falls_short_is_in_doubt(words: &str) {
-    let told = outcome(answer(words));
-    assert!(matches!(told, DispatchOutcome::InDoubt { late: false, .. }), "{told:?}");
+    let detail = outcome(answer(words));
+    assert!(matches!(detail, DispatchOutcome::InDoubt { late: false, .. }), "{detail:?}");
 }
 
 #[test_case(last("HTTP/1.1 200 OK\nx-id: {id}\ncontent-length: 9\n\ncut"); "a body cut")]
@@ -51,30 +51,30 @@
 #[test_case(last("\u{1}garbage\n\n"); "garbage")]
 #[test_case(Act::Close; "closed without a byte")]
 fn what_is_cut_is_in_doubt(act: Act) {
-    let told = outcome(act);
-    assert!(matches!(told, DispatchOutcome::InDoubt { late: false, .. }), "{told:?}");
+    let detail = outcome(act);
+    assert!(matches!(detail, DispatchOutcome::InDoubt { late: false, .. }), "{detail:?}");
 }
 
 #[test]
 fn silence_ends_with_the_tasks_time() {
-    let told = run(async {
+    let detail = run(async {
         let instance = StandIn::start(vec![vec![Act::Silence]]).await;
         let limit = Duration::from_millis(30);
         dispatcher().send(DispatchOrder { limit, ..instance.order("a") }).await
     });
-    assert!(matches!(told, DispatchOutcome::InDoubt { late: true, .. }), "{told:?}");
+    assert!(matches!(detail, DispatchOutcome::InDoubt { late: true, .. }), "{detail:?}");
 }
 
 #[test]
 fn where_nobody_listens_nothing_is_sent() {
-    let told = run(async {
+    let detail = run(async {
         let mut order = StandIn::start(Vec::new()).await.order("a");
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         order.address = listener.local_addr().expect("bound").to_string();
         drop(listener);
         dispatcher().send(order).await
     });
-    assert_eq!(told, DispatchOutcome::NotSent);
+    assert_eq!(detail, DispatchOutcome::NotSent);
 }
 
 #[test]
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -54,7 +54,7 @@
                 self.rules.ran(now, &label, &service);
                 if lost || garbled {
                     let told = if lost { "lost" } else { "bytes after the answer's declared end" };
-                    DispatchOutcome::InDoubt { told: told.into(), late: false }
+                    DispatchOutcome::InDoubt { detail: told.into(), late: false }
                 } else {
                     DispatchOutcome::Complete {
                         status: 200,
@@ -100,7 +100,7 @@
             None => work.instance.is_empty(),
         };
         let outcome =
-            if alive { work.outcome } else { DispatchOutcome::InDoubt { told: "crashed".into(), late: false } };
+            if alive { work.outcome } else { DispatchOutcome::InDoubt { detail: "crashed".into(), late: false } };
         if self.routers[work.router].life != work.life {
             return;
         }
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -89,7 +89,7 @@
         if now < self.careful_until { capacity.min(own) } else { capacity }
     }
     /// What to tell the next owner: what this one may not spend it may not spend either.
-    pub fn told(&mut self, now: Duration, most: Max) -> usize {
+    pub fn reported(&mut self, now: Duration, most: Max) -> usize {
         self.count(now).max(most.known - self.capacity(now, most))
     }
 }
@@ -161,9 +161,9 @@
     }
 
     /// Requests and retries as the next owner is to know them.
-    pub fn told(&mut self, now: Duration) -> (usize, usize) {
+    pub fn reported(&mut self, now: Duration) -> (usize, usize) {
         let most = self.most(now);
-        (self.requests.count(now), self.retries.told(now, most))
+        (self.requests.count(now), self.retries.reported(now, most))
     }
 
     /// Another owner may have been here meanwhile.
--- a/crates/traffic/src/caller_server.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -32,7 +32,7 @@
 }
 
 async fn meet(State(server): State<CallerServer>, request: Request) -> Response {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let (parts, body) = request.into_parts();
     let body = match server.read(body).await {
         Ok(body) => body,
@@ -42,15 +42,15 @@
     if let Some(id) = server.words.task_path.and_then(|below| path.strip_prefix(below)) {
         return server.status(id).await;
     }
-    let Ok(call) = server.call(parts, path, body, begun) else {
+    let Ok(call) = server.call(parts, path, body, started_at) else {
         return server.own(400, "Idempotency-Key is 1 to 128 plain characters", false);
     };
-    let (reply, told) = oneshot::channel();
+    let (reply, detail) = oneshot::channel();
     if server.traffic.send(TrafficMessage::Task { call, reply }).is_err() {
         let busy = Reply::own(503, Some(Outcome::NotRun), "this router is busy");
         return server.answer(busy.again(Duration::from_millis(500)));
     }
-    match told.await {
+    match detail.await {
         Ok(reply) => server.answer(reply),
         Err(_) => server.answer(Reply::own(504, Some(Outcome::Unknown), "the outcome is not known")),
     }
@@ -76,7 +76,7 @@
     }
 
     /// The call a request makes; a key that cannot be one is a fault.
-    fn call(&self, parts: Parts, path: String, body: Vec<u8>, begun: Instant) -> Result<Call, ()> {
+    fn call(&self, parts: Parts, path: String, body: Vec<u8>, started_at: Instant) -> Result<Call, ()> {
         let words = &self.words;
         let text = |name: &header::HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
         let keyed = words.key.as_ref().filter(|name| parts.headers.contains_key(*name));
@@ -90,7 +90,7 @@
         let target = parts.uri.path_and_query().map_or(path.as_str(), |target| target.as_str());
         Ok(Call {
             host: host.unwrap_or_default().to_owned(),
-            deadline: deadline.map(|left| Duration::from_millis(left).saturating_sub(begun.elapsed())),
+            deadline: deadline.map(|left| Duration::from_millis(left).saturating_sub(started_at.elapsed())),
             head: RequestHead {
                 method: parts.method.as_str().into(),
                 target: target.into(),
@@ -107,11 +107,11 @@
         if id.len() != 32 || !id.bytes().all(|b| b.is_ascii_hexdigit()) {
             return self.own(404, "no such task", false);
         }
-        let (reply, told) = oneshot::channel();
+        let (reply, detail) = oneshot::channel();
         if self.traffic.send(TrafficMessage::Status { id: id.to_owned(), reply }).is_err() {
             return self.own(503, "this router is busy", false);
         }
-        match timeout(Duration::from_secs(4), told).await {
+        match timeout(Duration::from_secs(4), detail).await {
             Ok(Ok(reply)) => self.answer(reply),
             _ => {
                 self.answer(Reply::own(503, None, "the core could not be asked in time").again(Duration::from_secs(1)))
@@ -119,8 +119,8 @@
         }
     }
 
-    fn own(&self, status: u16, told: &'static str, close: bool) -> Response {
-        let mut response = self.answer(Reply::own(status, None, told));
+    fn own(&self, status: u16, detail: &'static str, close: bool) -> Response {
+        let mut response = self.answer(Reply::own(status, None, detail));
         if close {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -128,8 +128,8 @@
     }
 
     pub fn answer(&self, reply: Reply) -> Response {
-        let own = reply.body.is_empty() && !reply.told.is_empty();
-        let body = if own { format!("{{\"fault\":\"{}\"}}", reply.told).into_bytes() } else { reply.body };
+        let own = reply.body.is_empty() && !reply.detail.is_empty();
+        let body = if own { format!("{{\"fault\":\"{}\"}}", reply.detail).into_bytes() } else { reply.body };
         let mut response = Response::new(Body::from(body));
         *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let headers = response.headers_mut();
@@ -145,8 +145,8 @@
         if refused || !reply.retry_after.is_zero() {
             headers.insert(header::RETRY_AFTER, retry_after(reply.retry_after, self.words.fractions));
         }
-        if let Some(told) = &self.limits.borrow().keep_alive {
-            headers.insert(KEEP_ALIVE, told.clone());
+        if let Some(detail) = &self.limits.borrow().keep_alive {
+            headers.insert(KEEP_ALIVE, detail.clone());
         }
         response
     }
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -28,7 +28,7 @@
 }
 
 pub struct Control {
-    pub begun: Instant,
+    pub started_at: Instant,
     pub follower: Follower,
     pub pass: ServingLease,
     pub links: InboxSender<LinkOrder>,
@@ -36,8 +36,8 @@
     pub seeds: Vec<String>,
     pub seats: Vec<String>,
     pub registries: BTreeSet<NodeId>,
-    pub told: (bool, Option<NodeId>),
-    pub told_at: Instant,
+    pub published: (bool, Option<NodeId>),
+    pub published_at: Instant,
     pub heard: Option<Instant>,
     pub serving_status: ServingStatus,
     pub logged_serving_status: ServingStatus,
@@ -74,7 +74,7 @@
                         leaving = Some((Instant::now(), finished));
                     }
                     Some(ControlMessage::Stop) => {}
-                    Some(ControlMessage::Seeds(told)) => self.follow_seeds(told),
+                    Some(ControlMessage::Seeds(seeds)) => self.follow_seeds(seeds),
                     None => return,
                 },
             }
@@ -94,12 +94,12 @@
 
     fn wake(&self, ticked: Instant, leaving: bool) -> Instant {
         let soon = leaving || self.serving_status != self.logged_serving_status;
-        let due = if soon { ticked + TICK * 2 } else { self.begun + self.follower.due() };
+        let due = if soon { ticked + TICK * 2 } else { self.started_at + self.follower.due() };
         due.clamp(ticked + TICK, ticked + TICK_IDLE)
     }
 
-    fn follow_seeds(&mut self, told: Result<Vec<String>, String>) {
-        match told {
+    fn follow_seeds(&mut self, seeds: Result<Vec<String>, String>) {
+        match seeds {
             Ok(seeds) => {
                 event!(settings_taken, "seeds {}", seeds.join(","));
                 self.seeds = seeds;
@@ -138,7 +138,7 @@
     }
 
     fn feed(&mut self, input: FollowerInput) {
-        let now = self.begun.elapsed();
+        let now = self.started_at.elapsed();
         let outputs = self.follower.step(now, input);
         self.pass.set(self.follower.step_number(), self.follower.serves_until());
         for output in outputs {
@@ -211,9 +211,9 @@
     fn tell_core(&mut self) {
         let near = self.heard.is_some_and(|at| at.elapsed() < NEAR);
         let known = (near, self.follower.tail());
-        if known != self.told || self.told_at.elapsed() > NEAR / 5 {
-            self.told = known;
-            self.told_at = Instant::now();
+        if known != self.published || self.published_at.elapsed() > NEAR / 5 {
+            self.published = known;
+            self.published_at = Instant::now();
             let registries = self.registries.iter().copied().collect();
             self.tell(TrafficMessage::Core { tail: self.follower.tail(), near, registries });
             self.show();
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -55,7 +55,7 @@
 
 pub struct DataPlane {
     pub me: NodeId,
-    pub begun: Instant,
+    pub started_at: Instant,
     pub pass: ServingLease,
     pub front: Front,
     pub owner: FunctionOwner,
@@ -76,16 +76,16 @@
     pub counts: BTreeMap<&'static str, u64>,
 }
 
-pub(crate) enum Turn {
+pub(crate) enum Work {
     Front(FrontInput),
     FunctionOwner(OwnerInput),
 }
 
-impl Turn {
-    pub(crate) fn forwarded(from: NodeId, message: ForwardMessage) -> Turn {
+impl Work {
+    pub(crate) fn forwarded(from: NodeId, message: ForwardMessage) -> Work {
         match message.is_for_owner() {
-            true => Turn::FunctionOwner(OwnerInput::Forward { from, message }),
-            false => Turn::Front(FrontInput::Forwarded { from, message }),
+            true => Work::FunctionOwner(OwnerInput::Forward { from, message }),
+            false => Work::Front(FrontInput::Forwarded { from, message }),
         }
     }
 }
@@ -100,9 +100,9 @@
             tokio::select! {
                 biased;
                 () = &mut tick => {
-                    self.turn(Turn::Front(FrontInput::Tick));
-                    self.turn(Turn::FunctionOwner(OwnerInput::Tick));
-                    let now = self.begun.elapsed();
+                    self.work(Work::Front(FrontInput::Tick));
+                    self.work(Work::FunctionOwner(OwnerInput::Tick));
+                    let now = self.started_at.elapsed();
                     self.statuses.retain(|_, (reply, due)| now < *due && !reply.is_closed());
                     if self.done.is_some() && self.front.depth() == 0 && self.owner.is_idle()
                         && let Some(done) = self.done.take() {
@@ -142,42 +142,42 @@
             TrafficMessage::Task { call, reply } => {
                 self.next += 1;
                 self.replies.insert(self.next, reply);
-                self.turn(Turn::Front(FrontInput::Task { request_id: self.next, call }));
+                self.work(Work::Front(FrontInput::Task { request_id: self.next, call }));
             }
             TrafficMessage::Status { id, reply } => {
                 self.next += 1;
-                let due = self.begun.elapsed() + Duration::from_secs(4);
+                let due = self.started_at.elapsed() + Duration::from_secs(4);
                 self.statuses.insert(self.next, (reply, due));
                 let request_id = self.next | STATUS_BIT;
                 let message = LeaseMessage::Read { request_id, prefix: format!("d/{id}").into(), from: "".into() };
                 self.to_core(message);
             }
-            TrafficMessage::Link(LinkEvent::Up { id, .. }) => self.turn(Turn::Front(FrontInput::Link { id, up: true })),
-            TrafficMessage::Link(LinkEvent::Down { id }) => self.turn(Turn::Front(FrontInput::Link { id, up: false })),
+            TrafficMessage::Link(LinkEvent::Up { id, .. }) => self.work(Work::Front(FrontInput::Link { id, up: true })),
+            TrafficMessage::Link(LinkEvent::Down { id }) => self.work(Work::Front(FrontInput::Link { id, up: false })),
             TrafficMessage::Link(LinkEvent::Frame { from, message, .. }) => match message {
-                Message::Forward(message) => self.turn(Turn::forwarded(from, message)),
-                Message::Plan(message) => self.turn(Turn::FunctionOwner(OwnerInput::Plan { message })),
+                Message::Forward(message) => self.work(Work::forwarded(from, message)),
+                Message::Plan(message) => self.work(Work::FunctionOwner(OwnerInput::Plan { message })),
                 Message::Lease(LeaseMessage::ReadReply { request_id, items, .. }) if request_id & STATUS_BIT != 0 => {
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
                     self.tell_status(request_id & !STATUS_BIT, first);
                 }
-                Message::Lease(message) => self.turn(Turn::FunctionOwner(OwnerInput::StoreOperation { message })),
+                Message::Lease(message) => self.work(Work::FunctionOwner(OwnerInput::StoreOperation { message })),
                 _ => {}
             },
             TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, outcome }) => {
-                self.turn(Turn::FunctionOwner(OwnerInput::Dispatched { number, outcome }))
+                self.work(Work::FunctionOwner(OwnerInput::Dispatched { number, outcome }))
             }
             TrafficMessage::Dispatcher(DispatchReport::Probed { id, ready }) => {
-                self.turn(Turn::FunctionOwner(OwnerInput::Probed { id, ready }))
+                self.work(Work::FunctionOwner(OwnerInput::Probed { id, ready }))
             }
             TrafficMessage::Platform(report) => {
                 let listed_at = match &report {
                     ProviderReport::Listed { asked, .. } | ProviderReport::Workers { asked, .. } => {
-                        asked.saturating_duration_since(self.begun)
+                        asked.saturating_duration_since(self.started_at)
                     }
                     _ => Duration::ZERO,
                 };
-                self.turn(Turn::FunctionOwner(OwnerInput::Platform { report, listed_at }));
+                self.work(Work::FunctionOwner(OwnerInput::Platform { report, listed_at }));
             }
             TrafficMessage::RouteTable(routes) => {
                 self.step = routes.step;
@@ -187,21 +187,21 @@
                 }
                 let (own, limits) = &self.limits;
                 limits.send_replace(own.within(routes.bounds()));
-                self.turn(Turn::FunctionOwner(OwnerInput::RouteTable { routes: routes.clone() }));
-                self.turn(Turn::Front(FrontInput::RouteTable { routes }));
+                self.work(Work::FunctionOwner(OwnerInput::RouteTable { routes: routes.clone() }));
+                self.work(Work::Front(FrontInput::RouteTable { routes }));
             }
             TrafficMessage::Step(step) => self.step = step,
             TrafficMessage::Membership(membership) => {
                 let membership = Rc::new(*membership);
-                self.turn(Turn::FunctionOwner(OwnerInput::Membership { membership: membership.clone() }));
-                self.turn(Turn::Front(FrontInput::Membership { membership }));
+                self.work(Work::FunctionOwner(OwnerInput::Membership { membership: membership.clone() }));
+                self.work(Work::Front(FrontInput::Membership { membership }));
             }
             TrafficMessage::Core { tail, near, registries } => {
                 self.tail = tail;
                 self.registries = registries;
-                self.turn(Turn::FunctionOwner(OwnerInput::Core { near }));
+                self.work(Work::FunctionOwner(OwnerInput::Core { near }));
             }
-            TrafficMessage::Lapsed => self.turn(Turn::FunctionOwner(OwnerInput::Lapsed)),
+            TrafficMessage::Lapsed => self.work(Work::FunctionOwner(OwnerInput::Lapsed)),
             TrafficMessage::Leave { done } => self.done = Some(done),
         }
     }
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -1,7 +1,7 @@
 //! The plane's way out: turns of the two machines until neither has anything more to do, and
 //! their outputs forwarded to links, dispatcher, platform and waiting callers.
 
-use crate::data_plane::{DataPlane, Turn};
+use crate::data_plane::{DataPlane, Work};
 use crate::front_types::{FrontOutput, Reply};
 use crate::owner_types::{OwnerInput, OwnerOutput};
 use dispatch::{DispatchOutcome, DispatcherMessage};
@@ -23,18 +23,18 @@
         }
     }
 
-    pub(crate) fn turn(&mut self, first: Turn) {
+    pub(crate) fn work(&mut self, first: Work) {
         let mut turns = VecDeque::from([first]);
-        while let Some(turn) = turns.pop_front() {
-            let now = self.begun.elapsed();
+        while let Some(work) = turns.pop_front() {
+            let now = self.started_at.elapsed();
             let may_serve = self.pass.holds(now, self.step);
-            match turn {
-                Turn::Front(input) => {
+            match work {
+                Work::Front(input) => {
                     for output in self.front.step(now, may_serve, input) {
                         match output {
                             FrontOutput::Reply { request_id, reply } => self.reply(request_id, reply),
                             FrontOutput::Forward { to, message } if to == self.me => {
-                                turns.push_back(Turn::forwarded(to, message));
+                                turns.push_back(Work::forwarded(to, message));
                             }
                             FrontOutput::Forward { to, message } => {
                                 self.link(LinkOrder::Send { to, message: Message::Forward(message) });
@@ -42,10 +42,10 @@
                         }
                     }
                 }
-                Turn::FunctionOwner(input) => {
+                Work::FunctionOwner(input) => {
                     for output in self.owner.step(now, may_serve, input) {
-                        if let Some(turn) = self.carry_out(output) {
-                            turns.push_back(turn);
+                        if let Some(work) = self.execute(output) {
+                            turns.push_back(work);
                         }
                     }
                 }
@@ -53,9 +53,9 @@
         }
     }
 
-    fn carry_out(&mut self, output: OwnerOutput) -> Option<Turn> {
+    fn execute(&mut self, output: OwnerOutput) -> Option<Work> {
         match output {
-            OwnerOutput::Forward { to, message } if to == self.me => return Some(Turn::forwarded(to, message)),
+            OwnerOutput::Forward { to, message } if to == self.me => return Some(Work::forwarded(to, message)),
             OwnerOutput::Forward { to, message } => {
                 self.link(LinkOrder::Send { to, message: Message::Forward(message) })
             }
@@ -68,7 +68,7 @@
             OwnerOutput::Dispatch(order) => {
                 let number = order.number;
                 if !self.to_dispatcher(DispatcherMessage::Send(order)) {
-                    return Some(Turn::FunctionOwner(OwnerInput::Dispatched {
+                    return Some(Work::FunctionOwner(OwnerInput::Dispatched {
                         number,
                         outcome: DispatchOutcome::Crowded,
                     }));
@@ -77,7 +77,7 @@
             OwnerOutput::Probe { id, address, after, limit } => {
                 let probe = DispatcherMessage::Probe { id: id.clone(), address, after, limit };
                 if !self.to_dispatcher(probe) {
-                    return Some(Turn::FunctionOwner(OwnerInput::Probed { id, ready: false }));
+                    return Some(Work::FunctionOwner(OwnerInput::Probed { id, ready: false }));
                 }
             }
             OwnerOutput::Forget { id } => {
--- a/crates/traffic/src/declared_views.rs
+++ b/crates/traffic/src/declared_views.rs
@@ -14,7 +14,7 @@
     pub index: watch::Sender<ResourceIndex>,
     routes: Option<Rc<RouteTable>>,
     items: BTreeMap<String, Value>,
-    told: (u64, u64, usize),
+    last_sent: (u64, u64, usize),
     plans: BTreeMap<String, Played>,
     has_changes: bool,
 }
@@ -22,7 +22,7 @@
 impl DeclaredViews {
     pub fn new(index: watch::Sender<ResourceIndex>) -> DeclaredViews {
         let (items, plans) = (BTreeMap::new(), BTreeMap::new());
-        DeclaredViews { index, routes: None, items, told: (0, 0, 0), plans, has_changes: false }
+        DeclaredViews { index, routes: None, items, last_sent: (0, 0, 0), plans, has_changes: false }
     }
 
     pub fn routes(&mut self, routes: Rc<RouteTable>) {
@@ -35,9 +35,9 @@
         let Some(routes) = self.routes.clone() else { return };
         let (fence, lines) = owner.tuned();
         let sum = lines.iter().map(|line| line.usage_micro ^ line.hard_milli).fold(0, u64::wrapping_add);
-        let told = (*fence, sum, lines.len());
-        if self.has_changes || told != self.told {
-            (self.has_changes, self.told) = (false, told);
+        let last_sent = (*fence, sum, lines.len());
+        if self.has_changes || last_sent != self.last_sent {
+            (self.has_changes, self.last_sent) = (false, last_sent);
             self.items = http_server::kinds(routes.declared(), *fence, lines);
             self.plans.clear();
         }
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -9,7 +9,7 @@
 use wire::{ConfigurationItem, StoredRequest};
 
 const READS_AT_ONCE: usize = 4;
-const WHOLE: usize = 500;
+const FULL_PAGE_ITEMS: usize = 500;
 
 fn task_id(item: &ConfigurationItem) -> &str {
     item.key.as_str().rsplit('/').next().unwrap_or_default()
@@ -67,7 +67,7 @@
     /// Without a table of the owner before, whatever is pending at the first look may have been sent
     /// already; what is stored from then on was not sent by anybody else.
     fn learn_sent(&mut self, name: &str, items: &[ConfigurationItem]) {
-        if items.len() >= WHOLE {
+        if items.len() >= FULL_PAGE_ITEMS {
             return;
         }
         let pending: BTreeSet<String> = items.iter().map(|item| task_id(item).to_owned()).collect();
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -125,7 +125,7 @@
             }
             DispatchOutcome::Complete { .. } => scheduler.took(now.saturating_sub(begun)),
             DispatchOutcome::NotRun { .. } => event!(instance_doubted, "{instance_id}: another answers at its address"),
-            DispatchOutcome::InDoubt { told, .. } => event!(instance_doubted, "{instance_id}: {told}"),
+            DispatchOutcome::InDoubt { detail, .. } => event!(instance_doubted, "{instance_id}: {detail}"),
             DispatchOutcome::NotSent | DispatchOutcome::Crowded => {}
         }
         let replaced = *outcome == DispatchOutcome::NotRun { wrong_instance: true };
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -129,7 +129,7 @@
             function: String::new(),
             tenant: String::new(),
             class: None,
-            begun: self.now,
+            started_at: self.now,
             due: self.now + DEFAULT_DEADLINE,
             patience,
             stage: Stage::Waiting,
@@ -207,7 +207,7 @@
             record.tenant = tenant.to_owned();
             record.binding = name.to_owned();
             let most = Duration::from_millis(binding.deadline_ms.into());
-            record.due = record.begun + record.call.deadline.map_or(most, |deadline| deadline.min(most));
+            record.due = record.started_at + record.call.deadline.map_or(most, |deadline| deadline.min(most));
         }
         record.function = format!("{tenant}/{}", binding.function_for(dice(task)));
         record.class = Some(binding.class);
--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -85,11 +85,11 @@
         match message {
             ForwardMessage::Answer { outcome, status, retry_after_ms, head, body, .. } => {
                 let after = Duration::from_millis(retry_after_ms.into());
-                self.told(task, outcome, status, after, head.into_vec(), body.into_vec());
+                self.handle_answer(task, outcome, status, after, head.into_vec(), body.into_vec());
             }
             ForwardMessage::AnswerInSeconds { outcome, status, retry_after, head, body, .. } => {
                 let after = Duration::from_secs(retry_after.into());
-                self.told(task, outcome, status, after, head.into_vec(), body.into_vec());
+                self.handle_answer(task, outcome, status, after, head.into_vec(), body.into_vec());
             }
             given_back => {
                 record.stage = Stage::Waiting;
@@ -104,11 +104,19 @@
     }
 
     /// An owner's word on a task, which counts for less once another owner may have run it.
-    fn told(&mut self, task: u64, outcome: Outcome, status: u16, retry_after: Duration, head: Vec<u8>, body: Vec<u8>) {
+    fn handle_answer(
+        &mut self,
+        task: u64,
+        outcome: Outcome,
+        status: u16,
+        retry_after: Duration,
+        head: Vec<u8>,
+        body: Vec<u8>,
+    ) {
         let doubt = self.table.get(&task).is_some_and(|record| record.doubt);
         let outcome = if outcome == Outcome::NotRun && doubt { Outcome::Unknown } else { outcome };
         let status = if outcome == Outcome::Unknown && status == 503 { 504 } else { status };
-        let told = if outcome == Outcome::Unknown { "the outcome is not known" } else { "" };
-        self.answer(task, Reply { outcome: Some(outcome), status, retry_after, head, body, told });
+        let detail = if outcome == Outcome::Unknown { "the outcome is not known" } else { "" };
+        self.answer(task, Reply { outcome: Some(outcome), status, retry_after, head, body, detail });
     }
 }
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -26,12 +26,12 @@
     pub retry_after: Duration,
     pub head: Vec<u8>,
     pub body: Vec<u8>,
-    pub told: &'static str,
+    pub detail: &'static str,
 }
 
 impl Reply {
-    pub fn own(status: u16, outcome: Option<Outcome>, told: &'static str) -> Reply {
-        Reply { outcome, status, retry_after: Duration::ZERO, head: Vec::new(), body: Vec::new(), told }
+    pub fn own(status: u16, outcome: Option<Outcome>, detail: &'static str) -> Reply {
+        Reply { outcome, status, retry_after: Duration::ZERO, head: Vec::new(), body: Vec::new(), detail }
     }
     pub fn again(mut self, after: Duration) -> Reply {
         self.retry_after = after;
@@ -92,7 +92,7 @@
     pub function: String,
     pub tenant: String,
     pub class: Option<Class>,
-    pub begun: Duration,
+    pub started_at: Duration,
     pub due: Duration,
     /// Until when it may wait to be forwarded.
     pub patience: Duration,
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -25,7 +25,7 @@
     pub in_flight: u32,
     pub adopting: Option<(Duration, bool)>,
     pub taken: u64,
-    pub told: (u32, u32),
+    pub reported: (u32, u32),
     pub sent_tasks: SentTasks,
     pub leaving: Option<(NodeId, Duration)>,
     pub arrivals: u32,
@@ -69,7 +69,7 @@
             in_flight: 0,
             adopting: Some((now, false)),
             taken: membership,
-            told: (0, 0),
+            reported: (0, 0),
             sent_tasks: SentTasks::Unknown,
             leaving: None,
             arrivals: 0,
@@ -107,7 +107,7 @@
     pub fn begin_anew(&mut self, now: Duration) {
         self.unproven.be_careful(now);
         self.budget.be_careful(now);
-        (self.adopting, self.told, self.read_at) = (Some((now, false)), (0, 0), None);
+        (self.adopting, self.reported, self.read_at) = (Some((now, false)), (0, 0), None);
         self.sent_tasks = SentTasks::Unknown;
     }
 
--- a/crates/traffic/src/instance.rs
+++ b/crates/traffic/src/instance.rs
@@ -21,10 +21,10 @@
 }
 
 #[derive(Default)]
-pub struct Life;
+pub struct LifeCycle;
 
 #[state_machine(initial = "State::starting()", state(derive(Debug)))]
-impl Life {
+impl LifeCycle {
     #[state(superstate = "known")]
     fn starting(event: &InstanceEvent) -> Outcome<State> {
         match event {
@@ -69,14 +69,14 @@
 
 /// A wish whose order has no clear outcome yet; its instance stands under the nonce until then.
 pub struct Pending {
-    pub asked: bool,
+    pub requested: bool,
     pub resends: u32,
     pub hops: u32,
-    pub again: Duration,
+    pub retry_at: Duration,
 }
 
 pub struct Instance {
-    life: StateMachine<Life>,
+    phase_machine: StateMachine<LifeCycle>,
     pub address: String,
     pub worker: String,
     pub zone: String,
@@ -90,7 +90,7 @@
     pub ordered: Duration,
     pub used: Duration,
     pub stopping: Option<Duration>,
-    pub stop_again: Duration,
+    pub retry_stop: Duration,
     pub lost: Option<Duration>,
     pub listed: bool,
     /// The most tasks that it had at once, all from this owner, and answered.
@@ -100,7 +100,7 @@
 impl Instance {
     pub fn new(now: Duration, address: &str) -> Instance {
         Instance {
-            life: Life.state_machine(),
+            phase_machine: LifeCycle.state_machine(),
             address: address.to_owned(),
             worker: String::new(),
             zone: String::new(),
@@ -114,7 +114,7 @@
             ordered: now,
             used: now,
             stopping: None,
-            stop_again: now,
+            retry_stop: now,
             lost: None,
             listed: false,
             proven: 0,
@@ -127,11 +127,11 @@
     }
 
     pub fn take(&mut self, event: InstanceEvent) {
-        self.life.handle(&event);
+        self.phase_machine.handle(&event);
     }
 
     pub fn phase(&self) -> Phase {
-        match self.life.state() {
+        match self.phase_machine.state() {
             State::Starting {} => Phase::Starting,
             State::Ready {} => Phase::Ready,
             State::Draining {} => Phase::Draining,
--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -28,9 +28,9 @@
 }
 
 impl Workers {
-    pub fn take(&mut self, lines: Vec<WorkerLine>, asked: Duration) {
-        self.ordered.retain(|(_, _, at)| *at + LAG > asked);
-        self.full.retain(|_, at| *at + LAG > asked);
+    pub fn take(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
+        self.ordered.retain(|(_, _, at)| *at + LAG > requested);
+        self.full.retain(|_, at| *at + LAG > requested);
         self.lines = Some(lines);
     }
 
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -71,20 +71,20 @@
             match receipt {
                 StopReply::Taken | StopReply::Unknown if instance.busy == 0 => drop(scheduler.instances.remove(id)),
                 StopReply::Taken | StopReply::Unknown => {}
-                StopReply::Limited => instance.stop_again = now + LIMITED,
-                StopReply::Unanswered => instance.stop_again = now + UNANSWERED,
+                StopReply::Limited => instance.retry_stop = now + LIMITED,
+                StopReply::Unanswered => instance.retry_stop = now + UNANSWERED,
             }
         }
     }
 
     /// What was starting on a worker that is down will not come.
-    pub(crate) fn workers_listed(&mut self, lines: Vec<WorkerLine>, asked: Duration) {
-        self.workers.take(lines, asked);
+    pub(crate) fn workers_listed(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
+        self.workers.take(lines, requested);
         let workers = &self.workers;
         for scheduler in self.schedulers.values_mut().filter(|scheduler| !scheduler.instances.is_empty()) {
             scheduler.instances.retain(|_, instance| {
                 let starting = instance.phase() == Phase::Starting && instance.pending.is_none();
-                let told = asked > instance.ordered + CRASH_REPORT_DELAY;
+                let told = requested > instance.ordered + CRASH_REPORT_DELAY;
                 let down = !instance.worker.is_empty() && !workers.knows(&instance.worker);
                 !starting || !told || !down
             });
@@ -92,7 +92,7 @@
     }
 
     /// What the list shows; `own` if this owner asked for it itself, at that moment for sure.
-    pub(crate) fn listed(&mut self, list: &BTreeMap<String, InstanceLine>, asked: Duration, own: bool) {
+    pub(crate) fn listed(&mut self, list: &BTreeMap<String, InstanceLine>, requested: Duration, own: bool) {
         let now = self.now;
         let mut by_function: BTreeMap<&str, Vec<&InstanceLine>> = BTreeMap::new();
         let leaving = list.values().filter(|line| line.state == InstanceState::Leaving);
@@ -119,7 +119,7 @@
                         }
                     }
                     None if instance.listed => instance.take(InstanceEvent::Lost),
-                    None if asked > instance.ordered + overlay => {
+                    None if requested > instance.ordered + overlay => {
                         instance.take(InstanceEvent::Lost);
                         never_came.push(id.clone());
                     }
@@ -142,7 +142,7 @@
                 }
                 if let Some((since, _)) = scheduler.adopting
                     && own
-                    && asked > since
+                    && requested > since
                 {
                     scheduler.adopting = Some((since, true));
                 }
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -162,9 +162,9 @@
                     Phase::Starting | Phase::Ready => false,
                 };
                 let quiet = instance.busy == 0 && (instance.foreign == 0 || now >= instance.foreign_until);
-                if ended && quiet && (instance.stopping.is_none() || now >= instance.stop_again) {
+                if ended && quiet && (instance.stopping.is_none() || now >= instance.retry_stop) {
                     instance.stopping = Some(now);
-                    instance.stop_again = now + STOP_RETRY_INTERVAL;
+                    instance.retry_stop = now + STOP_RETRY_INTERVAL;
                     self.stopped.insert(id.clone(), now);
                     event!(stop_ordered, "{id}");
                     self.outs.push(OwnerOutput::Supply(ProviderOrder::Stop { id: id.clone(), fence }));
--- a/crates/traffic/src/sent_tasks.rs
+++ b/crates/traffic/src/sent_tasks.rs
@@ -60,7 +60,7 @@
     }
 
     /// What the next owner is told, if it can be told all within `most` tasks.
-    pub fn told(&self, most: usize) -> Option<Vec<&str>> {
+    pub fn reported(&self, most: usize) -> Option<Vec<&str>> {
         match self {
             SentTasks::Known(ids) if ids.len() <= most => Some(ids.iter().map(String::as_str).collect()),
             _ => None,
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -35,7 +35,7 @@
 const TAKING_OVER: Duration = Duration::from_millis(400);
 
 pub fn run(settings: RouterSettings, dialect: Dialect) -> Result<(), RunError> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let incarnation = rand::random::<u64>() >> 8;
     let me: NodeId = mix(&[b"router", settings.cluster.as_bytes(), settings.address.as_bytes()]) | 1;
     let (peers, callers, ops) =
@@ -101,7 +101,7 @@
     let traffic_thread = thread("traffic", move || {
         let plane = DataPlane {
             me,
-            begun,
+            started_at,
             pass: cell,
             front: Front::new(me, incarnation, front_limits),
             owner: FunctionOwner::new(me, incarnation, timing),
@@ -145,7 +145,7 @@
     let (address, zone, ops) = (&settings.address, &settings.zone, &settings.ops);
     let timing = FollowerTiming { hold: settings.hold, ..FollowerTiming::default() };
     let control = Control {
-        begun,
+        started_at,
         follower: Follower::new(me, incarnation, address, zone, ops, timing).able_to_own(settings.capacity()),
         pass,
         links: find(&directory, "links"),
@@ -153,12 +153,12 @@
         seeds: settings.seeds.clone(),
         seats: Vec::new(),
         registries: BTreeSet::new(),
-        told: (false, None),
-        told_at: begun,
+        published: (false, None),
+        published_at: started_at,
         heard: None,
         serving_status: ServingStatus::Waiting,
         logged_serving_status: ServingStatus::Waiting,
-        stood_at: begun,
+        stood_at: started_at,
         view: control_view,
         grace: settings.grace,
         booked: None,
@@ -168,8 +168,8 @@
     local(async move {
         if let Some(reread) = dialect.reread {
             let (post, read) = (post.clone(), move || reread().map(|settings| settings.seeds));
-            spawn_local(kernel::follow(settings.seeds, read, async move |told| {
-                post.send_waiting(ControlMessage::Seeds(told)).await;
+            spawn_local(kernel::follow(settings.seeds, read, async move |seeds| {
+                post.send_waiting(ControlMessage::Seeds(seeds)).await;
             }));
         }
         spawn_local(async move {
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -30,7 +30,7 @@
     pub(crate) fn table_of(&mut self, name: &str, is_standby_copy: bool) -> Option<OwnershipTable> {
         let now = self.now;
         let scheduler = self.schedulers.get_mut(name)?;
-        let (requests, retries) = scheduler.budget.told(now);
+        let (requests, retries) = scheduler.budget.reported(now);
         let known = |instance: &Instance| matches!(instance.phase(), Phase::Ready | Phase::Starting);
         let slots: Vec<InstanceSlots> = scheduler
             .instances
@@ -43,7 +43,7 @@
                 busy: instance.busy,
             })
             .collect();
-        let sent_tasks = scheduler.sent_tasks.told(MAX_STARTED_NAMES);
+        let sent_tasks = scheduler.sent_tasks.reported(MAX_STARTED_NAMES);
         let whole = sent_tasks.is_some();
         let started: Vec<Text> = sent_tasks.into_iter().flatten().map(Text::from).collect();
         Some(OwnershipTable {
@@ -53,7 +53,7 @@
             slots: slots.into(),
             requests: requests as u32,
             retries: retries as u32,
-            rejections: scheduler.unproven.told(now) as u32,
+            rejections: scheduler.unproven.reported(now) as u32,
             started: started.into(),
             is_started_complete: whole as u8,
         })
@@ -166,11 +166,11 @@
             scheduler.sent_tasks =
                 SentTasks::from_table(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         } else {
-            scheduler.budget.learn(now, table.retries.saturating_sub(scheduler.told.0));
-            scheduler.unproven.learn(now, table.rejections.saturating_sub(scheduler.told.1));
+            scheduler.budget.learn(now, table.retries.saturating_sub(scheduler.reported.0));
+            scheduler.unproven.learn(now, table.rejections.saturating_sub(scheduler.reported.1));
             scheduler.sent_tasks.learn_more(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         }
-        scheduler.told = (scheduler.told.0.max(table.retries), scheduler.told.1.max(table.rejections));
+        scheduler.reported = (scheduler.reported.0.max(table.retries), scheduler.reported.1.max(table.rejections));
         for slot in table.slots.into_vec() {
             let id = slot.instance.as_str();
             if self.stopped.contains_key(id) || self.leaving.contains_key(id) {
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -64,7 +64,7 @@
         let memory_mb = scheduler.function.memory_mb;
         let Some(instance) = scheduler.instances.get_mut(nonce) else { return };
         let Some(pending) = &mut instance.pending else { return };
-        pending.asked = true;
+        pending.requested = true;
         instance.worker = worker.clone().unwrap_or_default();
         if let Some(worker) = &worker {
             self.workers.ordered(now, worker, memory_mb);
@@ -85,13 +85,14 @@
         let now = self.now;
         let mut due: Vec<(String, String)> = Vec::new();
         for (name, scheduler) in self.schedulers.iter_mut().filter(|(_, scheduler)| !scheduler.instances.is_empty()) {
-            let waits = |instance: &Instance| instance.pending.as_ref().is_some_and(|pending| !pending.asked);
+            let waits = |instance: &Instance| instance.pending.as_ref().is_some_and(|pending| !pending.requested);
             scheduler.instances.retain(|_, instance| !waits(instance) || instance.phase() == Phase::Starting);
             if scheduler.leaving.is_some() || scheduler.adopting.is_some() {
                 continue;
             }
-            let again = |instance: &Instance| instance.pending.as_ref().is_some_and(|p| !p.asked && now >= p.again);
-            let nonces = scheduler.instances.iter().filter(|(_, instance)| again(instance)).map(|(nonce, _)| nonce);
+            let retry_at =
+                |instance: &Instance| instance.pending.as_ref().is_some_and(|p| !p.requested && now >= p.retry_at);
+            let nonces = scheduler.instances.iter().filter(|(_, instance)| retry_at(instance)).map(|(nonce, _)| nonce);
             due.extend(nonces.map(|nonce| (name.clone(), nonce.clone())));
         }
         for (name, nonce) in due {
@@ -119,13 +120,13 @@
         let Some(instance) = scheduler.instances.get_mut(nonce) else { return };
         let wished = instance.phase() == Phase::Starting;
         let Some(pending) = &mut instance.pending else { return };
-        pending.asked = false;
+        pending.requested = false;
         match receipt {
             StartReply::Accepted { id, address } => self.accepted(&name, nonce, id, address),
             _ if !wished => drop(scheduler.instances.remove(nonce)),
             StartReply::Unanswered => {
                 pending.resends += 1;
-                pending.again = now + START_RETRY_INTERVAL * 2u32.pow(pending.resends.min(4));
+                pending.retry_at = now + START_RETRY_INTERVAL * 2u32.pow(pending.resends.min(4));
                 event!(platform_refused, "start {nonce} unanswered");
                 if pending.resends >= MAX_START_ATTEMPTS {
                     scheduler.instances.remove(nonce);
@@ -133,7 +134,7 @@
             }
             StartReply::Limited => {
                 event!(platform_refused, "start {nonce}: too many calls");
-                pending.again = now + LIMITED_PAUSE;
+                pending.retry_at = now + LIMITED_PAUSE;
             }
             StartReply::Refused => {
                 event!(platform_refused, "start {nonce} refused");
@@ -199,6 +200,6 @@
 impl Pending {
     /// A wish handed over by another owner, whose order may be on its way.
     pub(crate) fn handed(now: Duration) -> Pending {
-        Pending { asked: false, resends: 0, hops: 0, again: now }
+        Pending { requested: false, resends: 0, hops: 0, retry_at: now }
     }
 }
--- a/crates/traffic/src/unproven.rs
+++ b/crates/traffic/src/unproven.rs
@@ -55,8 +55,8 @@
     }
 
     /// What the next owner is to count as rejected.
-    pub fn told(&mut self, now: Duration) -> usize {
-        self.rejections.told(now, self.max_rejections)
+    pub fn reported(&mut self, now: Duration) -> usize {
+        self.rejections.reported(now, self.max_rejections)
     }
 
     fn poll(&mut self, now: Duration) {
--- a/crates/traffic/tests/answers.rs
+++ b/crates/traffic/tests/answers.rs
@@ -63,8 +63,8 @@
 #[test_case("\u{1}\u{2}garbage\n\n"; "garbage")]
 #[test_case(""; "nothing")]
 fn anything_less_is_in_doubt(words: &str) {
-    let told = outcome(http(words));
-    assert!(matches!(told, DispatchOutcome::InDoubt { .. }), "{told:?}");
+    let reported = outcome(http(words));
+    assert!(matches!(reported, DispatchOutcome::InDoubt { .. }), "{reported:?}");
 }
 
 #[test]
@@ -73,11 +73,11 @@
     long.extend(std::iter::repeat_n(b'x', 5_000_000));
     assert!(matches!(outcome(long), DispatchOutcome::InDoubt { .. }));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let told = LocalSet::new().block_on(&runtime, async {
+    let reported = LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         drop(listener);
         send_to_instance(order(address)).await
     });
-    assert_eq!(told, DispatchOutcome::NotSent);
+    assert_eq!(reported, DispatchOutcome::NotSent);
 }
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -59,7 +59,7 @@
 }
 
 fn garbled() -> DispatchOutcome {
-    DispatchOutcome::InDoubt { told: "garbled".into(), late: false }
+    DispatchOutcome::InDoubt { detail: "garbled".into(), late: false }
 }
 
 fn failed() -> DispatchOutcome {
@@ -120,14 +120,14 @@
 
 #[test_case(Some(0), 25; "refused")]
 #[test_case(None, 400; "unanswered")]
-fn without_a_grant_the_failure_is_the_answer(told: Option<u32>, at: u64) {
+fn without_a_grant_the_failure_is_the_answer(reported: Option<u32>, at: u64) {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut owner = owner(OTHER, 2);
     let outputs = give(&mut owner, 6, message);
     let outputs = fails(&mut owner, 20, &outputs, failed());
     assert!(matches!(to_front(&outputs), Some(ForwardMessage::AttemptRequest { .. })));
-    let outputs = match told {
+    let outputs = match reported {
         Some(attempts) => give(&mut owner, at, grant(task, attempts)),
         None => owner.step(ms(at), true, OwnerInput::Tick),
     };
@@ -146,8 +146,8 @@
     assert!(forwarded(&outputs).is_some());
     let outputs = front.step(ms(40), true, FrontInput::Membership { membership: membership(3, &[OTHER]) });
     assert_eq!(forwarded(&outputs), None);
-    let told = reply(&outputs).expect("told at once");
-    assert_eq!((told.outcome, told.status), (Some(Outcome::Unknown), 504));
+    let reported = reply(&outputs).expect("told at once");
+    assert_eq!((reported.outcome, reported.status), (Some(Outcome::Unknown), 504));
 }
 
 /// What an owner never sent is forwarded with as many attempts as before, however often it is given back.
@@ -184,8 +184,8 @@
     let outputs = tell(&mut front, OTHER, 60, ForwardMessage::AttemptRequest { task, attempts: 2 });
     assert_eq!(granted(&outputs), Some(1), "one was used at the home before");
     let outputs = tell(&mut front, OTHER, 70, ForwardMessage::Returned { task, attempts: 1 });
-    let told = reply(&outputs).expect("told at once");
-    assert_eq!((told.outcome, told.status, told.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
+    let reported = reply(&outputs).expect("told at once");
+    assert_eq!((reported.outcome, reported.status, reported.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
 }
 
 /// The first instance may have run it, and the second surely did not.
--- a/crates/traffic/tests/budget.rs
+++ b/crates/traffic/tests/budget.rs
@@ -41,9 +41,9 @@
     let most = Max { known: 7, at_first: 4 };
     let mut times: Vec<u64> = Vec::new();
     for ms in 20_000..60_000u64 {
-        let told = Duration::from_millis(ms).mul_f64(1.005);
-        if spent.capacity(told, most) > 0 {
-            spent.add(told);
+        let reported = Duration::from_millis(ms).mul_f64(1.005);
+        if spent.capacity(reported, most) > 0 {
+            spent.add(reported);
             times.push(ms);
         }
     }
@@ -94,7 +94,7 @@
     spent.take_over(now, at, 1, false);
     assert_eq!(spent.capacity(now, most), 4, "not six");
     spent.add(now);
-    assert_eq!((spent.capacity(now, most), spent.told(now, most)), (3, 4));
+    assert_eq!((spent.capacity(now, most), spent.reported(now, most)), (3, 4));
     let mut handed = Spent::new(now, Duration::from_secs(5), Duration::from_secs(5));
     handed.take_over(now, now, 1, true);
     assert_eq!(handed.capacity(now, most), 6, "a table handed over is whole");
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -75,7 +75,7 @@
     OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table } }
 }
 
-pub fn told(outputs: &[OwnerOutput]) -> Option<OwnershipTable> {
+pub fn reported(outputs: &[OwnerOutput]) -> Option<OwnershipTable> {
     outputs.iter().find_map(|output| match output {
         OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. } => Some(table.clone()),
         _ => None,
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -33,8 +33,8 @@
     assert!(again.is_empty());
     let (task, message) = forward(&front.step(ms(60), true, FrontInput::Tick));
     assert!(matches!(message, ForwardMessage::Forward { request } if request.resends == 1));
-    let told = front.step(ms(70), true, answer(task, Outcome::NotRun, 503));
-    assert_eq!(reply(&told).map(|r| (r.outcome, r.status)), Some((Some(Outcome::Unknown), 504)));
+    let reported = front.step(ms(70), true, answer(task, Outcome::NotRun, 503));
+    assert_eq!(reply(&reported).map(|r| (r.outcome, r.status)), Some((Some(Outcome::Unknown), 504)));
 }
 
 #[test]
@@ -42,8 +42,8 @@
     let mut front = front(1, OTHER);
     assert!(send_request(&mut front, 0, false, "/t/f").is_empty());
     assert!(front.step(ms(3000), false, FrontInput::Tick).is_empty());
-    let told = front.step(ms(3900), false, FrontInput::Tick);
-    let reply = reply(&told).expect("given up before the deadline");
+    let reported = front.step(ms(3900), false, FrontInput::Tick);
+    let reply = reply(&reported).expect("given up before the deadline");
     assert_eq!((reply.outcome, reply.status, reply.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
     assert_eq!(reply_status(&send_request(&mut front, 4000, true, "/nowhere")), 404);
 }
--- a/crates/traffic/tests/lapse.rs
+++ b/crates/traffic/tests/lapse.rs
@@ -77,9 +77,9 @@
     let outcome = DispatchOutcome::Complete { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
     owner.step(ms(50), true, OwnerInput::Dispatched { number: order.expect("sent"), outcome });
     let outputs = owner.step(ms(60), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    let told = outputs.iter().any(|output| {
+    let reported = outputs.iter().any(|output| {
         matches!(output, OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. }
             if table.is_started_complete != 0 && table.started.as_slice().len() == 1)
     });
-    assert!(told, "{outputs:?}");
+    assert!(reported, "{outputs:?}");
 }
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::deferred::{
-    FUNCTION, asked, forward, given, granted, home_of, listed, owner, read, sent, stored, table, told,
+    FUNCTION, asked, forward, given, granted, home_of, listed, owner, read, reported, sent, stored, table,
 };
 use common::{ME, OTHER, membership, ms};
 use std::collections::BTreeSet;
@@ -46,9 +46,9 @@
     let at_once = sent(&read(&mut first, 20, &BACKLOG));
     assert!((1..BACKLOG.len()).contains(&at_once), "some are sent, the others wait: {at_once}");
     let outputs = first.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    let handed = told(&outputs).expect("hands over");
+    let handed = reported(&outputs).expect("hands over");
     assert_eq!((handed.is_started_complete, started(&handed)), (1, ids(&BACKLOG)), "also those that it only held");
-    let handed_again = told(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
+    let handed_again = reported(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
     assert_eq!(started(&handed_again), ids(&BACKLOG), "should the first be lost");
 
     let mut second = home_of(OTHER, 2);
@@ -65,7 +65,7 @@
     let begun_before = BACKLOG.iter().map(|number| stored(*number).as_str().into()).collect::<Vec<_>>();
     owner.step(ms(1), true, given(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }));
     let outputs = owner.step(ms(10), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    let handed = told(&outputs).expect("hands over");
+    let handed = reported(&outputs).expect("hands over");
     assert_eq!((handed.is_started_complete, started(&handed)), (1, ids(&BACKLOG)));
 }
 
@@ -77,7 +77,7 @@
     owner.step(ms(1), true, given(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }));
     read(&mut owner, 20, &[1]);
     let outputs = owner.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    assert_eq!(started(&told(&outputs).expect("hands over")), ids(&[1]));
+    assert_eq!(started(&reported(&outputs).expect("hands over")), ids(&[1]));
 }
 
 #[test]
@@ -90,11 +90,11 @@
     let number = order(&outputs).expect("sent");
     let outputs = owner.step(ms(40), true, OwnerInput::Dispatched { number, outcome });
     let is_standby_copy =
-        told(&owner.step(ms(600), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) }))
+        reported(&owner.step(ms(600), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) }))
             .expect("a table");
     assert_eq!(started(&is_standby_copy), ids(&[7]), "the store may not have heard of it");
     owner.step(ms(610), true, granted(&outputs));
-    let later = told(&owner.step(ms(900), true, OwnerInput::Tick)).expect("a table");
+    let later = reported(&owner.step(ms(900), true, OwnerInput::Tick)).expect("a table");
     assert_eq!(started(&later), ids(&[]));
 }
 
@@ -143,5 +143,5 @@
         given(OwnershipTable { started: begun_later.into(), is_started_complete: 1, ..table(1) }),
     );
     let outputs = owner.step(ms(200), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    assert_eq!(started(&told(&outputs).expect("hands over")), ids(&[1, 2]));
+    assert_eq!(started(&reported(&outputs).expect("hands over")), ids(&[1, 2]));
 }
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -53,7 +53,7 @@
     })
 }
 
-fn told(outputs: &[OwnerOutput]) -> Option<(Outcome, u16, u32)> {
+fn reported(outputs: &[OwnerOutput]) -> Option<(Outcome, u16, u32)> {
     outputs.iter().find_map(|output| match output {
         OwnerOutput::Forward { message: ForwardMessage::Answer { outcome, status, retry_after_ms, .. }, .. } => {
             Some((*outcome, *status, *retry_after_ms))
@@ -68,7 +68,7 @@
 }
 
 fn doubt(late: bool) -> DispatchOutcome {
-    DispatchOutcome::InDoubt { told: "closed".into(), late }
+    DispatchOutcome::InDoubt { detail: "closed".into(), late }
 }
 
 #[test_case(doubt(false), 502; "no whole answer")]
@@ -76,7 +76,7 @@
 fn in_doubt_it_is_told_at_once_and_never_sent_again(came: DispatchOutcome, status: u16) {
     let (mut owner, first) = owner(3);
     let outputs = outcome(&mut owner, &first, came);
-    assert_eq!((told(&outputs), sent(&outputs)), (Some((Outcome::Unknown, status, 0)), None));
+    assert_eq!((reported(&outputs), sent(&outputs)), (Some((Outcome::Unknown, status, 0)), None));
     assert_eq!(owner.depths(), (0, 0, 0), "no ledger, and nothing kept");
 }
 
@@ -85,7 +85,7 @@
     let (mut owner, first) = owner(3);
     let failed = DispatchOutcome::Complete { status: 500, head: Vec::new(), body: b"no".to_vec(), turned_away: false };
     let outputs = outcome(&mut owner, &first, failed);
-    assert_eq!((told(&outputs), sent(&outputs)), (Some((Outcome::Answered, 500, 0)), None));
+    assert_eq!((reported(&outputs), sent(&outputs)), (Some((Outcome::Answered, 500, 0)), None));
 }
 
 #[test_case(DispatchOutcome::NotSent; "nobody listens")]
@@ -102,7 +102,7 @@
 fn turned_away_by_the_only_one_it_may_go_to_it_is_refused_with_a_time(wrong_instance: bool) {
     let (mut owner, first) = owner(1);
     let outputs = outcome(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance });
-    let (outcome, status, again) = told(&outputs).expect("told at once");
+    let (outcome, status, again) = reported(&outputs).expect("told at once");
     assert_eq!((outcome, status, sent(&outputs)), (Outcome::NotRun, 503, None));
     assert!((100..2000).contains(&again), "{again}");
 }
@@ -113,7 +113,7 @@
     let second = outcome(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance: false });
     assert_ne!(sent(&first).map(|order| order.1), sent(&second).map(|order| order.1));
     let outputs = outcome(&mut owner, &second, DispatchOutcome::NotRun { wrong_instance: false });
-    assert_eq!(told(&outputs).map(|told| (told.0, told.1)), Some((Outcome::NotRun, 503)));
+    assert_eq!(reported(&outputs).map(|reported| (reported.0, reported.1)), Some((Outcome::NotRun, 503)));
 }
 
 fn front() -> Front {
@@ -150,9 +150,9 @@
     assert!(common::send_request(&mut front, 0, false, "/t/f").is_empty());
     assert!(front.step(ms(100), false, FrontInput::Tick).is_empty());
     let outputs = front.step(ms(130), false, FrontInput::Tick);
-    let told = reply(&outputs).expect("within a third of its aim");
-    assert_eq!((told.outcome, told.status), (Some(Outcome::NotRun), 503));
-    assert!(told.retry_after >= ms(300) && told.retry_after < ms(600));
+    let reported = reply(&outputs).expect("within a third of its aim");
+    assert_eq!((reported.outcome, reported.status), (Some(Outcome::NotRun), 503));
+    assert!(reported.retry_after >= ms(300) && reported.retry_after < ms(600));
 }
 
 #[test]
@@ -160,5 +160,5 @@
     let (mut owner, first) = owner(3);
     assert!(sent(&first).is_some());
     let outputs = owner.step(ms(30), false, OwnerInput::Lapsed);
-    assert!(told(&outputs).is_none() && owner.depths().1 == 1, "it is running: {outputs:?}");
+    assert!(reported(&outputs).is_none() && owner.depths().1 == 1, "it is running: {outputs:?}");
 }
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -113,8 +113,8 @@
     assert!(only_asks_to_beat(&send_request(&mut front, 600, true, "/t/f"), OTHER), "no beat for half a second");
     let moved = front.step(ms(2000), true, FrontInput::Membership { membership: membership(2, &[3]) });
     assert!(only_asks_to_beat(&moved, 3), "the next home is not linked yet");
-    let told = front.step(ms(4600), true, FrontInput::Tick);
-    let outcomes: Vec<Outcome> = told
+    let reported = front.step(ms(4600), true, FrontInput::Tick);
+    let outcomes: Vec<Outcome> = reported
         .iter()
         .filter_map(|output| match output {
             FrontOutput::Reply { reply, .. } => reply.outcome,
@@ -122,7 +122,7 @@
         })
         .collect();
     assert_eq!(outcomes, [Outcome::Unknown, Outcome::NotRun], "only what was carried may have run");
-    assert!(reply(&told).is_some());
+    assert!(reply(&reported).is_some());
 }
 
 /// An owner of a run-once function whose claim is granted, with nothing yet to run it on.
@@ -172,8 +172,8 @@
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     let ForwardMessage::Table { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
     let rejections = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["turned_away_5s"].as_u64();
-    for (at, told, wanted) in [(2100, 5, 5), (2300, 7, 7), (2500, 7, 7)] {
-        whole.rejections = told;
+    for (at, reported, wanted) in [(2100, 5, 5), (2300, 7, 7), (2500, 7, 7)] {
+        whole.rejections = reported;
         owner.step(
             ms(at),
             true,
