--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -1,9 +1,10 @@
 //! What an entry does to the state. The same entry on the same state gives the same changes and
 //! the same reply on every member; nothing here reads a clock, a file or a random number.
 
-use crate::apply_change::{Change, activate, change, declare, quorum};
+use crate::apply_change::{activate, change, declare, quorum};
 use crate::apply_member::{join, lapse, leaving, tick};
 use crate::apply_task::{claim, finish, record_answer, release, store};
+use crate::change_validation::Change;
 use crate::keys;
 use chain::{Effect, State, Value};
 use leases::Member;
--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -3,40 +3,27 @@
 
 use crate::api_calls::ApiReply;
 use crate::apply::Draft;
+use crate::change_validation::{Change, ChangeRefused, validate};
 use crate::keys;
-use bindings::ConfigurationError;
 use chain::State;
 use serde_json::{Value, json};
-use std::collections::BTreeMap;
 use wire::{CommandReply, OpRecord};
 use wire::{ConfigurationEpoch, ConfigurationItem, NodeId};
 
 const OP_TICKS: u64 = 86_400;
 /// Steps in force that are kept for routers a little behind, as many as these and no more than so many
 /// bytes; the newest is kept whatever its size, since it names the quorum.
-const STEPS_KEPT: u64 = 64;
-const STEPS_KEPT_BYTES: usize = 512 * 1024;
-const STEP_BYTES: usize = 5 * 1024 * 1024;
-const RESOURCES: usize = 50_000;
-
-/// A change as it is checked: on which revision, under which number of its own, of what.
-pub struct Change<'a> {
-    pub base: Option<u64>,
-    /// The revision it declares, or 0 for the next.
-    pub revision: u64,
-    pub full: bool,
-    pub scope: &'a str,
-    pub items: &'a [ConfigurationItem],
-}
+const MAX_RETAINED_EPOCHS: u64 = 64;
+const MAX_RETAINED_BYTES: usize = 512 * 1024;
 
 fn known(draft: &Draft, key: &str) -> Option<CommandReply> {
     draft.state.get(key).and_then(|raw| wire::from_bytes::<OpRecord>(raw)).map(|record| record.reply)
 }
 
 fn execute(draft: &mut Draft, change: &Change) -> CommandReply {
-    match draw_up(draft, change) {
+    match validate(draft, change) {
         Ok(changed) => stage(draft, change.revision, changed),
-        Err((status, body)) => CommandReply::Refused { status, body: body.into_bytes().into() },
+        Err(ChangeRefused { status, body }) => CommandReply::Refused { status, body: body.into_bytes().into() },
     }
 }
 
@@ -84,7 +71,7 @@
 pub fn dry_run(state: &State, change: &Change) -> ApiReply {
     let draft = Draft { state, changes: Vec::new() };
     let revision = draft.number(keys::LATEST_REVISION);
-    let mut reply = match draw_up(&draft, change) {
+    let mut reply = match validate(&draft, change) {
         Ok(changed) => {
             let keys = |gone: u8| {
                 let of_it = changed.iter().filter(move |item| (item.gone != 0) == (gone != 0));
@@ -92,7 +79,7 @@
             };
             ApiReply::new(200, json!({"outcome": "would-change", "set": keys(0), "remove": keys(1)}))
         }
-        Err((status, body)) => {
+        Err(ChangeRefused { status, body }) => {
             let detail: Value = serde_json::from_str(&body).unwrap_or_default();
             ApiReply::new(status, json!({"outcome": "refused", "faults": detail}))
         }
@@ -101,67 +88,6 @@
     reply
 }
 
-type Refusal = (u16, String);
-
-fn refusal(status: u16, path: &str, fault: impl Into<String>) -> Refusal {
-    let detail = ConfigurationError { path: path.to_owned(), fault: fault.into() };
-    (status, serde_json::to_string(&[detail]).unwrap_or_default())
-}
-
-fn draw_up(draft: &Draft, change: &Change) -> Result<Vec<ConfigurationItem>, Refusal> {
-    let Change { base, full, scope, items, .. } = *change;
-    let latest = draft.number(keys::LATEST_REVISION);
-    if base.is_some_and(|base| base != latest) {
-        return Err((412, format!("{{\"fault\":\"stale revision\",\"latest\":{latest}}}")));
-    }
-    if change.revision != 0 && change.revision <= latest {
-        return Err(refusal(422, "revision", format!("above {latest}, which is the latest")));
-    }
-    let in_scope = |key: &str| scope.is_empty() || key.split('/').nth(1) == Some(scope);
-    if let Some(item) = items.iter().find(|item| !in_scope(item.key.as_str())) {
-        return Err(refusal(403, item.key.as_str(), "another tenant's resource"));
-    }
-    let mut pairs: BTreeMap<&str, &[u8]> = keys::with_prefix(draft.state, keys::LATEST_PAIRS)
-        .map(|(key, value)| (&key[keys::LATEST_PAIRS.len()..], &value[..]))
-        .collect();
-    let mut changed: BTreeMap<&str, ConfigurationItem> = BTreeMap::new();
-    if full {
-        let dropped: Vec<&str> = pairs.keys().copied().filter(|key| in_scope(key)).collect();
-        for key in dropped {
-            pairs.remove(key);
-            changed.insert(key, ConfigurationItem { key: key.into(), gone: 1, value: Vec::new().into() });
-        }
-    }
-    for item in items {
-        let key = item.key.as_str();
-        if item.gone != 0 {
-            pairs.remove(key);
-        } else {
-            pairs.insert(key, item.value.as_slice());
-        }
-        changed.insert(key, item.clone());
-    }
-    let mut faults = bindings::check(pairs.iter().map(|(key, value)| (*key, *value)));
-    if pairs.len() > RESOURCES {
-        faults.push(ConfigurationError { path: String::new(), fault: format!("no more than {RESOURCES} resources") });
-    }
-    if !faults.is_empty() {
-        let taken = |fault: &ConfigurationError| fault.fault.contains("is taken by") && !scope.is_empty();
-        let status = if faults.iter().all(taken) { 409 } else { 422 };
-        return Err((status, serde_json::to_string(&faults).unwrap_or_default()));
-    }
-    let bytes: usize = changed.iter().map(|(key, item)| key.len() + item.value.as_slice().len() + 16).sum();
-    if bytes > STEP_BYTES {
-        return Err(refusal(413, "", format!("a change of up to {STEP_BYTES} bytes; part it")));
-    }
-    let latest = |key: &str| draft.state.get(&format!("{}{key}", keys::LATEST_PAIRS));
-    changed.retain(|key, item| match latest(key) {
-        Some(value) => item.gone != 0 || value[..] != *item.value.as_slice(),
-        None => item.gone == 0,
-    });
-    Ok(changed.into_values().collect())
-}
-
 fn stage(draft: &mut Draft, declared: u64, items: Vec<ConfigurationItem>) -> CommandReply {
     let revision = if declared != 0 { declared } else { draft.number(keys::LATEST_REVISION).saturating_add(1) };
     for item in &items {
@@ -221,13 +147,13 @@
 /// Forgets the steps up to the active one that are beyond what is kept: each may be as large as a whole
 /// configuration, and a router that is further behind takes that instead.
 fn forget_steps(draft: &mut Draft, active: u64) {
-    let oldest = keys::step_key(active.saturating_sub(STEPS_KEPT));
+    let oldest = keys::step_key(active.saturating_sub(MAX_RETAINED_EPOCHS));
     let newest = keys::step_key(active);
     let mut bytes = 0;
     let mut old = Vec::new();
     for (key, step) in draft.state.range(keys::STEPS.to_owned()..newest).rev() {
         bytes += step.len();
-        if bytes > STEPS_KEPT_BYTES || *key < oldest {
+        if bytes > MAX_RETAINED_BYTES || *key < oldest {
             old.push(key.clone());
         }
     }
--- a/crates/control/src/deferred_calls.rs
+++ b/crates/control/src/deferred_calls.rs
@@ -2,7 +2,8 @@
 //! see only what is committed, and wait a little where this registry is behind the revision they build on.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::apply_change::{self, Change};
+use crate::apply_change;
+use crate::change_validation::Change;
 use crate::core::Core;
 use crate::keys;
 use crate::open_calls::DeferredCall;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -9,6 +9,7 @@
 mod apply_change;
 mod apply_member;
 mod apply_task;
+mod change_validation;
 mod configuration_reads;
 mod control_loop;
 mod core;
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -57,8 +57,8 @@
                 let command = match (self.format, revision) {
                     (..DECLARES, None) => Command::Change { op: name, base, any, full, scope, items },
                     (..DECLARES, Some(_)) => {
-                        return self
-                            .busy(request_id, "revisions are declared once every registry speaks the newest format");
+                        let detail = "revisions are declared once every registry speaks the newest format";
+                        return self.busy(request_id, detail);
                     }
                     _ => {
                         let revision = revision.unwrap_or_default();
@@ -68,38 +68,36 @@
                 let body = wire::to_bytes(&command);
                 self.propose_raw(Origin::Change { request_id, op, body: body.clone(), may_be_appended: false }, body);
             }
-            ApiCall::Configuration { scope } => {
-                let due = self.now + self.timing.call;
-                let read = ConfigurationRead {
-                    page_request_id: 0,
-                    scope,
-                    step: None,
-                    pairs: BTreeMap::new(),
-                    requested_at: self.now,
-                    due,
-                };
-                self.calls.reads.insert(request_id, read);
-                self.read_on(request_id, String::new());
-            }
+            ApiCall::Configuration { scope } => self.start_read(request_id, scope),
             ApiCall::Operation { op } => {
-                let reply = match apply_change::outcome(self.state(), &op) {
-                    Some(CommandReply::Changed { step, revision }) if step <= self.calls.active_step => {
-                        ApiReply::new(200, json!({"operation": op, "outcome": "in-force", "revision": revision}))
-                    }
-                    Some(CommandReply::Changed { revision, .. }) => {
-                        ApiReply::new(200, json!({"operation": op, "outcome": "staged", "revision": revision}))
-                    }
-                    Some(CommandReply::Refused { status, .. }) => {
-                        ApiReply::new(200, json!({"operation": op, "outcome": "refused", "status": status}))
-                    }
-                    _ => ApiReply::new(404, json!({"operation": op, "outcome": "not-known-here"})),
-                };
+                let reply = self.operation_outcome(&op);
                 self.reply(request_id, reply);
             }
             ApiCall::Latest { .. } | ApiCall::Status => {}
         }
     }
 
+    fn start_read(&mut self, request_id: u64, scope: String) {
+        let due = self.now + self.timing.call;
+        let (step, pairs) = (None, BTreeMap::new());
+        let read = ConfigurationRead { page_request_id: 0, scope, step, pairs, requested_at: self.now, due };
+        self.calls.reads.insert(request_id, read);
+        self.read_on(request_id, String::new());
+    }
+
+    fn operation_outcome(&self, op: &str) -> ApiReply {
+        match apply_change::outcome(self.state(), op) {
+            Some(CommandReply::Changed { step, revision }) => {
+                let outcome = if step <= self.calls.active_step { "in-force" } else { "staged" };
+                ApiReply::new(200, json!({"operation": op, "outcome": outcome, "revision": revision}))
+            }
+            Some(CommandReply::Refused { status, .. }) => {
+                ApiReply::new(200, json!({"operation": op, "outcome": "refused", "status": status}))
+            }
+            _ => ApiReply::new(404, json!({"operation": op, "outcome": "not-known-here"})),
+        }
+    }
+
     pub(crate) fn change_done(
         &mut self,
         request_id: u64,
