--- a/crates/leases/src/configuration_fetch.rs
+++ b/crates/leases/src/configuration_fetch.rs
@@ -2,7 +2,8 @@
 //! core still keeps: in packed parts, or in pieces from a core that speaks an older format. Pieces of
 //! another step than the first are thrown away.
 
-use crate::follower::{Follower, FollowerOutput};
+use crate::follower::Follower;
+use crate::follower_types::FollowerOutput;
 use crate::step_parts::Arriving;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/leases/src/follower.rs
+++ b/crates/leases/src/follower.rs
@@ -1,9 +1,10 @@
-//! A router's side of a hold. It renews, keeps the time each proof was asked for, stages and
-//! activates numbered steps, and says whether it may serve at this moment. A proof counts from
-//! when it was asked, so a frozen or late router can only be too careful.
+//! A router's side of membership and leases. It renews its lease, remembers when each confirmation was requested,
+//! stages and activates epochs, and says whether it may serve at this moment. A confirmation counts from when it was
+//! requested, so a frozen or late router can only be too careful.
 
 use crate::configuration_fetch::Fetch;
 use crate::epochs::Epochs;
+use crate::follower_types::{FollowerInput, FollowerOutput, FollowerTiming};
 use crate::lease::{Lease, LeaseEnds};
 use crate::membership::{HASHING, Membership};
 use crate::peer_quorum::Peers;
@@ -12,50 +13,6 @@
 use std::time::Duration;
 use wire::{Capacity, LeaseMessage, NodeId};
 
-#[derive(Clone, Debug)]
-pub struct FollowerTiming {
-    pub hold: Duration,
-    pub guard: Duration,
-    pub renew: Duration,
-    pub renew_guarded: Duration,
-    /// The same in a fleet that is not small: the tail answers them all.
-    pub renew_guarded_many: Duration,
-    /// Fleets above this many are not small; they prove one another through a few who ask for all.
-    pub relay_above: usize,
-}
-
-impl Default for FollowerTiming {
-    fn default() -> Self {
-        FollowerTiming {
-            hold: Duration::from_millis(1500),
-            guard: Duration::from_millis(200),
-            renew: Duration::from_millis(250),
-            renew_guarded: Duration::from_millis(40),
-            renew_guarded_many: Duration::from_millis(80),
-            relay_above: 12,
-        }
-    }
-}
-
-#[derive(Clone, Debug)]
-pub enum FollowerInput {
-    Tick,
-    Registry { from: NodeId, message: LeaseMessage },
-    Peer { from: NodeId, message: LeaseMessage },
-    Leave,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum FollowerOutput {
-    ToRegistry { to: Option<NodeId>, message: LeaseMessage },
-    ToPeer { to: NodeId, message: LeaseMessage },
-    Activated { step: u64, revision: u64 },
-    MembershipUpdated { number: u64 },
-    RegistryAddresses { addresses: Vec<String> },
-    ServingStatus { serving_status: ServingStatus },
-    Lapsed,
-}
-
 /// The messages that are on their way in parts.
 #[derive(Default)]
 pub(crate) struct Transfers {
@@ -92,6 +49,7 @@
 }
 
 impl Follower {
+    /// A router that has just started, with its addresses for routers and for operators.
     pub fn new(me: NodeId, incarnation: u64, address: &str, zone: &str, ops: &str, timing: FollowerTiming) -> Self {
         let (address, zone, ops) = (address.into(), zone.into(), ops.into());
         Follower {
@@ -156,6 +114,7 @@
         self.lease.tail.map(|tail| tail.id)
     }
 
+    /// Takes one input in at a moment, and returns what is to be done.
     pub fn step(&mut self, now: Duration, input: FollowerInput) -> Vec<FollowerOutput> {
         self.now = now;
         match input {
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,10 +1,13 @@
-//! Membership by holds. `Sessions` is the tail's side: who renewed, who staged what, whose hold
-//! has lapsed. `Follower` is a router's side: proofs of revision, staged steps, the membership. Both
-//! are state machines; `Membership` says which router owns which function.
+//! Membership by leases. [`Sessions`] is the tail's side: who renewed, who staged which epoch, whose lease has run out.
+//! [`Follower`] is a router's side: its epochs, its lease and the membership. Both are state machines without I/O.
+//! [`Membership`] says which router owns which function.
+
+#![warn(missing_docs)]
 
 mod configuration_fetch;
 mod epochs;
 mod follower;
+mod follower_types;
 mod lease;
 mod membership;
 mod peer_quorum;
@@ -14,7 +17,8 @@
 mod sessions;
 mod step_parts;
 
-pub use follower::{Follower, FollowerInput, FollowerOutput, FollowerTiming, first_number};
+pub use follower::{Follower, first_number};
+pub use follower_types::{FollowerInput, FollowerOutput, FollowerTiming};
 pub use membership::{HASHING, Member, Membership, MembershipChange, mix};
 pub use serving_status::{ServingEvent, ServingStateMachine, ServingStatus};
 pub use sessions::{GrantedLease, Session, Sessions};
--- a/crates/leases/src/membership.rs
+++ b/crates/leases/src/membership.rs
@@ -14,28 +14,42 @@
 /// A machine half as able owns a quarter as much, since it carries tasks as a front as well.
 const RAISED: f64 = 2.0;
 
+/// One member router.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct Member {
+    /// Its id.
     pub id: NodeId,
+    /// Its incarnation: another one is another member.
     pub incarnation: u64,
+    /// Where other routers reach it.
     pub address: Text,
+    /// Its zone.
     pub zone: Text,
+    /// Its address for operators.
     pub ops: Text,
+    /// Not 0 once it is about to stop.
     pub leaving: u8,
+    /// The newest hashing it knows.
     pub hashing: u8,
+    /// What its machine can carry.
     pub capacity: Capacity,
 }
 
+/// The member routers, under a number that grows with each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct Membership {
+    /// The number, which fences whatever an owner does.
     pub number: u64,
+    /// The members, by id.
     pub members: List<Member>,
 }
 
 /// What differs between two memberships: the lines that are new or other, and who is gone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct MembershipChange {
+    /// Members that are new or changed.
     pub lines: List<Member>,
+    /// Members that are gone.
     pub gone: List<NodeId>,
 }
 
@@ -97,6 +111,7 @@
     hash ^ (hash >> 33)
 }
 
+/// A stable 64-bit hash of byte strings; owners follow from it, so it never changes.
 pub fn mix(words: &[&[u8]]) -> u64 {
     ended(words.iter().fold(SEED, |hash, word| go_on(hash, word)))
 }
@@ -120,10 +135,12 @@
         wire::to_bytes(&PlainMembership { number: self.number, members: members.into() })
     }
 
+    /// The member of this id.
     pub fn member(&self, id: NodeId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
+    /// Who owns a function.
     pub fn owner(&self, function: &str) -> Option<NodeId> {
         self.best(function, None)
     }
@@ -177,6 +194,7 @@
 }
 
 impl Membership {
+    /// What differs from an earlier membership.
     pub fn change_since(&self, earlier: &Membership) -> MembershipChange {
         let known: BTreeMap<NodeId, &Member> = earlier.members.iter().map(|line| (line.id, line)).collect();
         let here: BTreeSet<NodeId> = self.members.iter().map(|line| line.id).collect();
@@ -186,6 +204,7 @@
         MembershipChange { lines: lines.into(), gone: gone.into() }
     }
 
+    /// The membership after a change.
     pub fn changed(&self, number: u64, change: MembershipChange) -> Membership {
         let mut lines: BTreeMap<NodeId, Member> = self.members.iter().map(|line| (line.id, line.clone())).collect();
         change.gone.iter().for_each(|id| drop(lines.remove(id)));
--- a/crates/leases/src/peer_quorum.rs
+++ b/crates/leases/src/peer_quorum.rs
@@ -6,7 +6,8 @@
 //! asks them, in rounds, and each ask is answered by a round begun after it came. Who answered before is
 //! asked first, and a few more than a majority are asked.
 
-use crate::follower::{Follower, FollowerOutput};
+use crate::follower::Follower;
+use crate::follower_types::FollowerOutput;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use wire::{LeaseMessage, NodeId};
--- a/crates/leases/src/registry_messages.rs
+++ b/crates/leases/src/registry_messages.rs
@@ -1,6 +1,7 @@
 //! What registries tell a follower: proofs, steps staged and activated, the membership.
 
-use crate::follower::{Follower, FollowerOutput};
+use crate::follower::Follower;
+use crate::follower_types::FollowerOutput;
 use crate::lease::ConfirmingTail;
 use crate::membership::{Membership, MembershipChange};
 use crate::step_parts::Part;
--- a/crates/leases/src/serving_status.rs
+++ b/crates/leases/src/serving_status.rs
@@ -3,17 +3,25 @@
 
 use statig::prelude::*;
 
+/// Whether a router may serve, and on whose word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingStatus {
+    /// It may not.
     Waiting,
+    /// On the word of the core.
     ByCore,
+    /// On the word of a majority of its peers.
     ByPeers,
 }
 
+/// What was found of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingEvent {
+    /// The core confirmed it.
     CoreProved,
+    /// Only peers confirmed it.
     PeersProved,
+    /// It has run out.
     Unproved,
 }
 
@@ -56,6 +64,7 @@
     }
 }
 
+/// Goes from one status to the next.
 pub struct ServingStateMachine {
     machine: StateMachine<Machine>,
 }
@@ -67,6 +76,7 @@
 }
 
 impl ServingStateMachine {
+    /// The status after an event.
     pub fn take(&mut self, event: ServingEvent) -> ServingStatus {
         self.machine.handle(&event);
         match self.machine.state() {
--- a/crates/leases/src/sessions.rs
+++ b/crates/leases/src/sessions.rs
@@ -5,23 +5,34 @@
 use std::time::Duration;
 use wire::NodeId;
 
+/// What the tail knows of one router.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
+    /// The router's incarnation.
     pub incarnation: u64,
     /// When it was last given a proof here, or first came into this table.
     pub proved_at: Duration,
     /// No proof it may still have was asked for after this moment.
     pub lease_requested_until: Duration,
+    /// The newest epoch it has staged.
     pub staged: u64,
+    /// The epoch it has active.
     pub active: u64,
+    /// The membership it has.
     pub membership: u64,
+    /// It is no member any more, but its lease may still be valid.
     pub departed: bool,
+    /// The newest epoch it was offered.
     pub pushed: u64,
+    /// When.
     pub pushed_at: Duration,
+    /// The newest activation it was sent.
     pub activation_sent: u64,
+    /// When.
     pub activation_sent_at: Duration,
     /// The newest membership it was sent, and when.
     pub membership_sent: u64,
+    /// When.
     pub membership_sent_at: Duration,
 }
 
@@ -34,8 +45,10 @@
     pub requested_at: Duration,
 }
 
+/// The sessions of all routers that may hold a lease.
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
+    /// Sessions by router.
     pub table: BTreeMap<NodeId, Session>,
 }
 
@@ -68,11 +81,13 @@
         }
     }
 
+    /// Members that had no lease for this long, by incarnation.
     pub fn lapsed(&self, now: Duration, after: Duration) -> Vec<(NodeId, u64)> {
         let silent = |session: &&Session| !session.departed && now > session.proved_at + after;
         self.table.iter().filter(|(_, s)| silent(s)).map(|(id, s)| (*id, s.incarnation)).collect()
     }
 
+    /// A lease is granted to a router.
     pub fn record_proof(&mut self, id: NodeId, now: Duration) {
         if let Some(session) = self.table.get_mut(&id) {
             (session.proved_at, session.lease_requested_until) = (now, now);
