--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -77,8 +77,8 @@
     };
     let control = find::<ControlMessage>(&directory, "control");
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
-    let (index, shelved) = watch::channel(ResourceIndex::new(incarnation));
-    let kinds = http_server::views(Views { index: shelved, tokens: tokens.clone() });
+    let (index, indexed) = watch::channel(ResourceIndex::new(incarnation));
+    let kinds = http_server::views(Views { index: indexed, tokens: tokens.clone() });
     let (body, life) = (settings.body, Duration::from_secs(3600));
     let limits = ServerLimits {
         connections: 256,
@@ -114,9 +114,9 @@
     })
     .map_err(RunError::Disk)?;
     let founds = settings.found && settings.seeds.contains(&settings.address);
-    let addresses = if founds { settings.seeds.len() } else { 0 };
+    let founders = if founds { settings.seeds.len() } else { 0 };
     let member = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO);
-    let member = member.with_founders(addresses).tolerating_losses(settings.losses);
+    let member = member.with_founders(founders).tolerating_losses(settings.losses);
     let timing = CoreTiming { call: settings.call, ..CoreTiming::for_hold(settings.hold) };
     let core = Core::new(member, timing, incarnation << 20).speaking(settings.format);
     let work = Control {
