--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -1,11 +1,11 @@
 //! The control thread's loop: feeds the core from its inbox and carries out what it returns.
 
 use crate::api_calls::ApiReply;
+use crate::control_message::ControlMessage;
 use crate::core::{Core, CoreInput, CoreOutput};
 use crate::keys;
 use crate::membership_log::MembershipLog;
 use crate::optimizer::OptimizerMessage;
-use crate::service::ControlMessage;
 use chain::{Disk, DiskReport};
 use events::event;
 use kernel::{Inbox, InboxSender, wait_for_signal};
--- a/crates/control/src/operator_dialect.rs
+++ b/crates/control/src/operator_dialect.rs
@@ -2,7 +2,7 @@
 //! what makes them, and they ask the core through a handle that can be cloned.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::service::ControlMessage;
+use crate::control_message::ControlMessage;
 use crate::settings::RegistrySettings;
 use axum::Router;
 use kernel::InboxSender;
