--- a/crates/bindings/tests/check.rs
+++ b/crates/bindings/tests/check.rs
@@ -3,7 +3,7 @@
 use bindings::{check, check_name};
 
 #[test]
-fn every_fault_of_a_whole_configuration_is_told_with_its_path() {
+fn every_fault_of_a_complete_configuration_is_reported_with_its_path() {
     let pairs: Vec<(&str, &[u8])> = vec![
         ("function-bindings/a/x", br#"{"route":"/a/x","function":"x","class":"once"}"#),
         ("function-bindings/b/y", br#"{"route":"/a/x","function":"y","class":"ordinary","deadline_ms":0}"#),
--- a/crates/chain/tests/catch_up.rs
+++ b/crates/chain/tests/catch_up.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn an_old_answer_to_a_round_begun_before_the_disk_was_full_confirms_nothing() {
+fn an_old_answer_to_a_round_started_before_the_disk_was_full_confirms_nothing() {
     let mut net = Net::founded();
     (0..5).for_each(|n| _ = net.propose_entry(1, &format!("before {n}")));
     net.pass(500);
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_member_that_was_taken_out_before_it_leaves_gives_its_seat_up_too() {
+fn a_member_that_was_taken_out_before_it_leaves_gives_its_vote_up_too() {
     let mut net = with_successor();
     net.cut = vec![3];
     net.pass(1500);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_member_told_to_leave_while_another_joins_leaves_as_soon_as_it_may() {
+fn a_member_asked_to_leave_while_another_joins_leaves_as_soon_as_it_may() {
     let mut net = Net::founded();
     net.seeds.insert(4, vec![1, 2, 3]);
     net.start_founding(4, 0);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_wiped_machine_gets_no_second_seat_while_its_old_identity_is_in_the_chain() {
+fn a_wiped_machine_gets_no_second_vote_while_its_old_identity_is_in_the_chain() {
     let mut net = grown(6);
     net.members.remove(&4);
     net.pass(2000);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_newcomer_does_not_take_the_seat_of_a_member_that_is_about_to_return() {
+fn a_joiner_does_not_take_the_vote_of_a_member_that_is_about_to_return() {
     let mut net = Net::founded();
     net.propose_entry(1, "kept");
     net.settle();
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn no_seat_is_taken_away_while_a_member_is_being_brought_in() {
+fn no_vote_is_taken_away_while_a_member_is_being_brought_in() {
     let mut net = grown(8);
     net.members.remove(&7);
     net.members.remove(&8);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_member_told_to_leave_while_it_copies_does_not_join() {
+fn a_member_asked_to_leave_while_it_copies_does_not_join() {
     let mut net = Net::founded();
     net.propose_entry(1, "kept");
     net.settle();
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_newcomer_gets_no_seat_beside_that_of_a_machine_just_lost() {
+fn a_joiner_gets_no_vote_beside_that_of_a_machine_just_lost() {
     let mut net = Net::founded();
     net.propose_entry(1, "kept");
     net.settle();
--- a/crates/chain/tests/founding.rs
+++ b/crates/chain/tests/founding.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_member_that_bound_itself_to_a_founding_goes_through_with_it() {
+fn a_member_that_bound_itself_to_a_bootstrap_goes_through_with_it() {
     let mut net = Net::new(&[1, 2, 3]);
     while net.disks.values().all(|disk| disk.meta.accepted_number == 0) {
         net.pass(50);
--- a/crates/chain/tests/full.rs
+++ b/crates/chain/tests/full.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn after_a_fault_that_is_no_lack_of_room_the_file_is_not_touched_again() {
+fn after_a_fault_that_is_no_lack_of_capacity_the_file_is_not_touched_again() {
     let platter = Platter::new(Vec::new(), u64::MAX);
     drop(Store::open_on(platter.clone(), "posta", node()).unwrap());
     let image = platter.0.lock().unwrap().synced.clone();
--- a/crates/chain/tests/members.rs
+++ b/crates/chain/tests/members.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_decision_begun_and_left_open_is_finished_by_another() {
+fn a_decision_started_and_left_open_is_finished_by_another() {
     let mut net = Net::founded();
     let mut next = net.members[&1].view().clone();
     next.number += 1;
--- a/crates/chain/tests/power.rs
+++ b/crates/chain/tests/power.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn whatever_the_moment_the_power_goes_everything_acknowledged_is_there_whole() {
+fn whatever_the_moment_the_power_goes_everything_acknowledged_is_there_completely() {
     const BATCHES: u64 = 6;
     let begun = Disk::new(Vec::new(), u64::MAX);
     assert_eq!(until_the_loss(&begun, 0, 2), Some(2));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn whatever_the_moment_in_the_installing_of_a_checkpoint_the_disk_holds_the_old_or_the_new_never_both() {
+fn whatever_the_moment_in_the_installing_of_a_snapshot_the_disk_holds_the_old_or_the_new_never_both() {
     let begun = Disk::new(Vec::new(), u64::MAX);
     {
         let (mut store, _) = Store::open_on(begun.clone(), "posta", node()).unwrap();
--- a/crates/chain/tests/rejoin.rs
+++ b/crates/chain/tests/rejoin.rs
@@ -5,7 +5,7 @@
 use net::Net;
 
 #[test]
-fn a_member_out_for_seconds_is_sent_what_it_missed_and_one_with_another_history_a_checkpoint() {
+fn a_member_out_for_seconds_is_sent_what_it_missed_and_one_with_another_history_a_snapshot() {
     let mut net = Net::founded();
     (0..50).for_each(|n| _ = net.propose_entry(1, &format!("before {n}")));
     net.pass(500);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_member_is_back_soon_after_the_one_link_that_kept_it_out_is_mended() {
+fn a_member_is_back_soon_after_the_one_link_that_kept_it_out_is_repaired() {
     let mut net = Net::founded();
     net.pairs = vec![(1, 2)];
     net.pass(20_000);
--- a/crates/chain/tests/seats.rs
+++ b/crates/chain/tests/seats.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_machine_that_is_gone_loses_its_seat_and_one_in_its_place_gets_it() {
+fn a_machine_that_is_gone_loses_its_vote_and_one_in_its_place_gets_it() {
     let mut net = grown(6);
     net.members.remove(&4);
     net.pass(5000);
--- a/crates/chain/tests/stored_format.rs
+++ b/crates/chain/tests/stored_format.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_file_of_record_format_one_is_read_whole() {
+fn a_file_of_record_format_one_is_read_completely() {
     let folder = std::env::temp_dir().join(format!("heronlink-stored-format-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("registry.redb");
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -89,7 +89,7 @@
         let call = ApiCall::Change { op: op.clone(), base, revision, full, scope, items, dry };
         let reply = self.operators.call(call).await;
         if reply.status != 200 {
-            events::event!(change_refused, "operation {op}: {}", reply.status);
+            events::event!(change_rejected, "operation {op}: {}", reply.status);
         }
         answer(reply, Some(&op))
     }
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -81,22 +81,22 @@
             ControlMessage::Link(_) | ControlMessage::Stop => None,
             ControlMessage::Disk(DiskReport::Written { ticket }) => Some(CoreInput::Written { ticket }),
             ControlMessage::Disk(DiskReport::Failed(fault)) => {
-                event!(disk_fault, "{fault}");
+                event!(disk_failed, "{fault}");
                 Some(CoreInput::DiskError)
             }
             ControlMessage::Disk(DiskReport::Recovered { stored }) => {
-                event!(disk_back, "at entry {}", stored.last);
+                event!(disk_recovered, "at entry {}", stored.last);
                 Some(CoreInput::DiskRecovered { stored })
             }
             ControlMessage::Seeds(Ok(seeds)) => {
-                event!(settings_taken, "seeds {}", seeds.join(","));
+                event!(settings_applied, "seeds {}", seeds.join(","));
                 self.seeds = seeds;
                 let view = self.core.member().view().clone();
                 self.dial(&view);
                 None
             }
             ControlMessage::Seeds(Err(fault)) => {
-                event!(settings_refused, "{fault}");
+                event!(settings_rejected, "{fault}");
                 None
             }
             ControlMessage::Call { call, reply } => {
@@ -136,7 +136,7 @@
                 }
                 CoreOutput::Write { ticket, batch } => {
                     if !self.disk.write(ticket, batch) {
-                        event!(disk_fault, "the disk's thread takes no more writes");
+                        event!(disk_failed, "the disk's thread takes no more writes");
                     }
                 }
                 CoreOutput::Reply { request_id, reply } => {
@@ -158,10 +158,12 @@
                     self.dial(&view);
                     let _ = self.optimizer.send(OptimizerMessage::ViewAdopted { view });
                 }
-                CoreOutput::CaughtUp { missed_entries: Some(count) } => event!(missed_taken, "{count} entries"),
-                CoreOutput::CaughtUp { missed_entries: None } => event!(copy_installed),
+                CoreOutput::CaughtUp { missed_entries: Some(count) } => {
+                    event!(missed_entries_applied, "{count} entries")
+                }
+                CoreOutput::CaughtUp { missed_entries: None } => event!(snapshot_installed),
                 CoreOutput::Activated { step } => {
-                    event!(step_activated, "step {step}");
+                    event!(epoch_activated, "step {step}");
                     self.tell_active(step);
                 }
             }
@@ -199,7 +201,7 @@
     /// A planned stop: the chain goes on without this member by a view it proposes itself, which
     /// also names the optimizer's next host. It waits for that view, but not for long.
     async fn leave(mut self, begun: Instant, inbox: &mut Inbox<ControlMessage>) {
-        event!(stopping);
+        event!(shutdown_started);
         let outputs = self.core.step(begun.elapsed(), CoreInput::Leave);
         self.execute(outputs);
         let until = Instant::now() + LEAVE;
--- a/crates/control/src/membership_log.rs
+++ b/crates/control/src/membership_log.rs
@@ -47,7 +47,7 @@
                     event!(member_leaving, "{id:016x} at {address}, zone {zone}; roster {membership} of {count}")
                 }
                 MemberChange::Lapsed => {
-                    event!(member_lapsed, "{id:016x} at {address}, zone {zone}; roster {membership} of {count}")
+                    event!(lease_expired, "{id:016x} at {address}, zone {zone}; roster {membership} of {count}")
                 }
             }
         }
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -54,7 +54,7 @@
                 let tunes = matches!(message, PlanMessage::Measures { .. } | PlanMessage::Tuned { .. });
                 for planned in planner.step(begun.elapsed(), host.me, from, message, host.solve) {
                     if let Some(fault) = planned.fault {
-                        event!(plan_fault, "{fault}");
+                        event!(plan_failed, "{fault}");
                     }
                     let order = LinkOrder::Send { to: planned.to, message: Message::Plan(planned.message) };
                     if host.links.send(order).is_err() {
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -219,7 +219,7 @@
     loop {
         match Store::open(file, cluster, newcomer.clone()) {
             Err(fault) if fault.is_disk_full() => {
-                event!(disk_waited, "{fault}");
+                event!(disk_full_at_start, "{fault}");
                 std::thread::sleep(REOPEN_INTERVAL);
             }
             opened => return opened,
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_taken_change_is_remembered_for_its_whole_time_however_often_it_was_refused() {
+fn a_taken_change_is_remembered_for_its_full_time_however_often_it_was_refused() {
     let mut state = State::new();
     let early = declare("early", Some(3), 9, 1);
     (1..=100).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_file_stays_far_below_the_disk_under_hundreds_of_whole_configurations() {
+fn the_file_stays_far_below_the_disk_under_hundreds_of_complete_configurations() {
     let folder = folder("disk-bound");
     let path = folder.join("registry.redb");
     let mut registry = Registry::open(&path);
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_read_that_was_begun_anew_takes_no_late_page_of_its_first_try() {
+fn a_read_that_was_started_anew_takes_no_late_page_of_its_first_try() {
     let mut now = Duration::from_millis(10);
     let mut core = registry(&[3, 2, 1]);
     let first =
--- a/crates/control/tests/membership_log.rs
+++ b/crates/control/tests/membership_log.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn joins_leaves_and_lapses_are_told_once_each() {
+fn joins_leaves_and_lapses_are_reported_once_each() {
     let (mut state, mut membership) = (State::new(), MembershipLog::default());
     assert_eq!(activation_sent(&mut membership, &state), []);
     propose(&mut state, &join(1, 1));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_router_started_again_is_told_as_joined_and_its_old_lapse_as_nothing() {
+fn a_router_started_again_is_reported_as_joined_and_its_old_lapse_as_nothing() {
     let (mut state, mut membership) = (State::new(), MembershipLog::default());
     propose(&mut state, &join(1, 1));
     assert_eq!(activation_sent(&mut membership, &state), [], "what is found at the first look is no change");
--- a/crates/dispatch/tests/kept.rs
+++ b/crates/dispatch/tests/kept.rs
@@ -33,7 +33,7 @@
 #[test_case("HTTP/1.1 200 OK\nx-id: {id}\ncontent-length: 4\n\ndone and more"; "bytes after the end")]
 #[test_case("HTTP/1.1 200 OK\nx-id: {id}\nkeep-alive: timeout=0\ncontent-length: 4\n\ndone"; "it is kept for no time")]
 #[test_case("HTTP/1.0 200 OK\nx-id: {id}\ncontent-length: 4\n\ndone"; "an old version")]
-fn a_whole_answer_stands_though_its_connection_is_dropped(first: &str) {
+fn a_complete_answer_stands_though_its_connection_is_dropped(first: &str) {
     run(async {
         let instance = StandIn::start(vec![vec![answer(first)], vec![answer(GOOD)]]).await;
         let dispatcher = dispatcher();
--- a/crates/dispatch/tests/outcomes.rs
+++ b/crates/dispatch/tests/outcomes.rs
@@ -20,14 +20,14 @@
 #[test_case("HTTP/1.1 400 Bad\nx-id: {id}\nx-not-run: 1\ncontent-length: 0\n\n", 400; "a request it cannot read")]
 #[test_case("HTTP/1.1 200 OK\nx-id: {id}\ntransfer-encoding: chunked\n\n2\nok\n0\n\n", 200; "chunks")]
 #[test_case("HTTP/1.1 100 Go on\n\nHTTP/1.1 200 OK\nx-id: {id}\ncontent-length: 0\n\n", 200; "after an interim one")]
-fn a_whole_answer_is_passed_on(words: &str, wanted: u16) {
+fn a_complete_answer_is_passed_on(words: &str, wanted: u16) {
     assert_eq!(status(&outcome(answer(words))), wanted);
 }
 
 #[test_case("HTTP/1.1 503 Full\nx-id: {id}\nx-not-run: 1\ncontent-length: 0\n\n", false; "full")]
 #[test_case("HTTP/1.1 429 Many\nx-id: {id}\nx-not-run: 1\ncontent-length: 0\n\n", false; "too many")]
 #[test_case("HTTP/1.1 421 Other\nx-id: {id}\ncontent-length: 0\n\n", true; "another instance")]
-fn an_instances_own_word_says_that_it_did_not_run(words: &str, wrong_instance: bool) {
+fn an_instances_own_reply_says_that_it_did_not_run(words: &str, wrong_instance: bool) {
     assert_eq!(outcome(answer(words)), DispatchOutcome::NotRun { wrong_instance });
 }
 
--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -1,6 +1,8 @@
 //! Numbered events: every log line a daemon writes is one of these, and `docs/events.md` lists
 //! the same numbers with what an operator should make of them.
 
+#![warn(missing_docs)]
+
 mod list;
 mod setup;
 
--- a/crates/hollow/tests/parts.rs
+++ b/crates/hollow/tests/parts.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn counts_are_told_apart_by_who_way_and_kind_and_since_when() {
+fn counts_are_kept_apart_by_who_way_and_kind_and_since_when() {
     let mut tally = Tally::default();
     tally.add("tail", Way::In, "hold.renew", 2, 100);
     let before = tally.clone();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_line_and_a_square_are_told_by_their_powers() {
+fn a_line_and_a_square_are_distinguished_by_their_powers() {
     let line: Vec<(f64, f64)> = [10.0, 50.0, 200.0].into_iter().map(|x| (x, 3.0 * x)).collect();
     let fitted = fit(&line).unwrap();
     assert!((fitted.each - 3.0).abs() < 1e-9 && fitted.at_zero.abs() < 1e-6 && (fitted.power - 1.0).abs() < 1e-9);
@@ -57,7 +57,7 @@
 #[test_case("run --nodes 2 --routers 2", "--nodes 2: more hollow nodes"; "no hollow node")]
 #[test_case("run --speed 9", "no flag --speed"; "no such flag")]
 #[test_case("walk", "say run, books"; "no such work")]
-fn what_is_out_of_range_is_told_in_one_line(words: &str, expected: &str) {
+fn what_is_out_of_range_is_reported_in_one_line(words: &str, expected: &str) {
     let told = order(words).err().unwrap();
     assert!(told.starts_with(expected) && !told.contains('\n'), "{told}");
 }
--- a/crates/hollow/tests/shape.rs
+++ b/crates/hollow/tests/shape.rs
@@ -77,7 +77,7 @@
 #[test_case(4; "4 members")]
 #[test_case(50; "50 members")]
 #[test_case(430; "430 members")]
-fn renewals_do_not_grow_with_members_and_nobody_beats_for_nothing(members: u64) {
+fn renewals_do_not_grow_with_members_and_nobody_sends_heartbeats_for_nothing(members: u64) {
     let counts = sent(members, 0);
     assert_eq!(counts.get("renewals"), Some(&8), "{counts:?}");
     assert_eq!(counts.get("other words to the core"), None, "{counts:?}");
--- a/crates/leases/tests/follower.rs
+++ b/crates/leases/tests/follower.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn leaving_is_said_again_until_the_roster_shows_it() {
+fn leaving_is_said_again_until_the_membership_shows_it() {
     let mut one = follower(1);
     let says = |outputs: &[FollowerOutput]| {
         outputs.iter().any(|o| matches!(o, FollowerOutput::ToRegistry { message: LeaseMessage::Leaving, .. }))
--- a/crates/leases/tests/membership.rs
+++ b/crates/leases/tests/membership.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn machines_far_weaker_than_the_strongest_carry_nothing_and_their_loss_moves_nothing() {
+fn machines_far_weaker_than_the_strongest_forward_nothing_and_their_loss_moves_nothing() {
     let strong = (1..=6).map(|id| line(id, 260, 100_000));
     let members: Vec<Member> = strong.chain((7..=79).map(|id| line(id, 120, 2000))).collect();
     loses_one_by_one(&members[..12]);
@@ -74,14 +74,14 @@
 }
 
 #[test]
-fn where_fewer_than_two_are_fit_all_carry_something() {
+fn where_fewer_than_two_are_fit_all_forward_something() {
     let members: Vec<Member> = (1..=5).map(|id| line(id, if id == 1 { 1000 } else { 200 }, 1000)).collect();
     loses_one_by_one(&members[1..]);
     assert_eq!(membership(members).owners().len(), 5);
 }
 
 #[test]
-fn a_leaving_machine_is_home_to_nothing_while_another_stays() {
+fn a_leaving_machine_owns_nothing_while_another_stays() {
     let (leaving, weak) = (Member { leaving: 1, ..line(1, 1000, 1000) }, line(2, 10, 10));
     let membership = membership(vec![leaving, weak.clone()]);
     assert!(names(50).iter().all(|name| membership.owner(name) == Some(weak.id)));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_roster_and_what_changed_make_the_next() {
+fn a_membership_and_what_changed_make_the_next() {
     let of = |ids: &[u64]| ids.iter().map(|id| line(*id, 260, 2000)).collect::<Vec<_>>();
     let first = membership(of(&[1, 2, 3, 5]));
     let mut lines = of(&[2, 3, 4, 5, 9]);
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_step_arrives_whole_over_a_bad_network() {
+fn a_step_arrives_complete_over_a_bad_network() {
     for seed in 0..40 {
         let mut dice = ChaCha8Rng::seed_from_u64(seed);
         let mut one = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_router_that_is_behind_takes_the_whole_configuration_in_parts() {
+fn a_router_that_is_behind_takes_the_complete_configuration_in_parts() {
     for seed in 0..40 {
         let mut dice = ChaCha8Rng::seed_from_u64(seed);
         let mut one = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
--- a/crates/links/src/service.rs
+++ b/crates/links/src/service.rs
@@ -193,6 +193,6 @@
 pub fn report(ended: Result<(), FrameError>, address: &str) {
     match ended {
         Err(FrameError::Connection(_)) | Ok(()) => {}
-        Err(error) => event!(frame_refused, "{address}: {error}"),
+        Err(error) => event!(frame_rejected, "{address}: {error}"),
     }
 }
--- a/crates/links/tests/demand.rs
+++ b/crates/links/tests/demand.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_known_peer_that_cannot_be_dialled_is_told_of_as_down() {
+fn a_known_peer_that_cannot_be_dialled_is_reported_as_down() {
     local(async {
         let mut one = peer(1).await;
         let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap().to_string();
--- a/crates/operator_client/src/folder.rs
+++ b/crates/operator_client/src/folder.rs
@@ -189,7 +189,7 @@
     }
 
     #[test]
-    fn differences_are_told_by_resource_and_field() {
+    fn differences_are_reported_by_resource_and_field() {
         let now =
             [("headcount-plans/t/f".to_owned(), json!({"min": 1, "max": 2})), ("weight-sheets/t/f".into(), json!({}))];
         let wanted = [
--- a/crates/scaler/src/demand.rs
+++ b/crates/scaler/src/demand.rs
@@ -68,7 +68,7 @@
     }
 
     #[test]
-    fn one_rare_held_task_books_one_instance_and_a_busy_function_does_not_starve() {
+    fn one_rare_queued_task_books_one_instance_and_a_busy_function_does_not_starve() {
         let sheet = WeightSheet::default();
         let rare = Level::mean([sample(0, 0.0, 1.0), sample(0, 0.0, 0.0), sample(0, 0.0, 0.0)].iter());
         let asked = demand(&[0.0], rare, &sheet)[0];
--- a/crates/scaler/src/player.rs
+++ b/crates/scaler/src/player.rs
@@ -231,7 +231,7 @@
     }
 
     #[test]
-    fn held_tasks_beyond_the_step_ask_early_but_not_more_than_once_a_second() {
+    fn queued_tasks_beyond_the_step_ask_early_but_not_more_than_once_a_second() {
         let (timing, mut player) = (PlayerTiming::default(), Player::default());
         player.step(S, 1, situation(1, 0), &timing);
         player.take(S, 1, 1, vec![1; 8], 15 * S);
--- a/crates/scaler/src/tuner_tests.rs
+++ b/crates/scaler/src/tuner_tests.rs
@@ -19,7 +19,7 @@
     Measure { boot: Duration::from_secs(40), boots: 1, refused: 0, rejections: 0, waiting: 0.0, usage: 0.5 };
 
 #[test]
-fn a_short_function_is_planned_with_more_room_slowly_and_within_its_bounds() {
+fn a_short_function_is_planned_with_more_capacity_slowly_and_within_its_bounds() {
     let (tuner, function) = after("{}", SHORT, 1);
     assert!((tuner.in_force(&function).target_usage - 0.58).abs() < 1e-9);
     let (tuner, function) = after("{}", SHORT, 4);
--- a/crates/traffic/src/caller_server_tests.rs
+++ b/crates/traffic/src/caller_server_tests.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn in_its_own_dialect_a_key_is_read_and_the_outcome_told() {
+fn in_its_own_dialect_a_key_is_read_and_the_outcome_reported() {
     let (call, response) = exchange(Words::default(), request(&[("idempotency-key", "k")], ""), done());
     assert_eq!(call.and_then(|call| call.key).as_deref(), Some("k"));
     assert_eq!(response.headers()["heronlink-outcome"], "answered");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_books_bounds_narrow_the_settings_and_are_told() {
+fn declared_bounds_narrow_the_settings_and_are_told_to_callers() {
     let bounds = bindings::CallerBounds {
         head_bytes: 12_000,
         body_bytes: 1_000_000,
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -67,7 +67,7 @@
                 message = inbox.next() => match message {
                     Some(ControlMessage::Link(event)) => self.link_event(event),
                     Some(ControlMessage::Stop) if leaving.is_none() => {
-                        event!(stopping);
+                        event!(shutdown_started);
                         self.feed(FollowerInput::Leave);
                         let (done, finished) = oneshot::channel();
                         let _ = self.traffic.send(TrafficMessage::Leave { done });
@@ -101,11 +101,11 @@
     fn follow_seeds(&mut self, seeds: Result<Vec<String>, String>) {
         match seeds {
             Ok(seeds) => {
-                event!(settings_taken, "seeds {}", seeds.join(","));
+                event!(settings_applied, "seeds {}", seeds.join(","));
                 self.seeds = seeds;
                 self.dial();
             }
-            Err(error) => event!(settings_refused, "{error}"),
+            Err(error) => event!(settings_rejected, "{error}"),
         }
     }
 
@@ -151,7 +151,7 @@
                 }
                 FollowerOutput::ToPeer { to, message } => self.send(to, message),
                 FollowerOutput::Activated { step, revision } => {
-                    event!(step_activated, "step {step} revision {revision}");
+                    event!(epoch_activated, "step {step} revision {revision}");
                     if self.booked == Some(revision) {
                         self.tell(TrafficMessage::Step(step));
                     } else {
@@ -190,9 +190,9 @@
         }
         self.logged_serving_status = self.serving_status;
         match self.serving_status {
-            ServingStatus::Waiting => event!(proof_lost),
-            ServingStatus::ByCore => event!(proof_back),
-            ServingStatus::ByPeers => event!(peer_proof),
+            ServingStatus::Waiting => event!(serving_lease_lost),
+            ServingStatus::ByCore => event!(serving_lease_renewed),
+            ServingStatus::ByPeers => event!(lease_confirmed_by_peers),
         }
     }
 
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -118,14 +118,16 @@
         }
         match outcome {
             _ if turned_away => {
-                event!(turned_away, "{instance_id}");
+                event!(instance_rejected_request, "{instance_id}");
                 scheduler.turned_away(now, instance_id);
                 scheduler.budget.turned_away(now);
                 scheduler.seen.rejections += 1;
             }
             DispatchOutcome::Complete { .. } => scheduler.took(now.saturating_sub(begun)),
-            DispatchOutcome::NotRun { .. } => event!(instance_doubted, "{instance_id}: another answers at its address"),
-            DispatchOutcome::InDoubt { detail, .. } => event!(instance_doubted, "{instance_id}: {detail}"),
+            DispatchOutcome::NotRun { .. } => {
+                event!(instance_answer_in_doubt, "{instance_id}: another answers at its address")
+            }
+            DispatchOutcome::InDoubt { detail, .. } => event!(instance_answer_in_doubt, "{instance_id}: {detail}"),
             DispatchOutcome::NotSent | DispatchOutcome::Crowded => {}
         }
         let replaced = *outcome == DispatchOutcome::NotRun { wrong_instance: true };
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -37,7 +37,7 @@
                     }
                 }
                 None if mine => {
-                    event!(home_taken, "{}", function.name);
+                    event!(function_owner_changed, "{}", function.name);
                     let mut scheduler =
                         FunctionScheduler::new(now, function.clone(), self.membership.number, &self.timing.allowances);
                     scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, &function.name));
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -26,8 +26,8 @@
             ProviderReport::Stopped { id, receipt } => self.stop_reported(&id, receipt),
             ProviderReport::Listed { listing, .. } => self.read(listing, listed_at),
             ProviderReport::Workers { lines, .. } => self.workers_read(lines, listed_at),
-            ProviderReport::ListError => event!(platform_refused, "list"),
-            ProviderReport::WorkersError => event!(platform_refused, "workers"),
+            ProviderReport::ListError => event!(platform_call_failed, "list"),
+            ProviderReport::WorkersError => event!(platform_call_failed, "workers"),
         }
     }
 
--- a/crates/traffic/src/serving_lease.rs
+++ b/crates/traffic/src/serving_lease.rs
@@ -33,7 +33,7 @@
     use super::*;
 
     #[test]
-    fn a_pass_fits_one_step_and_ends_on_time() {
+    fn a_serving_lease_fits_one_step_and_ends_on_time() {
         let cell = ServingLease::default();
         let ms = Duration::from_millis;
         assert!(!cell.holds(ms(0), 0));
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -127,22 +127,22 @@
             StartReply::Unanswered => {
                 pending.resends += 1;
                 pending.retry_at = now + START_RETRY_INTERVAL * 2u32.pow(pending.resends.min(4));
-                event!(platform_refused, "start {nonce} unanswered");
+                event!(platform_call_failed, "start {nonce} unanswered");
                 if pending.resends >= MAX_START_ATTEMPTS {
                     scheduler.instances.remove(nonce);
                 }
             }
             StartReply::Limited => {
-                event!(platform_refused, "start {nonce}: too many calls");
+                event!(platform_call_failed, "start {nonce}: too many calls");
                 pending.retry_at = now + LIMITED_PAUSE;
             }
             StartReply::Refused => {
-                event!(platform_refused, "start {nonce} refused");
+                event!(platform_call_failed, "start {nonce} refused");
                 scheduler.instances.remove(nonce);
                 scheduler.refused_until = now + REFUSED_PAUSE;
             }
             StartReply::NoRoom => {
-                event!(platform_refused, "start {nonce}: no room on {}", instance.worker);
+                event!(platform_call_failed, "start {nonce}: no room on {}", instance.worker);
                 pending.hops += 1;
                 let hops = pending.hops;
                 let worker = std::mem::take(&mut instance.worker);
--- a/crates/traffic/tests/answers.rs
+++ b/crates/traffic/tests/answers.rs
@@ -43,7 +43,7 @@
 #[test_case("HTTP/1.1 200 OK\ntransfer-encoding: chunked\n\n5\nwhole\n0\n\n", 200, "whole"; "chunks to their end")]
 #[test_case("HTTP/1.1 204 No Content\n\n", 204, ""; "no content")]
 #[test_case("HTTP/1.1 503 Busy\ncontent-length: 0\n\n", 503, ""; "its own refusal")]
-fn a_whole_answer_is_passed_on(words: &str, wanted: u16, text: &str) {
+fn a_complete_answer_is_passed_on(words: &str, wanted: u16, text: &str) {
     match outcome(http(words)) {
         DispatchOutcome::Complete { status, body, turned_away, .. } => {
             assert_eq!((status, body, turned_away), (wanted, text.as_bytes().to_vec(), wanted == 503));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_oversized_answer_is_in_doubt_and_a_closed_door_was_never_sent_to() {
+fn an_oversized_answer_is_in_doubt_and_a_closed_listener_was_never_sent_to() {
     let mut long = http("HTTP/1.1 200 OK\ncontent-length: 5000000\n\n");
     long.extend(std::iter::repeat_n(b'x', 5_000_000));
     assert!(matches!(outcome(long), DispatchOutcome::InDoubt { .. }));
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -76,7 +76,7 @@
 
 /// The links are reset while an instance runs the request, and the next one garbles its answer too.
 #[test]
-fn two_homes_in_a_row_send_it_to_no_more_instances_than_its_route_allows() {
+fn two_owners_in_a_row_send_it_to_no_more_instances_than_its_route_allows() {
     let mut front = front(2);
     let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut first = owner(OTHER, 2);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_home_may_send_it_again_once_its_front_grants_it() {
+fn an_owner_may_send_it_again_once_its_front_grants_it() {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut owner = owner(OTHER, 2);
@@ -139,7 +139,7 @@
 
 /// A front that lost two owners has no attempt left to grant.
 #[test]
-fn with_no_attempt_left_the_caller_is_told_at_once() {
+fn with_no_attempt_left_the_caller_is_answered_at_once() {
     let mut front = front(2);
     assert!(forwarded(&common::send_request(&mut front, 5, true, "/t/f")).is_some());
     let outputs = front.step(ms(20), true, FrontInput::Membership { membership: membership(2, &[THIRD]) });
@@ -165,7 +165,7 @@
 
 /// Instances that turned it away were sent it: the next owner may send it to so many fewer.
 #[test]
-fn what_was_turned_away_before_it_is_given_back_stays_counted() {
+fn what_was_rejected_before_it_is_given_back_stays_counted() {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut owner = owner(OTHER, 2);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_home_that_gives_it_back_keeps_what_it_used() {
+fn an_owner_that_gives_it_back_keeps_what_it_used() {
     let mut front = front(2);
     let (task, _) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     tell(&mut front, OTHER, 10, ForwardMessage::Returned { task, attempts: 1 });
@@ -208,7 +208,7 @@
 /// Its function moves while an instance has it: no further attempt is made here, and its caller is not
 /// kept waiting for one.
 #[test]
-fn a_home_that_leaves_answers_a_failed_attempt_at_once() {
+fn an_owner_that_leaves_answers_a_failed_attempt_at_once() {
     let mut front = front(2);
     let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut owner = owner(OTHER, 2);
--- a/crates/traffic/tests/budget.rs
+++ b/crates/traffic/tests/budget.rs
@@ -5,7 +5,7 @@
 use traffic::{Allowances, Budget, Max, Spent, UnprovenLimit};
 
 #[test]
-fn second_tries_stay_below_a_fifth_and_sixty_in_every_ten_seconds() {
+fn retries_stay_below_a_fifth_and_sixty_in_every_ten_seconds() {
     let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(5);
     let allowances = Allowances::default();
     let mut budget = Budget::new(Duration::ZERO, &allowances);
@@ -54,7 +54,7 @@
 /// Instances turn everything away, in times drawn anew; an owner crashes in between and the next
 /// one begins without its count.
 #[test]
-fn an_old_home_and_the_next_stay_within_eleven_though_every_task_is_turned_away() {
+fn an_old_owner_and_the_next_stay_within_eleven_though_every_task_is_rejected() {
     for seed in 0..40u64 {
         let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         let mut unproven = UnprovenLimit::new(Duration::ZERO, &Allowances::default());
@@ -87,7 +87,7 @@
 
 /// A table is as old as its last copy: the owner it was kept for has spent more since.
 #[test]
-fn a_home_that_begins_from_a_kept_copy_spends_only_its_own_part_at_first() {
+fn an_owner_that_begins_from_a_standby_copy_spends_only_its_own_part_at_first() {
     let (at, now) = (Duration::from_secs(20), Duration::from_millis(20_400));
     let most = Max { known: 7, at_first: 4 };
     let mut spent = Spent::new(now, Duration::from_secs(5), Duration::from_secs(5));
--- a/crates/traffic/tests/earlier_owners.rs
+++ b/crates/traffic/tests/earlier_owners.rs
@@ -26,7 +26,7 @@
 
 /// Each is the owner for a second, sends all that it may of a backlog in doubt, and is killed.
 #[test]
-fn any_number_of_homes_in_one_window_stay_within_the_slack() {
+fn any_number_of_owners_in_one_window_stay_within_the_slack() {
     let backlog: Vec<u64> = (0..100).collect();
     let owners = 8;
     let mut retries = Vec::new();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn each_home_may_spend_half_of_what_the_one_before_it_might() {
+fn each_owner_may_spend_half_of_what_the_one_before_it_might() {
     let spent: Vec<usize> = (1..7).map(|owners| most_at_first(EarlierOwners::Bounded(owners))).collect();
     assert_eq!(spent, [15, 7, 3, 1, 0, 0]);
     assert_eq!(most_at_first(EarlierOwners::Bounded(u32::MAX)), 0);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_machine_that_has_just_started_cannot_tell_how_many_homes_there_were() {
+fn a_machine_that_has_just_started_cannot_tell_how_many_owners_there_were() {
     let mut history = MembershipHistory::new(WINDOW);
     assert_eq!(history.earlier_homes(ms(20_000), FUNCTION), EarlierOwners::Unknown);
     history.add(ms(500), membership(7, &[1]));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn homes_are_counted_by_the_rosters_of_the_last_window() {
+fn owners_are_counted_by_the_memberships_of_the_last_window() {
     let mut history = MembershipHistory::new(WINDOW);
     history.add(ms(0), membership(1, &[1]));
     history.add(ms(20_000), membership(2, &[2]));
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_task_whose_home_was_lost_is_never_called_not_run() {
+fn a_task_whose_owner_was_lost_is_never_called_not_run() {
     let mut front = front(1, OTHER);
     send_request(&mut front, 5, true, "/t/f");
     front.step(ms(20), true, FrontInput::Link { id: OTHER, up: false });
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_home_lets_a_carry_in_once_however_often_it_comes() {
+fn an_owner_lets_a_forward_in_once_however_often_it_comes() {
     let mut owner = FunctionOwner::new(OTHER, 1, OwnerTiming::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn one_home_reads_and_the_others_know_by_what_it_tells() {
+fn one_owner_reads_and_the_others_know_by_what_it_tells() {
     let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(5000);
     assert_eq!(all.looks.keys().copied().collect::<Vec<_>>(), [first()], "{:?}", all.looks);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_home_that_missed_a_change_asks_for_the_whole() {
+fn an_owner_that_missed_a_change_asks_for_the_complete_inventory() {
     let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(2000);
     all.deaf = IDS.into_iter().find(|id| *id != first());
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_home_that_begins_without_a_table_reads_a_list_of_its_own_after_it() {
+fn an_owner_that_begins_without_a_table_reads_a_list_of_its_own_after_it() {
     let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(2000);
     let lost = all.owner();
--- a/crates/traffic/tests/lapse.rs
+++ b/crates/traffic/tests/lapse.rs
@@ -8,7 +8,7 @@
 use wire::ForwardMessage;
 
 #[test]
-fn stored_tasks_held_before_the_lapse_are_sent_only_as_the_store_tells_of_them() {
+fn stored_tasks_queued_before_the_lapse_are_sent_only_as_the_store_tells_of_them() {
     let mut owner = owner();
     let outputs = owner.step(ms(1), true, forward(7));
     owner.step(ms(2), true, granted(&outputs));
@@ -34,7 +34,7 @@
 
 /// Cut off for longer than an adoption lasts, it does not go on by itself once its hold is back.
 #[test]
-fn a_home_without_a_hold_waits_for_the_table_of_the_home_between_however_long() {
+fn an_owner_without_a_lease_waits_for_the_table_of_the_owner_between_however_long() {
     let mut owner = owner();
     owner.step(ms(3000), false, OwnerInput::Lapsed);
     for at in (3020..9000).step_by(20) {
@@ -51,7 +51,7 @@
 
 /// It is the owner again before it has finished: another was owner in between and has counts of its own.
 #[test]
-fn a_home_that_is_home_again_while_it_leaves_begins_anew() {
+fn an_owner_that_owns_again_while_it_leaves_begins_anew() {
     let mut owner = owner();
     let outputs = owner.step(ms(1), true, forward(7));
     owner.step(ms(2), true, granted(&outputs));
@@ -64,7 +64,7 @@
 
 /// Its answer is known, but the store may not have heard of it when the next owner reads.
 #[test]
-fn what_is_still_being_finished_is_told_as_sent() {
+fn what_is_still_being_finished_is_reported_as_sent() {
     let mut owner = owner();
     let outputs = owner.step(ms(1), true, forward(7));
     owner.step(ms(2), true, granted(&outputs));
--- a/crates/traffic/tests/owner_liveness.rs
+++ b/crates/traffic/tests/owner_liveness.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_home_beats_the_fronts_whose_tasks_it_has_and_whoever_asks() {
+fn an_owner_sends_heartbeats_to_the_fronts_whose_tasks_it_has_and_whoever_asks() {
     let mut owner = FunctionOwner::new(OTHER, 1, OwnerTiming::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER, 3, 4, 5, 6]) });
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_home_is_good_until_it_was_silent_after_a_carry() {
+fn an_owner_is_good_until_it_was_silent_after_a_forward() {
     let mut front = front(1, OTHER);
     forward(&send_request(&mut front, 60_000, true, "/t/f"));
     forward(&send_request(&mut front, 60_300, true, "/t/f"));
--- a/crates/traffic/tests/placement.rs
+++ b/crates/traffic/tests/placement.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_first_goes_to_the_homes_own_zone_and_the_emptier_worker() {
+fn the_first_goes_to_the_owners_own_zone_and_the_emptier_worker() {
     let lines = vec![worker("w0", "b", 4096, true), worker("w1", "a", 2048, true), worker("w2", "a", 4096, true)];
     let mut owner = Supplied::new(1, lines);
     owner.pass(200);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_worker_without_room_is_passed_over_at_once_under_the_same_nonce() {
+fn a_worker_without_capacity_is_passed_over_at_once_under_the_same_nonce() {
     let mut owner = Supplied::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_backlog_in_doubt_is_still_in_doubt_at_the_home_after_the_next() {
+fn a_backlog_in_doubt_is_still_in_doubt_at_the_owner_after_the_next() {
     let mut first = after_a_crash(ME);
     let at_once = sent(&read(&mut first, 20, &BACKLOG));
     assert!((1..BACKLOG.len()).contains(&at_once), "some are sent, the others wait: {at_once}");
@@ -60,7 +60,7 @@
 
 /// Only part of a long backlog is read in at once.
 #[test]
-fn what_the_home_before_told_and_is_not_read_yet_is_told_on() {
+fn what_the_owner_before_reported_and_is_not_read_yet_is_reported_on() {
     let mut owner = owner();
     let begun_before = BACKLOG.iter().map(|number| stored(*number).as_str().into()).collect::<Vec<_>>();
     owner.step(ms(1), true, given(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }));
@@ -71,7 +71,7 @@
 
 /// The owner before told of two; the store no longer lists the second.
 #[test]
-fn what_the_store_no_longer_lists_is_told_no_longer() {
+fn what_the_store_no_longer_lists_is_reported_no_longer() {
     let mut owner = owner();
     let begun_before = vec![stored(1).as_str().into(), stored(2).as_str().into()];
     owner.step(ms(1), true, given(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_task_is_told_until_the_store_has_recorded_that_it_is_finished() {
+fn a_task_is_reported_until_the_store_has_recorded_that_it_is_finished() {
     let mut owner = after_a_crash(ME);
     read(&mut owner, 20, &[]);
     let outputs = owner.step(ms(30), true, forward(7));
@@ -100,7 +100,7 @@
 
 /// The machine that is back knows nothing, and what it sent after the copy was made is in no table.
 #[test]
-fn a_kept_copy_that_is_handed_back_does_not_tell_all_that_was_sent() {
+fn a_standby_copy_that_is_handed_back_does_not_tell_all_that_was_sent() {
     let mut keeper = owner();
     keeper.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     keeper.step(ms(10), true, given(OwnershipTable { is_standby_copy: 1, is_started_complete: 1, ..table(2) }));
@@ -120,7 +120,7 @@
 
 /// The store was asked, then another was owner and sent what was stored since; the answer comes late.
 #[test]
-fn a_listing_from_before_another_was_home_is_not_taken() {
+fn a_listing_from_before_another_was_owner_is_not_taken() {
     let mut owner = after_a_crash(ME);
     let request_id = asked(&owner.step(ms(20), true, OwnerInput::Tick)).expect("reads the store");
     owner.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -73,7 +73,7 @@
 
 #[test_case(doubt(false), 502; "no whole answer")]
 #[test_case(doubt(true), 504; "out of time")]
-fn in_doubt_it_is_told_at_once_and_never_sent_again(came: DispatchOutcome, status: u16) {
+fn in_doubt_it_is_reported_at_once_and_never_sent_again(came: DispatchOutcome, status: u16) {
     let (mut owner, first) = owner(3);
     let outputs = outcome(&mut owner, &first, came);
     assert_eq!((reported(&outputs), sent(&outputs)), (Some((Outcome::Unknown, status, 0)), None));
@@ -99,7 +99,7 @@
 
 #[test_case(false; "full")]
 #[test_case(true; "another instance")]
-fn turned_away_by_the_only_one_it_may_go_to_it_is_refused_with_a_time(wrong_instance: bool) {
+fn rejected_by_the_only_one_it_may_go_to_it_is_refused_with_a_time(wrong_instance: bool) {
     let (mut owner, first) = owner(1);
     let outputs = outcome(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance });
     let (outcome, status, again) = reported(&outputs).expect("told at once");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn turned_away_it_goes_to_another_where_it_may() {
+fn rejected_it_goes_to_another_where_it_may() {
     let (mut owner, first) = owner(2);
     let second = outcome(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance: false });
     assert_ne!(sent(&first).map(|order| order.1), sent(&second).map(|order| order.1));
@@ -126,7 +126,7 @@
 
 #[test_case(FrontInput::Link { id: OTHER, up: false }; "unlinked")]
 #[test_case(FrontInput::Membership { membership: membership(2, &[3]) }; "declared lost")]
-fn a_home_that_is_lost_may_have_run_it(lost: FrontInput) {
+fn an_owner_that_is_lost_may_have_run_it(lost: FrontInput) {
     let mut front = front();
     let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
     let outputs = front.step(ms(20), true, lost);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_its_home_gives_back_is_carried_on() {
+fn what_its_owner_gives_back_is_forwarded_on() {
     let mut front = front();
     let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
     front.step(ms(20), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::NotOwner { task } });
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_home_that_loses_its_hold_gives_back_only_what_no_instance_has_seen() {
+fn an_owner_that_loses_its_lease_gives_back_only_what_no_instance_has_seen() {
     let (mut owner, first) = owner(3);
     assert!(sent(&first).is_some());
     let outputs = owner.step(ms(30), false, OwnerInput::Lapsed);
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_next_home_begins_at_once_from_the_table_it_kept() {
+fn the_next_owner_begins_at_once_from_the_table_it_kept() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     assert!(dispatched(&owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
     let mut bare = after_the_crash(None);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_former_home_that_wakes_is_refused_by_its_rosters_number() {
+fn a_former_owner_that_wakes_is_refused_by_its_membership_number() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     let ready = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["ready"].as_u64();
     assert_eq!(ready(&mut owner), Some(1));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_was_not_dispatched_goes_back_when_the_hold_has_lapsed() {
+fn what_was_not_dispatched_goes_back_when_the_lease_has_lapsed() {
     let mut owner = after_the_crash(None);
     owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: task(7) });
     let outputs = owner.step(ms(2002), false, OwnerInput::Lapsed);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_silent_home_is_carried_nothing_and_its_tasks_are_never_in_doubt() {
+fn a_silent_owner_is_forwarded_nothing_and_its_tasks_are_never_in_doubt() {
     let mut front = front(1, OTHER);
     front.step(ms(100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
     forward(&send_request(&mut front, 200, true, "/t/f"));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_home_that_had_lapsed_waits_for_the_table_of_the_home_between() {
+fn an_owner_that_had_lapsed_waits_for_the_table_of_the_owner_between() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     owner.step(ms(3000), false, OwnerInput::Lapsed);
     assert!(!dispatched(&owner.step(ms(3001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_pending_wish_goes_over_to_the_next_home_under_its_nonce() {
+fn a_pending_wish_goes_over_to_the_next_owner_under_its_nonce() {
     let mut owner = Supplied::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
