--- a/crates/traffic/src/admission.rs
+++ b/crates/traffic/src/admission.rs
@@ -1,5 +1,6 @@
-//! Letting a forwarded request in: is this its owner, is there room, what does its class ask first. A
-//! forwarded request has a number of its own and is admitted once, however often its frame comes.
+//! Admission of forwarded requests: checks that this router owns the function, that the function's queue has room,
+//! and what the request's class requires before it may run. A forwarded request carries its own number and is
+//! admitted once, however often its frame arrives.
 
 use crate::function_owner::FunctionOwner;
 use crate::owner_types::{OwnedRequest, OwnerOutput, Place, TaskId};
@@ -10,12 +11,14 @@
 use std::time::Duration;
 use wire::{ForwardMessage, ForwardRequest, NodeId, Outcome};
 
-/// No binding is named so: the names of its tenant and its own are parted by one slash.
+/// Scope prefix for the keys of consumers. No binding has this name, since binding names are `tenant/name`.
 const CONSUMER_SCOPE: &str = "consumer";
+/// Number of binding ranks within one consumer rank.
 const RANKS_OF_BINDINGS: u32 = 10_000;
 const MAX_CONSUMER_RANK: u32 = 10_000;
 
 impl FunctionOwner {
+    /// Admits a request from a front: queues it, answers it, or starts the store operation that its class needs.
     pub(crate) fn admit(&mut self, from: NodeId, request: ForwardRequest, consumer: &str) {
         let ForwardRequest { task, function, binding, left_ms, resends, attempts, respond_async, key, head, body } =
             request;
@@ -89,18 +92,20 @@
     }
 }
 
-/// Under what a request with a key is one operation: a consumer's key is the same operation on whichever route.
+/// Returns the scope in which a key identifies one operation. A consumer's key is the same operation on every route.
 fn scope(binding: &str, consumer: &str, key: &str) -> String {
     if consumer.is_empty() { format!("{binding}/{key}") } else { format!("{CONSUMER_SCOPE}/{consumer}/{key}") }
 }
 
-/// The order of the queue: by the consumer's rank, then by the binding's. Who is no consumer goes first.
+/// Returns the request's rank in the queue: by the consumer's rank, then by the binding's. Callers that are not
+/// consumers come first.
 fn rank(consumer: Option<u32>, binding: u32) -> u32 {
     let consumer = consumer.unwrap_or_default().min(MAX_CONSUMER_RANK);
     consumer * RANKS_OF_BINDINGS + binding.min(RANKS_OF_BINDINGS - 1)
 }
 
-/// What makes a repeat the same request: method, target and body, not the hop's own headers.
+/// Returns the digest by which a repeat is recognised as the same request. It covers method, target and body, but not
+/// the headers, which belong to a single hop.
 fn digest(head: &[u8], body: &[u8]) -> Vec<u8> {
     let mut hasher = Sha256::new();
     hasher.update(head_identity(head));
--- a/crates/traffic/src/allowances.rs
+++ b/crates/traffic/src/allowances.rs
@@ -1,25 +1,28 @@
-//! What the fleet may do beyond serving each request once, as its users set it, and the part of it
-//! that one owner takes. Owners follow each other and may know nothing of each other: any number in one
-//! window stay within the retry slack, two within the rejections.
+//! Fleet-wide limits on retries and rejections, as configured by users, and the part of each limit that one owner may
+//! use. A function's owners succeed each other, possibly without any knowledge of what earlier owners used. Together,
+//! any number of owners in one window stay within the retry slack, and two owners stay within the rejection limit.
 
 use crate::earlier_owners::EarlierOwners;
 use std::time::Duration;
 
-/// A machine's clock may run fast or slow by this part: what is spent is remembered longer than the
-/// window, what was asked shorter.
+/// Fraction by which a machine's clock may run fast or slow. Retries and rejections are therefore counted over more
+/// than the configured window, and requests over less.
 const DRIFT: f64 = 0.01;
-/// Of the ratio, the part one owner uses.
+/// Fraction of the retry ratio that one owner uses.
 const PART: f64 = 0.625;
 
+/// Configured limits on retries and rejections.
 #[derive(Clone, Debug)]
 pub struct Allowances {
-    /// Second tries allowed for each request, in any window.
+    /// Retries allowed per request, in any window.
     pub retry_ratio: f64,
-    /// Second tries allowed besides.
+    /// Retries allowed in any window in addition to the ratio.
     pub retry_slack: usize,
+    /// Length of the window in which retries are counted.
     pub retry_window: Duration,
-    /// Tasks that the instances of one function may turn away, in any window.
+    /// Maximum number of requests that the instances of one function may reject, in any window.
     pub max_rejections: usize,
+    /// Length of the window in which rejections are counted.
     pub rejection_window: Duration,
 }
 
@@ -35,21 +38,25 @@
     }
 }
 
-/// The most an owner may spend by all that it knows, and the most while it does not know all.
+/// Maximum number of retries or rejections that one owner may use in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Max {
+    /// Limit while the owner knows what earlier owners used.
     pub known: usize,
+    /// Limit while the owner may not know everything that earlier owners used.
     pub at_first: usize,
 }
 
 impl Allowances {
+    /// Returns how many retries one owner may make for this many requests, without the slack.
     pub fn share(&self, requests: usize) -> usize {
         (requests as f64 * self.retry_ratio * PART) as usize
     }
 
-    /// Of the slack, an owner that knows all spends half. Of those that do not, each spends half of what the
-    /// one before it might: however many there are in one window, together they spend no more than the
-    /// other half. One that cannot tell how many there were spends nothing of it.
+    /// Returns how much of the retry slack one owner may use. An owner that knows what earlier owners used may use
+    /// half of the slack. An owner that does not know may use half of what its predecessor could, so that any number
+    /// of such owners in one window together use no more than the other half. An owner that does not know how many
+    /// came before it uses no slack.
     pub fn spare(&self, earlier: EarlierOwners) -> Max {
         let known = self.retry_slack / 2;
         let at_first = match earlier {
@@ -59,22 +66,26 @@
         Max { known, at_first }
     }
 
+    /// Returns how many rejections one owner may cause.
     pub fn rejections(&self) -> Max {
         let known = ((self.max_rejections * 2 + 1) / 3).max(1);
         Max { known, at_first: self.max_rejections.saturating_sub(known).max(1) }
     }
 
-    /// Counts of a copy, told as those of an owner that has only its part at first left to spend.
+    /// Raises the counts of a standby copy to those of an owner that has nothing left to use beyond the limit for
+    /// owners without full knowledge.
     pub fn as_of_a_copy(&self, earlier: EarlierOwners, requests: &mut u32, retries: &mut u32, rejections: &mut u32) {
         let kept_back = |most: Max| most.known.saturating_sub(most.at_first) as u32;
         *retries = (*retries).max(self.share(*requests as usize) as u32 + kept_back(self.spare(earlier)));
         *rejections = (*rejections).max(kept_back(self.rejections()));
     }
 
+    /// Returns the window, lengthened for clock drift, over which retries and rejections are counted.
     pub fn remembered(window: Duration) -> Duration {
         window.mul_f64(1.0 + DRIFT)
     }
 
+    /// Returns the window, shortened for clock drift, over which requests are counted.
     pub fn credited(window: Duration) -> Duration {
         window.mul_f64(1.0 - DRIFT)
     }
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -1,11 +1,12 @@
-//! Sliding windows, and retries counted in them: below the users' ratio of the requests and
-//! their slack, by what this owner knows and by what it has to leave to owners it knows nothing of.
+//! Sliding windows and the retry budget. Retries stay below the configured ratio of requests plus the slack, counting
+//! what this owner knows and leaving room for what owners unknown to it may use.
 
 use crate::allowances::{Allowances, Max};
 use crate::earlier_owners::EarlierOwners;
 use std::collections::VecDeque;
 use std::time::Duration;
 
+/// Times of events within a sliding window.
 #[derive(Clone, Debug)]
 pub struct Window {
     length: Duration,
@@ -13,18 +14,22 @@
 }
 
 impl Window {
+    /// Creates an empty window of this length.
     pub fn new(length: Duration) -> Window {
         Window { length, times: VecDeque::new() }
     }
+    /// Adds an event.
     pub fn add(&mut self, now: Duration) {
         self.times.push_back(now);
     }
+    /// Drops events older than the window and returns the number of the others.
     pub fn count(&mut self, now: Duration) -> usize {
         while self.times.front().is_some_and(|time| now > *time + self.length) {
             self.times.pop_front();
         }
         self.times.len()
     }
+    /// Removes the latest event.
     pub fn take_back(&mut self) {
         self.times.pop_back();
     }
@@ -36,8 +41,8 @@
     }
 }
 
-/// What is spent in a window: all that this owner knows of, and while it does not know all that owners
-/// before it spent, its own since then.
+/// Retries or rejections within a window. Counts all that this owner knows of, and separately its own while it may not
+/// know everything that earlier owners used.
 #[derive(Clone, Debug)]
 pub struct Spent {
     all: Window,
@@ -47,26 +52,30 @@
 }
 
 impl Spent {
+    /// Creates an empty count that stays cautious for the period `careful`.
     pub fn new(now: Duration, length: Duration, careful: Duration) -> Spent {
         Spent { all: Window::new(length), own: Window::new(length), careful, careful_until: now + careful }
     }
+    /// Counts one use by this owner.
     pub fn add(&mut self, now: Duration) {
         self.all.add(now);
         self.own.add(now);
     }
+    /// Returns the known uses within the window.
     pub fn count(&mut self, now: Duration) -> usize {
         self.all.count(now)
     }
-    /// Others have spent without this owner's knowing, up to now.
+    /// Starts a cautious period: until now, other owners may have used some without this owner's knowledge.
     pub fn be_careful(&mut self, now: Duration) {
         self.own.times.clear();
         self.careful_until = now + self.careful;
     }
-    /// What others spent up to now is still not known; what this owner spent since then counts on.
+    /// Restarts the cautious period, since uses by other owners up to now are still unknown. This owner's own uses
+    /// stay counted.
     pub fn stay_careful(&mut self, now: Duration) {
         self.careful_until = now + self.careful;
     }
-    /// Another owner told of what it had spent at a moment; `whole` if it has spent nothing since.
+    /// Adds what another owner reported to have used by `at`; `whole` if it has used nothing since then.
     pub fn take_over(&mut self, now: Duration, at: Duration, count: usize, whole: bool) {
         self.all.insert(at, count);
         if whole {
@@ -75,29 +84,32 @@
             self.stay_careful(now);
         }
     }
-    /// Room by all that is known here, as if nobody else had been owner lately.
+    /// Returns what is left according to this owner's knowledge, as if there had been no other recent owner.
     pub fn known_capacity(&mut self, now: Duration, most: Max) -> usize {
         most.known.saturating_sub(self.all.count(now))
     }
-    /// Whether this owner itself has spent any lately, since it last had reason to be careful.
+    /// Returns whether this owner itself used any within the window since its cautious period last started.
     pub fn has_spent_own(&mut self, now: Duration) -> bool {
         self.own.count(now) > 0
     }
-    /// Another owner told more than it had before.
+    /// Adds uses that another owner reported in addition to its earlier report.
     pub fn learn(&mut self, now: Duration, more: usize) {
         self.all.insert(now, more);
     }
+    /// Returns what this owner may still use now.
     pub fn capacity(&mut self, now: Duration, most: Max) -> usize {
         let capacity = self.known_capacity(now, most);
         let own = most.at_first.saturating_sub(self.own.count(now));
         if now < self.careful_until { capacity.min(own) } else { capacity }
     }
-    /// What to tell the next owner: what this one may not spend it may not spend either.
+    /// Returns the count to report to the next owner, which includes what this owner may not use, since the next one
+    /// may not use it either.
     pub fn reported(&mut self, now: Duration, most: Max) -> usize {
         self.count(now).max(most.known - self.capacity(now, most))
     }
 }
 
+/// Requests and retries of one function at its owner.
 #[derive(Clone, Debug)]
 pub struct Budget {
     allowances: Allowances,
@@ -108,8 +120,8 @@
 }
 
 impl Budget {
-    /// An owner that does not know what was spent before it came spends only its own part for one window's
-    /// length, with its share of what it was asked itself.
+    /// Creates the budget of an owner that does not know the retries of earlier owners. For one window it uses only
+    /// the limit for such owners, with the ratio applied to the requests that it received itself.
     pub fn new(now: Duration, allowances: &Allowances) -> Budget {
         let (credited, remembered) =
             (Allowances::credited(allowances.retry_window), Allowances::remembered(allowances.retry_window));
@@ -122,13 +134,13 @@
         }
     }
 
-    /// A request is sent to an instance for the first time.
+    /// Counts a request that is sent to an instance for the first time.
     pub fn request(&mut self, now: Duration) {
         self.requests.add(now);
         self.own_requests.add(now);
     }
 
-    /// It did not get there.
+    /// Removes the latest request from the count, since it did not reach the instance.
     pub fn not_sent(&mut self) {
         self.requests.take_back();
         self.own_requests.take_back();
@@ -142,11 +154,13 @@
         }
     }
 
+    /// Returns whether a retry is allowed now.
     pub fn may_second(&mut self, now: Duration) -> bool {
         let most = self.most(now);
         self.retries.capacity(now, most) > 0
     }
 
+    /// Counts a retry if one is allowed, and returns whether it was.
     pub fn try_second(&mut self, now: Duration) -> bool {
         let may = self.may_second(now);
         if may {
@@ -155,43 +169,45 @@
         may
     }
 
-    /// An arrival that an instance rejected counts as one more.
+    /// Counts a rejection by an instance, which uses the budget like a retry.
     pub fn turned_away(&mut self, now: Duration) {
         self.retries.add(now);
     }
 
+    /// Returns the known numbers of requests and retries within the window.
     pub fn counts(&mut self, now: Duration) -> (usize, usize) {
         (self.requests.count(now), self.retries.count(now))
     }
 
-    /// Requests and retries as the next owner is to know them.
+    /// Returns the numbers of requests and retries to report to the next owner.
     pub fn reported(&mut self, now: Duration) -> (usize, usize) {
         let most = self.most(now);
         (self.requests.count(now), self.retries.reported(now, most))
     }
 
-    /// Another owner may have been here meanwhile.
+    /// Starts a cautious period, since the function may have had another owner meanwhile.
     pub fn be_careful(&mut self, now: Duration) {
         self.own_requests.times.clear();
         self.retries.be_careful(now);
     }
 
-    /// How many owners may have spent in this window before this one came, as far as the memberships tell.
+    /// Sets how many earlier owners may have used retries in this window, as far as the memberships tell.
     pub fn set_earlier_homes(&mut self, earlier: EarlierOwners) {
         self.earlier = earlier;
     }
 
-    /// Nothing was learned of what was spent before this owner came.
+    /// Restarts the cautious period, since the retries of earlier owners are still unknown.
     pub fn stay_careful(&mut self, now: Duration) {
         self.retries.stay_careful(now);
     }
 
-    /// The owner before told of more retries than it had.
+    /// Adds retries that the previous owner reported in addition to its earlier report.
     pub fn learn(&mut self, now: Duration, more: u32) {
         self.retries.learn(now, more.min(20_000) as usize);
     }
 
-    /// The owner before told its counts at a moment; of the requests it is not known when they came.
+    /// Adopts the counts that the previous owner reported as of `at`. The arrival times of its requests are not known,
+    /// so they are spread evenly over the window before `at`.
     pub fn take_over(&mut self, now: Duration, at: Duration, requests: u32, retries: u32, whole: bool) {
         let (requests, retries) = (requests.min(20_000) as usize, retries.min(20_000) as usize);
         if requests > self.requests.count(now) {
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -1,5 +1,5 @@
-//! What instances made of the tasks sent to them: answers go back, what has surely not run may go to
-//! another instance, and what may have run is tried again only where it may run more than once.
+//! Outcomes of requests sent to instances. Answers go back to the front, a request that certainly did not run may go
+//! to another instance, and one that may have run is retried only where it may run more than once.
 
 use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
@@ -12,11 +12,14 @@
 use std::time::Duration;
 use wire::{Outcome, StoredAnswer};
 
+/// Base of the delay before a deferred request is retried; the delay doubles with each attempt.
 const BACKOFF: Duration = Duration::from_millis(500);
 const MAX_BACKOFF: Duration = Duration::from_secs(30);
+/// How long nothing is sent to an instance that could not be reached.
 const PAUSE: Duration = Duration::from_millis(300);
 
 impl FunctionOwner {
+    /// Answers, retries or queues a request again after one attempt ended.
     pub(crate) fn dispatched(&mut self, order: u64, outcome: DispatchOutcome) {
         let now = self.now;
         let Some((number, name, instance_id, begun, level)) = self.running.remove(&order) else { return };
@@ -90,12 +93,13 @@
         }
     }
 
-    /// Whether a function's instances know a key again by themselves, so that what may have run may be sent again.
+    /// Returns whether the function's instances recognise repeated keys themselves, so that a request that may have
+    /// run may be sent again.
     fn deduplicates(&self, name: &str) -> bool {
         self.schedulers.get(name).is_some_and(|scheduler| scheduler.function.deduplicates)
     }
 
-    /// What the scheduler learns of its instance from an outcome.
+    /// Updates the scheduler and the instance from an outcome.
     fn note(
         &mut self,
         name: &str,
@@ -124,7 +128,7 @@
                 DispatchOutcome::Complete { .. } if !turned_away => instance.proven = instance.proven.max(level),
                 DispatchOutcome::NotSent | DispatchOutcome::Crowded => instance.paused_until = now + PAUSE,
                 DispatchOutcome::InDoubt { late, .. } => {
-                    // It may still be at work on it: what it bore before proves nothing now.
+                    // The instance may still be running the request, so its proven concurrency no longer applies.
                     instance.proven = 0;
                     if *late {
                         instance.foreign = if now < instance.foreign_until { instance.foreign + 1 } else { 1 };
@@ -143,7 +147,7 @@
             }
             DispatchOutcome::Complete { .. } => scheduler.took(now.saturating_sub(begun)),
             DispatchOutcome::NotRun { .. } => {
-                event!(instance_answer_in_doubt, "{instance_id}: another answers at its address")
+                event!(instance_answer_in_doubt, "{instance_id}: another instance answers at its address")
             }
             DispatchOutcome::InDoubt { detail, .. } => event!(instance_answer_in_doubt, "{instance_id}: {detail}"),
             DispatchOutcome::NotSent | DispatchOutcome::Crowded => {}
@@ -155,7 +159,8 @@
         }
     }
 
-    /// Another instance answers at its address: that one takes connections, so there is no more to look.
+    /// Marks an instance as lost because another one answers at its address. Since that one accepts connections, the
+    /// address is not probed again.
     fn replaced(&mut self, name: &str, instance_id: &str) {
         if let Some(instance) =
             self.schedulers.get_mut(name).and_then(|scheduler| scheduler.instances.get_mut(instance_id))
--- a/crates/traffic/src/dispatch_pass.rs
+++ b/crates/traffic/src/dispatch_pass.rs
@@ -1,4 +1,4 @@
-//! The pass over held tasks: those whose turn it is go to instances with room.
+//! Dispatch pass: sends queued requests to instances with free slots.
 
 use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
@@ -10,13 +10,14 @@
 use events::event;
 use std::time::Duration;
 
-/// The request that goes next, and where.
+/// The next request to send and the instance that receives it.
 struct NextRequest {
     number: u64,
     instance: String,
 }
 
 impl FunctionOwner {
+    /// Sends requests from each queue until it is empty or blocked.
     pub(crate) fn dispatch_pass(&mut self) {
         if !self.may_serve {
             return;
@@ -37,9 +38,9 @@
         }
     }
 
-    /// The task that goes next and the instance it goes to: first those that can still be answered
-    /// within their aim, since one that is late already loses nothing more until its time runs out; and calls of tasks
-    /// that are running, which keep a slot meanwhile.
+    /// Returns the next request and its instance, or why none can be sent. Requests that can still be answered within
+    /// their latency aim go first, since a late one loses nothing more until its deadline. Nested calls of running
+    /// requests go first as well, since the running request occupies a slot until its call is answered.
     fn next_to_send(&mut self, name: &str) -> Result<NextRequest, QueueBlock> {
         let now = self.now;
         let scheduler = self.schedulers.get_mut(name).ok_or(QueueBlock::NoFreeSlot)?;
@@ -70,7 +71,7 @@
         late.ok_or(QueueBlock::RetryDelay)
     }
 
-    /// Accounts for what blocks a function's queue, if anything is left in it.
+    /// Records what blocks a function's queue, unless the queue is empty.
     fn observe_queue(&mut self, name: &str, cause: QueueBlock) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Queues that emptied in another way than by sending are blocked no longer.
+    /// Records that queues which were emptied other than by sending are no longer blocked.
     pub(crate) fn close_empty_queues(&mut self) {
         let empty = self.schedulers.iter().filter(|(_, scheduler)| scheduler.queued.is_empty());
         let blocked = empty.filter(|(_, scheduler)| scheduler.queue_wait.is_blocked());
@@ -93,6 +94,7 @@
         names.iter().for_each(|name| self.observe_queue(name, QueueBlock::NoFreeSlot));
     }
 
+    /// Sends one request to an instance, if its binding still leads to this function and its retry budget allows it.
     fn dispatch(&mut self, number: u64, name: &str, instance_id: String) {
         let now = self.now;
         let order = self.number();
@@ -143,7 +145,8 @@
     }
 }
 
-/// The roomiest instance but one; that one itself only where there is no other that is ready.
+/// Returns the instance with the most free slots other than `avoid`; `avoid` itself only if no other instance is
+/// ready.
 fn other_than(scheduler: &FunctionScheduler, now: Duration, avoid: &str, roomiest: String) -> Option<String> {
     if roomiest != avoid {
         return Some(roomiest);
--- a/crates/traffic/src/estimate.rs
+++ b/crates/traffic/src/estimate.rs
@@ -1,13 +1,13 @@
-//! How long a task will have to wait at a scheduler, by what answers have taken, the slots that are free or
-//! come free, and the instances that are starting.
+//! Estimate of how long a request will wait in a function's queue, from past answer times, the slots that are free or
+//! becoming free, and the instances that are starting.
 
 use crate::function_scheduler::FunctionScheduler;
 use crate::instance::{Instance, Phase};
 use std::time::Duration;
 
 impl FunctionScheduler {
-    /// Until a task behind so many others can go. By then the slots in use come free at the rate of
-    /// answers, and those of instances that start are free from when they have started.
+    /// Returns the expected time until a request behind `ahead` others can be sent. Slots in use are assumed to become
+    /// free at the rate of answers, and slots of starting instances once these have started.
     pub fn expected_wait(&self, now: Duration, ahead: usize) -> Duration {
         let limit = self.function.instance_limit;
         let free = self.free_slots(now);
@@ -23,20 +23,21 @@
         if wanted == 0.0 { Duration::ZERO } else { Duration::from_secs_f64(by_answers.min(by_starts)) }
     }
 
-    /// What an answer takes; before the first one, a part of the aim.
+    /// Returns the mean answer time; before the first answer, a quarter of the latency aim.
     pub fn answer_mean(&self) -> Duration {
         let guess = || self.function.aim.map_or(Duration::ZERO, |aim| aim / 4);
         if self.mean_time.is_zero() { guess() } else { self.mean_time }
     }
 
-    /// Until the next instance has started, if the one that began first takes as long as on average.
+    /// Returns the time until the next instance is ready, if the one ordered first takes the average start time.
     fn next_start(&self, now: Duration) -> Duration {
         let starting = self.instances.values().filter(|instance| instance.phase() == Phase::Starting);
         let left = |instance: &Instance| (instance.ordered + self.boot()).saturating_sub(now);
         starting.map(left).min().unwrap_or(self.boot())
     }
 
-    /// Whether any instance is there or on its way. While there is none, only what is held brings one.
+    /// Returns whether any instance is ready or starting. While there is none, only queued requests cause one to
+    /// start.
     pub fn has_any(&self) -> bool {
         self.count(Phase::Ready) + self.count(Phase::Starting) > 0
     }
--- a/crates/traffic/src/estimate_tests.rs
+++ b/crates/traffic/src/estimate_tests.rs
@@ -1,4 +1,4 @@
-//! How long a task is expected to wait, reckoned by hand.
+//! Expected waits, compared with values calculated by hand.
 
 use super::*;
 use crate::allowances::Allowances;
@@ -8,7 +8,7 @@
 
 const NOW: Duration = Duration::from_secs(100);
 
-/// Two slots an instance, half a second an answer, a second a start.
+/// Builds a scheduler with two slots per instance, 500 ms per answer and 1 s per start.
 fn scheduler(ready: u32, busy: u32, starting: u32) -> FunctionScheduler {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","instance_limit":2}"#;
     let routes = RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
--- a/crates/traffic/src/expiry.rs
+++ b/crates/traffic/src/expiry.rs
@@ -1,4 +1,5 @@
-//! Giving up, with the truth and at once: what ran out of time, and what must go back to its front.
+//! Requests that the owner ends early: those that run out of time, which are answered at once and with their true
+//! outcome, and those that must go back to their front.
 
 use crate::function_owner::FunctionOwner;
 use crate::owner_types::{OwnedRequest, OwnerOutput, Place};
@@ -7,9 +8,10 @@
 use std::time::Duration;
 use wire::{ForwardMessage, Outcome};
 
+/// Base of the time after which a caller may try again.
 const SOON: Duration = Duration::from_millis(500);
-/// A task with an aim that was offered to no instance in this share of its time is told so while
-/// there is time to come back.
+/// Fraction of its time after which a request with a latency aim that was sent to no instance is refused, while the
+/// caller still has time to try again.
 const STALE: f64 = 0.45;
 
 fn is_stale(now: Duration, task: &OwnedRequest) -> bool {
@@ -19,7 +21,8 @@
 }
 
 impl FunctionOwner {
-    /// A held task without the time its answer takes is given up now, not sent in vain.
+    /// Returns the least time that a queued request still needs. With less left it is refused now, since its answer
+    /// would come too late.
     fn least_time(&self, task: &OwnedRequest) -> Duration {
         match (&task.place, self.schedulers.get(&task.function)) {
             (Place::Queued, Some(scheduler)) => scheduler.least_time(),
@@ -27,6 +30,7 @@
         }
     }
 
+    /// Ends requests that ran out of time or waited too long to be useful.
     pub(crate) fn expire_pass(&mut self) {
         let now = self.now;
         let late: Vec<u64> = self
@@ -63,7 +67,7 @@
         self.following_pass();
     }
 
-    /// Gives a task that did not run back to its front, which finds its owner anew.
+    /// Returns a request that did not run to its front, which looks up the owner again.
     pub(crate) fn send_back(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
@@ -80,13 +84,14 @@
         if task.reached {
             return self.fail(number);
         }
-        // The next owner would not know of the instance that turned it away.
+        // The next owner would not know which instance rejected the request.
         if task.class == Class::Single && task.dispatches > 0 {
             return self.refuse(number, RefusalReason::NoFurtherAttempt);
         }
         self.not_home(number);
     }
 
+    /// Returns a request to its front with the number of attempts made here, and forgets it.
     pub(crate) fn not_home(&mut self, number: u64) {
         if let Some(task) = self.tasks.get(&number) {
             let (to, task, attempts) = (task.id.from, task.id.task, task.dispatches);
--- a/crates/traffic/src/instance.rs
+++ b/crates/traffic/src/instance.rs
@@ -1,17 +1,23 @@
-//! One instance as its owner knows it: a state machine from starting to gone. Nothing is sent to
-//! one that is draining or gone, from the moment that is learned.
+//! An instance as its owner knows it: a state machine from starting to gone. As soon as the owner learns that an
+//! instance is draining or gone, it sends nothing more to it.
 
 use statig::prelude::*;
 use std::time::Duration;
 
+/// Event that changes the phase of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceEvent {
+    /// The instance accepts requests.
     Ready,
+    /// The instance is to finish its requests and stop.
     Drain,
+    /// The instance cannot be reached or is no longer listed.
     Lost,
+    /// A lost instance accepts connections again.
     Found,
 }
 
+/// Phase in the life of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Starting,
@@ -20,6 +26,7 @@
     Gone,
 }
 
+/// State machine of the phases.
 #[derive(Default)]
 pub struct LifeCycle;
 
@@ -67,37 +74,58 @@
     }
 }
 
-/// A wish whose order has no clear outcome yet; its instance stands under the nonce until then.
+/// A start order without a definite outcome yet. Until then its instance is listed under the order's nonce.
 pub struct Pending {
+    /// Whether an order is out whose reply has not arrived.
     pub requested: bool,
+    /// Number of orders without a reply.
     pub resends: u32,
+    /// Number of workers that had no room.
     pub hops: u32,
+    /// Earliest time of the next order.
     pub retry_at: Duration,
 }
 
+/// An instance of one function.
 pub struct Instance {
     phase_machine: StateMachine<LifeCycle>,
+    /// Address for requests; empty while unknown.
     pub address: String,
+    /// Worker that it runs on; empty while unknown.
     pub worker: String,
+    /// Zone that it runs in; empty while unknown.
     pub zone: String,
+    /// Start order without a definite outcome.
     pub pending: Option<Pending>,
+    /// Requests of this owner that run on it.
     pub busy: u32,
+    /// Requests of other owners assumed to run on it, until `foreign_until`.
     pub foreign: u32,
     pub foreign_until: Duration,
+    /// Maximum number of concurrent requests; lowered by rejections and raised again over time.
     pub allowed: u32,
+    /// Time of the last change of `allowed`.
     pub allowed_at: Duration,
+    /// Time until which nothing is sent to it.
     pub paused_until: Duration,
+    /// Time of the start order, or when this owner first learned of the instance.
     pub ordered: Duration,
+    /// Time when its last request ended.
     pub used: Duration,
+    /// Time of the last stop order.
     pub stopping: Option<Duration>,
+    /// Earliest time of the next stop order.
     pub retry_stop: Duration,
+    /// Time when it was lost.
     pub lost: Option<Duration>,
+    /// Whether the platform has listed it.
     pub listed: bool,
-    /// The most tasks that it had at once, all from this owner, and answered.
+    /// Maximum number of concurrent requests, all from this owner, under which the instance has answered.
     pub proven: u32,
 }
 
 impl Instance {
+    /// Creates an instance that is starting.
     pub fn new(now: Duration, address: &str) -> Instance {
         Instance {
             phase_machine: LifeCycle.state_machine(),
@@ -121,15 +149,17 @@
         }
     }
 
-    /// One that was just wished for, with nothing known of it but the nonce.
+    /// Creates an instance whose start is only being ordered, with nothing known about it but the nonce.
     pub fn wished(now: Duration) -> Instance {
         Instance { pending: Some(Pending::handed(now)), proven: u32::MAX, ..Instance::new(now, "") }
     }
 
+    /// Applies an event.
     pub fn take(&mut self, event: InstanceEvent) {
         self.phase_machine.handle(&event);
     }
 
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         match self.phase_machine.state() {
             State::Starting {} => Phase::Starting,
@@ -139,7 +169,8 @@
         }
     }
 
-    /// Tasks this owner may have on it now: its limit, less others' tasks, less what it rejected.
+    /// Returns how many more requests this owner may send to the instance now: its limit, reduced after rejections,
+    /// less the requests that it already has from this and other owners.
     pub fn capacity(&self, now: Duration, limit: u32) -> u32 {
         if self.phase() != Phase::Ready || now < self.paused_until || self.address.is_empty() {
             return 0;
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -1,5 +1,5 @@
-//! The load on a function just now: what arrived within about the last second and what is held, as the
-//! slots that it keeps in use. A plan is made of whole samples and lags behind a crowd by some of them.
+//! Current load of a function: arrivals within about the last second and queued requests, expressed as the instances
+//! that they keep busy. Plans are made from whole samples and therefore lag behind a sudden rise by several samples.
 
 use crate::function_scheduler::FunctionScheduler;
 use crate::instance::Phase;
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 const LOAD_RETENTION: Duration = Duration::from_secs(1);
-/// How far the usual time follows in one pass, ten to a second.
+/// Limits on the change of the usual answer time in one pass, of which there are ten per second.
 const RISE: f64 = 1.12;
 const FALL: f64 = 0.9;
 const MIN_MEASURED_SPAN: Duration = Duration::from_millis(300);
 
-/// Arrivals by the pass that counted them.
+/// Arrivals, grouped by the pass that counted them.
 pub struct Load {
     passes: VecDeque<(Duration, u32)>,
     counted: u32,
@@ -23,16 +23,19 @@
 }
 
 impl Load {
+    /// Creates an empty count.
     pub fn new(now: Duration) -> Load {
         Load { passes: VecDeque::new(), counted: 0, total: 0, long_run: ArrivalRate::new(now) }
     }
 
-    /// Others may have been owner here meanwhile: how often the function was called is not known.
+    /// Restarts the long-run arrival rate. Another owner may have served the function meanwhile, so the number of its
+    /// calls is not known.
     pub fn watch_anew(&mut self, now: Duration) {
         self.long_run = ArrivalRate::new(now);
     }
 
-    /// `arrivals` goes up with each task and back to zero with each sample.
+    /// Counts the arrivals since the last pass. `arrivals` rises with each request and restarts at zero with each
+    /// sample.
     pub fn pass(&mut self, now: Duration, arrivals: u32) {
         let has_changes = if arrivals >= self.counted { arrivals - self.counted } else { arrivals };
         self.counted = arrivals;
@@ -46,27 +49,28 @@
         }
     }
 
-    /// Tasks within the last second.
+    /// Returns the number of arrivals within the last second.
     pub fn arrivals(&self) -> u32 {
         self.total
     }
 
-    /// Tasks a second.
+    /// Returns the arrival rate, in requests per second.
     pub fn rate(&self, now: Duration) -> f64 {
         let since = self.passes.front().map_or(LOAD_RETENTION, |(at, _)| now.saturating_sub(*at));
         f64::from(self.total) / since.clamp(MIN_MEASURED_SPAN, LOAD_RETENTION).as_secs_f64()
     }
 }
 
-/// The most that was wanted within the time a start takes: an instance taken back sooner would have
-/// to be started again by the next swing.
+/// Maximum number of instances wanted within the time that a start takes. An instance stopped sooner would have to be
+/// started again when demand next rises.
 #[derive(Default)]
 pub struct Peak {
-    /// Counts that nothing later has reached, the highest first.
+    /// Counts that no later count has reached, highest first.
     counts: VecDeque<(Duration, u32)>,
 }
 
 impl Peak {
+    /// Adds the current count and returns the maximum.
     pub fn pass(&mut self, now: Duration, wanted: u32, boot: Duration) -> u32 {
         while self.counts.pop_back_if(|(_, count)| *count <= wanted).is_some() {}
         self.counts.push_back((now, wanted));
@@ -75,32 +79,33 @@
     }
 }
 
-/// What an answer takes when nothing is wrong. It follows the mean of late slowly upwards: tasks that
-/// stand still because something they call is away would else call for instances without end.
+/// Answer time under normal conditions. It follows the recent mean upwards only slowly: otherwise requests that hang
+/// because a service they call is down would demand ever more instances.
 #[derive(Default)]
 pub struct Usual {
     time: Duration,
 }
 
 impl Usual {
+    /// Moves towards the recent mean, within the limits for one pass.
     pub fn pass(&mut self, mean: Duration) {
         let (least, most) = (self.time.mul_f64(FALL), self.time.mul_f64(RISE));
         self.time = if self.time.is_zero() { mean } else { mean.clamp(least, most) };
     }
 
-    /// A time that an answer took, as far as it says what an answer takes.
+    /// Caps a measured answer time at three times the usual one, so that outliers count little.
     pub fn bound(&self, took: Duration) -> Duration {
         if self.time.is_zero() { took } else { took.min(self.time * 3) }
     }
 }
 
 impl FunctionScheduler {
-    /// What an answer can be expected to take.
+    /// Returns the expected answer time.
     pub fn expected_time(&self) -> Duration {
         if self.usual.time.is_zero() { self.answer_mean() } else { self.usual.time.min(self.answer_mean()) }
     }
 
-    /// The instances that the load of this moment takes.
+    /// Returns the number of instances that the current load needs.
     pub fn live(&self, now: Duration) -> u32 {
         let demand = LiveDemand {
             arrivals: self.load.arrivals(),
@@ -115,7 +120,7 @@
         demand.instances()
     }
 
-    /// Whether instances with nothing to do are worth their memory.
+    /// Returns whether keeping idle instances is worth their memory.
     pub fn is_kept_idle(&self, now: Duration, start_gb_seconds: f64) -> bool {
         let Function { memory_mb, boot, .. } = self.function;
         InstanceCost { memory_mb, boot, start_gb_seconds }.is_kept_idle(now, &self.load.long_run)
--- a/crates/traffic/src/owner_counters.rs
+++ b/crates/traffic/src/owner_counters.rs
@@ -1,44 +1,44 @@
-//! What an owner counts over all its functions since it started, for its status and metrics.
+//! Counters of an owner over all its functions since it started, for its status page and metrics.
 
 use crate::keyed_operations::KeyedOperations;
 use crate::queue_wait::BlockedTime;
 use crate::refusals::RefusalCounts;
 use serde_json::{Map, Value, json};
 
-/// Counts that only grow, also where a function moves to another owner.
+/// Counters that only grow, also when a function moves to another owner.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerCounters {
-    /// Requests answered as not run, whoever decided it.
+    /// Requests answered as not run, regardless of who decided so.
     pub refusals: u64,
-    /// Those that this owner refused by itself.
+    /// Requests that this owner itself refused.
     pub refused: RefusalCounts,
     /// Time that queues were blocked, summed over functions.
     pub blocked: BlockedTime,
-    /// Operations under a key.
+    /// Requests with a run-once key.
     pub keyed: KeyedCounters,
 }
 
-/// Requests with a run-once key, counted by what became of them.
+/// Requests with a run-once key, counted by outcome.
 #[derive(Clone, Debug, Default)]
 pub struct KeyedCounters {
     /// Claims that the registries granted.
     pub granted: u64,
-    /// Claims given back, since their request was sent nowhere.
+    /// Claims released because their request was sent to no instance.
     pub released: u64,
     /// Repeats answered from this owner's memory.
     pub answered_from_memory: u64,
     /// Repeats answered with what the registries had recorded.
     pub answered_by_registries: u64,
-    /// Repeats that waited for an operation under way here.
+    /// Repeats that waited for an operation running here.
     pub waited: u64,
-    /// Repeats told that their key is in work.
+    /// Repeats refused because the operation of their key is still running.
     pub refused_as_running: u64,
     /// Repeats of an operation whose owner was lost before it recorded an answer.
     pub unknown: u64,
 }
 
 impl KeyedCounters {
-    /// Counts by name, with what is kept now.
+    /// Returns the counters and the number of operations and answers held now, by name.
     pub fn to_json(&self, operations: &KeyedOperations) -> Value {
         json!({
             "running": operations.running(), "answers": operations.answers(),
@@ -50,7 +50,7 @@
 }
 
 impl RefusalCounts {
-    /// `own` and `continued` requests by reason.
+    /// Returns the refusals by reason, each split into `own` and `continued` requests.
     pub fn to_json(&self) -> Value {
         let mut page = Map::new();
         for (refusal, count) in self.by_kind() {
@@ -62,7 +62,7 @@
 }
 
 impl BlockedTime {
-    /// Milliseconds by cause.
+    /// Returns the blocked milliseconds by cause.
     pub fn to_json(&self) -> Value {
         let entries = self.by_cause().map(|(cause, time)| (cause.label().to_owned(), time.as_millis() as u64));
         entries.map(|(label, ms)| (label, Value::from(ms))).collect::<Map<_, _>>().into()
--- a/crates/traffic/src/patience.rs
+++ b/crates/traffic/src/patience.rs
@@ -1,18 +1,18 @@
-//! How long a front keeps a request that it cannot forward yet.
+//! Limits on how long a front holds a request that it cannot forward yet.
 
 use crate::front::Front;
 use crate::front_types::Call;
 use std::time::Duration;
 
-/// A request with an aim waits to be forwarded for a quarter of it, or a little longer where that is short.
+/// Minimum wait for forwarding. A request with a latency aim waits for a quarter of the aim, but at least this long.
 const MIN_PATIENCE: Duration = Duration::from_millis(120);
 
-/// Until when a request may wait here before its caller is told to come back.
+/// Times until which a request may wait at the front before its caller is told to try again later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Patience {
-    /// For a lease, a link or an owner.
+    /// Limit for a wait for a lease, a link or an owner.
     pub to_forward: Duration,
-    /// For a credit: a granter that is lost answers late, and the next one in time.
+    /// Limit for a wait for a credit. It is longer, so that the next granter can answer in time when one is lost.
     pub for_credit: Duration,
 }
 
@@ -26,8 +26,8 @@
 }
 
 impl Front {
-    /// A call of a running request waits on: who made it does not come back, and what has run of its parent would be
-    /// lost.
+    /// Returns how long a call may wait. A nested call of a running request has no limit: its caller would not try
+    /// again, and the work already done for the parent request would be lost.
     pub(crate) fn patience(&self, call: &Call) -> Patience {
         let binding =
             self.routes.as_ref().and_then(|routes| routes.find_route(&call.host, &call.path)).map(|found| found.1);
--- a/crates/traffic/src/preemption.rs
+++ b/crates/traffic/src/preemption.rs
@@ -1,9 +1,9 @@
-//! When the workers' memory is full: an owner whose callers wait asks all owners to give way, and each
-//! stops at most one idle instance in a while: first one of several, then of the tenant that has most
-//! on the platform's list, longest idle first. Where a function with nothing at all asks and nothing
-//! is idle, the function with most, of the tenant with most, drains one that is busy. A function's last
-//! instance gives way only to one with nothing. What gave way is not started again for a while, a short one
-//! if callers wait for it.
+//! Preemption when the workers' memory is full. An owner with waiting callers asks all owners to free memory, and
+//! each stops at most one idle instance per interval: instances of functions with several first, then those of the
+//! tenant with most instances on the platform's list, longest idle first. If the asking function has no instance and
+//! none is idle, the largest function of the largest tenant drains a busy one. A function's last instance is stopped
+//! only for a function that has none. A preempted function starts no instance for a while, which is shorter if
+//! callers wait for it.
 
 use crate::function_owner::FunctionOwner;
 use crate::instance::{InstanceEvent, Phase};
@@ -12,15 +12,20 @@
 use std::time::Duration;
 use wire::ForwardMessage;
 
+/// Minimum time between two preemptions by one owner.
 const PAUSE: Duration = Duration::from_millis(250);
+/// How long a preempted function without queued requests starts no instance.
 const PREEMPTION_COOLDOWN: Duration = Duration::from_secs(10);
-/// While a function with nothing at all waits for memory, none that has some grows.
+/// How long functions that have instances do not grow after a function that has none asked for memory.
 const NO_GROWTH: Duration = Duration::from_millis(800);
-/// One that gave way does not take the place back at once, later still if its callers wait then.
+/// How long a preempted function with queued requests starts no instance, so that it does not take the memory back at
+/// once. With an empty queue it is the shorter `NO_GROWTH`.
 const REST: Duration = Duration::from_secs(3);
+/// Minimum idle time of an instance before it may be preempted.
 const IDLE: Duration = Duration::from_millis(250);
 
 impl FunctionOwner {
+    /// Asks all owners to free memory for a function with queued requests.
     pub(crate) fn request_preemption(&mut self, name: &str) {
         let Some(scheduler) = self.schedulers.get(name) else { return };
         if scheduler.queued.is_empty() {
@@ -33,7 +38,7 @@
         }
     }
 
-    /// How many instances each tenant has, by the platform's latest list.
+    /// Returns the number of instances of each tenant, by the platform's latest list.
     fn per_tenant(&self) -> BTreeMap<&str, u32> {
         let mut counts = BTreeMap::new();
         for (name, count) in &self.listed {
@@ -46,8 +51,8 @@
         self.listed.get(function).is_some_and(|count| *count > 0)
     }
 
-    /// An instance, busy or not, of the function that has most of the tenant that has most, if that
-    /// function is homed here and the asker has nothing while its tenant has fewer.
+    /// Returns an instance, busy or not, of the largest function of the tenant with most instances. Requires that this
+    /// router owns that function, that the asking function has no instance, and that its tenant has fewer instances.
     fn busy_beyond_its_share(&self, asking: &str) -> Option<(String, String)> {
         let counts = self.per_tenant();
         let (most_tenant, most) = counts.iter().max_by_key(|(tenant, count)| (**count, **tenant))?;
@@ -65,6 +70,7 @@
         ready.min_by_key(|(_, instance)| instance.busy).map(|(id, _)| (name.clone(), id.clone()))
     }
 
+    /// Handles another owner's request for memory: drains an instance if one may be preempted.
     pub(crate) fn preempt(&mut self, asking: &str) {
         let now = self.now;
         if !self.has_some(asking) {
--- a/crates/traffic/src/queue_wait.rs
+++ b/crates/traffic/src/queue_wait.rs
@@ -1,10 +1,10 @@
-//! What keeps the queued requests of a function from being sent, and for how long. A queue beside free slots is
-//! the owner's own doing, so it is told apart from one that waits for slots.
+//! Why the queued requests of a function are not sent, and for how long. A queue that exists despite free slots is
+//! caused by the owner's own limits, so it is distinguished from one that waits for slots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// For so long a limit of the owner may hold requests beside free slots before it is logged.
+/// How long a limit of the owner may hold requests back despite free slots before a warning is logged.
 const WORTH_A_WARNING: Duration = Duration::from_secs(1);
 
 /// Why no queued request of a function may be sent now.
@@ -12,14 +12,14 @@
 pub enum QueueBlock {
     /// No instance has a free slot.
     NoFreeSlot,
-    /// There are free slots, but too many requests on the way might yet be rejected.
+    /// There are free slots, but too many requests already sent might still be rejected.
     RejectionRisk,
-    /// There are free slots, but all that is queued waits before it is tried again, or for another instance.
+    /// There are free slots, but every queued request waits for its retry delay or for another instance.
     RetryDelay,
 }
 
 impl QueueBlock {
-    /// The value of the metric's label `cause`.
+    /// Returns the value of the metric label `cause`.
     pub fn label(self) -> &'static str {
         match self {
             QueueBlock::NoFreeSlot => "no_free_slot",
@@ -36,27 +36,27 @@
 }
 
 impl BlockedTime {
-    /// Adds to one cause.
+    /// Adds time to a cause.
     pub fn add(&mut self, cause: QueueBlock, time: Duration) {
         *self.by_cause.entry(cause).or_default() += time;
     }
 
-    /// Each cause that was met, with its time.
+    /// Returns each cause that occurred, with its total time.
     pub fn by_cause(&self) -> impl Iterator<Item = (QueueBlock, Duration)> + '_ {
         self.by_cause.iter().map(|(cause, time)| (*cause, *time))
     }
 }
 
-/// How long one cause has blocked a queue without a pause.
+/// Time for which one cause blocked a queue between two observations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Blocked {
-    /// What blocks it.
+    /// Cause of the block.
     pub cause: QueueBlock,
-    /// How long this time was since it was last observed.
+    /// Time since the previous observation.
     pub time: Duration,
 }
 
-/// The queue of one function, as it is observed after each pass.
+/// State of one function's queue, observed after each pass.
 #[derive(Clone, Debug, Default)]
 pub struct QueueWait {
     cause: Option<QueueBlock>,
@@ -66,7 +66,7 @@
 }
 
 impl QueueWait {
-    /// Takes what blocks the queue now, if it is not empty; returns what blocked it since the last call.
+    /// Records what blocks the queue now, `None` if it is empty. Returns what blocked it since the last call.
     pub fn observe(&mut self, now: Duration, cause: Option<QueueBlock>) -> Option<Blocked> {
         let before = self.cause.map(|cause| Blocked { cause, time: now.saturating_sub(self.observed_at) });
         if cause != self.cause {
@@ -78,12 +78,13 @@
         before
     }
 
-    /// Whether the queue was blocked when it was last observed.
+    /// Returns whether the queue was blocked at the last observation.
     pub fn is_blocked(&self) -> bool {
         self.cause.is_some()
     }
 
-    /// Whether the owner's limit has held the queue for so long that an operator should know; true once each time.
+    /// Returns whether the owner's limit has held the queue long enough to warn an operator; true once per blocked
+    /// period.
     pub fn should_warn(&mut self, now: Duration) -> bool {
         let is_held = self.cause == Some(QueueBlock::RejectionRisk);
         let is_due = is_held && !self.is_warned && now >= self.blocked_since + WORTH_A_WARNING;
--- a/crates/traffic/src/queue_wait_tests.rs
+++ b/crates/traffic/src/queue_wait_tests.rs
@@ -1,4 +1,4 @@
-//! What keeps a queue from being sent, second by second.
+//! Blocked time by cause, and the warning about a queue held by the owner's limit.
 
 use super::{Blocked, BlockedTime, QueueBlock, QueueWait};
 use std::time::Duration;
@@ -24,12 +24,12 @@
 fn a_warning_comes_once_for_each_second_long_hold_by_the_limit() {
     let mut wait = QueueWait::default();
     wait.observe(Duration::ZERO, Some(QueueBlock::NoFreeSlot));
-    assert!(!wait.should_warn(5000 * MS), "slots are what is missing");
+    assert!(!wait.should_warn(5000 * MS), "slots are missing");
     wait.observe(5000 * MS, Some(QueueBlock::RejectionRisk));
     assert!(!wait.should_warn(5900 * MS));
     assert!(wait.should_warn(6000 * MS));
-    assert!(!wait.should_warn(7000 * MS), "once is enough");
+    assert!(!wait.should_warn(7000 * MS), "it was already warned");
     wait.observe(7000 * MS, None);
     wait.observe(7100 * MS, Some(QueueBlock::RejectionRisk));
-    assert!(wait.should_warn(8100 * MS), "it began anew");
+    assert!(wait.should_warn(8100 * MS), "a new blocked period");
 }
--- a/crates/traffic/src/refusals.rs
+++ b/crates/traffic/src/refusals.rs
@@ -1,4 +1,4 @@
-//! Requests that an owner refused before they ran, counted by reason.
+//! Counts of requests that an owner refused before they ran, by reason.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,20 @@
 pub enum RefusalReason {
     /// The function's queue is full.
     QueueFull,
-    /// It would wait longer than it is worth waiting.
+    /// The expected wait is longer than is useful to the caller.
     ExpectedWait,
-    /// Too little of its time was left for an answer.
+    /// Too little time was left for an answer.
     Expired,
-    /// Its class needs the registries, which are not reached.
+    /// The request's class needs the registries, which cannot be reached.
     CoreUnreachable,
-    /// The run-once or deferred store takes no more.
+    /// The run-once or deferred store is full.
     StoreFull,
-    /// An instance rejected it, or its function moved to another owner that may not try it again.
+    /// An instance rejected the request, or its function moved to another owner that may not try it again.
     NoFurtherAttempt,
 }
 
 impl RefusalReason {
-    /// The value of the metric's label `reason`.
+    /// Returns the value of the metric label `reason`.
     pub fn label(self) -> &'static str {
         match self {
             RefusalReason::QueueFull => "queue_full",
@@ -33,12 +33,12 @@
     }
 }
 
-/// One kind of refusal.
+/// Kind of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// Whether the request came with part of its route's time used: a nested call or a caller's further try.
+    /// Whether part of the route's time was used when the request came: a nested call or a caller's retry.
     pub is_continued: bool,
 }
 
@@ -49,12 +49,12 @@
 }
 
 impl RefusalCounts {
-    /// Counts one.
+    /// Counts one refusal.
     pub fn add(&mut self, refusal: Refusal) {
         *self.counts.entry(refusal).or_default() += 1;
     }
 
-    /// Each kind that was met, with its count.
+    /// Returns each kind that occurred, with its count.
     pub fn by_kind(&self) -> impl Iterator<Item = (Refusal, u64)> + '_ {
         self.counts.iter().map(|(refusal, count)| (*refusal, *count))
     }
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -1,5 +1,5 @@
-//! Further attempts at a request after one that failed. The front counts the attempts: one beyond those it
-//! granted is asked for, while the failure is kept to be the answer if none is granted in time.
+//! Further attempts at a request after one failed. The front counts the attempts. If no granted one is left, the owner
+//! asks the front for another and keeps the failure as the answer in case none is granted in time.
 
 use crate::function_owner::FunctionOwner;
 use crate::owner_types::{Failure, OwnerOutput, Place, TaskId};
@@ -7,11 +7,11 @@
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome};
 
-/// How long a front's grant is waited for; on one machine it comes at once.
+/// Maximum wait for the front's grant; from a front on the same machine it arrives at once.
 const GRANT_PATIENCE: Duration = Duration::from_millis(300);
 
 impl FunctionOwner {
-    /// Queues a request for another instance, while its time, its attempts and the budget last, or
+    /// Queues a request for another instance if its time, its attempts and the retry budget allow one. Otherwise
     /// answers with the failure.
     pub(crate) fn retry(&mut self, number: u64, may_have_run: bool, failure: Failure) {
         let (now, margin) = (self.now, self.timing.margin);
@@ -37,7 +37,7 @@
         self.outs.push(OwnerOutput::Forward { to, message });
     }
 
-    /// The front tells how many attempts it granted in all.
+    /// Handles the front's reply with the total number of attempts granted.
     pub(crate) fn attempts_granted(&mut self, from: NodeId, task: u64, attempts: u32) {
         let id = TaskId { from, task };
         let awaits = |task: &crate::owner_types::OwnedRequest| {
@@ -66,7 +66,7 @@
         let Some(task) = self.tasks.get_mut(&number) else { return };
         let (class, reached) = (task.class, task.reached);
         let failure = task.failure.take().unwrap_or_else(|| Failure::unknown(504));
-        // An instance that did not run it says nothing of the ones before.
+        // That the last instance did not run the request does not show that earlier ones did not.
         let failure = if failure.outcome == Outcome::NotRun && reached { Failure::unknown(504) } else { failure };
         match class {
             Class::Once if reached => self.record_unknown(number),
@@ -77,6 +77,7 @@
         self.answer(number, outcome, status, retry_after, head, body);
     }
 
+    /// Answers requests whose grant did not arrive in time.
     pub(crate) fn grant_pass(&mut self) {
         let now = self.now;
         let overdue = |place: &Place| matches!(place, Place::AwaitingGrant { until } if now >= *until);
--- a/crates/traffic/src/send_window.rs
+++ b/crates/traffic/src/send_window.rs
@@ -1,49 +1,49 @@
-//! How many requests of a function may be on the way to proven instances at once, without an answer that tells
-//! whether they were rejected. A congestion window: it grows by answers while it holds requests up, and falls to half with each
-//! rejection, so that what a function is served follows what its instances bear and not a fixed rate.
+//! Congestion window for one function: the maximum number of requests that may be in flight to proven instances while
+//! they might still be rejected. The window grows with answers while it holds requests back, and is halved by each
+//! rejection, so that throughput follows what the instances can handle instead of a fixed rate.
 
-/// What is left of growth that is not used, and of the count of answers, after a pass: ten are made a second, so that
+/// Fraction of unused growth, and of the answer count, that remains after a pass. There are ten passes per second, so
 /// answers count for about five seconds.
 const RETAINED: f64 = 0.98;
-/// Rejections are rare while so many requests are answered for each. At such a rate they come from requests and connections
-/// that cross each other, not from instances that bear less than they did.
+/// Minimum number of answers per rejection at which rejections count as rare. At that rate they come from requests and
+/// connections that cross each other, not from a loss of capacity of the instances.
 const ANSWERS_PER_REJECTION: f64 = 100.0;
 
-/// The window of one function. While any of the allowance for rejections is left, it is never in force below that.
+/// Congestion window of one function. The effective window is never smaller than the remaining rejection allowance.
 #[derive(Clone, Debug)]
 pub struct SendWindow {
     initial: f64,
     size: f64,
-    /// Answers lately, each decayed by its age.
+    /// Recent answers, each decayed by its age.
     answers: f64,
-    /// Whether it held up a request when one was last to be sent.
+    /// Whether the window held back the last request that was to be sent.
     is_limiting: bool,
 }
 
-/// What a window goes by beside its own answers.
+/// State of the rejection allowance, by which the window is adjusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Allowance {
-    /// Rejections within the users' window.
+    /// Rejections within the configured window.
     pub rejections: usize,
-    /// How many more are allowed in it.
+    /// Number of further rejections allowed within that window.
     pub left: usize,
 }
 
 impl SendWindow {
-    /// A window that begins with so many requests.
+    /// Creates a window of `initial` requests.
     pub fn new(initial: usize) -> SendWindow {
         let initial = initial as f64;
         SendWindow { initial, size: initial, answers: 0.0, is_limiting: false }
     }
 
-    /// Whether one more may be sent beside so many. What is left of the allowance may be in any case, and nothing once
-    /// none is left.
+    /// Returns whether another request may be sent besides those in flight. As many requests as rejections are left in
+    /// the allowance are always permitted, and none once the allowance is used up.
     pub fn may_send(&mut self, on_the_way: usize, left: usize) -> bool {
         self.is_limiting = left == 0 || on_the_way >= self.whole_size().max(left);
         !self.is_limiting
     }
 
-    /// An instance answered. Whole windows of answers make room for one more request each, while rejections are rare.
+    /// Records an answer. While rejections are rare, each full window of answers adds one request to the window.
     pub fn answered(&mut self, allowance: Allowance) {
         self.answers += 1.0;
         let are_rare = self.answers >= allowance.rejections as f64 * ANSWERS_PER_REJECTION;
@@ -53,12 +53,12 @@
         }
     }
 
-    /// An instance rejected a request.
+    /// Records a rejection by halving the window.
     pub fn rejected(&mut self) {
         self.size /= 2.0;
     }
 
-    /// A pass: growth that is not used, and answers, are forgotten little by little.
+    /// Decays unused growth and the answer count; called once per pass.
     pub fn fade(&mut self) {
         self.answers *= RETAINED;
         if self.size > self.initial {
--- a/crates/traffic/src/send_window_tests.rs
+++ b/crates/traffic/src/send_window_tests.rs
@@ -1,8 +1,8 @@
-//! A window that grows by answers and falls by rejections.
+//! Growth of the congestion window with answers, and its reduction by rejections.
 
 use super::{Allowance, SendWindow};
 
-/// Keeps the window full for so many answers.
+/// Keeps the window full while `answers` answers arrive.
 fn fill(window: &mut SendWindow, answers: u32, left: usize) {
     for _ in 0..answers {
         assert!(!window.may_send(usize::MAX, left));
@@ -53,7 +53,7 @@
     assert_eq!(size(&mut window), 10);
     window.rejected();
     (0..10).for_each(|_| window.fade());
-    assert_eq!(size(&mut window), 5, "what was lost comes back by answers");
+    assert_eq!(size(&mut window), 5, "only answers restore what a rejection took");
 }
 
 #[test]
@@ -66,6 +66,6 @@
         }
         size(&mut window) > 10
     };
-    assert!(!grown_beside(5, 490), "one in a hundred");
-    assert!(grown_beside(5, 600), "fewer");
+    assert!(!grown_beside(5, 490), "one rejection per hundred answers");
+    assert!(grown_beside(5, 600), "fewer than one rejection per hundred answers");
 }
--- a/crates/traffic/src/tuned.rs
+++ b/crates/traffic/src/tuned.rs
@@ -1,12 +1,13 @@
-//! The owner's part in tuning: what it measured of each function goes to the registries with every
-//! sample, and what the host has in force comes back, fenced by the number that named the host.
+//! The owner's part in parameter tuning. Measurements of each function go to the registries with every sample, and
+//! the parameters in force at the host of the optimizer come back, fenced by the number with which that host was
+//! appointed.
 
 use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::{FunctionScheduler, Seen};
 use wire::{Measurement, TunedParameters};
 
 impl FunctionScheduler {
-    /// What was measured since the sample before; nothing of a function that stood still.
+    /// Returns the measurements since the previous sample, or `None` if the function was inactive.
     pub(crate) fn measure(&mut self, name: &str, looks: f64) -> Option<Measurement> {
         let seen = std::mem::take(&mut self.seen);
         let stood_still = self.arrivals == 0 && seen.boots == 0 && seen.refused == 0;
@@ -23,6 +24,7 @@
 }
 
 impl Seen {
+    /// Counts an instance start and its duration.
     pub(crate) fn booted(&mut self, took: std::time::Duration) {
         self.boots += 1;
         self.boot += took;
@@ -30,6 +32,7 @@
 }
 
 impl FunctionOwner {
+    /// Stores received parameters unless parameters with a newer fence came earlier, and applies them.
     pub(crate) fn take_tuned(&mut self, fence: u64, lines: Vec<TunedParameters>) {
         if fence < self.tuned.0 {
             return;
@@ -38,6 +41,7 @@
         self.apply_tuned();
     }
 
+    /// Applies the stored parameters to all functions.
     pub(crate) fn apply_tuned(&mut self) {
         for scheduler in self.schedulers.values_mut() {
             let line = self.tuned.1.iter().find(|line| line.function.as_str() == scheduler.function.name);
@@ -45,6 +49,7 @@
         }
     }
 
+    /// Returns the stored parameters and their fence.
     pub fn tuned(&self) -> &(u64, Vec<TunedParameters>) {
         &self.tuned
     }
--- a/crates/traffic/src/unproven.rs
+++ b/crates/traffic/src/unproven.rs
@@ -1,8 +1,8 @@
-//! Rejections of one function: no more than the users allow in any window, whatever its instances do. A request
-//! sent less than the usual time of a rejection ago may yet be rejected. Those sent to unproven instances stay, with
-//! what was rejected, below the allowance, of which a part is kept back for the owner that follows after a crash,
-//! since it knows nothing of the count before. Those sent to proven ones stay within a window that follows what the
-//! instances bear.
+//! Limit on the rejections of one function: no more than users allow in any window, whatever the instances do. A
+//! request may still be rejected until the usual rejection latency has passed since it was sent. Such requests to
+//! unproven instances, together with past rejections, stay within the allowance. A part of the allowance is reserved
+//! for the owner that takes over after a crash, since that owner does not know the earlier count. Requests to proven
+//! instances stay within a congestion window that follows what the instances can handle.
 
 use crate::allowances::{Allowances, Max};
 use crate::budget::Spent;
@@ -10,42 +10,48 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Rejection latency assumed before slower rejections are seen.
 const INITIAL_REJECTION_LATENCY: Duration = Duration::from_millis(25);
+/// Maximum rejection latency assumed, however slow rejections are.
 const MAX_REJECTION_LATENCY: Duration = Duration::from_millis(500);
+/// Fraction of the excess over the initial rejection latency that remains after a pass.
 const FORGET: f64 = 0.99;
-/// Not looked for so long, this process was stopped: what was sent before is at risk anew.
+/// Time between two polls beyond which the process is taken to have been suspended. All requests sent before are then
+/// considered at risk of rejection again.
 const STOPPED: Duration = Duration::from_millis(300);
 
-/// A request on its way to an instance.
+/// A request that was sent to an instance.
 struct SentRequest {
     at: Duration,
-    /// Whether the instance has answered this owner with as many requests on it.
+    /// Whether the instance has already answered this owner under the same number of concurrent requests.
     is_proven: bool,
 }
 
-/// What became of a request that was sent to an instance.
+/// Result of a request that was sent to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendResult {
     /// The instance ran it and answered.
     Answered,
     /// The instance rejected it.
     Rejected,
-    /// It was not sent, or nobody knows.
+    /// The request was not sent, or its result is unknown.
     Unclear,
 }
 
+/// Limit on the requests of one function that may be sent before earlier ones are known not to be rejected.
 pub struct UnprovenLimit {
     max_rejections: Max,
     rejections: Spent,
-    /// By order; only those that may yet be rejected.
+    /// Requests that may still be rejected, by dispatch number.
     sent: BTreeMap<u64, SentRequest>,
     window: SendWindow,
+    /// Time after which a request is no longer expected to be rejected.
     usual: Duration,
     polled_at: Duration,
 }
 
 impl UnprovenLimit {
-    /// An owner that does not know what was rejected before it came is careful at first.
+    /// Creates the limit of an owner that does not know the rejections under earlier owners, so it starts cautious.
     pub fn new(now: Duration, allowances: &Allowances) -> UnprovenLimit {
         let remembered = Allowances::remembered(allowances.rejection_window);
         UnprovenLimit {
@@ -58,31 +64,35 @@
         }
     }
 
-    /// Another owner may have been here meanwhile: what the instances bore before says nothing of now.
+    /// Starts a cautious period and resets the congestion window. Another owner may have served the function
+    /// meanwhile, so what the instances handled earlier no longer applies.
     pub fn be_careful(&mut self, now: Duration) {
         self.rejections.be_careful(now);
         self.window = SendWindow::new(self.max_rejections.known);
     }
 
-    /// The owner before told, at a moment, how many were rejected lately; what it had sent may be yet.
+    /// Adds the rejections that the previous owner reported as of `at`. Requests that it had sent may still be
+    /// rejected.
     pub fn take_over(&mut self, now: Duration, at: Duration, rejections: u32) {
         self.rejections.take_over(now, at, rejections.min(64) as usize, false);
     }
 
-    /// The owner before told of more than it had.
+    /// Adds rejections that the previous owner reported in addition to its earlier report.
     pub fn learn(&mut self, now: Duration, more: u32) {
         self.rejections.learn(now, more.min(64) as usize);
     }
 
+    /// Returns the known rejections within the window.
     pub fn rejections(&mut self, now: Duration) -> usize {
         self.rejections.count(now)
     }
 
-    /// What the next owner is to count as rejected.
+    /// Returns the number of rejections to report to the next owner.
     pub fn reported(&mut self, now: Duration) -> usize {
         self.rejections.reported(now, self.max_rejections)
     }
 
+    /// Drops sent requests that are no longer expected to be rejected.
     fn poll(&mut self, now: Duration) {
         let (usual, stopped) = (self.usual, now > self.polled_at + STOPPED);
         if stopped {
@@ -92,9 +102,10 @@
         self.sent.retain(|_, request| now < request.at + usual);
     }
 
-    /// `proven`: the instance has answered this owner with as many requests on it. The others stay, together with
-    /// what was rejected, within the allowance; and while the owner is careful, within the part that it may spend
-    /// without knowing what the one before spent. All of them together stay within the window.
+    /// Returns whether a request may be sent; `proven` if its instance has already answered this owner under the same
+    /// number of concurrent requests. Requests to unproven instances, together with past rejections, stay within the
+    /// allowance, or within the limit for owners without full knowledge while this owner is cautious. All requests
+    /// together stay within the congestion window.
     pub fn may_send(&mut self, now: Duration, proven: bool) -> bool {
         self.poll(now);
         let left = self.left(now);
@@ -105,13 +116,14 @@
         proven || unproven < self.rejections.capacity(now, self.max_rejections)
     }
 
-    /// Requests on the way that might yet be rejected, as far as is known.
+    /// Returns the number of sent requests that may still be rejected, as of the last poll.
     pub fn in_flight(&self) -> usize {
         self.sent.len()
     }
 
-    /// What is left of the allowance for all requests. From its first rejection on, an owner that does not know what
-    /// the one before spent has only its own part, for proven instances too.
+    /// Returns what is left of the rejection allowance for all requests. From its first rejection on, an owner that
+    /// does not know the rejections under the previous owner has only the limit for such owners, also for proven
+    /// instances.
     fn left(&mut self, now: Duration) -> usize {
         match self.rejections.has_spent_own(now) {
             true => self.rejections.capacity(now, self.max_rejections),
@@ -119,10 +131,12 @@
         }
     }
 
+    /// Records that a request was sent.
     pub fn sent(&mut self, now: Duration, order: u64, proven: bool) {
         self.sent.insert(order, SentRequest { at: now, is_proven: proven });
     }
 
+    /// Records the result of a request that was sent at `begun`.
     pub fn ended(&mut self, now: Duration, order: u64, begun: Duration, result: SendResult) {
         self.sent.remove(&order);
         match result {
@@ -140,7 +154,7 @@
         }
     }
 
-    /// What was learned of slow rejections fades, a little each time.
+    /// Decays the congestion window and the rejection latency towards their initial values; called once per pass.
     pub fn fade(&mut self) {
         self.window.fade();
         self.usual = INITIAL_REJECTION_LATENCY + self.usual.saturating_sub(INITIAL_REJECTION_LATENCY).mul_f64(FORGET);
--- a/crates/traffic/src/wait_queue.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -1,7 +1,7 @@
-//! Holding tasks until an instance has room, those of lower rank first and among them those that must
-//! be done soonest: a call by a running task has less time left than what came after that task, and
-//! so what has begun is finished before more is begun. And refusing early what
-//! could not be served while it is worth much, with an estimate of when it could be.
+//! Queue of requests that wait for a free slot, ordered by rank (lower first) and then by deadline. A nested call of
+//! a running request has less time left than requests that came after its parent, so work that has started is
+//! finished before new work starts. Requests that could not be answered while the answer is still useful are refused
+//! early, with an estimate of when to try again.
 
 use crate::function_owner::FunctionOwner;
 use crate::owner_types::Place;
@@ -9,17 +9,19 @@
 use std::time::Duration;
 use wire::Outcome;
 
-/// The rank of what gives way to everything else.
+/// Rank of requests that go after all others.
 pub(crate) const LAST: u32 = u32::MAX;
-/// A task without an aim is held while its expected wait is within this share of the time it has left.
+/// Fraction of its remaining time that a request without a latency aim may be expected to wait before it is refused.
 const HOPE: f64 = 0.9;
-/// A task with an aim is refused within this part of it or else held on.
+/// Divisor of the latency aim: a request is refused for missing its aim only within this part of it, and stays queued
+/// after that.
 const EARLY: u32 = 4;
+/// Base of the time after which a caller may try again.
 const SOON: Duration = Duration::from_millis(500);
 
 impl FunctionOwner {
-    /// Queues a request, or gives it back where its function has another owner by now: what no queue has is
-    /// never sent.
+    /// Queues a request, or returns it to its front if the function has another owner by now, since a request that is
+    /// in no queue is never sent.
     pub(crate) fn hold(&mut self, number: u64) {
         let Some(function) = self.tasks.get(&number).map(|task| &task.function) else { return };
         if self.schedulers.get(function).is_none_or(|scheduler| scheduler.leaving.is_some()) {
@@ -41,7 +43,7 @@
         self.tasks.get(&number).is_some_and(|task| task.stored.is_none() && !task.reached)
     }
 
-    /// How many would go before it.
+    /// Returns the number of queued requests that go before this one.
     fn place_in_queue(&self, number: u64) -> usize {
         let Some(task) = self.tasks.get(&number) else { return 0 };
         let Some(scheduler) = self.schedulers.get(&task.function) else { return 0 };
@@ -50,7 +52,7 @@
         scheduler.queued.partition_point(before)
     }
 
-    /// How long it would wait, where that is longer than it is worth waiting.
+    /// Returns the expected wait of a request if it is longer than is useful to the caller.
     pub(crate) fn hopeless_wait(&self, number: u64) -> Option<Duration> {
         let now = self.now;
         let task = self.tasks.get(&number)?;
@@ -64,12 +66,13 @@
         Some(scheduler.expected_wait(now, self.place_in_queue(number))).filter(|wait| *wait > worth)
     }
 
-    /// Up to half as long again, so that those told so together come back one by one.
+    /// Lengthens a delay by up to half, so that callers refused at the same time do not come back at the same time.
     pub(crate) fn spread(&self, number: u64, least: Duration) -> Duration {
         let dice = leases::mix(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
         least + least * (dice >> 55) as u32 / 1024
     }
 
+    /// Refuses a request that did not run.
     pub(crate) fn refuse(&mut self, number: u64, reason: RefusalReason) {
         self.count_refusal(number, reason);
         let again = self.spread(number, SOON);
@@ -85,16 +88,18 @@
         }
     }
 
+    /// Answers a request without head and body.
     pub(crate) fn answer_own(&mut self, number: u64, outcome: Outcome, status: u16, retry_after: Duration) {
         self.answer(number, outcome, status, retry_after, Vec::new(), Vec::new());
     }
 
+    /// Returns the time after which the caller may try again, for an expected wait.
     pub(crate) fn time_to_come_back(&self, number: u64, wait: Duration) -> Duration {
         self.spread(number, wait.max(SOON / 2))
     }
 
-    /// Tells at once that a task which was never run will not be, and when to come back: once those
-    /// ahead of it are expected to be done.
+    /// Refuses a request that did not run, releases its claim, and tells the caller when to try again: once the
+    /// requests ahead of it are expected to be done.
     pub(crate) fn give_up(&mut self, number: u64, wait: Duration, reason: RefusalReason) {
         if self.tasks.get(&number).is_some_and(|task| task.class == bindings::Class::Once) {
             self.release(number);
@@ -102,7 +107,7 @@
         self.refuse_until(number, wait, reason);
     }
 
-    /// The same for one that has claimed nothing.
+    /// Refuses a request that holds no claim, and tells the caller when to try again.
     pub(crate) fn refuse_until(&mut self, number: u64, wait: Duration, reason: RefusalReason) {
         self.count_refusal(number, reason);
         let again = self.time_to_come_back(number, wait);
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! No request is sent to more instances than its route allows, whatever becomes of owners and links:
-//! a front and the owners it forwards to, with the messages between them passed, lost or repeated by hand.
+//! No request is sent to more instances than its route allows, even when owners or links are lost. The tests run a
+//! front and the owners it forwards to, and pass, drop or repeat the messages between them.
 
 mod common;
 
@@ -30,7 +30,7 @@
     front
 }
 
-/// An owner with four instances.
+/// Creates an owner with four instances.
 fn owner(id: NodeId, attempts: u32) -> FunctionOwner {
     let mut owner = FunctionOwner::new(id, 1, OwnerTiming::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes("ordinary", attempts) });
@@ -74,7 +74,7 @@
     ForwardMessage::AttemptGrant { task, attempts }
 }
 
-/// The links are reset while an instance runs the request, and the next one garbles its answer too.
+/// The link to the first owner is lost while an instance runs the request, and both instances send garbled answers.
 #[test]
 fn two_owners_in_a_row_send_it_to_no_more_instances_than_its_route_allows() {
     let mut front = front(2);
@@ -94,7 +94,7 @@
         let request_id = to_front(&outputs).expect("asks for a third attempt");
         let outputs = tell(&mut front, from, 41, request_id);
         let most = granted(&outputs).expect("told");
-        assert!(most <= 1, "{most} granted to each of two homes");
+        assert!(most <= 1, "{most} granted to each of two owners");
     }
 }
 
@@ -108,7 +108,7 @@
     let request_id = to_front(&outputs).expect("asks");
     assert_eq!(request_id, ForwardMessage::AttemptRequest { task, attempts: 2 });
     for at in [21, 22] {
-        assert_eq!(granted(&tell(&mut front, OTHER, at, request_id.clone())), Some(2), "however often the frame comes");
+        assert_eq!(granted(&tell(&mut front, OTHER, at, request_id.clone())), Some(2), "a repeated frame grants no more");
     }
     let outputs = give(&mut owner, 23, grant(task, 2));
     assert!(sent(&outputs).is_some());
@@ -150,7 +150,7 @@
     assert_eq!((reported.outcome, reported.status), (Some(Outcome::Unknown), 504));
 }
 
-/// What an owner never sent is forwarded with as many attempts as before, however often it is given back.
+/// A request that was sent to no instance keeps all its attempts, however often owners return it.
 #[test]
 fn what_is_given_back_unsent_loses_no_attempt() {
     let mut front = front(1);
@@ -163,7 +163,7 @@
     assert!(forwarded(&outputs).is_some());
 }
 
-/// Instances that turned it away were sent it: the next owner may send it to so many fewer.
+/// An instance that rejected a request was sent it, so the attempt counts against those of the next owner.
 #[test]
 fn what_was_rejected_before_it_is_given_back_stays_counted() {
     let mut front = front(2);
@@ -182,13 +182,13 @@
     tell(&mut front, OTHER, 10, ForwardMessage::Returned { task, attempts: 1 });
     let (task, _) = forwarded(&front.step(ms(50), true, FrontInput::Tick)).expect("one is left");
     let outputs = tell(&mut front, OTHER, 60, ForwardMessage::AttemptRequest { task, attempts: 2 });
-    assert_eq!(granted(&outputs), Some(1), "one was used at the home before");
+    assert_eq!(granted(&outputs), Some(1), "the previous owner used one");
     let outputs = tell(&mut front, OTHER, 70, ForwardMessage::Returned { task, attempts: 1 });
     let reported = reply(&outputs).expect("told at once");
     assert_eq!((reported.outcome, reported.status, reported.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
 }
 
-/// The first instance may have run it, and the second surely did not.
+/// The first instance may have run the request, and the second certainly did not.
 #[test]
 fn a_request_that_may_have_run_is_not_called_not_run_by_the_last_instance() {
     let mut front = front(2);
@@ -205,8 +205,8 @@
     );
 }
 
-/// Its function moves while an instance has it: no further attempt is made here, and its caller is not
-/// kept waiting for one.
+/// The function moves to another owner while an instance runs the request. The old owner makes no further attempt, and
+/// the caller does not wait for one.
 #[test]
 fn an_owner_that_leaves_answers_a_failed_attempt_at_once() {
     let mut front = front(2);
@@ -219,7 +219,7 @@
     assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "{answer:?}");
 }
 
-/// A front of the format before counts nothing: its owner makes as many attempts as the binding allows.
+/// A front of the previous frame format counts no attempts, so the owner makes as many as the binding allows.
 #[test]
 fn a_front_that_does_not_count_is_asked_for_nothing() {
     let mut owner = owner(OTHER, 2);
--- a/crates/traffic/tests/budget.rs
+++ b/crates/traffic/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Second tries and rejections counted in windows: by one owner, and by owners that follow each other.
+//! Retries and rejections counted in windows, by one owner and by successive owners.
 
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -33,7 +33,7 @@
     assert!(retries.len() > 100 && refused > 1000);
 }
 
-/// The clock of an owner runs half a hundredth fast; it spends all it may as soon as it may.
+/// The owner's clock runs 0.5 % fast, and the owner uses its whole limit as early as it can.
 #[test]
 fn a_fast_clock_does_not_shorten_the_window() {
     let length = Allowances::remembered(Duration::from_secs(5));
@@ -47,12 +47,12 @@
             times.push(ms);
         }
     }
-    assert!(times.windows(8).all(|w| w[7] - w[0] > 5_000), "eight in five seconds: {times:?}");
+    assert!(times.windows(8).all(|w| w[7] - w[0] > 5_000), "eight within five seconds: {times:?}");
     assert!(times.len() > 40);
 }
 
-/// Instances turn everything away, in times drawn anew; an owner crashes in between and the next
-/// one begins without its count.
+/// Instances reject every request after a random time. The owner crashes meanwhile, and the next one starts without
+/// its count.
 #[test]
 fn an_old_owner_and_the_next_stay_within_eleven_though_every_task_is_rejected() {
     for seed in 0..40u64 {
@@ -80,13 +80,13 @@
             }
         }
         let most = all.windows(12).filter(|w| w[11] - w[0] <= Duration::from_secs(5)).count();
-        assert_eq!(most, 0, "seed {seed}: twelve in five seconds");
-        assert!(all.len() > 20, "seed {seed}: service goes on, {} were sent", all.len());
+        assert_eq!(most, 0, "seed {seed}: twelve rejections within five seconds");
+        assert!(all.len() > 20, "seed {seed}: service did not go on, only {} were sent", all.len());
     }
 }
 
-/// The owner after a crash trusts what instances have answered it; that they all turn everything away then must not
-/// cost more than its own part, however many it had on the way to proven ones.
+/// After a crash, the next owner treats instances that have answered it as proven. If these then reject everything,
+/// the rejections must not exceed the limit of an owner without full knowledge, however many requests were in flight.
 #[test]
 fn a_careful_owner_stays_within_its_part_on_proven_instances_too() {
     let allowances = Allowances::default();
@@ -103,7 +103,8 @@
     assert_eq!(rejected, allowances.rejections().at_first);
 }
 
-/// Answers made room for more requests at once than may be rejected; another owner may have filled the instances since.
+/// Answers have grown the congestion window beyond the rejection limit, but another owner may have filled the
+/// instances since.
 #[test]
 fn what_answers_made_room_for_is_forgotten_where_another_owner_may_have_been() {
     let allowances = Allowances::default();
@@ -136,17 +137,17 @@
     assert_eq!((grown > known, fill(&mut unproven, later).count()), (true, known), "{grown} of {known}");
 }
 
-/// A table is as old as its last copy: the owner it was kept for has spent more since.
+/// A standby copy is outdated: the owner that it was copied from has used more since.
 #[test]
 fn an_owner_that_begins_from_a_standby_copy_spends_only_its_own_part_at_first() {
     let (at, now) = (Duration::from_secs(20), Duration::from_millis(20_400));
     let most = Max { known: 7, at_first: 4 };
     let mut spent = Spent::new(now, Duration::from_secs(5), Duration::from_secs(5));
     spent.take_over(now, at, 1, false);
-    assert_eq!(spent.capacity(now, most), 4, "not six");
+    assert_eq!(spent.capacity(now, most), 4, "not six, as by the copied count");
     spent.add(now);
     assert_eq!((spent.capacity(now, most), spent.reported(now, most)), (3, 4));
     let mut handed = Spent::new(now, Duration::from_secs(5), Duration::from_secs(5));
     handed.take_over(now, now, 1, true);
-    assert_eq!(handed.capacity(now, most), 6, "a table handed over is whole");
+    assert_eq!(handed.capacity(now, most), 6, "a table from a handover is complete");
 }
--- a/crates/traffic/tests/hot_function.rs
+++ b/crates/traffic/tests/hot_function.rs
@@ -1,5 +1,5 @@
-//! One function that is called more often than all others, in part by running requests of another function:
-//! while there are slots for it, what it serves follows what it is asked, not a limit of its owner's.
+//! One function receives more calls than all others, some of them nested calls of other functions' running requests.
+//! While it has free slots, its throughput must follow the demand and not be capped by a limit of its owner.
 
 mod common;
 
@@ -12,29 +12,29 @@
 use traffic::{DispatchOrder, DispatchOutcome, OwnerInput, OwnerOutput, OwnerTiming};
 use wire::{ForwardMessage, Outcome, RequestHead};
 
-/// How long an instance works on a request, beside the calls that it makes.
+/// Time that an instance works on a request, without the nested call.
 const WORK_MS: u64 = 40;
 const DEADLINE_MS: u64 = 4000;
-/// How far into its run a request calls another function.
+/// Time from the start of a parent request to its nested call.
 const CALL_AFTER_MS: u64 = 10;
-/// Three parents in ten make a call.
+/// Number of parent requests in ten that make a nested call.
 const CALLING: u64 = 3;
 const INSTANCES: u32 = 40;
-/// Functions whose requests call the hot one.
+/// Number of functions whose requests call the hot one.
 const PARENTS: u64 = 5;
 
 fn parent(number: u64) -> String {
     format!("parent{number}")
 }
 
-/// What one request is, and who waits for it.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Kind {
-    /// A caller's, to the hot function.
+    /// A caller's request to the hot function.
     Own,
-    /// A caller's, to one of the functions whose requests call the hot one.
+    /// A caller's request to one of the functions whose requests call the hot one.
     Parent,
-    /// A call of a running parent.
+    /// A call of the hot function by a running parent request.
     Nested,
 }
 
@@ -42,15 +42,15 @@
 struct Request {
     kind: Kind,
     due: u64,
-    /// The order under which its parent runs; nothing of a caller's.
+    /// Dispatch number of the parent's run; `None` for a caller's request.
     parent: Option<u64>,
 }
 
-/// One run on an instance.
+/// A request running on an instance.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     task: u64,
-    /// When its next step is due: a call, or its end.
+    /// Time of the next step: the nested call or the end.
     due: u64,
     calls_first: bool,
 }
@@ -67,14 +67,14 @@
     }
 }
 
-/// Functions with an owner, instances that bear all that they may be sent, and callers.
+/// An owner of all functions, instances that can run everything within their limit, and callers.
 struct World {
     owner: Supplied,
     next: u64,
     requests: BTreeMap<u64, Request>,
     runs: BTreeMap<u64, Run>,
     tallies: BTreeMap<Kind, Tally>,
-    /// Of so many requests that reach instances one is rejected, if any.
+    /// One request in this many that reach instances is rejected; `None` for no rejections.
     rejected_of: Option<u64>,
 }
 
@@ -105,7 +105,7 @@
         world
     }
 
-    /// Lets time pass with so many requests a second to the hot function, and to those that call it.
+    /// Advances time with `own_rate` requests per second to the hot function and `parent_rate` to those that call it.
     fn pass(&mut self, millis: u64, own_rate: u64, parent_rate: u64) {
         let (mut own, mut parents) = (0, 0);
         for _ in 0..millis {
@@ -209,7 +209,7 @@
         self.owner.feed(OwnerInput::Dispatched { number: order, outcome });
     }
 
-    /// A caller has its answer, or a parent that of its call: it works on, or fails with it.
+    /// Records an answer. If it belongs to a nested call, the parent continues, or fails together with the call.
     fn answered(&mut self, task: u64, is_served: bool) {
         let Some(request) = self.requests.remove(&task) else { return };
         self.tallies.entry(request.kind).or_default().served += u64::from(is_served);
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -1,5 +1,5 @@
-//! Live load: a crowd is met before the next sample, and what was started for it is not taken back by
-//! the next swing.
+//! Scaling by current load: instances for a sudden rise are started before the next sample, and are not stopped by a
+//! short drop.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use traffic::{DispatchOutcome, OwnerInput, OwnerOutput};
 use wire::{ForwardMessage, PlanMessage, RequestHead};
 
-/// A plan made before the crowd: one instance at every step.
+/// Returns a plan made before the load rose: one instance at every step.
 fn one(request_id: u64) -> PlanMessage {
     PlanMessage::Reply { request_id, fence: 1, state: 1, step_ms: 1000, desired: vec![1; 4].into() }
 }
@@ -27,12 +27,12 @@
     }
 }
 
-/// Callers of one owner.
+/// Callers of one owner's function.
 struct Callers {
-    /// How long each task takes, in milliseconds.
+    /// Run time of each request in milliseconds.
     run_ms: u64,
     next: u64,
-    /// Tasks that run, by order and when each is answered.
+    /// Running requests: dispatch number and answer time.
     open: Vec<(u64, u64)>,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Lets `rate` tasks a second come for so long.
+/// Advances time by `millis` with `rate` requests per second.
 fn crowd(owner: &mut Supplied, rate: u64, millis: u64, callers: &mut Callers) {
     for _ in 0..millis / 10 {
         owner.pass(10);
@@ -85,12 +85,12 @@
     assert_eq!(owner.count("ready"), 1);
     crowd(&mut owner, 200, 1000, &mut callers);
     let met = owner.count("ready");
-    assert!((20..=40).contains(&met), "200 a second at 100 ms keep 20 in use: {met}");
+    assert!((20..=40).contains(&met), "200 requests per second of 100 ms each keep 20 instances busy: {met}");
     crowd(&mut owner, 0, 600, &mut callers);
     let is_standby_copy = owner.count("ready");
-    assert!(is_standby_copy >= 20, "{is_standby_copy} are left of what the crowd took, though a start takes a second");
+    assert!(is_standby_copy >= 20, "only {is_standby_copy} instances remain, though a start takes a second");
     crowd(&mut owner, 0, 6000, &mut callers);
-    assert!(owner.count("ready") <= 2, "what nobody needs is taken back: {}", owner.count("ready"));
+    assert!(owner.count("ready") <= 2, "instances that are not needed are stopped: {}", owner.count("ready"));
 }
 
 #[test]
@@ -113,15 +113,15 @@
     crowd(&mut owner, 0, 10_000, &mut callers);
     callers.call(&mut owner);
     crowd(&mut owner, 0, 600, &mut callers);
-    assert_eq!(owner.starts.len() + owner.stops.len(), 0, "starts are taken by the crowd, and it runs");
+    assert_eq!(owner.starts.len() + owner.stops.len(), 0, "the helper takes all starts, and the instance is still running");
     crowd(&mut owner, 0, 2500, &mut callers);
     assert_eq!(
         (owner.count("ready"), owner.stops.len()),
         (0, 1),
-        "one call in ten seconds does not pay for its memory"
+        "one call in ten seconds does not justify the memory of an idle instance"
     );
     crowd(&mut owner, 100, 3000, &mut callers);
     let busy = owner.count("ready");
     crowd(&mut owner, 0, 1500, &mut callers);
-    assert!(busy >= 1 && owner.count("ready") >= 1, "one called often is kept over a pause");
+    assert!(busy >= 1 && owner.count("ready") >= 1, "a function that is called often keeps its instances during a pause");
 }
--- a/crates/traffic/tests/order.rs
+++ b/crates/traffic/tests/order.rs
@@ -1,5 +1,5 @@
-//! Who goes first where slots are few: what can still meet its aim before what is late already, and
-//! before both the calls of tasks that are running.
+//! Dispatch order when slots are scarce: nested calls of running requests first, then requests that can still meet
+//! their latency aim, then late ones.
 
 mod common;
 
@@ -24,7 +24,7 @@
     owner.feed(OwnerInput::Forward { from: ME, message });
 }
 
-/// The tasks sent since the last look, by the number in their body, and the order's own number.
+/// Returns the requests sent since the last call: the number in the body, and the dispatch number.
 fn sent(owner: &mut Supplied) -> Vec<(u64, u64)> {
     let outputs = std::mem::take(&mut owner.others).into_iter();
     let orders = outputs.filter_map(|output| match output {
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -1,5 +1,5 @@
-//! Tasks that are sent to one instance at most, and once: what has surely not run is told so or goes
-//! on, and what may have run is told at once as in doubt and never sent again.
+//! Requests of class `single`, which may run at most once. A request that certainly did not run is refused or sent to
+//! another instance. One that may have run is answered at once as unknown and never sent again.
 
 mod common;
 
@@ -19,7 +19,7 @@
     Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
 }
 
-/// An owner with two instances, and the task that it was forwarded.
+/// Creates an owner with two instances and forwards a request to it. Returns the owner and its outputs.
 fn owner(attempts: u32) -> (FunctionOwner, Vec<OwnerOutput>) {
     let mut owner = FunctionOwner::new(ME, 1, OwnerTiming::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: single(attempts) });
@@ -63,7 +63,7 @@
 }
 
 fn outcome(owner: &mut FunctionOwner, outputs: &[OwnerOutput], outcome: DispatchOutcome) -> Vec<OwnerOutput> {
-    let (number, _) = sent(outputs).expect("it is sent without a claim, and the core away");
+    let (number, _) = sent(outputs).expect("sent without a claim and without the core");
     owner.step(ms(20), true, OwnerInput::Dispatched { number, outcome })
 }
 
@@ -77,7 +77,7 @@
     let (mut owner, first) = owner(3);
     let outputs = outcome(&mut owner, &first, came);
     assert_eq!((reported(&outputs), sent(&outputs)), (Some((Outcome::Unknown, status, 0)), None));
-    assert_eq!(owner.depths(), (0, 0, 0), "no ledger, and nothing kept");
+    assert_eq!(owner.depths(), (0, 0, 0), "nothing is stored or kept");
 }
 
 #[test]
@@ -102,7 +102,7 @@
 fn rejected_by_the_only_one_it_may_go_to_it_is_refused_with_a_time(wrong_instance: bool) {
     let (mut owner, first) = owner(1);
     let outputs = outcome(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance });
-    let (outcome, status, again) = reported(&outputs).expect("told at once");
+    let (outcome, status, again) = reported(&outputs).expect("refused at once");
     assert_eq!((outcome, status, sent(&outputs)), (Outcome::NotRun, 503, None));
     assert!((100..2000).contains(&again), "{again}");
 }
@@ -160,5 +160,5 @@
     let (mut owner, first) = owner(3);
     assert!(sent(&first).is_some());
     let outputs = owner.step(ms(30), false, OwnerInput::Lapsed);
-    assert!(reported(&outputs).is_none() && owner.depths().1 == 1, "it is running: {outputs:?}");
+    assert!(reported(&outputs).is_none() && owner.depths().1 == 1, "the request is still running: {outputs:?}");
 }
