--- a/crates/traffic/src/admission.rs
+++ b/crates/traffic/src/admission.rs
@@ -5,7 +5,7 @@
 use crate::function_owner::FunctionOwner;
 use crate::owner_types::{OwnedRequest, OwnerOutput, Place, TaskId};
 use crate::refusals::RefusalReason;
-use crate::wait_queue::LAST;
+use crate::wait_queue::LOWEST_PRIORITY;
 use bindings::Class;
 use sha2::{Digest, Sha256};
 use std::time::Duration;
@@ -40,7 +40,7 @@
         let full = scheduler.queued.len() >= self.timing.function_inbox;
         let last = bound.class == Class::Deferred || bound.player_weight <= 0.0;
         let (keyless, again) = (matches!(bound.class, Class::Ordinary | Class::Single), resends > 0);
-        let spent = again && keyless && (bound.class == Class::Single || !scheduler.budget.try_second(self.now));
+        let spent = again && keyless && (bound.class == Class::Single || !scheduler.budget.try_retry(self.now));
         let (scope, digest) = match keyless {
             true => (String::new(), Vec::new()),
             false => (scope(binding.as_str(), consumer, key.as_str()), digest(head.as_slice(), body.as_slice())),
@@ -70,7 +70,7 @@
             failure: None,
             avoid: String::new(),
             reached: again && keyless,
-            rank: if last { LAST } else { rank(consumer_rank, bound.rank) },
+            rank: if last { LOWEST_PRIORITY } else { rank(consumer_rank, bound.rank) },
             inherits: left_ms + left_ms / 8 < bound.deadline_ms,
         };
         self.tasks.insert(number, record);
@@ -81,10 +81,10 @@
             return self.refuse(number, RefusalReason::QueueFull);
         }
         if spent {
-            return self.answer_own(number, Outcome::Unknown, 504, Duration::from_secs(2));
+            return self.answer_without_body(number, Outcome::Unknown, 504, Duration::from_secs(2));
         }
         match bound.class {
-            Class::Ordinary | Class::Single => self.hold(number),
+            Class::Ordinary | Class::Single => self.enqueue(number),
             _ if !self.core_near => self.refuse(number, RefusalReason::CoreUnreachable),
             Class::Once => self.claim_if_served_soon(number),
             Class::Deferred => self.store(number),
--- a/crates/traffic/src/allowances.rs
+++ b/crates/traffic/src/allowances.rs
@@ -40,16 +40,16 @@
 
 /// Maximum number of retries or rejections that one owner may use in a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Max {
+pub struct OwnerLimit {
     /// Limit while the owner knows what earlier owners used.
-    pub known: usize,
+    pub informed: usize,
     /// Limit while the owner may not know everything that earlier owners used.
-    pub at_first: usize,
+    pub uninformed: usize,
 }
 
 impl Allowances {
     /// Returns how many retries one owner may make for this many requests, without the slack.
-    pub fn share(&self, requests: usize) -> usize {
+    pub fn retry_share(&self, requests: usize) -> usize {
         (requests as f64 * self.retry_ratio * PART) as usize
     }
 
@@ -57,36 +57,42 @@
     /// half of the slack. An owner that does not know may use half of what its predecessor could, so that any number
     /// of such owners in one window together use no more than the other half. An owner that does not know how many
     /// came before it uses no slack.
-    pub fn spare(&self, earlier: EarlierOwners) -> Max {
-        let known = self.retry_slack / 2;
-        let at_first = match earlier {
-            EarlierOwners::Bounded(owners) => known.checked_shr(owners.max(1)).unwrap_or(0),
+    pub fn slack_limit(&self, earlier: EarlierOwners) -> OwnerLimit {
+        let informed = self.retry_slack / 2;
+        let uninformed = match earlier {
+            EarlierOwners::Bounded(owners) => informed.checked_shr(owners.max(1)).unwrap_or(0),
             EarlierOwners::Unknown => 0,
         };
-        Max { known, at_first }
+        OwnerLimit { informed, uninformed }
     }
 
     /// Returns how many rejections one owner may cause.
-    pub fn rejections(&self) -> Max {
-        let known = ((self.max_rejections * 2 + 1) / 3).max(1);
-        Max { known, at_first: self.max_rejections.saturating_sub(known).max(1) }
+    pub fn rejection_limit(&self) -> OwnerLimit {
+        let informed = ((self.max_rejections * 2 + 1) / 3).max(1);
+        OwnerLimit { informed, uninformed: self.max_rejections.saturating_sub(informed).max(1) }
     }
 
     /// Raises the counts of a standby copy to those of an owner that has nothing left to use beyond the limit for
     /// owners without full knowledge.
-    pub fn as_of_a_copy(&self, earlier: EarlierOwners, requests: &mut u32, retries: &mut u32, rejections: &mut u32) {
-        let kept_back = |most: Max| most.known.saturating_sub(most.at_first) as u32;
-        *retries = (*retries).max(self.share(*requests as usize) as u32 + kept_back(self.spare(earlier)));
-        *rejections = (*rejections).max(kept_back(self.rejections()));
+    pub fn raise_copied_counts(
+        &self,
+        earlier: EarlierOwners,
+        requests: &mut u32,
+        retries: &mut u32,
+        rejections: &mut u32,
+    ) {
+        let kept_back = |most: OwnerLimit| most.informed.saturating_sub(most.uninformed) as u32;
+        *retries = (*retries).max(self.retry_share(*requests as usize) as u32 + kept_back(self.slack_limit(earlier)));
+        *rejections = (*rejections).max(kept_back(self.rejection_limit()));
     }
 
     /// Returns the window, lengthened for clock drift, over which retries and rejections are counted.
-    pub fn remembered(window: Duration) -> Duration {
+    pub fn lengthened_window(window: Duration) -> Duration {
         window.mul_f64(1.0 + DRIFT)
     }
 
     /// Returns the window, shortened for clock drift, over which requests are counted.
-    pub fn credited(window: Duration) -> Duration {
+    pub fn shortened_window(window: Duration) -> Duration {
         window.mul_f64(1.0 - DRIFT)
     }
 }
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -1,22 +1,22 @@
 //! Sliding windows and the retry budget. Retries stay below the configured ratio of requests plus the slack, counting
 //! what this owner knows and leaving room for what owners unknown to it may use.
 
-use crate::allowances::{Allowances, Max};
+use crate::allowances::{Allowances, OwnerLimit};
 use crate::earlier_owners::EarlierOwners;
 use std::collections::VecDeque;
 use std::time::Duration;
 
 /// Times of events within a sliding window.
 #[derive(Clone, Debug)]
-pub struct Window {
+pub struct SlidingWindow {
     length: Duration,
     times: VecDeque<Duration>,
 }
 
-impl Window {
+impl SlidingWindow {
     /// Creates an empty window of this length.
-    pub fn new(length: Duration) -> Window {
-        Window { length, times: VecDeque::new() }
+    pub fn new(length: Duration) -> SlidingWindow {
+        SlidingWindow { length, times: VecDeque::new() }
     }
     /// Adds an event.
     pub fn add(&mut self, now: Duration) {
@@ -44,17 +44,22 @@
 /// Retries or rejections within a window. Counts all that this owner knows of, and separately its own while it may not
 /// know everything that earlier owners used.
 #[derive(Clone, Debug)]
-pub struct Spent {
-    all: Window,
-    own: Window,
+pub struct UsageWindow {
+    all: SlidingWindow,
+    own: SlidingWindow,
     careful: Duration,
     careful_until: Duration,
 }
 
-impl Spent {
+impl UsageWindow {
     /// Creates an empty count that stays cautious for the period `careful`.
-    pub fn new(now: Duration, length: Duration, careful: Duration) -> Spent {
-        Spent { all: Window::new(length), own: Window::new(length), careful, careful_until: now + careful }
+    pub fn new(now: Duration, length: Duration, careful: Duration) -> UsageWindow {
+        UsageWindow {
+            all: SlidingWindow::new(length),
+            own: SlidingWindow::new(length),
+            careful,
+            careful_until: now + careful,
+        }
     }
     /// Counts one use by this owner.
     pub fn add(&mut self, now: Duration) {
@@ -66,103 +71,105 @@
         self.all.count(now)
     }
     /// Starts a cautious period: until now, other owners may have used some without this owner's knowledge.
-    pub fn be_careful(&mut self, now: Duration) {
+    pub fn begin_caution(&mut self, now: Duration) {
         self.own.times.clear();
         self.careful_until = now + self.careful;
     }
     /// Restarts the cautious period, since uses by other owners up to now are still unknown. This owner's own uses
     /// stay counted.
-    pub fn stay_careful(&mut self, now: Duration) {
+    pub fn extend_caution(&mut self, now: Duration) {
         self.careful_until = now + self.careful;
     }
     /// Adds what another owner reported to have used by `at`; `whole` if it has used nothing since then.
-    pub fn take_over(&mut self, now: Duration, at: Duration, count: usize, whole: bool) {
+    pub fn adopt_count(&mut self, now: Duration, at: Duration, count: usize, whole: bool) {
         self.all.insert(at, count);
         if whole {
             self.careful_until = now;
         } else {
-            self.stay_careful(now);
+            self.extend_caution(now);
         }
     }
     /// Returns what is left according to this owner's knowledge, as if there had been no other recent owner.
-    pub fn known_capacity(&mut self, now: Duration, most: Max) -> usize {
-        most.known.saturating_sub(self.all.count(now))
+    pub fn known_capacity(&mut self, now: Duration, most: OwnerLimit) -> usize {
+        most.informed.saturating_sub(self.all.count(now))
     }
     /// Returns whether this owner itself used any within the window since its cautious period last started.
     pub fn has_spent_own(&mut self, now: Duration) -> bool {
         self.own.count(now) > 0
     }
     /// Adds uses that another owner reported in addition to its earlier report.
-    pub fn learn(&mut self, now: Duration, more: usize) {
+    pub fn add_reported(&mut self, now: Duration, more: usize) {
         self.all.insert(now, more);
     }
     /// Returns what this owner may still use now.
-    pub fn capacity(&mut self, now: Duration, most: Max) -> usize {
+    pub fn capacity(&mut self, now: Duration, most: OwnerLimit) -> usize {
         let capacity = self.known_capacity(now, most);
-        let own = most.at_first.saturating_sub(self.own.count(now));
+        let own = most.uninformed.saturating_sub(self.own.count(now));
         if now < self.careful_until { capacity.min(own) } else { capacity }
     }
     /// Returns the count to report to the next owner, which includes what this owner may not use, since the next one
     /// may not use it either.
-    pub fn reported(&mut self, now: Duration, most: Max) -> usize {
-        self.count(now).max(most.known - self.capacity(now, most))
+    pub fn reported(&mut self, now: Duration, most: OwnerLimit) -> usize {
+        self.count(now).max(most.informed - self.capacity(now, most))
     }
 }
 
 /// Requests and retries of one function at its owner.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     allowances: Allowances,
     earlier: EarlierOwners,
-    requests: Window,
-    own_requests: Window,
-    retries: Spent,
+    requests: SlidingWindow,
+    own_requests: SlidingWindow,
+    retries: UsageWindow,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates the budget of an owner that does not know the retries of earlier owners. For one window it uses only
     /// the limit for such owners, with the ratio applied to the requests that it received itself.
-    pub fn new(now: Duration, allowances: &Allowances) -> Budget {
-        let (credited, remembered) =
-            (Allowances::credited(allowances.retry_window), Allowances::remembered(allowances.retry_window));
-        Budget {
+    pub fn new(now: Duration, allowances: &Allowances) -> RetryBudget {
+        let (credited, remembered) = (
+            Allowances::shortened_window(allowances.retry_window),
+            Allowances::lengthened_window(allowances.retry_window),
+        );
+        RetryBudget {
             allowances: allowances.clone(),
             earlier: EarlierOwners::Bounded(1),
-            requests: Window::new(credited),
-            own_requests: Window::new(credited),
-            retries: Spent::new(now, remembered, remembered),
+            requests: SlidingWindow::new(credited),
+            own_requests: SlidingWindow::new(credited),
+            retries: UsageWindow::new(now, remembered, remembered),
         }
     }
 
     /// Counts a request that is sent to an instance for the first time.
-    pub fn request(&mut self, now: Duration) {
+    pub fn record_request(&mut self, now: Duration) {
         self.requests.add(now);
         self.own_requests.add(now);
     }
 
     /// Removes the latest request from the count, since it did not reach the instance.
-    pub fn not_sent(&mut self) {
+    pub fn undo_request(&mut self) {
         self.requests.take_back();
         self.own_requests.take_back();
     }
 
-    fn most(&mut self, now: Duration) -> Max {
-        let spare = self.allowances.spare(self.earlier);
-        Max {
-            known: self.allowances.share(self.requests.count(now)) + spare.known,
-            at_first: self.allowances.share(self.own_requests.count(now)) + spare.at_first,
+    fn most(&mut self, now: Duration) -> OwnerLimit {
+        let spare = self.allowances.slack_limit(self.earlier);
+        OwnerLimit {
+            informed: self.allowances.retry_share(self.requests.count(now)) + spare.informed,
+            uninformed: self.allowances.retry_share(self.own_requests.count(now)) + spare.uninformed,
         }
     }
 
     /// Returns whether a retry is allowed now.
-    pub fn may_second(&mut self, now: Duration) -> bool {
+    pub fn may_retry(&mut self, now: Duration) -> bool {
         let most = self.most(now);
         self.retries.capacity(now, most) > 0
     }
 
     /// Counts a retry if one is allowed, and returns whether it was.
-    pub fn try_second(&mut self, now: Duration) -> bool {
-        let may = self.may_second(now);
+    pub fn try_retry(&mut self, now: Duration) -> bool {
+        let may = self.may_retry(now);
         if may {
             self.retries.add(now);
         }
@@ -170,7 +177,7 @@
     }
 
     /// Counts a rejection by an instance, which uses the budget like a retry.
-    pub fn turned_away(&mut self, now: Duration) {
+    pub fn record_rejection(&mut self, now: Duration) {
         self.retries.add(now);
     }
 
@@ -186,35 +193,35 @@
     }
 
     /// Starts a cautious period, since the function may have had another owner meanwhile.
-    pub fn be_careful(&mut self, now: Duration) {
+    pub fn begin_caution(&mut self, now: Duration) {
         self.own_requests.times.clear();
-        self.retries.be_careful(now);
+        self.retries.begin_caution(now);
     }
 
     /// Sets how many earlier owners may have used retries in this window, as far as the memberships tell.
-    pub fn set_earlier_homes(&mut self, earlier: EarlierOwners) {
+    pub fn set_earlier_owners(&mut self, earlier: EarlierOwners) {
         self.earlier = earlier;
     }
 
     /// Restarts the cautious period, since the retries of earlier owners are still unknown.
-    pub fn stay_careful(&mut self, now: Duration) {
-        self.retries.stay_careful(now);
+    pub fn extend_caution(&mut self, now: Duration) {
+        self.retries.extend_caution(now);
     }
 
     /// Adds retries that the previous owner reported in addition to its earlier report.
-    pub fn learn(&mut self, now: Duration, more: u32) {
-        self.retries.learn(now, more.min(20_000) as usize);
+    pub fn add_reported(&mut self, now: Duration, more: u32) {
+        self.retries.add_reported(now, more.min(20_000) as usize);
     }
 
     /// Adopts the counts that the previous owner reported as of `at`. The arrival times of its requests are not known,
     /// so they are spread evenly over the window before `at`.
-    pub fn take_over(&mut self, now: Duration, at: Duration, requests: u32, retries: u32, whole: bool) {
+    pub fn adopt_counts(&mut self, now: Duration, at: Duration, requests: u32, retries: u32, whole: bool) {
         let (requests, retries) = (requests.min(20_000) as usize, retries.min(20_000) as usize);
         if requests > self.requests.count(now) {
             let length = self.requests.length;
             let came = |n: usize| at.saturating_sub(length.mul_f64(n as f64 / requests as f64));
             self.requests.times = (0..requests).rev().map(came).collect();
         }
-        self.retries.take_over(now, at, retries, whole);
+        self.retries.adopt_count(now, at, retries, whole);
     }
 }
--- a/crates/traffic/src/claims.rs
+++ b/crates/traffic/src/claims.rs
@@ -38,7 +38,7 @@
                 self.counters.keyed.answered_from_memory += 1;
                 self.give_answer(number, answer);
             }
-            Known::OtherRequest => self.answer_own(number, Outcome::NotRun, UNPROCESSABLE, Duration::ZERO),
+            Known::OtherRequest => self.answer_without_body(number, Outcome::NotRun, UNPROCESSABLE, Duration::ZERO),
         }
         true
     }
@@ -64,8 +64,8 @@
     /// The key is in work: nothing is said of how the operation ends.
     pub(crate) fn refuse_as_running(&mut self, number: u64) {
         self.counters.keyed.refused_as_running += 1;
-        let again = self.spread(number, RUNNING_RETRY);
-        self.answer_own(number, Outcome::Unknown, CONFLICT, again);
+        let again = self.add_jitter(number, RUNNING_RETRY);
+        self.answer_without_body(number, Outcome::Unknown, CONFLICT, again);
     }
 
     /// A request under a key leaves this owner; those that waited for it get its answer, or go back to their fronts.
@@ -78,15 +78,15 @@
                 Some(StoredAnswer { outcome, status, head, body }) => {
                     self.answer(waiting, outcome, status, retry_after, head.into_vec(), body.into_vec());
                 }
-                None => self.not_home(waiting),
+                None => self.return_to_front(waiting),
             }
         }
     }
 
     /// Claims the key of a request, unless it would be refused after: a claim and its release are two entries.
     pub(crate) fn claim_if_served_soon(&mut self, number: u64) {
-        match self.hopeless_wait(number) {
-            Some(wait) => self.refuse_until(number, wait, RefusalReason::ExpectedWait),
+        match self.excessive_wait(number) {
+            Some(wait) => self.refuse_with_wait(number, wait, RefusalReason::ExpectedWait),
             None => self.claim(number),
         }
     }
@@ -174,7 +174,7 @@
             }
             ClaimState::Granted => {
                 self.counters.keyed.granted += 1;
-                self.hold(number)
+                self.enqueue(number)
             }
             ClaimState::Running => self.refuse_as_running(number),
             ClaimState::Answered => {
@@ -183,9 +183,9 @@
             }
             ClaimState::Unknown => {
                 self.counters.keyed.unknown += 1;
-                self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO)
+                self.answer_without_body(number, Outcome::Unknown, 504, Duration::ZERO)
             }
-            ClaimState::OtherBody => self.answer_own(number, Outcome::NotRun, UNPROCESSABLE, Duration::ZERO),
+            ClaimState::OtherBody => self.answer_without_body(number, Outcome::NotRun, UNPROCESSABLE, Duration::ZERO),
             ClaimState::Full => self.refuse(number, RefusalReason::StoreFull),
         }
     }
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -125,11 +125,11 @@
                 failure: None,
                 avoid: String::new(),
                 reached: true,
-                rank: crate::wait_queue::LAST,
+                rank: crate::wait_queue::LOWEST_PRIORITY,
                 inherits: false,
             };
             self.tasks.insert(number, task);
-            self.hold(number);
+            self.enqueue(number);
         }
     }
 }
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -5,7 +5,7 @@
 use crate::function_scheduler::FunctionScheduler;
 use crate::instance::InstanceEvent;
 use crate::owner_types::{Failure, OwnerOutput};
-use crate::unproven::SendResult;
+use crate::rejection_limit::SendResult;
 use bindings::Class;
 use dispatch::DispatchOutcome;
 use events::event;
@@ -20,7 +20,7 @@
 
 impl FunctionOwner {
     /// Answers, retries or queues a request again after one attempt ended.
-    pub(crate) fn dispatched(&mut self, order: u64, outcome: DispatchOutcome) {
+    pub(crate) fn handle_dispatch_outcome(&mut self, order: u64, outcome: DispatchOutcome) {
         let now = self.now;
         let Some((number, name, instance_id, begun, level)) = self.running.remove(&order) else { return };
         self.note(&name, &instance_id, order, (begun, level), &outcome);
@@ -35,17 +35,17 @@
                 if task.is_first()
                     && let Some(scheduler) = self.schedulers.get_mut(&name)
                 {
-                    scheduler.budget.not_sent();
+                    scheduler.budget.undo_request();
                     task.stored.iter().for_each(|id| scheduler.sent_tasks.remove(id));
                 }
                 let leaves = self.schedulers.get(&name).is_none_or(|scheduler| scheduler.leaving.is_some())
                     || !self.is_home(&name);
-                if leaves { self.send_back(number) } else { self.hold(number) }
+                if leaves { self.send_back(number) } else { self.enqueue(number) }
             }
             (DispatchOutcome::NotRun { .. }, Class::Ordinary | Class::Single | Class::Once) => {
                 let wait = |scheduler: &FunctionScheduler| scheduler.expected_wait(now, scheduler.queued.len());
                 let wait = self.schedulers.get(&name).map_or(Duration::ZERO, wait);
-                let again = self.time_to_come_back(number, wait);
+                let again = self.jittered_retry_after(number, wait);
                 self.retry(number, false, Failure::not_run(again));
             }
             (DispatchOutcome::Complete { status, head, body, .. }, Class::Once) => {
@@ -58,7 +58,7 @@
             }
             (DispatchOutcome::InDoubt { .. }, Class::Once) => {
                 self.record_unknown(number);
-                self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO);
+                self.answer_without_body(number, Outcome::Unknown, 504, Duration::ZERO);
             }
             (DispatchOutcome::Complete { status, head, body, turned_away }, Class::Ordinary | Class::Single) => {
                 let failed = status >= 500 && status != 504;
@@ -71,7 +71,7 @@
             (DispatchOutcome::InDoubt { late, .. }, Class::Ordinary | Class::Single) => {
                 let status = if late { 504 } else { 502 };
                 match class {
-                    Class::Single => self.answer_own(number, Outcome::Unknown, status, Duration::ZERO),
+                    Class::Single => self.answer_without_body(number, Outcome::Unknown, status, Duration::ZERO),
                     _ => self.retry(number, true, Failure::unknown(status)),
                 }
             }
@@ -88,7 +88,7 @@
             (_, Class::Deferred) => {
                 let wait = BACKOFF * 2u32.pow(task.dispatches.min(7));
                 task.not_before = now + wait.min(MAX_BACKOFF);
-                self.hold(number);
+                self.enqueue(number);
             }
         }
     }
@@ -118,20 +118,23 @@
         let result = match outcome {
             _ if turned_away => SendResult::Rejected,
             DispatchOutcome::Complete { .. } => SendResult::Answered,
-            _ => SendResult::Unclear,
+            _ => SendResult::Unknown,
         };
-        scheduler.unproven.ended(now, order, begun, result);
+        scheduler.unproven.record_result(now, order, begun, result);
         if let Some(instance) = scheduler.instances.get_mut(instance_id) {
             instance.busy = instance.busy.saturating_sub(1);
-            instance.used = now;
+            instance.last_used_at = now;
             match outcome {
-                DispatchOutcome::Complete { .. } if !turned_away => instance.proven = instance.proven.max(level),
+                DispatchOutcome::Complete { .. } if !turned_away => {
+                    instance.proven_concurrency = instance.proven_concurrency.max(level)
+                }
                 DispatchOutcome::NotSent | DispatchOutcome::Crowded => instance.paused_until = now + PAUSE,
                 DispatchOutcome::InDoubt { late, .. } => {
                     // The instance may still be running the request, so its proven concurrency no longer applies.
-                    instance.proven = 0;
+                    instance.proven_concurrency = 0;
                     if *late {
-                        instance.foreign = if now < instance.foreign_until { instance.foreign + 1 } else { 1 };
+                        instance.foreign_requests =
+                            if now < instance.foreign_until { instance.foreign_requests + 1 } else { 1 };
                         instance.foreign_until = now + Duration::from_secs(2);
                     }
                 }
@@ -142,7 +145,7 @@
             _ if turned_away => {
                 event!(instance_rejected_request, "{instance_id}");
                 scheduler.turned_away(now, instance_id);
-                scheduler.budget.turned_away(now);
+                scheduler.budget.record_rejection(now);
                 scheduler.seen.rejections += 1;
             }
             DispatchOutcome::Complete { .. } => scheduler.took(now.saturating_sub(begun)),
@@ -165,8 +168,8 @@
         if let Some(instance) =
             self.schedulers.get_mut(name).and_then(|scheduler| scheduler.instances.get_mut(instance_id))
         {
-            instance.take(InstanceEvent::Lost);
-            instance.lost = Some(self.now);
+            instance.apply(InstanceEvent::Lost);
+            instance.lost_at = Some(self.now);
         }
     }
 }
--- a/crates/traffic/src/dispatch_pass.rs
+++ b/crates/traffic/src/dispatch_pass.rs
@@ -48,12 +48,13 @@
             return Err(QueueBlock::NoFreeSlot);
         }
         let roomiest = scheduler.roomiest(now).ok_or(QueueBlock::NoFreeSlot)?;
-        let proven = scheduler.instances.get(&roomiest).is_some_and(|instance| instance.busy < instance.proven);
+        let proven =
+            scheduler.instances.get(&roomiest).is_some_and(|instance| instance.busy < instance.proven_concurrency);
         if !scheduler.unproven.may_send(now, proven) {
             return Err(QueueBlock::RejectionRisk);
         }
         let may_go = |task: &&OwnedRequest| task.place == Place::Queued && now >= task.not_before;
-        let (tasks, expected) = (&self.tasks, scheduler.expected_time());
+        let (tasks, expected) = (&self.tasks, scheduler.expected_answer_time());
         let mut late = None;
         for number in &scheduler.queued {
             let Some(task) = tasks.get(number).filter(may_go) else { continue };
@@ -109,18 +110,18 @@
             scheduler.queued.retain(|queued| *queued != number);
             return self.send_back(number);
         }
-        if task.dispatches > 0 && !scheduler.budget.try_second(now) {
+        if task.dispatches > 0 && !scheduler.budget.try_retry(now) {
             task.not_before = now + Duration::from_millis(250);
             return;
         }
         let Some(instance) = scheduler.instances.get_mut(&instance_id) else { return };
         if task.is_first() {
-            scheduler.budget.request(now);
+            scheduler.budget.record_request(now);
         }
         instance.busy += 1;
         let level = instance.busy;
         scheduler.in_flight += 1;
-        scheduler.unproven.sent(now, order, level <= instance.proven);
+        scheduler.unproven.record_sent(now, order, level <= instance.proven_concurrency);
         scheduler.queued.retain(|queued| *queued != number);
         task.dispatches += 1;
         if let Some(id) = &task.stored {
--- a/crates/traffic/src/estimate.rs
+++ b/crates/traffic/src/estimate.rs
@@ -12,7 +12,7 @@
         let limit = self.function.instance_limit;
         let free = self.free_slots(now);
         let wanted = (ahead as f64 + 1.0 - f64::from(free)).max(0.0);
-        let mean = self.answer_mean().as_secs_f64();
+        let mean = self.mean_answer_time().as_secs_f64();
         let in_use = f64::from(self.count(Phase::Ready) * limit);
         let starting = self.count(Phase::Starting).max(u32::from(in_use == 0.0));
         let coming = f64::from(starting * limit);
@@ -24,7 +24,7 @@
     }
 
     /// Returns the mean answer time; before the first answer, a quarter of the latency aim.
-    pub fn answer_mean(&self) -> Duration {
+    pub fn mean_answer_time(&self) -> Duration {
         let guess = || self.function.aim.map_or(Duration::ZERO, |aim| aim / 4);
         if self.mean_time.is_zero() { guess() } else { self.mean_time }
     }
@@ -32,13 +32,13 @@
     /// Returns the time until the next instance is ready, if the one ordered first takes the average start time.
     fn next_start(&self, now: Duration) -> Duration {
         let starting = self.instances.values().filter(|instance| instance.phase() == Phase::Starting);
-        let left = |instance: &Instance| (instance.ordered + self.boot()).saturating_sub(now);
+        let left = |instance: &Instance| (instance.ordered_at + self.boot()).saturating_sub(now);
         starting.map(left).min().unwrap_or(self.boot())
     }
 
     /// Returns whether any instance is ready or starting. While there is none, only queued requests cause one to
     /// start.
-    pub fn has_any(&self) -> bool {
+    pub fn has_instances(&self) -> bool {
         self.count(Phase::Ready) + self.count(Phase::Starting) > 0
     }
 }
--- a/crates/traffic/src/estimate_tests.rs
+++ b/crates/traffic/src/estimate_tests.rs
@@ -18,7 +18,7 @@
     for number in 0..ready + starting {
         let mut instance = Instance::new(NOW - Duration::from_millis(400), "127.0.0.1:1");
         if number < ready {
-            instance.take(InstanceEvent::Ready);
+            instance.apply(InstanceEvent::Ready);
             instance.busy = busy;
         }
         scheduler.instances.insert(number.to_string(), instance);
--- a/crates/traffic/src/expiry.rs
+++ b/crates/traffic/src/expiry.rs
@@ -45,23 +45,23 @@
             .collect();
         for number in late {
             let Some(task) = self.tasks.get(&number) else { continue };
-            let again = self.spread(number, SOON);
+            let again = self.add_jitter(number, SOON);
             match (task.class, &task.place) {
-                (_, Place::AwaitingGrant { .. }) => self.fail(number),
+                (_, Place::AwaitingGrant { .. }) => self.answer_failure(number),
                 (Class::Deferred, Place::Storing) => {
                     if let Some(task) = self.tasks.get_mut(&number) {
                         task.stored = None;
                     }
-                    self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO);
+                    self.answer_without_body(number, Outcome::Unknown, 504, Duration::ZERO);
                 }
                 (Class::Deferred, _) => self.accept(number),
                 (Class::Once, Place::Following { .. }) => self.refuse_as_running(number),
-                (Class::Once, Place::Claiming) => self.answer_own(number, Outcome::NotRun, 503, again),
-                (Class::Once, _) if task.reached => self.fail(number),
+                (Class::Once, Place::Claiming) => self.answer_without_body(number, Outcome::NotRun, 503, again),
+                (Class::Once, _) if task.reached => self.answer_failure(number),
                 (Class::Ordinary | Class::Single, _) if task.reached => {
-                    self.answer_own(number, Outcome::Unknown, 504, again)
+                    self.answer_without_body(number, Outcome::Unknown, 504, again)
                 }
-                _ => self.give_up(number, SOON, RefusalReason::Expired),
+                _ => self.release_and_refuse(number, SOON, RefusalReason::Expired),
             }
         }
         self.following_pass();
@@ -82,17 +82,17 @@
             return self.forget(number);
         }
         if task.reached {
-            return self.fail(number);
+            return self.answer_failure(number);
         }
         // The next owner would not know which instance rejected the request.
         if task.class == Class::Single && task.dispatches > 0 {
             return self.refuse(number, RefusalReason::NoFurtherAttempt);
         }
-        self.not_home(number);
+        self.return_to_front(number);
     }
 
     /// Returns a request to its front with the number of attempts made here, and forgets it.
-    pub(crate) fn not_home(&mut self, number: u64) {
+    pub(crate) fn return_to_front(&mut self, number: u64) {
         if let Some(task) = self.tasks.get(&number) {
             let (to, task, attempts) = (task.id.from, task.id.task, task.dispatches);
             let message = if attempts == 0 {
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -37,7 +37,7 @@
             binding: record.binding.as_str().into(),
             left_ms: (record.due - self.now).as_millis() as u32,
             resends: record.resends,
-            attempts: record.attempts.forward(),
+            attempts: record.attempts.grant_first(),
             respond_async: record.call.respond_async as u8,
             key: record.key.as_str().into(),
             head: wire::to_bytes(&head).into(),
@@ -59,7 +59,7 @@
         let record = task.and_then(|task| self.table.get_mut(&task));
         let present =
             record.filter(|record| record.forward == forward && record.stage == Stage::Forwarded { owner: from });
-        let attempts = present.map_or(0, |record| record.attempts.request(wanted));
+        let attempts = present.map_or(0, |record| record.attempts.grant(wanted));
         if let Some(task) = task {
             self.charge_attempts(task);
         }
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -133,7 +133,7 @@
             Some(key) => format!("k-{key}"),
             None => format!("a-{:x}-{:x}-{task:x}", self.me, self.incarnation),
         };
-        let patience = self.patience(&call);
+        let patience = self.wait_limits(&call);
         let record = Record {
             request_id,
             forward: 0,
@@ -232,7 +232,7 @@
         record.function = format!("{tenant}/{}", binding.function_for(dice(task)));
         record.class = Some(binding.class);
         let counted = matches!(binding.class, Class::Ordinary | Class::Single);
-        record.attempts.allow(counted.then_some(binding.attempts.max(1)));
+        record.attempts.set_limit(counted.then_some(binding.attempts.max(1)));
         true
     }
 }
--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -104,7 +104,7 @@
                 record.stage = Stage::Waiting;
                 record.again_at = self.now + RETRY;
                 let sent = if let ForwardMessage::Returned { attempts, .. } = given_back { attempts } else { 0 };
-                record.attempts.give_back(sent);
+                record.attempts.return_unused(sent);
                 if record.attempts.is_spent() {
                     self.answer_spent(task);
                 }
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -1,7 +1,7 @@
 //! What the front takes and returns, and the record it keeps of each task.
 
 use crate::attempt_count::AttemptCount;
-use crate::patience::Patience;
+use crate::wait_limits::WaitLimits;
 use bindings::{Class, RouteTable};
 use leases::Membership;
 use quota::{Charge, ConsumerId, QuotaBounds};
@@ -135,7 +135,7 @@
     pub started_at: Duration,
     pub due: Duration,
     /// Until when it may wait here.
-    pub patience: Patience,
+    pub patience: WaitLimits,
     pub stage: Stage,
     pub again_at: Duration,
     pub resends: u8,
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -60,7 +60,7 @@
 impl FunctionOwner {
     pub fn new(me: NodeId, incarnation: u64, timing: OwnerTiming) -> Self {
         let workers = Workers::new(timing.zone_losses > 0);
-        let window = Allowances::remembered(timing.allowances.retry_window);
+        let window = Allowances::lengthened_window(timing.allowances.retry_window);
         FunctionOwner {
             me,
             incarnation,
@@ -117,7 +117,7 @@
                 }
             }
             OwnerInput::Forward { from, message: ForwardMessage::AttemptGrant { task, attempts } } => {
-                self.attempts_granted(from, task, attempts);
+                self.handle_attempt_grant(from, task, attempts);
             }
             OwnerInput::Forward { from, message: ForwardMessage::HeartbeatRequest } => {
                 if may_serve {
@@ -133,7 +133,7 @@
                 self.take_handover(table)
             }
             OwnerInput::Forward { message: ForwardMessage::Preempt { function, .. }, .. } => {
-                self.preempt(function.as_str())
+                self.handle_preemption(function.as_str())
             }
             OwnerInput::Forward { from, message: ForwardMessage::Inventory { inventory } } => {
                 self.inventory_received(from, inventory)
@@ -141,7 +141,7 @@
             OwnerInput::Forward { from, message: ForwardMessage::InventoryRequest } => self.inventory_requested(from),
             OwnerInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
             OwnerInput::Forward { .. } => {}
-            OwnerInput::Dispatched { number, outcome } => self.dispatched(number, outcome),
+            OwnerInput::Dispatched { number, outcome } => self.handle_dispatch_outcome(number, outcome),
             OwnerInput::StoreOperation { message } => self.handle_store_reply(message),
             OwnerInput::Platform { report, listed_at } => self.platform(report, listed_at),
             OwnerInput::Probed { id, ready } => self.probed(&id, ready),
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -1,13 +1,13 @@
 //! One function at its owner: its held tasks, its instances, its budget and its part of the plan.
 
 use crate::allowances::Allowances;
-use crate::budget::Budget;
+use crate::budget::RetryBudget;
 use crate::instance::{Instance, Phase};
-use crate::load::{Load, Peak, Usual};
+use crate::load::{DemandPeak, RecentLoad, TypicalAnswerTime};
 use crate::queue_wait::{BlockedTime, QueueWait};
 use crate::refusals::RefusalCounts;
+use crate::rejection_limit::RejectionLimit;
 use crate::sent_tasks::SentTasks;
-use crate::unproven::UnprovenLimit;
 use bindings::Function;
 use scaler::Player;
 use std::collections::{BTreeMap, VecDeque};
@@ -22,8 +22,8 @@
     pub queued: VecDeque<u64>,
     pub instances: BTreeMap<String, Instance>,
     pub player: Player,
-    pub budget: Budget,
-    pub unproven: UnprovenLimit,
+    pub budget: RetryBudget,
+    pub unproven: RejectionLimit,
     pub in_flight: u32,
     pub adopting: Option<(Duration, bool)>,
     pub taken: u64,
@@ -33,9 +33,9 @@
     /// Whether this router is the owner by the membership in force; asked at each pass, so it is kept here.
     pub is_owned: bool,
     pub arrivals: u32,
-    pub load: Load,
-    pub peak: Peak,
-    pub usual: Usual,
+    pub load: RecentLoad,
+    pub peak: DemandPeak,
+    pub usual: TypicalAnswerTime,
     pub answered: u32,
     pub answer_time: Duration,
     pub mean_time: Duration,
@@ -72,8 +72,8 @@
             queued: VecDeque::new(),
             instances: BTreeMap::new(),
             player: Player::default(),
-            budget: Budget::new(now, allowances),
-            unproven: UnprovenLimit::new(now, allowances),
+            budget: RetryBudget::new(now, allowances),
+            unproven: RejectionLimit::new(now, allowances),
             in_flight: 0,
             adopting: Some((now, false)),
             taken: membership,
@@ -82,9 +82,9 @@
             leaving: None,
             is_owned: false,
             arrivals: 0,
-            load: Load::new(now),
-            peak: Peak::default(),
-            usual: Usual::default(),
+            load: RecentLoad::new(now),
+            peak: DemandPeak::default(),
+            usual: TypicalAnswerTime::default(),
             answered: 0,
             answer_time: Duration::ZERO,
             mean_time: Duration::ZERO,
@@ -117,12 +117,12 @@
 
     /// Others may have been owner here meanwhile: what they spent and sent is not known.
     pub fn begin_anew(&mut self, now: Duration) {
-        self.unproven.be_careful(now);
-        self.instances.values_mut().for_each(|instance| instance.proven = 0);
-        self.budget.be_careful(now);
+        self.unproven.begin_caution(now);
+        self.instances.values_mut().for_each(|instance| instance.proven_concurrency = 0);
+        self.budget.begin_caution(now);
         (self.adopting, self.reported, self.read_at) = (Some((now, false)), (0, 0), None);
         self.sent_tasks = SentTasks::Unknown;
-        self.load.watch_anew(now);
+        self.load.reset_long_run_rate(now);
     }
 
     /// Tasks an instance is planned for, by the usage in force.
@@ -139,7 +139,7 @@
 
     pub fn took(&mut self, time: Duration) {
         self.answered += 1;
-        self.answer_time += self.usual.bound(time);
+        self.answer_time += self.usual.cap(time);
         self.mean_time = if self.mean_time.is_zero() { time } else { (self.mean_time * 7 + time) / 8 };
     }
 
@@ -167,21 +167,21 @@
     pub fn turned_away(&mut self, now: Duration, id: &str) {
         let limit = self.function.instance_limit;
         if let Some(instance) = self.instances.get_mut(id) {
-            instance.allowed = (instance.busy.min(limit) / 2).max(1);
-            instance.allowed_at = now;
-            instance.proven = 0;
+            instance.concurrency_limit = (instance.busy.min(limit) / 2).max(1);
+            instance.limit_changed_at = now;
+            instance.proven_concurrency = 0;
             instance.paused_until = now + Duration::from_millis(400);
         }
     }
 
     pub fn grow_back(&mut self, now: Duration) {
         let limit = self.function.instance_limit;
-        self.unproven.fade();
+        self.unproven.decay();
         let pause = if self.unproven.rejections(now) == 0 { GROW_CALM } else { GROW };
         for instance in self.instances.values_mut() {
-            if instance.allowed < limit && now > instance.allowed_at + pause {
-                instance.allowed += 1;
-                instance.allowed_at = now;
+            if instance.concurrency_limit < limit && now > instance.limit_changed_at + pause {
+                instance.concurrency_limit += 1;
+                instance.limit_changed_at = now;
             }
         }
     }
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -32,7 +32,7 @@
                         (scheduler.leaving, scheduler.taken) = (None, self.membership.number);
                         scheduler.begin_anew(now);
                         let earlier = self.history.earlier_homes(now, &function.name);
-                        scheduler.budget.set_earlier_homes(earlier);
+                        scheduler.budget.set_earlier_owners(earlier);
                         begun_anew.push(function.name.clone());
                     }
                 }
@@ -40,7 +40,7 @@
                     event!(function_owner_changed, "{}", function.name);
                     let mut scheduler =
                         FunctionScheduler::new(now, function.clone(), self.membership.number, &self.timing.allowances);
-                    scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, &function.name));
+                    scheduler.budget.set_earlier_owners(self.history.earlier_homes(now, &function.name));
                     self.schedulers.insert(function.name.clone(), scheduler);
                     self.take_standby_copy(&function.name);
                     begun_anew.push(function.name.clone());
@@ -73,7 +73,7 @@
                 _ => {}
             }
         }
-        self.apply_tuned();
+        self.apply_tuned_parameters();
         self.drop_moved_deferred();
     }
 
@@ -128,13 +128,13 @@
                 && ((listed && now > since + FOREIGN_ON_CRASH / 2) || now > since + self.timing.adopt)
             {
                 scheduler.adopting = None;
-                scheduler.unproven.be_careful(now);
-                scheduler.budget.stay_careful(now);
-                scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, name));
+                scheduler.unproven.begin_caution(now);
+                scheduler.budget.extend_caution(now);
+                scheduler.budget.set_earlier_owners(self.history.earlier_homes(now, name));
                 for instance in scheduler.instances.values_mut() {
-                    instance.allowed = (scheduler.function.instance_limit / 2).max(1);
-                    instance.allowed_at = now;
-                    instance.foreign = 1;
+                    instance.concurrency_limit = (scheduler.function.instance_limit / 2).max(1);
+                    instance.limit_changed_at = now;
+                    instance.foreign_requests = 1;
                     instance.foreign_until = now + FOREIGN_ON_CRASH / 2;
                 }
             }
--- a/crates/traffic/src/instance.rs
+++ b/crates/traffic/src/instance.rs
@@ -14,7 +14,7 @@
     /// The instance cannot be reached or is no longer listed.
     Lost,
     /// A lost instance accepts connections again.
-    Found,
+    Reconnected,
 }
 
 /// Phase in the life of an instance.
@@ -59,7 +59,7 @@
     #[state]
     fn gone(event: &InstanceEvent) -> Outcome<State> {
         match event {
-            InstanceEvent::Found => Transition(State::ready()),
+            InstanceEvent::Reconnected => Transition(State::ready()),
             _ => Handled,
         }
     }
@@ -69,13 +69,13 @@
         match event {
             InstanceEvent::Drain => Transition(State::draining()),
             InstanceEvent::Lost => Transition(State::gone()),
-            InstanceEvent::Ready | InstanceEvent::Found => Handled,
+            InstanceEvent::Ready | InstanceEvent::Reconnected => Handled,
         }
     }
 }
 
 /// A start order without a definite outcome yet. Until then its instance is listed under the order's nonce.
-pub struct Pending {
+pub struct PendingStart {
     /// Whether an order is out whose reply has not arrived.
     pub requested: bool,
     /// Number of orders without a reply.
@@ -96,32 +96,32 @@
     /// Zone that it runs in; empty while unknown.
     pub zone: String,
     /// Start order without a definite outcome.
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingStart>,
     /// Requests of this owner that run on it.
     pub busy: u32,
     /// Requests of other owners assumed to run on it, until `foreign_until`.
-    pub foreign: u32,
+    pub foreign_requests: u32,
     pub foreign_until: Duration,
     /// Maximum number of concurrent requests; lowered by rejections and raised again over time.
-    pub allowed: u32,
-    /// Time of the last change of `allowed`.
-    pub allowed_at: Duration,
+    pub concurrency_limit: u32,
+    /// Time of the last change of `concurrency_limit`.
+    pub limit_changed_at: Duration,
     /// Time until which nothing is sent to it.
     pub paused_until: Duration,
     /// Time of the start order, or when this owner first learned of the instance.
-    pub ordered: Duration,
+    pub ordered_at: Duration,
     /// Time when its last request ended.
-    pub used: Duration,
+    pub last_used_at: Duration,
     /// Time of the last stop order.
-    pub stopping: Option<Duration>,
+    pub stop_ordered_at: Option<Duration>,
     /// Earliest time of the next stop order.
-    pub retry_stop: Duration,
+    pub retry_stop_at: Duration,
     /// Time when it was lost.
-    pub lost: Option<Duration>,
+    pub lost_at: Option<Duration>,
     /// Whether the platform has listed it.
     pub listed: bool,
     /// Maximum number of concurrent requests, all from this owner, under which the instance has answered.
-    pub proven: u32,
+    pub proven_concurrency: u32,
 }
 
 impl Instance {
@@ -134,28 +134,28 @@
             zone: String::new(),
             pending: None,
             busy: 0,
-            foreign: 0,
+            foreign_requests: 0,
             foreign_until: Duration::ZERO,
-            allowed: u32::MAX,
-            allowed_at: now,
+            concurrency_limit: u32::MAX,
+            limit_changed_at: now,
             paused_until: Duration::ZERO,
-            ordered: now,
-            used: now,
-            stopping: None,
-            retry_stop: now,
-            lost: None,
+            ordered_at: now,
+            last_used_at: now,
+            stop_ordered_at: None,
+            retry_stop_at: now,
+            lost_at: None,
             listed: false,
-            proven: 0,
+            proven_concurrency: 0,
         }
     }
 
     /// Creates an instance whose start is only being ordered, with nothing known about it but the nonce.
-    pub fn wished(now: Duration) -> Instance {
-        Instance { pending: Some(Pending::handed(now)), proven: u32::MAX, ..Instance::new(now, "") }
+    pub fn pending(now: Duration) -> Instance {
+        Instance { pending: Some(PendingStart::handed(now)), proven_concurrency: u32::MAX, ..Instance::new(now, "") }
     }
 
     /// Applies an event.
-    pub fn take(&mut self, event: InstanceEvent) {
+    pub fn apply(&mut self, event: InstanceEvent) {
         self.phase_machine.handle(&event);
     }
 
@@ -175,8 +175,8 @@
         if self.phase() != Phase::Ready || now < self.paused_until || self.address.is_empty() {
             return 0;
         }
-        let foreign = if now < self.foreign_until { self.foreign } else { 0 };
-        limit.min(self.allowed).saturating_sub(self.busy + foreign)
+        let foreign = if now < self.foreign_until { self.foreign_requests } else { 0 };
+        limit.min(self.concurrency_limit).saturating_sub(self.busy + foreign)
     }
 }
 
@@ -187,15 +187,15 @@
     #[test]
     fn nothing_leads_back_from_draining_and_only_a_connection_from_gone() {
         let mut instance = Instance::new(Duration::ZERO, "127.0.0.1:1");
-        instance.take(InstanceEvent::Ready);
+        instance.apply(InstanceEvent::Ready);
         assert_eq!(instance.capacity(Duration::ZERO, 4), 4);
-        instance.take(InstanceEvent::Drain);
-        instance.take(InstanceEvent::Ready);
+        instance.apply(InstanceEvent::Drain);
+        instance.apply(InstanceEvent::Ready);
         assert_eq!((instance.phase(), instance.capacity(Duration::ZERO, 4)), (Phase::Draining, 0));
-        instance.take(InstanceEvent::Lost);
-        instance.take(InstanceEvent::Ready);
+        instance.apply(InstanceEvent::Lost);
+        instance.apply(InstanceEvent::Ready);
         assert_eq!(instance.phase(), Phase::Gone);
-        instance.take(InstanceEvent::Found);
+        instance.apply(InstanceEvent::Reconnected);
         assert_eq!(instance.phase(), Phase::Ready);
     }
 }
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -222,7 +222,7 @@
         for name in functions {
             let Some(scheduler) = self.schedulers.get_mut(name) else { continue };
             let known = scheduler.instances.iter_mut().filter(|(id, _)| lines.contains_key(*id));
-            known.for_each(|(_, instance)| instance.take(crate::instance::InstanceEvent::Drain));
+            known.for_each(|(_, instance)| instance.apply(crate::instance::InstanceEvent::Drain));
         }
     }
 }
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -98,7 +98,7 @@
             (StoreOperation::Release, _) => {
                 let releasing = self.tasks.get(&record.task).is_some_and(|task| task.place == Place::Releasing);
                 if releasing {
-                    self.not_home(record.task);
+                    self.return_to_front(record.task);
                 }
             }
             (StoreOperation::Finish, _) => self.finish_recorded(&record.function, &record.body),
@@ -123,7 +123,7 @@
         match state {
             ClaimState::Granted => {
                 let at_once = task.respond_async;
-                self.hold(number);
+                self.enqueue(number);
                 if at_once {
                     self.accept(number);
                 }
@@ -135,7 +135,7 @@
             ClaimState::Answered => self.answer_stored(number, answer),
             ClaimState::OtherBody => {
                 task.stored = None;
-                self.answer_own(number, Outcome::NotRun, 422, Duration::ZERO);
+                self.answer_without_body(number, Outcome::NotRun, 422, Duration::ZERO);
             }
             ClaimState::Full | ClaimState::Unknown => {
                 task.stored = None;
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -15,28 +15,28 @@
 const MIN_MEASURED_SPAN: Duration = Duration::from_millis(300);
 
 /// Arrivals, grouped by the pass that counted them.
-pub struct Load {
+pub struct RecentLoad {
     passes: VecDeque<(Duration, u32)>,
     counted: u32,
     total: u32,
     long_run: ArrivalRate,
 }
 
-impl Load {
+impl RecentLoad {
     /// Creates an empty count.
-    pub fn new(now: Duration) -> Load {
-        Load { passes: VecDeque::new(), counted: 0, total: 0, long_run: ArrivalRate::new(now) }
+    pub fn new(now: Duration) -> RecentLoad {
+        RecentLoad { passes: VecDeque::new(), counted: 0, total: 0, long_run: ArrivalRate::new(now) }
     }
 
     /// Restarts the long-run arrival rate. Another owner may have served the function meanwhile, so the number of its
     /// calls is not known.
-    pub fn watch_anew(&mut self, now: Duration) {
+    pub fn reset_long_run_rate(&mut self, now: Duration) {
         self.long_run = ArrivalRate::new(now);
     }
 
     /// Counts the arrivals since the last pass. `arrivals` rises with each request and restarts at zero with each
     /// sample.
-    pub fn pass(&mut self, now: Duration, arrivals: u32) {
+    pub fn update(&mut self, now: Duration, arrivals: u32) {
         let has_changes = if arrivals >= self.counted { arrivals - self.counted } else { arrivals };
         self.counted = arrivals;
         self.long_run.pass(now, has_changes);
@@ -64,14 +64,14 @@
 /// Maximum number of instances wanted within the time that a start takes. An instance stopped sooner would have to be
 /// started again when demand next rises.
 #[derive(Default)]
-pub struct Peak {
+pub struct DemandPeak {
     /// Counts that no later count has reached, highest first.
     counts: VecDeque<(Duration, u32)>,
 }
 
-impl Peak {
+impl DemandPeak {
     /// Adds the current count and returns the maximum.
-    pub fn pass(&mut self, now: Duration, wanted: u32, boot: Duration) -> u32 {
+    pub fn update(&mut self, now: Duration, wanted: u32, boot: Duration) -> u32 {
         while self.counts.pop_back_if(|(_, count)| *count <= wanted).is_some() {}
         self.counts.push_back((now, wanted));
         while self.counts.pop_front_if(|(at, _)| now > *at + boot).is_some() {}
@@ -82,37 +82,37 @@
 /// Answer time under normal conditions. It follows the recent mean upwards only slowly: otherwise requests that hang
 /// because a service they call is down would demand ever more instances.
 #[derive(Default)]
-pub struct Usual {
+pub struct TypicalAnswerTime {
     time: Duration,
 }
 
-impl Usual {
+impl TypicalAnswerTime {
     /// Moves towards the recent mean, within the limits for one pass.
-    pub fn pass(&mut self, mean: Duration) {
+    pub fn update(&mut self, mean: Duration) {
         let (least, most) = (self.time.mul_f64(FALL), self.time.mul_f64(RISE));
         self.time = if self.time.is_zero() { mean } else { mean.clamp(least, most) };
     }
 
     /// Caps a measured answer time at three times the usual one, so that outliers count little.
-    pub fn bound(&self, took: Duration) -> Duration {
+    pub fn cap(&self, took: Duration) -> Duration {
         if self.time.is_zero() { took } else { took.min(self.time * 3) }
     }
 }
 
 impl FunctionScheduler {
     /// Returns the expected answer time.
-    pub fn expected_time(&self) -> Duration {
-        if self.usual.time.is_zero() { self.answer_mean() } else { self.usual.time.min(self.answer_mean()) }
+    pub fn expected_answer_time(&self) -> Duration {
+        if self.usual.time.is_zero() { self.mean_answer_time() } else { self.usual.time.min(self.mean_answer_time()) }
     }
 
     /// Returns the number of instances that the current load needs.
-    pub fn live(&self, now: Duration) -> u32 {
+    pub fn instances_for_load(&self, now: Duration) -> u32 {
         let demand = LiveDemand {
             arrivals: self.load.arrivals(),
             rate: self.load.rate(now),
             queued: self.queued.len() as u32,
             in_flight: self.in_flight,
-            usual: if self.usual.time.is_zero() { self.answer_mean() } else { self.usual.time },
+            usual: if self.usual.time.is_zero() { self.mean_answer_time() } else { self.usual.time },
             capacity: self.capacity(),
             instance_limit: self.function.instance_limit,
             ready: self.count(Phase::Ready),
--- a/crates/traffic/src/owner_answers.rs
+++ b/crates/traffic/src/owner_answers.rs
@@ -47,7 +47,7 @@
     pub(crate) fn answer_stored(&mut self, number: u64, raw: &[u8]) {
         match wire::from_bytes::<StoredAnswer>(raw) {
             Some(answer) => self.give_answer(number, answer),
-            None => self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO),
+            None => self.answer_without_body(number, Outcome::Unknown, 504, Duration::ZERO),
         }
     }
 
--- a/crates/traffic/src/preemption.rs
+++ b/crates/traffic/src/preemption.rs
@@ -71,7 +71,7 @@
     }
 
     /// Handles another owner's request for memory: drains an instance if one may be preempted.
-    pub(crate) fn preempt(&mut self, asking: &str) {
+    pub(crate) fn handle_preemption(&mut self, asking: &str) {
         let now = self.now;
         if !self.has_some(asking) {
             self.no_growth = now + NO_GROWTH;
@@ -94,10 +94,10 @@
                 scheduler.instances.iter().map(move |(id, instance)| (name, scheduler, id, instance))
             })
             .filter(|(_, _, _, instance)| instance.phase() == Phase::Ready && instance.busy == 0)
-            .filter(|(_, _, _, instance)| now > instance.used + IDLE)
+            .filter(|(_, _, _, instance)| now > instance.last_used_at + IDLE)
             .min_by_key(|(_, scheduler, id, instance)| {
                 let share = per_tenant.get(scheduler.function.tenant.as_str()).copied().unwrap_or_default();
-                (scheduler.count(Phase::Ready) < 2, std::cmp::Reverse(share), instance.used, (*id).clone())
+                (scheduler.count(Phase::Ready) < 2, std::cmp::Reverse(share), instance.last_used_at, (*id).clone())
             })
             .map(|(name, _, id, _)| (name.clone(), id.clone()));
         let Some((name, id)) = selected.or_else(|| self.busy_beyond_its_share(asking)) else { return };
@@ -106,7 +106,7 @@
             scheduler.backs_off = now + PREEMPTION_COOLDOWN;
             scheduler.refused_until = now + if scheduler.queued.is_empty() { NO_GROWTH } else { REST };
             if let Some(instance) = scheduler.instances.get_mut(&id) {
-                instance.take(InstanceEvent::Drain);
+                instance.apply(InstanceEvent::Drain);
             }
         }
     }
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -41,10 +41,10 @@
             let Some(instance) = scheduler.instances.get_mut(id) else { continue };
             match instance.phase() {
                 Phase::Starting => {
-                    scheduler.seen.booted(now.saturating_sub(instance.ordered));
-                    instance.take(InstanceEvent::Ready);
+                    scheduler.seen.record_boot(now.saturating_sub(instance.ordered_at));
+                    instance.apply(InstanceEvent::Ready);
                 }
-                Phase::Gone if instance.lost.take().is_some() => instance.take(InstanceEvent::Found),
+                Phase::Gone if instance.lost_at.take().is_some() => instance.apply(InstanceEvent::Reconnected),
                 _ => {}
             }
         }
@@ -58,8 +58,8 @@
         if instance.phase() != Phase::Ready {
             return;
         }
-        instance.take(InstanceEvent::Lost);
-        instance.lost = Some(self.now);
+        instance.apply(InstanceEvent::Lost);
+        instance.lost_at = Some(self.now);
         let (id, address) = (id.to_owned(), instance.address.clone());
         self.outs.push(OwnerOutput::Probe { id, address, after: REFUSED_AFTER, limit: REFUSED_LIMIT });
     }
@@ -71,8 +71,8 @@
             match receipt {
                 StopReply::Taken | StopReply::Unknown if instance.busy == 0 => drop(scheduler.instances.remove(id)),
                 StopReply::Taken | StopReply::Unknown => {}
-                StopReply::Limited => instance.retry_stop = now + LIMITED,
-                StopReply::Unanswered => instance.retry_stop = now + UNANSWERED,
+                StopReply::Limited => instance.retry_stop_at = now + LIMITED,
+                StopReply::Unanswered => instance.retry_stop_at = now + UNANSWERED,
             }
         }
     }
@@ -84,7 +84,7 @@
         for scheduler in self.schedulers.values_mut().filter(|scheduler| !scheduler.instances.is_empty()) {
             scheduler.instances.retain(|_, instance| {
                 let starting = instance.phase() == Phase::Starting && instance.pending.is_none();
-                let told = requested > instance.ordered + CRASH_REPORT_DELAY;
+                let told = requested > instance.ordered_at + CRASH_REPORT_DELAY;
                 let down = !instance.worker.is_empty() && !workers.knows(&instance.worker);
                 !starting || !told || !down
             });
@@ -111,16 +111,18 @@
                     Some(line) => {
                         instance.take_line(line);
                         match line.state {
-                            InstanceState::Running if instance.stopping.is_none() && !self.leaving.contains_key(id) => {
-                                instance.take(InstanceEvent::Ready)
+                            InstanceState::Running
+                                if instance.stop_ordered_at.is_none() && !self.leaving.contains_key(id) =>
+                            {
+                                instance.apply(InstanceEvent::Ready)
                             }
-                            InstanceState::Leaving => instance.take(InstanceEvent::Drain),
+                            InstanceState::Leaving => instance.apply(InstanceEvent::Drain),
                             _ => {}
                         }
                     }
-                    None if instance.listed => instance.take(InstanceEvent::Lost),
-                    None if requested > instance.ordered + overlay => {
-                        instance.take(InstanceEvent::Lost);
+                    None if instance.listed => instance.apply(InstanceEvent::Lost),
+                    None if requested > instance.ordered_at + overlay => {
+                        instance.apply(InstanceEvent::Lost);
                         never_came.push(id.clone());
                     }
                     None => {}
@@ -135,7 +137,7 @@
                         let mut instance = Instance::new(now, &line.address);
                         instance.take_line(line);
                         if line.state == InstanceState::Running {
-                            instance.take(InstanceEvent::Ready);
+                            instance.apply(InstanceEvent::Ready);
                         }
                         scheduler.instances.insert(line.id.clone(), instance);
                     }
--- a/crates/traffic/src/unproven.rs
+++ b/crates/traffic/src/rejection_limit.rs
@@ -4,8 +4,8 @@
 //! for the owner that takes over after a crash, since that owner does not know the earlier count. Requests to proven
 //! instances stay within a congestion window that follows what the instances can handle.
 
-use crate::allowances::{Allowances, Max};
-use crate::budget::Spent;
+use crate::allowances::{Allowances, OwnerLimit};
+use crate::budget::UsageWindow;
 use crate::send_window::{Allowance, SendWindow};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -35,13 +35,13 @@
     /// The instance rejected it.
     Rejected,
     /// The request was not sent, or its result is unknown.
-    Unclear,
+    Unknown,
 }
 
 /// Limit on the requests of one function that may be sent before earlier ones are known not to be rejected.
-pub struct UnprovenLimit {
-    max_rejections: Max,
-    rejections: Spent,
+pub struct RejectionLimit {
+    max_rejections: OwnerLimit,
+    rejections: UsageWindow,
     /// Requests that may still be rejected, by dispatch number.
     sent: BTreeMap<u64, SentRequest>,
     window: SendWindow,
@@ -50,15 +50,15 @@
     polled_at: Duration,
 }
 
-impl UnprovenLimit {
+impl RejectionLimit {
     /// Creates the limit of an owner that does not know the rejections under earlier owners, so it starts cautious.
-    pub fn new(now: Duration, allowances: &Allowances) -> UnprovenLimit {
-        let remembered = Allowances::remembered(allowances.rejection_window);
-        UnprovenLimit {
-            max_rejections: allowances.rejections(),
-            rejections: Spent::new(now, remembered, remembered + MAX_REJECTION_LATENCY),
+    pub fn new(now: Duration, allowances: &Allowances) -> RejectionLimit {
+        let remembered = Allowances::lengthened_window(allowances.rejection_window);
+        RejectionLimit {
+            max_rejections: allowances.rejection_limit(),
+            rejections: UsageWindow::new(now, remembered, remembered + MAX_REJECTION_LATENCY),
             sent: BTreeMap::new(),
-            window: SendWindow::new(allowances.rejections().known),
+            window: SendWindow::new(allowances.rejection_limit().informed),
             usual: INITIAL_REJECTION_LATENCY,
             polled_at: now,
         }
@@ -66,20 +66,20 @@
 
     /// Starts a cautious period and resets the congestion window. Another owner may have served the function
     /// meanwhile, so what the instances handled earlier no longer applies.
-    pub fn be_careful(&mut self, now: Duration) {
-        self.rejections.be_careful(now);
-        self.window = SendWindow::new(self.max_rejections.known);
+    pub fn begin_caution(&mut self, now: Duration) {
+        self.rejections.begin_caution(now);
+        self.window = SendWindow::new(self.max_rejections.informed);
     }
 
     /// Adds the rejections that the previous owner reported as of `at`. Requests that it had sent may still be
     /// rejected.
-    pub fn take_over(&mut self, now: Duration, at: Duration, rejections: u32) {
-        self.rejections.take_over(now, at, rejections.min(64) as usize, false);
+    pub fn adopt_count(&mut self, now: Duration, at: Duration, rejections: u32) {
+        self.rejections.adopt_count(now, at, rejections.min(64) as usize, false);
     }
 
     /// Adds rejections that the previous owner reported in addition to its earlier report.
-    pub fn learn(&mut self, now: Duration, more: u32) {
-        self.rejections.learn(now, more.min(64) as usize);
+    pub fn add_reported(&mut self, now: Duration, more: u32) {
+        self.rejections.add_reported(now, more.min(64) as usize);
     }
 
     /// Returns the known rejections within the window.
@@ -132,12 +132,12 @@
     }
 
     /// Records that a request was sent.
-    pub fn sent(&mut self, now: Duration, order: u64, proven: bool) {
+    pub fn record_sent(&mut self, now: Duration, order: u64, proven: bool) {
         self.sent.insert(order, SentRequest { at: now, is_proven: proven });
     }
 
     /// Records the result of a request that was sent at `begun`.
-    pub fn ended(&mut self, now: Duration, order: u64, begun: Duration, result: SendResult) {
+    pub fn record_result(&mut self, now: Duration, order: u64, begun: Duration, result: SendResult) {
         self.sent.remove(&order);
         match result {
             SendResult::Answered => {
@@ -150,13 +150,13 @@
                 let took = now.saturating_sub(begun);
                 self.usual = self.usual.max(took.mul_f64(1.5)).min(MAX_REJECTION_LATENCY);
             }
-            SendResult::Unclear => {}
+            SendResult::Unknown => {}
         }
     }
 
     /// Decays the congestion window and the rejection latency towards their initial values; called once per pass.
-    pub fn fade(&mut self) {
-        self.window.fade();
+    pub fn decay(&mut self) {
+        self.window.decay();
         self.usual = INITIAL_REJECTION_LATENCY + self.usual.saturating_sub(INITIAL_REJECTION_LATENCY).mul_f64(FORGET);
     }
 }
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -25,8 +25,8 @@
             return self.send_back(number);
         };
         let late = now + margin + scheduler.least_time() > task.due;
-        if late || task.dispatches >= task.attempts || !scheduler.budget.may_second(now) {
-            return self.fail(number);
+        if late || task.dispatches >= task.attempts || !scheduler.budget.may_retry(now) {
+            return self.answer_failure(number);
         }
         if task.dispatches < task.granted {
             return self.requeue(number);
@@ -38,7 +38,7 @@
     }
 
     /// Handles the front's reply with the total number of attempts granted.
-    pub(crate) fn attempts_granted(&mut self, from: NodeId, task: u64, attempts: u32) {
+    pub(crate) fn handle_attempt_grant(&mut self, from: NodeId, task: u64, attempts: u32) {
         let id = TaskId { from, task };
         let awaits = |task: &crate::owner_types::OwnedRequest| {
             task.id == id && matches!(task.place, Place::AwaitingGrant { .. })
@@ -47,7 +47,7 @@
         let number = *number;
         task.granted = task.granted.max(attempts);
         if task.dispatches >= task.granted {
-            return self.fail(number);
+            return self.answer_failure(number);
         }
         let owned = self.membership.owner(&task.function) == Some(self.me);
         let stays = self.schedulers.get(&task.function).is_some_and(|scheduler| scheduler.leaving.is_none());
@@ -58,11 +58,11 @@
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.failure = None;
         task.not_before = self.now;
-        self.hold(number);
+        self.enqueue(number);
     }
 
     /// Answers with the failure of the last attempt.
-    pub(crate) fn fail(&mut self, number: u64) {
+    pub(crate) fn answer_failure(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         let (class, reached) = (task.class, task.reached);
         let failure = task.failure.take().unwrap_or_else(|| Failure::unknown(504));
@@ -78,11 +78,11 @@
     }
 
     /// Answers requests whose grant did not arrive in time.
-    pub(crate) fn grant_pass(&mut self) {
+    pub(crate) fn expire_grants(&mut self) {
         let now = self.now;
         let overdue = |place: &Place| matches!(place, Place::AwaitingGrant { until } if now >= *until);
         let waiting = self.tasks.iter().filter(|(_, task)| overdue(&task.place));
         let waiting: Vec<u64> = waiting.map(|(number, _)| *number).collect();
-        waiting.into_iter().for_each(|number| self.fail(number));
+        waiting.into_iter().for_each(|number| self.answer_failure(number));
     }
 }
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -23,7 +23,7 @@
     pub(crate) fn tick(&mut self) {
         self.handover_pass();
         self.standby_pass();
-        self.grant_pass();
+        self.expire_grants();
         self.expire_pass();
         self.store_pass();
         self.deferred_pass();
@@ -61,8 +61,8 @@
                 continue;
             }
             scheduler.grow_back(now);
-            scheduler.load.pass(now, scheduler.arrivals);
-            scheduler.usual.pass(scheduler.mean_time);
+            scheduler.load.update(now, scheduler.arrivals);
+            scheduler.usual.update(scheduler.mean_time);
             let (ready, starting) = (scheduler.count(Phase::Ready), scheduler.count(Phase::Starting));
             let queued =
                 scheduler.queued.iter().filter(|n| self.tasks.get(n).is_some_and(|t| now >= t.not_before)).count()
@@ -77,7 +77,7 @@
                 max: scheduler.function.max,
                 fixed: scheduler.function.fixed,
                 may_ask: asks_left > 0,
-                live: scheduler.live(now),
+                live: scheduler.instances_for_load(now),
             };
             let before = scheduler.player.fallbacks;
             let decision = scheduler.player.step(now, request_id, situation, &self.timing.player);
@@ -101,7 +101,7 @@
                 self.outs.push(OwnerOutput::PlanRequest { message });
             }
             let count = ready + starting;
-            let kept = scheduler.peak.pass(now, scheduler.desired, scheduler.function.boot);
+            let kept = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot);
             let willing = now >= scheduler.refused_until && (queued > 0 || now >= scheduler.backs_off);
             let may_grow = count == 0 || now >= self.no_growth;
             if scheduler.desired > count && willing && may_grow {
@@ -148,7 +148,7 @@
         list.sort();
         for (_, _, id) in list.into_iter().take(count as usize) {
             if let Some(instance) = scheduler.instances.get_mut(&id) {
-                instance.take(InstanceEvent::Drain);
+                instance.apply(InstanceEvent::Drain);
             }
         }
     }
@@ -161,13 +161,13 @@
             for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
                 let ended = match instance.phase() {
                     Phase::Draining => true,
-                    Phase::Gone => instance.lost.is_some_and(|at| now > at + LOST_INSTANCE_TTL),
+                    Phase::Gone => instance.lost_at.is_some_and(|at| now > at + LOST_INSTANCE_TTL),
                     Phase::Starting | Phase::Ready => false,
                 };
-                let quiet = instance.busy == 0 && (instance.foreign == 0 || now >= instance.foreign_until);
-                if ended && quiet && (instance.stopping.is_none() || now >= instance.retry_stop) {
-                    instance.stopping = Some(now);
-                    instance.retry_stop = now + STOP_RETRY_INTERVAL;
+                let quiet = instance.busy == 0 && (instance.foreign_requests == 0 || now >= instance.foreign_until);
+                if ended && quiet && (instance.stop_ordered_at.is_none() || now >= instance.retry_stop_at) {
+                    instance.stop_ordered_at = Some(now);
+                    instance.retry_stop_at = now + STOP_RETRY_INTERVAL;
                     self.stopped.insert(id.clone(), now);
                     event!(stop_ordered, "{id}");
                     self.outs.push(OwnerOutput::Supply(ProviderOrder::Stop { id: id.clone(), fence }));
@@ -210,7 +210,7 @@
                 waiting_milli: (scheduler.waiting_sum * 1000.0 / looks) as u64,
                 queued_milli: (scheduler.queued_sum * 1000.0 / looks) as u64,
             });
-            measures.extend(scheduler.measure(name, looks));
+            measures.extend(scheduler.take_measurement(name, looks));
             (scheduler.arrivals, scheduler.answered, scheduler.looks) = (0, 0, 0);
             (scheduler.answer_time, scheduler.waiting_sum, scheduler.queued_sum) = (Duration::ZERO, 0.0, 0.0);
         }
@@ -224,7 +224,7 @@
 
     pub(crate) fn handle_plan_reply(&mut self, message: PlanMessage) {
         if let PlanMessage::Tuned { fence, lines } = message {
-            return self.take_tuned(fence, lines.into_vec());
+            return self.receive_tuned_parameters(fence, lines.into_vec());
         }
         let PlanMessage::Reply { request_id, fence, step_ms, desired, .. } = message else { return };
         let Some(name) = self.plan_requests.remove(&request_id) else { return };
--- a/crates/traffic/src/send_window.rs
+++ b/crates/traffic/src/send_window.rs
@@ -59,7 +59,7 @@
     }
 
     /// Decays unused growth and the answer count; called once per pass.
-    pub fn fade(&mut self) {
+    pub fn decay(&mut self) {
         self.answers *= RETAINED;
         if self.size > self.initial {
             self.size = self.initial.max(self.size * RETAINED);
--- a/crates/traffic/src/send_window_tests.rs
+++ b/crates/traffic/src/send_window_tests.rs
@@ -49,10 +49,10 @@
 fn growth_that_is_not_used_fades_to_where_it_began_and_no_further() {
     let mut window = SendWindow::new(10);
     fill(&mut window, 500, 10);
-    (0..1000).for_each(|_| window.fade());
+    (0..1000).for_each(|_| window.decay());
     assert_eq!(size(&mut window), 10);
     window.rejected();
-    (0..10).for_each(|_| window.fade());
+    (0..10).for_each(|_| window.decay());
     assert_eq!(size(&mut window), 5, "only answers restore what a rejection took");
 }
 
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -4,7 +4,7 @@
 //! table under an older membership than the scheduler was taken by is refused: its sender was fenced out.
 
 use crate::function_owner::FunctionOwner;
-use crate::instance::{Instance, InstanceEvent, Pending, Phase};
+use crate::instance::{Instance, InstanceEvent, PendingStart, Phase};
 use crate::owner_types::{OwnerOutput, Place, StoreOperation};
 use crate::sent_tasks::SentTasks;
 use crate::starting::probe_limit;
@@ -136,7 +136,7 @@
             };
             let earlier = self.history.earlier_homes(now, &name);
             let allowances = &self.timing.allowances;
-            allowances.as_of_a_copy(earlier, &mut table.requests, &mut table.retries, &mut table.rejections);
+            allowances.raise_copied_counts(earlier, &mut table.requests, &mut table.retries, &mut table.rejections);
             self.outs.push(OwnerOutput::Forward { to: copy.from, message: ForwardMessage::Table { table } });
         }
     }
@@ -160,14 +160,14 @@
         let Some(scheduler) = self.schedulers.get_mut(table.function.as_str()) else { return };
         if scheduler.adopting.take().is_some() {
             let at = copied.unwrap_or(now);
-            scheduler.budget.set_earlier_homes(self.history.earlier_homes(now, table.function.as_str()));
-            scheduler.budget.take_over(now, at, table.requests, table.retries, copied.is_none());
-            scheduler.unproven.take_over(now, at, table.rejections);
+            scheduler.budget.set_earlier_owners(self.history.earlier_homes(now, table.function.as_str()));
+            scheduler.budget.adopt_counts(now, at, table.requests, table.retries, copied.is_none());
+            scheduler.unproven.adopt_count(now, at, table.rejections);
             scheduler.sent_tasks =
                 SentTasks::from_table(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         } else {
-            scheduler.budget.learn(now, table.retries.saturating_sub(scheduler.reported.0));
-            scheduler.unproven.learn(now, table.rejections.saturating_sub(scheduler.reported.1));
+            scheduler.budget.add_reported(now, table.retries.saturating_sub(scheduler.reported.0));
+            scheduler.unproven.add_reported(now, table.rejections.saturating_sub(scheduler.reported.1));
             scheduler.sent_tasks.learn_more(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         }
         scheduler.reported = (scheduler.reported.0.max(table.retries), scheduler.reported.1.max(table.rejections));
@@ -184,15 +184,15 @@
                 let (id, address, after) = (id.to_owned(), address.to_owned(), Duration::ZERO);
                 self.outs.push(OwnerOutput::Probe { id, address, after, limit: probe_limit(boot) });
             } else if fresh && slot.ready == 0 {
-                instance.pending = Some(Pending::handed(now));
+                instance.pending = Some(PendingStart::handed(now));
             }
             if instance.address.is_empty() {
                 instance.address = address.to_owned();
             }
             if slot.ready != 0 {
-                instance.take(InstanceEvent::Ready);
+                instance.apply(InstanceEvent::Ready);
             }
-            instance.foreign = slot.busy;
+            instance.foreign_requests = slot.busy;
             instance.foreign_until = foreign_until;
         }
     }
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -3,7 +3,7 @@
 //! for another at once; an unanswered order is sent again, and after several tries the list tells.
 
 use crate::function_owner::FunctionOwner;
-use crate::instance::{Instance, InstanceEvent, Pending, Phase};
+use crate::instance::{Instance, InstanceEvent, PendingStart, Phase};
 use crate::owner_types::OwnerOutput;
 use crate::placement::Placed;
 use events::event;
@@ -41,7 +41,7 @@
         let nonce = format!("{:x}-{:x}-{number:x}", self.me, self.incarnation & 0xffff_ffff);
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return false };
-        scheduler.instances.insert(nonce.clone(), Instance::wished(now));
+        scheduler.instances.insert(nonce.clone(), Instance::pending(now));
         self.order_start(name, &nonce, worker);
         true
     }
@@ -177,11 +177,11 @@
         }
         instance.address = address.clone();
         if self.leaving.contains_key(&id) {
-            instance.take(InstanceEvent::Drain);
+            instance.apply(InstanceEvent::Drain);
         }
         if instance.phase() == Phase::Starting {
             let boot = scheduler.boot();
-            let after = (instance.ordered + boot.mul_f64(FIRST_PROBE_AT_BOOT_FRACTION)).saturating_sub(now);
+            let after = (instance.ordered_at + boot.mul_f64(FIRST_PROBE_AT_BOOT_FRACTION)).saturating_sub(now);
             self.outs.push(OwnerOutput::Probe { id: id.clone(), address, after, limit: probe_limit(boot) });
         }
         scheduler.instances.insert(id, instance);
@@ -197,9 +197,9 @@
     }
 }
 
-impl Pending {
+impl PendingStart {
     /// A wish handed over by another owner, whose order may be on its way.
-    pub(crate) fn handed(now: Duration) -> Pending {
-        Pending { requested: false, resends: 0, hops: 0, retry_at: now }
+    pub(crate) fn handed(now: Duration) -> PendingStart {
+        PendingStart { requested: false, resends: 0, hops: 0, retry_at: now }
     }
 }
--- a/crates/traffic/src/tuned.rs
+++ b/crates/traffic/src/tuning.rs
@@ -8,7 +8,7 @@
 
 impl FunctionScheduler {
     /// Returns the measurements since the previous sample, or `None` if the function was inactive.
-    pub(crate) fn measure(&mut self, name: &str, looks: f64) -> Option<Measurement> {
+    pub(crate) fn take_measurement(&mut self, name: &str, looks: f64) -> Option<Measurement> {
         let seen = std::mem::take(&mut self.seen);
         let stood_still = self.arrivals == 0 && seen.boots == 0 && seen.refused == 0;
         (!stood_still).then(|| Measurement {
@@ -25,7 +25,7 @@
 
 impl Seen {
     /// Counts an instance start and its duration.
-    pub(crate) fn booted(&mut self, took: std::time::Duration) {
+    pub(crate) fn record_boot(&mut self, took: std::time::Duration) {
         self.boots += 1;
         self.boot += took;
     }
@@ -33,16 +33,16 @@
 
 impl FunctionOwner {
     /// Stores received parameters unless parameters with a newer fence came earlier, and applies them.
-    pub(crate) fn take_tuned(&mut self, fence: u64, lines: Vec<TunedParameters>) {
+    pub(crate) fn receive_tuned_parameters(&mut self, fence: u64, lines: Vec<TunedParameters>) {
         if fence < self.tuned.0 {
             return;
         }
         self.tuned = (fence, lines);
-        self.apply_tuned();
+        self.apply_tuned_parameters();
     }
 
     /// Applies the stored parameters to all functions.
-    pub(crate) fn apply_tuned(&mut self) {
+    pub(crate) fn apply_tuned_parameters(&mut self) {
         for scheduler in self.schedulers.values_mut() {
             let line = self.tuned.1.iter().find(|line| line.function.as_str() == scheduler.function.name);
             scheduler.tuned_usage = line.map(|line| line.usage_micro as f64 / 1e6);
--- a/crates/traffic/src/patience.rs
+++ b/crates/traffic/src/wait_limits.rs
@@ -9,30 +9,30 @@
 
 /// Times until which a request may wait at the front before its caller is told to try again later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Patience {
+pub struct WaitLimits {
     /// Limit for a wait for a lease, a link or an owner.
     pub to_forward: Duration,
     /// Limit for a wait for a credit. It is longer, so that the next granter can answer in time when one is lost.
     pub for_credit: Duration,
 }
 
-impl Patience {
-    const UNLIMITED: Patience = Patience { to_forward: Duration::MAX, for_credit: Duration::MAX };
+impl WaitLimits {
+    const UNLIMITED: WaitLimits = WaitLimits { to_forward: Duration::MAX, for_credit: Duration::MAX };
 
-    fn of_aim(now: Duration, aim: Duration) -> Patience {
+    fn of_aim(now: Duration, aim: Duration) -> WaitLimits {
         let to_forward = now + MIN_PATIENCE.max(aim / 4);
-        Patience { to_forward, for_credit: to_forward.max(now + aim * 3 / 5) }
+        WaitLimits { to_forward, for_credit: to_forward.max(now + aim * 3 / 5) }
     }
 }
 
 impl Front {
     /// Returns how long a call may wait. A nested call of a running request has no limit: its caller would not try
     /// again, and the work already done for the parent request would be lost.
-    pub(crate) fn patience(&self, call: &Call) -> Patience {
+    pub(crate) fn wait_limits(&self, call: &Call) -> WaitLimits {
         let binding =
             self.routes.as_ref().and_then(|routes| routes.find_route(&call.host, &call.path)).map(|found| found.1);
         let inherits = |most: u32| call.deadline.is_some_and(|left| left < Duration::from_millis(most.into()) * 7 / 8);
         let aim = binding.filter(|binding| !inherits(binding.deadline_ms)).and_then(|binding| binding.aim_ms);
-        aim.map_or(Patience::UNLIMITED, |aim| Patience::of_aim(self.now, Duration::from_millis(aim.into())))
+        aim.map_or(WaitLimits::UNLIMITED, |aim| WaitLimits::of_aim(self.now, Duration::from_millis(aim.into())))
     }
 }
--- a/crates/traffic/src/wait_queue.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -10,7 +10,7 @@
 use wire::Outcome;
 
 /// Rank of requests that go after all others.
-pub(crate) const LAST: u32 = u32::MAX;
+pub(crate) const LOWEST_PRIORITY: u32 = u32::MAX;
 /// Fraction of its remaining time that a request without a latency aim may be expected to wait before it is refused.
 const HOPE: f64 = 0.9;
 /// Divisor of the latency aim: a request is refused for missing its aim only within this part of it, and stays queued
@@ -22,20 +22,20 @@
 impl FunctionOwner {
     /// Queues a request, or returns it to its front if the function has another owner by now, since a request that is
     /// in no queue is never sent.
-    pub(crate) fn hold(&mut self, number: u64) {
+    pub(crate) fn enqueue(&mut self, number: u64) {
         let Some(function) = self.tasks.get(&number).map(|task| &task.function) else { return };
         if self.schedulers.get(function).is_none_or(|scheduler| scheduler.leaving.is_some()) {
             return self.send_back(number);
         }
-        let wait = self.hopeless_wait(number);
+        let wait = self.excessive_wait(number);
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.place = Place::Queued;
-        let (ahead, refusable) = (self.place_in_queue(number), self.may_refuse(number));
+        let (ahead, refusable) = (self.queue_position(number), self.may_refuse(number));
         let Some(task) = self.tasks.get(&number) else { return };
         let Some(scheduler) = self.schedulers.get_mut(&task.function) else { return };
         scheduler.queued.insert(ahead, number);
         if let Some(wait) = wait.filter(|_| refusable) {
-            self.give_up(number, wait, RefusalReason::ExpectedWait);
+            self.release_and_refuse(number, wait, RefusalReason::ExpectedWait);
         }
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Returns the number of queued requests that go before this one.
-    fn place_in_queue(&self, number: u64) -> usize {
+    fn queue_position(&self, number: u64) -> usize {
         let Some(task) = self.tasks.get(&number) else { return 0 };
         let Some(scheduler) = self.schedulers.get(&task.function) else { return 0 };
         let order = (task.rank, task.due);
@@ -53,21 +53,21 @@
     }
 
     /// Returns the expected wait of a request if it is longer than is useful to the caller.
-    pub(crate) fn hopeless_wait(&self, number: u64) -> Option<Duration> {
+    pub(crate) fn excessive_wait(&self, number: u64) -> Option<Duration> {
         let now = self.now;
         let task = self.tasks.get(&number)?;
         let scheduler = self.schedulers.get(&task.function)?;
         let left = task.due.saturating_sub(now);
         let aim = task.aim.filter(|aim| !task.inherits && now <= task.arrived + *aim / EARLY);
         let worth = match aim {
-            Some(aim) if scheduler.has_any() => aim.saturating_sub(scheduler.mean_time).max(aim / 2).min(left),
+            Some(aim) if scheduler.has_instances() => aim.saturating_sub(scheduler.mean_time).max(aim / 2).min(left),
             _ => left.mul_f64(HOPE),
         };
-        Some(scheduler.expected_wait(now, self.place_in_queue(number))).filter(|wait| *wait > worth)
+        Some(scheduler.expected_wait(now, self.queue_position(number))).filter(|wait| *wait > worth)
     }
 
     /// Lengthens a delay by up to half, so that callers refused at the same time do not come back at the same time.
-    pub(crate) fn spread(&self, number: u64, least: Duration) -> Duration {
+    pub(crate) fn add_jitter(&self, number: u64, least: Duration) -> Duration {
         let dice = leases::mix(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
         least + least * (dice >> 55) as u32 / 1024
     }
@@ -75,8 +75,8 @@
     /// Refuses a request that did not run.
     pub(crate) fn refuse(&mut self, number: u64, reason: RefusalReason) {
         self.count_refusal(number, reason);
-        let again = self.spread(number, SOON);
-        self.answer_own(number, Outcome::NotRun, 503, again);
+        let again = self.add_jitter(number, SOON);
+        self.answer_without_body(number, Outcome::NotRun, 503, again);
     }
 
     fn count_refusal(&mut self, number: u64, reason: RefusalReason) {
@@ -89,28 +89,28 @@
     }
 
     /// Answers a request without head and body.
-    pub(crate) fn answer_own(&mut self, number: u64, outcome: Outcome, status: u16, retry_after: Duration) {
+    pub(crate) fn answer_without_body(&mut self, number: u64, outcome: Outcome, status: u16, retry_after: Duration) {
         self.answer(number, outcome, status, retry_after, Vec::new(), Vec::new());
     }
 
     /// Returns the time after which the caller may try again, for an expected wait.
-    pub(crate) fn time_to_come_back(&self, number: u64, wait: Duration) -> Duration {
-        self.spread(number, wait.max(SOON / 2))
+    pub(crate) fn jittered_retry_after(&self, number: u64, wait: Duration) -> Duration {
+        self.add_jitter(number, wait.max(SOON / 2))
     }
 
     /// Refuses a request that did not run, releases its claim, and tells the caller when to try again: once the
     /// requests ahead of it are expected to be done.
-    pub(crate) fn give_up(&mut self, number: u64, wait: Duration, reason: RefusalReason) {
+    pub(crate) fn release_and_refuse(&mut self, number: u64, wait: Duration, reason: RefusalReason) {
         if self.tasks.get(&number).is_some_and(|task| task.class == bindings::Class::Once) {
             self.release(number);
         }
-        self.refuse_until(number, wait, reason);
+        self.refuse_with_wait(number, wait, reason);
     }
 
     /// Refuses a request that holds no claim, and tells the caller when to try again.
-    pub(crate) fn refuse_until(&mut self, number: u64, wait: Duration, reason: RefusalReason) {
+    pub(crate) fn refuse_with_wait(&mut self, number: u64, wait: Duration, reason: RefusalReason) {
         self.count_refusal(number, reason);
-        let again = self.time_to_come_back(number, wait);
-        self.answer_own(number, Outcome::NotRun, 503, again);
+        let again = self.jittered_retry_after(number, wait);
+        self.answer_without_body(number, Outcome::NotRun, 503, again);
     }
 }
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -108,7 +108,11 @@
     let request_id = to_front(&outputs).expect("asks");
     assert_eq!(request_id, ForwardMessage::AttemptRequest { task, attempts: 2 });
     for at in [21, 22] {
-        assert_eq!(granted(&tell(&mut front, OTHER, at, request_id.clone())), Some(2), "a repeated frame grants no more");
+        assert_eq!(
+            granted(&tell(&mut front, OTHER, at, request_id.clone())),
+            Some(2),
+            "a repeated frame grants no more"
+        );
     }
     let outputs = give(&mut owner, 23, grant(task, 2));
     assert!(sent(&outputs).is_some());
--- a/crates/traffic/tests/budget.rs
+++ b/crates/traffic/tests/budget.rs
@@ -2,26 +2,26 @@
 
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
-use traffic::{Allowances, Budget, Max, SendResult, Spent, UnprovenLimit};
+use traffic::{Allowances, OwnerLimit, RejectionLimit, RetryBudget, SendResult, UsageWindow};
 
 #[test]
 fn retries_stay_below_a_fifth_and_sixty_in_every_ten_seconds() {
     let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(5);
     let allowances = Allowances::default();
-    let mut budget = Budget::new(Duration::ZERO, &allowances);
+    let mut budget = RetryBudget::new(Duration::ZERO, &allowances);
     let (mut firsts, mut retries): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
     let mut refused = 0;
     for ms in 0..60_000u64 {
         let now = Duration::from_millis(ms);
         if ms == 30_000 {
-            budget = Budget::new(Duration::from_millis(ms), &allowances);
+            budget = RetryBudget::new(Duration::from_millis(ms), &allowances);
         }
         if dice.random_ratio(1 + (ms / 20_000) as u32, 10) {
-            budget.request(now);
+            budget.record_request(now);
             firsts.push(ms);
         }
         if dice.random_ratio(3, 10) {
-            if budget.try_second(now) {
+            if budget.try_retry(now) {
                 retries.push(ms);
             } else {
                 refused += 1;
@@ -36,9 +36,9 @@
 /// The owner's clock runs 0.5 % fast, and the owner uses its whole limit as early as it can.
 #[test]
 fn a_fast_clock_does_not_shorten_the_window() {
-    let length = Allowances::remembered(Duration::from_secs(5));
-    let mut spent = Spent::new(Duration::ZERO, length, length);
-    let most = Max { known: 7, at_first: 4 };
+    let length = Allowances::lengthened_window(Duration::from_secs(5));
+    let mut spent = UsageWindow::new(Duration::ZERO, length, length);
+    let most = OwnerLimit { informed: 7, uninformed: 4 };
     let mut times: Vec<u64> = Vec::new();
     for ms in 20_000..60_000u64 {
         let reported = Duration::from_millis(ms).mul_f64(1.005);
@@ -57,7 +57,7 @@
 fn an_old_owner_and_the_next_stay_within_eleven_though_every_task_is_rejected() {
     for seed in 0..40u64 {
         let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
-        let mut unproven = UnprovenLimit::new(Duration::ZERO, &Allowances::default());
+        let mut unproven = RejectionLimit::new(Duration::ZERO, &Allowances::default());
         let crash = Duration::from_millis(dice.random_range(6_000..9_000));
         let mut crashed = false;
         let mut open: Vec<(Duration, u64, Duration)> = Vec::new();
@@ -67,15 +67,15 @@
             for (_, number, started) in open.extract_if(.., |(at, ..)| *at <= now) {
                 all.push(now);
                 if !crashed || started >= crash {
-                    unproven.ended(now, number, started, SendResult::Rejected);
+                    unproven.record_result(now, number, started, SendResult::Rejected);
                 }
             }
             if now >= crash && !crashed {
                 crashed = true;
-                unproven = UnprovenLimit::new(now, &Allowances::default());
+                unproven = RejectionLimit::new(now, &Allowances::default());
             }
             if now > Duration::from_secs(4) && unproven.may_send(now, false) {
-                unproven.sent(now, order, false);
+                unproven.record_sent(now, order, false);
                 open.push((now + Duration::from_millis(dice.random_range(1..20)), order, now));
             }
         }
@@ -90,17 +90,17 @@
 #[test]
 fn a_careful_owner_stays_within_its_part_on_proven_instances_too() {
     let allowances = Allowances::default();
-    let mut unproven = UnprovenLimit::new(Duration::ZERO, &allowances);
+    let mut unproven = RejectionLimit::new(Duration::ZERO, &allowances);
     let mut rejected = 0;
     for order in 0..4_000u64 {
         let now = Duration::from_millis(order);
         if unproven.may_send(now, true) {
-            unproven.sent(now, order, true);
-            unproven.ended(now, order, now, SendResult::Rejected);
+            unproven.record_sent(now, order, true);
+            unproven.record_result(now, order, now, SendResult::Rejected);
             rejected += 1;
         }
     }
-    assert_eq!(rejected, allowances.rejections().at_first);
+    assert_eq!(rejected, allowances.rejection_limit().uninformed);
 }
 
 /// Answers have grown the congestion window beyond the rejection limit, but another owner may have filled the
@@ -108,14 +108,14 @@
 #[test]
 fn what_answers_made_room_for_is_forgotten_where_another_owner_may_have_been() {
     let allowances = Allowances::default();
-    let known = allowances.rejections().known;
-    let mut unproven = UnprovenLimit::new(Duration::ZERO, &allowances);
+    let known = allowances.rejection_limit().informed;
+    let mut unproven = RejectionLimit::new(Duration::ZERO, &allowances);
     let mut order = 0;
-    let mut fill = |unproven: &mut UnprovenLimit, now: Duration| {
+    let mut fill = |unproven: &mut RejectionLimit, now: Duration| {
         let first = order;
         while unproven.may_send(now, true) {
             order += 1;
-            unproven.sent(now, order, true);
+            unproven.record_sent(now, order, true);
         }
         first + 1..order + 1
     };
@@ -123,13 +123,13 @@
     for round in 0..20u32 {
         let now = start + round * Duration::from_millis(20);
         for sent in fill(&mut unproven, now) {
-            unproven.ended(now, sent, now, SendResult::Answered);
+            unproven.record_result(now, sent, now, SendResult::Answered);
             unproven.may_send(now, true);
         }
     }
     let now = Duration::from_secs(11);
     let grown = fill(&mut unproven, now).count();
-    unproven.be_careful(now);
+    unproven.begin_caution(now);
     for pass in 0..10u32 {
         unproven.may_send(now + pass * Duration::from_millis(100), true);
     }
@@ -141,13 +141,13 @@
 #[test]
 fn an_owner_that_begins_from_a_standby_copy_spends_only_its_own_part_at_first() {
     let (at, now) = (Duration::from_secs(20), Duration::from_millis(20_400));
-    let most = Max { known: 7, at_first: 4 };
-    let mut spent = Spent::new(now, Duration::from_secs(5), Duration::from_secs(5));
-    spent.take_over(now, at, 1, false);
+    let most = OwnerLimit { informed: 7, uninformed: 4 };
+    let mut spent = UsageWindow::new(now, Duration::from_secs(5), Duration::from_secs(5));
+    spent.adopt_count(now, at, 1, false);
     assert_eq!(spent.capacity(now, most), 4, "not six, as by the copied count");
     spent.add(now);
     assert_eq!((spent.capacity(now, most), spent.reported(now, most)), (3, 4));
-    let mut handed = Spent::new(now, Duration::from_secs(5), Duration::from_secs(5));
-    handed.take_over(now, now, 1, true);
+    let mut handed = UsageWindow::new(now, Duration::from_secs(5), Duration::from_secs(5));
+    handed.adopt_count(now, now, 1, true);
     assert_eq!(handed.capacity(now, most), 6, "a table from a handover is complete");
 }
--- a/crates/traffic/tests/earlier_owners.rs
+++ b/crates/traffic/tests/earlier_owners.rs
@@ -5,7 +5,7 @@
 use common::deferred::{FUNCTION, read, router, sent, table};
 use common::{membership, ms};
 use std::time::Duration;
-use traffic::{Budget, EarlierOwners, MembershipHistory, OwnerInput};
+use traffic::{EarlierOwners, MembershipHistory, OwnerInput, RetryBudget};
 use wire::{ForwardMessage, InstanceSlots, OwnershipTable};
 
 const SLACK: usize = 60;
@@ -56,9 +56,9 @@
 }
 
 fn most_at_first(earlier: EarlierOwners) -> usize {
-    let mut budget = Budget::new(ms(0), &traffic::Allowances::default());
-    budget.set_earlier_homes(earlier);
-    (0..100).filter(|at| budget.try_second(ms(*at))).count()
+    let mut budget = RetryBudget::new(ms(0), &traffic::Allowances::default());
+    budget.set_earlier_owners(earlier);
+    (0..100).filter(|at| budget.try_retry(ms(*at))).count()
 }
 
 #[test]
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -113,7 +113,11 @@
     crowd(&mut owner, 0, 10_000, &mut callers);
     callers.call(&mut owner);
     crowd(&mut owner, 0, 600, &mut callers);
-    assert_eq!(owner.starts.len() + owner.stops.len(), 0, "the helper takes all starts, and the instance is still running");
+    assert_eq!(
+        owner.starts.len() + owner.stops.len(),
+        0,
+        "the helper takes all starts, and the instance is still running"
+    );
     crowd(&mut owner, 0, 2500, &mut callers);
     assert_eq!(
         (owner.count("ready"), owner.stops.len()),
@@ -123,5 +127,8 @@
     crowd(&mut owner, 100, 3000, &mut callers);
     let busy = owner.count("ready");
     crowd(&mut owner, 0, 1500, &mut callers);
-    assert!(busy >= 1 && owner.count("ready") >= 1, "a function that is called often keeps its instances during a pause");
+    assert!(
+        busy >= 1 && owner.count("ready") >= 1,
+        "a function that is called often keeps its instances during a pause"
+    );
 }
