--- a/crates/traffic/src/admission.rs
+++ b/crates/traffic/src/admission.rs
@@ -14,7 +14,7 @@
 /// Scope prefix for the keys of consumers. No binding has this name, since binding names are `tenant/name`.
 const CONSUMER_SCOPE: &str = "consumer";
 /// Number of binding ranks within one consumer rank.
-const RANKS_OF_BINDINGS: u32 = 10_000;
+const BINDING_RANKS: u32 = 10_000;
 const MAX_CONSUMER_RANK: u32 = 10_000;
 
 impl FunctionOwner {
@@ -26,34 +26,38 @@
         if self.seen.insert(id, self.now).is_some() {
             return;
         }
-        let bound = self.routes.as_ref().and_then(|routes| routes.binding(binding.as_str())).cloned();
+        let resolved = self.routes.as_ref().and_then(|routes| routes.binding(binding.as_str())).cloned();
         let service = function.as_str().split_once('/').map_or("", |(_, service)| service);
         let consumer_rank = self.routes.as_ref().and_then(|routes| routes.consumers().get(consumer)?.rank);
         let scheduler = self.schedulers.get_mut(function.as_str()).filter(|scheduler| scheduler.is_owned);
-        let (Some(bound), Some(scheduler)) = (bound, scheduler) else {
+        let (Some(resolved), Some(scheduler)) = (resolved, scheduler) else {
             return self.outs.push(OwnerOutput::Forward { to: from, message: ForwardMessage::NotOwner { task } });
         };
-        if !bound.sends_to(service) || scheduler.leaving.is_some() {
+        if !resolved.sends_to(service) || scheduler.leaving.is_some() {
             return self.outs.push(OwnerOutput::Forward { to: from, message: ForwardMessage::NotOwner { task } });
         }
         scheduler.arrivals += 1;
-        let full = scheduler.queued.len() >= self.timing.function_inbox;
-        let last = bound.class == Class::Deferred || bound.player_weight <= 0.0;
-        let (keyless, again) = (matches!(bound.class, Class::Ordinary | Class::Single), resends > 0);
-        let spent = again && keyless && (bound.class == Class::Single || !scheduler.budget.try_retry(self.now));
-        let (scope, digest) = match keyless {
+        let is_queue_full = scheduler.queued.len() >= self.timing.function_inbox;
+        let goes_last = resolved.class == Class::Deferred || resolved.player_weight <= 0.0;
+        let (is_keyless, is_resent) = (matches!(resolved.class, Class::Ordinary | Class::Single), resends > 0);
+        let is_retry_denied =
+            is_resent && is_keyless && (resolved.class == Class::Single || !scheduler.budget.try_retry(self.now));
+        let (scope, digest) = match is_keyless {
             true => (String::new(), Vec::new()),
-            false => (scope(binding.as_str(), consumer, key.as_str()), digest(head.as_slice(), body.as_slice())),
+            false => (
+                operation_scope(binding.as_str(), consumer, key.as_str()),
+                request_digest(head.as_slice(), body.as_slice()),
+            ),
         };
         let number = self.number();
         let record = OwnedRequest {
             id,
             function: function.as_str().into(),
             binding: binding.as_str().into(),
-            class: bound.class,
+            class: resolved.class,
             arrived: self.now,
             due: self.now + Duration::from_millis(left_ms.into()),
-            aim: bound.aim_ms.map(|aim| Duration::from_millis(aim.into())),
+            aim: resolved.aim_ms.map(|aim| Duration::from_millis(aim.into())),
             not_before: self.now,
             place: Place::Queued,
             scope,
@@ -65,25 +69,25 @@
             respond_async: respond_async != 0,
             caller: true,
             dispatches: 0,
-            attempts: bound.attempts.max(1),
+            attempts: resolved.attempts.max(1),
             granted: if attempts == ForwardRequest::UNCOUNTED { u32::MAX } else { attempts },
             failure: None,
             avoid: String::new(),
-            reached: again && keyless,
-            rank: if last { LOWEST_PRIORITY } else { rank(consumer_rank, bound.rank) },
-            inherits: left_ms + left_ms / 8 < bound.deadline_ms,
+            reached: is_resent && is_keyless,
+            rank: if goes_last { LOWEST_PRIORITY } else { queue_rank(consumer_rank, resolved.rank) },
+            inherits: left_ms + left_ms / 8 < resolved.deadline_ms,
         };
         self.tasks.insert(number, record);
-        if bound.class == Class::Once && self.meet_operation(number) {
+        if resolved.class == Class::Once && self.meet_operation(number) {
             return;
         }
-        if full {
+        if is_queue_full {
             return self.refuse(number, RefusalReason::QueueFull);
         }
-        if spent {
+        if is_retry_denied {
             return self.answer_without_body(number, Outcome::Unknown, 504, Duration::from_secs(2));
         }
-        match bound.class {
+        match resolved.class {
             Class::Ordinary | Class::Single => self.enqueue(number),
             _ if !self.core_near => self.refuse(number, RefusalReason::CoreUnreachable),
             Class::Once => self.claim_if_served_soon(number),
@@ -93,20 +97,20 @@
 }
 
 /// Returns the scope in which a key identifies one operation. A consumer's key is the same operation on every route.
-fn scope(binding: &str, consumer: &str, key: &str) -> String {
+fn operation_scope(binding: &str, consumer: &str, key: &str) -> String {
     if consumer.is_empty() { format!("{binding}/{key}") } else { format!("{CONSUMER_SCOPE}/{consumer}/{key}") }
 }
 
 /// Returns the request's rank in the queue: by the consumer's rank, then by the binding's. Callers that are not
 /// consumers come first.
-fn rank(consumer: Option<u32>, binding: u32) -> u32 {
+fn queue_rank(consumer: Option<u32>, binding: u32) -> u32 {
     let consumer = consumer.unwrap_or_default().min(MAX_CONSUMER_RANK);
-    consumer * RANKS_OF_BINDINGS + binding.min(RANKS_OF_BINDINGS - 1)
+    consumer * BINDING_RANKS + binding.min(BINDING_RANKS - 1)
 }
 
 /// Returns the digest by which a repeat is recognised as the same request. It covers method, target and body, but not
 /// the headers, which belong to a single hop.
-fn digest(head: &[u8], body: &[u8]) -> Vec<u8> {
+fn request_digest(head: &[u8], body: &[u8]) -> Vec<u8> {
     let mut hasher = Sha256::new();
     hasher.update(head_identity(head));
     hasher.update(body);
--- a/crates/traffic/src/allowances.rs
+++ b/crates/traffic/src/allowances.rs
@@ -7,9 +7,9 @@
 
 /// Fraction by which a machine's clock may run fast or slow. Retries and rejections are therefore counted over more
 /// than the configured window, and requests over less.
-const DRIFT: f64 = 0.01;
+const MAX_CLOCK_DRIFT: f64 = 0.01;
 /// Fraction of the retry ratio that one owner uses.
-const PART: f64 = 0.625;
+const OWNER_SHARE: f64 = 0.625;
 
 /// Configured limits on retries and rejections.
 #[derive(Clone, Debug)]
@@ -50,7 +50,7 @@
 impl Allowances {
     /// Returns how many retries one owner may make for this many requests, without the slack.
     pub fn retry_share(&self, requests: usize) -> usize {
-        (requests as f64 * self.retry_ratio * PART) as usize
+        (requests as f64 * self.retry_ratio * OWNER_SHARE) as usize
     }
 
     /// Returns how much of the retry slack one owner may use. An owner that knows what earlier owners used may use
@@ -81,18 +81,18 @@
         retries: &mut u32,
         rejections: &mut u32,
     ) {
-        let kept_back = |most: OwnerLimit| most.informed.saturating_sub(most.uninformed) as u32;
-        *retries = (*retries).max(self.retry_share(*requests as usize) as u32 + kept_back(self.slack_limit(earlier)));
-        *rejections = (*rejections).max(kept_back(self.rejection_limit()));
+        let reserved = |limit: OwnerLimit| limit.informed.saturating_sub(limit.uninformed) as u32;
+        *retries = (*retries).max(self.retry_share(*requests as usize) as u32 + reserved(self.slack_limit(earlier)));
+        *rejections = (*rejections).max(reserved(self.rejection_limit()));
     }
 
     /// Returns the window, lengthened for clock drift, over which retries and rejections are counted.
     pub fn lengthened_window(window: Duration) -> Duration {
-        window.mul_f64(1.0 + DRIFT)
+        window.mul_f64(1.0 + MAX_CLOCK_DRIFT)
     }
 
     /// Returns the window, shortened for clock drift, over which requests are counted.
     pub fn shortened_window(window: Duration) -> Duration {
-        window.mul_f64(1.0 - DRIFT)
+        window.mul_f64(1.0 - MAX_CLOCK_DRIFT)
     }
 }
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -30,12 +30,12 @@
         self.times.len()
     }
     /// Removes the latest event.
-    pub fn take_back(&mut self) {
+    pub fn remove_last(&mut self) {
         self.times.pop_back();
     }
     fn insert(&mut self, at: Duration, count: usize) {
-        let place = self.times.partition_point(|time| *time <= at);
-        let later = self.times.split_off(place);
+        let position = self.times.partition_point(|time| *time <= at);
+        let later = self.times.split_off(position);
         self.times.extend(std::iter::repeat_n(at, count));
         self.times.extend(later);
     }
@@ -47,18 +47,18 @@
 pub struct UsageWindow {
     all: SlidingWindow,
     own: SlidingWindow,
-    careful: Duration,
-    careful_until: Duration,
+    caution_period: Duration,
+    cautious_until: Duration,
 }
 
 impl UsageWindow {
-    /// Creates an empty count that stays cautious for the period `careful`.
-    pub fn new(now: Duration, length: Duration, careful: Duration) -> UsageWindow {
+    /// Creates an empty count that stays cautious for the period `caution_period`.
+    pub fn new(now: Duration, length: Duration, caution_period: Duration) -> UsageWindow {
         UsageWindow {
             all: SlidingWindow::new(length),
             own: SlidingWindow::new(length),
-            careful,
-            careful_until: now + careful,
+            caution_period,
+            cautious_until: now + caution_period,
         }
     }
     /// Counts one use by this owner.
@@ -73,28 +73,28 @@
     /// Starts a cautious period: until now, other owners may have used some without this owner's knowledge.
     pub fn begin_caution(&mut self, now: Duration) {
         self.own.times.clear();
-        self.careful_until = now + self.careful;
+        self.cautious_until = now + self.caution_period;
     }
     /// Restarts the cautious period, since uses by other owners up to now are still unknown. This owner's own uses
     /// stay counted.
     pub fn extend_caution(&mut self, now: Duration) {
-        self.careful_until = now + self.careful;
+        self.cautious_until = now + self.caution_period;
     }
-    /// Adds what another owner reported to have used by `at`; `whole` if it has used nothing since then.
-    pub fn adopt_count(&mut self, now: Duration, at: Duration, count: usize, whole: bool) {
+    /// Adds what another owner reported to have used by `at`; `is_complete` if it has used nothing since then.
+    pub fn adopt_count(&mut self, now: Duration, at: Duration, count: usize, is_complete: bool) {
         self.all.insert(at, count);
-        if whole {
-            self.careful_until = now;
+        if is_complete {
+            self.cautious_until = now;
         } else {
             self.extend_caution(now);
         }
     }
     /// Returns what is left according to this owner's knowledge, as if there had been no other recent owner.
-    pub fn known_capacity(&mut self, now: Duration, most: OwnerLimit) -> usize {
-        most.informed.saturating_sub(self.all.count(now))
+    pub fn known_capacity(&mut self, now: Duration, limit: OwnerLimit) -> usize {
+        limit.informed.saturating_sub(self.all.count(now))
     }
     /// Returns whether this owner itself used any within the window since its cautious period last started.
-    pub fn has_spent_own(&mut self, now: Duration) -> bool {
+    pub fn has_own_usage(&mut self, now: Duration) -> bool {
         self.own.count(now) > 0
     }
     /// Adds uses that another owner reported in addition to its earlier report.
@@ -102,15 +102,15 @@
         self.all.insert(now, more);
     }
     /// Returns what this owner may still use now.
-    pub fn capacity(&mut self, now: Duration, most: OwnerLimit) -> usize {
-        let capacity = self.known_capacity(now, most);
-        let own = most.uninformed.saturating_sub(self.own.count(now));
-        if now < self.careful_until { capacity.min(own) } else { capacity }
+    pub fn capacity(&mut self, now: Duration, limit: OwnerLimit) -> usize {
+        let capacity = self.known_capacity(now, limit);
+        let own = limit.uninformed.saturating_sub(self.own.count(now));
+        if now < self.cautious_until { capacity.min(own) } else { capacity }
     }
     /// Returns the count to report to the next owner, which includes what this owner may not use, since the next one
     /// may not use it either.
-    pub fn reported(&mut self, now: Duration, most: OwnerLimit) -> usize {
-        self.count(now).max(most.informed - self.capacity(now, most))
+    pub fn reported(&mut self, now: Duration, limit: OwnerLimit) -> usize {
+        self.count(now).max(limit.informed - self.capacity(now, limit))
     }
 }
 
@@ -128,16 +128,16 @@
     /// Creates the budget of an owner that does not know the retries of earlier owners. For one window it uses only
     /// the limit for such owners, with the ratio applied to the requests that it received itself.
     pub fn new(now: Duration, allowances: &Allowances) -> RetryBudget {
-        let (credited, remembered) = (
+        let (request_window, retry_window) = (
             Allowances::shortened_window(allowances.retry_window),
             Allowances::lengthened_window(allowances.retry_window),
         );
         RetryBudget {
             allowances: allowances.clone(),
             earlier: EarlierOwners::Bounded(1),
-            requests: SlidingWindow::new(credited),
-            own_requests: SlidingWindow::new(credited),
-            retries: UsageWindow::new(now, remembered, remembered),
+            requests: SlidingWindow::new(request_window),
+            own_requests: SlidingWindow::new(request_window),
+            retries: UsageWindow::new(now, retry_window, retry_window),
         }
     }
 
@@ -149,31 +149,31 @@
 
     /// Removes the latest request from the count, since it did not reach the instance.
     pub fn undo_request(&mut self) {
-        self.requests.take_back();
-        self.own_requests.take_back();
+        self.requests.remove_last();
+        self.own_requests.remove_last();
     }
 
-    fn most(&mut self, now: Duration) -> OwnerLimit {
-        let spare = self.allowances.slack_limit(self.earlier);
+    fn limit(&mut self, now: Duration) -> OwnerLimit {
+        let slack = self.allowances.slack_limit(self.earlier);
         OwnerLimit {
-            informed: self.allowances.retry_share(self.requests.count(now)) + spare.informed,
-            uninformed: self.allowances.retry_share(self.own_requests.count(now)) + spare.uninformed,
+            informed: self.allowances.retry_share(self.requests.count(now)) + slack.informed,
+            uninformed: self.allowances.retry_share(self.own_requests.count(now)) + slack.uninformed,
         }
     }
 
     /// Returns whether a retry is allowed now.
     pub fn may_retry(&mut self, now: Duration) -> bool {
-        let most = self.most(now);
-        self.retries.capacity(now, most) > 0
+        let limit = self.limit(now);
+        self.retries.capacity(now, limit) > 0
     }
 
     /// Counts a retry if one is allowed, and returns whether it was.
     pub fn try_retry(&mut self, now: Duration) -> bool {
-        let may = self.may_retry(now);
-        if may {
+        let is_allowed = self.may_retry(now);
+        if is_allowed {
             self.retries.add(now);
         }
-        may
+        is_allowed
     }
 
     /// Counts a rejection by an instance, which uses the budget like a retry.
@@ -188,8 +188,8 @@
 
     /// Returns the numbers of requests and retries to report to the next owner.
     pub fn reported(&mut self, now: Duration) -> (usize, usize) {
-        let most = self.most(now);
-        (self.requests.count(now), self.retries.reported(now, most))
+        let limit = self.limit(now);
+        (self.requests.count(now), self.retries.reported(now, limit))
     }
 
     /// Starts a cautious period, since the function may have had another owner meanwhile.
@@ -215,13 +215,13 @@
 
     /// Adopts the counts that the previous owner reported as of `at`. The arrival times of its requests are not known,
     /// so they are spread evenly over the window before `at`.
-    pub fn adopt_counts(&mut self, now: Duration, at: Duration, requests: u32, retries: u32, whole: bool) {
+    pub fn adopt_counts(&mut self, now: Duration, at: Duration, requests: u32, retries: u32, is_complete: bool) {
         let (requests, retries) = (requests.min(20_000) as usize, retries.min(20_000) as usize);
         if requests > self.requests.count(now) {
             let length = self.requests.length;
-            let came = |n: usize| at.saturating_sub(length.mul_f64(n as f64 / requests as f64));
-            self.requests.times = (0..requests).rev().map(came).collect();
+            let arrival = |n: usize| at.saturating_sub(length.mul_f64(n as f64 / requests as f64));
+            self.requests.times = (0..requests).rev().map(arrival).collect();
         }
-        self.retries.adopt_count(now, at, retries, whole);
+        self.retries.adopt_count(now, at, retries, is_complete);
     }
 }
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -13,17 +13,17 @@
 use wire::{Outcome, StoredAnswer};
 
 /// Base of the delay before a deferred request is retried; the delay doubles with each attempt.
-const BACKOFF: Duration = Duration::from_millis(500);
-const MAX_BACKOFF: Duration = Duration::from_secs(30);
+const DEFERRED_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_DEFERRED_BACKOFF: Duration = Duration::from_secs(30);
 /// How long nothing is sent to an instance that could not be reached.
-const PAUSE: Duration = Duration::from_millis(300);
+const UNREACHABLE_PAUSE: Duration = Duration::from_millis(300);
 
 impl FunctionOwner {
     /// Answers, retries or queues a request again after one attempt ended.
     pub(crate) fn handle_dispatch_outcome(&mut self, order: u64, outcome: DispatchOutcome) {
         let now = self.now;
-        let Some((number, name, instance_id, begun, level)) = self.running.remove(&order) else { return };
-        self.note(&name, &instance_id, order, (begun, level), &outcome);
+        let Some((number, name, instance_id, sent_at, concurrency)) = self.running.remove(&order) else { return };
+        self.record_instance_outcome(&name, &instance_id, order, (sent_at, concurrency), &outcome);
         let deduplicates = self.deduplicates(&name);
         let Some(task) = self.tasks.get_mut(&number) else { return };
         let class = task.class;
@@ -38,18 +38,18 @@
                     scheduler.budget.undo_request();
                     task.stored.iter().for_each(|id| scheduler.sent_tasks.remove(id));
                 }
-                let leaves = self.schedulers.get(&name).is_none_or(|scheduler| scheduler.leaving.is_some())
+                let is_moved = self.schedulers.get(&name).is_none_or(|scheduler| scheduler.leaving.is_some())
                     || !self.is_home(&name);
-                if leaves { self.send_back(number) } else { self.enqueue(number) }
+                if is_moved { self.send_back(number) } else { self.enqueue(number) }
             }
             (DispatchOutcome::NotRun { .. }, Class::Ordinary | Class::Single | Class::Once) => {
                 let wait = |scheduler: &FunctionScheduler| scheduler.expected_wait(now, scheduler.queued.len());
                 let wait = self.schedulers.get(&name).map_or(Duration::ZERO, wait);
-                let again = self.jittered_retry_after(number, wait);
-                self.retry(number, false, Failure::not_run(again));
+                let retry_after = self.jittered_retry_after(number, wait);
+                self.retry(number, false, Failure::not_run(retry_after));
             }
             (DispatchOutcome::Complete { status, head, body, .. }, Class::Once) => {
-                let answer = stored(status, &head, &body);
+                let answer = stored_answer(status, &head, &body);
                 self.record_answer(number, &answer);
                 self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
             }
@@ -61,8 +61,8 @@
                 self.answer_without_body(number, Outcome::Unknown, 504, Duration::ZERO);
             }
             (DispatchOutcome::Complete { status, head, body, turned_away }, Class::Ordinary | Class::Single) => {
-                let failed = status >= 500 && status != 504;
-                if class == Class::Ordinary && (turned_away || failed) {
+                let is_server_error = status >= 500 && status != 504;
+                if class == Class::Ordinary && (turned_away || is_server_error) {
                     self.retry(number, !turned_away, Failure::answered(status, head, body));
                 } else {
                     self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
@@ -78,7 +78,7 @@
             (DispatchOutcome::Complete { status, head, body, turned_away }, Class::Deferred)
                 if status < 500 && !turned_away =>
             {
-                self.finish(number, &stored(status, &head, &body));
+                self.finish(number, &stored_answer(status, &head, &body));
                 if let Some(id) = self.tasks.get(&number).and_then(|task| task.stored.clone()) {
                     self.finished.insert(id, now);
                 }
@@ -86,8 +86,8 @@
                 self.forget(number);
             }
             (_, Class::Deferred) => {
-                let wait = BACKOFF * 2u32.pow(task.dispatches.min(7));
-                task.not_before = now + wait.min(MAX_BACKOFF);
+                let wait = DEFERRED_BACKOFF * 2u32.pow(task.dispatches.min(7));
+                task.not_before = now + wait.min(MAX_DEFERRED_BACKOFF);
                 self.enqueue(number);
             }
         }
@@ -100,12 +100,12 @@
     }
 
     /// Updates the scheduler and the instance from an outcome.
-    fn note(
+    fn record_instance_outcome(
         &mut self,
         name: &str,
         instance_id: &str,
         order: u64,
-        (begun, level): (Duration, u32),
+        (sent_at, concurrency): (Duration, u32),
         outcome: &DispatchOutcome,
     ) {
         let now = self.now;
@@ -120,15 +120,15 @@
             DispatchOutcome::Complete { .. } => SendResult::Answered,
             _ => SendResult::Unknown,
         };
-        scheduler.unproven.record_result(now, order, begun, result);
+        scheduler.unproven.record_result(now, order, sent_at, result);
         if let Some(instance) = scheduler.instances.get_mut(instance_id) {
             instance.busy = instance.busy.saturating_sub(1);
             instance.last_used_at = now;
             match outcome {
                 DispatchOutcome::Complete { .. } if !turned_away => {
-                    instance.proven_concurrency = instance.proven_concurrency.max(level)
+                    instance.proven_concurrency = instance.proven_concurrency.max(concurrency)
                 }
-                DispatchOutcome::NotSent | DispatchOutcome::Crowded => instance.paused_until = now + PAUSE,
+                DispatchOutcome::NotSent | DispatchOutcome::Crowded => instance.paused_until = now + UNREACHABLE_PAUSE,
                 DispatchOutcome::InDoubt { late, .. } => {
                     // The instance may still be running the request, so its proven concurrency no longer applies.
                     instance.proven_concurrency = 0;
@@ -148,23 +148,23 @@
                 scheduler.budget.record_rejection(now);
                 scheduler.seen.rejections += 1;
             }
-            DispatchOutcome::Complete { .. } => scheduler.took(now.saturating_sub(begun)),
+            DispatchOutcome::Complete { .. } => scheduler.took(now.saturating_sub(sent_at)),
             DispatchOutcome::NotRun { .. } => {
                 event!(instance_answer_in_doubt, "{instance_id}: another instance answers at its address")
             }
             DispatchOutcome::InDoubt { detail, .. } => event!(instance_answer_in_doubt, "{instance_id}: {detail}"),
             DispatchOutcome::NotSent | DispatchOutcome::Crowded => {}
         }
-        let replaced = *outcome == DispatchOutcome::NotRun { wrong_instance: true };
-        if replaced || *outcome == DispatchOutcome::NotSent {
+        let is_replaced = *outcome == DispatchOutcome::NotRun { wrong_instance: true };
+        if is_replaced || *outcome == DispatchOutcome::NotSent {
             self.outs.push(OwnerOutput::Forget { id: instance_id.to_owned() });
-            if replaced { self.replaced(name, instance_id) } else { self.lose(name, instance_id) }
+            if is_replaced { self.mark_replaced(name, instance_id) } else { self.lose(name, instance_id) }
         }
     }
 
     /// Marks an instance as lost because another one answers at its address. Since that one accepts connections, the
     /// address is not probed again.
-    fn replaced(&mut self, name: &str, instance_id: &str) {
+    fn mark_replaced(&mut self, name: &str, instance_id: &str) {
         if let Some(instance) =
             self.schedulers.get_mut(name).and_then(|scheduler| scheduler.instances.get_mut(instance_id))
         {
@@ -174,6 +174,6 @@
     }
 }
 
-fn stored(status: u16, head: &[u8], body: &[u8]) -> StoredAnswer {
+fn stored_answer(status: u16, head: &[u8], body: &[u8]) -> StoredAnswer {
     StoredAnswer { outcome: Outcome::Answered, status, head: head.to_vec().into(), body: body.to_vec().into() }
 }
--- a/crates/traffic/src/dispatch_pass.rs
+++ b/crates/traffic/src/dispatch_pass.rs
@@ -48,28 +48,28 @@
             return Err(QueueBlock::NoFreeSlot);
         }
         let roomiest = scheduler.roomiest(now).ok_or(QueueBlock::NoFreeSlot)?;
-        let proven =
+        let is_proven =
             scheduler.instances.get(&roomiest).is_some_and(|instance| instance.busy < instance.proven_concurrency);
-        if !scheduler.unproven.may_send(now, proven) {
+        if !scheduler.unproven.may_send(now, is_proven) {
             return Err(QueueBlock::RejectionRisk);
         }
-        let may_go = |task: &&OwnedRequest| task.place == Place::Queued && now >= task.not_before;
+        let is_sendable = |task: &&OwnedRequest| task.place == Place::Queued && now >= task.not_before;
         let (tasks, expected) = (&self.tasks, scheduler.expected_answer_time());
-        let mut late = None;
+        let mut first_late = None;
         for number in &scheduler.queued {
-            let Some(task) = tasks.get(number).filter(may_go) else { continue };
-            let in_aim = task.inherits || task.aim.is_none_or(|aim| now + expected <= task.arrived + aim);
-            if !in_aim && late.is_some() {
+            let Some(task) = tasks.get(number).filter(is_sendable) else { continue };
+            let meets_aim = task.inherits || task.aim.is_none_or(|aim| now + expected <= task.arrived + aim);
+            if !meets_aim && first_late.is_some() {
                 continue;
             }
-            let Some(instance) = other_than(scheduler, now, &task.avoid, roomiest.clone()) else { continue };
+            let Some(instance) = pick_other_instance(scheduler, now, &task.avoid, roomiest.clone()) else { continue };
             let next = NextRequest { number: *number, instance };
-            if in_aim {
+            if meets_aim {
                 return Ok(next);
             }
-            late = Some(next);
+            first_late = Some(next);
         }
-        late.ok_or(QueueBlock::RetryDelay)
+        first_late.ok_or(QueueBlock::RetryDelay)
     }
 
     /// Records what blocks a function's queue, unless the queue is empty.
@@ -99,14 +99,14 @@
     fn dispatch(&mut self, number: u64, name: &str, instance_id: String) {
         let now = self.now;
         let order = self.number();
-        let still_bound = self.tasks.get(&number).is_some_and(|task| {
+        let is_still_bound = self.tasks.get(&number).is_some_and(|task| {
             let bound = self.routes.as_ref().and_then(|routes| routes.binding(&task.binding));
             bound.is_some_and(|bound| name.split_once('/').is_some_and(|(_, service)| bound.sends_to(service)))
         });
         let (Some(task), Some(scheduler)) = (self.tasks.get_mut(&number), self.schedulers.get_mut(name)) else {
             return;
         };
-        if !still_bound {
+        if !is_still_bound {
             scheduler.queued.retain(|queued| *queued != number);
             return self.send_back(number);
         }
@@ -119,9 +119,9 @@
             scheduler.budget.record_request(now);
         }
         instance.busy += 1;
-        let level = instance.busy;
+        let concurrency = instance.busy;
         scheduler.in_flight += 1;
-        scheduler.unproven.record_sent(now, order, level <= instance.proven_concurrency);
+        scheduler.unproven.record_sent(now, order, concurrency <= instance.proven_concurrency);
         scheduler.queued.retain(|queued| *queued != number);
         task.dispatches += 1;
         if let Some(id) = &task.stored {
@@ -133,7 +133,7 @@
         } else {
             self.timing.deferred_limit
         };
-        self.running.insert(order, (number, name.to_owned(), instance_id.clone(), now, level));
+        self.running.insert(order, (number, name.to_owned(), instance_id.clone(), now, concurrency));
         self.outs.push(OwnerOutput::Dispatch(DispatchOrder {
             number: order,
             instance: instance_id,
@@ -148,7 +148,7 @@
 
 /// Returns the instance with the most free slots other than `avoid`; `avoid` itself only if no other instance is
 /// ready.
-fn other_than(scheduler: &FunctionScheduler, now: Duration, avoid: &str, roomiest: String) -> Option<String> {
+fn pick_other_instance(scheduler: &FunctionScheduler, now: Duration, avoid: &str, roomiest: String) -> Option<String> {
     if roomiest != avoid {
         return Some(roomiest);
     }
--- a/crates/traffic/src/estimate.rs
+++ b/crates/traffic/src/estimate.rs
@@ -11,29 +11,33 @@
     pub fn expected_wait(&self, now: Duration, ahead: usize) -> Duration {
         let limit = self.function.instance_limit;
         let free = self.free_slots(now);
-        let wanted = (ahead as f64 + 1.0 - f64::from(free)).max(0.0);
+        let slots_needed = (ahead as f64 + 1.0 - f64::from(free)).max(0.0);
         let mean = self.mean_answer_time().as_secs_f64();
-        let in_use = f64::from(self.count(Phase::Ready) * limit);
-        let starting = self.count(Phase::Starting).max(u32::from(in_use == 0.0));
-        let coming = f64::from(starting * limit);
-        let boot = self.next_start(now).as_secs_f64();
-        let by_answers = if in_use > 0.0 { wanted * mean / in_use } else { f64::INFINITY };
-        let by_then = (wanted - coming).max(0.0) * mean + coming * boot;
-        let by_starts = if coming > 0.0 { (by_then / (in_use + coming)).max(boot) } else { f64::INFINITY };
-        if wanted == 0.0 { Duration::ZERO } else { Duration::from_secs_f64(by_answers.min(by_starts)) }
+        let ready_slots = f64::from(self.count(Phase::Ready) * limit);
+        let starting = self.count(Phase::Starting).max(u32::from(ready_slots == 0.0));
+        let starting_slots = f64::from(starting * limit);
+        let boot = self.time_to_next_start(now).as_secs_f64();
+        let by_answers = if ready_slots > 0.0 { slots_needed * mean / ready_slots } else { f64::INFINITY };
+        let work_after_start = (slots_needed - starting_slots).max(0.0) * mean + starting_slots * boot;
+        let by_starts = if starting_slots > 0.0 {
+            (work_after_start / (ready_slots + starting_slots)).max(boot)
+        } else {
+            f64::INFINITY
+        };
+        if slots_needed == 0.0 { Duration::ZERO } else { Duration::from_secs_f64(by_answers.min(by_starts)) }
     }
 
     /// Returns the mean answer time; before the first answer, a quarter of the latency aim.
     pub fn mean_answer_time(&self) -> Duration {
-        let guess = || self.function.aim.map_or(Duration::ZERO, |aim| aim / 4);
-        if self.mean_time.is_zero() { guess() } else { self.mean_time }
+        let fallback = || self.function.aim.map_or(Duration::ZERO, |aim| aim / 4);
+        if self.mean_time.is_zero() { fallback() } else { self.mean_time }
     }
 
     /// Returns the time until the next instance is ready, if the one ordered first takes the average start time.
-    fn next_start(&self, now: Duration) -> Duration {
+    fn time_to_next_start(&self, now: Duration) -> Duration {
         let starting = self.instances.values().filter(|instance| instance.phase() == Phase::Starting);
-        let left = |instance: &Instance| (instance.ordered_at + self.boot()).saturating_sub(now);
-        starting.map(left).min().unwrap_or(self.boot())
+        let remaining = |instance: &Instance| (instance.ordered_at + self.boot()).saturating_sub(now);
+        starting.map(remaining).min().unwrap_or(self.boot())
     }
 
     /// Returns whether any instance is ready or starting. While there is none, only queued requests cause one to
--- a/crates/traffic/src/estimate_tests.rs
+++ b/crates/traffic/src/estimate_tests.rs
@@ -33,6 +33,6 @@
 #[test_case(0, 0, 1, 3 => 1100; "it starts and works for a while")]
 #[test_case(0, 0, 0, 0 => 1000; "none is there yet")]
 #[test_case(1, 2, 1, 7 => 1050; "some come free and some start")]
-fn a_wait_is_expected(ready: u32, busy: u32, starting: u32, ahead: usize) -> u128 {
+fn expected_wait_matches_hand_calculation(ready: u32, busy: u32, starting: u32, ahead: usize) -> u128 {
     scheduler(ready, busy, starting).expected_wait(NOW, ahead).as_millis()
 }
--- a/crates/traffic/src/expiry.rs
+++ b/crates/traffic/src/expiry.rs
@@ -9,21 +9,21 @@
 use wire::{ForwardMessage, Outcome};
 
 /// Base of the time after which a caller may try again.
-const SOON: Duration = Duration::from_millis(500);
+const BASE_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Fraction of its time after which a request with a latency aim that was sent to no instance is refused, while the
 /// caller still has time to try again.
-const STALE: f64 = 0.45;
+const STALE_FRACTION: f64 = 0.45;
 
 fn is_stale(now: Duration, task: &OwnedRequest) -> bool {
-    let unsent = matches!(task.place, Place::Queued | Place::Claiming) && task.dispatches == 0 && !task.reached;
-    let whole = task.due.saturating_sub(task.arrived);
-    unsent && task.aim.is_some() && now >= task.arrived + whole.mul_f64(STALE)
+    let is_unsent = matches!(task.place, Place::Queued | Place::Claiming) && task.dispatches == 0 && !task.reached;
+    let time_limit = task.due.saturating_sub(task.arrived);
+    is_unsent && task.aim.is_some() && now >= task.arrived + time_limit.mul_f64(STALE_FRACTION)
 }
 
 impl FunctionOwner {
     /// Returns the least time that a queued request still needs. With less left it is refused now, since its answer
     /// would come too late.
-    fn least_time(&self, task: &OwnedRequest) -> Duration {
+    fn least_time_needed(&self, task: &OwnedRequest) -> Duration {
         match (&task.place, self.schedulers.get(&task.function)) {
             (Place::Queued, Some(scheduler)) => scheduler.least_time(),
             _ => Duration::ZERO,
@@ -33,19 +33,19 @@
     /// Ends requests that ran out of time or waited too long to be useful.
     pub(crate) fn expire_pass(&mut self) {
         let now = self.now;
-        let late: Vec<u64> = self
+        let expired: Vec<u64> = self
             .tasks
             .iter()
             .filter(|(_, task)| {
-                let late = now + self.timing.margin + self.least_time(task) >= task.due;
-                task.caller && (late || is_stale(now, task))
+                let is_late = now + self.timing.margin + self.least_time_needed(task) >= task.due;
+                task.caller && (is_late || is_stale(now, task))
             })
             .filter(|(_, task)| task.class == Class::Deferred || !matches!(task.place, Place::Running { .. }))
             .map(|(number, _)| *number)
             .collect();
-        for number in late {
+        for number in expired {
             let Some(task) = self.tasks.get(&number) else { continue };
-            let again = self.add_jitter(number, SOON);
+            let retry_after = self.add_jitter(number, BASE_RETRY_AFTER);
             match (task.class, &task.place) {
                 (_, Place::AwaitingGrant { .. }) => self.answer_failure(number),
                 (Class::Deferred, Place::Storing) => {
@@ -56,12 +56,12 @@
                 }
                 (Class::Deferred, _) => self.accept(number),
                 (Class::Once, Place::Following { .. }) => self.refuse_as_running(number),
-                (Class::Once, Place::Claiming) => self.answer_without_body(number, Outcome::NotRun, 503, again),
+                (Class::Once, Place::Claiming) => self.answer_without_body(number, Outcome::NotRun, 503, retry_after),
                 (Class::Once, _) if task.reached => self.answer_failure(number),
                 (Class::Ordinary | Class::Single, _) if task.reached => {
-                    self.answer_without_body(number, Outcome::Unknown, 504, again)
+                    self.answer_without_body(number, Outcome::Unknown, 504, retry_after)
                 }
-                _ => self.release_and_refuse(number, SOON, RefusalReason::Expired),
+                _ => self.release_and_refuse(number, BASE_RETRY_AFTER, RefusalReason::Expired),
             }
         }
         self.following_pass();
--- a/crates/traffic/src/instance.rs
+++ b/crates/traffic/src/instance.rs
@@ -185,7 +185,7 @@
     use super::*;
 
     #[test]
-    fn nothing_leads_back_from_draining_and_only_a_connection_from_gone() {
+    fn draining_instance_never_becomes_ready_and_gone_one_only_by_reconnection() {
         let mut instance = Instance::new(Duration::ZERO, "127.0.0.1:1");
         instance.apply(InstanceEvent::Ready);
         assert_eq!(instance.capacity(Duration::ZERO, 4), 4);
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -10,14 +10,14 @@
 
 const LOAD_RETENTION: Duration = Duration::from_secs(1);
 /// Limits on the change of the usual answer time in one pass, of which there are ten per second.
-const RISE: f64 = 1.12;
-const FALL: f64 = 0.9;
+const MAX_RISE_PER_PASS: f64 = 1.12;
+const MAX_FALL_PER_PASS: f64 = 0.9;
 const MIN_MEASURED_SPAN: Duration = Duration::from_millis(300);
 
 /// Arrivals, grouped by the pass that counted them.
 pub struct RecentLoad {
     passes: VecDeque<(Duration, u32)>,
-    counted: u32,
+    last_count: u32,
     total: u32,
     long_run: ArrivalRate,
 }
@@ -25,7 +25,7 @@
 impl RecentLoad {
     /// Creates an empty count.
     pub fn new(now: Duration) -> RecentLoad {
-        RecentLoad { passes: VecDeque::new(), counted: 0, total: 0, long_run: ArrivalRate::new(now) }
+        RecentLoad { passes: VecDeque::new(), last_count: 0, total: 0, long_run: ArrivalRate::new(now) }
     }
 
     /// Restarts the long-run arrival rate. Another owner may have served the function meanwhile, so the number of its
@@ -37,12 +37,12 @@
     /// Counts the arrivals since the last pass. `arrivals` rises with each request and restarts at zero with each
     /// sample.
     pub fn update(&mut self, now: Duration, arrivals: u32) {
-        let has_changes = if arrivals >= self.counted { arrivals - self.counted } else { arrivals };
-        self.counted = arrivals;
-        self.long_run.pass(now, has_changes);
-        if has_changes > 0 {
-            self.passes.push_back((now, has_changes));
-            self.total += has_changes;
+        let new_arrivals = if arrivals >= self.last_count { arrivals - self.last_count } else { arrivals };
+        self.last_count = arrivals;
+        self.long_run.pass(now, new_arrivals);
+        if new_arrivals > 0 {
+            self.passes.push_back((now, new_arrivals));
+            self.total += new_arrivals;
         }
         while let Some((_, old)) = self.passes.pop_front_if(|(at, _)| now >= *at + LOAD_RETENTION) {
             self.total -= old;
@@ -89,8 +89,8 @@
 impl TypicalAnswerTime {
     /// Moves towards the recent mean, within the limits for one pass.
     pub fn update(&mut self, mean: Duration) {
-        let (least, most) = (self.time.mul_f64(FALL), self.time.mul_f64(RISE));
-        self.time = if self.time.is_zero() { mean } else { mean.clamp(least, most) };
+        let (lowest, highest) = (self.time.mul_f64(MAX_FALL_PER_PASS), self.time.mul_f64(MAX_RISE_PER_PASS));
+        self.time = if self.time.is_zero() { mean } else { mean.clamp(lowest, highest) };
     }
 
     /// Caps a measured answer time at three times the usual one, so that outliers count little.
--- a/crates/traffic/src/queue_wait.rs
+++ b/crates/traffic/src/queue_wait.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// How long a limit of the owner may hold requests back despite free slots before a warning is logged.
-const WORTH_A_WARNING: Duration = Duration::from_secs(1);
+const WARNING_DELAY: Duration = Duration::from_secs(1);
 
 /// Why no queued request of a function may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -87,7 +87,7 @@
     /// period.
     pub fn should_warn(&mut self, now: Duration) -> bool {
         let is_held = self.cause == Some(QueueBlock::RejectionRisk);
-        let is_due = is_held && !self.is_warned && now >= self.blocked_since + WORTH_A_WARNING;
+        let is_due = is_held && !self.is_warned && now >= self.blocked_since + WARNING_DELAY;
         self.is_warned |= is_due;
         is_due
     }
--- a/crates/traffic/src/queue_wait_tests.rs
+++ b/crates/traffic/src/queue_wait_tests.rs
@@ -6,7 +6,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn time_goes_to_the_cause_that_was_observed_before() {
+fn blocked_time_goes_to_the_previously_observed_cause() {
     let mut wait = QueueWait::default();
     assert_eq!(wait.observe(100 * MS, Some(QueueBlock::NoFreeSlot)), None);
     let first = wait.observe(130 * MS, Some(QueueBlock::RejectionRisk));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_warning_comes_once_for_each_second_long_hold_by_the_limit() {
+fn warns_once_per_second_long_hold_by_the_owner_limit() {
     let mut wait = QueueWait::default();
     wait.observe(Duration::ZERO, Some(QueueBlock::NoFreeSlot));
     assert!(!wait.should_warn(5000 * MS), "slots are missing");
--- a/crates/traffic/src/rejection_limit.rs
+++ b/crates/traffic/src/rejection_limit.rs
@@ -6,7 +6,7 @@
 
 use crate::allowances::{Allowances, OwnerLimit};
 use crate::budget::UsageWindow;
-use crate::send_window::{Allowance, SendWindow};
+use crate::send_window::{RejectionAllowance, SendWindow};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 /// Maximum rejection latency assumed, however slow rejections are.
 const MAX_REJECTION_LATENCY: Duration = Duration::from_millis(500);
 /// Fraction of the excess over the initial rejection latency that remains after a pass.
-const FORGET: f64 = 0.99;
+const LATENCY_RETAINED: f64 = 0.99;
 /// Time between two polls beyond which the process is taken to have been suspended. All requests sent before are then
 /// considered at risk of rejection again.
-const STOPPED: Duration = Duration::from_millis(300);
+const SUSPENSION_GAP: Duration = Duration::from_millis(300);
 
 /// A request that was sent to an instance.
 struct SentRequest {
@@ -46,7 +46,7 @@
     sent: BTreeMap<u64, SentRequest>,
     window: SendWindow,
     /// Time after which a request is no longer expected to be rejected.
-    usual: Duration,
+    rejection_latency: Duration,
     polled_at: Duration,
 }
 
@@ -59,7 +59,7 @@
             rejections: UsageWindow::new(now, remembered, remembered + MAX_REJECTION_LATENCY),
             sent: BTreeMap::new(),
             window: SendWindow::new(allowances.rejection_limit().informed),
-            usual: INITIAL_REJECTION_LATENCY,
+            rejection_latency: INITIAL_REJECTION_LATENCY,
             polled_at: now,
         }
     }
@@ -94,12 +94,12 @@
 
     /// Drops sent requests that are no longer expected to be rejected.
     fn poll(&mut self, now: Duration) {
-        let (usual, stopped) = (self.usual, now > self.polled_at + STOPPED);
-        if stopped {
+        let (rejection_latency, was_suspended) = (self.rejection_latency, now > self.polled_at + SUSPENSION_GAP);
+        if was_suspended {
             self.sent.values_mut().for_each(|request| request.at = now);
         }
         self.polled_at = now;
-        self.sent.retain(|_, request| now < request.at + usual);
+        self.sent.retain(|_, request| now < request.at + rejection_latency);
     }
 
     /// Returns whether a request may be sent; `proven` if its instance has already answered this owner under the same
@@ -108,8 +108,8 @@
     /// together stay within the congestion window.
     pub fn may_send(&mut self, now: Duration, proven: bool) -> bool {
         self.poll(now);
-        let left = self.left(now);
-        if !self.window.may_send(self.sent.len(), left) {
+        let remaining = self.remaining(now);
+        if !self.window.may_send(self.sent.len(), remaining) {
             return false;
         }
         let unproven = self.sent.values().filter(|request| !request.is_proven).count();
@@ -124,8 +124,8 @@
     /// Returns what is left of the rejection allowance for all requests. From its first rejection on, an owner that
     /// does not know the rejections under the previous owner has only the limit for such owners, also for proven
     /// instances.
-    fn left(&mut self, now: Duration) -> usize {
-        match self.rejections.has_spent_own(now) {
+    fn remaining(&mut self, now: Duration) -> usize {
+        match self.rejections.has_own_usage(now) {
             true => self.rejections.capacity(now, self.max_rejections),
             false => self.rejections.known_capacity(now, self.max_rejections),
         }
@@ -136,19 +136,19 @@
         self.sent.insert(order, SentRequest { at: now, is_proven: proven });
     }
 
-    /// Records the result of a request that was sent at `begun`.
-    pub fn record_result(&mut self, now: Duration, order: u64, begun: Duration, result: SendResult) {
+    /// Records the result of a request that was sent at `sent_at`.
+    pub fn record_result(&mut self, now: Duration, order: u64, sent_at: Duration, result: SendResult) {
         self.sent.remove(&order);
         match result {
             SendResult::Answered => {
-                let (rejections, left) = (self.rejections.count(now), self.left(now));
-                self.window.answered(Allowance { rejections, left });
+                let (rejections, remaining) = (self.rejections.count(now), self.remaining(now));
+                self.window.record_answer(RejectionAllowance { rejections, remaining });
             }
             SendResult::Rejected => {
                 self.rejections.add(now);
-                self.window.rejected();
-                let took = now.saturating_sub(begun);
-                self.usual = self.usual.max(took.mul_f64(1.5)).min(MAX_REJECTION_LATENCY);
+                self.window.record_rejection();
+                let took = now.saturating_sub(sent_at);
+                self.rejection_latency = self.rejection_latency.max(took.mul_f64(1.5)).min(MAX_REJECTION_LATENCY);
             }
             SendResult::Unknown => {}
         }
@@ -157,6 +157,7 @@
     /// Decays the congestion window and the rejection latency towards their initial values; called once per pass.
     pub fn decay(&mut self) {
         self.window.decay();
-        self.usual = INITIAL_REJECTION_LATENCY + self.usual.saturating_sub(INITIAL_REJECTION_LATENCY).mul_f64(FORGET);
+        self.rejection_latency = INITIAL_REJECTION_LATENCY
+            + self.rejection_latency.saturating_sub(INITIAL_REJECTION_LATENCY).mul_f64(LATENCY_RETAINED);
     }
 }
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -8,7 +8,7 @@
 use wire::{ForwardMessage, NodeId, Outcome};
 
 /// Maximum wait for the front's grant; from a front on the same machine it arrives at once.
-const GRANT_PATIENCE: Duration = Duration::from_millis(300);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl FunctionOwner {
     /// Queues a request for another instance if its time, its attempts and the retry budget allow one. Otherwise
@@ -18,20 +18,20 @@
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.reached |= may_have_run;
         task.failure = Some(failure);
-        let owned = self.membership.owner(&task.function) == Some(self.me);
+        let is_owned = self.membership.owner(&task.function) == Some(self.me);
         let Some(scheduler) =
-            self.schedulers.get_mut(&task.function).filter(|scheduler| owned && scheduler.leaving.is_none())
+            self.schedulers.get_mut(&task.function).filter(|scheduler| is_owned && scheduler.leaving.is_none())
         else {
             return self.send_back(number);
         };
-        let late = now + margin + scheduler.least_time() > task.due;
-        if late || task.dispatches >= task.attempts || !scheduler.budget.may_retry(now) {
+        let is_late = now + margin + scheduler.least_time() > task.due;
+        if is_late || task.dispatches >= task.attempts || !scheduler.budget.may_retry(now) {
             return self.answer_failure(number);
         }
         if task.dispatches < task.granted {
             return self.requeue(number);
         }
-        task.place = Place::AwaitingGrant { until: now + GRANT_PATIENCE };
+        task.place = Place::AwaitingGrant { until: now + GRANT_TIMEOUT };
         let (to, attempts) = (task.id.from, task.dispatches + 1);
         let message = ForwardMessage::AttemptRequest { task: task.id.task, attempts };
         self.outs.push(OwnerOutput::Forward { to, message });
@@ -40,18 +40,18 @@
     /// Handles the front's reply with the total number of attempts granted.
     pub(crate) fn handle_attempt_grant(&mut self, from: NodeId, task: u64, attempts: u32) {
         let id = TaskId { from, task };
-        let awaits = |task: &crate::owner_types::OwnedRequest| {
+        let is_awaiting = |task: &crate::owner_types::OwnedRequest| {
             task.id == id && matches!(task.place, Place::AwaitingGrant { .. })
         };
-        let Some((number, task)) = self.tasks.iter_mut().find(|(_, task)| awaits(task)) else { return };
+        let Some((number, task)) = self.tasks.iter_mut().find(|(_, task)| is_awaiting(task)) else { return };
         let number = *number;
         task.granted = task.granted.max(attempts);
         if task.dispatches >= task.granted {
             return self.answer_failure(number);
         }
-        let owned = self.membership.owner(&task.function) == Some(self.me);
+        let is_owned = self.membership.owner(&task.function) == Some(self.me);
         let stays = self.schedulers.get(&task.function).is_some_and(|scheduler| scheduler.leaving.is_none());
-        if owned && stays { self.requeue(number) } else { self.send_back(number) }
+        if is_owned && stays { self.requeue(number) } else { self.send_back(number) }
     }
 
     fn requeue(&mut self, number: u64) {
--- a/crates/traffic/src/send_window.rs
+++ b/crates/traffic/src/send_window.rs
@@ -4,7 +4,7 @@
 
 /// Fraction of unused growth, and of the answer count, that remains after a pass. There are ten passes per second, so
 /// answers count for about five seconds.
-const RETAINED: f64 = 0.98;
+const RETAINED_PER_PASS: f64 = 0.98;
 /// Minimum number of answers per rejection at which rejections count as rare. At that rate they come from requests and
 /// connections that cross each other, not from a loss of capacity of the instances.
 const ANSWERS_PER_REJECTION: f64 = 100.0;
@@ -22,11 +22,11 @@
 
 /// State of the rejection allowance, by which the window is adjusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowance {
+pub struct RejectionAllowance {
     /// Rejections within the configured window.
     pub rejections: usize,
     /// Number of further rejections allowed within that window.
-    pub left: usize,
+    pub remaining: usize,
 }
 
 impl SendWindow {
@@ -38,35 +38,35 @@
 
     /// Returns whether another request may be sent besides those in flight. As many requests as rejections are left in
     /// the allowance are always permitted, and none once the allowance is used up.
-    pub fn may_send(&mut self, on_the_way: usize, left: usize) -> bool {
-        self.is_limiting = left == 0 || on_the_way >= self.whole_size().max(left);
+    pub fn may_send(&mut self, in_flight: usize, remaining: usize) -> bool {
+        self.is_limiting = remaining == 0 || in_flight >= self.size_in_requests().max(remaining);
         !self.is_limiting
     }
 
     /// Records an answer. While rejections are rare, each full window of answers adds one request to the window.
-    pub fn answered(&mut self, allowance: Allowance) {
+    pub fn record_answer(&mut self, allowance: RejectionAllowance) {
         self.answers += 1.0;
-        let are_rare = self.answers >= allowance.rejections as f64 * ANSWERS_PER_REJECTION;
-        if self.is_limiting && are_rare {
-            self.size = self.size.max(allowance.left as f64);
+        let are_rejections_rare = self.answers >= allowance.rejections as f64 * ANSWERS_PER_REJECTION;
+        if self.is_limiting && are_rejections_rare {
+            self.size = self.size.max(allowance.remaining as f64);
             self.size += 1.0 / self.size.max(1.0);
         }
     }
 
     /// Records a rejection by halving the window.
-    pub fn rejected(&mut self) {
+    pub fn record_rejection(&mut self) {
         self.size /= 2.0;
     }
 
     /// Decays unused growth and the answer count; called once per pass.
     pub fn decay(&mut self) {
-        self.answers *= RETAINED;
+        self.answers *= RETAINED_PER_PASS;
         if self.size > self.initial {
-            self.size = self.initial.max(self.size * RETAINED);
+            self.size = self.initial.max(self.size * RETAINED_PER_PASS);
         }
     }
 
-    fn whole_size(&self) -> usize {
+    fn size_in_requests(&self) -> usize {
         self.size as usize
     }
 }
--- a/crates/traffic/src/send_window_tests.rs
+++ b/crates/traffic/src/send_window_tests.rs
@@ -1,21 +1,21 @@
 //! Growth of the congestion window with answers, and its reduction by rejections.
 
-use super::{Allowance, SendWindow};
+use super::{RejectionAllowance, SendWindow};
 
 /// Keeps the window full while `answers` answers arrive.
-fn fill(window: &mut SendWindow, answers: u32, left: usize) {
+fn fill(window: &mut SendWindow, answers: u32, remaining: usize) {
     for _ in 0..answers {
-        assert!(!window.may_send(usize::MAX, left));
-        window.answered(Allowance { rejections: 0, left });
+        assert!(!window.may_send(usize::MAX, remaining));
+        window.record_answer(RejectionAllowance { rejections: 0, remaining });
     }
 }
 
 fn size(window: &mut SendWindow) -> usize {
-    (0..).find(|on_the_way| !window.may_send(*on_the_way, 1)).expect("some size")
+    (0..).find(|in_flight| !window.may_send(*in_flight, 1)).expect("some size")
 }
 
 #[test]
-fn it_grows_by_one_with_each_window_of_answers_while_it_holds_requests_up() {
+fn window_grows_by_one_per_window_of_answers_while_limiting() {
     let mut window = SendWindow::new(10);
     fill(&mut window, 11, 10);
     assert_eq!(size(&mut window), 11);
@@ -24,45 +24,45 @@
 }
 
 #[test]
-fn answers_that_it_did_not_hold_up_do_not_let_it_grow() {
+fn window_does_not_grow_while_not_limiting() {
     let mut window = SendWindow::new(10);
     for _ in 0..1000 {
         assert!(window.may_send(3, 10));
-        window.answered(Allowance { rejections: 0, left: 10 });
+        window.record_answer(RejectionAllowance { rejections: 0, remaining: 10 });
     }
     assert_eq!(size(&mut window), 10);
 }
 
 #[test]
-fn a_rejection_halves_it_but_not_below_what_the_allowance_leaves() {
+fn rejection_halves_the_window_down_to_the_remaining_allowance() {
     let mut window = SendWindow::new(10);
     fill(&mut window, 500, 10);
     let before = size(&mut window);
-    window.rejected();
+    window.record_rejection();
     assert_eq!(size(&mut window), before / 2);
-    (0..4).for_each(|_| window.rejected());
+    (0..4).for_each(|_| window.record_rejection());
     assert!(window.may_send(4, 5) && !window.may_send(5, 5), "five are left of the allowance");
     assert!(!window.may_send(0, 0), "none is left");
 }
 
 #[test]
-fn growth_that_is_not_used_fades_to_where_it_began_and_no_further() {
+fn unused_growth_decays_to_the_initial_size() {
     let mut window = SendWindow::new(10);
     fill(&mut window, 500, 10);
     (0..1000).for_each(|_| window.decay());
     assert_eq!(size(&mut window), 10);
-    window.rejected();
+    window.record_rejection();
     (0..10).for_each(|_| window.decay());
     assert_eq!(size(&mut window), 5, "only answers restore what a rejection took");
 }
 
 #[test]
-fn rejections_stop_its_growth_unless_they_are_rare() {
+fn rejections_stop_growth_unless_rare() {
     let grown_beside = |rejections: usize, answers: u32| {
         let mut window = SendWindow::new(10);
         for _ in 0..answers {
             window.may_send(usize::MAX, 5);
-            window.answered(Allowance { rejections, left: 5 });
+            window.record_answer(RejectionAllowance { rejections, remaining: 5 });
         }
         size(&mut window) > 10
     };
--- a/crates/traffic/src/tuning.rs
+++ b/crates/traffic/src/tuning.rs
@@ -8,17 +8,17 @@
 
 impl FunctionScheduler {
     /// Returns the measurements since the previous sample, or `None` if the function was inactive.
-    pub(crate) fn take_measurement(&mut self, name: &str, looks: f64) -> Option<Measurement> {
+    pub(crate) fn take_measurement(&mut self, name: &str, observations: f64) -> Option<Measurement> {
         let seen = std::mem::take(&mut self.seen);
-        let stood_still = self.arrivals == 0 && seen.boots == 0 && seen.refused == 0;
-        (!stood_still).then(|| Measurement {
+        let is_inactive = self.arrivals == 0 && seen.boots == 0 && seen.refused == 0;
+        (!is_inactive).then(|| Measurement {
             function: name.into(),
             boot_micro: (seen.boot / seen.boots.max(1)).as_micros() as u64,
             boots: seen.boots,
             refused: seen.refused,
             rejections: seen.rejections,
-            waiting_milli: (self.waiting_sum * 1000.0 / looks) as u64,
-            usage_milli: (seen.usage_sum * 1000.0 / looks) as u64,
+            waiting_milli: (self.waiting_sum * 1000.0 / observations) as u64,
+            usage_milli: (seen.usage_sum * 1000.0 / observations) as u64,
         })
     }
 }
--- a/crates/traffic/src/wait_limits.rs
+++ b/crates/traffic/src/wait_limits.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Minimum wait for forwarding. A request with a latency aim waits for a quarter of the aim, but at least this long.
-const MIN_PATIENCE: Duration = Duration::from_millis(120);
+const MIN_FORWARD_WAIT: Duration = Duration::from_millis(120);
 
 /// Times until which a request may wait at the front before its caller is told to try again later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     const UNLIMITED: WaitLimits = WaitLimits { to_forward: Duration::MAX, for_credit: Duration::MAX };
 
     fn of_aim(now: Duration, aim: Duration) -> WaitLimits {
-        let to_forward = now + MIN_PATIENCE.max(aim / 4);
+        let to_forward = now + MIN_FORWARD_WAIT.max(aim / 4);
         WaitLimits { to_forward, for_credit: to_forward.max(now + aim * 3 / 5) }
     }
 }
@@ -31,8 +31,9 @@
     pub(crate) fn wait_limits(&self, call: &Call) -> WaitLimits {
         let binding =
             self.routes.as_ref().and_then(|routes| routes.find_route(&call.host, &call.path)).map(|found| found.1);
-        let inherits = |most: u32| call.deadline.is_some_and(|left| left < Duration::from_millis(most.into()) * 7 / 8);
-        let aim = binding.filter(|binding| !inherits(binding.deadline_ms)).and_then(|binding| binding.aim_ms);
+        let is_continued =
+            |limit_ms: u32| call.deadline.is_some_and(|left| left < Duration::from_millis(limit_ms.into()) * 7 / 8);
+        let aim = binding.filter(|binding| !is_continued(binding.deadline_ms)).and_then(|binding| binding.aim_ms);
         aim.map_or(WaitLimits::UNLIMITED, |aim| WaitLimits::of_aim(self.now, Duration::from_millis(aim.into())))
     }
 }
--- a/crates/traffic/src/wait_queue.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -12,12 +12,12 @@
 /// Rank of requests that go after all others.
 pub(crate) const LOWEST_PRIORITY: u32 = u32::MAX;
 /// Fraction of its remaining time that a request without a latency aim may be expected to wait before it is refused.
-const HOPE: f64 = 0.9;
+const MAX_WAIT_FRACTION: f64 = 0.9;
 /// Divisor of the latency aim: a request is refused for missing its aim only within this part of it, and stays queued
 /// after that.
-const EARLY: u32 = 4;
+const EARLY_AIM_DIVISOR: u32 = 4;
 /// Base of the time after which a caller may try again.
-const SOON: Duration = Duration::from_millis(500);
+const BASE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl FunctionOwner {
     /// Queues a request, or returns it to its front if the function has another owner by now, since a request that is
@@ -30,16 +30,16 @@
         let wait = self.excessive_wait(number);
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.place = Place::Queued;
-        let (ahead, refusable) = (self.queue_position(number), self.may_refuse(number));
+        let (position, is_refusable) = (self.queue_position(number), self.can_refuse(number));
         let Some(task) = self.tasks.get(&number) else { return };
         let Some(scheduler) = self.schedulers.get_mut(&task.function) else { return };
-        scheduler.queued.insert(ahead, number);
-        if let Some(wait) = wait.filter(|_| refusable) {
+        scheduler.queued.insert(position, number);
+        if let Some(wait) = wait.filter(|_| is_refusable) {
             self.release_and_refuse(number, wait, RefusalReason::ExpectedWait);
         }
     }
 
-    fn may_refuse(&self, number: u64) -> bool {
+    fn can_refuse(&self, number: u64) -> bool {
         self.tasks.get(&number).is_some_and(|task| task.stored.is_none() && !task.reached)
     }
 
@@ -58,25 +58,25 @@
         let task = self.tasks.get(&number)?;
         let scheduler = self.schedulers.get(&task.function)?;
         let left = task.due.saturating_sub(now);
-        let aim = task.aim.filter(|aim| !task.inherits && now <= task.arrived + *aim / EARLY);
-        let worth = match aim {
+        let aim = task.aim.filter(|aim| !task.inherits && now <= task.arrived + *aim / EARLY_AIM_DIVISOR);
+        let max_useful_wait = match aim {
             Some(aim) if scheduler.has_instances() => aim.saturating_sub(scheduler.mean_time).max(aim / 2).min(left),
-            _ => left.mul_f64(HOPE),
+            _ => left.mul_f64(MAX_WAIT_FRACTION),
         };
-        Some(scheduler.expected_wait(now, self.queue_position(number))).filter(|wait| *wait > worth)
+        Some(scheduler.expected_wait(now, self.queue_position(number))).filter(|wait| *wait > max_useful_wait)
     }
 
     /// Lengthens a delay by up to half, so that callers refused at the same time do not come back at the same time.
-    pub(crate) fn add_jitter(&self, number: u64, least: Duration) -> Duration {
-        let dice = leases::mix(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
-        least + least * (dice >> 55) as u32 / 1024
+    pub(crate) fn add_jitter(&self, number: u64, delay: Duration) -> Duration {
+        let hash = leases::mix(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
+        delay + delay * (hash >> 55) as u32 / 1024
     }
 
     /// Refuses a request that did not run.
     pub(crate) fn refuse(&mut self, number: u64, reason: RefusalReason) {
         self.count_refusal(number, reason);
-        let again = self.add_jitter(number, SOON);
-        self.answer_without_body(number, Outcome::NotRun, 503, again);
+        let retry_after = self.add_jitter(number, BASE_RETRY_AFTER);
+        self.answer_without_body(number, Outcome::NotRun, 503, retry_after);
     }
 
     fn count_refusal(&mut self, number: u64, reason: RefusalReason) {
@@ -95,7 +95,7 @@
 
     /// Returns the time after which the caller may try again, for an expected wait.
     pub(crate) fn jittered_retry_after(&self, number: u64, wait: Duration) -> Duration {
-        self.add_jitter(number, wait.max(SOON / 2))
+        self.add_jitter(number, wait.max(BASE_RETRY_AFTER / 2))
     }
 
     /// Refuses a request that did not run, releases its claim, and tells the caller when to try again: once the
@@ -110,7 +110,7 @@
     /// Refuses a request that holds no claim, and tells the caller when to try again.
     pub(crate) fn refuse_with_wait(&mut self, number: u64, wait: Duration, reason: RefusalReason) {
         self.count_refusal(number, reason);
-        let again = self.jittered_retry_after(number, wait);
-        self.answer_without_body(number, Outcome::NotRun, 503, again);
+        let retry_after = self.jittered_retry_after(number, wait);
+        self.answer_without_body(number, Outcome::NotRun, 503, retry_after);
     }
 }
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -49,24 +49,29 @@
     owner
 }
 
-fn give(owner: &mut FunctionOwner, at: u64, message: ForwardMessage) -> Vec<OwnerOutput> {
+fn send_to_owner(owner: &mut FunctionOwner, at: u64, message: ForwardMessage) -> Vec<OwnerOutput> {
     owner.step(ms(at), true, OwnerInput::Forward { from: ME, message })
 }
 
-fn fails(owner: &mut FunctionOwner, at: u64, outputs: &[OwnerOutput], outcome: DispatchOutcome) -> Vec<OwnerOutput> {
+fn end_attempt(
+    owner: &mut FunctionOwner,
+    at: u64,
+    outputs: &[OwnerOutput],
+    outcome: DispatchOutcome,
+) -> Vec<OwnerOutput> {
     let number = sent(outputs).expect("sent to an instance");
     owner.step(ms(at), true, OwnerInput::Dispatched { number, outcome })
 }
 
-fn garbled() -> DispatchOutcome {
+fn garbled_answer() -> DispatchOutcome {
     DispatchOutcome::InDoubt { detail: "garbled".into(), late: false }
 }
 
-fn failed() -> DispatchOutcome {
+fn server_error() -> DispatchOutcome {
     DispatchOutcome::Complete { status: 500, head: Vec::new(), body: b"first".to_vec(), turned_away: false }
 }
 
-fn tell(front: &mut Front, from: NodeId, at: u64, message: ForwardMessage) -> Vec<FrontOutput> {
+fn send_to_front(front: &mut Front, from: NodeId, at: u64, message: ForwardMessage) -> Vec<FrontOutput> {
     front.step(ms(at), true, FrontInput::Forwarded { from, message })
 }
 
@@ -76,74 +81,74 @@
 
 /// The link to the first owner is lost while an instance runs the request, and both instances send garbled answers.
 #[test]
-fn two_owners_in_a_row_send_it_to_no_more_instances_than_its_route_allows() {
+fn two_owners_in_a_row_do_not_exceed_the_attempts_of_the_route() {
     let mut front = front(2);
     let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut first = owner(OTHER, 2);
-    let one = give(&mut first, 6, message);
-    assert!(sent(&one).is_some());
+    let first_outputs = send_to_owner(&mut first, 6, message);
+    assert!(sent(&first_outputs).is_some());
     front.step(ms(10), true, FrontInput::Link { id: OTHER, up: false });
     let outputs = front.step(ms(20), true, FrontInput::Membership { membership: membership(3, &[THIRD]) });
     let (_, message) = forwarded(&outputs).expect("forwarded again");
     let mut second = owner(THIRD, 2);
-    let two = give(&mut second, 21, message);
-    assert!(sent(&two).is_some());
-    for (owner, outputs, from) in [(&mut first, &one, OTHER), (&mut second, &two, THIRD)] {
-        let outputs = fails(owner, 40, outputs, garbled());
+    let second_outputs = send_to_owner(&mut second, 21, message);
+    assert!(sent(&second_outputs).is_some());
+    for (owner, outputs, from) in [(&mut first, &first_outputs, OTHER), (&mut second, &second_outputs, THIRD)] {
+        let outputs = end_attempt(owner, 40, outputs, garbled_answer());
         assert_eq!(sent(&outputs), None, "a third instance");
         let request_id = to_front(&outputs).expect("asks for a third attempt");
-        let outputs = tell(&mut front, from, 41, request_id);
+        let outputs = send_to_front(&mut front, from, 41, request_id);
         let most = granted(&outputs).expect("told");
         assert!(most <= 1, "{most} granted to each of two owners");
     }
 }
 
 #[test]
-fn an_owner_may_send_it_again_once_its_front_grants_it() {
+fn owner_retries_once_after_the_front_grants_an_attempt() {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut owner = owner(OTHER, 2);
-    let outputs = give(&mut owner, 6, message);
-    let outputs = fails(&mut owner, 20, &outputs, garbled());
+    let outputs = send_to_owner(&mut owner, 6, message);
+    let outputs = end_attempt(&mut owner, 20, &outputs, garbled_answer());
     let request_id = to_front(&outputs).expect("asks");
     assert_eq!(request_id, ForwardMessage::AttemptRequest { task, attempts: 2 });
     for at in [21, 22] {
         assert_eq!(
-            granted(&tell(&mut front, OTHER, at, request_id.clone())),
+            granted(&send_to_front(&mut front, OTHER, at, request_id.clone())),
             Some(2),
             "a repeated frame grants no more"
         );
     }
-    let outputs = give(&mut owner, 23, grant(task, 2));
+    let outputs = send_to_owner(&mut owner, 23, grant(task, 2));
     assert!(sent(&outputs).is_some());
-    assert_eq!(sent(&give(&mut owner, 24, grant(task, 2))), None, "the grant came twice");
-    let outputs = fails(&mut owner, 30, &outputs, failed());
+    assert_eq!(sent(&send_to_owner(&mut owner, 24, grant(task, 2))), None, "the grant came twice");
+    let outputs = end_attempt(&mut owner, 30, &outputs, server_error());
     let answer = to_front(&outputs);
     assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "no attempt is left: {answer:?}");
 }
 
 #[test_case(Some(0), 25; "refused")]
 #[test_case(None, 400; "unanswered")]
-fn without_a_grant_the_failure_is_the_answer(reported: Option<u32>, at: u64) {
+fn failure_is_the_answer_without_a_grant(reported: Option<u32>, at: u64) {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut owner = owner(OTHER, 2);
-    let outputs = give(&mut owner, 6, message);
-    let outputs = fails(&mut owner, 20, &outputs, failed());
+    let outputs = send_to_owner(&mut owner, 6, message);
+    let outputs = end_attempt(&mut owner, 20, &outputs, server_error());
     assert!(matches!(to_front(&outputs), Some(ForwardMessage::AttemptRequest { .. })));
     let outputs = match reported {
-        Some(attempts) => give(&mut owner, at, grant(task, attempts)),
+        Some(attempts) => send_to_owner(&mut owner, at, grant(task, attempts)),
         None => owner.step(ms(at), true, OwnerInput::Tick),
     };
     let answer = to_front(&outputs);
     let Some(ForwardMessage::Answer { outcome, status, body, .. }) = answer else { panic!("{answer:?}") };
     assert_eq!((outcome, status, body.as_slice()), (Outcome::Answered, 500, b"first".as_slice()));
-    assert_eq!(sent(&give(&mut owner, at + 5, grant(task, 2))), None, "a grant after the answer");
+    assert_eq!(sent(&send_to_owner(&mut owner, at + 5, grant(task, 2))), None, "a grant after the answer");
 }
 
 /// A front that lost two owners has no attempt left to grant.
 #[test]
-fn with_no_attempt_left_the_caller_is_answered_at_once() {
+fn caller_is_answered_at_once_when_no_attempt_is_left() {
     let mut front = front(2);
     assert!(forwarded(&common::send_request(&mut front, 5, true, "/t/f")).is_some());
     let outputs = front.step(ms(20), true, FrontInput::Membership { membership: membership(2, &[THIRD]) });
@@ -156,12 +161,12 @@
 
 /// A request that was sent to no instance keeps all its attempts, however often owners return it.
 #[test]
-fn what_is_given_back_unsent_loses_no_attempt() {
+fn request_returned_unsent_loses_no_attempt() {
     let mut front = front(1);
     let mut outputs = common::send_request(&mut front, 5, true, "/t/f");
     for at in [50, 100, 150] {
         let (task, _) = forwarded(&outputs).expect("forwarded");
-        tell(&mut front, OTHER, at, ForwardMessage::NotOwner { task });
+        send_to_front(&mut front, OTHER, at, ForwardMessage::NotOwner { task });
         outputs = front.step(ms(at + 40), true, FrontInput::Tick);
     }
     assert!(forwarded(&outputs).is_some());
@@ -169,39 +174,39 @@
 
 /// An instance that rejected a request was sent it, so the attempt counts against those of the next owner.
 #[test]
-fn what_was_rejected_before_it_is_given_back_stays_counted() {
+fn rejected_attempt_stays_counted_when_the_request_is_returned() {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut owner = owner(OTHER, 2);
-    let outputs = give(&mut owner, 6, message);
+    let outputs = send_to_owner(&mut owner, 6, message);
     owner.step(ms(10), true, OwnerInput::Membership { membership: membership(3, &[THIRD]) });
-    let outputs = fails(&mut owner, 20, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
+    let outputs = end_attempt(&mut owner, 20, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
     assert_eq!(to_front(&outputs), Some(ForwardMessage::Returned { task, attempts: 1 }));
 }
 
 #[test]
-fn an_owner_that_gives_it_back_keeps_what_it_used() {
+fn attempts_used_by_a_previous_owner_stay_counted() {
     let mut front = front(2);
     let (task, _) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
-    tell(&mut front, OTHER, 10, ForwardMessage::Returned { task, attempts: 1 });
+    send_to_front(&mut front, OTHER, 10, ForwardMessage::Returned { task, attempts: 1 });
     let (task, _) = forwarded(&front.step(ms(50), true, FrontInput::Tick)).expect("one is left");
-    let outputs = tell(&mut front, OTHER, 60, ForwardMessage::AttemptRequest { task, attempts: 2 });
+    let outputs = send_to_front(&mut front, OTHER, 60, ForwardMessage::AttemptRequest { task, attempts: 2 });
     assert_eq!(granted(&outputs), Some(1), "the previous owner used one");
-    let outputs = tell(&mut front, OTHER, 70, ForwardMessage::Returned { task, attempts: 1 });
+    let outputs = send_to_front(&mut front, OTHER, 70, ForwardMessage::Returned { task, attempts: 1 });
     let reported = reply(&outputs).expect("told at once");
     assert_eq!((reported.outcome, reported.status, reported.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
 }
 
 /// The first instance may have run the request, and the second certainly did not.
 #[test]
-fn a_request_that_may_have_run_is_not_called_not_run_by_the_last_instance() {
+fn request_that_may_have_run_is_not_reported_as_not_run() {
     let mut front = front(2);
     let (task, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut owner = owner(OTHER, 2);
-    let outputs = give(&mut owner, 6, message);
-    fails(&mut owner, 20, &outputs, garbled());
-    let outputs = give(&mut owner, 21, grant(task, 2));
-    let outputs = fails(&mut owner, 30, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
+    let outputs = send_to_owner(&mut owner, 6, message);
+    end_attempt(&mut owner, 20, &outputs, garbled_answer());
+    let outputs = send_to_owner(&mut owner, 21, grant(task, 2));
+    let outputs = end_attempt(&mut owner, 30, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
     let answer = to_front(&outputs);
     assert!(
         matches!(answer, Some(ForwardMessage::Answer { outcome: Outcome::Unknown, status: 504, .. })),
@@ -212,20 +217,20 @@
 /// The function moves to another owner while an instance runs the request. The old owner makes no further attempt, and
 /// the caller does not wait for one.
 #[test]
-fn an_owner_that_leaves_answers_a_failed_attempt_at_once() {
+fn owner_that_lost_its_function_answers_a_failed_attempt_at_once() {
     let mut front = front(2);
     let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut owner = owner(OTHER, 2);
-    let outputs = give(&mut owner, 6, message);
+    let outputs = send_to_owner(&mut owner, 6, message);
     owner.step(ms(10), true, OwnerInput::Membership { membership: membership(3, &[THIRD]) });
-    let outputs = fails(&mut owner, 20, &outputs, failed());
+    let outputs = end_attempt(&mut owner, 20, &outputs, server_error());
     let answer = to_front(&outputs);
     assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "{answer:?}");
 }
 
 /// A front of the previous frame format counts no attempts, so the owner makes as many as the binding allows.
 #[test]
-fn a_front_that_does_not_count_is_asked_for_nothing() {
+fn owner_asks_no_grant_of_a_front_that_does_not_count() {
     let mut owner = owner(OTHER, 2);
     let message = ForwardMessage::ForwardUncounted {
         task: 7,
@@ -238,7 +243,7 @@
         head: wire::to_bytes(&wire::RequestHead::default()).into(),
         body: Vec::new().into(),
     };
-    let outputs = give(&mut owner, 6, message);
-    let outputs = fails(&mut owner, 20, &outputs, failed());
+    let outputs = send_to_owner(&mut owner, 6, message);
+    let outputs = end_attempt(&mut owner, 20, &outputs, server_error());
     assert!(sent(&outputs).is_some(), "{outputs:?}");
 }
--- a/crates/traffic/tests/hot_function.rs
+++ b/crates/traffic/tests/hot_function.rs
@@ -68,18 +68,18 @@
 }
 
 /// An owner of all functions, instances that can run everything within their limit, and callers.
-struct World {
+struct Simulation {
     owner: Supplied,
     next: u64,
     requests: BTreeMap<u64, Request>,
     runs: BTreeMap<u64, Run>,
     tallies: BTreeMap<Kind, Tally>,
     /// One request in this many that reach instances is rejected; `None` for no rejections.
-    rejected_of: Option<u64>,
+    reject_every: Option<u64>,
 }
 
-impl World {
-    fn new(rejected_of: Option<u64>) -> World {
+impl Simulation {
+    fn new(reject_every: Option<u64>) -> Simulation {
         let binding = |name: &str| {
             format!(
                 r#"{{"route":"/{name}","function":"{name}","class":"ordinary","memory_mb":16,"instance_limit":4,
@@ -93,20 +93,20 @@
         let timing = OwnerTiming { starts_per_second: 10_000.0, ..OwnerTiming::default() };
         let mut owner = Supplied::with(timing, ME, 0, six_workers());
         owner.feed(OwnerInput::RouteTable { routes: Rc::new(RouteTable::build(1, 1, declared)) });
-        let mut world = World {
+        let mut simulation = Simulation {
             owner,
             next: 0,
             requests: BTreeMap::new(),
             runs: BTreeMap::new(),
             tallies: BTreeMap::new(),
-            rejected_of,
+            reject_every,
         };
-        world.pass(3000, 0, 0);
-        world
+        simulation.advance(3000, 0, 0);
+        simulation
     }
 
     /// Advances time with `own_rate` requests per second to the hot function and `parent_rate` to those that call it.
-    fn pass(&mut self, millis: u64, own_rate: u64, parent_rate: u64) {
+    fn advance(&mut self, millis: u64, own_rate: u64, parent_rate: u64) {
         let (mut own, mut parents) = (0, 0);
         for _ in 0..millis {
             self.owner.at += 1;
@@ -123,7 +123,7 @@
                 self.call(Kind::Parent);
             }
             self.step_runs();
-            self.take_outputs();
+            self.process_outputs();
         }
     }
 
@@ -154,7 +154,7 @@
         self.owner.feed(OwnerInput::Forward { from: ME, message });
     }
 
-    fn take_outputs(&mut self) {
+    fn process_outputs(&mut self) {
         while !self.owner.others.is_empty() || !self.owner.starts.is_empty() {
             for order in std::mem::take(&mut self.owner.starts) {
                 let id = format!("i-{}", order.nonce);
@@ -163,9 +163,9 @@
             }
             for output in std::mem::take(&mut self.owner.others) {
                 match output {
-                    OwnerOutput::Dispatch(order) => self.begin(&order),
+                    OwnerOutput::Dispatch(order) => self.start_run(&order),
                     OwnerOutput::Forward { message: ForwardMessage::Answer { task, outcome, status, .. }, .. } => {
-                        self.answered(task, outcome == Outcome::Answered && status == 200);
+                        self.record_answer(task, outcome == Outcome::Answered && status == 200);
                     }
                     _ => {}
                 }
@@ -173,8 +173,8 @@
         }
     }
 
-    fn begin(&mut self, order: &DispatchOrder) {
-        if self.rejected_of.is_some_and(|of| order.number.is_multiple_of(of)) {
+    fn start_run(&mut self, order: &DispatchOrder) {
+        if self.reject_every.is_some_and(|of| order.number.is_multiple_of(of)) {
             return self.reject(order.number);
         }
         let task = u64::from_le_bytes(order.body.as_slice().try_into().expect("the number that was sent"));
@@ -210,7 +210,7 @@
     }
 
     /// Records an answer. If it belongs to a nested call, the parent continues, or fails together with the call.
-    fn answered(&mut self, task: u64, is_served: bool) {
+    fn record_answer(&mut self, task: u64, is_served: bool) {
         let Some(request) = self.requests.remove(&task) else { return };
         self.tallies.entry(request.kind).or_default().served += u64::from(is_served);
         match request.parent {
@@ -231,14 +231,14 @@
 #[test_case(300, 1000, None; "half of it nested calls")]
 #[test_case(900, 0, None; "all of it callers")]
 #[test_case(900, 0, Some(1500); "a rejection now and then")]
-fn what_a_busy_function_serves_is_bounded_by_its_slots_alone(own: u64, parents: u64, rejected_of: Option<u64>) {
-    let mut world = World::new(rejected_of);
-    world.pass(10_000, own, parents);
-    let free = world.free_slots();
-    world.pass(DEADLINE_MS + 1000, 0, 0);
-    let told = format!("{:?}, {free} slots free at the end", world.tallies);
-    for tally in world.tallies.values() {
-        assert!(tally.share() > 0.98, "not all was served: {told}");
+fn throughput_of_a_busy_function_is_limited_only_by_its_slots(own: u64, parents: u64, reject_every: Option<u64>) {
+    let mut simulation = Simulation::new(reject_every);
+    simulation.advance(10_000, own, parents);
+    let free = simulation.free_slots();
+    simulation.advance(DEADLINE_MS + 1000, 0, 0);
+    let summary = format!("{:?}, {free} slots free at the end", simulation.tallies);
+    for tally in simulation.tallies.values() {
+        assert!(tally.share() > 0.98, "not all was served: {summary}");
     }
-    assert!(free > u64::from(INSTANCES) * 2, "less than half of the slots are needed: {told}");
+    assert!(free > u64::from(INSTANCES) * 2, "less than half of the slots are needed: {summary}");
 }
--- a/crates/traffic/tests/order.rs
+++ b/crates/traffic/tests/order.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn calls_of_running_tasks_go_first_then_what_can_meet_its_aim_then_what_is_late() {
+fn nested_calls_go_first_then_requests_within_their_aim_then_late_ones() {
     let mut owner = Supplied::new(1, six_workers());
     let binding: &[u8] =
         br#"{"route":"/t/f","function":"f","class":"ordinary","memory_mb":512,"min":1,"max":1,"aim_ms":1200}"#;
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -12,7 +12,7 @@
 };
 use wire::{ForwardMessage, InstanceSlots, Outcome, OwnershipTable, RequestHead};
 
-fn single(attempts: u32) -> Rc<RouteTable> {
+fn single_routes(attempts: u32) -> Rc<RouteTable> {
     let binding = format!(
         r#"{{"route":"/t/f","function":"f","class":"single","attempts":{attempts},"aim_ms":400,"instance_limit":4}}"#
     );
@@ -22,7 +22,7 @@
 /// Creates an owner with two instances and forwards a request to it. Returns the owner and its outputs.
 fn owner(attempts: u32) -> (FunctionOwner, Vec<OwnerOutput>) {
     let mut owner = FunctionOwner::new(ME, 1, OwnerTiming::default());
-    owner.step(ms(0), true, OwnerInput::RouteTable { routes: single(attempts) });
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: single_routes(attempts) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[ME, OTHER]) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[ME]) });
     let slot =
@@ -62,63 +62,63 @@
     })
 }
 
-fn outcome(owner: &mut FunctionOwner, outputs: &[OwnerOutput], outcome: DispatchOutcome) -> Vec<OwnerOutput> {
+fn end_dispatch(owner: &mut FunctionOwner, outputs: &[OwnerOutput], outcome: DispatchOutcome) -> Vec<OwnerOutput> {
     let (number, _) = sent(outputs).expect("sent without a claim and without the core");
     owner.step(ms(20), true, OwnerInput::Dispatched { number, outcome })
 }
 
-fn doubt(late: bool) -> DispatchOutcome {
+fn in_doubt(late: bool) -> DispatchOutcome {
     DispatchOutcome::InDoubt { detail: "closed".into(), late }
 }
 
-#[test_case(doubt(false), 502; "no whole answer")]
-#[test_case(doubt(true), 504; "out of time")]
-fn in_doubt_it_is_reported_at_once_and_never_sent_again(came: DispatchOutcome, status: u16) {
+#[test_case(in_doubt(false), 502; "no whole answer")]
+#[test_case(in_doubt(true), 504; "out of time")]
+fn request_in_doubt_is_answered_at_once_and_never_sent_again(ended: DispatchOutcome, status: u16) {
     let (mut owner, first) = owner(3);
-    let outputs = outcome(&mut owner, &first, came);
+    let outputs = end_dispatch(&mut owner, &first, ended);
     assert_eq!((reported(&outputs), sent(&outputs)), (Some((Outcome::Unknown, status, 0)), None));
     assert_eq!(owner.depths(), (0, 0, 0), "nothing is stored or kept");
 }
 
 #[test]
-fn an_instances_own_failure_is_its_answer() {
+fn server_error_of_an_instance_is_the_answer() {
     let (mut owner, first) = owner(3);
     let failed = DispatchOutcome::Complete { status: 500, head: Vec::new(), body: b"no".to_vec(), turned_away: false };
-    let outputs = outcome(&mut owner, &first, failed);
+    let outputs = end_dispatch(&mut owner, &first, failed);
     assert_eq!((reported(&outputs), sent(&outputs)), (Some((Outcome::Answered, 500, 0)), None));
 }
 
 #[test_case(DispatchOutcome::NotSent; "nobody listens")]
 #[test_case(DispatchOutcome::Crowded; "no connection")]
-fn an_instance_that_never_got_it_does_not_count(came: DispatchOutcome) {
+fn attempt_that_never_reached_an_instance_does_not_count(ended: DispatchOutcome) {
     let (mut owner, first) = owner(1);
-    let outputs = outcome(&mut owner, &first, came);
+    let outputs = end_dispatch(&mut owner, &first, ended);
     let (before, after) = (sent(&first).map(|order| order.1), sent(&outputs).map(|order| order.1));
     assert!(after.is_some() && before != after, "{outputs:?}");
 }
 
 #[test_case(false; "full")]
 #[test_case(true; "another instance")]
-fn rejected_by_the_only_one_it_may_go_to_it_is_refused_with_a_time(wrong_instance: bool) {
+fn request_rejected_by_its_only_instance_is_refused_with_retry_after(wrong_instance: bool) {
     let (mut owner, first) = owner(1);
-    let outputs = outcome(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance });
+    let outputs = end_dispatch(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance });
     let (outcome, status, again) = reported(&outputs).expect("refused at once");
     assert_eq!((outcome, status, sent(&outputs)), (Outcome::NotRun, 503, None));
     assert!((100..2000).contains(&again), "{again}");
 }
 
 #[test]
-fn rejected_it_goes_to_another_where_it_may() {
+fn rejected_request_goes_to_another_instance_if_attempts_allow() {
     let (mut owner, first) = owner(2);
-    let second = outcome(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance: false });
+    let second = end_dispatch(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance: false });
     assert_ne!(sent(&first).map(|order| order.1), sent(&second).map(|order| order.1));
-    let outputs = outcome(&mut owner, &second, DispatchOutcome::NotRun { wrong_instance: false });
+    let outputs = end_dispatch(&mut owner, &second, DispatchOutcome::NotRun { wrong_instance: false });
     assert_eq!(reported(&outputs).map(|reported| (reported.0, reported.1)), Some((Outcome::NotRun, 503)));
 }
 
 fn front() -> Front {
     let mut front = Front::new(ME, 1, FrontLimits::default());
-    front.step(ms(0), true, FrontInput::RouteTable { routes: single(1) });
+    front.step(ms(0), true, FrontInput::RouteTable { routes: single_routes(1) });
     front.step(ms(0), true, FrontInput::Membership { membership: membership(1, &[OTHER]) });
     front.step(ms(0), true, FrontInput::Link { id: OTHER, up: true });
     front
@@ -126,7 +126,7 @@
 
 #[test_case(FrontInput::Link { id: OTHER, up: false }; "unlinked")]
 #[test_case(FrontInput::Membership { membership: membership(2, &[3]) }; "declared lost")]
-fn an_owner_that_is_lost_may_have_run_it(lost: FrontInput) {
+fn loss_of_the_owner_gives_an_unknown_outcome(lost: FrontInput) {
     let mut front = front();
     let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
     let outputs = front.step(ms(20), true, lost);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn what_its_owner_gives_back_is_forwarded_on() {
+fn returned_request_is_forwarded_again() {
     let mut front = front();
     let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
     front.step(ms(20), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::NotOwner { task } });
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn without_a_proof_a_task_with_an_aim_is_refused_while_it_is_worth_much() {
+fn front_that_may_not_serve_refuses_a_request_with_an_aim_early() {
     let mut front = front();
     assert!(common::send_request(&mut front, 0, false, "/t/f").is_empty());
     assert!(front.step(ms(100), false, FrontInput::Tick).is_empty());
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn an_owner_that_loses_its_lease_gives_back_only_what_no_instance_has_seen() {
+fn owner_that_loses_its_lease_returns_only_unsent_requests() {
     let (mut owner, first) = owner(3);
     assert!(sent(&first).is_some());
     let outputs = owner.step(ms(30), false, OwnerInput::Lapsed);
