--- a/crates/traffic/src/allowances.rs
+++ b/crates/traffic/src/allowances.rs
@@ -72,8 +72,7 @@
         OwnerLimit { informed, uninformed: self.max_rejections.saturating_sub(informed).max(1) }
     }
 
-    /// Raises the counts of a standby copy to those of an owner that has nothing left to use beyond the limit for
-    /// owners without full knowledge.
+    /// Raises the counts of a standby copy so that an owner starting from it has at most its `uninformed` limit left.
     pub fn raise_copied_counts(
         &self,
         earlier: EarlierOwners,
--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Retries or rejections within a window. Counts all that this owner knows of, and separately its own while it may not
-/// know everything that earlier owners used.
+/// Uses (retries or rejections) within a window: all that this owner knows of, and separately its own since its
+/// cautious period last started. While it is cautious, it may not know everything that earlier owners used.
 #[derive(Clone, Debug)]
 pub struct UsageWindow {
     all: SlidingWindow,
@@ -70,7 +70,7 @@
     pub fn count(&mut self, now: Duration) -> usize {
         self.all.count(now)
     }
-    /// Starts a cautious period: until now, other owners may have used some without this owner's knowledge.
+    /// Starts a cautious period, since other owners may have used some until now without this owner's knowledge.
     pub fn begin_caution(&mut self, now: Duration) {
         self.own.times.clear();
         self.cautious_until = now + self.caution_period;
@@ -126,7 +126,7 @@
 
 impl RetryBudget {
     /// Creates the budget of an owner that does not know the retries of earlier owners. For one window it uses only
-    /// the limit for such owners, with the ratio applied to the requests that it received itself.
+    /// the `uninformed` limit, with the ratio applied to the requests that it received itself.
     pub fn new(now: Duration, allowances: &Allowances) -> RetryBudget {
         let (request_window, retry_window) = (
             Allowances::shortened_window(allowances.retry_window),
--- a/crates/traffic/src/errors.rs
+++ b/crates/traffic/src/errors.rs
@@ -9,6 +9,6 @@
 pub enum RunError {
     /// The process could not be set up.
     Start(StartError),
-    /// The operators' bearer tokens could not be loaded.
+    /// The bearer tokens could not be loaded.
     Tokens(TokensError),
 }
--- a/crates/traffic/src/estimate_tests.rs
+++ b/crates/traffic/src/estimate_tests.rs
@@ -27,12 +27,12 @@
 }
 
 #[test_case(1, 1, 0, 0 => 0; "a slot is free")]
-#[test_case(1, 2, 0, 0 => 250; "one of two comes free")]
+#[test_case(1, 2, 0, 0 => 250; "one of two slots becomes free")]
 #[test_case(1, 2, 0, 3 => 1000; "behind three others")]
 #[test_case(0, 0, 1, 1 => 600; "an instance starts")]
 #[test_case(0, 0, 1, 3 => 1100; "it starts and works for a while")]
-#[test_case(0, 0, 0, 0 => 1000; "none is there yet")]
-#[test_case(1, 2, 1, 7 => 1050; "some come free and some start")]
+#[test_case(0, 0, 0, 0 => 1000; "no instance yet")]
+#[test_case(1, 2, 1, 7 => 1050; "some slots become free and some instances start")]
 fn expected_wait_matches_hand_calculation(ready: u32, busy: u32, starting: u32, ahead: usize) -> u128 {
     scheduler(ready, busy, starting).expected_wait(NOW, ahead).as_millis()
 }
--- a/crates/traffic/src/expiry.rs
+++ b/crates/traffic/src/expiry.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use wire::{ForwardMessage, Outcome};
 
-/// Base of the time after which a caller may try again.
+/// Base delay before a refused caller may try again.
 const BASE_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Fraction of its time after which a request with a latency aim that was sent to no instance is refused, while the
 /// caller still has time to try again.
@@ -67,7 +67,8 @@
         self.following_pass();
     }
 
-    /// Returns a request that did not run to its front, which looks up the owner again.
+    /// Ends this owner's handling of a request. One that did not run goes back to its front, which looks up the owner
+    /// again; one that may have run or is stored is answered.
     pub(crate) fn send_back(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
--- a/crates/traffic/src/rejection_limit.rs
+++ b/crates/traffic/src/rejection_limit.rs
@@ -104,8 +104,8 @@
 
     /// Returns whether a request may be sent; `proven` if its instance has already answered this owner under the same
     /// number of concurrent requests. Requests to unproven instances, together with past rejections, stay within the
-    /// allowance, or within the limit for owners without full knowledge while this owner is cautious. All requests
-    /// together stay within the congestion window.
+    /// allowance, or within the `uninformed` limit while this owner is cautious. All requests together stay within the
+    /// congestion window.
     pub fn may_send(&mut self, now: Duration, proven: bool) -> bool {
         self.poll(now);
         let remaining = self.remaining(now);
@@ -122,7 +122,7 @@
     }
 
     /// Returns what is left of the rejection allowance for all requests. From its first rejection on, an owner that
-    /// does not know the rejections under the previous owner has only the limit for such owners, also for proven
+    /// does not know the rejections under the previous owner has only the `uninformed` limit, also for proven
     /// instances.
     fn remaining(&mut self, now: Duration) -> usize {
         match self.rejections.has_own_usage(now) {
--- a/crates/traffic/src/send_window.rs
+++ b/crates/traffic/src/send_window.rs
@@ -36,8 +36,8 @@
         SendWindow { initial, size: initial, answers: 0.0, is_limiting: false }
     }
 
-    /// Returns whether another request may be sent besides those in flight. As many requests as rejections are left in
-    /// the allowance are always permitted, and none once the allowance is used up.
+    /// Returns whether another request may be sent besides those in flight. The window never restricts them to fewer
+    /// than the rejections remaining in the allowance. Once none remain, nothing may be sent.
     pub fn may_send(&mut self, in_flight: usize, remaining: usize) -> bool {
         self.is_limiting = remaining == 0 || in_flight >= self.size_in_requests().max(remaining);
         !self.is_limiting
--- a/crates/traffic/src/wait_queue.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -16,7 +16,7 @@
 /// Divisor of the latency aim: a request is refused for missing its aim only within this part of it, and stays queued
 /// after that.
 const EARLY_AIM_DIVISOR: u32 = 4;
-/// Base of the time after which a caller may try again.
+/// Base delay before a refused caller may try again.
 const BASE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl FunctionOwner {
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -98,8 +98,8 @@
         assert_eq!(sent(&outputs), None, "a third instance");
         let request_id = to_front(&outputs).expect("asks for a third attempt");
         let outputs = send_to_front(&mut front, from, 41, request_id);
-        let most = granted(&outputs).expect("told");
-        assert!(most <= 1, "{most} granted to each of two owners");
+        let attempts = granted(&outputs).expect("the front replies");
+        assert!(attempts <= 1, "{attempts} granted to each of two owners");
     }
 }
 
@@ -110,7 +110,7 @@
     let mut owner = owner(OTHER, 2);
     let outputs = send_to_owner(&mut owner, 6, message);
     let outputs = end_attempt(&mut owner, 20, &outputs, garbled_answer());
-    let request_id = to_front(&outputs).expect("asks");
+    let request_id = to_front(&outputs).expect("asks for an attempt");
     assert_eq!(request_id, ForwardMessage::AttemptRequest { task, attempts: 2 });
     for at in [21, 22] {
         assert_eq!(
@@ -155,7 +155,7 @@
     assert!(forwarded(&outputs).is_some());
     let outputs = front.step(ms(40), true, FrontInput::Membership { membership: membership(3, &[OTHER]) });
     assert_eq!(forwarded(&outputs), None);
-    let reported = reply(&outputs).expect("told at once");
+    let reported = reply(&outputs).expect("answered at once");
     assert_eq!((reported.outcome, reported.status), (Some(Outcome::Unknown), 504));
 }
 
@@ -189,11 +189,11 @@
     let mut front = front(2);
     let (task, _) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     send_to_front(&mut front, OTHER, 10, ForwardMessage::Returned { task, attempts: 1 });
-    let (task, _) = forwarded(&front.step(ms(50), true, FrontInput::Tick)).expect("one is left");
+    let (task, _) = forwarded(&front.step(ms(50), true, FrontInput::Tick)).expect("one attempt is left");
     let outputs = send_to_front(&mut front, OTHER, 60, ForwardMessage::AttemptRequest { task, attempts: 2 });
     assert_eq!(granted(&outputs), Some(1), "the previous owner used one");
     let outputs = send_to_front(&mut front, OTHER, 70, ForwardMessage::Returned { task, attempts: 1 });
-    let reported = reply(&outputs).expect("told at once");
+    let reported = reply(&outputs).expect("answered at once");
     assert_eq!((reported.outcome, reported.status, reported.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
 }
 
--- a/crates/traffic/tests/hot_function.rs
+++ b/crates/traffic/tests/hot_function.rs
@@ -18,7 +18,7 @@
 /// Time from the start of a parent request to its nested call.
 const CALL_AFTER_MS: u64 = 10;
 /// Number of parent requests in ten that make a nested call.
-const CALLING: u64 = 3;
+const CALLING_OF_TEN: u64 = 3;
 const INSTANCES: u32 = 40;
 /// Number of functions whose requests call the hot one.
 const PARENTS: u64 = 5;
@@ -55,6 +55,7 @@
     calls_first: bool,
 }
 
+/// Requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     made: u64,
@@ -62,7 +63,7 @@
 }
 
 impl Tally {
-    fn share(self) -> f64 {
+    fn served_fraction(self) -> f64 {
         self.served as f64 / self.made.max(1) as f64
     }
 }
@@ -178,7 +179,7 @@
             return self.reject(order.number);
         }
         let task = u64::from_le_bytes(order.body.as_slice().try_into().expect("the number that was sent"));
-        let calls_first = self.requests[&task].kind == Kind::Parent && task % 10 < CALLING;
+        let calls_first = self.requests[&task].kind == Kind::Parent && task % 10 < CALLING_OF_TEN;
         let due = self.owner.at + if calls_first { CALL_AFTER_MS } else { WORK_MS };
         self.runs.insert(order.number, Run { task, due, calls_first });
     }
@@ -228,9 +229,9 @@
     }
 }
 
-#[test_case(300, 1000, None; "half of it nested calls")]
-#[test_case(900, 0, None; "all of it callers")]
-#[test_case(900, 0, Some(1500); "a rejection now and then")]
+#[test_case(300, 1000, None; "half nested calls")]
+#[test_case(900, 0, None; "callers only")]
+#[test_case(900, 0, Some(1500); "occasional rejections")]
 fn throughput_of_a_busy_function_is_limited_only_by_its_slots(own: u64, parents: u64, reject_every: Option<u64>) {
     let mut simulation = Simulation::new(reject_every);
     simulation.advance(10_000, own, parents);
@@ -238,7 +239,7 @@
     simulation.advance(DEADLINE_MS + 1000, 0, 0);
     let summary = format!("{:?}, {free} slots free at the end", simulation.tallies);
     for tally in simulation.tallies.values() {
-        assert!(tally.share() > 0.98, "not all was served: {summary}");
+        assert!(tally.served_fraction() > 0.98, "not all requests were served: {summary}");
     }
     assert!(free > u64::from(INSTANCES) * 2, "less than half of the slots are needed: {summary}");
 }
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -71,7 +71,7 @@
     DispatchOutcome::InDoubt { detail: "closed".into(), late }
 }
 
-#[test_case(in_doubt(false), 502; "no whole answer")]
+#[test_case(in_doubt(false), 502; "incomplete answer")]
 #[test_case(in_doubt(true), 504; "out of time")]
 fn request_in_doubt_is_answered_at_once_and_never_sent_again(ended: DispatchOutcome, status: u16) {
     let (mut owner, first) = owner(3);
@@ -88,7 +88,7 @@
     assert_eq!((reported(&outputs), sent(&outputs)), (Some((Outcome::Answered, 500, 0)), None));
 }
 
-#[test_case(DispatchOutcome::NotSent; "nobody listens")]
+#[test_case(DispatchOutcome::NotSent; "no listener")]
 #[test_case(DispatchOutcome::Crowded; "no connection")]
 fn attempt_that_never_reached_an_instance_does_not_count(ended: DispatchOutcome) {
     let (mut owner, first) = owner(1);
@@ -102,9 +102,9 @@
 fn request_rejected_by_its_only_instance_is_refused_with_retry_after(wrong_instance: bool) {
     let (mut owner, first) = owner(1);
     let outputs = end_dispatch(&mut owner, &first, DispatchOutcome::NotRun { wrong_instance });
-    let (outcome, status, again) = reported(&outputs).expect("refused at once");
+    let (outcome, status, retry_after_ms) = reported(&outputs).expect("refused at once");
     assert_eq!((outcome, status, sent(&outputs)), (Outcome::NotRun, 503, None));
-    assert!((100..2000).contains(&again), "{again}");
+    assert!((100..2000).contains(&retry_after_ms), "{retry_after_ms}");
 }
 
 #[test]
@@ -124,7 +124,7 @@
     front
 }
 
-#[test_case(FrontInput::Link { id: OTHER, up: false }; "unlinked")]
+#[test_case(FrontInput::Link { id: OTHER, up: false }; "link lost")]
 #[test_case(FrontInput::Membership { membership: membership(2, &[3]) }; "declared lost")]
 fn loss_of_the_owner_gives_an_unknown_outcome(lost: FrontInput) {
     let mut front = front();
