--- a/crates/traffic/src/budget.rs
+++ b/crates/traffic/src/budget.rs
@@ -1,204 +1,227 @@
-//! Sliding windows, and retries counted in them: below the users' ratio of the requests and
-//! their slack, by what this owner knows and by what it has to leave to owners it knows nothing of.
+//! Sliding windows and the retry budget. Retries stay below the configured ratio of requests plus the slack, counting
+//! what this owner knows and leaving room for what owners unknown to it may use.
 
-use crate::allowances::{Allowances, Max};
+use crate::allowances::{Allowances, OwnerLimit};
 use crate::earlier_owners::EarlierOwners;
 use std::collections::VecDeque;
 use std::time::Duration;
 
+/// Times of events within a sliding window.
 #[derive(Clone, Debug)]
-pub struct Window {
+pub struct SlidingWindow {
     length: Duration,
     times: VecDeque<Duration>,
 }
 
-impl Window {
-    pub fn new(length: Duration) -> Window {
-        Window { length, times: VecDeque::new() }
+impl SlidingWindow {
+    /// Creates an empty window of this length.
+    pub fn new(length: Duration) -> SlidingWindow {
+        SlidingWindow { length, times: VecDeque::new() }
     }
+    /// Adds an event.
     pub fn add(&mut self, now: Duration) {
         self.times.push_back(now);
     }
+    /// Drops events older than the window and returns the number of the others.
     pub fn count(&mut self, now: Duration) -> usize {
         while self.times.front().is_some_and(|time| now > *time + self.length) {
             self.times.pop_front();
         }
         self.times.len()
     }
-    pub fn take_back(&mut self) {
+    /// Removes the latest event.
+    pub fn remove_last(&mut self) {
         self.times.pop_back();
     }
     fn insert(&mut self, at: Duration, count: usize) {
-        let place = self.times.partition_point(|time| *time <= at);
-        let later = self.times.split_off(place);
+        let position = self.times.partition_point(|time| *time <= at);
+        let later = self.times.split_off(position);
         self.times.extend(std::iter::repeat_n(at, count));
         self.times.extend(later);
     }
 }
 
-/// What is spent in a window: all that this owner knows of, and while it does not know all that owners
-/// before it spent, its own since then.
+/// Uses (retries or rejections) within a window: all that this owner knows of, and separately its own since its
+/// cautious period last started. While it is cautious, it may not know everything that earlier owners used.
 #[derive(Clone, Debug)]
-pub struct Spent {
-    all: Window,
-    own: Window,
-    careful: Duration,
-    careful_until: Duration,
+pub struct UsageWindow {
+    all: SlidingWindow,
+    own: SlidingWindow,
+    caution_period: Duration,
+    cautious_until: Duration,
 }
 
-impl Spent {
-    pub fn new(now: Duration, length: Duration, careful: Duration) -> Spent {
-        Spent { all: Window::new(length), own: Window::new(length), careful, careful_until: now + careful }
+impl UsageWindow {
+    /// Creates an empty count that stays cautious for the period `caution_period`.
+    pub fn new(now: Duration, length: Duration, caution_period: Duration) -> UsageWindow {
+        UsageWindow {
+            all: SlidingWindow::new(length),
+            own: SlidingWindow::new(length),
+            caution_period,
+            cautious_until: now + caution_period,
+        }
     }
+    /// Counts one use by this owner.
     pub fn add(&mut self, now: Duration) {
         self.all.add(now);
         self.own.add(now);
     }
+    /// Returns the known uses within the window.
     pub fn count(&mut self, now: Duration) -> usize {
         self.all.count(now)
     }
-    /// Others have spent without this owner's knowing, up to now.
-    pub fn be_careful(&mut self, now: Duration) {
+    /// Starts a cautious period, since other owners may have used some until now without this owner's knowledge.
+    pub fn begin_caution(&mut self, now: Duration) {
         self.own.times.clear();
-        self.careful_until = now + self.careful;
+        self.cautious_until = now + self.caution_period;
     }
-    /// What others spent up to now is still not known; what this owner spent since then counts on.
-    pub fn stay_careful(&mut self, now: Duration) {
-        self.careful_until = now + self.careful;
+    /// Restarts the cautious period, since uses by other owners up to now are still unknown. This owner's own uses
+    /// stay counted.
+    pub fn extend_caution(&mut self, now: Duration) {
+        self.cautious_until = now + self.caution_period;
     }
-    /// Another owner told of what it had spent at a moment; `whole` if it has spent nothing since.
-    pub fn take_over(&mut self, now: Duration, at: Duration, count: usize, whole: bool) {
+    /// Adds what another owner reported to have used by `at`; `is_complete` if it has used nothing since then.
+    pub fn adopt_count(&mut self, now: Duration, at: Duration, count: usize, is_complete: bool) {
         self.all.insert(at, count);
-        if whole {
-            self.careful_until = now;
+        if is_complete {
+            self.cautious_until = now;
         } else {
-            self.stay_careful(now);
+            self.extend_caution(now);
         }
     }
-    /// Room by all that is known here, as if nobody else had been owner lately.
-    pub fn known_capacity(&mut self, now: Duration, most: Max) -> usize {
-        most.known.saturating_sub(self.all.count(now))
+    /// Returns what is left according to this owner's knowledge, as if there had been no other recent owner.
+    pub fn known_capacity(&mut self, now: Duration, limit: OwnerLimit) -> usize {
+        limit.informed.saturating_sub(self.all.count(now))
     }
-    /// Whether this owner itself has spent any lately, since it last had reason to be careful.
-    pub fn has_spent_own(&mut self, now: Duration) -> bool {
+    /// Returns whether this owner itself used any within the window since its cautious period last started.
+    pub fn has_own_usage(&mut self, now: Duration) -> bool {
         self.own.count(now) > 0
     }
-    /// Another owner told more than it had before.
-    pub fn learn(&mut self, now: Duration, more: usize) {
+    /// Adds uses that another owner reported in addition to its earlier report.
+    pub fn add_reported(&mut self, now: Duration, more: usize) {
         self.all.insert(now, more);
     }
-    pub fn capacity(&mut self, now: Duration, most: Max) -> usize {
-        let capacity = self.known_capacity(now, most);
-        let own = most.at_first.saturating_sub(self.own.count(now));
-        if now < self.careful_until { capacity.min(own) } else { capacity }
+    /// Returns what this owner may still use now.
+    pub fn capacity(&mut self, now: Duration, limit: OwnerLimit) -> usize {
+        let capacity = self.known_capacity(now, limit);
+        let own = limit.uninformed.saturating_sub(self.own.count(now));
+        if now < self.cautious_until { capacity.min(own) } else { capacity }
     }
-    /// What to tell the next owner: what this one may not spend it may not spend either.
-    pub fn reported(&mut self, now: Duration, most: Max) -> usize {
-        self.count(now).max(most.known - self.capacity(now, most))
+    /// Returns the count to report to the next owner, which includes what this owner may not use, since the next one
+    /// may not use it either.
+    pub fn reported(&mut self, now: Duration, limit: OwnerLimit) -> usize {
+        self.count(now).max(limit.informed - self.capacity(now, limit))
     }
 }
 
+/// Requests and retries of one function at its owner.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     allowances: Allowances,
     earlier: EarlierOwners,
-    requests: Window,
-    own_requests: Window,
-    retries: Spent,
+    requests: SlidingWindow,
+    own_requests: SlidingWindow,
+    retries: UsageWindow,
 }
 
-impl Budget {
-    /// An owner that does not know what was spent before it came spends only its own part for one window's
-    /// length, with its share of what it was asked itself.
-    pub fn new(now: Duration, allowances: &Allowances) -> Budget {
-        let (credited, remembered) =
-            (Allowances::credited(allowances.retry_window), Allowances::remembered(allowances.retry_window));
-        Budget {
+impl RetryBudget {
+    /// Creates the budget of an owner that does not know the retries of earlier owners. For one window it uses only
+    /// the `uninformed` limit, with the ratio applied to the requests that it received itself.
+    pub fn new(now: Duration, allowances: &Allowances) -> RetryBudget {
+        let (request_window, retry_window) = (
+            Allowances::shortened_window(allowances.retry_window),
+            Allowances::lengthened_window(allowances.retry_window),
+        );
+        RetryBudget {
             allowances: allowances.clone(),
             earlier: EarlierOwners::Bounded(1),
-            requests: Window::new(credited),
-            own_requests: Window::new(credited),
-            retries: Spent::new(now, remembered, remembered),
+            requests: SlidingWindow::new(request_window),
+            own_requests: SlidingWindow::new(request_window),
+            retries: UsageWindow::new(now, retry_window, retry_window),
         }
     }
 
-    /// A request is sent to an instance for the first time.
-    pub fn request(&mut self, now: Duration) {
+    /// Counts a request that is sent to an instance for the first time.
+    pub fn record_request(&mut self, now: Duration) {
         self.requests.add(now);
         self.own_requests.add(now);
     }
 
-    /// It did not get there.
-    pub fn not_sent(&mut self) {
-        self.requests.take_back();
-        self.own_requests.take_back();
+    /// Removes the latest request from the count, since it did not reach the instance.
+    pub fn undo_request(&mut self) {
+        self.requests.remove_last();
+        self.own_requests.remove_last();
     }
 
-    fn most(&mut self, now: Duration) -> Max {
-        let spare = self.allowances.spare(self.earlier);
-        Max {
-            known: self.allowances.share(self.requests.count(now)) + spare.known,
-            at_first: self.allowances.share(self.own_requests.count(now)) + spare.at_first,
+    fn limit(&mut self, now: Duration) -> OwnerLimit {
+        let slack = self.allowances.slack_limit(self.earlier);
+        OwnerLimit {
+            informed: self.allowances.retry_share(self.requests.count(now)) + slack.informed,
+            uninformed: self.allowances.retry_share(self.own_requests.count(now)) + slack.uninformed,
         }
     }
 
-    pub fn may_second(&mut self, now: Duration) -> bool {
-        let most = self.most(now);
-        self.retries.capacity(now, most) > 0
+    /// Returns whether a retry is allowed now.
+    pub fn may_retry(&mut self, now: Duration) -> bool {
+        let limit = self.limit(now);
+        self.retries.capacity(now, limit) > 0
     }
 
-    pub fn try_second(&mut self, now: Duration) -> bool {
-        let may = self.may_second(now);
-        if may {
+    /// Counts a retry if one is allowed, and returns whether it was.
+    pub fn try_retry(&mut self, now: Duration) -> bool {
+        let is_allowed = self.may_retry(now);
+        if is_allowed {
             self.retries.add(now);
         }
-        may
+        is_allowed
     }
 
-    /// An arrival that an instance rejected counts as one more.
-    pub fn turned_away(&mut self, now: Duration) {
+    /// Counts a rejection by an instance, which uses the budget like a retry.
+    pub fn record_rejection(&mut self, now: Duration) {
         self.retries.add(now);
     }
 
+    /// Returns the known numbers of requests and retries within the window.
     pub fn counts(&mut self, now: Duration) -> (usize, usize) {
         (self.requests.count(now), self.retries.count(now))
     }
 
-    /// Requests and retries as the next owner is to know them.
+    /// Returns the numbers of requests and retries to report to the next owner.
     pub fn reported(&mut self, now: Duration) -> (usize, usize) {
-        let most = self.most(now);
-        (self.requests.count(now), self.retries.reported(now, most))
+        let limit = self.limit(now);
+        (self.requests.count(now), self.retries.reported(now, limit))
     }
 
-    /// Another owner may have been here meanwhile.
-    pub fn be_careful(&mut self, now: Duration) {
+    /// Starts a cautious period, since the function may have had another owner meanwhile.
+    pub fn begin_caution(&mut self, now: Duration) {
         self.own_requests.times.clear();
-        self.retries.be_careful(now);
+        self.retries.begin_caution(now);
     }
 
-    /// How many owners may have spent in this window before this one came, as far as the memberships tell.
-    pub fn set_earlier_homes(&mut self, earlier: EarlierOwners) {
+    /// Sets how many earlier owners may have used retries in this window, as far as the memberships tell.
+    pub fn set_earlier_owners(&mut self, earlier: EarlierOwners) {
         self.earlier = earlier;
     }
 
-    /// Nothing was learned of what was spent before this owner came.
-    pub fn stay_careful(&mut self, now: Duration) {
-        self.retries.stay_careful(now);
+    /// Restarts the cautious period, since the retries of earlier owners are still unknown.
+    pub fn extend_caution(&mut self, now: Duration) {
+        self.retries.extend_caution(now);
     }
 
-    /// The owner before told of more retries than it had.
-    pub fn learn(&mut self, now: Duration, more: u32) {
-        self.retries.learn(now, more.min(20_000) as usize);
+    /// Adds retries that the previous owner reported in addition to its earlier report.
+    pub fn add_reported(&mut self, now: Duration, more: u32) {
+        self.retries.add_reported(now, more.min(20_000) as usize);
     }
 
-    /// The owner before told its counts at a moment; of the requests it is not known when they came.
-    pub fn take_over(&mut self, now: Duration, at: Duration, requests: u32, retries: u32, whole: bool) {
+    /// Adopts the counts that the previous owner reported as of `at`. The arrival times of its requests are not known,
+    /// so they are spread evenly over the window before `at`.
+    pub fn adopt_counts(&mut self, now: Duration, at: Duration, requests: u32, retries: u32, is_complete: bool) {
         let (requests, retries) = (requests.min(20_000) as usize, retries.min(20_000) as usize);
         if requests > self.requests.count(now) {
             let length = self.requests.length;
-            let came = |n: usize| at.saturating_sub(length.mul_f64(n as f64 / requests as f64));
-            self.requests.times = (0..requests).rev().map(came).collect();
+            let arrival = |n: usize| at.saturating_sub(length.mul_f64(n as f64 / requests as f64));
+            self.requests.times = (0..requests).rev().map(arrival).collect();
         }
-        self.retries.take_over(now, at, retries, whole);
+        self.retries.adopt_count(now, at, retries, is_complete);
     }
 }
--- a/crates/traffic/src/dispatch_pass.rs
+++ b/crates/traffic/src/dispatch_pass.rs
@@ -1,4 +1,4 @@
-//! The pass over held tasks: those whose turn it is go to instances with room.
+//! Dispatch pass: sends queued requests to instances with free slots.
 
 use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
@@ -10,13 +10,14 @@
 use events::event;
 use std::time::Duration;
 
-/// The request that goes next, and where.
+/// The next request to send and the instance that receives it.
 struct NextRequest {
     number: u64,
     instance: String,
 }
 
 impl FunctionOwner {
+    /// Sends requests from each queue until it is empty or blocked.
     pub(crate) fn dispatch_pass(&mut self) {
         if !self.may_serve {
             return;
@@ -37,9 +38,9 @@
         }
     }
 
-    /// The task that goes next and the instance it goes to: first those that can still be answered
-    /// within their aim, since one that is late already loses nothing more until its time runs out; and calls of tasks
-    /// that are running, which keep a slot meanwhile.
+    /// Returns the next request and its instance, or why none can be sent. Requests that can still be answered within
+    /// their latency aim go first, since a late one loses nothing more until its deadline. Nested calls of running
+    /// requests go first as well, since the running request occupies a slot until its call is answered.
     fn next_to_send(&mut self, name: &str) -> Result<NextRequest, QueueBlock> {
         let now = self.now;
         let scheduler = self.schedulers.get_mut(name).ok_or(QueueBlock::NoFreeSlot)?;
@@ -47,30 +48,31 @@
             return Err(QueueBlock::NoFreeSlot);
         }
         let roomiest = scheduler.roomiest(now).ok_or(QueueBlock::NoFreeSlot)?;
-        let proven = scheduler.instances.get(&roomiest).is_some_and(|instance| instance.busy < instance.proven);
-        if !scheduler.unproven.may_send(now, proven) {
+        let is_proven =
+            scheduler.instances.get(&roomiest).is_some_and(|instance| instance.busy < instance.proven_concurrency);
+        if !scheduler.unproven.may_send(now, is_proven) {
             return Err(QueueBlock::RejectionRisk);
         }
-        let may_go = |task: &&OwnedRequest| task.place == Place::Queued && now >= task.not_before;
-        let (tasks, expected) = (&self.tasks, scheduler.expected_time());
-        let mut late = None;
+        let is_sendable = |task: &&OwnedRequest| task.place == Place::Queued && now >= task.not_before;
+        let (tasks, expected) = (&self.tasks, scheduler.expected_answer_time());
+        let mut first_late = None;
         for number in &scheduler.queued {
-            let Some(task) = tasks.get(number).filter(may_go) else { continue };
-            let in_aim = task.inherits || task.aim.is_none_or(|aim| now + expected <= task.arrived + aim);
-            if !in_aim && late.is_some() {
+            let Some(task) = tasks.get(number).filter(is_sendable) else { continue };
+            let meets_aim = task.inherits || task.aim.is_none_or(|aim| now + expected <= task.arrived + aim);
+            if !meets_aim && first_late.is_some() {
                 continue;
             }
-            let Some(instance) = other_than(scheduler, now, &task.avoid, roomiest.clone()) else { continue };
+            let Some(instance) = pick_other_instance(scheduler, now, &task.avoid, roomiest.clone()) else { continue };
             let next = NextRequest { number: *number, instance };
-            if in_aim {
+            if meets_aim {
                 return Ok(next);
             }
-            late = Some(next);
+            first_late = Some(next);
         }
-        late.ok_or(QueueBlock::RetryDelay)
+        first_late.ok_or(QueueBlock::RetryDelay)
     }
 
-    /// Accounts for what blocks a function's queue, if anything is left in it.
+    /// Records what blocks a function's queue, unless the queue is empty.
     fn observe_queue(&mut self, name: &str, cause: QueueBlock) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Queues that emptied in another way than by sending are blocked no longer.
+    /// Records that queues which were emptied other than by sending are no longer blocked.
     pub(crate) fn close_empty_queues(&mut self) {
         let empty = self.schedulers.iter().filter(|(_, scheduler)| scheduler.queued.is_empty());
         let blocked = empty.filter(|(_, scheduler)| scheduler.queue_wait.is_blocked());
@@ -93,32 +95,33 @@
         names.iter().for_each(|name| self.observe_queue(name, QueueBlock::NoFreeSlot));
     }
 
+    /// Sends one request to an instance, if its binding still leads to this function and its retry budget allows it.
     fn dispatch(&mut self, number: u64, name: &str, instance_id: String) {
         let now = self.now;
         let order = self.number();
-        let still_bound = self.tasks.get(&number).is_some_and(|task| {
+        let is_still_bound = self.tasks.get(&number).is_some_and(|task| {
             let bound = self.routes.as_ref().and_then(|routes| routes.binding(&task.binding));
             bound.is_some_and(|bound| name.split_once('/').is_some_and(|(_, service)| bound.sends_to(service)))
         });
         let (Some(task), Some(scheduler)) = (self.tasks.get_mut(&number), self.schedulers.get_mut(name)) else {
             return;
         };
-        if !still_bound {
+        if !is_still_bound {
             scheduler.queued.retain(|queued| *queued != number);
             return self.send_back(number);
         }
-        if task.dispatches > 0 && !scheduler.budget.try_second(now) {
+        if task.dispatches > 0 && !scheduler.budget.try_retry(now) {
             task.not_before = now + Duration::from_millis(250);
             return;
         }
         let Some(instance) = scheduler.instances.get_mut(&instance_id) else { return };
         if task.is_first() {
-            scheduler.budget.request(now);
+            scheduler.budget.record_request(now);
         }
         instance.busy += 1;
-        let level = instance.busy;
+        let concurrency = instance.busy;
         scheduler.in_flight += 1;
-        scheduler.unproven.sent(now, order, level <= instance.proven);
+        scheduler.unproven.record_sent(now, order, concurrency <= instance.proven_concurrency);
         scheduler.queued.retain(|queued| *queued != number);
         task.dispatches += 1;
         if let Some(id) = &task.stored {
@@ -130,7 +133,7 @@
         } else {
             self.timing.deferred_limit
         };
-        self.running.insert(order, (number, name.to_owned(), instance_id.clone(), now, level));
+        self.running.insert(order, (number, name.to_owned(), instance_id.clone(), now, concurrency));
         self.outs.push(OwnerOutput::Dispatch(DispatchOrder {
             number: order,
             instance: instance_id,
@@ -143,8 +146,9 @@
     }
 }
 
-/// The roomiest instance but one; that one itself only where there is no other that is ready.
-fn other_than(scheduler: &FunctionScheduler, now: Duration, avoid: &str, roomiest: String) -> Option<String> {
+/// Returns the instance with the most free slots other than `avoid`; `avoid` itself only if no other instance is
+/// ready.
+fn pick_other_instance(scheduler: &FunctionScheduler, now: Duration, avoid: &str, roomiest: String) -> Option<String> {
     if roomiest != avoid {
         return Some(roomiest);
     }
--- a/crates/traffic/src/expiry.rs
+++ b/crates/traffic/src/expiry.rs
@@ -1,4 +1,5 @@
-//! Giving up, with the truth and at once: what ran out of time, and what must go back to its front.
+//! Requests that the owner ends early: those that run out of time, which are answered at once and with their true
+//! outcome, and those that must go back to their front.
 
 use crate::function_owner::FunctionOwner;
 use crate::owner_types::{OwnedRequest, OwnerOutput, Place};
@@ -7,63 +8,67 @@
 use std::time::Duration;
 use wire::{ForwardMessage, Outcome};
 
-const SOON: Duration = Duration::from_millis(500);
-/// A task with an aim that was offered to no instance in this share of its time is told so while
-/// there is time to come back.
-const STALE: f64 = 0.45;
+/// Base delay before a refused caller may try again.
+const BASE_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Fraction of its time after which a request with a latency aim that was sent to no instance is refused, while the
+/// caller still has time to try again.
+const STALE_FRACTION: f64 = 0.45;
 
 fn is_stale(now: Duration, task: &OwnedRequest) -> bool {
-    let unsent = matches!(task.place, Place::Queued | Place::Claiming) && task.dispatches == 0 && !task.reached;
-    let whole = task.due.saturating_sub(task.arrived);
-    unsent && task.aim.is_some() && now >= task.arrived + whole.mul_f64(STALE)
+    let is_unsent = matches!(task.place, Place::Queued | Place::Claiming) && task.dispatches == 0 && !task.reached;
+    let time_limit = task.due.saturating_sub(task.arrived);
+    is_unsent && task.aim.is_some() && now >= task.arrived + time_limit.mul_f64(STALE_FRACTION)
 }
 
 impl FunctionOwner {
-    /// A held task without the time its answer takes is given up now, not sent in vain.
-    fn least_time(&self, task: &OwnedRequest) -> Duration {
+    /// Returns the least time that a queued request still needs. With less left it is refused now, since its answer
+    /// would come too late.
+    fn least_time_needed(&self, task: &OwnedRequest) -> Duration {
         match (&task.place, self.schedulers.get(&task.function)) {
             (Place::Queued, Some(scheduler)) => scheduler.least_time(),
             _ => Duration::ZERO,
         }
     }
 
+    /// Ends requests that ran out of time or waited too long to be useful.
     pub(crate) fn expire_pass(&mut self) {
         let now = self.now;
-        let late: Vec<u64> = self
+        let expired: Vec<u64> = self
             .tasks
             .iter()
             .filter(|(_, task)| {
-                let late = now + self.timing.margin + self.least_time(task) >= task.due;
-                task.caller && (late || is_stale(now, task))
+                let is_late = now + self.timing.margin + self.least_time_needed(task) >= task.due;
+                task.caller && (is_late || is_stale(now, task))
             })
             .filter(|(_, task)| task.class == Class::Deferred || !matches!(task.place, Place::Running { .. }))
             .map(|(number, _)| *number)
             .collect();
-        for number in late {
+        for number in expired {
             let Some(task) = self.tasks.get(&number) else { continue };
-            let again = self.spread(number, SOON);
+            let retry_after = self.add_jitter(number, BASE_RETRY_AFTER);
             match (task.class, &task.place) {
-                (_, Place::AwaitingGrant { .. }) => self.fail(number),
+                (_, Place::AwaitingGrant { .. }) => self.answer_failure(number),
                 (Class::Deferred, Place::Storing) => {
                     if let Some(task) = self.tasks.get_mut(&number) {
                         task.stored = None;
                     }
-                    self.answer_own(number, Outcome::Unknown, 504, Duration::ZERO);
+                    self.answer_without_body(number, Outcome::Unknown, 504, Duration::ZERO);
                 }
                 (Class::Deferred, _) => self.accept(number),
                 (Class::Once, Place::Following { .. }) => self.refuse_as_running(number),
-                (Class::Once, Place::Claiming) => self.answer_own(number, Outcome::NotRun, 503, again),
-                (Class::Once, _) if task.reached => self.fail(number),
+                (Class::Once, Place::Claiming) => self.answer_without_body(number, Outcome::NotRun, 503, retry_after),
+                (Class::Once, _) if task.reached => self.answer_failure(number),
                 (Class::Ordinary | Class::Single, _) if task.reached => {
-                    self.answer_own(number, Outcome::Unknown, 504, again)
+                    self.answer_without_body(number, Outcome::Unknown, 504, retry_after)
                 }
-                _ => self.give_up(number, SOON, RefusalReason::Expired),
+                _ => self.release_and_refuse(number, BASE_RETRY_AFTER, RefusalReason::Expired),
             }
         }
         self.following_pass();
     }
 
-    /// Gives a task that did not run back to its front, which finds its owner anew.
+    /// Ends this owner's handling of a request. One that did not run goes back to its front, which looks up the owner
+    /// again; one that may have run or is stored is answered.
     pub(crate) fn send_back(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
@@ -78,16 +83,17 @@
             return self.forget(number);
         }
         if task.reached {
-            return self.fail(number);
+            return self.answer_failure(number);
         }
-        // The next owner would not know of the instance that turned it away.
+        // The next owner would not know which instance rejected the request.
         if task.class == Class::Single && task.dispatches > 0 {
             return self.refuse(number, RefusalReason::NoFurtherAttempt);
         }
-        self.not_home(number);
+        self.return_to_front(number);
     }
 
-    pub(crate) fn not_home(&mut self, number: u64) {
+    /// Returns a request to its front with the number of attempts made here, and forgets it.
+    pub(crate) fn return_to_front(&mut self, number: u64) {
         if let Some(task) = self.tasks.get(&number) {
             let (to, task, attempts) = (task.id.from, task.id.task, task.dispatches);
             let message = if attempts == 0 {
--- a/crates/traffic/tests/hot_function.rs
+++ b/crates/traffic/tests/hot_function.rs
@@ -1,5 +1,5 @@
-//! One function that is called more often than all others, in part by running requests of another function:
-//! while there are slots for it, what it serves follows what it is asked, not a limit of its owner's.
+//! One function receives more calls than all others, some of them nested calls of other functions' running requests.
+//! While it has free slots, its throughput must follow the demand and not be capped by a limit of its owner.
 
 mod common;
 
@@ -12,29 +12,29 @@
 use traffic::{DispatchOrder, DispatchOutcome, OwnerInput, OwnerOutput, OwnerTiming};
 use wire::{ForwardMessage, Outcome, RequestHead};
 
-/// How long an instance works on a request, beside the calls that it makes.
+/// Time that an instance works on a request, without the nested call.
 const WORK_MS: u64 = 40;
 const DEADLINE_MS: u64 = 4000;
-/// How far into its run a request calls another function.
+/// Time from the start of a parent request to its nested call.
 const CALL_AFTER_MS: u64 = 10;
-/// Three parents in ten make a call.
-const CALLING: u64 = 3;
+/// Number of parent requests in ten that make a nested call.
+const CALLING_OF_TEN: u64 = 3;
 const INSTANCES: u32 = 40;
-/// Functions whose requests call the hot one.
+/// Number of functions whose requests call the hot one.
 const PARENTS: u64 = 5;
 
 fn parent(number: u64) -> String {
     format!("parent{number}")
 }
 
-/// What one request is, and who waits for it.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Kind {
-    /// A caller's, to the hot function.
+    /// A caller's request to the hot function.
     Own,
-    /// A caller's, to one of the functions whose requests call the hot one.
+    /// A caller's request to one of the functions whose requests call the hot one.
     Parent,
-    /// A call of a running parent.
+    /// A call of the hot function by a running parent request.
     Nested,
 }
 
@@ -42,19 +42,20 @@
 struct Request {
     kind: Kind,
     due: u64,
-    /// The order under which its parent runs; nothing of a caller's.
+    /// Dispatch number of the parent's run; `None` for a caller's request.
     parent: Option<u64>,
 }
 
-/// One run on an instance.
+/// A request running on an instance.
 #[derive(Clone, Copy, Debug)]
 struct Run {
     task: u64,
-    /// When its next step is due: a call, or its end.
+    /// Time of the next step: the nested call or the end.
     due: u64,
     calls_first: bool,
 }
 
+/// Requests of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     made: u64,
@@ -62,24 +63,24 @@
 }
 
 impl Tally {
-    fn share(self) -> f64 {
+    fn served_fraction(self) -> f64 {
         self.served as f64 / self.made.max(1) as f64
     }
 }
 
-/// Functions with an owner, instances that bear all that they may be sent, and callers.
-struct World {
+/// An owner of all functions, instances that can run everything within their limit, and callers.
+struct Simulation {
     owner: Supplied,
     next: u64,
     requests: BTreeMap<u64, Request>,
     runs: BTreeMap<u64, Run>,
     tallies: BTreeMap<Kind, Tally>,
-    /// Of so many requests that reach instances one is rejected, if any.
-    rejected_of: Option<u64>,
+    /// One request in this many that reach instances is rejected; `None` for no rejections.
+    reject_every: Option<u64>,
 }
 
-impl World {
-    fn new(rejected_of: Option<u64>) -> World {
+impl Simulation {
+    fn new(reject_every: Option<u64>) -> Simulation {
         let binding = |name: &str| {
             format!(
                 r#"{{"route":"/{name}","function":"{name}","class":"ordinary","memory_mb":16,"instance_limit":4,
@@ -93,20 +94,20 @@
         let timing = OwnerTiming { starts_per_second: 10_000.0, ..OwnerTiming::default() };
         let mut owner = Supplied::with(timing, ME, 0, six_workers());
         owner.feed(OwnerInput::RouteTable { routes: Rc::new(RouteTable::build(1, 1, declared)) });
-        let mut world = World {
+        let mut simulation = Simulation {
             owner,
             next: 0,
             requests: BTreeMap::new(),
             runs: BTreeMap::new(),
             tallies: BTreeMap::new(),
-            rejected_of,
+            reject_every,
         };
-        world.pass(3000, 0, 0);
-        world
+        simulation.advance(3000, 0, 0);
+        simulation
     }
 
-    /// Lets time pass with so many requests a second to the hot function, and to those that call it.
-    fn pass(&mut self, millis: u64, own_rate: u64, parent_rate: u64) {
+    /// Advances time with `own_rate` requests per second to the hot function and `parent_rate` to those that call it.
+    fn advance(&mut self, millis: u64, own_rate: u64, parent_rate: u64) {
         let (mut own, mut parents) = (0, 0);
         for _ in 0..millis {
             self.owner.at += 1;
@@ -123,7 +124,7 @@
                 self.call(Kind::Parent);
             }
             self.step_runs();
-            self.take_outputs();
+            self.process_outputs();
         }
     }
 
@@ -154,7 +155,7 @@
         self.owner.feed(OwnerInput::Forward { from: ME, message });
     }
 
-    fn take_outputs(&mut self) {
+    fn process_outputs(&mut self) {
         while !self.owner.others.is_empty() || !self.owner.starts.is_empty() {
             for order in std::mem::take(&mut self.owner.starts) {
                 let id = format!("i-{}", order.nonce);
@@ -163,9 +164,9 @@
             }
             for output in std::mem::take(&mut self.owner.others) {
                 match output {
-                    OwnerOutput::Dispatch(order) => self.begin(&order),
+                    OwnerOutput::Dispatch(order) => self.start_run(&order),
                     OwnerOutput::Forward { message: ForwardMessage::Answer { task, outcome, status, .. }, .. } => {
-                        self.answered(task, outcome == Outcome::Answered && status == 200);
+                        self.record_answer(task, outcome == Outcome::Answered && status == 200);
                     }
                     _ => {}
                 }
@@ -173,12 +174,12 @@
         }
     }
 
-    fn begin(&mut self, order: &DispatchOrder) {
-        if self.rejected_of.is_some_and(|of| order.number.is_multiple_of(of)) {
+    fn start_run(&mut self, order: &DispatchOrder) {
+        if self.reject_every.is_some_and(|of| order.number.is_multiple_of(of)) {
             return self.reject(order.number);
         }
         let task = u64::from_le_bytes(order.body.as_slice().try_into().expect("the number that was sent"));
-        let calls_first = self.requests[&task].kind == Kind::Parent && task % 10 < CALLING;
+        let calls_first = self.requests[&task].kind == Kind::Parent && task % 10 < CALLING_OF_TEN;
         let due = self.owner.at + if calls_first { CALL_AFTER_MS } else { WORK_MS };
         self.runs.insert(order.number, Run { task, due, calls_first });
     }
@@ -209,8 +210,8 @@
         self.owner.feed(OwnerInput::Dispatched { number: order, outcome });
     }
 
-    /// A caller has its answer, or a parent that of its call: it works on, or fails with it.
-    fn answered(&mut self, task: u64, is_served: bool) {
+    /// Records an answer. If it belongs to a nested call, the parent continues, or fails together with the call.
+    fn record_answer(&mut self, task: u64, is_served: bool) {
         let Some(request) = self.requests.remove(&task) else { return };
         self.tallies.entry(request.kind).or_default().served += u64::from(is_served);
         match request.parent {
@@ -228,17 +229,17 @@
     }
 }
 
-#[test_case(300, 1000, None; "half of it nested calls")]
-#[test_case(900, 0, None; "all of it callers")]
-#[test_case(900, 0, Some(1500); "a rejection now and then")]
-fn what_a_busy_function_serves_is_bounded_by_its_slots_alone(own: u64, parents: u64, rejected_of: Option<u64>) {
-    let mut world = World::new(rejected_of);
-    world.pass(10_000, own, parents);
-    let free = world.free_slots();
-    world.pass(DEADLINE_MS + 1000, 0, 0);
-    let told = format!("{:?}, {free} slots free at the end", world.tallies);
-    for tally in world.tallies.values() {
-        assert!(tally.share() > 0.98, "not all was served: {told}");
+#[test_case(300, 1000, None; "half nested calls")]
+#[test_case(900, 0, None; "callers only")]
+#[test_case(900, 0, Some(1500); "occasional rejections")]
+fn throughput_of_a_busy_function_is_limited_only_by_its_slots(own: u64, parents: u64, reject_every: Option<u64>) {
+    let mut simulation = Simulation::new(reject_every);
+    simulation.advance(10_000, own, parents);
+    let free = simulation.free_slots();
+    simulation.advance(DEADLINE_MS + 1000, 0, 0);
+    let summary = format!("{:?}, {free} slots free at the end", simulation.tallies);
+    for tally in simulation.tallies.values() {
+        assert!(tally.served_fraction() > 0.98, "not all requests were served: {summary}");
     }
-    assert!(free > u64::from(INSTANCES) * 2, "less than half of the slots are needed: {told}");
+    assert!(free > u64::from(INSTANCES) * 2, "less than half of the slots are needed: {summary}");
 }
