--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
-use traffic::{Front, FrontInput, FunctionOwner, OwnerInput, OwnerTiming};
+use traffic::{Front, FrontInput, FunctionOwner, OwnerInput, OwnerSettings};
 use wire::{ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 pub struct Machines {
@@ -93,7 +93,7 @@
         node.machines = Some(Machines {
             follower: Follower::new(node.id, life, &node.address, node.zone, "", timing).able_to_own(capacity(n)),
             front: Front::new(node.id, life, front_limits()),
-            owner: FunctionOwner::new(node.id, life, OwnerTiming::default()),
+            owner: FunctionOwner::new(node.id, life, OwnerSettings::default()),
             heard: None,
             seats: seeds,
         });
@@ -147,7 +147,7 @@
         let Some(machines) = &self.routers[n].machines else { return };
         let near = machines.heard.is_some_and(|at| now < at + Duration::from_millis(2500));
         self.end_leaving(n);
-        self.turn(n, Turn::FunctionOwner(OwnerInput::Core { near }));
+        self.turn(n, Turn::FunctionOwner(OwnerInput::RegistriesReachable { reachable: near }));
         self.turn(n, Turn::Front(FrontInput::Tick));
         self.turn(n, Turn::FunctionOwner(OwnerInput::Tick));
     }
@@ -176,7 +176,7 @@
         match message {
             Message::Lease(message) if message.is_from_peer() => self.follow(n, FollowerInput::Peer { from, message }),
             Message::Lease(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
-                self.turn(n, Turn::FunctionOwner(OwnerInput::StoreOperation { message }))
+                self.turn(n, Turn::FunctionOwner(OwnerInput::StoreReply { message }))
             }
             Message::Lease(message) => {
                 if let (LeaseMessage::Proof { .. }, Some(machines)) = (&message, &mut self.routers[n].machines) {
@@ -232,7 +232,7 @@
                 }
             }
             FollowerOutput::Lapsed => {
-                self.turn(n, Turn::FunctionOwner(OwnerInput::Lapsed));
+                self.turn(n, Turn::FunctionOwner(OwnerInput::LeaseLapsed));
                 self.turn(n, Turn::Front(FrontInput::Lapsed));
             }
             FollowerOutput::ServingStatus { serving_status } => {
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -57,11 +57,11 @@
                                 self.rules.served(self.now, revision);
                                 self.dispatch(n, order);
                             }
-                            OwnerOutput::Supply(order) => self.platform_order(n, order),
+                            OwnerOutput::ProviderOrder(order) => self.platform_order(n, order),
                             OwnerOutput::Probe { id, after, limit, .. } => self.probe(n, id, after, limit),
-                            OwnerOutput::Forget { .. } => {}
+                            OwnerOutput::ForgetInstance { .. } => {}
                             OwnerOutput::PlanRequest { message } => self.ask_registries(n, message),
-                            OwnerOutput::Measures { lines } => {
+                            OwnerOutput::Measurements { lines } => {
                                 self.ask_registries(n, PlanMessage::Measures { lines: lines.into() });
                             }
                             OwnerOutput::Samples { lines } => {
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/yard.rs
@@ -183,7 +183,7 @@
                 self.yard.told_gone.entry((n, line.id.clone())).or_insert(self.now);
             }
         }
-        self.turn(n, Turn::FunctionOwner(OwnerInput::Platform { report, listed_at }));
+        self.turn(n, Turn::FunctionOwner(OwnerInput::ProviderReport { report, listed_at }));
     }
 
     /// Twice a second the lists are noted, to be shown a while later.
--- a/crates/traffic/src/admission.rs
+++ b/crates/traffic/src/admission.rs
@@ -3,7 +3,7 @@
 //! admitted once, however often its frame arrives.
 
 use crate::function_owner::FunctionOwner;
-use crate::owner_types::{OwnedRequest, OwnerOutput, Place, TaskId};
+use crate::owner_types::{OwnedRequest, OwnerOutput, RequestState, TaskId};
 use crate::refusals::RefusalReason;
 use crate::wait_queue::LOWEST_PRIORITY;
 use bindings::Class;
@@ -23,7 +23,7 @@
         let ForwardRequest { task, function, binding, left_ms, resends, attempts, respond_async, key, head, body } =
             request;
         let id = TaskId { from, task };
-        if self.seen.insert(id, self.now).is_some() {
+        if self.seen_requests.insert(id, self.now).is_some() {
             return;
         }
         let resolved = self.routes.as_ref().and_then(|routes| routes.binding(binding.as_str())).cloned();
@@ -37,7 +37,7 @@
             return self.outs.push(OwnerOutput::Forward { to: from, message: ForwardMessage::NotOwner { task } });
         }
         scheduler.arrivals += 1;
-        let is_queue_full = scheduler.queued.len() >= self.timing.function_inbox;
+        let is_queue_full = scheduler.queued.len() >= self.settings.max_queue_length;
         let goes_last = resolved.class == Class::Deferred || resolved.player_weight <= 0.0;
         let (is_keyless, is_resent) = (matches!(resolved.class, Class::Ordinary | Class::Single), resends > 0);
         let is_retry_denied =
@@ -49,36 +49,36 @@
                 request_digest(head.as_slice(), body.as_slice()),
             ),
         };
-        let number = self.number();
+        let number = self.next_number();
         let record = OwnedRequest {
             id,
             function: function.as_str().into(),
             binding: binding.as_str().into(),
             class: resolved.class,
             arrived: self.now,
-            due: self.now + Duration::from_millis(left_ms.into()),
+            deadline: self.now + Duration::from_millis(left_ms.into()),
             aim: resolved.aim_ms.map(|aim| Duration::from_millis(aim.into())),
             not_before: self.now,
-            place: Place::Queued,
+            state: RequestState::Queued,
             scope,
             digest,
             head: head.into_vec(),
             body: body.into_vec(),
-            claim: 0,
-            stored: None,
+            claim_request_id: 0,
+            stored_id: None,
             respond_async: respond_async != 0,
-            caller: true,
+            is_caller_waiting: true,
             dispatches: 0,
             attempts: resolved.attempts.max(1),
             granted: if attempts == ForwardRequest::UNCOUNTED { u32::MAX } else { attempts },
             failure: None,
-            avoid: String::new(),
-            reached: is_resent && is_keyless,
+            last_instance: String::new(),
+            may_have_run: is_resent && is_keyless,
             rank: if goes_last { LOWEST_PRIORITY } else { queue_rank(consumer_rank, resolved.rank) },
-            inherits: left_ms + left_ms / 8 < resolved.deadline_ms,
+            has_shortened_deadline: left_ms + left_ms / 8 < resolved.deadline_ms,
         };
         self.tasks.insert(number, record);
-        if resolved.class == Class::Once && self.meet_operation(number) {
+        if resolved.class == Class::Once && self.join_operation(number) {
             return;
         }
         if is_queue_full {
@@ -89,7 +89,7 @@
         }
         match resolved.class {
             Class::Ordinary | Class::Single => self.enqueue(number),
-            _ if !self.core_near => self.refuse(number, RefusalReason::CoreUnreachable),
+            _ if !self.registries_reachable => self.refuse(number, RefusalReason::CoreUnreachable),
             Class::Once => self.claim_if_served_soon(number),
             Class::Deferred => self.store(number),
         }
--- a/crates/traffic/src/claims.rs
+++ b/crates/traffic/src/claims.rs
@@ -3,20 +3,20 @@
 //! or is answered from memory, and costs the registries nothing.
 
 use crate::function_owner::FunctionOwner;
-use crate::keyed_operations::Known;
-use crate::owner_types::{Place, StoreOperation};
+use crate::keyed_operations::JoinResult;
+use crate::owner_types::{RequestState, StoreOperation};
 use crate::refusals::RefusalReason;
 use bindings::Class;
 use std::time::Duration;
 use wire::{Blob, ClaimState, Command, Outcome, StoredAnswer};
 
 /// A release or an answer is proposed again for so long until the registries have taken it.
-pub(crate) const LASTING: Duration = Duration::from_secs(60);
+pub(crate) const STORE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Ticks by which the registries keep a key longer than it is asked for: theirs may come sooner after one another
 /// where the tail moves, and the first of them sooner after a claim.
-const SPARE_TICKS: u64 = 5;
+const EXTRA_TICKS: u64 = 5;
 /// When to come back for a key whose operation is under way.
-const RUNNING_RETRY: Duration = Duration::from_millis(500);
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// The status of a repeat whose operation is under way.
 const CONFLICT: u16 = 409;
 /// The status of a key that was used for another request.
@@ -29,16 +29,18 @@
 impl FunctionOwner {
     /// A request with a key comes. What is known of its operation is answered though the queue is full and the
     /// registries are far; true if nothing more is to be done.
-    pub(crate) fn meet_operation(&mut self, number: u64) -> bool {
+    pub(crate) fn join_operation(&mut self, number: u64) -> bool {
         let Some(task) = self.tasks.get(&number) else { return true };
-        match self.keyed.meet(self.now, &task.scope, &task.digest, number) {
-            Known::Leads | Known::Contested => return false,
-            Known::Waits => self.wait_for_leader(number),
-            Known::Answered(answer) => {
+        match self.keyed.join(self.now, &task.scope, &task.digest, number) {
+            JoinResult::Leads | JoinResult::Contested => return false,
+            JoinResult::Waits => self.wait_for_leader(number),
+            JoinResult::Answered(answer) => {
                 self.counters.keyed.answered_from_memory += 1;
                 self.give_answer(number, answer);
             }
-            Known::OtherRequest => self.answer_without_body(number, Outcome::NotRun, UNPROCESSABLE, Duration::ZERO),
+            JoinResult::OtherRequest => {
+                self.answer_without_body(number, Outcome::NotRun, UNPROCESSABLE, Duration::ZERO)
+            }
         }
         true
     }
@@ -48,23 +50,23 @@
         self.counters.keyed.waited += 1;
         let now = self.now;
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        let half = task.due.saturating_sub(now) / 2;
+        let half = task.deadline.saturating_sub(now) / 2;
         let patience = task.aim.map_or(half, |aim| aim.min(half));
-        task.place = Place::Following { until: now + patience };
+        task.state = RequestState::AwaitingLeader { until: now + patience };
     }
 
     /// Repeats that waited long enough are told that their key is in work.
-    pub(crate) fn following_pass(&mut self) {
+    pub(crate) fn repeat_timeout_pass(&mut self) {
         let now = self.now;
-        let over = |place: &Place| matches!(place, Place::Following { until } if now >= *until);
-        let over = self.tasks.iter().filter(|(_, task)| over(&task.place)).map(|(number, _)| *number);
-        over.collect::<Vec<_>>().into_iter().for_each(|number| self.refuse_as_running(number));
+        let is_over = |state: &RequestState| matches!(state, RequestState::AwaitingLeader { until } if now >= *until);
+        let over = self.tasks.iter().filter(|(_, task)| is_over(&task.state)).map(|(number, _)| *number);
+        over.collect::<Vec<_>>().into_iter().for_each(|number| self.refuse_as_in_progress(number));
     }
 
     /// The key is in work: nothing is said of how the operation ends.
-    pub(crate) fn refuse_as_running(&mut self, number: u64) {
+    pub(crate) fn refuse_as_in_progress(&mut self, number: u64) {
         self.counters.keyed.refused_as_running += 1;
-        let again = self.add_jitter(number, RUNNING_RETRY);
+        let again = self.add_jitter(number, IN_PROGRESS_RETRY_AFTER);
         self.answer_without_body(number, Outcome::Unknown, CONFLICT, again);
     }
 
@@ -72,7 +74,7 @@
     pub(crate) fn end_operation(&mut self, number: u64, answer: Option<&StoredAnswer>, retry_after: Duration) {
         let Some(task) = self.tasks.get(&number).filter(|task| task.class == Class::Once) else { return };
         let lasting = answer.filter(|answer| answer.outcome == Outcome::Answered);
-        let kept = lasting.map(|answer| (answer.clone(), self.now + self.timing.key_window));
+        let kept = lasting.map(|answer| (answer.clone(), self.now + self.settings.key_window));
         for waiting in self.keyed.end(&task.scope.clone(), number, kept) {
             match answer.cloned() {
                 Some(StoredAnswer { outcome, status, head, body }) => {
@@ -94,17 +96,17 @@
     fn claim(&mut self, number: u64) {
         let (member, incarnation) = (self.me, self.incarnation);
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        task.place = Place::Claiming;
-        task.claim = number;
+        task.state = RequestState::Claiming;
+        task.claim_request_id = number;
         let (scope, digest, request_id) = (task.scope.as_str().into(), task.digest.clone().into(), number);
-        let command = if self.timing.claims_for_ticks {
-            let ticks = (self.timing.key_window.as_secs() + SPARE_TICKS) as u32;
+        let command = if self.settings.claims_for_ticks {
+            let ticks = (self.settings.key_window.as_secs() + EXTRA_TICKS) as u32;
             Command::ClaimForTicks { scope, digest, member, incarnation, request_id, ticks }
         } else {
             Command::Claim { scope, digest, member, incarnation, request_id }
         };
         let function = task.function.clone();
-        self.request_store(StoreOperation::Claim, number, &function, wire::to_bytes(&command), LASTING);
+        self.request_store(StoreOperation::Claim, number, &function, wire::to_bytes(&command), STORE_TIMEOUT);
     }
 
     pub(crate) fn release(&mut self, number: u64) {
@@ -113,15 +115,15 @@
             scope: task.scope.as_str().into(),
             member: self.me,
             incarnation: self.incarnation,
-            request_id: task.claim,
+            request_id: task.claim_request_id,
         };
         let function = task.function.clone();
         self.counters.keyed.released += 1;
-        self.request_store(StoreOperation::Release, number, &function, wire::to_bytes(&command), LASTING);
+        self.request_store(StoreOperation::Release, number, &function, wire::to_bytes(&command), STORE_TIMEOUT);
     }
 
     /// A claim granted after its task was given up is released, or its key would stay taken.
-    pub(crate) fn release_late(&mut self, claim: &[u8], function: &str) {
+    pub(crate) fn release_unused_claim(&mut self, claim: &[u8], function: &str) {
         if let Some(
             Command::Claim { scope, member, incarnation, request_id, .. }
             | Command::ClaimForTicks { scope, member, incarnation, request_id, .. },
@@ -129,7 +131,7 @@
         {
             let command = Command::Release { scope, member, incarnation, request_id };
             self.counters.keyed.released += 1;
-            self.request_store(StoreOperation::Release, 0, function, wire::to_bytes(&command), LASTING);
+            self.request_store(StoreOperation::Release, 0, function, wire::to_bytes(&command), STORE_TIMEOUT);
         }
     }
 
@@ -143,40 +145,40 @@
     pub(crate) fn record_answer(&mut self, number: u64, answer: &StoredAnswer) {
         let unknown = unknown();
         let bytes = answer.head.as_slice().len() + answer.body.as_slice().len();
-        let answer = if bytes <= self.timing.recorded_answer_bytes { answer } else { &unknown };
+        let answer = if bytes <= self.settings.recorded_answer_bytes { answer } else { &unknown };
         let Some(task) = self.tasks.get(&number) else { return };
         let command = Command::RecordAnswer {
             scope: task.scope.as_str().into(),
             member: self.me,
             incarnation: self.incarnation,
-            request_id: task.claim,
+            request_id: task.claim_request_id,
             answer: wire::to_bytes(answer).into(),
         };
         let function = task.function.clone();
-        self.request_store(StoreOperation::RecordAnswer, number, &function, wire::to_bytes(&command), LASTING);
+        self.request_store(StoreOperation::RecordAnswer, number, &function, wire::to_bytes(&command), STORE_TIMEOUT);
     }
 
     /// The registries' word on a claim.
-    pub(crate) fn claimed(&mut self, number: u64, state: ClaimState, answer: &[u8]) {
-        let mine = self.tasks.get(&number).is_some_and(|task| self.is_home(&task.function));
+    pub(crate) fn handle_claim_reply(&mut self, number: u64, state: ClaimState, answer: &[u8]) {
+        let mine = self.tasks.get(&number).is_some_and(|task| self.is_owner(&task.function));
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        match (&task.place, state) {
-            (Place::Claiming, _) => {}
+        match (&task.state, state) {
+            (RequestState::Claiming, _) => {}
             // The release may have overtaken the claim.
-            (Place::Releasing, ClaimState::Granted) => return self.release(number),
+            (RequestState::Releasing, ClaimState::Granted) => return self.release(number),
             _ => return,
         }
         match state {
             ClaimState::Granted if !mine => {
                 self.counters.keyed.granted += 1;
-                task.place = Place::Releasing;
+                task.state = RequestState::Releasing;
                 self.release(number);
             }
             ClaimState::Granted => {
                 self.counters.keyed.granted += 1;
                 self.enqueue(number)
             }
-            ClaimState::Running => self.refuse_as_running(number),
+            ClaimState::Running => self.refuse_as_in_progress(number),
             ClaimState::Answered => {
                 self.counters.keyed.answered_by_registries += 1;
                 self.answer_stored(number, answer)
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -108,13 +108,13 @@
                         && let Some(done) = self.done.take() {
                         let _ = done.send(());
                     }
-                    calm = self.done.is_none() && !self.front.waits() && !self.owner.waits();
+                    calm = self.done.is_none() && !self.front.waits() && !self.owner.has_waiting_work();
                     tick.as_mut().reset(tokio::time::Instant::now() + if calm { CALM_TICK } else { TICK });
                 }
                 message = inbox.next() => match message {
                     Some(message) => {
                         self.take(message);
-                        if calm && (self.front.waits() || self.owner.waits()) {
+                        if calm && (self.front.waits() || self.owner.has_waiting_work()) {
                             calm = false;
                             tick.as_mut().reset(tokio::time::Instant::now() + TICK);
                         }
@@ -162,7 +162,7 @@
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
                     self.tell_status(request_id & !STATUS_BIT, first);
                 }
-                Message::Lease(message) => self.work(Work::FunctionOwner(OwnerInput::StoreOperation { message })),
+                Message::Lease(message) => self.work(Work::FunctionOwner(OwnerInput::StoreReply { message })),
                 _ => {}
             },
             TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, outcome }) => {
@@ -178,7 +178,7 @@
                     }
                     _ => Duration::ZERO,
                 };
-                self.work(Work::FunctionOwner(OwnerInput::Platform { report, listed_at }));
+                self.work(Work::FunctionOwner(OwnerInput::ProviderReport { report, listed_at }));
             }
             TrafficMessage::RouteTable(routes) => {
                 self.step = routes.step;
@@ -200,10 +200,10 @@
             TrafficMessage::Core { tail, near, registries } => {
                 self.tail = tail;
                 self.registries = registries;
-                self.work(Work::FunctionOwner(OwnerInput::Core { near }));
+                self.work(Work::FunctionOwner(OwnerInput::RegistriesReachable { reachable: near }));
             }
             TrafficMessage::Lapsed => {
-                self.work(Work::FunctionOwner(OwnerInput::Lapsed));
+                self.work(Work::FunctionOwner(OwnerInput::LeaseLapsed));
                 self.work(Work::Front(FrontInput::Lapsed));
             }
             TrafficMessage::Leave { done } => self.done = Some(done),
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -80,16 +80,16 @@
                     return Some(Work::FunctionOwner(OwnerInput::Probed { id, ready: false }));
                 }
             }
-            OwnerOutput::Forget { id } => {
+            OwnerOutput::ForgetInstance { id } => {
                 self.to_dispatcher(DispatcherMessage::Forget { id });
             }
-            OwnerOutput::Supply(order) => {
+            OwnerOutput::ProviderOrder(order) => {
                 if self.platform.send(order).is_err() {
                     event!(inbox_full, "platform");
                 }
             }
             OwnerOutput::PlanRequest { message } => self.to_registries(Message::Plan(message)),
-            OwnerOutput::Measures { lines } => {
+            OwnerOutput::Measurements { lines } => {
                 self.to_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
             }
             OwnerOutput::Samples { lines } => {
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -2,7 +2,7 @@
 //! chain's store, after an owner has moved or restarted and now and then besides, and run to the end.
 
 use crate::function_owner::FunctionOwner;
-use crate::owner_types::{OwnedRequest, OwnerOutput, Place, StoreOperation, StoreRequest, TaskId};
+use crate::owner_types::{OwnedRequest, OwnerOutput, RequestState, StoreOperation, StoreRequest, TaskId};
 use bindings::Class;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -19,27 +19,29 @@
     pub(crate) fn deferred_pass(&mut self) {
         let now = self.now;
         let Some(routes) = self.routes.clone() else { return };
-        if !self.core_near || !self.may_serve {
+        if !self.registries_reachable || !self.may_serve {
             return;
         }
         let reading =
-            self.store_requests.values().filter(|request_id| request_id.kind == StoreOperation::Deferred).count();
+            self.store_requests.values().filter(|request_id| request_id.kind == StoreOperation::ReadDeferred).count();
         let due: Vec<String> = self
             .schedulers
             .iter()
             .filter(|(_, scheduler)| scheduler.leaving.is_none() && scheduler.adopting.is_none())
-            .filter(|(_, scheduler)| scheduler.read_at.is_none_or(|at| now >= at + self.timing.deferred_read))
+            .filter(|(_, scheduler)| {
+                scheduler.deferred_read_at.is_none_or(|at| now >= at + self.settings.deferred_read_interval)
+            })
             .filter(|(name, _)| routes.takes_deferred(name))
             .map(|(name, _)| name.clone())
             .take(READS_AT_ONCE.saturating_sub(reading))
             .collect();
         for name in due {
             if let Some(scheduler) = self.schedulers.get_mut(&name) {
-                scheduler.read_at = Some(now);
+                scheduler.deferred_read_at = Some(now);
             }
-            let request_id = self.number();
+            let request_id = self.next_number();
             let record = StoreRequest {
-                kind: StoreOperation::Deferred,
+                kind: StoreOperation::ReadDeferred,
                 task: 0,
                 function: name.clone(),
                 body: Vec::new(),
@@ -53,52 +55,52 @@
 
     /// Another owner may have sent what is stored. What was held here is let go of, and read back as the
     /// store tells of it; what is just being stored counts as sent.
-    pub(crate) fn doubt_stored(&mut self) {
-        let queued = |task: &OwnedRequest| task.stored.is_some() && task.place == Place::Queued;
+    pub(crate) fn assume_stored_sent(&mut self) {
+        let queued = |task: &OwnedRequest| task.stored_id.is_some() && task.state == RequestState::Queued;
         let numbers: Vec<u64> = self.tasks.iter().filter(|(_, task)| queued(task)).map(|(number, _)| *number).collect();
         for number in numbers {
             self.accept(number);
             self.forget(number);
         }
-        let storing = self.tasks.values_mut().filter(|task| task.place == Place::Storing);
+        let storing = self.tasks.values_mut().filter(|task| task.state == RequestState::Storing);
         storing.for_each(|task| task.dispatches = task.dispatches.max(1));
     }
 
     /// Without a table of the owner before, whatever is pending at the first look may have been sent
     /// already; what is stored from then on was not sent by anybody else.
-    fn learn_sent(&mut self, name: &str, items: &[ConfigurationItem]) {
+    fn update_sent_tasks(&mut self, name: &str, items: &[ConfigurationItem]) {
         if items.len() >= FULL_PAGE_ITEMS {
             return;
         }
         let pending: BTreeSet<String> = items.iter().map(|item| task_id(item).to_owned()).collect();
         let sent = self.tasks.values().filter(|task| task.function == name && task.dispatches > 0);
-        let sent = sent.filter_map(|task| task.stored.clone());
-        let finishing = self.being_finished(name).map(|id| id.as_str().to_owned());
+        let sent = sent.filter_map(|task| task.stored_id.clone());
+        let finishing = self.unconfirmed_finishes(name).map(|id| id.as_str().to_owned());
         let live: BTreeSet<String> = sent.chain(finishing).collect();
         if let Some(scheduler) = self.schedulers.get_mut(name) {
             scheduler.sent_tasks.learn(pending, live);
         }
     }
 
-    pub(crate) fn take_deferred(&mut self, request_id: u64, items: Vec<ConfigurationItem>) {
+    pub(crate) fn handle_deferred_list(&mut self, request_id: u64, items: Vec<ConfigurationItem>) {
         let Some(record) = self.store_requests.remove(&request_id) else { return };
         let name = record.function;
-        if !self.is_home(&name) || !self.schedulers.contains_key(&name) {
+        if !self.is_owner(&name) || !self.schedulers.contains_key(&name) {
             return;
         }
-        self.learn_sent(&name, &items);
+        self.update_sent_tasks(&name, &items);
         for item in items {
             let id = task_id(&item).to_owned();
-            let known = self.tasks.values().any(|task| task.stored.as_deref() == Some(id.as_str()));
+            let known = self.tasks.values().any(|task| task.stored_id.as_deref() == Some(id.as_str()));
             let capacity = self
                 .schedulers
                 .get(&name)
-                .is_some_and(|scheduler| scheduler.queued.len() < self.timing.function_inbox / 2);
+                .is_some_and(|scheduler| scheduler.queued.len() < self.settings.max_queue_length / 2);
             let Some(kept) = wire::from_bytes::<StoredRequest>(item.value.as_slice()) else { continue };
             if known || !capacity || self.finished.contains_key(&id) {
                 continue;
             }
-            let number = self.number();
+            let number = self.next_number();
             let sent = self.schedulers.get(&name).is_some_and(|scheduler| scheduler.sent_tasks.may_contain(&id));
             let dispatches = u32::from(sent);
             let task = OwnedRequest {
@@ -107,26 +109,26 @@
                 binding: kept.binding.as_str().into(),
                 class: Class::Deferred,
                 arrived: self.now,
-                due: Duration::MAX,
+                deadline: Duration::MAX,
                 aim: None,
                 not_before: self.now,
-                place: Place::Queued,
+                state: RequestState::Queued,
                 scope: String::new(),
                 digest: Vec::new(),
                 head: kept.head.into_vec(),
                 body: kept.body.into_vec(),
-                claim: 0,
-                stored: Some(id),
+                claim_request_id: 0,
+                stored_id: Some(id),
                 respond_async: false,
-                caller: false,
+                is_caller_waiting: false,
                 dispatches,
                 attempts: u32::MAX,
                 granted: u32::MAX,
                 failure: None,
-                avoid: String::new(),
-                reached: true,
+                last_instance: String::new(),
+                may_have_run: true,
                 rank: crate::wait_queue::LOWEST_PRIORITY,
-                inherits: false,
+                has_shortened_deadline: false,
             };
             self.tasks.insert(number, task);
             self.enqueue(number);
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -27,19 +27,19 @@
         let deduplicates = self.deduplicates(&name);
         let Some(task) = self.tasks.get_mut(&number) else { return };
         let class = task.class;
-        task.avoid = instance_id;
+        task.last_instance = instance_id;
         match (outcome, class) {
             (DispatchOutcome::NotSent | DispatchOutcome::Crowded, _) => {
                 task.dispatches -= 1;
                 task.not_before = now;
-                if task.is_first()
+                if task.is_first_attempt()
                     && let Some(scheduler) = self.schedulers.get_mut(&name)
                 {
                     scheduler.budget.undo_request();
-                    task.stored.iter().for_each(|id| scheduler.sent_tasks.remove(id));
+                    task.stored_id.iter().for_each(|id| scheduler.sent_tasks.remove(id));
                 }
                 let is_moved = self.schedulers.get(&name).is_none_or(|scheduler| scheduler.leaving.is_some())
-                    || !self.is_home(&name);
+                    || !self.is_owner(&name);
                 if is_moved { self.send_back(number) } else { self.enqueue(number) }
             }
             (DispatchOutcome::NotRun { .. }, Class::Ordinary | Class::Single | Class::Once) => {
@@ -79,7 +79,7 @@
                 if status < 500 && !turned_away =>
             {
                 self.finish(number, &stored_answer(status, &head, &body));
-                if let Some(id) = self.tasks.get(&number).and_then(|task| task.stored.clone()) {
+                if let Some(id) = self.tasks.get(&number).and_then(|task| task.stored_id.clone()) {
                     self.finished.insert(id, now);
                 }
                 self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
@@ -120,7 +120,7 @@
             DispatchOutcome::Complete { .. } => SendResult::Answered,
             _ => SendResult::Unknown,
         };
-        scheduler.unproven.record_result(now, order, sent_at, result);
+        scheduler.rejection_limit.record_result(now, order, sent_at, result);
         if let Some(instance) = scheduler.instances.get_mut(instance_id) {
             instance.busy = instance.busy.saturating_sub(1);
             instance.last_used_at = now;
@@ -144,11 +144,11 @@
         match outcome {
             _ if turned_away => {
                 event!(instance_rejected_request, "{instance_id}");
-                scheduler.turned_away(now, instance_id);
+                scheduler.reduce_limit(now, instance_id);
                 scheduler.budget.record_rejection(now);
-                scheduler.seen.rejections += 1;
+                scheduler.measurement.rejections += 1;
             }
-            DispatchOutcome::Complete { .. } => scheduler.took(now.saturating_sub(sent_at)),
+            DispatchOutcome::Complete { .. } => scheduler.record_answer_time(now.saturating_sub(sent_at)),
             DispatchOutcome::NotRun { .. } => {
                 event!(instance_answer_in_doubt, "{instance_id}: another instance answers at its address")
             }
@@ -157,8 +157,8 @@
         }
         let is_replaced = *outcome == DispatchOutcome::NotRun { wrong_instance: true };
         if is_replaced || *outcome == DispatchOutcome::NotSent {
-            self.outs.push(OwnerOutput::Forget { id: instance_id.to_owned() });
-            if is_replaced { self.mark_replaced(name, instance_id) } else { self.lose(name, instance_id) }
+            self.outs.push(OwnerOutput::ForgetInstance { id: instance_id.to_owned() });
+            if is_replaced { self.mark_replaced(name, instance_id) } else { self.mark_lost(name, instance_id) }
         }
     }
 
--- a/crates/traffic/src/dispatch_pass.rs
+++ b/crates/traffic/src/dispatch_pass.rs
@@ -3,7 +3,7 @@
 use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
 use crate::instance::Phase;
-use crate::owner_types::{OwnedRequest, OwnerOutput, Place};
+use crate::owner_types::{OwnedRequest, OwnerOutput, RequestState};
 use crate::queue_wait::QueueBlock;
 use bindings::Class;
 use dispatch::DispatchOrder;
@@ -47,22 +47,28 @@
         if scheduler.queued.is_empty() {
             return Err(QueueBlock::NoFreeSlot);
         }
-        let roomiest = scheduler.roomiest(now).ok_or(QueueBlock::NoFreeSlot)?;
-        let is_proven =
-            scheduler.instances.get(&roomiest).is_some_and(|instance| instance.busy < instance.proven_concurrency);
-        if !scheduler.unproven.may_send(now, is_proven) {
+        let most_free_instance = scheduler.most_free_instance(now).ok_or(QueueBlock::NoFreeSlot)?;
+        let is_proven = scheduler
+            .instances
+            .get(&most_free_instance)
+            .is_some_and(|instance| instance.busy < instance.proven_concurrency);
+        if !scheduler.rejection_limit.may_send(now, is_proven) {
             return Err(QueueBlock::RejectionRisk);
         }
-        let is_sendable = |task: &&OwnedRequest| task.place == Place::Queued && now >= task.not_before;
+        let is_sendable = |task: &&OwnedRequest| task.state == RequestState::Queued && now >= task.not_before;
         let (tasks, expected) = (&self.tasks, scheduler.expected_answer_time());
         let mut first_late = None;
         for number in &scheduler.queued {
             let Some(task) = tasks.get(number).filter(is_sendable) else { continue };
-            let meets_aim = task.inherits || task.aim.is_none_or(|aim| now + expected <= task.arrived + aim);
+            let meets_aim =
+                task.has_shortened_deadline || task.aim.is_none_or(|aim| now + expected <= task.arrived + aim);
             if !meets_aim && first_late.is_some() {
                 continue;
             }
-            let Some(instance) = pick_other_instance(scheduler, now, &task.avoid, roomiest.clone()) else { continue };
+            let Some(instance) = pick_other_instance(scheduler, now, &task.last_instance, most_free_instance.clone())
+            else {
+                continue;
+            };
             let next = NextRequest { number: *number, instance };
             if meets_aim {
                 return Ok(next);
@@ -98,7 +104,7 @@
     /// Sends one request to an instance, if its binding still leads to this function and its retry budget allows it.
     fn dispatch(&mut self, number: u64, name: &str, instance_id: String) {
         let now = self.now;
-        let order = self.number();
+        let order = self.next_number();
         let is_still_bound = self.tasks.get(&number).is_some_and(|task| {
             let bound = self.routes.as_ref().and_then(|routes| routes.binding(&task.binding));
             bound.is_some_and(|bound| name.split_once('/').is_some_and(|(_, service)| bound.sends_to(service)))
@@ -115,23 +121,23 @@
             return;
         }
         let Some(instance) = scheduler.instances.get_mut(&instance_id) else { return };
-        if task.is_first() {
+        if task.is_first_attempt() {
             scheduler.budget.record_request(now);
         }
         instance.busy += 1;
         let concurrency = instance.busy;
         scheduler.in_flight += 1;
-        scheduler.unproven.record_sent(now, order, concurrency <= instance.proven_concurrency);
+        scheduler.rejection_limit.record_sent(now, order, concurrency <= instance.proven_concurrency);
         scheduler.queued.retain(|queued| *queued != number);
         task.dispatches += 1;
-        if let Some(id) = &task.stored {
+        if let Some(id) = &task.stored_id {
             scheduler.sent_tasks.insert(id);
         }
-        task.place = Place::Running { number: order };
-        let limit = if task.caller && task.class != Class::Deferred {
-            task.due.saturating_sub(now + self.timing.margin)
+        task.state = RequestState::Running { number: order };
+        let limit = if task.is_caller_waiting && task.class != Class::Deferred {
+            task.deadline.saturating_sub(now + self.settings.deadline_margin)
         } else {
-            self.timing.deferred_limit
+            self.settings.deferred_attempt_timeout
         };
         self.running.insert(order, (number, name.to_owned(), instance_id.clone(), now, concurrency));
         self.outs.push(OwnerOutput::Dispatch(DispatchOrder {
@@ -148,15 +154,20 @@
 
 /// Returns the instance with the most free slots other than `avoid`; `avoid` itself only if no other instance is
 /// ready.
-fn pick_other_instance(scheduler: &FunctionScheduler, now: Duration, avoid: &str, roomiest: String) -> Option<String> {
-    if roomiest != avoid {
-        return Some(roomiest);
+fn pick_other_instance(
+    scheduler: &FunctionScheduler,
+    now: Duration,
+    avoid: &str,
+    most_free_instance: String,
+) -> Option<String> {
+    if most_free_instance != avoid {
+        return Some(most_free_instance);
     }
     let limit = scheduler.function.instance_limit;
     let others = scheduler.instances.iter().filter(|(id, instance)| *id != avoid && instance.phase() == Phase::Ready);
     let mut others = others.map(|(id, instance)| (instance.capacity(now, limit), id)).peekable();
     if others.peek().is_none() {
-        return Some(roomiest);
+        return Some(most_free_instance);
     }
     others.filter(|(capacity, _)| *capacity > 0).max().map(|(_, id)| id.clone())
 }
--- a/crates/traffic/src/earlier_owners.rs
+++ b/crates/traffic/src/earlier_owners.rs
@@ -34,7 +34,7 @@
 
     /// A membership that was skipped may have named any owner, and one whose owner came back under a new
     /// incarnation names an owner that knows nothing.
-    pub fn earlier_homes(&self, now: Duration, function: &str) -> EarlierOwners {
+    pub fn earlier_owners_of(&self, now: Duration, function: &str) -> EarlierOwners {
         let followed = self.membership_updates.front().is_some_and(|(since, _)| now > *since + self.window);
         if !followed {
             return EarlierOwners::Unknown;
--- a/crates/traffic/src/estimate.rs
+++ b/crates/traffic/src/estimate.rs
@@ -30,14 +30,14 @@
     /// Returns the mean answer time; before the first answer, a quarter of the latency aim.
     pub fn mean_answer_time(&self) -> Duration {
         let fallback = || self.function.aim.map_or(Duration::ZERO, |aim| aim / 4);
-        if self.mean_time.is_zero() { fallback() } else { self.mean_time }
+        if self.smoothed_answer_time.is_zero() { fallback() } else { self.smoothed_answer_time }
     }
 
     /// Returns the time until the next instance is ready, if the one ordered first takes the average start time.
     fn time_to_next_start(&self, now: Duration) -> Duration {
         let starting = self.instances.values().filter(|instance| instance.phase() == Phase::Starting);
-        let remaining = |instance: &Instance| (instance.ordered_at + self.boot()).saturating_sub(now);
-        starting.map(remaining).min().unwrap_or(self.boot())
+        let remaining = |instance: &Instance| (instance.ordered_at + self.boot_time()).saturating_sub(now);
+        starting.map(remaining).min().unwrap_or(self.boot_time())
     }
 
     /// Returns whether any instance is ready or starting. While there is none, only queued requests cause one to
--- a/crates/traffic/src/estimate_tests.rs
+++ b/crates/traffic/src/estimate_tests.rs
@@ -14,7 +14,7 @@
     let routes = RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
     let mut scheduler =
         FunctionScheduler::new(NOW, routes.function("t/f").expect("bound").clone(), 1, &Allowances::default());
-    scheduler.took(Duration::from_millis(500));
+    scheduler.record_answer_time(Duration::from_millis(500));
     for number in 0..ready + starting {
         let mut instance = Instance::new(NOW - Duration::from_millis(400), "127.0.0.1:1");
         if number < ready {
--- a/crates/traffic/src/expiry.rs
+++ b/crates/traffic/src/expiry.rs
@@ -2,7 +2,7 @@
 //! outcome, and those that must go back to their front.
 
 use crate::function_owner::FunctionOwner;
-use crate::owner_types::{OwnedRequest, OwnerOutput, Place};
+use crate::owner_types::{OwnedRequest, OwnerOutput, RequestState};
 use crate::refusals::RefusalReason;
 use bindings::Class;
 use std::time::Duration;
@@ -15,8 +15,10 @@
 const STALE_FRACTION: f64 = 0.45;
 
 fn is_stale(now: Duration, task: &OwnedRequest) -> bool {
-    let is_unsent = matches!(task.place, Place::Queued | Place::Claiming) && task.dispatches == 0 && !task.reached;
-    let time_limit = task.due.saturating_sub(task.arrived);
+    let is_unsent = matches!(task.state, RequestState::Queued | RequestState::Claiming)
+        && task.dispatches == 0
+        && !task.may_have_run;
+    let time_limit = task.deadline.saturating_sub(task.arrived);
     is_unsent && task.aim.is_some() && now >= task.arrived + time_limit.mul_f64(STALE_FRACTION)
 }
 
@@ -24,8 +26,8 @@
     /// Returns the least time that a queued request still needs. With less left it is refused now, since its answer
     /// would come too late.
     fn least_time_needed(&self, task: &OwnedRequest) -> Duration {
-        match (&task.place, self.schedulers.get(&task.function)) {
-            (Place::Queued, Some(scheduler)) => scheduler.least_time(),
+        match (&task.state, self.schedulers.get(&task.function)) {
+            (RequestState::Queued, Some(scheduler)) => scheduler.min_answer_time(),
             _ => Duration::ZERO,
         }
     }
@@ -37,34 +39,36 @@
             .tasks
             .iter()
             .filter(|(_, task)| {
-                let is_late = now + self.timing.margin + self.least_time_needed(task) >= task.due;
-                task.caller && (is_late || is_stale(now, task))
+                let is_late = now + self.settings.deadline_margin + self.least_time_needed(task) >= task.deadline;
+                task.is_caller_waiting && (is_late || is_stale(now, task))
             })
-            .filter(|(_, task)| task.class == Class::Deferred || !matches!(task.place, Place::Running { .. }))
+            .filter(|(_, task)| task.class == Class::Deferred || !matches!(task.state, RequestState::Running { .. }))
             .map(|(number, _)| *number)
             .collect();
         for number in expired {
             let Some(task) = self.tasks.get(&number) else { continue };
             let retry_after = self.add_jitter(number, BASE_RETRY_AFTER);
-            match (task.class, &task.place) {
-                (_, Place::AwaitingGrant { .. }) => self.answer_failure(number),
-                (Class::Deferred, Place::Storing) => {
+            match (task.class, &task.state) {
+                (_, RequestState::AwaitingGrant { .. }) => self.answer_failure(number),
+                (Class::Deferred, RequestState::Storing) => {
                     if let Some(task) = self.tasks.get_mut(&number) {
-                        task.stored = None;
+                        task.stored_id = None;
                     }
                     self.answer_without_body(number, Outcome::Unknown, 504, Duration::ZERO);
                 }
                 (Class::Deferred, _) => self.accept(number),
-                (Class::Once, Place::Following { .. }) => self.refuse_as_running(number),
-                (Class::Once, Place::Claiming) => self.answer_without_body(number, Outcome::NotRun, 503, retry_after),
-                (Class::Once, _) if task.reached => self.answer_failure(number),
-                (Class::Ordinary | Class::Single, _) if task.reached => {
+                (Class::Once, RequestState::AwaitingLeader { .. }) => self.refuse_as_in_progress(number),
+                (Class::Once, RequestState::Claiming) => {
+                    self.answer_without_body(number, Outcome::NotRun, 503, retry_after)
+                }
+                (Class::Once, _) if task.may_have_run => self.answer_failure(number),
+                (Class::Ordinary | Class::Single, _) if task.may_have_run => {
                     self.answer_without_body(number, Outcome::Unknown, 504, retry_after)
                 }
                 _ => self.release_and_refuse(number, BASE_RETRY_AFTER, RefusalReason::Expired),
             }
         }
-        self.following_pass();
+        self.repeat_timeout_pass();
     }
 
     /// Ends this owner's handling of a request. One that did not run goes back to its front, which looks up the owner
@@ -74,15 +78,15 @@
         if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
             scheduler.queued.retain(|queued| *queued != number);
         }
-        if task.class == Class::Once && task.claim != 0 && !task.reached {
-            task.place = Place::Releasing;
+        if task.class == Class::Once && task.claim_request_id != 0 && !task.may_have_run {
+            task.state = RequestState::Releasing;
             return self.release(number);
         }
-        if task.stored.is_some() {
+        if task.stored_id.is_some() {
             self.accept(number);
             return self.forget(number);
         }
-        if task.reached {
+        if task.may_have_run {
             return self.answer_failure(number);
         }
         // The next owner would not know which instance rejected the request.
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -7,7 +7,7 @@
 use crate::front_passes::unknown;
 use crate::front_quota::FrontQuota;
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
-use crate::owner_liveness::Watched;
+use crate::owner_liveness::OwnerWatch;
 use bindings::{Class, RouteTable};
 use leases::{Membership, first_number};
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
     pub(crate) by_forward: BTreeMap<u64, u64>,
     pub(crate) per_tenant: BTreeMap<String, usize>,
     pub(crate) linked: BTreeSet<NodeId>,
-    pub(crate) watched: BTreeMap<NodeId, Watched>,
+    pub(crate) watched: BTreeMap<NodeId, OwnerWatch>,
     pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) membership: Rc<Membership>,
     pub(crate) next: u64,
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -8,7 +8,7 @@
 use crate::inventory::Inventory;
 use crate::keyed_operations::KeyedOperations;
 use crate::owner_counters::OwnerCounters;
-use crate::owner_types::{OwnedRequest, OwnerInput, OwnerOutput, OwnerTiming, StoreRequest, TaskId};
+use crate::owner_types::{OwnedRequest, OwnerInput, OwnerOutput, OwnerSettings, StoreRequest, TaskId};
 use crate::placement::Workers;
 use crate::standby::StandbyCopy;
 use bindings::RouteTable;
@@ -21,36 +21,36 @@
 pub struct FunctionOwner {
     pub(crate) me: NodeId,
     pub(crate) incarnation: u64,
-    pub(crate) timing: OwnerTiming,
+    pub(crate) settings: OwnerSettings,
     pub(crate) now: Duration,
     pub(crate) may_serve: bool,
-    pub(crate) core_near: bool,
+    pub(crate) registries_reachable: bool,
     pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) membership: Rc<Membership>,
     pub(crate) history: MembershipHistory,
     pub(crate) tasks: BTreeMap<u64, OwnedRequest>,
-    pub(crate) seen: BTreeMap<TaskId, Duration>,
+    pub(crate) seen_requests: BTreeMap<TaskId, Duration>,
     pub(crate) schedulers: BTreeMap<String, FunctionScheduler>,
     pub(crate) store_requests: BTreeMap<u64, StoreRequest>,
     pub(crate) keyed: KeyedOperations,
     pub(crate) plan_requests: BTreeMap<u64, String>,
     pub(crate) running: BTreeMap<u64, (u64, String, String, Duration, u32)>,
     pub(crate) stopped: BTreeMap<String, Duration>,
-    pub(crate) unbound: BTreeMap<String, Duration>,
+    pub(crate) unbound_since: BTreeMap<String, Duration>,
     pub(crate) finished: BTreeMap<String, Duration>,
-    pub(crate) next: u64,
+    pub(crate) last_number: u64,
     pub(crate) starts_left: f64,
-    pub(crate) refilled: Duration,
-    pub(crate) scaled: Duration,
-    pub(crate) sampled: Duration,
+    pub(crate) starts_refilled_at: Duration,
+    pub(crate) scaled_at: Duration,
+    pub(crate) sampled_at: Duration,
     pub(crate) last_preemption_at: Duration,
     pub(crate) tuned: (u64, Vec<TunedParameters>),
-    pub(crate) heartbeat_sent: Duration,
+    pub(crate) heartbeat_sent_at: Duration,
     pub(crate) replicated_at: Duration,
     pub(crate) standby_copies: BTreeMap<String, StandbyCopy>,
-    pub(crate) no_growth: Duration,
-    pub(crate) listed: BTreeMap<String, u32>,
-    pub(crate) leaving: BTreeMap<String, Duration>,
+    pub(crate) no_growth_until: Duration,
+    pub(crate) listed_counts: BTreeMap<String, u32>,
+    pub(crate) leaving_instances: BTreeMap<String, Duration>,
     pub(crate) workers: Workers,
     pub(crate) inventory: Inventory,
     pub(crate) outs: Vec<OwnerOutput>,
@@ -58,42 +58,42 @@
 }
 
 impl FunctionOwner {
-    pub fn new(me: NodeId, incarnation: u64, timing: OwnerTiming) -> Self {
-        let workers = Workers::new(timing.zone_losses > 0);
-        let window = Allowances::lengthened_window(timing.allowances.retry_window);
+    pub fn new(me: NodeId, incarnation: u64, settings: OwnerSettings) -> Self {
+        let workers = Workers::new(settings.tolerated_zone_losses > 0);
+        let window = Allowances::lengthened_window(settings.allowances.retry_window);
         FunctionOwner {
             me,
             incarnation,
-            timing,
+            settings,
             now: Duration::ZERO,
             may_serve: false,
-            core_near: false,
+            registries_reachable: false,
             routes: None,
             membership: Rc::default(),
             history: MembershipHistory::new(window),
             tasks: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            seen_requests: BTreeMap::new(),
             schedulers: BTreeMap::new(),
             store_requests: BTreeMap::new(),
             keyed: KeyedOperations::default(),
             plan_requests: BTreeMap::new(),
             running: BTreeMap::new(),
             stopped: BTreeMap::new(),
-            unbound: BTreeMap::new(),
+            unbound_since: BTreeMap::new(),
             finished: BTreeMap::new(),
-            next: first_number(incarnation),
+            last_number: first_number(incarnation),
             starts_left: 4.0,
-            refilled: Duration::ZERO,
-            scaled: Duration::ZERO,
-            sampled: Duration::ZERO,
+            starts_refilled_at: Duration::ZERO,
+            scaled_at: Duration::ZERO,
+            sampled_at: Duration::ZERO,
             last_preemption_at: Duration::ZERO,
             tuned: (0, Vec::new()),
-            heartbeat_sent: Duration::ZERO,
+            heartbeat_sent_at: Duration::ZERO,
             replicated_at: Duration::ZERO,
             standby_copies: BTreeMap::new(),
-            no_growth: Duration::ZERO,
-            listed: BTreeMap::new(),
-            leaving: BTreeMap::new(),
+            no_growth_until: Duration::ZERO,
+            listed_counts: BTreeMap::new(),
+            leaving_instances: BTreeMap::new(),
             workers,
             inventory: Inventory::default(),
             outs: Vec::new(),
@@ -130,36 +130,38 @@
             } => {
                 let table =
                     OwnershipTable { function, membership, slots, requests, retries, ..OwnershipTable::default() };
-                self.take_handover(table)
+                self.handle_handover(table)
             }
             OwnerInput::Forward { message: ForwardMessage::Preempt { function, .. }, .. } => {
                 self.handle_preemption(function.as_str())
             }
             OwnerInput::Forward { from, message: ForwardMessage::Inventory { inventory } } => {
-                self.inventory_received(from, inventory)
+                self.handle_inventory(from, inventory)
             }
-            OwnerInput::Forward { from, message: ForwardMessage::InventoryRequest } => self.inventory_requested(from),
-            OwnerInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
+            OwnerInput::Forward { from, message: ForwardMessage::InventoryRequest } => {
+                self.handle_inventory_request(from)
+            }
+            OwnerInput::Forward { from, message: ForwardMessage::Table { table } } => self.handle_table(from, table),
             OwnerInput::Forward { .. } => {}
             OwnerInput::Dispatched { number, outcome } => self.handle_dispatch_outcome(number, outcome),
-            OwnerInput::StoreOperation { message } => self.handle_store_reply(message),
-            OwnerInput::Platform { report, listed_at } => self.platform(report, listed_at),
-            OwnerInput::Probed { id, ready } => self.probed(&id, ready),
+            OwnerInput::StoreReply { message } => self.handle_store_reply(message),
+            OwnerInput::ProviderReport { report, listed_at } => self.handle_provider_report(report, listed_at),
+            OwnerInput::Probed { id, ready } => self.handle_probe_result(&id, ready),
             OwnerInput::Plan { message } => self.handle_plan_reply(message),
             OwnerInput::RouteTable { routes } => {
                 let before = self.routes.replace(routes);
                 self.align_schedulers();
-                self.open_new(before);
+                self.skip_adoption_of_new_functions(before);
             }
             OwnerInput::Membership { membership } => {
                 self.history.add(now, membership.clone());
                 self.membership = membership;
-                self.is_inventory_reader();
+                self.update_reading_order();
                 self.align_schedulers();
-                self.hand_back();
+                self.return_standby_copies();
             }
-            OwnerInput::Lapsed => self.lapsed(),
-            OwnerInput::Core { near } => self.core_near = near,
+            OwnerInput::LeaseLapsed => self.handle_lease_lapse(),
+            OwnerInput::RegistriesReachable { reachable } => self.registries_reachable = reachable,
             OwnerInput::Tick => self.tick(),
         }
         self.dispatch_pass();
@@ -171,20 +173,22 @@
     }
 
     pub fn is_idle(&self) -> bool {
-        self.tasks.values().all(|task| !task.caller) && self.running.is_empty() && self.store_requests.is_empty()
+        self.tasks.values().all(|task| !task.is_caller_waiting)
+            && self.running.is_empty()
+            && self.store_requests.is_empty()
     }
 
     /// Whether some task waits here for anything but the answer of the instance it was sent to.
-    pub fn waits(&self) -> bool {
+    pub fn has_waiting_work(&self) -> bool {
         self.tasks.len() > self.running.len() || !self.store_requests.is_empty()
     }
 
-    pub(crate) fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    pub(crate) fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    pub(crate) fn is_home(&self, function: &str) -> bool {
+    pub(crate) fn is_owner(&self, function: &str) -> bool {
         self.membership.owner(function) == Some(self.me)
     }
 }
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 use wire::NodeId;
 
-const GROW: Duration = Duration::from_secs(1);
-const GROW_CALM: Duration = Duration::from_millis(200);
+const LIMIT_GROWTH_INTERVAL: Duration = Duration::from_secs(1);
+const CALM_LIMIT_GROWTH_INTERVAL: Duration = Duration::from_millis(200);
 
 pub struct FunctionScheduler {
     pub function: Function,
@@ -23,11 +23,11 @@
     pub instances: BTreeMap<String, Instance>,
     pub player: Player,
     pub budget: RetryBudget,
-    pub unproven: RejectionLimit,
+    pub rejection_limit: RejectionLimit,
     pub in_flight: u32,
     pub adopting: Option<(Duration, bool)>,
-    pub taken: u64,
-    pub reported: (u32, u32),
+    pub acquired_membership: u64,
+    pub reported_counts: (u32, u32),
     pub sent_tasks: SentTasks,
     pub leaving: Option<(NodeId, Duration)>,
     /// Whether this router is the owner by the membership in force; asked at each pass, so it is kept here.
@@ -35,18 +35,18 @@
     pub arrivals: u32,
     pub load: RecentLoad,
     pub peak: DemandPeak,
-    pub usual: TypicalAnswerTime,
+    pub typical_answer_time: TypicalAnswerTime,
     pub answered: u32,
     pub answer_time: Duration,
-    pub mean_time: Duration,
+    pub smoothed_answer_time: Duration,
     pub waiting_sum: f64,
     pub queued_sum: f64,
-    pub looks: u32,
-    pub read_at: Option<Duration>,
-    pub refused_until: Duration,
-    pub backs_off: Duration,
+    pub observations: u32,
+    pub deferred_read_at: Option<Duration>,
+    pub no_starts_until: Duration,
+    pub preempted_until: Duration,
     pub desired: u32,
-    pub seen: Seen,
+    pub measurement: MeasurementCounts,
     pub tuned_usage: Option<f64>,
     pub sampled_zero: bool,
     /// What keeps the queue from being sent.
@@ -57,7 +57,7 @@
 
 /// What is measured between two samples, for the tuning of weight sheets.
 #[derive(Clone, Copy, Default)]
-pub struct Seen {
+pub struct MeasurementCounts {
     pub boot: Duration,
     pub boots: u32,
     pub refused: u32,
@@ -73,29 +73,29 @@
             instances: BTreeMap::new(),
             player: Player::default(),
             budget: RetryBudget::new(now, allowances),
-            unproven: RejectionLimit::new(now, allowances),
+            rejection_limit: RejectionLimit::new(now, allowances),
             in_flight: 0,
             adopting: Some((now, false)),
-            taken: membership,
-            reported: (0, 0),
+            acquired_membership: membership,
+            reported_counts: (0, 0),
             sent_tasks: SentTasks::Unknown,
             leaving: None,
             is_owned: false,
             arrivals: 0,
             load: RecentLoad::new(now),
             peak: DemandPeak::default(),
-            usual: TypicalAnswerTime::default(),
+            typical_answer_time: TypicalAnswerTime::default(),
             answered: 0,
             answer_time: Duration::ZERO,
-            mean_time: Duration::ZERO,
+            smoothed_answer_time: Duration::ZERO,
             waiting_sum: 0.0,
             queued_sum: 0.0,
-            looks: 0,
-            read_at: None,
-            refused_until: Duration::ZERO,
-            backs_off: Duration::ZERO,
+            observations: 0,
+            deferred_read_at: None,
+            no_starts_until: Duration::ZERO,
+            preempted_until: Duration::ZERO,
             desired: 0,
-            seen: Seen::default(),
+            measurement: MeasurementCounts::default(),
             tuned_usage: None,
             sampled_zero: false,
             queue_wait: QueueWait::default(),
@@ -111,16 +111,16 @@
     }
 
     /// How long one start takes on average.
-    pub fn boot(&self) -> Duration {
+    pub fn boot_time(&self) -> Duration {
         self.function.boot
     }
 
     /// Others may have been owner here meanwhile: what they spent and sent is not known.
-    pub fn begin_anew(&mut self, now: Duration) {
-        self.unproven.begin_caution(now);
+    pub fn restart_adoption(&mut self, now: Duration) {
+        self.rejection_limit.begin_caution(now);
         self.instances.values_mut().for_each(|instance| instance.proven_concurrency = 0);
         self.budget.begin_caution(now);
-        (self.adopting, self.reported, self.read_at) = (Some((now, false)), (0, 0), None);
+        (self.adopting, self.reported_counts, self.deferred_read_at) = (Some((now, false)), (0, 0), None);
         self.sent_tasks = SentTasks::Unknown;
         self.load.reset_long_run_rate(now);
     }
@@ -133,14 +133,15 @@
     }
 
     /// The least time in which a task can be expected to be answered once it is sent.
-    pub fn least_time(&self) -> Duration {
-        self.mean_time.mul_f64(1.5).clamp(Duration::from_millis(30), Duration::from_millis(1000))
+    pub fn min_answer_time(&self) -> Duration {
+        self.smoothed_answer_time.mul_f64(1.5).clamp(Duration::from_millis(30), Duration::from_millis(1000))
     }
 
-    pub fn took(&mut self, time: Duration) {
+    pub fn record_answer_time(&mut self, time: Duration) {
         self.answered += 1;
-        self.answer_time += self.usual.cap(time);
-        self.mean_time = if self.mean_time.is_zero() { time } else { (self.mean_time * 7 + time) / 8 };
+        self.answer_time += self.typical_answer_time.cap(time);
+        self.smoothed_answer_time =
+            if self.smoothed_answer_time.is_zero() { time } else { (self.smoothed_answer_time * 7 + time) / 8 };
     }
 
     pub fn count(&self, phase: Phase) -> u32 {
@@ -153,7 +154,7 @@
         self.instances.values().map(|instance| instance.capacity(now, limit)).sum()
     }
 
-    pub fn roomiest(&self, now: Duration) -> Option<String> {
+    pub fn most_free_instance(&self, now: Duration) -> Option<String> {
         let limit = self.function.instance_limit;
         self.instances
             .iter()
@@ -164,7 +165,7 @@
     }
 
     /// Reduces at once what an instance is sent after it turned a task away; it grows back slowly.
-    pub fn turned_away(&mut self, now: Duration, id: &str) {
+    pub fn reduce_limit(&mut self, now: Duration, id: &str) {
         let limit = self.function.instance_limit;
         if let Some(instance) = self.instances.get_mut(id) {
             instance.concurrency_limit = (instance.busy.min(limit) / 2).max(1);
@@ -174,10 +175,11 @@
         }
     }
 
-    pub fn grow_back(&mut self, now: Duration) {
+    pub fn restore_limits(&mut self, now: Duration) {
         let limit = self.function.instance_limit;
-        self.unproven.decay();
-        let pause = if self.unproven.rejections(now) == 0 { GROW_CALM } else { GROW };
+        self.rejection_limit.decay();
+        let pause =
+            if self.rejection_limit.rejections(now) == 0 { CALM_LIMIT_GROWTH_INTERVAL } else { LIMIT_GROWTH_INTERVAL };
         for instance in self.instances.values_mut() {
             if instance.concurrency_limit < limit && now > instance.limit_changed_at + pause {
                 instance.concurrency_limit += 1;
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -4,15 +4,15 @@
 
 use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
-use crate::owner_types::{OwnedRequest, OwnerOutput, Place, StoreOperation};
+use crate::owner_types::{OwnedRequest, OwnerOutput, RequestState, StoreOperation};
 use bindings::RouteTable;
 use events::event;
 use std::rc::Rc;
 use std::time::Duration;
 use wire::ForwardMessage;
 
-const REPEAT: Duration = Duration::from_millis(200);
-const FOREIGN_ON_CRASH: Duration = Duration::from_millis(400);
+const HANDOVER_INTERVAL: Duration = Duration::from_millis(200);
+const FOREIGN_TIME_AFTER_CRASH: Duration = Duration::from_millis(400);
 
 impl FunctionOwner {
     /// Opens and closes schedulers so that they are those of the route table's functions homed here.
@@ -22,35 +22,39 @@
             return;
         }
         let now = self.now;
-        let mut begun_anew = Vec::new();
+        let mut restarted = Vec::new();
         for function in routes.functions() {
-            let mine = self.is_home(&function.name);
+            let mine = self.is_owner(&function.name);
             match self.schedulers.get_mut(&function.name) {
                 Some(scheduler) => {
                     scheduler.function = function.clone();
                     if mine && scheduler.leaving.is_some() {
-                        (scheduler.leaving, scheduler.taken) = (None, self.membership.number);
-                        scheduler.begin_anew(now);
-                        let earlier = self.history.earlier_homes(now, &function.name);
+                        (scheduler.leaving, scheduler.acquired_membership) = (None, self.membership.number);
+                        scheduler.restart_adoption(now);
+                        let earlier = self.history.earlier_owners_of(now, &function.name);
                         scheduler.budget.set_earlier_owners(earlier);
-                        begun_anew.push(function.name.clone());
+                        restarted.push(function.name.clone());
                     }
                 }
                 None if mine => {
                     event!(function_owner_changed, "{}", function.name);
-                    let mut scheduler =
-                        FunctionScheduler::new(now, function.clone(), self.membership.number, &self.timing.allowances);
-                    scheduler.budget.set_earlier_owners(self.history.earlier_homes(now, &function.name));
+                    let mut scheduler = FunctionScheduler::new(
+                        now,
+                        function.clone(),
+                        self.membership.number,
+                        &self.settings.allowances,
+                    );
+                    scheduler.budget.set_earlier_owners(self.history.earlier_owners_of(now, &function.name));
                     self.schedulers.insert(function.name.clone(), scheduler);
-                    self.take_standby_copy(&function.name);
-                    begun_anew.push(function.name.clone());
+                    self.adopt_standby_copy(&function.name);
+                    restarted.push(function.name.clone());
                 }
                 None => {}
             }
         }
         // What the store listed before another owner was owner is outdated.
         self.store_requests.retain(|_, request_id| {
-            request_id.kind != StoreOperation::Deferred || !begun_anew.contains(&request_id.function)
+            request_id.kind != StoreOperation::ReadDeferred || !restarted.contains(&request_id.function)
         });
         let names: Vec<String> = self.schedulers.keys().cloned().collect();
         for name in names {
@@ -64,7 +68,7 @@
                     scheduler.leaving = Some((next, now));
                     let queued: Vec<u64> = scheduler.queued.drain(..).collect();
                     queued.into_iter().for_each(|number| self.send_back(number));
-                    self.hand_over(&name);
+                    self.send_handover(&name);
                 }
                 None if !bound => {
                     let queued: Vec<u64> = scheduler.queued.iter().copied().collect();
@@ -78,7 +82,7 @@
     }
 
     /// A function that the route table before did not have had no owner: nothing is to be waited for.
-    pub(crate) fn open_new(&mut self, before: Option<Rc<RouteTable>>) {
+    pub(crate) fn skip_adoption_of_new_functions(&mut self, before: Option<Rc<RouteTable>>) {
         let Some(before) = before else { return };
         for (name, scheduler) in &mut self.schedulers {
             if scheduler.adopting == Some((self.now, false)) && before.function(name).is_none() {
@@ -88,12 +92,12 @@
     }
 
     fn drop_moved_deferred(&mut self) {
-        self.drop_deferred(|owner, function| !owner.is_home(function));
+        self.drop_queued_deferred(|owner, function| !owner.is_owner(function));
     }
 
     /// Stored tasks held here and not being run: whoever is the owner finds them in the chain.
-    pub(crate) fn drop_deferred(&mut self, which: impl Fn(&FunctionOwner, &str) -> bool) {
-        let queued = |task: &OwnedRequest| task.stored.is_some() && task.place == Place::Queued;
+    pub(crate) fn drop_queued_deferred(&mut self, which: impl Fn(&FunctionOwner, &str) -> bool) {
+        let queued = |task: &OwnedRequest| task.stored_id.is_some() && task.state == RequestState::Queued;
         let dropped: Vec<u64> = self
             .tasks
             .iter()
@@ -106,12 +110,12 @@
         }
     }
 
-    fn hand_over(&mut self, name: &str) {
+    fn send_handover(&mut self, name: &str) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
         let Some((next, _)) = scheduler.leaving else { return };
         scheduler.leaving = Some((next, now));
-        if let Some(table) = self.table_of(name, false) {
+        if let Some(table) = self.ownership_table(name, false) {
             self.outs.push(OwnerOutput::Forward { to: next, message: ForwardMessage::Table { table } });
         }
     }
@@ -125,28 +129,29 @@
                 continue;
             }
             if let Some((since, listed)) = scheduler.adopting
-                && ((listed && now > since + FOREIGN_ON_CRASH / 2) || now > since + self.timing.adopt)
+                && ((listed && now > since + FOREIGN_TIME_AFTER_CRASH / 2)
+                    || now > since + self.settings.adoption_timeout)
             {
                 scheduler.adopting = None;
-                scheduler.unproven.begin_caution(now);
+                scheduler.rejection_limit.begin_caution(now);
                 scheduler.budget.extend_caution(now);
-                scheduler.budget.set_earlier_owners(self.history.earlier_homes(now, name));
+                scheduler.budget.set_earlier_owners(self.history.earlier_owners_of(now, name));
                 for instance in scheduler.instances.values_mut() {
                     instance.concurrency_limit = (scheduler.function.instance_limit / 2).max(1);
                     instance.limit_changed_at = now;
                     instance.foreign_requests = 1;
-                    instance.foreign_until = now + FOREIGN_ON_CRASH / 2;
+                    instance.foreign_until = now + FOREIGN_TIME_AFTER_CRASH / 2;
                 }
             }
         }
         let due: Vec<String> = self
             .schedulers
             .iter()
-            .filter(|(_, scheduler)| scheduler.leaving.is_some_and(|(_, at)| now >= at + REPEAT))
+            .filter(|(_, scheduler)| scheduler.leaving.is_some_and(|(_, at)| now >= at + HANDOVER_INTERVAL))
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
-            self.hand_over(&name);
+            self.send_handover(&name);
             let done = self
                 .schedulers
                 .get(&name)
--- a/crates/traffic/src/instance.rs
+++ b/crates/traffic/src/instance.rs
@@ -81,7 +81,7 @@
     /// Number of orders without a reply.
     pub resends: u32,
     /// Number of workers that had no room.
-    pub hops: u32,
+    pub workers_tried: u32,
     /// Earliest time of the next order.
     pub retry_at: Duration,
 }
@@ -151,7 +151,11 @@
 
     /// Creates an instance whose start is only being ordered, with nothing known about it but the nonce.
     pub fn pending(now: Duration) -> Instance {
-        Instance { pending: Some(PendingStart::handed(now)), proven_concurrency: u32::MAX, ..Instance::new(now, "") }
+        Instance {
+            pending: Some(PendingStart::handed_over(now)),
+            proven_concurrency: u32::MAX,
+            ..Instance::new(now, "")
+        }
     }
 
     /// Applies an event.
--- a/crates/traffic/src/inventory_records.rs
+++ b/crates/traffic/src/inventory_records.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use wire::{InstanceRecord, InventoryChange, Text, WorkerRecord};
 
-pub(crate) fn record(line: &InstanceLine) -> InstanceRecord {
+pub(crate) fn instance_record(line: &InstanceLine) -> InstanceRecord {
     InstanceRecord {
         id: line.id.as_str().into(),
         function: line.service.as_str().into(),
@@ -19,7 +19,7 @@
     }
 }
 
-pub(crate) fn from_record(record: &InstanceRecord) -> InstanceLine {
+pub(crate) fn from_instance_record(record: &InstanceRecord) -> InstanceLine {
     InstanceLine {
         id: record.id.as_str().to_owned(),
         service: record.function.as_str().to_owned(),
@@ -51,7 +51,7 @@
     after.iter().filter(|(key, line)| before.get(*key) != Some(line)).map(|(_, line)| line)
 }
 
-pub(crate) fn gone<T>(before: &BTreeMap<String, T>, after: &BTreeMap<String, T>) -> Vec<Text> {
+pub(crate) fn removed<T>(before: &BTreeMap<String, T>, after: &BTreeMap<String, T>) -> Vec<Text> {
     before.keys().filter(|key| !after.contains_key(*key)).map(|key| key.as_str().into()).collect()
 }
 
@@ -60,6 +60,6 @@
     before: &BTreeMap<String, InstanceLine>,
     after: &BTreeMap<String, InstanceLine>,
 ) -> InventoryChange {
-    let instances: Vec<InstanceRecord> = changed(before, after).map(record).collect();
-    InventoryChange { instances: instances.into(), gone: gone(before, after).into(), ..InventoryChange::default() }
+    let instances: Vec<InstanceRecord> = changed(before, after).map(instance_record).collect();
+    InventoryChange { instances: instances.into(), gone: removed(before, after).into(), ..InventoryChange::default() }
 }
--- a/crates/traffic/src/keyed_operations.rs
+++ b/crates/traffic/src/keyed_operations.rs
@@ -13,7 +13,7 @@
 
 /// What a request meets under its key.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum JoinResult {
     /// Nothing: the request leads the operation from now on.
     Leads,
     /// The operation is under way, and the request waits for it.
@@ -56,22 +56,22 @@
 
 impl KeyedOperations {
     /// A request comes under its key. One that waits is told by [`KeyedOperations::end`] of its leader.
-    pub fn meet(&mut self, now: Duration, scope: &str, digest: &[u8], number: u64) -> Known {
+    pub fn join(&mut self, now: Duration, scope: &str, digest: &[u8], number: u64) -> JoinResult {
         self.expire(now);
         let Some(operation) = self.operations.get_mut(scope) else {
             let state = OperationState::Running { leader: number, waiting: Vec::new() };
             self.operations.insert(scope.to_owned(), Operation { digest: digest.to_vec(), state });
-            return Known::Leads;
+            return JoinResult::Leads;
         };
         let same = operation.digest == digest;
         match &mut operation.state {
             OperationState::Running { waiting, .. } if same => {
                 waiting.push(number);
-                Known::Waits
+                JoinResult::Waits
             }
-            OperationState::Running { .. } => Known::Contested,
-            OperationState::Answered { answer } if same => Known::Answered(answer.clone()),
-            OperationState::Answered { .. } => Known::OtherRequest,
+            OperationState::Running { .. } => JoinResult::Contested,
+            OperationState::Answered { answer } if same => JoinResult::Answered(answer.clone()),
+            OperationState::Answered { .. } => JoinResult::OtherRequest,
         }
     }
 
--- a/crates/traffic/src/keyed_operations_tests.rs
+++ b/crates/traffic/src/keyed_operations_tests.rs
@@ -1,6 +1,6 @@
 //! Who leads, who waits, what is kept and for how long.
 
-use super::{KeyedOperations, Known, MAX_ANSWER_BYTES};
+use super::{JoinResult, KeyedOperations, MAX_ANSWER_BYTES};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,28 +17,28 @@
 #[test]
 fn a_repeat_waits_for_the_first_and_later_ones_get_its_answer_until_the_window_is_over() {
     let mut operations = KeyedOperations::default();
-    assert_eq!(operations.meet(at(0), "a", b"1", 1), Known::Leads);
-    assert_eq!(operations.meet(at(0), "a", b"1", 2), Known::Waits);
-    assert_eq!(operations.meet(at(0), "a", b"2", 3), Known::Contested);
+    assert_eq!(operations.join(at(0), "a", b"1", 1), JoinResult::Leads);
+    assert_eq!(operations.join(at(0), "a", b"1", 2), JoinResult::Waits);
+    assert_eq!(operations.join(at(0), "a", b"2", 3), JoinResult::Contested);
     assert_eq!(operations.running(), 1);
     assert!(operations.end("a", 3, None).is_empty(), "it leads nothing");
     assert_eq!(operations.end("a", 1, Some((answer(b"x"), at(60)))), [2]);
     assert_eq!((operations.running(), operations.answers()), (0, 1));
-    assert_eq!(operations.meet(at(59), "a", b"1", 4), Known::Answered(answer(b"x")));
-    assert_eq!(operations.meet(at(59), "a", b"2", 5), Known::OtherRequest);
-    assert_eq!(operations.meet(at(60), "a", b"1", 6), Known::Leads);
+    assert_eq!(operations.join(at(59), "a", b"1", 4), JoinResult::Answered(answer(b"x")));
+    assert_eq!(operations.join(at(59), "a", b"2", 5), JoinResult::OtherRequest);
+    assert_eq!(operations.join(at(60), "a", b"1", 6), JoinResult::Leads);
     assert_eq!((operations.answers(), operations.answer_bytes()), (0, 0));
 }
 
 #[test]
 fn one_that_ends_without_an_answer_frees_its_key_here_and_names_who_waited() {
     let mut operations = KeyedOperations::default();
-    operations.meet(at(0), "a", b"1", 1);
-    operations.meet(at(0), "a", b"1", 2);
-    operations.meet(at(0), "a", b"1", 3);
+    operations.join(at(0), "a", b"1", 1);
+    operations.join(at(0), "a", b"1", 2);
+    operations.join(at(0), "a", b"1", 3);
     assert!(operations.end("a", 2, None).is_empty(), "it waited no longer");
     assert_eq!(operations.end("a", 1, None), [3]);
-    assert_eq!(operations.meet(at(1), "a", b"1", 4), Known::Leads);
+    assert_eq!(operations.join(at(1), "a", b"1", 4), JoinResult::Leads);
 }
 
 #[test]
@@ -47,13 +47,13 @@
     let body = vec![7; 64 * 1024];
     for number in 0..300 {
         let scope = format!("k{number}");
-        operations.meet(at(0), &scope, b"1", number);
+        operations.join(at(0), &scope, b"1", number);
         operations.end(&scope, number, Some((answer(&body), at(60))));
         assert!(operations.answer_bytes() <= MAX_ANSWER_BYTES);
     }
     assert!(operations.answers() > 100);
-    assert_eq!(operations.meet(at(1), "k299", b"1", 999), Known::Answered(answer(&body)));
-    assert_eq!(operations.meet(at(1), "k0", b"1", 1000), Known::Leads, "the registries know it");
+    assert_eq!(operations.join(at(1), "k299", b"1", 999), JoinResult::Answered(answer(&body)));
+    assert_eq!(operations.join(at(1), "k0", b"1", 1000), JoinResult::Leads, "the registries know it");
 }
 
 proptest! {
@@ -70,13 +70,13 @@
             match step {
                 0 | 1 => {
                     number += 1;
-                    match operations.meet(at(now), &scope, b"1", number) {
-                        Known::Leads => prop_assert!(leads.insert(key, number).is_none()),
-                        Known::Waits => {
+                    match operations.join(at(now), &scope, b"1", number) {
+                        JoinResult::Leads => prop_assert!(leads.insert(key, number).is_none()),
+                        JoinResult::Waits => {
                             prop_assert!(leads.contains_key(&key));
                             waits.entry(key).or_default().insert(number);
                         }
-                        known => prop_assert_eq!(known, Known::Answered(answer(scope.as_bytes()))),
+                        known => prop_assert_eq!(known, JoinResult::Answered(answer(scope.as_bytes()))),
                     }
                 }
                 _ => {
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -102,7 +102,11 @@
 impl FunctionScheduler {
     /// Returns the expected answer time.
     pub fn expected_answer_time(&self) -> Duration {
-        if self.usual.time.is_zero() { self.mean_answer_time() } else { self.usual.time.min(self.mean_answer_time()) }
+        if self.typical_answer_time.time.is_zero() {
+            self.mean_answer_time()
+        } else {
+            self.typical_answer_time.time.min(self.mean_answer_time())
+        }
     }
 
     /// Returns the number of instances that the current load needs.
@@ -112,7 +116,11 @@
             rate: self.load.rate(now),
             queued: self.queued.len() as u32,
             in_flight: self.in_flight,
-            usual: if self.usual.time.is_zero() { self.mean_answer_time() } else { self.usual.time },
+            usual: if self.typical_answer_time.time.is_zero() {
+                self.mean_answer_time()
+            } else {
+                self.typical_answer_time.time
+            },
             capacity: self.capacity(),
             instance_limit: self.function.instance_limit,
             ready: self.count(Phase::Ready),
--- a/crates/traffic/src/owner_answers.rs
+++ b/crates/traffic/src/owner_answers.rs
@@ -18,21 +18,21 @@
         let answer = StoredAnswer { outcome, status, head: head.into(), body: body.into() };
         self.end_operation(number, Some(&answer), retry_after);
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        if task.caller {
+        if task.is_caller_waiting {
             if outcome == Outcome::NotRun {
                 self.counters.refusals += 1;
                 if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
-                    scheduler.seen.refused += 1;
+                    scheduler.measurement.refused += 1;
                 }
             }
             let (to, id) = (task.id.from, task.id.task);
-            task.caller = false;
+            task.is_caller_waiting = false;
             let retry_after_ms = retry_after.as_millis() as u32;
             let StoredAnswer { head, body, .. } = answer;
             let message = ForwardMessage::Answer { task: id, outcome, status, retry_after_ms, head, body };
             self.outs.push(crate::owner_types::OwnerOutput::Forward { to, message });
         }
-        let lives_on = task.stored.is_some() && outcome == Outcome::Accepted;
+        let lives_on = task.stored_id.is_some() && outcome == Outcome::Accepted;
         if !lives_on {
             self.forget(number);
         }
--- a/crates/traffic/src/owner_liveness.rs
+++ b/crates/traffic/src/owner_liveness.rs
@@ -9,13 +9,13 @@
 
 /// An owner not heard for so long after a forward is forwarded nothing more, so that only what it had before
 /// is in doubt.
-const QUIET: Duration = Duration::from_millis(350);
+const MAX_SILENCE: Duration = Duration::from_millis(350);
 const HEARTBEAT_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Watched {
+pub(crate) struct OwnerWatch {
     /// When it was first forwarded something since it was last heard.
-    unheard: Option<Duration>,
+    unheard_since: Option<Duration>,
     requested_at: Option<Duration>,
 }
 
@@ -34,8 +34,8 @@
         }
         let (now, linked) = (self.now, self.linked.contains(&owner));
         let watched = self.watched.entry(owner).or_default();
-        if linked && watched.unheard.is_none_or(|at| now <= at + QUIET) {
-            watched.unheard.get_or_insert(now);
+        if linked && watched.unheard_since.is_none_or(|at| now <= at + MAX_SILENCE) {
+            watched.unheard_since.get_or_insert(now);
             return true;
         }
         if watched.requested_at.is_none_or(|at| now >= at + HEARTBEAT_REQUEST_INTERVAL) {
@@ -47,7 +47,7 @@
 
     /// From when on an owner that is silent now was not heard.
     pub(crate) fn silent_since(&self, owner: NodeId) -> Option<Duration> {
-        self.watched.get(&owner)?.unheard.filter(|at| self.now > *at + QUIET)
+        self.watched.get(&owner)?.unheard_since.filter(|at| self.now > *at + MAX_SILENCE)
     }
 
     /// The link a first task waited for is up.
--- a/crates/traffic/src/owner_types.rs
+++ b/crates/traffic/src/owner_types.rs
@@ -18,14 +18,14 @@
 pub enum OwnerInput {
     Forward { from: NodeId, message: ForwardMessage },
     Dispatched { number: u64, outcome: DispatchOutcome },
-    StoreOperation { message: LeaseMessage },
-    Platform { report: ProviderReport, listed_at: Duration },
+    StoreReply { message: LeaseMessage },
+    ProviderReport { report: ProviderReport, listed_at: Duration },
     Probed { id: String, ready: bool },
     Plan { message: PlanMessage },
     RouteTable { routes: Rc<RouteTable> },
     Membership { membership: Rc<Membership> },
-    Core { near: bool },
-    Lapsed,
+    RegistriesReachable { reachable: bool },
+    LeaseLapsed,
     Tick,
 }
 
@@ -44,7 +44,7 @@
         prefix: String,
     },
     Dispatch(DispatchOrder),
-    Supply(ProviderOrder),
+    ProviderOrder(ProviderOrder),
     /// Connect, from `after` on and for no longer than `limit`; `Probed` tells whether the instance took it.
     Probe {
         id: String,
@@ -53,7 +53,7 @@
         limit: Duration,
     },
     /// Nothing more goes to this instance.
-    Forget {
+    ForgetInstance {
         id: String,
     },
     PlanRequest {
@@ -62,58 +62,58 @@
     Samples {
         lines: Vec<DemandSample>,
     },
-    Measures {
+    Measurements {
         lines: Vec<Measurement>,
     },
 }
 
 #[derive(Clone, Debug)]
-pub struct OwnerTiming {
-    pub margin: Duration,
-    pub resend: Duration,
+pub struct OwnerSettings {
+    pub deadline_margin: Duration,
+    pub resend_interval: Duration,
     /// How long an operation under a key is kept, at least.
     pub key_window: Duration,
     /// The longest answer under a key that the registries record, in bytes of head and body.
     pub recorded_answer_bytes: usize,
     /// Whether the registries understand claims that say how long their key is kept.
     pub claims_for_ticks: bool,
-    pub adopt: Duration,
-    pub sample: Duration,
+    pub adoption_timeout: Duration,
+    pub sample_interval: Duration,
     /// How often the provider's list is read for all owners.
-    pub list_every: Duration,
-    pub overlay: Duration,
+    pub list_interval: Duration,
+    pub recent_order_ttl: Duration,
     pub start_expiry: Duration,
-    pub deferred_read: Duration,
-    pub deferred_limit: Duration,
-    pub function_inbox: usize,
+    pub deferred_read_interval: Duration,
+    pub deferred_attempt_timeout: Duration,
+    pub max_queue_length: usize,
     pub starts_per_second: f64,
     /// What one start costs, in gigabytes of memory kept for a second.
     pub start_gb_seconds: f64,
     /// Zones whose loss is to be borne at once.
-    pub zone_losses: u32,
+    pub tolerated_zone_losses: u32,
     pub player: scaler::PlayerTiming,
     pub allowances: Allowances,
 }
 
-impl Default for OwnerTiming {
+impl Default for OwnerSettings {
     fn default() -> Self {
-        OwnerTiming {
-            margin: Duration::from_millis(60),
-            resend: Duration::from_millis(700),
+        OwnerSettings {
+            deadline_margin: Duration::from_millis(60),
+            resend_interval: Duration::from_millis(700),
             key_window: Duration::from_secs(1800),
             recorded_answer_bytes: usize::MAX,
             claims_for_ticks: true,
-            adopt: Duration::from_millis(1500),
-            sample: Duration::from_secs(15),
-            list_every: Duration::from_secs(1),
-            overlay: Duration::from_secs(30),
+            adoption_timeout: Duration::from_millis(1500),
+            sample_interval: Duration::from_secs(15),
+            list_interval: Duration::from_secs(1),
+            recent_order_ttl: Duration::from_secs(30),
             start_expiry: Duration::from_secs(10),
-            deferred_read: Duration::from_secs(10),
-            deferred_limit: Duration::from_secs(20),
-            function_inbox: 512,
+            deferred_read_interval: Duration::from_secs(10),
+            deferred_attempt_timeout: Duration::from_secs(20),
+            max_queue_length: 512,
             starts_per_second: 64.0,
             start_gb_seconds: 0.2,
-            zone_losses: 1,
+            tolerated_zone_losses: 1,
             player: scaler::PlayerTiming::default(),
             allowances: Allowances::default(),
         }
@@ -121,7 +121,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum RequestState {
     Claiming,
     Storing,
     Queued,
@@ -129,7 +129,7 @@
         number: u64,
     },
     /// Another request runs its operation, whose answer it waits for.
-    Following {
+    AwaitingLeader {
         until: Duration,
     },
     Releasing,
@@ -169,18 +169,18 @@
     pub binding: String,
     pub class: Class,
     pub arrived: Duration,
-    pub due: Duration,
+    pub deadline: Duration,
     pub aim: Option<Duration>,
     pub not_before: Duration,
-    pub place: Place,
+    pub state: RequestState,
     pub scope: String,
     pub digest: Vec<u8>,
     pub head: Vec<u8>,
     pub body: Vec<u8>,
-    pub claim: u64,
-    pub stored: Option<String>,
+    pub claim_request_id: u64,
+    pub stored_id: Option<String>,
     pub respond_async: bool,
-    pub caller: bool,
+    pub is_caller_waiting: bool,
     pub dispatches: u32,
     /// The most instances it may be sent to.
     pub attempts: u32,
@@ -189,19 +189,19 @@
     /// Of the last attempt, while another is asked for.
     pub failure: Option<Failure>,
     /// The instance it was last sent to, which others go before.
-    pub avoid: String,
+    pub last_instance: String,
     /// It has run, or may have.
-    pub reached: bool,
+    pub may_have_run: bool,
     /// Lower goes first.
     pub rank: u32,
     /// It came with less time than its binding gives: a call of a running task, or a caller's further try.
-    pub inherits: bool,
+    pub has_shortened_deadline: bool,
 }
 
 impl OwnedRequest {
     /// Neither sent from here nor counted among retries when it came.
-    pub fn is_first(&self) -> bool {
-        self.dispatches == 0 && !(self.class == Class::Ordinary && self.reached)
+    pub fn is_first_attempt(&self) -> bool {
+        self.dispatches == 0 && !(self.class == Class::Ordinary && self.may_have_run)
     }
 }
 
@@ -212,7 +212,7 @@
     Release,
     Store,
     Finish,
-    Deferred,
+    ReadDeferred,
 }
 
 pub struct StoreRequest {
--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 /// How far the list of workers may be behind.
-const LAG: Duration = Duration::from_millis(1000);
+const MAX_LIST_LAG: Duration = Duration::from_millis(1000);
 /// A worker that turned a start away is not asked again for so long.
-const FULL: Duration = Duration::from_millis(500);
+const FULL_WORKER_PAUSE: Duration = Duration::from_millis(500);
 /// So long after its beginning an owner waits for a first list before it leaves the choice to the provider.
-const FIRST: Duration = Duration::from_secs(2);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Placed {
+pub(crate) enum Placement {
     On(Option<String>),
     Wait,
     Full,
@@ -35,9 +35,9 @@
         Workers { spread_over_zones, lines: None, ordered: Vec::new(), full: BTreeMap::new() }
     }
 
-    pub fn take(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
-        self.ordered.retain(|(_, _, at)| *at + LAG > requested);
-        self.full.retain(|_, at| *at + LAG > requested);
+    pub fn update(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
+        self.ordered.retain(|(_, _, at)| *at + MAX_LIST_LAG > requested);
+        self.full.retain(|_, at| *at + MAX_LIST_LAG > requested);
         self.lines = Some(lines);
     }
 
@@ -50,12 +50,12 @@
         Some(line.zone.as_str())
     }
 
-    pub fn ordered(&mut self, now: Duration, worker: &str, memory_mb: u32) {
+    pub fn record_order(&mut self, now: Duration, worker: &str, memory_mb: u32) {
         self.ordered.push((worker.to_owned(), memory_mb, now));
     }
 
     /// The worker had no room for it: what was taken off for it is given back.
-    pub fn turned_away(&mut self, now: Duration, worker: &str, memory_mb: u32) {
+    pub fn record_refusal(&mut self, now: Duration, worker: &str, memory_mb: u32) {
         self.full.insert(worker.to_owned(), now);
         let of_it = |(name, mb, _): &(String, u32, Duration)| name == worker && *mb == memory_mb;
         if let Some(place) = self.ordered.iter().rposition(of_it) {
@@ -63,7 +63,7 @@
         }
     }
 
-    fn free(&self, line: &WorkerLine) -> u32 {
+    fn free_memory_mb(&self, line: &WorkerLine) -> u32 {
         let own = self.ordered.iter().filter(|(name, ..)| *name == line.name).map(|(_, mb, _)| mb).sum::<u32>();
         line.free_mb.saturating_sub(own)
     }
@@ -81,23 +81,25 @@
         memory_mb: u32,
         zone: &str,
         others: &[(String, String)],
-    ) -> Placed {
+    ) -> Placement {
         let Some(lines) = &self.lines else {
-            return if now < FIRST { Placed::Wait } else { Placed::On(None) };
+            return if now < FIRST_LIST_TIMEOUT { Placement::Wait } else { Placement::On(None) };
+        };
+        let open = |line: &&WorkerLine| {
+            line.ready && self.full.get(&line.name).is_none_or(|at| now >= *at + FULL_WORKER_PAUSE)
         };
-        let open = |line: &&WorkerLine| line.ready && self.full.get(&line.name).is_none_or(|at| now >= *at + FULL);
         let rank = |line: &&WorkerLine| {
-            let in_zone = match self.spread_over_zones {
+            let instances_in_zone = match self.spread_over_zones {
                 true => others.iter().filter(|(_, zone)| *zone == line.zone).count(),
                 false => usize::from(line.zone != zone),
             };
-            let on_it = others.iter().filter(|(worker, _)| *worker == line.name).count();
-            let whole = self.free(line) / memory_mb.max(1) / 4;
+            let instances_on_worker = others.iter().filter(|(worker, _)| *worker == line.name).count();
+            let room_in_fours = self.free_memory_mb(line) / memory_mb.max(1) / 4;
             let spread = leases::mix(&[function.as_bytes(), line.name.as_bytes()]);
-            (in_zone, on_it, line.zone != zone, std::cmp::Reverse(whole), spread)
+            (instances_in_zone, instances_on_worker, line.zone != zone, std::cmp::Reverse(room_in_fours), spread)
         };
-        let fits = lines.iter().filter(open).filter(|line| self.free(line) >= memory_mb).min_by_key(rank);
-        let selected = fits.or_else(|| lines.iter().filter(open).max_by_key(|line| self.free(line)));
-        selected.map_or(Placed::Full, |line| Placed::On(Some(line.name.clone())))
+        let fits = lines.iter().filter(open).filter(|line| self.free_memory_mb(line) >= memory_mb).min_by_key(rank);
+        let selected = fits.or_else(|| lines.iter().filter(open).max_by_key(|line| self.free_memory_mb(line)));
+        selected.map_or(Placement::Full, |line| Placement::On(Some(line.name.clone())))
     }
 }
--- a/crates/traffic/src/preemption.rs
+++ b/crates/traffic/src/preemption.rs
@@ -41,14 +41,14 @@
     /// Returns the number of instances of each tenant, by the platform's latest list.
     fn instances_per_tenant(&self) -> BTreeMap<&str, u32> {
         let mut counts = BTreeMap::new();
-        for (name, count) in &self.listed {
+        for (name, count) in &self.listed_counts {
             *counts.entry(tenant_of(name)).or_default() += count;
         }
         counts
     }
 
     fn has_listed_instances(&self, function: &str) -> bool {
-        self.listed.get(function).is_some_and(|count| *count > 0)
+        self.listed_counts.get(function).is_some_and(|count| *count > 0)
     }
 
     /// Returns an instance, busy or not, of the largest function of the tenant with most instances. Requires that this
@@ -60,7 +60,7 @@
         if self.has_listed_instances(asking) || asking_count + 1 >= *largest_count {
             return None;
         }
-        let functions = self.listed.iter().filter(|(name, _)| tenant_of(name) == *largest_tenant);
+        let functions = self.listed_counts.iter().filter(|(name, _)| tenant_of(name) == *largest_tenant);
         let (name, _) = functions.max_by_key(|(name, count)| (**count, *name))?;
         let scheduler = self
             .schedulers
@@ -74,7 +74,7 @@
     pub(crate) fn handle_preemption(&mut self, asking: &str) {
         let now = self.now;
         if !self.has_listed_instances(asking) {
-            self.no_growth = now + GROWTH_PAUSE;
+            self.no_growth_until = now + GROWTH_PAUSE;
         }
         if now < self.last_preemption_at + PREEMPTION_INTERVAL {
             return;
@@ -104,8 +104,8 @@
         let Some((name, id)) = selected.or_else(|| self.find_busy_instance(asking)) else { return };
         self.last_preemption_at = now;
         if let Some(scheduler) = self.schedulers.get_mut(&name) {
-            scheduler.backs_off = now + PREEMPTION_COOLDOWN;
-            scheduler.refused_until = now + if scheduler.queued.is_empty() { GROWTH_PAUSE } else { RESTART_PAUSE };
+            scheduler.preempted_until = now + PREEMPTION_COOLDOWN;
+            scheduler.no_starts_until = now + if scheduler.queued.is_empty() { GROWTH_PAUSE } else { RESTART_PAUSE };
             if let Some(instance) = scheduler.instances.get_mut(&id) {
                 instance.apply(InstanceEvent::Drain);
             }
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -12,36 +12,36 @@
 use std::time::Duration;
 
 const UNBOUND_INSTANCE_TTL: Duration = Duration::from_secs(15);
-const LIMITED: Duration = Duration::from_millis(300);
-const UNANSWERED: Duration = Duration::from_millis(800);
+const RATE_LIMITED_PAUSE: Duration = Duration::from_millis(300);
+const UNANSWERED_PAUSE: Duration = Duration::from_millis(800);
 /// A worker's crash is believed of a start ordered so long before the list of workers was read.
-const CRASH_REPORT_DELAY: Duration = Duration::from_millis(1500);
-const REFUSED_AFTER: Duration = Duration::from_millis(150);
-const REFUSED_LIMIT: Duration = Duration::from_millis(1500);
+const MIN_CRASH_REPORT_AGE: Duration = Duration::from_millis(1500);
+const REFUSED_PROBE_DELAY: Duration = Duration::from_millis(150);
+const REFUSED_PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl FunctionOwner {
-    pub(crate) fn platform(&mut self, report: ProviderReport, listed_at: Duration) {
+    pub(crate) fn handle_provider_report(&mut self, report: ProviderReport, listed_at: Duration) {
         match report {
-            ProviderReport::Started { nonce, receipt } => self.started(&nonce, receipt),
+            ProviderReport::Started { nonce, receipt } => self.handle_start_reply(&nonce, receipt),
             ProviderReport::Stopped { id, receipt } => self.stop_reported(&id, receipt),
-            ProviderReport::Listed { listing, .. } => self.read(listing, listed_at),
-            ProviderReport::Workers { lines, .. } => self.workers_read(lines, listed_at),
+            ProviderReport::Listed { listing, .. } => self.handle_listing(listing, listed_at),
+            ProviderReport::Workers { lines, .. } => self.handle_worker_list(lines, listed_at),
             ProviderReport::ListError => event!(platform_call_failed, "list"),
             ProviderReport::WorkersError => event!(platform_call_failed, "workers"),
         }
     }
 
     /// A connection was made, or none for as long as it was worth trying; then the list tells.
-    pub(crate) fn probed(&mut self, id: &str, ready: bool) {
+    pub(crate) fn handle_probe_result(&mut self, id: &str, ready: bool) {
         let now = self.now;
-        if !ready || self.leaving.contains_key(id) || self.stopped.contains_key(id) {
+        if !ready || self.leaving_instances.contains_key(id) || self.stopped.contains_key(id) {
             return;
         }
         for scheduler in self.schedulers.values_mut() {
             let Some(instance) = scheduler.instances.get_mut(id) else { continue };
             match instance.phase() {
                 Phase::Starting => {
-                    scheduler.seen.record_boot(now.saturating_sub(instance.ordered_at));
+                    scheduler.measurement.record_boot(now.saturating_sub(instance.ordered_at));
                     instance.apply(InstanceEvent::Ready);
                 }
                 Phase::Gone if instance.lost_at.take().is_some() => instance.apply(InstanceEvent::Reconnected),
@@ -51,7 +51,7 @@
     }
 
     /// It refused a connection: nothing more goes there unless it takes one again soon.
-    pub(crate) fn lose(&mut self, name: &str, id: &str) {
+    pub(crate) fn mark_lost(&mut self, name: &str, id: &str) {
         let Some(instance) = self.schedulers.get_mut(name).and_then(|scheduler| scheduler.instances.get_mut(id)) else {
             return;
         };
@@ -61,7 +61,7 @@
         instance.apply(InstanceEvent::Lost);
         instance.lost_at = Some(self.now);
         let (id, address) = (id.to_owned(), instance.address.clone());
-        self.outs.push(OwnerOutput::Probe { id, address, after: REFUSED_AFTER, limit: REFUSED_LIMIT });
+        self.outs.push(OwnerOutput::Probe { id, address, after: REFUSED_PROBE_DELAY, limit: REFUSED_PROBE_TIMEOUT });
     }
 
     fn stop_reported(&mut self, id: &str, receipt: StopReply) {
@@ -71,20 +71,20 @@
             match receipt {
                 StopReply::Taken | StopReply::Unknown if instance.busy == 0 => drop(scheduler.instances.remove(id)),
                 StopReply::Taken | StopReply::Unknown => {}
-                StopReply::Limited => instance.retry_stop_at = now + LIMITED,
-                StopReply::Unanswered => instance.retry_stop_at = now + UNANSWERED,
+                StopReply::Limited => instance.retry_stop_at = now + RATE_LIMITED_PAUSE,
+                StopReply::Unanswered => instance.retry_stop_at = now + UNANSWERED_PAUSE,
             }
         }
     }
 
     /// What was starting on a worker that is down will not come.
-    pub(crate) fn workers_listed(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
-        self.workers.take(lines, requested);
+    pub(crate) fn apply_worker_list(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
+        self.workers.update(lines, requested);
         let workers = &self.workers;
         for scheduler in self.schedulers.values_mut().filter(|scheduler| !scheduler.instances.is_empty()) {
             scheduler.instances.retain(|_, instance| {
                 let starting = instance.phase() == Phase::Starting && instance.pending.is_none();
-                let told = requested > instance.ordered_at + CRASH_REPORT_DELAY;
+                let told = requested > instance.ordered_at + MIN_CRASH_REPORT_AGE;
                 let down = !instance.worker.is_empty() && !workers.knows(&instance.worker);
                 !starting || !told || !down
             });
@@ -92,27 +92,27 @@
     }
 
     /// What the list shows; `own` if this owner asked for it itself, at that moment for sure.
-    pub(crate) fn listed(&mut self, list: &BTreeMap<String, InstanceLine>, requested: Duration, own: bool) {
+    pub(crate) fn apply_listing(&mut self, list: &BTreeMap<String, InstanceLine>, requested: Duration, own: bool) {
         let now = self.now;
         let mut by_function: BTreeMap<&str, Vec<&InstanceLine>> = BTreeMap::new();
         let leaving = list.values().filter(|line| line.state == InstanceState::Leaving);
-        self.leaving.extend(leaving.map(|line| (line.id.clone(), now)));
+        self.leaving_instances.extend(leaving.map(|line| (line.id.clone(), now)));
         for line in list.values() {
             by_function.entry(&line.service).or_default().push(line);
         }
-        self.listed = by_function.iter().map(|(name, lines)| ((*name).to_owned(), lines.len() as u32)).collect();
-        let mut never_came = Vec::new();
+        self.listed_counts = by_function.iter().map(|(name, lines)| ((*name).to_owned(), lines.len() as u32)).collect();
+        let mut never_listed = Vec::new();
         for (name, scheduler) in &mut self.schedulers {
             let lines = by_function.remove(name.as_str()).unwrap_or_default();
-            let overlay = self.timing.start_expiry.max(probe_limit(scheduler.boot()));
+            let overlay = self.settings.start_expiry.max(probe_limit(scheduler.boot_time()));
             let known: BTreeMap<&str, &InstanceLine> = lines.iter().map(|line| (line.id.as_str(), *line)).collect();
             for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
                 match known.get(id.as_str()) {
                     Some(line) => {
-                        instance.take_line(line);
+                        instance.update_from_line(line);
                         match line.state {
                             InstanceState::Running
-                                if instance.stop_ordered_at.is_none() && !self.leaving.contains_key(id) =>
+                                if instance.stop_ordered_at.is_none() && !self.leaving_instances.contains_key(id) =>
                             {
                                 instance.apply(InstanceEvent::Ready)
                             }
@@ -123,7 +123,7 @@
                     None if instance.listed => instance.apply(InstanceEvent::Lost),
                     None if requested > instance.ordered_at + overlay => {
                         instance.apply(InstanceEvent::Lost);
-                        never_came.push(id.clone());
+                        never_listed.push(id.clone());
                     }
                     None => {}
                 }
@@ -132,10 +132,10 @@
             scheduler.instances.retain(|id, instance| !gone(instance) || known.contains_key(id.as_str()));
             if scheduler.leaving.is_none() {
                 for line in &lines {
-                    let ends = self.stopped.contains_key(&line.id) || self.leaving.contains_key(&line.id);
+                    let ends = self.stopped.contains_key(&line.id) || self.leaving_instances.contains_key(&line.id);
                     if !ends && !scheduler.instances.contains_key(&line.id) {
                         let mut instance = Instance::new(now, &line.address);
-                        instance.take_line(line);
+                        instance.update_from_line(line);
                         if line.state == InstanceState::Running {
                             instance.apply(InstanceEvent::Ready);
                         }
@@ -150,14 +150,14 @@
                 }
             }
         }
-        never_came.into_iter().for_each(|id| self.stop(id, "which never came"));
+        never_listed.into_iter().for_each(|id| self.stop(id, "which never came"));
         self.stop_orphans(by_function);
     }
 
     fn stop(&mut self, id: String, why: &str) {
         if self.stopped.insert(id.clone(), self.now).is_none() {
             event!(stop_ordered, "{id}, {why}");
-            self.outs.push(OwnerOutput::Supply(ProviderOrder::Stop { id, fence: self.membership.number }));
+            self.outs.push(OwnerOutput::ProviderOrder(ProviderOrder::Stop { id, fence: self.membership.number }));
         }
     }
 
@@ -165,16 +165,16 @@
     fn stop_orphans(&mut self, left: BTreeMap<&str, Vec<&InstanceLine>>) {
         let now = self.now;
         let Some(routes) = self.routes.clone() else { return };
-        let mine = |name: &str| routes.function(name).is_none() && self.is_home(name);
+        let mine = |name: &str| routes.function(name).is_none() && self.is_owner(name);
         let orphans: Vec<String> = left
             .into_iter()
             .filter(|(name, _)| mine(name))
             .flat_map(|(_, lines)| lines)
             .map(|line| line.id.clone())
             .collect();
-        self.unbound.retain(|id, _| orphans.contains(id));
+        self.unbound_since.retain(|id, _| orphans.contains(id));
         for id in orphans {
-            let since = *self.unbound.entry(id.clone()).or_insert(now);
+            let since = *self.unbound_since.entry(id.clone()).or_insert(now);
             if now > since + UNBOUND_INSTANCE_TTL {
                 self.stop(id, "of a function bound no longer");
             }
@@ -183,7 +183,7 @@
 }
 
 impl Instance {
-    fn take_line(&mut self, line: &InstanceLine) {
+    fn update_from_line(&mut self, line: &InstanceLine) {
         self.listed = true;
         if self.address.is_empty() {
             self.address = line.address.clone();
--- a/crates/traffic/src/retrying.rs
+++ b/crates/traffic/src/retrying.rs
@@ -2,7 +2,7 @@
 //! asks the front for another and keeps the failure as the answer in case none is granted in time.
 
 use crate::function_owner::FunctionOwner;
-use crate::owner_types::{Failure, OwnerOutput, Place, TaskId};
+use crate::owner_types::{Failure, OwnerOutput, RequestState, TaskId};
 use bindings::Class;
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome};
@@ -14,9 +14,9 @@
     /// Queues a request for another instance if its time, its attempts and the retry budget allow one. Otherwise
     /// answers with the failure.
     pub(crate) fn retry(&mut self, number: u64, may_have_run: bool, failure: Failure) {
-        let (now, margin) = (self.now, self.timing.margin);
+        let (now, margin) = (self.now, self.settings.deadline_margin);
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        task.reached |= may_have_run;
+        task.may_have_run |= may_have_run;
         task.failure = Some(failure);
         let is_owned = self.membership.owner(&task.function) == Some(self.me);
         let Some(scheduler) =
@@ -24,14 +24,14 @@
         else {
             return self.send_back(number);
         };
-        let is_late = now + margin + scheduler.least_time() > task.due;
+        let is_late = now + margin + scheduler.min_answer_time() > task.deadline;
         if is_late || task.dispatches >= task.attempts || !scheduler.budget.may_retry(now) {
             return self.answer_failure(number);
         }
         if task.dispatches < task.granted {
             return self.requeue(number);
         }
-        task.place = Place::AwaitingGrant { until: now + GRANT_TIMEOUT };
+        task.state = RequestState::AwaitingGrant { until: now + GRANT_TIMEOUT };
         let (to, attempts) = (task.id.from, task.dispatches + 1);
         let message = ForwardMessage::AttemptRequest { task: task.id.task, attempts };
         self.outs.push(OwnerOutput::Forward { to, message });
@@ -41,7 +41,7 @@
     pub(crate) fn handle_attempt_grant(&mut self, from: NodeId, task: u64, attempts: u32) {
         let id = TaskId { from, task };
         let is_awaiting = |task: &crate::owner_types::OwnedRequest| {
-            task.id == id && matches!(task.place, Place::AwaitingGrant { .. })
+            task.id == id && matches!(task.state, RequestState::AwaitingGrant { .. })
         };
         let Some((number, task)) = self.tasks.iter_mut().find(|(_, task)| is_awaiting(task)) else { return };
         let number = *number;
@@ -64,12 +64,12 @@
     /// Answers with the failure of the last attempt.
     pub(crate) fn answer_failure(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        let (class, reached) = (task.class, task.reached);
+        let (class, may_have_run) = (task.class, task.may_have_run);
         let failure = task.failure.take().unwrap_or_else(|| Failure::unknown(504));
         // That the last instance did not run the request does not show that earlier ones did not.
-        let failure = if failure.outcome == Outcome::NotRun && reached { Failure::unknown(504) } else { failure };
+        let failure = if failure.outcome == Outcome::NotRun && may_have_run { Failure::unknown(504) } else { failure };
         match class {
-            Class::Once if reached => self.record_unknown(number),
+            Class::Once if may_have_run => self.record_unknown(number),
             Class::Once => self.release(number),
             _ => {}
         }
@@ -80,8 +80,8 @@
     /// Answers requests whose grant did not arrive in time.
     pub(crate) fn expire_grants(&mut self) {
         let now = self.now;
-        let overdue = |place: &Place| matches!(place, Place::AwaitingGrant { until } if now >= *until);
-        let waiting = self.tasks.iter().filter(|(_, task)| overdue(&task.place));
+        let overdue = |state: &RequestState| matches!(state, RequestState::AwaitingGrant { until } if now >= *until);
+        let waiting = self.tasks.iter().filter(|(_, task)| overdue(&task.state));
         let waiting: Vec<u64> = waiting.map(|(number, _)| *number).collect();
         waiting.into_iter().for_each(|number| self.answer_failure(number));
     }
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scaling.rs
@@ -12,7 +12,7 @@
 use wire::{DemandSample, PlanMessage};
 
 const SCALE_INTERVAL: Duration = Duration::from_millis(100);
-const BURST: f64 = 8.0;
+const MAX_STARTS_LEFT: f64 = 8.0;
 const MAX_PLAN_REQUESTS_PER_PASS: usize = 8;
 const OBSERVATION_TTL: Duration = Duration::from_secs(90);
 const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(4);
@@ -28,19 +28,19 @@
         self.store_pass();
         self.deferred_pass();
         self.inventory_pass();
-        if self.now < self.scaled + SCALE_INTERVAL {
+        if self.now < self.scaled_at + SCALE_INTERVAL {
             return;
         }
-        let lasted = self.now.saturating_sub(self.refilled).as_secs_f64();
-        self.refilled = self.now;
-        self.scaled = self.now;
+        let elapsed = self.now.saturating_sub(self.starts_refilled_at).as_secs_f64();
+        self.starts_refilled_at = self.now;
+        self.scaled_at = self.now;
         let owners = self.inventory.owners().max(1) as f64;
-        self.starts_left = (self.starts_left + lasted * self.timing.starts_per_second / owners).min(BURST);
-        let overlay = self.timing.overlay;
+        self.starts_left = (self.starts_left + elapsed * self.settings.starts_per_second / owners).min(MAX_STARTS_LEFT);
+        let overlay = self.settings.recent_order_ttl;
         let now = self.now;
         self.stopped.retain(|_, at| now < *at + overlay);
-        self.leaving.retain(|_, at| now < *at + overlay);
-        self.seen.retain(|_, at| now < *at + OBSERVATION_TTL);
+        self.leaving_instances.retain(|_, at| now < *at + overlay);
+        self.seen_requests.retain(|_, at| now < *at + OBSERVATION_TTL);
         self.finished.retain(|_, at| now < *at + overlay * 2);
         if self.may_serve {
             self.scale_pass();
@@ -51,18 +51,18 @@
     fn scale_pass(&mut self) {
         let now = self.now;
         self.pending_pass();
-        let mut wanting: Vec<(bool, f64, u32, String)> = Vec::new();
-        let mut asks_left = MAX_PLAN_REQUESTS_PER_PASS;
-        for name in self.by_need() {
-            let request_id = self.number();
+        let mut growing: Vec<(bool, f64, u32, String)> = Vec::new();
+        let mut plan_requests_left = MAX_PLAN_REQUESTS_PER_PASS;
+        for name in self.functions_by_urgency() {
+            let request_id = self.next_number();
             let bound = self.routes.as_ref().is_some_and(|routes| routes.function(&name).is_some());
             let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
             if scheduler.leaving.is_some() || scheduler.adopting.is_some() {
                 continue;
             }
-            scheduler.grow_back(now);
+            scheduler.restore_limits(now);
             scheduler.load.update(now, scheduler.arrivals);
-            scheduler.usual.update(scheduler.mean_time);
+            scheduler.typical_answer_time.update(scheduler.smoothed_answer_time);
             let (ready, starting) = (scheduler.count(Phase::Ready), scheduler.count(Phase::Starting));
             let queued =
                 scheduler.queued.iter().filter(|n| self.tasks.get(n).is_some_and(|t| now >= t.not_before)).count()
@@ -76,19 +76,19 @@
                 min: scheduler.function.min,
                 max: scheduler.function.max,
                 fixed: scheduler.function.fixed,
-                may_ask: asks_left > 0,
+                may_ask: plan_requests_left > 0,
                 live: scheduler.instances_for_load(now),
             };
             let before = scheduler.player.fallbacks;
-            let decision = scheduler.player.step(now, request_id, situation, &self.timing.player);
+            let decision = scheduler.player.step(now, request_id, situation, &self.settings.player);
             if scheduler.player.fallbacks > before {
                 event!(plan_fallback, "{name}");
             }
             let is_idle = queued == 0 && scheduler.in_flight == 0 && scheduler.function.fixed.is_none();
-            let sleeps = is_idle && !scheduler.is_kept_idle(now, self.timing.start_gb_seconds);
+            let sleeps = is_idle && !scheduler.is_kept_idle(now, self.settings.start_gb_seconds);
             let desired = if sleeps { decision.desired.min(scheduler.function.min) } else { decision.desired };
             scheduler.desired = if bound { desired } else { 0 };
-            asks_left -= usize::from(decision.wants_plan);
+            plan_requests_left -= usize::from(decision.wants_plan);
             if decision.wants_plan && bound {
                 let message = PlanMessage::Request {
                     request_id,
@@ -102,19 +102,19 @@
             }
             let count = ready + starting;
             let kept = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot);
-            let willing = now >= scheduler.refused_until && (queued > 0 || now >= scheduler.backs_off);
-            let may_grow = count == 0 || now >= self.no_growth;
+            let willing = now >= scheduler.no_starts_until && (queued > 0 || now >= scheduler.preempted_until);
+            let may_grow = count == 0 || now >= self.no_growth_until;
             if scheduler.desired > count && willing && may_grow {
                 let waking = queued > 0 && count == 0;
-                let more = if now < self.no_growth { 1 } else { scheduler.desired - count };
-                wanting.push((waking, scheduler.function.player_weight, more, name));
+                let more = if now < self.no_growth_until { 1 } else { scheduler.desired - count };
+                growing.push((waking, scheduler.function.player_weight, more, name));
             } else if kept < count {
                 self.drain(&name, count - kept);
             }
         }
         self.stop_drained();
-        wanting.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)).then(a.2.cmp(&b.2)).then(a.3.cmp(&b.3)));
-        for (_, _, count, name) in wanting {
+        growing.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)).then(a.2.cmp(&b.2)).then(a.3.cmp(&b.3)));
+        for (_, _, count, name) in growing {
             for _ in 0..count {
                 if self.starts_left < 1.0 {
                     return;
@@ -125,12 +125,12 @@
                 self.starts_left -= 1.0;
             }
         }
-        let oldest = self.next.saturating_sub(100_000);
+        let oldest = self.last_number.saturating_sub(100_000);
         self.plan_requests.retain(|request_id, _| *request_id > oldest);
     }
 
     /// Functions that are awake, those whose callers wait first.
-    fn by_need(&self) -> Vec<String> {
+    fn functions_by_urgency(&self) -> Vec<String> {
         let awake = self.schedulers.iter().filter(|(_, scheduler)| scheduler.is_awake());
         let (waited, others): (Vec<_>, Vec<_>) = awake.partition(|(_, scheduler)| !scheduler.queued.is_empty());
         waited.into_iter().chain(others).map(|(name, _)| name.clone()).collect()
@@ -170,7 +170,7 @@
                     instance.retry_stop_at = now + STOP_RETRY_INTERVAL;
                     self.stopped.insert(id.clone(), now);
                     event!(stop_ordered, "{id}");
-                    self.outs.push(OwnerOutput::Supply(ProviderOrder::Stop { id: id.clone(), fence }));
+                    self.outs.push(OwnerOutput::ProviderOrder(ProviderOrder::Stop { id: id.clone(), fence }));
                 }
             }
         }
@@ -181,20 +181,20 @@
         self.close_empty_queues();
         for scheduler in self.schedulers.values_mut().filter(|scheduler| scheduler.is_awake()) {
             let queued = scheduler.queued.len() as f64;
-            scheduler.looks += 1;
+            scheduler.observations += 1;
             let slots = f64::from(scheduler.count(Phase::Ready) * scheduler.function.instance_limit);
-            scheduler.seen.usage_sum += f64::from(scheduler.in_flight) / slots.max(1.0);
+            scheduler.measurement.usage_sum += f64::from(scheduler.in_flight) / slots.max(1.0);
             if scheduler.count(Phase::Ready) == 0 {
                 scheduler.queued_sum += queued;
             } else {
                 scheduler.waiting_sum += queued;
             }
         }
-        if now < self.sampled + self.timing.sample {
+        if now < self.sampled_at + self.settings.sample_interval {
             return;
         }
-        let lasted = now.saturating_sub(self.sampled).as_secs_f64();
-        self.sampled = now;
+        let elapsed = now.saturating_sub(self.sampled_at).as_secs_f64();
+        self.sampled_at = now;
         let mut lines = Vec::new();
         let mut measures = Vec::new();
         for (name, scheduler) in &mut self.schedulers {
@@ -202,23 +202,23 @@
                 continue;
             }
             scheduler.sampled_zero = !scheduler.is_awake();
-            let looks = f64::from(scheduler.looks.max(1));
+            let observations = f64::from(scheduler.observations.max(1));
             lines.push(DemandSample {
                 function: name.as_str().into(),
-                rate_milli: (f64::from(scheduler.arrivals) * 1000.0 / lasted) as u64,
+                rate_milli: (f64::from(scheduler.arrivals) * 1000.0 / elapsed) as u64,
                 response_micro: (scheduler.answer_time.as_micros() / u128::from(scheduler.answered.max(1))) as u64,
-                waiting_milli: (scheduler.waiting_sum * 1000.0 / looks) as u64,
-                queued_milli: (scheduler.queued_sum * 1000.0 / looks) as u64,
+                waiting_milli: (scheduler.waiting_sum * 1000.0 / observations) as u64,
+                queued_milli: (scheduler.queued_sum * 1000.0 / observations) as u64,
             });
-            measures.extend(scheduler.take_measurement(name, looks));
-            (scheduler.arrivals, scheduler.answered, scheduler.looks) = (0, 0, 0);
+            measures.extend(scheduler.take_measurement(name, observations));
+            (scheduler.arrivals, scheduler.answered, scheduler.observations) = (0, 0, 0);
             (scheduler.answer_time, scheduler.waiting_sum, scheduler.queued_sum) = (Duration::ZERO, 0.0, 0.0);
         }
         if !lines.is_empty() {
             self.outs.push(OwnerOutput::Samples { lines });
         }
         if !measures.is_empty() {
-            self.outs.push(OwnerOutput::Measures { lines: measures });
+            self.outs.push(OwnerOutput::Measurements { lines: measures });
         }
     }
 
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -94,7 +94,7 @@
     let (link_names, names, cell) = (directory.clone(), directory.clone(), pass.clone());
     let back = settings.hold + settings.hold / 6 + TAKING_OVER;
     let front_limits = FrontLimits { back, consumer_header, quota: settings.quota_bounds(), ..FrontLimits::default() };
-    let timing = settings.owner_timing();
+    let timing = settings.owner_settings();
     let server = CallerServer { traffic: find(&directory, "traffic"), words: door_words, limits: bounded.clone() };
     let (callers_pages, servers_stop) = (caller_server::router(server), stopping.clone());
     let traffic_thread = thread("traffic", move || {
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -1,7 +1,7 @@
 //! The router's settings.
 
 use crate::allowances::Allowances;
-use crate::owner_types::OwnerTiming;
+use crate::owner_types::OwnerSettings;
 use config::{address, address_or_none, any, in_range, seeds, word};
 use http_server::well_formed;
 use quota::QuotaBounds;
@@ -63,18 +63,18 @@
         QuotaBounds { window: self.quota_window, overrun: self.quota_overrun, slack: self.quota_slack }
     }
 
-    pub fn owner_timing(&self) -> OwnerTiming {
-        OwnerTiming {
+    pub fn owner_settings(&self) -> OwnerSettings {
+        OwnerSettings {
             starts_per_second: self.starts_per_second,
             start_gb_seconds: self.start_gb_seconds,
-            zone_losses: self.zone_losses,
-            sample: self.step,
-            list_every: self.list_every,
+            tolerated_zone_losses: self.zone_losses,
+            sample_interval: self.step,
+            list_interval: self.list_every,
             allowances: self.allowances(),
             key_window: self.key_window,
             recorded_answer_bytes: self.recorded_answer_bytes,
             claims_for_ticks: self.format >= wire::KEY_WINDOWS,
-            ..OwnerTiming::default()
+            ..OwnerSettings::default()
         }
     }
 
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -5,7 +5,7 @@
 
 use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, PendingStart, Phase};
-use crate::owner_types::{OwnerOutput, Place, StoreOperation};
+use crate::owner_types::{OwnerOutput, RequestState, StoreOperation};
 use crate::sent_tasks::SentTasks;
 use crate::starting::probe_limit;
 use std::collections::BTreeSet;
@@ -14,9 +14,9 @@
 
 const REPLICATION_INTERVAL: Duration = Duration::from_millis(500);
 const STANDBY_COPY_TTL: Duration = Duration::from_secs(6);
-const HEARTBEAT: Duration = Duration::from_millis(100);
-const FOREIGN: Duration = Duration::from_millis(600);
-const MAX_STARTED_NAMES: usize = 256;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+const FOREIGN_TIME: Duration = Duration::from_millis(600);
+const MAX_REPORTED_SENT_TASKS: usize = 256;
 const MAX_STANDBY_COPIES: usize = 20_000;
 
 pub struct StandbyCopy {
@@ -27,7 +27,7 @@
 }
 
 impl FunctionOwner {
-    pub(crate) fn table_of(&mut self, name: &str, is_standby_copy: bool) -> Option<OwnershipTable> {
+    pub(crate) fn ownership_table(&mut self, name: &str, is_standby_copy: bool) -> Option<OwnershipTable> {
         let now = self.now;
         let scheduler = self.schedulers.get_mut(name)?;
         let (requests, retries) = scheduler.budget.reported(now);
@@ -43,7 +43,7 @@
                 busy: instance.busy,
             })
             .collect();
-        let sent_tasks = scheduler.sent_tasks.reported(MAX_STARTED_NAMES);
+        let sent_tasks = scheduler.sent_tasks.reported(MAX_REPORTED_SENT_TASKS);
         let whole = sent_tasks.is_some();
         let started: Vec<Text> = sent_tasks.into_iter().flatten().map(Text::from).collect();
         Some(OwnershipTable {
@@ -53,7 +53,7 @@
             slots: slots.into(),
             requests: requests as u32,
             retries: retries as u32,
-            rejections: scheduler.unproven.reported(now) as u32,
+            rejections: scheduler.rejection_limit.reported(now) as u32,
             started: started.into(),
             is_started_complete: whole as u8,
         })
@@ -63,10 +63,10 @@
     /// serve, and tables to those who keep them.
     pub(crate) fn standby_pass(&mut self) {
         let now = self.now;
-        if self.may_serve && now >= self.heartbeat_sent + HEARTBEAT {
-            self.heartbeat_sent = now;
+        if self.may_serve && now >= self.heartbeat_sent_at + HEARTBEAT_INTERVAL {
+            self.heartbeat_sent_at = now;
             let older = self.membership.members.iter().filter(|line| line.hashing < 2).map(|line| line.id);
-            let waiting = self.tasks.values().filter(|task| task.caller).map(|task| task.id.from);
+            let waiting = self.tasks.values().filter(|task| task.is_caller_waiting).map(|task| task.id.from);
             let fronts: BTreeSet<NodeId> = waiting.chain(older).collect();
             let others = fronts.into_iter().filter(|id| *id != self.me);
             self.outs.extend(others.map(|to| OwnerOutput::Forward { to, message: ForwardMessage::Heartbeat }));
@@ -86,15 +86,15 @@
             .collect();
         for name in names {
             let Some(to) = self.membership.owner_after(&name, self.me).filter(|to| *to != self.me) else { continue };
-            if let Some(table) = self.table_of(&name, true) {
+            if let Some(table) = self.ownership_table(&name, true) {
                 self.outs.push(OwnerOutput::Forward { to, message: ForwardMessage::Table { table } });
             }
         }
     }
 
-    pub(crate) fn on_table(&mut self, from: NodeId, table: OwnershipTable) {
+    pub(crate) fn handle_table(&mut self, from: NodeId, table: OwnershipTable) {
         if table.is_standby_copy == 0 {
-            return self.take_handover(table);
+            return self.handle_handover(table);
         }
         let Some(incarnation) = self.membership.member(from).map(|line| line.incarnation) else { return };
         if self.standby_copies.len() < MAX_STANDBY_COPIES || self.standby_copies.contains_key(table.function.as_str()) {
@@ -104,18 +104,18 @@
     }
 
     /// The owner a table was kept for was lost, and this is the owner now.
-    pub(crate) fn take_standby_copy(&mut self, name: &str) {
+    pub(crate) fn adopt_standby_copy(&mut self, name: &str) {
         let now = self.now;
         if let Some(copy) = self.standby_copies.remove(name).filter(|copy| now < copy.at + STANDBY_COPY_TTL) {
             // The owner may have gone on sending after it: what it names as begun is not all.
             let table = OwnershipTable { is_started_complete: 0, ..copy.table };
-            self.take_table(table, Some(copy.at), (copy.at + FOREIGN * 4).min(now + FOREIGN));
+            self.adopt_table(table, Some(copy.at), (copy.at + FOREIGN_TIME * 4).min(now + FOREIGN_TIME));
         }
     }
 
     /// A machine that was lost is back under a new incarnation, knowing nothing: it is handed what
     /// was kept for it.
-    pub(crate) fn hand_back(&mut self) {
+    pub(crate) fn return_standby_copies(&mut self) {
         let now = self.now;
         let back = |copy: &StandbyCopy| {
             let line = self.membership.member(copy.from);
@@ -134,57 +134,58 @@
                 is_started_complete: 0,
                 ..copy.table
             };
-            let earlier = self.history.earlier_homes(now, &name);
-            let allowances = &self.timing.allowances;
+            let earlier = self.history.earlier_owners_of(now, &name);
+            let allowances = &self.settings.allowances;
             allowances.raise_copied_counts(earlier, &mut table.requests, &mut table.retries, &mut table.rejections);
             self.outs.push(OwnerOutput::Forward { to: copy.from, message: ForwardMessage::Table { table } });
         }
     }
 
-    pub(crate) fn take_handover(&mut self, table: OwnershipTable) {
+    pub(crate) fn handle_handover(&mut self, table: OwnershipTable) {
         let name = table.function.as_str();
-        let mine = self.is_home(name) && table.membership <= self.membership.number;
+        let mine = self.is_owner(name) && table.membership <= self.membership.number;
         let fits = self
             .schedulers
             .get(name)
-            .is_some_and(|scheduler| scheduler.leaving.is_none() && table.membership >= scheduler.taken);
+            .is_some_and(|scheduler| scheduler.leaving.is_none() && table.membership >= scheduler.acquired_membership);
         if mine && fits {
-            let until = self.now + FOREIGN;
-            self.take_table(table, None, until);
+            let until = self.now + FOREIGN_TIME;
+            self.adopt_table(table, None, until);
         }
     }
 
     /// A standby copy is as old as its `copied`: the owner it was kept for has spent more since.
-    fn take_table(&mut self, table: OwnershipTable, copied: Option<Duration>, foreign_until: Duration) {
+    fn adopt_table(&mut self, table: OwnershipTable, copied: Option<Duration>, foreign_until: Duration) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(table.function.as_str()) else { return };
         if scheduler.adopting.take().is_some() {
             let at = copied.unwrap_or(now);
-            scheduler.budget.set_earlier_owners(self.history.earlier_homes(now, table.function.as_str()));
+            scheduler.budget.set_earlier_owners(self.history.earlier_owners_of(now, table.function.as_str()));
             scheduler.budget.adopt_counts(now, at, table.requests, table.retries, copied.is_none());
-            scheduler.unproven.adopt_count(now, at, table.rejections);
+            scheduler.rejection_limit.adopt_count(now, at, table.rejections);
             scheduler.sent_tasks =
                 SentTasks::from_table(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         } else {
-            scheduler.budget.add_reported(now, table.retries.saturating_sub(scheduler.reported.0));
-            scheduler.unproven.add_reported(now, table.rejections.saturating_sub(scheduler.reported.1));
+            scheduler.budget.add_reported(now, table.retries.saturating_sub(scheduler.reported_counts.0));
+            scheduler.rejection_limit.add_reported(now, table.rejections.saturating_sub(scheduler.reported_counts.1));
             scheduler.sent_tasks.learn_more(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         }
-        scheduler.reported = (scheduler.reported.0.max(table.retries), scheduler.reported.1.max(table.rejections));
+        scheduler.reported_counts =
+            (scheduler.reported_counts.0.max(table.retries), scheduler.reported_counts.1.max(table.rejections));
         for slot in table.slots.into_vec() {
             let id = slot.instance.as_str();
-            if self.stopped.contains_key(id) || self.leaving.contains_key(id) {
+            if self.stopped.contains_key(id) || self.leaving_instances.contains_key(id) {
                 continue;
             }
             let address = slot.address.as_str();
-            let boot = scheduler.boot();
+            let boot = scheduler.boot_time();
             let fresh = !scheduler.instances.contains_key(id);
             let instance = scheduler.instances.entry(id.to_owned()).or_insert_with(|| Instance::new(now, address));
             if fresh && slot.ready == 0 && !address.is_empty() {
                 let (id, address, after) = (id.to_owned(), address.to_owned(), Duration::ZERO);
                 self.outs.push(OwnerOutput::Probe { id, address, after, limit: probe_limit(boot) });
             } else if fresh && slot.ready == 0 {
-                instance.pending = Some(PendingStart::handed(now));
+                instance.pending = Some(PendingStart::handed_over(now));
             }
             if instance.address.is_empty() {
                 instance.address = address.to_owned();
@@ -201,21 +202,21 @@
     /// to its front, which has moved on if it could, so that nothing old is sent after a new beginning.
     /// Stored tasks may have been run by the owner between and are read anew from the chain.
     /// Should this be owner again, it is as one that comes anew: it waits for the table of the owner between.
-    pub(crate) fn lapsed(&mut self) {
+    pub(crate) fn handle_lease_lapse(&mut self) {
         let now = self.now;
         for scheduler in self.schedulers.values_mut() {
-            scheduler.begin_anew(now);
+            scheduler.restart_adoption(now);
         }
-        self.store_requests.retain(|_, request_id| request_id.kind != StoreOperation::Deferred);
-        self.doubt_stored();
+        self.store_requests.retain(|_, request_id| request_id.kind != StoreOperation::ReadDeferred);
+        self.assume_stored_sent();
         let undone: Vec<u64> = self
             .tasks
             .iter()
-            .filter(|(_, task)| task.caller && task.stored.is_none())
-            .filter(|(_, task)| !matches!(task.place, Place::Running { .. }))
+            .filter(|(_, task)| task.is_caller_waiting && task.stored_id.is_none())
+            .filter(|(_, task)| !matches!(task.state, RequestState::Running { .. }))
             .map(|(number, _)| *number)
             .collect();
         undone.into_iter().for_each(|number| self.send_back(number));
-        self.drop_deferred(|_, _| true);
+        self.drop_queued_deferred(|_, _| true);
     }
 }
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -5,7 +5,7 @@
 use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, PendingStart, Phase};
 use crate::owner_types::OwnerOutput;
-use crate::placement::Placed;
+use crate::placement::Placement;
 use events::event;
 use instance_provider::{ProviderOrder, StartOrder, StartReply};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const REFUSED_PAUSE: Duration = Duration::from_secs(1);
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_START_ATTEMPTS: u32 = 6;
-const HOPS: u32 = 4;
+const MAX_WORKERS_TRIED: u32 = 4;
 /// Where in an average start the first look at the new instance is worth it, and when looking ends.
 const FIRST_PROBE_AT_BOOT_FRACTION: f64 = 0.45;
 const MAX_EARLY_PROBES: u32 = 6;
@@ -30,14 +30,14 @@
     pub(crate) fn start(&mut self, name: &str) -> bool {
         let placed = self.place(name);
         let worker = match placed {
-            Placed::On(worker) => worker,
-            Placed::Wait => return false,
-            Placed::Full => {
+            Placement::On(worker) => worker,
+            Placement::Wait => return false,
+            Placement::Full => {
                 self.record_no_capacity(name);
                 return false;
             }
         };
-        let number = self.number();
+        let number = self.next_number();
         let nonce = format!("{:x}-{:x}-{number:x}", self.me, self.incarnation & 0xffff_ffff);
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return false };
@@ -46,8 +46,8 @@
         true
     }
 
-    fn place(&self, name: &str) -> Placed {
-        let Some(scheduler) = self.schedulers.get(name) else { return Placed::Wait };
+    fn place(&self, name: &str) -> Placement {
+        let Some(scheduler) = self.schedulers.get(name) else { return Placement::Wait };
         let counts = |instance: &&Instance| matches!(instance.phase(), Phase::Ready | Phase::Starting);
         let place = |instance: &Instance| {
             let zone = self.workers.zone_of(&instance.worker).unwrap_or(&instance.zone);
@@ -67,11 +67,11 @@
         pending.requested = true;
         instance.worker = worker.clone().unwrap_or_default();
         if let Some(worker) = &worker {
-            self.workers.ordered(now, worker, memory_mb);
+            self.workers.record_order(now, worker, memory_mb);
         }
         event!(start_ordered, "{name} as {nonce} on {}", instance.worker);
         let (nonce, service, fence) = (nonce.to_owned(), name.to_owned(), self.membership.number);
-        self.outs.push(OwnerOutput::Supply(ProviderOrder::Start(StartOrder {
+        self.outs.push(OwnerOutput::ProviderOrder(ProviderOrder::Start(StartOrder {
             nonce,
             service,
             worker,
@@ -104,26 +104,26 @@
                 continue;
             };
             let same = Some(instance.worker.clone()).filter(|worker| !worker.is_empty());
-            let placed = same.map_or_else(|| self.place(&name), |worker| Placed::On(Some(worker)));
-            if let Placed::On(worker) = placed {
+            let placed = same.map_or_else(|| self.place(&name), |worker| Placement::On(Some(worker)));
+            if let Placement::On(worker) = placed {
                 self.starts_left -= 1.0;
                 self.order_start(&name, &nonce, worker);
             }
         }
     }
 
-    pub(crate) fn started(&mut self, nonce: &str, receipt: StartReply) {
+    pub(crate) fn handle_start_reply(&mut self, nonce: &str, receipt: StartReply) {
         let now = self.now;
         let found = self.schedulers.iter().find(|(_, scheduler)| scheduler.instances.contains_key(nonce));
         let Some(name) = found.map(|(name, _)| name.clone()) else { return };
         let Some(scheduler) = self.schedulers.get_mut(&name) else { return };
         let Some(instance) = scheduler.instances.get_mut(nonce) else { return };
-        let wished = instance.phase() == Phase::Starting;
+        let is_wanted = instance.phase() == Phase::Starting;
         let Some(pending) = &mut instance.pending else { return };
         pending.requested = false;
         match receipt {
-            StartReply::Accepted { id, address } => self.accepted(&name, nonce, id, address),
-            _ if !wished => drop(scheduler.instances.remove(nonce)),
+            StartReply::Accepted { id, address } => self.handle_accepted_start(&name, nonce, id, address),
+            _ if !is_wanted => drop(scheduler.instances.remove(nonce)),
             StartReply::Unanswered => {
                 pending.resends += 1;
                 pending.retry_at = now + START_RETRY_INTERVAL * 2u32.pow(pending.resends.min(4));
@@ -139,16 +139,16 @@
             StartReply::Refused => {
                 event!(platform_call_failed, "start {nonce} refused");
                 scheduler.instances.remove(nonce);
-                scheduler.refused_until = now + REFUSED_PAUSE;
+                scheduler.no_starts_until = now + REFUSED_PAUSE;
             }
             StartReply::NoRoom => {
                 event!(platform_call_failed, "start {nonce}: no room on {}", instance.worker);
-                pending.hops += 1;
-                let hops = pending.hops;
+                pending.workers_tried += 1;
+                let workers_tried = pending.workers_tried;
                 let worker = std::mem::take(&mut instance.worker);
-                self.workers.turned_away(now, &worker, scheduler.function.memory_mb);
+                self.workers.record_refusal(now, &worker, scheduler.function.memory_mb);
                 match self.place(&name) {
-                    Placed::On(next @ Some(_)) if hops < HOPS && !worker.is_empty() => {
+                    Placement::On(next @ Some(_)) if workers_tried < MAX_WORKERS_TRIED && !worker.is_empty() => {
                         self.order_start(&name, nonce, next)
                     }
                     _ => {
@@ -163,7 +163,7 @@
     }
 
     /// From now on the instance goes by the provider's id; one found on the list before is the same.
-    fn accepted(&mut self, name: &str, nonce: &str, id: String, address: String) {
+    fn handle_accepted_start(&mut self, name: &str, nonce: &str, id: String, address: String) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
         let Some(mut instance) = scheduler.instances.remove(nonce) else { return };
@@ -176,11 +176,11 @@
             return;
         }
         instance.address = address.clone();
-        if self.leaving.contains_key(&id) {
+        if self.leaving_instances.contains_key(&id) {
             instance.apply(InstanceEvent::Drain);
         }
         if instance.phase() == Phase::Starting {
-            let boot = scheduler.boot();
+            let boot = scheduler.boot_time();
             let after = (instance.ordered_at + boot.mul_f64(FIRST_PROBE_AT_BOOT_FRACTION)).saturating_sub(now);
             self.outs.push(OwnerOutput::Probe { id: id.clone(), address, after, limit: probe_limit(boot) });
         }
@@ -192,14 +192,14 @@
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
         let wakes = scheduler.instances.is_empty() && !scheduler.queued.is_empty();
-        scheduler.refused_until = now + if wakes { LIMITED_PAUSE } else { NO_CAPACITY_PAUSE };
+        scheduler.no_starts_until = now + if wakes { LIMITED_PAUSE } else { NO_CAPACITY_PAUSE };
         self.request_preemption(name);
     }
 }
 
 impl PendingStart {
     /// A wish handed over by another owner, whose order may be on its way.
-    pub(crate) fn handed(now: Duration) -> PendingStart {
-        PendingStart { requested: false, resends: 0, hops: 0, retry_at: now }
+    pub(crate) fn handed_over(now: Duration) -> PendingStart {
+        PendingStart { requested: false, resends: 0, workers_tried: 0, retry_at: now }
     }
 }
--- a/crates/traffic/src/status.rs
+++ b/crates/traffic/src/status.rs
@@ -63,8 +63,8 @@
                     "fixed": scheduler.function.fixed, "fallbacks": scheduler.player.fallbacks,
                     "early_asks": scheduler.player.early_asks,
                     "requests_10s": requests, "second_tries_10s": seconds,
-                    "turned_away_5s": scheduler.unproven.rejections(now),
-                    "free_slots": scheduler.free_slots(now), "unproven": scheduler.unproven.in_flight(),
+                    "turned_away_5s": scheduler.rejection_limit.rejections(now),
+                    "free_slots": scheduler.free_slots(now), "unproven": scheduler.rejection_limit.in_flight(),
                     "blocked_ms": scheduler.blocked.to_json(), "refused": scheduler.refused.to_json(),
                     "adopting": scheduler.adopting.is_some(), "leaving": scheduler.leaving.is_some(),
                 }),
@@ -74,7 +74,7 @@
         json!({
             "tasks": tasks, "running": running, "ledger_asks": store_requests, "refusals": self.counters.refusals,
             "refused": self.counters.refused.to_json(), "blocked_ms": self.counters.blocked.to_json(),
-            "core_near": self.core_near, "starts_left": self.starts_left, "functions": functions,
+            "core_near": self.registries_reachable, "starts_left": self.starts_left, "functions": functions,
             "keyed": self.counters.keyed.to_json(&self.keyed),
         })
     }
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/store_requests.rs
@@ -1,9 +1,9 @@
 //! The owner's talk with the chain: what it was asked and what it replied, and storing deferred tasks before they are
 //! promised. Each ask may be sent again; the chain gives the same reply.
 
-use crate::claims::LASTING;
+use crate::claims::STORE_TIMEOUT;
 use crate::function_owner::FunctionOwner;
-use crate::owner_types::{OwnerOutput, Place, StoreOperation, StoreRequest};
+use crate::owner_types::{OwnerOutput, RequestState, StoreOperation, StoreRequest};
 use crate::refusals::RefusalReason;
 use std::time::Duration;
 use wire::{ClaimState, Command, CommandReply, LeaseMessage, Outcome, StoredAnswer, StoredRequest};
@@ -12,7 +12,7 @@
 const NOT_APPENDED: u8 = 0;
 const COMMITTED: u8 = 1;
 /// When what was not appended is proposed again.
-const REPROPOSE: Duration = Duration::from_millis(50);
+const REPROPOSE_DELAY: Duration = Duration::from_millis(50);
 
 /// The name a deferred task is stored under, by its binding and key: a repeat finds the same one.
 pub fn stored_id(scope: &str) -> String {
@@ -23,9 +23,9 @@
 impl FunctionOwner {
     pub(crate) fn store(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        task.place = Place::Storing;
+        task.state = RequestState::Storing;
         let id = stored_id(&task.scope);
-        task.stored = Some(id.clone());
+        task.stored_id = Some(id.clone());
         let kept = StoredRequest {
             binding: task.binding.as_str().into(),
             head: task.head.clone().into(),
@@ -37,24 +37,24 @@
             digest: task.digest.clone().into(),
             task: wire::to_bytes(&kept).into(),
         };
-        let (function, left) = (task.function.clone(), task.due.saturating_sub(self.now));
+        let (function, left) = (task.function.clone(), task.deadline.saturating_sub(self.now));
         self.request_store(StoreOperation::Store, number, &function, wire::to_bytes(&command), left);
     }
 
     pub(crate) fn finish(&mut self, number: u64, answer: &StoredAnswer) {
         let Some(task) = self.tasks.get(&number) else { return };
-        let Some(id) = task.stored.clone() else { return };
+        let Some(id) = task.stored_id.clone() else { return };
         let function = task.function.clone();
         let command = Command::Finish {
             id: id.into(),
             function: function.as_str().into(),
             answer: wire::to_bytes(answer).into(),
         };
-        self.request_store(StoreOperation::Finish, number, &function, wire::to_bytes(&command), LASTING);
+        self.request_store(StoreOperation::Finish, number, &function, wire::to_bytes(&command), STORE_TIMEOUT);
     }
 
     /// Stored tasks that were answered, of which the store may not have heard yet.
-    pub(crate) fn being_finished(&self, function: &str) -> impl Iterator<Item = wire::Text> {
+    pub(crate) fn unconfirmed_finishes(&self, function: &str) -> impl Iterator<Item = wire::Text> {
         let store_requests = self
             .store_requests
             .values()
@@ -69,14 +69,14 @@
         let (request_id, state, body) = match message {
             LeaseMessage::ProposalAck { request_id, state, body } => (request_id, state, body),
             LeaseMessage::ReadReply { request_id, items, .. } => {
-                return self.take_deferred(request_id, items.into_vec());
+                return self.handle_deferred_list(request_id, items.into_vec());
             }
             _ => return,
         };
         if state == NOT_APPENDED
             && let Some(record) = self.store_requests.get_mut(&request_id)
         {
-            record.sent = (self.now + REPROPOSE).saturating_sub(self.timing.resend);
+            record.sent = (self.now + REPROPOSE_DELAY).saturating_sub(self.settings.resend_interval);
         }
         if state != COMMITTED {
             return;
@@ -87,16 +87,16 @@
             (StoreOperation::Claim, CommandReply::Claim { state: ClaimState::Granted, .. })
                 if !self.tasks.contains_key(&record.task) =>
             {
-                self.release_late(&record.body, &record.function);
+                self.release_unused_claim(&record.body, &record.function);
             }
             (StoreOperation::Claim, CommandReply::Claim { state, answer }) => {
-                self.claimed(record.task, state, answer.as_slice())
+                self.handle_claim_reply(record.task, state, answer.as_slice())
             }
             (StoreOperation::Store, CommandReply::Stored { state, answer }) => {
-                self.stored(record.task, state, answer.as_slice())
+                self.handle_stored_reply(record.task, state, answer.as_slice())
             }
             (StoreOperation::Release, _) => {
-                let releasing = self.tasks.get(&record.task).is_some_and(|task| task.place == Place::Releasing);
+                let releasing = self.tasks.get(&record.task).is_some_and(|task| task.state == RequestState::Releasing);
                 if releasing {
                     self.return_to_front(record.task);
                 }
@@ -115,9 +115,9 @@
         }
     }
 
-    fn stored(&mut self, number: u64, state: ClaimState, answer: &[u8]) {
+    fn handle_stored_reply(&mut self, number: u64, state: ClaimState, answer: &[u8]) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        if task.place != Place::Storing {
+        if task.state != RequestState::Storing {
             return;
         }
         match state {
@@ -134,11 +134,11 @@
             }
             ClaimState::Answered => self.answer_stored(number, answer),
             ClaimState::OtherBody => {
-                task.stored = None;
+                task.stored_id = None;
                 self.answer_without_body(number, Outcome::NotRun, 422, Duration::ZERO);
             }
             ClaimState::Full | ClaimState::Unknown => {
-                task.stored = None;
+                task.stored_id = None;
                 self.refuse(number, RefusalReason::StoreFull);
             }
         }
@@ -146,7 +146,7 @@
 
     /// 202 with the address under which the task's state can be asked.
     pub(crate) fn accept(&mut self, number: u64) {
-        let Some(id) = self.tasks.get(&number).and_then(|task| task.stored.clone()) else { return };
+        let Some(id) = self.tasks.get(&number).and_then(|task| task.stored_id.clone()) else { return };
         let body = format!("{{\"task\":\"{id}\",\"status\":\"/.heron/tasks/{id}\"}}");
         self.answer(number, Outcome::Accepted, 202, Duration::ZERO, Vec::new(), body.into_bytes());
     }
@@ -160,7 +160,7 @@
         body: Vec<u8>,
         lasts: Duration,
     ) -> u64 {
-        let request_id = self.number();
+        let request_id = self.next_number();
         let due = self.now + lasts;
         let record =
             StoreRequest { kind, task, function: function.to_owned(), body: body.clone(), sent: self.now, due };
@@ -177,9 +177,9 @@
             if now >= record.due {
                 return false;
             }
-            if now >= record.sent + self.timing.resend {
+            if now >= record.sent + self.settings.resend_interval {
                 record.sent = now;
-                if record.kind != StoreOperation::Deferred {
+                if record.kind != StoreOperation::ReadDeferred {
                     again.push((*request_id, record.body.clone()));
                 }
             }
--- a/crates/traffic/src/tuning.rs
+++ b/crates/traffic/src/tuning.rs
@@ -3,13 +3,13 @@
 //! appointed.
 
 use crate::function_owner::FunctionOwner;
-use crate::function_scheduler::{FunctionScheduler, Seen};
+use crate::function_scheduler::{FunctionScheduler, MeasurementCounts};
 use wire::{Measurement, TunedParameters};
 
 impl FunctionScheduler {
     /// Returns the measurements since the previous sample, or `None` if the function was inactive.
     pub(crate) fn take_measurement(&mut self, name: &str, observations: f64) -> Option<Measurement> {
-        let seen = std::mem::take(&mut self.seen);
+        let seen = std::mem::take(&mut self.measurement);
         let is_inactive = self.arrivals == 0 && seen.boots == 0 && seen.refused == 0;
         (!is_inactive).then(|| Measurement {
             function: name.into(),
@@ -23,7 +23,7 @@
     }
 }
 
-impl Seen {
+impl MeasurementCounts {
     /// Counts an instance start and its duration.
     pub(crate) fn record_boot(&mut self, took: std::time::Duration) {
         self.boots += 1;
--- a/crates/traffic/src/wait_queue.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -4,7 +4,7 @@
 //! early, with an estimate of when to try again.
 
 use crate::function_owner::FunctionOwner;
-use crate::owner_types::Place;
+use crate::owner_types::RequestState;
 use crate::refusals::{Refusal, RefusalReason};
 use std::time::Duration;
 use wire::Outcome;
@@ -29,7 +29,7 @@
         }
         let wait = self.excessive_wait(number);
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        task.place = Place::Queued;
+        task.state = RequestState::Queued;
         let (position, is_refusable) = (self.queue_position(number), self.can_refuse(number));
         let Some(task) = self.tasks.get(&number) else { return };
         let Some(scheduler) = self.schedulers.get_mut(&task.function) else { return };
@@ -40,15 +40,15 @@
     }
 
     fn can_refuse(&self, number: u64) -> bool {
-        self.tasks.get(&number).is_some_and(|task| task.stored.is_none() && !task.reached)
+        self.tasks.get(&number).is_some_and(|task| task.stored_id.is_none() && !task.may_have_run)
     }
 
     /// Returns the number of queued requests that go before this one.
     fn queue_position(&self, number: u64) -> usize {
         let Some(task) = self.tasks.get(&number) else { return 0 };
         let Some(scheduler) = self.schedulers.get(&task.function) else { return 0 };
-        let order = (task.rank, task.due);
-        let before = |queued: &u64| self.tasks.get(queued).is_some_and(|task| (task.rank, task.due) <= order);
+        let order = (task.rank, task.deadline);
+        let before = |queued: &u64| self.tasks.get(queued).is_some_and(|task| (task.rank, task.deadline) <= order);
         scheduler.queued.partition_point(before)
     }
 
@@ -57,10 +57,12 @@
         let now = self.now;
         let task = self.tasks.get(&number)?;
         let scheduler = self.schedulers.get(&task.function)?;
-        let left = task.due.saturating_sub(now);
-        let aim = task.aim.filter(|aim| !task.inherits && now <= task.arrived + *aim / EARLY_AIM_DIVISOR);
+        let left = task.deadline.saturating_sub(now);
+        let aim = task.aim.filter(|aim| !task.has_shortened_deadline && now <= task.arrived + *aim / EARLY_AIM_DIVISOR);
         let max_useful_wait = match aim {
-            Some(aim) if scheduler.has_instances() => aim.saturating_sub(scheduler.mean_time).max(aim / 2).min(left),
+            Some(aim) if scheduler.has_instances() => {
+                aim.saturating_sub(scheduler.smoothed_answer_time).max(aim / 2).min(left)
+            }
             _ => left.mul_f64(MAX_WAIT_FRACTION),
         };
         Some(scheduler.expected_wait(now, self.queue_position(number))).filter(|wait| *wait > max_useful_wait)
@@ -80,8 +82,8 @@
     }
 
     fn count_refusal(&mut self, number: u64, reason: RefusalReason) {
-        let Some(task) = self.tasks.get(&number).filter(|task| task.caller) else { return };
-        let refusal = Refusal { reason, is_continued: task.inherits };
+        let Some(task) = self.tasks.get(&number).filter(|task| task.is_caller_waiting) else { return };
+        let refusal = Refusal { reason, is_continued: task.has_shortened_deadline };
         self.counters.refused.add(refusal);
         if let Some(scheduler) = self.schedulers.get_mut(&task.function) {
             scheduler.refused.add(refusal);
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use test_case::test_case;
 use traffic::{
-    DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming,
+    DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings,
 };
 use wire::{ForwardMessage, InstanceSlots, NodeId, Outcome, OwnershipTable};
 
@@ -32,7 +32,7 @@
 
 /// Creates an owner with four instances.
 fn owner(id: NodeId, attempts: u32) -> FunctionOwner {
-    let mut owner = FunctionOwner::new(id, 1, OwnerTiming::default());
+    let mut owner = FunctionOwner::new(id, 1, OwnerSettings::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes("ordinary", attempts) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[9]) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[id]) });
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -3,7 +3,7 @@
 use super::{ME, OTHER, membership, ms};
 use leases::Membership;
 use std::rc::Rc;
-use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
+use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings};
 use wire::{
     ConfigurationItem, ForwardMessage, InstanceSlots, LeaseMessage, OwnershipTable, RequestHead, StoredRequest,
 };
@@ -12,21 +12,21 @@
 
 /// One that waits for the table of the owner before.
 pub fn owner() -> FunctionOwner {
-    home_of(ME, 1)
+    owner_with_id(ME, 1)
 }
 
-pub fn home_of(id: u64, roster_number: u64) -> FunctionOwner {
-    router(id, membership(roster_number, &[id]))
+pub fn owner_with_id(id: u64, membership_number: u64) -> FunctionOwner {
+    router(id, membership(membership_number, &[id]))
 }
 
 /// A router that begins with this membership, owner or not.
 pub fn router(id: u64, first: Rc<Membership>) -> FunctionOwner {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"deferred"}"#;
     let routes = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
-    let mut owner = FunctionOwner::new(id, 1, OwnerTiming::default());
+    let mut owner = FunctionOwner::new(id, 1, OwnerSettings::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: Rc::new(routes) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: first });
-    owner.step(ms(0), true, OwnerInput::Core { near: true });
+    owner.step(ms(0), true, OwnerInput::RegistriesReachable { reachable: true });
     owner
 }
 
@@ -56,15 +56,15 @@
     });
     let receipt = wire::CommandReply::Stored { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&receipt).into();
-    OwnerInput::StoreOperation {
+    OwnerInput::StoreReply {
         message: LeaseMessage::ProposalAck { request_id: request_id.expect("asked to store"), state: 1, body },
     }
 }
 
 /// A table with one instance that is ready.
-pub fn table(roster_number: u64) -> OwnershipTable {
+pub fn table(membership_number: u64) -> OwnershipTable {
     let slots = vec![InstanceSlots { instance: "i1".into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 }].into();
-    OwnershipTable { function: FUNCTION.into(), membership: roster_number, slots, ..OwnershipTable::default() }
+    OwnershipTable { function: FUNCTION.into(), membership: membership_number, slots, ..OwnershipTable::default() }
 }
 
 pub fn handed() -> OwnerInput {
@@ -110,7 +110,7 @@
         gone: 0,
     };
     let items: Vec<ConfigurationItem> = numbers.iter().map(item).collect();
-    OwnerInput::StoreOperation { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
+    OwnerInput::StoreReply { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
 }
 
 pub fn stored(number: u64) -> String {
--- a/crates/traffic/tests/common/keyed.rs
+++ b/crates/traffic/tests/common/keyed.rs
@@ -4,7 +4,7 @@
 use bindings::RouteTable;
 use std::rc::Rc;
 use std::time::Duration;
-use traffic::{DispatchOutcome, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
+use traffic::{DispatchOutcome, FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings};
 use wire::{
     ClaimState, Command, CommandReply, ForwardMessage, InstanceSlots, LeaseMessage, Outcome, OwnershipTable,
     RequestHead,
@@ -21,15 +21,15 @@
 
 /// An owner with one instance.
 pub fn owner(claims_for_ticks: bool) -> FunctionOwner {
-    owner_with(OwnerTiming { key_window: WINDOW, claims_for_ticks, ..OwnerTiming::default() }, false)
+    owner_with(OwnerSettings { key_window: WINDOW, claims_for_ticks, ..OwnerSettings::default() }, false)
 }
 
-pub fn owner_with(timing: OwnerTiming, deduplicates: bool) -> FunctionOwner {
-    let mut owner = FunctionOwner::new(ME, 1, timing);
+pub fn owner_with(settings: OwnerSettings, deduplicates: bool) -> FunctionOwner {
+    let mut owner = FunctionOwner::new(ME, 1, settings);
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes(deduplicates) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[ME, OTHER]) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[ME]) });
-    owner.step(ms(0), true, OwnerInput::Core { near: true });
+    owner.step(ms(0), true, OwnerInput::RegistriesReachable { reachable: true });
     let slot = InstanceSlots { instance: "i".into(), address: "127.0.0.1:1".into(), ready: 1, busy: 0 };
     let slots = vec![slot].into();
     let table = OwnershipTable { function: "t/f".into(), membership: 2, slots, ..OwnershipTable::default() };
@@ -74,7 +74,7 @@
 ) -> Vec<OwnerOutput> {
     let reply = CommandReply::Claim { state, answer: answer.to_vec().into() };
     let message = LeaseMessage::ProposalAck { request_id: claim, state: 1, body: wire::to_bytes(&reply).into() };
-    owner.step(ms(at), true, OwnerInput::StoreOperation { message })
+    owner.step(ms(at), true, OwnerInput::StoreReply { message })
 }
 
 /// What callers were told: task, outcome, status, time to come back, body.
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -5,7 +5,7 @@
 pub mod deferred;
 pub mod forwards;
 pub mod keyed;
-pub mod supplied;
+pub mod provider;
 
 use bindings::RouteTable;
 use leases::{HASHING, Member, Membership};
--- a/crates/traffic/tests/common/supplied.rs
+++ b/crates/traffic/tests/common/provider.rs
@@ -7,7 +7,7 @@
 };
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
+use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings};
 
 pub const FUNCTION: &str = "t/f";
 
@@ -37,7 +37,7 @@
     Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
 }
 
-pub struct Supplied {
+pub struct OwnerWithProvider {
     pub owner: FunctionOwner,
     pub at: u64,
     pub starts: Vec<StartOrder>,
@@ -46,36 +46,41 @@
     pub others: Vec<OwnerOutput>,
 }
 
-impl Supplied {
+impl OwnerWithProvider {
     /// An owner that has always had an empty route table and now takes one whose function is to have so many.
-    pub fn new(min: u32, workers: Vec<WorkerLine>) -> Supplied {
-        Supplied::beside(ME, min, workers)
+    pub fn new(min: u32, workers: Vec<WorkerLine>) -> OwnerWithProvider {
+        OwnerWithProvider::with_member(ME, min, workers)
     }
 
     /// The same where the only member, and so the owner, is this one.
-    pub fn beside(member: u64, min: u32, workers: Vec<WorkerLine>) -> Supplied {
-        Supplied::with(OwnerTiming::default(), member, min, workers)
+    pub fn with_member(member: u64, min: u32, workers: Vec<WorkerLine>) -> OwnerWithProvider {
+        OwnerWithProvider::with_settings(OwnerSettings::default(), member, min, workers)
     }
 
     /// The same with other settings.
-    pub fn with(timing: OwnerTiming, member: u64, min: u32, workers: Vec<WorkerLine>) -> Supplied {
-        let owner = FunctionOwner::new(ME, 1, timing);
+    pub fn with_settings(
+        settings: OwnerSettings,
+        member: u64,
+        min: u32,
+        workers: Vec<WorkerLine>,
+    ) -> OwnerWithProvider {
+        let owner = FunctionOwner::new(ME, 1, settings);
         let (starts, stops, probes, others) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        let mut supplied = Supplied { owner, at: 0, starts, stops, probes, others };
-        supplied.feed(OwnerInput::RouteTable { routes: Rc::new(RouteTable::default()) });
-        supplied.feed(OwnerInput::Membership { membership: membership(7, &[member]) });
+        let mut provider = OwnerWithProvider { owner, at: 0, starts, stops, probes, others };
+        provider.feed(OwnerInput::RouteTable { routes: Rc::new(RouteTable::default()) });
+        provider.feed(OwnerInput::Membership { membership: membership(7, &[member]) });
         if !workers.is_empty() {
-            supplied.workers(workers);
+            provider.workers(workers);
         }
-        supplied.feed(OwnerInput::RouteTable { routes: routes_of(min) });
-        supplied
+        provider.feed(OwnerInput::RouteTable { routes: routes_of(min) });
+        provider
     }
 
     pub fn feed(&mut self, input: OwnerInput) {
         for output in self.owner.step(ms(self.at), true, input) {
             match output {
-                OwnerOutput::Supply(ProviderOrder::Start(order)) => self.starts.push(order),
-                OwnerOutput::Supply(ProviderOrder::Stop { id, .. }) => self.stops.push(id),
+                OwnerOutput::ProviderOrder(ProviderOrder::Start(order)) => self.starts.push(order),
+                OwnerOutput::ProviderOrder(ProviderOrder::Stop { id, .. }) => self.stops.push(id),
                 OwnerOutput::Probe { id, after, .. } => self.probes.push((id, after)),
                 other => self.others.push(other),
             }
@@ -84,7 +89,7 @@
 
     fn report(&mut self, report: ProviderReport) {
         let listed_at = ms(self.at);
-        self.feed(OwnerInput::Platform { report, listed_at });
+        self.feed(OwnerInput::ProviderReport { report, listed_at });
     }
 
     pub fn workers(&mut self, lines: Vec<WorkerLine>) {
--- a/crates/traffic/tests/earlier_owners.rs
+++ b/crates/traffic/tests/earlier_owners.rs
@@ -13,7 +13,7 @@
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// A copy made before anything was spent, with room for a whole backlog.
-fn empty_copy(roster_number: u64) -> ForwardMessage {
+fn empty_copy(membership_number: u64) -> ForwardMessage {
     let slot = |n: u32| InstanceSlots {
         instance: format!("i{n}").as_str().into(),
         address: format!("127.0.0.1:{n}").as_str().into(),
@@ -21,7 +21,9 @@
         busy: 0,
     };
     let slots: Vec<InstanceSlots> = (0..20).map(slot).collect();
-    ForwardMessage::Table { table: OwnershipTable { is_standby_copy: 1, slots: slots.into(), ..table(roster_number) } }
+    ForwardMessage::Table {
+        table: OwnershipTable { is_standby_copy: 1, slots: slots.into(), ..table(membership_number) },
+    }
 }
 
 /// Each is the owner for a second, sends all that it may of a backlog in doubt, and is killed.
@@ -72,10 +74,10 @@
 #[test]
 fn a_machine_that_has_just_started_cannot_tell_how_many_owners_there_were() {
     let mut history = MembershipHistory::new(WINDOW);
-    assert_eq!(history.earlier_homes(ms(20_000), FUNCTION), EarlierOwners::Unknown);
+    assert_eq!(history.earlier_owners_of(ms(20_000), FUNCTION), EarlierOwners::Unknown);
     history.add(ms(500), membership(7, &[1]));
-    assert_eq!(history.earlier_homes(ms(10_000), FUNCTION), EarlierOwners::Unknown);
-    assert_eq!(history.earlier_homes(ms(10_501), FUNCTION), EarlierOwners::Bounded(0));
+    assert_eq!(history.earlier_owners_of(ms(10_000), FUNCTION), EarlierOwners::Unknown);
+    assert_eq!(history.earlier_owners_of(ms(10_501), FUNCTION), EarlierOwners::Bounded(0));
 }
 
 #[test]
@@ -85,15 +87,15 @@
     history.add(ms(20_000), membership(2, &[2]));
     history.add(ms(21_000), membership(3, &[2]));
     history.add(ms(22_000), membership(4, &[1]));
-    assert_eq!(history.earlier_homes(ms(23_000), FUNCTION), EarlierOwners::Bounded(2), "one changed nothing");
+    assert_eq!(history.earlier_owners_of(ms(23_000), FUNCTION), EarlierOwners::Bounded(2), "one changed nothing");
     history.add(ms(24_000), membership(7, &[1]));
-    assert_eq!(history.earlier_homes(ms(24_000), FUNCTION), EarlierOwners::Bounded(5), "two were never seen");
+    assert_eq!(history.earlier_owners_of(ms(24_000), FUNCTION), EarlierOwners::Bounded(5), "two were never seen");
     let mut again = (*membership(8, &[1])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
     again.members = members.into();
     history.add(ms(25_000), again.into());
-    assert_eq!(history.earlier_homes(ms(25_000), FUNCTION), EarlierOwners::Bounded(6), "the same, begun anew");
-    assert_eq!(history.earlier_homes(ms(30_001), FUNCTION), EarlierOwners::Bounded(5), "the first was long ago");
-    assert_eq!(history.earlier_homes(ms(35_001), FUNCTION), EarlierOwners::Bounded(0));
+    assert_eq!(history.earlier_owners_of(ms(25_000), FUNCTION), EarlierOwners::Bounded(6), "the same, begun anew");
+    assert_eq!(history.earlier_owners_of(ms(30_001), FUNCTION), EarlierOwners::Bounded(5), "the first was long ago");
+    assert_eq!(history.earlier_owners_of(ms(35_001), FUNCTION), EarlierOwners::Bounded(0));
 }
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ME, OTHER, forward, front, membership, ms, reply, routes, send_request};
-use traffic::{FrontInput, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
+use traffic::{FrontInput, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings};
 use wire::{ForwardMessage, Outcome};
 
 fn answer(task: u64, outcome: Outcome, status: u16) -> FrontInput {
@@ -54,7 +54,7 @@
 
 #[test]
 fn an_owner_lets_a_forward_in_once_however_often_it_comes() {
-    let mut owner = FunctionOwner::new(OTHER, 1, OwnerTiming::default());
+    let mut owner = FunctionOwner::new(OTHER, 1, OwnerSettings::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
     let (_, message) = forward(&send_request(&mut front(1, OTHER), 5, true, "/t/f"));
@@ -78,7 +78,7 @@
 fn a_task_that_cannot_be_served_in_time_is_refused_at_once_not_near_its_deadline() {
     use instance_provider::{ProviderReport, StartReply};
     use traffic::DispatchOutcome;
-    let mut owner = FunctionOwner::new(OTHER, 1, OwnerTiming::default());
+    let mut owner = FunctionOwner::new(OTHER, 1, OwnerSettings::default());
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","max":1}"#;
     let one = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: std::rc::Rc::new(one) });
@@ -91,7 +91,7 @@
             let (_, message) = forward(&send_request(&mut front, at, true, "/t/f"));
             inputs.push(OwnerInput::Forward { from: ME, message });
         }
-        let report = |report| OwnerInput::Platform { report, listed_at: ms(at) };
+        let report = |report| OwnerInput::ProviderReport { report, listed_at: ms(at) };
         if let Some(nonce) = instance.take() {
             let receipt = StartReply::Accepted { id: "i1".into(), address: "10.9.9.9:1".into() };
             inputs.push(report(ProviderReport::Started { nonce, receipt }));
@@ -109,7 +109,9 @@
             }
             match output {
                 OwnerOutput::Dispatch(order) => running.push((order.number, at + 500)),
-                OwnerOutput::Supply(instance_provider::ProviderOrder::Start(order)) => instance = Some(order.nonce),
+                OwnerOutput::ProviderOrder(instance_provider::ProviderOrder::Start(order)) => {
+                    instance = Some(order.nonce)
+                }
                 OwnerOutput::Forward {
                     message: ForwardMessage::Answer { outcome: Outcome::NotRun, retry_after_ms, .. },
                     ..
--- a/crates/traffic/tests/hot_function.rs
+++ b/crates/traffic/tests/hot_function.rs
@@ -5,11 +5,11 @@
 
 use bindings::RouteTable;
 use common::ME;
-use common::supplied::{Supplied, six_workers};
+use common::provider::{OwnerWithProvider, six_workers};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use test_case::test_case;
-use traffic::{DispatchOrder, DispatchOutcome, OwnerInput, OwnerOutput, OwnerTiming};
+use traffic::{DispatchOrder, DispatchOutcome, OwnerInput, OwnerOutput, OwnerSettings};
 use wire::{ForwardMessage, Outcome, RequestHead};
 
 /// Time that an instance works on a request, without the nested call.
@@ -70,7 +70,7 @@
 
 /// An owner of all functions, instances that can run everything within their limit, and callers.
 struct Simulation {
-    owner: Supplied,
+    owner: OwnerWithProvider,
     next: u64,
     requests: BTreeMap<u64, Request>,
     runs: BTreeMap<u64, Run>,
@@ -91,8 +91,8 @@
         let bindings: Vec<(String, String)> =
             names.iter().map(|name| (format!("function-bindings/t/{name}"), binding(name))).collect();
         let declared = bindings.iter().map(|(key, binding)| (key.as_str(), binding.as_bytes()));
-        let timing = OwnerTiming { starts_per_second: 10_000.0, ..OwnerTiming::default() };
-        let mut owner = Supplied::with(timing, ME, 0, six_workers());
+        let settings = OwnerSettings { starts_per_second: 10_000.0, ..OwnerSettings::default() };
+        let mut owner = OwnerWithProvider::with_settings(settings, ME, 0, six_workers());
         owner.feed(OwnerInput::RouteTable { routes: Rc::new(RouteTable::build(1, 1, declared)) });
         let mut simulation = Simulation {
             owner,
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -2,33 +2,33 @@
 
 mod common;
 
-use common::supplied::{line, routes_of, worker};
+use common::provider::{line, routes_of, worker};
 use common::{membership, ms};
 use instance_provider::{InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
+use traffic::{FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings};
 use wire::{ForwardMessage, NodeId};
 
 const IDS: [NodeId; 4] = [3, 5, 7, 11];
 
 /// Owners that hear each other at once, and a provider that answers at once.
-struct Homes {
+struct Owners {
     owners: BTreeMap<NodeId, FunctionOwner>,
     at: u64,
     list: Vec<InstanceLine>,
-    looks: BTreeMap<NodeId, usize>,
-    deaf: Option<NodeId>,
+    reads: BTreeMap<NodeId, usize>,
+    disconnected: Option<NodeId>,
     bytes: usize,
 }
 
-impl Homes {
-    fn new(list: Vec<InstanceLine>) -> Homes {
+impl Owners {
+    fn new(list: Vec<InstanceLine>) -> Owners {
         // Starts are dear, so that what nobody calls is kept.
-        let timing = OwnerTiming { start_gb_seconds: 100.0, ..OwnerTiming::default() };
-        let owners = IDS.map(|id| (id, FunctionOwner::new(id, 1, timing.clone()))).into();
-        let mut all = Homes { owners, at: 0, list, looks: BTreeMap::new(), deaf: None, bytes: 0 };
+        let settings = OwnerSettings { start_gb_seconds: 100.0, ..OwnerSettings::default() };
+        let owners = IDS.map(|id| (id, FunctionOwner::new(id, 1, settings.clone()))).into();
+        let mut all = Owners { owners, at: 0, list, reads: BTreeMap::new(), disconnected: None, bytes: 0 };
         for id in IDS {
             all.feed(id, OwnerInput::RouteTable { routes: Rc::new(bindings::RouteTable::default()) });
             all.feed(id, OwnerInput::Membership { membership: membership(7, &IDS) });
@@ -41,16 +41,18 @@
         let outputs = self.owners.get_mut(&id).unwrap().step(ms(self.at), true, input);
         for output in outputs {
             match output {
-                OwnerOutput::Supply(ProviderOrder::List) => {
-                    *self.looks.entry(id).or_default() += 1;
+                OwnerOutput::ProviderOrder(ProviderOrder::List) => {
+                    *self.reads.entry(id).or_default() += 1;
                     let listing = Listing { instances: self.list.clone() };
                     self.tell(id, ProviderReport::Listed { listing, asked: Instant::now() });
                 }
-                OwnerOutput::Supply(ProviderOrder::Workers) => {
+                OwnerOutput::ProviderOrder(ProviderOrder::Workers) => {
                     let lines = vec![worker("w0", "a", 4096, true)];
                     self.tell(id, ProviderReport::Workers { lines, asked: Instant::now() });
                 }
-                OwnerOutput::Forward { to, message } if self.deaf != Some(to) && self.deaf != Some(id) => {
+                OwnerOutput::Forward { to, message }
+                    if self.disconnected != Some(to) && self.disconnected != Some(id) =>
+                {
                     if let ForwardMessage::Inventory { inventory } = &message {
                         self.bytes += wire::to_bytes(inventory).len();
                     }
@@ -63,7 +65,7 @@
 
     fn tell(&mut self, id: NodeId, report: ProviderReport) {
         let listed_at = ms(self.at);
-        self.feed(id, OwnerInput::Platform { report, listed_at });
+        self.feed(id, OwnerInput::ProviderReport { report, listed_at });
     }
 
     fn pass(&mut self, millis: u64) {
@@ -89,10 +91,10 @@
 
 #[test]
 fn one_owner_reads_and_the_others_know_by_what_it_tells() {
-    let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
+    let mut all = Owners::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(5000);
-    assert_eq!(all.looks.keys().copied().collect::<Vec<_>>(), [first()], "{:?}", all.looks);
-    assert!((4..=6).contains(&all.looks[&first()]));
+    assert_eq!(all.reads.keys().copied().collect::<Vec<_>>(), [first()], "{:?}", all.reads);
+    assert!((4..=6).contains(&all.reads[&first()]));
     assert_eq!(all.ready(), 1);
     let before = std::mem::take(&mut all.bytes);
     all.pass(5000);
@@ -104,26 +106,26 @@
 
 #[test]
 fn the_next_in_turn_reads_when_the_first_is_not_heard_and_stops_when_it_is_back() {
-    let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
+    let mut all = Owners::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(3000);
-    all.deaf = Some(first());
+    all.disconnected = Some(first());
     let next = membership(7, &IDS).in_turn("inventory")[1];
     all.pass(6000);
-    let looks = all.looks.clone();
-    assert!(looks.len() == 2 && (3..=6).contains(&looks[&next]), "{looks:?}");
-    all.deaf = None;
+    let reads = all.reads.clone();
+    assert!(reads.len() == 2 && (3..=6).contains(&reads[&next]), "{reads:?}");
+    all.disconnected = None;
     all.pass(6000);
-    assert!(all.looks[&next] <= looks[&next] + 1 && all.looks.len() == 2, "{:?}", all.looks);
+    assert!(all.reads[&next] <= reads[&next] + 1 && all.reads.len() == 2, "{:?}", all.reads);
 }
 
 #[test]
 fn an_owner_that_missed_a_change_asks_for_the_complete_inventory() {
-    let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
+    let mut all = Owners::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(2000);
-    all.deaf = IDS.into_iter().find(|id| *id != first());
+    all.disconnected = IDS.into_iter().find(|id| *id != first());
     all.list.push(line("i22", "w0", InstanceState::Running));
     all.pass(1060);
-    all.deaf = None;
+    all.disconnected = None;
     all.pass(2000);
     assert_eq!(all.ready(), 2);
     all.list[0].state = InstanceState::Leaving;
@@ -133,25 +135,25 @@
 
 #[test]
 fn an_owner_that_begins_without_a_table_reads_a_list_of_its_own_after_it() {
-    let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
+    let mut all = Owners::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(2000);
     let lost = all.owner();
     let left: Vec<NodeId> = IDS.into_iter().filter(|id| *id != lost).collect();
     let after = membership(8, &left);
     let next = after.owner("t/f").unwrap();
-    let before = all.looks.get(&next).copied().unwrap_or_default();
+    let before = all.reads.get(&next).copied().unwrap_or_default();
     for id in left {
         all.feed(id, OwnerInput::Membership { membership: after.clone() });
     }
     all.pass(Duration::from_millis(800).as_millis() as u64);
-    assert!(all.looks[&next] > before, "{:?}", all.looks);
+    assert!(all.reads[&next] > before, "{:?}", all.reads);
 }
 
 #[test]
 fn an_owner_without_a_lease_orders_no_list_and_one_as_soon_as_it_has_it() {
-    let mut owner = FunctionOwner::new(3, 1, OwnerTiming::default());
+    let mut owner = FunctionOwner::new(3, 1, OwnerSettings::default());
     let lists = |outputs: &[OwnerOutput]| {
-        outputs.iter().filter(|output| matches!(output, OwnerOutput::Supply(ProviderOrder::List))).count()
+        outputs.iter().filter(|output| matches!(output, OwnerOutput::ProviderOrder(ProviderOrder::List))).count()
     };
     owner.step(ms(0), false, OwnerInput::Membership { membership: membership(7, &[3]) });
     owner.step(ms(0), false, OwnerInput::RouteTable { routes: routes_of(0) });
--- a/crates/traffic/tests/keyed.rs
+++ b/crates/traffic/tests/keyed.rs
@@ -8,7 +8,7 @@
 };
 use common::ms;
 use test_case::test_case;
-use traffic::{DispatchOutcome, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
+use traffic::{DispatchOutcome, FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings};
 use wire::{ClaimState, Command, CommandReply, LeaseMessage, Outcome, StoredAnswer};
 
 #[test]
@@ -22,7 +22,7 @@
     told_all.sort_by_key(|told| told.0);
     assert_eq!(told_all, [7, 8].map(|task| (task, Outcome::Answered, 201, 0, b"sword".to_vec())));
     assert!(matches!(proposals(&answered)[..], [(_, Command::RecordAnswer { .. })]), "recorded once");
-    owner.step(ms(60), true, OwnerInput::Core { near: false });
+    owner.step(ms(60), true, OwnerInput::RegistriesReachable { reachable: false });
     let repeat = ask(&mut owner, 55_000, 9, b"x");
     assert_eq!(told(&repeat), [(9, Outcome::Answered, 201, 0, b"sword".to_vec())]);
     assert!(proposals(&repeat).is_empty() && sent(&repeat).is_empty());
@@ -104,9 +104,9 @@
     let granted = CommandReply::Claim { state: ClaimState::Granted, answer: Vec::new().into() };
     let message =
         LeaseMessage::ProposalAck { request_id: claims[0].0, state: 1, body: wire::to_bytes(&granted).into() };
-    let frozen = owner.step(ms(3000), false, OwnerInput::StoreOperation { message });
+    let frozen = owner.step(ms(3000), false, OwnerInput::StoreReply { message });
     assert!(sent(&frozen).is_empty(), "nothing is sent without a valid lease");
-    let lapsed = owner.step(ms(3001), false, OwnerInput::Lapsed);
+    let lapsed = owner.step(ms(3001), false, OwnerInput::LeaseLapsed);
     assert!(matches!(proposals(&lapsed)[..], [(_, Command::Release { .. })]));
     assert!(sent(&owner.step(ms(3002), true, OwnerInput::Tick)).is_empty());
 }
@@ -116,7 +116,7 @@
 fn a_claim_granted_after_its_release_is_released_again() {
     let mut owner = owner(true);
     let claims = proposals(&ask(&mut owner, 2, 7, b"x"));
-    let lapsed = owner.step(ms(10), false, OwnerInput::Lapsed);
+    let lapsed = owner.step(ms(10), false, OwnerInput::LeaseLapsed);
     assert!(proposals(&lapsed).iter().any(|(_, command)| matches!(command, Command::Release { .. })));
     let outputs = claim_answered(&mut owner, 20, claims[0].0, ClaimState::Granted, b"");
     assert!(matches!(proposals(&outputs)[..], [(_, Command::Release { .. })]));
@@ -144,8 +144,8 @@
 
 #[test]
 fn an_answer_too_long_to_be_recorded_is_given_again_by_its_owner_alone() {
-    let timing = OwnerTiming { recorded_answer_bytes: 4, ..OwnerTiming::default() };
-    let mut owner = owner_with(timing, false);
+    let settings = OwnerSettings { recorded_answer_bytes: 4, ..OwnerSettings::default() };
+    let mut owner = owner_with(settings, false);
     let dispatch = first_is_sent(&mut owner);
     let outputs = complete(&mut owner, 50, dispatch);
     let [(_, Command::RecordAnswer { answer, .. })] = &proposals(&outputs)[..] else { panic!("it is recorded") };
@@ -161,7 +161,7 @@
 
 #[test]
 fn instances_that_know_keys_again_are_sent_an_attempt_in_doubt_once_more() {
-    let mut owner = owner_with(OwnerTiming::default(), true);
+    let mut owner = owner_with(OwnerSettings::default(), true);
     let first = first_is_sent(&mut owner);
     let again = sent(&in_doubt(&mut owner, 50, true, first));
     let [second] = again[..] else { panic!("it is sent again: {again:?}") };
@@ -171,7 +171,7 @@
 
 #[test]
 fn an_attempt_in_doubt_is_never_released() {
-    let mut owner = owner_with(OwnerTiming::default(), true);
+    let mut owner = owner_with(OwnerSettings::default(), true);
     let mut dispatch = first_is_sent(&mut owner);
     let mut all = Vec::new();
     for at in [50, 100, 150, 200, 250] {
@@ -179,18 +179,18 @@
         dispatch = sent(&outputs).first().copied().unwrap_or_default();
         all.extend(outputs);
     }
-    all.extend(owner.step(ms(260), false, OwnerInput::Lapsed));
+    all.extend(owner.step(ms(260), false, OwnerInput::LeaseLapsed));
     assert_eq!(told(&all).iter().map(|told| told.2).collect::<Vec<_>>(), [504]);
     assert!(matches!(proposals(&all)[..], [(_, Command::RecordAnswer { .. })]), "over, and not to be run again");
 }
 
 #[test]
 fn one_that_waits_for_its_next_attempt_when_the_lease_lapses_is_recorded_as_unknown() {
-    let mut owner = owner_with(OwnerTiming::default(), true);
+    let mut owner = owner_with(OwnerSettings::default(), true);
     let dispatch = first_is_sent(&mut owner);
     let held = in_doubt(&mut owner, 50, false, dispatch);
     assert!(sent(&held).is_empty() && told(&held).is_empty());
-    let lapsed = owner.step(ms(60), false, OwnerInput::Lapsed);
+    let lapsed = owner.step(ms(60), false, OwnerInput::LeaseLapsed);
     assert_eq!(told(&lapsed).iter().map(|told| (told.1, told.2)).collect::<Vec<_>>(), [(Outcome::Unknown, 504)]);
     assert!(matches!(proposals(&lapsed)[..], [(_, Command::RecordAnswer { .. })]));
 }
--- a/crates/traffic/tests/lapse.rs
+++ b/crates/traffic/tests/lease_lapse.rs
@@ -12,7 +12,7 @@
     let mut owner = owner();
     let outputs = owner.step(ms(1), true, forward(7));
     owner.step(ms(2), true, granted(&outputs));
-    owner.step(ms(3000), false, OwnerInput::Lapsed);
+    owner.step(ms(3000), false, OwnerInput::LeaseLapsed);
     assert_eq!(sent(&owner.step(ms(3001), true, handed())), 0, "another home may have run it since");
     assert_eq!(sent(&read(&mut owner, 3020, &[7])), 1, "still pending, so it is sent, as a second try");
 }
@@ -36,7 +36,7 @@
 #[test]
 fn an_owner_without_a_lease_waits_for_the_table_of_the_owner_between_however_long() {
     let mut owner = owner();
-    owner.step(ms(3000), false, OwnerInput::Lapsed);
+    owner.step(ms(3000), false, OwnerInput::LeaseLapsed);
     for at in (3020..9000).step_by(20) {
         owner.step(ms(at), false, OwnerInput::Tick);
     }
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::ME;
-use common::supplied::{FUNCTION, Supplied, six_workers};
+use common::provider::{FUNCTION, OwnerWithProvider, six_workers};
 use traffic::{DispatchOutcome, OwnerInput, OwnerOutput};
 use wire::{ForwardMessage, PlanMessage, RequestHead};
 
@@ -41,14 +41,14 @@
         Callers { run_ms, next: 0, running: Vec::new() }
     }
 
-    fn call(&mut self, owner: &mut Supplied) {
+    fn call(&mut self, owner: &mut OwnerWithProvider) {
         self.next += 1;
         owner.feed(OwnerInput::Forward { from: ME, message: request(self.next) });
     }
 }
 
 /// Advances time by `millis` with `rate` requests per second.
-fn run_load(owner: &mut Supplied, rate: u64, millis: u64, callers: &mut Callers) {
+fn run_load(owner: &mut OwnerWithProvider, rate: u64, millis: u64, callers: &mut Callers) {
     for _ in 0..millis / 10 {
         owner.pass(10);
         let at = owner.at;
@@ -79,7 +79,7 @@
 
 #[test]
 fn load_rise_is_met_within_a_second_and_kept_for_one_start_time() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     let mut callers = Callers::new(100);
     run_load(&mut owner, 0, 200, &mut callers);
     assert_eq!(owner.count("ready"), 1);
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_rare_request_starts_no_second_instance() {
-    let mut owner = Supplied::new(0, six_workers());
+    let mut owner = OwnerWithProvider::new(0, six_workers());
     let mut callers = Callers::new(1500);
     run_load(&mut owner, 0, 3000, &mut callers);
     for _ in 0..3 {
@@ -108,7 +108,7 @@
 
 #[test]
 fn rarely_called_function_scales_to_zero_between_calls_despite_the_plan() {
-    let mut owner = Supplied::new(0, six_workers());
+    let mut owner = OwnerWithProvider::new(0, six_workers());
     let mut callers = Callers::new(100);
     run_load(&mut owner, 0, 10_000, &mut callers);
     callers.call(&mut owner);
--- a/crates/traffic/tests/order.rs
+++ b/crates/traffic/tests/order.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::ME;
-use common::supplied::{FUNCTION, Supplied, six_workers};
+use common::provider::{FUNCTION, OwnerWithProvider, six_workers};
 use std::rc::Rc;
 use traffic::{DispatchOutcome, OwnerInput, OwnerOutput};
 use wire::{ForwardMessage, RequestHead};
 
-fn forward(owner: &mut Supplied, task: u64, left_ms: u32) {
+fn forward(owner: &mut OwnerWithProvider, task: u64, left_ms: u32) {
     let message = ForwardMessage::ForwardUncounted {
         task,
         function: FUNCTION.into(),
@@ -25,7 +25,7 @@
 }
 
 /// Returns the requests sent since the last call: the number in the body, and the dispatch number.
-fn sent(owner: &mut Supplied) -> Vec<(u64, u64)> {
+fn sent(owner: &mut OwnerWithProvider) -> Vec<(u64, u64)> {
     let outputs = std::mem::take(&mut owner.others).into_iter();
     let orders = outputs.filter_map(|output| match output {
         OwnerOutput::Dispatch(order) => Some(order),
@@ -37,7 +37,7 @@
 
 #[test]
 fn nested_calls_go_first_then_requests_within_their_aim_then_late_ones() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     let binding: &[u8] =
         br#"{"route":"/t/f","function":"f","class":"ordinary","memory_mb":512,"min":1,"max":1,"aim_ms":1200}"#;
     let routes = bindings::RouteTable::build(2, 2, [("function-bindings/t/f", binding)].into_iter());
--- a/crates/traffic/tests/owner_liveness.rs
+++ b/crates/traffic/tests/owner_liveness.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ME, OTHER, forward, front, membership, ms, routes, send_request};
-use traffic::{FrontInput, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
+use traffic::{FrontInput, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings};
 use wire::ForwardMessage;
 
 fn heartbeats_to(outputs: &[OwnerOutput]) -> Vec<u64> {
@@ -30,7 +30,7 @@
 
 #[test]
 fn an_owner_sends_heartbeats_to_the_fronts_whose_tasks_it_has_and_whoever_asks() {
-    let mut owner = FunctionOwner::new(OTHER, 1, OwnerTiming::default());
+    let mut owner = FunctionOwner::new(OTHER, 1, OwnerSettings::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER, 3, 4, 5, 6]) });
     let owners = membership(1, &[OTHER]);
--- a/crates/traffic/tests/placement.rs
+++ b/crates/traffic/tests/placement.rs
@@ -3,18 +3,18 @@
 mod common;
 
 use common::ME;
-use common::supplied::{Supplied, line, six_workers, worker};
+use common::provider::{OwnerWithProvider, line, six_workers, worker};
 use instance_provider::{InstanceState, StartReply};
 use std::collections::BTreeSet;
-use traffic::OwnerTiming;
+use traffic::OwnerSettings;
 
-fn places(owner: &Supplied) -> Vec<String> {
+fn places(owner: &OwnerWithProvider) -> Vec<String> {
     owner.starts.iter().map(|order| order.worker.clone().unwrap_or_default()).collect()
 }
 
 #[test]
 fn instances_are_spread_over_zones_and_then_over_workers() {
-    let mut owner = Supplied::new(6, six_workers());
+    let mut owner = OwnerWithProvider::new(6, six_workers());
     owner.pass(2000);
     let places = places(&owner);
     let zones: BTreeSet<usize> =
@@ -27,15 +27,15 @@
 #[test]
 fn the_first_goes_to_the_owners_own_zone_and_the_emptier_worker() {
     let lines = vec![worker("w0", "b", 4096, true), worker("w1", "a", 2048, true), worker("w2", "a", 4096, true)];
-    let mut owner = Supplied::new(1, lines);
+    let mut owner = OwnerWithProvider::new(1, lines);
     owner.pass(200);
     assert_eq!(places(&owner), ["w2"]);
 }
 
 #[test]
 fn where_no_zone_need_be_lost_instances_stand_near_their_owner_on_workers_apart() {
-    let timing = OwnerTiming { zone_losses: 0, ..OwnerTiming::default() };
-    let mut owner = Supplied::with(timing, ME, 6, six_workers());
+    let settings = OwnerSettings { tolerated_zone_losses: 0, ..OwnerSettings::default() };
+    let mut owner = OwnerWithProvider::with_settings(settings, ME, 6, six_workers());
     owner.pass(2000);
     let mut placed = places(&owner);
     placed.sort();
@@ -44,9 +44,9 @@
 
 #[test]
 fn a_full_zone_is_left_for_another() {
-    let timing = OwnerTiming { zone_losses: 0, ..OwnerTiming::default() };
+    let settings = OwnerSettings { tolerated_zone_losses: 0, ..OwnerSettings::default() };
     let lines = vec![worker("w0", "a", 600, true), worker("w1", "b", 4096, true)];
-    let mut owner = Supplied::with(timing, ME, 3, lines);
+    let mut owner = OwnerWithProvider::with_settings(settings, ME, 3, lines);
     owner.pass(2000);
     assert_eq!(places(&owner), ["w0", "w1", "w1"]);
 }
@@ -54,14 +54,14 @@
 #[test]
 fn a_draining_worker_and_one_without_memory_get_nothing() {
     let lines = vec![worker("w0", "a", 4096, false), worker("w1", "b", 500, true), worker("w2", "c", 600, true)];
-    let mut owner = Supplied::new(1, lines);
+    let mut owner = OwnerWithProvider::new(1, lines);
     owner.pass(200);
     assert_eq!(places(&owner), ["w2"]);
 }
 
 #[test]
 fn what_was_ordered_since_the_list_was_read_is_taken_off_its_memory() {
-    let mut owner = Supplied::new(4, vec![worker("w0", "a", 1100, true), worker("w1", "a", 1100, true)]);
+    let mut owner = OwnerWithProvider::new(4, vec![worker("w0", "a", 1100, true), worker("w1", "a", 1100, true)]);
     owner.pass(100);
     let mut placed = places(&owner);
     placed.sort();
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_worker_without_capacity_is_passed_over_at_once_under_the_same_nonce() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
     for _ in 0..3 {
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_worker_that_is_down_takes_what_was_starting_there_with_it() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let (nonce, place) = (owner.starts[0].nonce.clone(), places(&owner)[0].clone());
     owner.accepted(&nonce, "i1");
@@ -102,7 +102,7 @@
 
 #[test]
 fn one_on_a_draining_worker_is_replaced_as_soon_as_the_list_tells() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
     owner.accepted(&nonce, "i1");
