--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::deferred::{
-    FUNCTION, asked, forward, given, granted, handed, home_of, listed, owner, read, reported, sent, stored, table,
+    FUNCTION, asked, forward, given, granted, handed, listed, owner, owner_with_id, read, reported, sent, stored, table,
 };
 use common::{ME, OTHER, membership, ms};
 use std::collections::BTreeSet;
@@ -35,7 +35,7 @@
 /// An owner that begins after a crash from a table which tells nothing of the tasks that were sent, and
 /// reads the backlog; it may send four at once.
 fn after_a_crash(id: u64) -> FunctionOwner {
-    let mut owner = home_of(id, 1);
+    let mut owner = owner_with_id(id, 1);
     owner.step(ms(1), true, given(table(1)));
     owner
 }
@@ -51,7 +51,7 @@
     let handed_again = reported(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
     assert_eq!(started(&handed_again), ids(&BACKLOG), "should the first be lost");
 
-    let mut second = home_of(OTHER, 2);
+    let mut second = owner_with_id(OTHER, 2);
     let spent_before = u64::from(handed.retries);
     second.step(ms(1), true, given(handed));
     let sent_again = sent(&read(&mut second, 20, &BACKLOG)) as u64;
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use test_case::test_case;
 use traffic::{
-    DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming,
+    DispatchOutcome, Front, FrontInput, FrontLimits, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings,
 };
 use wire::{ForwardMessage, InstanceSlots, Outcome, OwnershipTable, RequestHead};
 
@@ -21,7 +21,7 @@
 
 /// Creates an owner with two instances and forwards a request to it. Returns the owner and its outputs.
 fn owner(attempts: u32) -> (FunctionOwner, Vec<OwnerOutput>) {
-    let mut owner = FunctionOwner::new(ME, 1, OwnerTiming::default());
+    let mut owner = FunctionOwner::new(ME, 1, OwnerSettings::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: single_routes(attempts) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[ME, OTHER]) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[ME]) });
@@ -159,6 +159,6 @@
 fn owner_that_loses_its_lease_returns_only_unsent_requests() {
     let (mut owner, first) = owner(3);
     assert!(sent(&first).is_some());
-    let outputs = owner.step(ms(30), false, OwnerInput::Lapsed);
+    let outputs = owner.step(ms(30), false, OwnerInput::LeaseLapsed);
     assert!(reported(&outputs).is_none() && owner.depths().1 == 1, "the request is still running: {outputs:?}");
 }
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ME, OTHER, forward, front, membership, ms, reply, routes, send_request};
-use traffic::{FrontInput, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerTiming};
+use traffic::{FrontInput, FrontOutput, FunctionOwner, OwnerInput, OwnerOutput, OwnerSettings};
 use wire::{ForwardMessage, InstanceSlots, Outcome, OwnershipTable, RequestHead};
 
 const FUNCTION: &str = "t/f";
@@ -38,13 +38,13 @@
 }
 
 /// What nobody calls is kept: these tests look at what an owner knows, not at what is worth its memory.
-fn dear_starts() -> OwnerTiming {
-    OwnerTiming { start_gb_seconds: 100.0, ..OwnerTiming::default() }
+fn expensive_starts() -> OwnerSettings {
+    OwnerSettings { start_gb_seconds: 100.0, ..OwnerSettings::default() }
 }
 
 /// An owner that has just lost the other, with or without a table kept for it.
 fn after_the_crash(is_standby_copy: Option<ForwardMessage>) -> FunctionOwner {
-    let mut owner = FunctionOwner::new(ME, 1, dear_starts());
+    let mut owner = FunctionOwner::new(ME, 1, expensive_starts());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
     if let Some(message) = is_standby_copy {
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_machine_that_comes_back_is_handed_what_was_kept_for_it() {
-    let mut keeper = FunctionOwner::new(ME, 1, OwnerTiming::default());
+    let mut keeper = FunctionOwner::new(ME, 1, OwnerSettings::default());
     keeper.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
     keeper.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
     keeper.step(ms(10), true, OwnerInput::Forward { from: OTHER, message: table(1, 1, "i1") });
@@ -99,7 +99,7 @@
 fn what_was_not_dispatched_goes_back_when_the_lease_has_lapsed() {
     let mut owner = after_the_crash(None);
     owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: task(7) });
-    let outputs = owner.step(ms(2002), false, OwnerInput::Lapsed);
+    let outputs = owner.step(ms(2002), false, OwnerInput::LeaseLapsed);
     let back = |output: &OwnerOutput| {
         matches!(output, OwnerOutput::Forward { message: ForwardMessage::NotOwner { task: 7 }, .. })
     };
@@ -135,10 +135,10 @@
 fn a_claim_that_is_being_given_back_is_never_dispatched() {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"once"}"#;
     let once = std::rc::Rc::new(bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter()));
-    let mut owner = FunctionOwner::new(ME, 1, OwnerTiming::default());
+    let mut owner = FunctionOwner::new(ME, 1, OwnerSettings::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: once });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[ME]) });
-    owner.step(ms(0), true, OwnerInput::Core { near: true });
+    owner.step(ms(0), true, OwnerInput::RegistriesReachable { reachable: true });
     let outputs = owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: task(7) });
     let request_id = outputs.iter().find_map(|output| match output {
         OwnerOutput::Propose { request_id, .. } => Some(*request_id),
@@ -147,8 +147,8 @@
     let granted = wire::CommandReply::Claim { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&granted).into();
     let message = wire::LeaseMessage::ProposalAck { request_id: request_id.expect("a claim"), state: 1, body };
-    owner.step(ms(2), true, OwnerInput::StoreOperation { message });
-    owner.step(ms(3), false, OwnerInput::Lapsed);
+    owner.step(ms(2), true, OwnerInput::StoreReply { message });
+    owner.step(ms(3), false, OwnerInput::LeaseLapsed);
     let outputs = owner.step(ms(4), true, OwnerInput::Forward { from: OTHER, message: table(1, 0, "i1") });
     assert!(!dispatched(&outputs), "its key is being released");
 }
@@ -156,7 +156,7 @@
 #[test]
 fn an_owner_that_had_lapsed_waits_for_the_table_of_the_owner_between() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
-    owner.step(ms(3000), false, OwnerInput::Lapsed);
+    owner.step(ms(3000), false, OwnerInput::LeaseLapsed);
     assert!(!dispatched(&owner.step(ms(3001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
     let ForwardMessage::Table { table: mut between } = table(2, 0, "i2") else { panic!("a table") };
     between.rejections = 9;
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use common::supplied::{FUNCTION, Supplied, line, six_workers};
+use common::provider::{FUNCTION, OwnerWithProvider, line, six_workers};
 use common::{ME, OTHER, membership};
 use instance_provider::{InstanceState, StartReply, StopReply};
 use traffic::{DispatchOrder, DispatchOutcome, OwnerInput, OwnerOutput};
 use wire::{ForwardMessage, RequestHead};
 
-fn accepted_one() -> Supplied {
-    let mut owner = Supplied::new(1, six_workers());
+fn accepted_one() -> OwnerWithProvider {
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
     owner.accepted(&nonce, "i1");
@@ -18,7 +18,7 @@
 
 #[test]
 fn instances_to_be_kept_warm_are_started_at_once_and_paced() {
-    let mut owner = Supplied::new(30, six_workers());
+    let mut owner = OwnerWithProvider::new(30, six_workers());
     owner.pass(100);
     let first = owner.starts.len();
     assert!((4..=12).contains(&first), "{first}");
@@ -28,7 +28,7 @@
 
 #[test]
 fn an_unanswered_start_is_ordered_again_under_its_nonce_on_its_worker() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let first = owner.starts[0].clone();
     for resends in 1..5 {
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_start_that_took_effect_unanswered_is_one_with_what_the_list_shows() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
     owner.started(&nonce, StartReply::Unanswered);
@@ -58,7 +58,7 @@
 
 #[test]
 fn after_many_unanswered_tries_the_list_tells() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
     while owner.starts.last().is_some_and(|order| order.nonce == nonce) && owner.at < 20_000 {
@@ -74,7 +74,7 @@
 
 #[test]
 fn too_many_calls_are_waited_out_under_the_same_nonce() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
     owner.started(&nonce, StartReply::Limited);
@@ -110,7 +110,7 @@
     }
 }
 
-fn last_dispatch(owner: &Supplied) -> Option<&DispatchOrder> {
+fn last_dispatch(owner: &OwnerWithProvider) -> Option<&DispatchOrder> {
     owner.others.iter().rev().find_map(|output| match output {
         OwnerOutput::Dispatch(order) => Some(order),
         _ => None,
@@ -166,7 +166,7 @@
 
 #[test]
 fn a_pending_wish_goes_over_to_the_next_owner_under_its_nonce() {
-    let mut owner = Supplied::new(1, six_workers());
+    let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
     owner.feed(OwnerInput::Membership { membership: membership(8, &[OTHER]) });
@@ -176,7 +176,7 @@
         }
         _ => None,
     });
-    let mut next = Supplied::beside(OTHER, 1, six_workers());
+    let mut next = OwnerWithProvider::with_member(OTHER, 1, six_workers());
     next.feed(OwnerInput::Membership { membership: membership(8, &[ME]) });
     next.feed(OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table: table.expect("a table") } });
     next.pass(300);
