--- a/crates/traffic/src/claims.rs
+++ b/crates/traffic/src/claims.rs
@@ -1,6 +1,6 @@
-//! Run-once keys at their function's owner: claimed through the registries before a request is sent, settled with its
-//! answer after, released only when it was sent nowhere. A repeat of an operation that this owner knows waits for it,
-//! or is answered from memory, and costs the registries nothing.
+//! Keys of run-once requests at the function's owner. A key is claimed in the registries before its request is sent and
+//! settled with the answer afterwards; it is released only if the request was never sent. A repeat of an operation that
+//! this owner knows waits for it or is answered from memory, without a request to the registries.
 
 use crate::function_owner::FunctionOwner;
 use crate::keyed_operations::JoinResult;
@@ -10,16 +10,16 @@
 use std::time::Duration;
 use wire::{Blob, ClaimState, Command, Outcome, StoredAnswer};
 
-/// A release or an answer is proposed again for so long until the registries have taken it.
+/// How long a claim, a release or an answer is proposed again until the registries have accepted it.
 pub(crate) const STORE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Ticks by which the registries keep a key longer than it is asked for: theirs may come sooner after one another
-/// where the tail moves, and the first of them sooner after a claim.
+/// Extra ticks for which a key is claimed beyond the key window. The registries' ticks may follow each other faster
+/// when the tail of the chain moves, and the first tick may come soon after the claim.
 const EXTRA_TICKS: u64 = 5;
-/// When to come back for a key whose operation is under way.
+/// Suggested delay before a caller repeats a request whose operation is in progress.
 const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// The status of a repeat whose operation is under way.
+/// Status for a repeat whose operation is in progress.
 const CONFLICT: u16 = 409;
-/// The status of a key that was used for another request.
+/// Status for a key that was already used for another request.
 const UNPROCESSABLE: u16 = 422;
 
 fn unknown() -> StoredAnswer {
@@ -27,8 +27,8 @@
 }
 
 impl FunctionOwner {
-    /// A request with a key comes. What is known of its operation is answered though the queue is full and the
-    /// registries are far; true if nothing more is to be done.
+    /// Handles a new request with a key, and returns true if it is answered or waits for the first request with the
+    /// key. A known operation is answered even if the queue is full or the registries cannot be reached.
     pub(crate) fn join_operation(&mut self, number: u64) -> bool {
         let Some(task) = self.tasks.get(&number) else { return true };
         match self.keyed.join(self.now, &task.scope, &task.digest, number) {
@@ -45,7 +45,7 @@
         true
     }
 
-    /// A repeat waits while the first may still be answered within the repeat's aim, or half of its time.
+    /// Makes a repeat wait for the first request with its key, for at most the repeat's aim or half of its time.
     fn wait_for_leader(&mut self, number: u64) {
         self.counters.keyed.waited += 1;
         let now = self.now;
@@ -55,7 +55,7 @@
         task.state = RequestState::AwaitingLeader { until: now + patience };
     }
 
-    /// Repeats that waited long enough are told that their key is in work.
+    /// Answers repeats that have waited long enough with the status that their operation is in progress.
     pub(crate) fn repeat_timeout_pass(&mut self) {
         let now = self.now;
         let is_over = |state: &RequestState| matches!(state, RequestState::AwaitingLeader { until } if now >= *until);
@@ -63,14 +63,15 @@
         over.collect::<Vec<_>>().into_iter().for_each(|number| self.refuse_as_in_progress(number));
     }
 
-    /// The key is in work: nothing is said of how the operation ends.
+    /// Answers that the operation of this key is in progress and its outcome is unknown.
     pub(crate) fn refuse_as_in_progress(&mut self, number: u64) {
         self.counters.keyed.refused_as_running += 1;
         let again = self.add_jitter(number, IN_PROGRESS_RETRY_AFTER);
         self.answer_without_body(number, Outcome::Unknown, CONFLICT, again);
     }
 
-    /// A request under a key leaves this owner; those that waited for it get its answer, or go back to their fronts.
+    /// Ends the operation of a request with a key. The requests that waited for it get its answer, or return to their
+    /// fronts if there is none.
     pub(crate) fn end_operation(&mut self, number: u64, answer: Option<&StoredAnswer>, retry_after: Duration) {
         let Some(task) = self.tasks.get(&number).filter(|task| task.class == Class::Once) else { return };
         let lasting = answer.filter(|answer| answer.outcome == Outcome::Answered);
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Claims the key of a request, unless it would be refused after: a claim and its release are two entries.
+    /// Claims the key of a request, unless the request would be refused afterwards: a claim and its release cost two
+    /// log entries.
     pub(crate) fn claim_if_served_soon(&mut self, number: u64) {
         match self.excessive_wait(number) {
             Some(wait) => self.refuse_with_wait(number, wait, RefusalReason::ExpectedWait),
@@ -109,6 +111,7 @@
         self.request_store(StoreOperation::Claim, number, &function, wire::to_bytes(&command), STORE_TIMEOUT);
     }
 
+    /// Proposes to release the claim of a request.
     pub(crate) fn release(&mut self, number: u64) {
         let Some(task) = self.tasks.get(&number) else { return };
         let command = Command::Release {
@@ -122,7 +125,7 @@
         self.request_store(StoreOperation::Release, number, &function, wire::to_bytes(&command), STORE_TIMEOUT);
     }
 
-    /// A claim granted after its task was given up is released, or its key would stay taken.
+    /// Releases a claim that was granted after its request was given up; otherwise the key would stay claimed.
     pub(crate) fn release_unused_claim(&mut self, claim: &[u8], function: &str) {
         if let Some(
             Command::Claim { scope, member, incarnation, request_id, .. }
@@ -135,13 +138,13 @@
         }
     }
 
-    /// Records that an operation may have run and has no answer, so that it is never run again.
+    /// Records that an operation may have run but has no answer, so that it is never run again.
     pub(crate) fn record_unknown(&mut self, number: u64) {
         self.record_answer(number, &unknown());
     }
 
-    /// Records that an operation is over, with its answer where that is short enough. A longer one is in this owner's
-    /// memory alone: a repeat that does not find it there hears that the outcome is not known.
+    /// Records that an operation has ended, with its answer if that is short enough. A longer answer is kept only in
+    /// this owner's memory; a repeat that does not find it there is answered that the outcome is unknown.
     pub(crate) fn record_answer(&mut self, number: u64, answer: &StoredAnswer) {
         let unknown = unknown();
         let bytes = answer.head.as_slice().len() + answer.body.as_slice().len();
@@ -158,7 +161,7 @@
         self.request_store(StoreOperation::RecordAnswer, number, &function, wire::to_bytes(&command), STORE_TIMEOUT);
     }
 
-    /// The registries' word on a claim.
+    /// Handles the registries' reply to a claim.
     pub(crate) fn handle_claim_reply(&mut self, number: u64, state: ClaimState, answer: &[u8]) {
         let mine = self.tasks.get(&number).is_some_and(|task| self.is_owner(&task.function));
         let Some(task) = self.tasks.get_mut(&number) else { return };
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -1,5 +1,5 @@
-//! Keeping the deferred promise: pending tasks of the functions homed here are read back from the
-//! chain's store, after an owner has moved or restarted and now and then besides, and run to the end.
+//! Execution of accepted deferred requests: an owner reads the pending requests of its functions back from the
+//! registries' store, after it became the owner or restarted and at intervals, and runs them to completion.
 
 use crate::function_owner::FunctionOwner;
 use crate::owner_types::{OwnedRequest, OwnerOutput, RequestState, StoreOperation, StoreRequest, TaskId};
@@ -8,14 +8,18 @@
 use std::time::Duration;
 use wire::{ConfigurationItem, StoredRequest};
 
+/// Maximum number of reads of the store in flight.
 const READS_AT_ONCE: usize = 4;
+/// Number of items from which on a list may be only a part of what is pending.
 const FULL_PAGE_ITEMS: usize = 500;
 
+/// Returns the name under which the item's request is stored.
 fn task_id(item: &ConfigurationItem) -> &str {
     item.key.as_str().rsplit('/').next().unwrap_or_default()
 }
 
 impl FunctionOwner {
+    /// Reads the pending requests of functions whose last read was long enough ago.
     pub(crate) fn deferred_pass(&mut self) {
         let now = self.now;
         let Some(routes) = self.routes.clone() else { return };
@@ -53,8 +57,8 @@
         }
     }
 
-    /// Another owner may have sent what is stored. What was held here is let go of, and read back as the
-    /// store tells of it; what is just being stored counts as sent.
+    /// Assumes that another owner may have sent the stored requests. Queued ones are dropped and read back from the
+    /// store; those being stored count as sent.
     pub(crate) fn assume_stored_sent(&mut self) {
         let queued = |task: &OwnedRequest| task.stored_id.is_some() && task.state == RequestState::Queued;
         let numbers: Vec<u64> = self.tasks.iter().filter(|(_, task)| queued(task)).map(|(number, _)| *number).collect();
@@ -66,8 +70,8 @@
         storing.for_each(|task| task.dispatches = task.dispatches.max(1));
     }
 
-    /// Without a table of the owner before, whatever is pending at the first look may have been sent
-    /// already; what is stored from then on was not sent by anybody else.
+    /// Updates the set of sent requests from the pending ones. Without an earlier owner's table, every request pending
+    /// at the first read may have been sent already; requests stored later were not sent by another owner.
     fn update_sent_tasks(&mut self, name: &str, items: &[ConfigurationItem]) {
         if items.len() >= FULL_PAGE_ITEMS {
             return;
@@ -82,6 +86,7 @@
         }
     }
 
+    /// Queues the pending requests of the list that this owner does not hold yet, while the queue has room.
     pub(crate) fn handle_deferred_list(&mut self, request_id: u64, items: Vec<ConfigurationItem>) {
         let Some(record) = self.store_requests.remove(&request_id) else { return };
         let name = record.function;
--- a/crates/traffic/src/earlier_owners.rs
+++ b/crates/traffic/src/earlier_owners.rs
@@ -1,30 +1,33 @@
-//! How many owners a function may have had lately, as its memberships tell: what an owner may spend that does
-//! not know what the owners before it spent depends on how many of those there may have been.
+//! Number of owners that a function may have had lately, derived from the memberships. An owner that does not know how
+//! many retries earlier owners used may use fewer itself, the more earlier owners there may have been.
 
 use leases::Membership;
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Owners of one function that may have spent within a window, this one not counted.
+/// Number of other owners of a function that may have used retries within a window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlierOwners {
+    /// At most this many.
     Bounded(u32),
-    /// This machine has not followed the memberships for a whole window.
+    /// This router has not followed the memberships for a whole window.
     Unknown,
 }
 
-/// The memberships of the last window, oldest first, and the one that was in force before them.
+/// Memberships of the last window, oldest first, preceded by the one that applied when the window began.
 pub struct MembershipHistory {
     window: Duration,
     membership_updates: VecDeque<(Duration, Rc<Membership>)>,
 }
 
 impl MembershipHistory {
+    /// Returns an empty history.
     pub fn new(window: Duration) -> MembershipHistory {
         MembershipHistory { window, membership_updates: VecDeque::new() }
     }
 
+    /// Adds a new membership, and drops those that ended before the window.
     pub fn add(&mut self, now: Duration, membership: Rc<Membership>) {
         self.membership_updates.push_back((now, membership));
         while self.membership_updates.get(1).is_some_and(|(since, _)| now > *since + self.window) {
@@ -32,8 +35,9 @@
         }
     }
 
-    /// A membership that was skipped may have named any owner, and one whose owner came back under a new
-    /// incarnation names an owner that knows nothing.
+    /// Returns how many other owners the function may have had within the window. Each skipped membership counts as a
+    /// change, since it may have named any owner; so does an owner that returned under a new incarnation, since it
+    /// knows nothing of its earlier requests.
     pub fn earlier_owners_of(&self, now: Duration, function: &str) -> EarlierOwners {
         let followed = self.membership_updates.front().is_some_and(|(since, _)| now > *since + self.window);
         if !followed {
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -1,6 +1,6 @@
-//! An owner as one state machine: a table of task records and a scheduler for each function it is the owner
-//! to. Inputs change records; passes over the table decide what is dispatched, given up, started
-//! and stopped. Nothing is dispatched without a valid pass and the owner's own place in the membership.
+//! The owner of functions as one state machine: a table of request records, and a scheduler for each function that it
+//! owns. Inputs change records; passes over the table decide which requests are dispatched or given up, and which
+//! instances are started or stopped. Nothing is dispatched unless the router holds a valid lease and is a member.
 
 use crate::allowances::Allowances;
 use crate::earlier_owners::MembershipHistory;
@@ -8,7 +8,8 @@
 use crate::inventory::Inventory;
 use crate::keyed_operations::KeyedOperations;
 use crate::owner_counters::OwnerCounters;
-use crate::owner_types::{OwnedRequest, OwnerInput, OwnerOutput, OwnerSettings, StoreRequest, TaskId};
+use crate::owner_settings::OwnerSettings;
+use crate::owner_types::{OwnedRequest, OwnerInput, OwnerOutput, StoreRequest, TaskId};
 use crate::placement::Workers;
 use crate::standby::StandbyCopy;
 use bindings::RouteTable;
@@ -18,6 +19,7 @@
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, OwnershipTable, TunedParameters};
 
+/// Owner of the functions that the membership assigns to this router.
 pub struct FunctionOwner {
     pub(crate) me: NodeId,
     pub(crate) incarnation: u64,
@@ -34,11 +36,17 @@
     pub(crate) store_requests: BTreeMap<u64, StoreRequest>,
     pub(crate) keyed: KeyedOperations,
     pub(crate) plan_requests: BTreeMap<u64, String>,
+    /// Dispatches in flight by dispatch number: request, function, instance, time of sending, and number of concurrent
+    /// requests at the instance.
     pub(crate) running: BTreeMap<u64, (u64, String, String, Duration, u32)>,
+    /// Instances whose stop was ordered, and when.
     pub(crate) stopped: BTreeMap<String, Duration>,
+    /// Instances of functions without a binding, and when they were first seen.
     pub(crate) unbound_since: BTreeMap<String, Duration>,
+    /// Stored requests that were answered lately, which the store may still list as pending.
     pub(crate) finished: BTreeMap<String, Duration>,
     pub(crate) last_number: u64,
+    /// Instance starts that may be ordered now.
     pub(crate) starts_left: f64,
     pub(crate) starts_refilled_at: Duration,
     pub(crate) scaled_at: Duration,
@@ -49,7 +57,9 @@
     pub(crate) replicated_at: Duration,
     pub(crate) standby_copies: BTreeMap<String, StandbyCopy>,
     pub(crate) no_growth_until: Duration,
+    /// Number of listed instances per function, of all owners.
     pub(crate) listed_counts: BTreeMap<String, u32>,
+    /// Instances reported as leaving, and when.
     pub(crate) leaving_instances: BTreeMap<String, Duration>,
     pub(crate) workers: Workers,
     pub(crate) inventory: Inventory,
@@ -58,6 +68,7 @@
 }
 
 impl FunctionOwner {
+    /// Returns an owner without functions.
     pub fn new(me: NodeId, incarnation: u64, settings: OwnerSettings) -> Self {
         let workers = Workers::new(settings.tolerated_zone_losses > 0);
         let window = Allowances::lengthened_window(settings.allowances.retry_window);
@@ -101,6 +112,7 @@
         }
     }
 
+    /// Handles one input and returns the actions that follow. `may_serve` tells whether the lease is valid.
     pub fn step(&mut self, now: Duration, may_serve: bool, input: OwnerInput) -> Vec<OwnerOutput> {
         self.now = now;
         self.may_serve = may_serve;
@@ -168,17 +180,19 @@
         std::mem::take(&mut self.outs)
     }
 
+    /// Returns the numbers of requests, of dispatches in flight and of open requests to the store.
     pub fn depths(&self) -> (usize, usize, usize) {
         (self.tasks.len(), self.running.len(), self.store_requests.len())
     }
 
+    /// Returns whether no caller waits and nothing is in flight.
     pub fn is_idle(&self) -> bool {
         self.tasks.values().all(|task| !task.is_caller_waiting)
             && self.running.is_empty()
             && self.store_requests.is_empty()
     }
 
-    /// Whether some task waits here for anything but the answer of the instance it was sent to.
+    /// Returns whether any request waits for something other than the answer of its instance.
     pub fn has_waiting_work(&self) -> bool {
         self.tasks.len() > self.running.len() || !self.store_requests.is_empty()
     }
@@ -188,6 +202,7 @@
         self.last_number
     }
 
+    /// Returns whether the membership makes this router the owner of the function.
     pub(crate) fn is_owner(&self, function: &str) -> bool {
         self.membership.owner(function) == Some(self.me)
     }
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -1,4 +1,4 @@
-//! One function at its owner: its held tasks, its instances, its budget and its part of the plan.
+//! State of one function at its owner: queued requests, instances, retry budget and scaling plan.
 
 use crate::allowances::Allowances;
 use crate::budget::RetryBudget;
@@ -14,9 +14,12 @@
 use std::time::Duration;
 use wire::NodeId;
 
+/// Interval at which an instance's concurrency limit grows by one while requests were rejected lately.
 const LIMIT_GROWTH_INTERVAL: Duration = Duration::from_secs(1);
+/// The same interval while no request was rejected lately.
 const CALM_LIMIT_GROWTH_INTERVAL: Duration = Duration::from_millis(200);
 
+/// Scheduler of one function's requests and instances.
 pub struct FunctionScheduler {
     pub function: Function,
     pub queued: VecDeque<u64>,
@@ -25,37 +28,46 @@
     pub budget: RetryBudget,
     pub rejection_limit: RejectionLimit,
     pub in_flight: u32,
+    /// While the owner waits for an earlier owner's table: since when, and whether it has read a list of its own since.
     pub adopting: Option<(Duration, bool)>,
+    /// Number of the membership under which this router became the owner.
     pub acquired_membership: u64,
+    /// Retries and rejections that earlier owners have reported so far.
     pub reported_counts: (u32, u32),
     pub sent_tasks: SentTasks,
+    /// The next owner while the function is being handed over, and when the last table was sent to it.
     pub leaving: Option<(NodeId, Duration)>,
-    /// Whether this router is the owner by the membership in force; asked at each pass, so it is kept here.
+    /// Whether this router is the owner under the current membership. Cached because each pass needs it.
     pub is_owned: bool,
     pub arrivals: u32,
     pub load: RecentLoad,
     pub peak: DemandPeak,
     pub typical_answer_time: TypicalAnswerTime,
     pub answered: u32,
+    /// Sum of the answer times since the last sample.
     pub answer_time: Duration,
+    /// Exponential moving average of the answer times.
     pub smoothed_answer_time: Duration,
     pub waiting_sum: f64,
     pub queued_sum: f64,
+    /// Number of passes since the last sample.
     pub observations: u32,
+    /// When the pending deferred requests were last read from the store.
     pub deferred_read_at: Option<Duration>,
     pub no_starts_until: Duration,
+    /// End of the time after a preemption in which instances are started only for queued requests.
     pub preempted_until: Duration,
     pub desired: u32,
     pub measurement: MeasurementCounts,
     pub tuned_usage: Option<f64>,
     pub sampled_zero: bool,
-    /// What keeps the queue from being sent.
+    /// Reason why the queued requests are not being sent.
     pub queue_wait: QueueWait,
     pub blocked: BlockedTime,
     pub refused: RefusalCounts,
 }
 
-/// What is measured between two samples, for the tuning of weight sheets.
+/// Measurements between two samples, for the tuning of weight sheets.
 #[derive(Clone, Copy, Default)]
 pub struct MeasurementCounts {
     pub boot: Duration,
@@ -66,6 +78,7 @@
 }
 
 impl FunctionScheduler {
+    /// Returns a scheduler that waits for the earlier owner's table.
     pub fn new(now: Duration, function: Function, membership: u64, allowances: &Allowances) -> FunctionScheduler {
         FunctionScheduler {
             function,
@@ -104,18 +117,20 @@
         }
     }
 
-    /// Whether anything is, was lately or should be going on here; a scheduler asleep costs nothing.
+    /// Returns whether the function has requests or instances, needs instances, or had requests lately. Schedulers for
+    /// which this is false are skipped and cost nothing.
     pub fn is_awake(&self) -> bool {
         let wanted = self.function.fixed.unwrap_or(self.function.min) > 0 || self.desired > 0;
         wanted || !self.queued.is_empty() || !self.instances.is_empty() || self.in_flight > 0 || self.arrivals > 0
     }
 
-    /// How long one start takes on average.
+    /// Returns the average start time of an instance.
     pub fn boot_time(&self) -> Duration {
         self.function.boot
     }
 
-    /// Others may have been owner here meanwhile: what they spent and sent is not known.
+    /// Resets what is known of other owners' retries, rejections and sent requests, after others may have been the
+    /// owner.
     pub fn restart_adoption(&mut self, now: Duration) {
         self.rejection_limit.begin_caution(now);
         self.instances.values_mut().for_each(|instance| instance.proven_concurrency = 0);
@@ -125,18 +140,19 @@
         self.load.reset_long_run_rate(now);
     }
 
-    /// Tasks an instance is planned for, by the usage in force.
+    /// Returns the number of concurrent requests planned per instance, by the current target usage.
     pub fn capacity(&self) -> f64 {
         let sheet = &self.function.sheet;
         let usage = self.tuned_usage.unwrap_or(sheet.target_usage);
         scaler::capacity(self.function.instance_limit, &bindings::WeightSheet { target_usage: usage, ..sheet.clone() })
     }
 
-    /// The least time in which a task can be expected to be answered once it is sent.
+    /// Returns the minimum time in which a request can be expected to be answered once it is sent.
     pub fn min_answer_time(&self) -> Duration {
         self.smoothed_answer_time.mul_f64(1.5).clamp(Duration::from_millis(30), Duration::from_millis(1000))
     }
 
+    /// Records the answer time of a request.
     pub fn record_answer_time(&mut self, time: Duration) {
         self.answered += 1;
         self.answer_time += self.typical_answer_time.cap(time);
@@ -144,16 +160,18 @@
             if self.smoothed_answer_time.is_zero() { time } else { (self.smoothed_answer_time * 7 + time) / 8 };
     }
 
+    /// Returns the number of instances in the phase.
     pub fn count(&self, phase: Phase) -> u32 {
         self.instances.values().filter(|instance| instance.phase() == phase).count() as u32
     }
 
-    /// Slots into which requests may be sent now.
+    /// Returns the number of requests that may be sent now.
     pub fn free_slots(&self, now: Duration) -> u32 {
         let limit = self.function.instance_limit;
         self.instances.values().map(|instance| instance.capacity(now, limit)).sum()
     }
 
+    /// Returns the instance with the most free slots, if any has one.
     pub fn most_free_instance(&self, now: Duration) -> Option<String> {
         let limit = self.function.instance_limit;
         self.instances
@@ -164,7 +182,7 @@
             .map(|(_, id)| id.clone())
     }
 
-    /// Reduces at once what an instance is sent after it turned a task away; it grows back slowly.
+    /// Halves the concurrency limit of an instance that rejected a request; the limit then grows back slowly.
     pub fn reduce_limit(&mut self, now: Duration, id: &str) {
         let limit = self.function.instance_limit;
         if let Some(instance) = self.instances.get_mut(id) {
@@ -175,6 +193,7 @@
         }
     }
 
+    /// Raises reduced concurrency limits by one, at the growth interval.
     pub fn restore_limits(&mut self, now: Duration) {
         let limit = self.function.instance_limit;
         self.rejection_limit.decay();
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -1,6 +1,6 @@
-//! Owners moving: a scheduler opened for a function gained, waiting for the old owner's table or, after
-//! a crash without one kept here, for the platform's list and a pause; and a scheduler closing for a
-//! function lost, which hands its table over, gives back what was never dispatched and finishes what was.
+//! Handover of functions between owners. A new owner opens a scheduler and waits for the earlier owner's table; after a
+//! crash without a standby copy it waits for the provider's list and a pause instead. An owner that loses a function
+//! sends its table to the next owner, returns requests that were never dispatched and finishes those that were.
 
 use crate::function_owner::FunctionOwner;
 use crate::function_scheduler::FunctionScheduler;
@@ -11,11 +11,14 @@
 use std::time::Duration;
 use wire::ForwardMessage;
 
+/// Interval at which a leaving owner sends its table.
 const HANDOVER_INTERVAL: Duration = Duration::from_millis(200);
+/// How long requests sent by a crashed owner may still occupy instances: half of it before the adoption ends, half
+/// after.
 const FOREIGN_TIME_AFTER_CRASH: Duration = Duration::from_millis(400);
 
 impl FunctionOwner {
-    /// Opens and closes schedulers so that they are those of the route table's functions homed here.
+    /// Opens and closes schedulers so that they match the functions of the route table that this router owns.
     pub(crate) fn align_schedulers(&mut self) {
         let Some(routes) = self.routes.clone() else { return };
         if self.membership.number == 0 {
@@ -52,7 +55,7 @@
                 None => {}
             }
         }
-        // What the store listed before another owner was owner is outdated.
+        // Lists of pending requests that were requested before another router was the owner are outdated.
         self.store_requests.retain(|_, request_id| {
             request_id.kind != StoreOperation::ReadDeferred || !restarted.contains(&request_id.function)
         });
@@ -81,7 +84,8 @@
         self.drop_moved_deferred();
     }
 
-    /// A function that the route table before did not have had no owner: nothing is to be waited for.
+    /// Ends the adoption of functions that the previous route table did not have: they had no owner, so there is no
+    /// table to wait for.
     pub(crate) fn skip_adoption_of_new_functions(&mut self, before: Option<Rc<RouteTable>>) {
         let Some(before) = before else { return };
         for (name, scheduler) in &mut self.schedulers {
@@ -95,7 +99,7 @@
         self.drop_queued_deferred(|owner, function| !owner.is_owner(function));
     }
 
-    /// Stored tasks held here and not being run: whoever is the owner finds them in the chain.
+    /// Drops queued stored requests that `which` selects. The current owner finds them in the store.
     pub(crate) fn drop_queued_deferred(&mut self, which: impl Fn(&FunctionOwner, &str) -> bool) {
         let queued = |task: &OwnedRequest| task.stored_id.is_some() && task.state == RequestState::Queued;
         let dropped: Vec<u64> = self
@@ -110,6 +114,7 @@
         }
     }
 
+    /// Sends the table of a function to its next owner.
     fn send_handover(&mut self, name: &str) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Ends adoptions whose time has come, and closes schedulers that have nothing left to finish.
+    /// Ends adoptions that have waited long enough, and closes schedulers without requests left to finish.
     pub(crate) fn handover_pass(&mut self) {
         let now = self.now;
         for (name, scheduler) in &mut self.schedulers {
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -1,7 +1,8 @@
-//! The provider's list and its workers, read by one owner for all: the first in turn by the membership, or
-//! the next should nothing be heard from it. What it read goes to the other owners as changes, with the
-//! time since it was asked for; who missed some asks for the whole. An owner that waits for a list asked
-//! for after its own beginning reads one itself, since no other's clock can tell that for sure.
+//! The provider's lists of instances and workers, read by one owner on behalf of all: the first in the reading order
+//! that follows from the membership, or the next one if the first is silent. The reader sends the other owners changes,
+//! with the time since it requested the list; an owner that missed a change requests the complete inventory. An owner
+//! that needs a list requested after its adoption began reads one itself, since it cannot tell this from another
+//! owner's clock.
 
 use crate::function_owner::FunctionOwner;
 use crate::inventory_records::{change_of, changed, from_instance_record, from_worker_record, removed, worker_record};
@@ -11,19 +12,25 @@
 use std::time::Duration;
 use wire::{ForwardMessage, InventoryChange, NodeId};
 
-/// How long after the list was due the next in turn waits before it reads in the other's place.
+/// How long after the list was due the next owner in the reading order waits before it reads the list instead.
 const STAND_IN_DELAY: Duration = Duration::from_secs(1);
+/// Minimum interval between lists that an owner reads for itself.
 const OWN_READ_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum interval between requests for the complete inventory.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which workers are read while instances changed lately.
 const WORKERS_INTERVAL_AFTER_CHANGE: Duration = Duration::from_millis(1900);
+/// Interval at which workers are read otherwise.
 const WORKERS_INTERVAL: Duration = Duration::from_secs(6);
+/// How long after a change of the instances workers are read at the shorter interval.
 const RECENT_CHANGE_TIME: Duration = Duration::from_secs(4);
 
+/// Instances and workers that this owner knows from the provider's lists.
 #[derive(Default)]
 pub(crate) struct Inventory {
     instances: BTreeMap<String, InstanceLine>,
     workers: BTreeMap<String, WorkerLine>,
-    /// Who read what is known here, and under which number.
+    /// Owner that read the known lists, and the number of its last change.
     source: Option<(NodeId, u64)>,
     reading_order: Vec<NodeId>,
     heard_at: Duration,
@@ -31,7 +38,7 @@
     workers_requested_at: Duration,
     list_ordered_at: Option<Duration>,
     workers_ordered_at: Option<Duration>,
-    /// When this owner last ordered a list for functions that it adopts.
+    /// When this owner last ordered a list for functions that it is adopting.
     adoption_list_ordered_at: Option<Duration>,
     reads_for_all: bool,
     changed_at: Duration,
@@ -39,14 +46,14 @@
 }
 
 impl Inventory {
-    /// How many owners there are, this one and others.
+    /// Returns the number of owners, including this one.
     pub(crate) fn owners(&self) -> usize {
         self.reading_order.len()
     }
 }
 
 impl FunctionOwner {
-    /// The owners in the order in which they read for all, under a new membership.
+    /// Updates the order in which owners read the lists, after a change of the membership.
     pub(crate) fn update_reading_order(&mut self) {
         let turn = self.membership.in_turn("inventory");
         let (now, inventory) = (self.now, &mut self.inventory);
@@ -60,6 +67,7 @@
         inventory.reading_order = turn;
     }
 
+    /// Orders the lists that this owner should read now.
     pub(crate) fn inventory_pass(&mut self) {
         let now = self.now;
         let Some(place) = self.inventory.reading_order.iter().position(|id| *id == self.me) else { return };
@@ -72,7 +80,7 @@
             .schedulers
             .values()
             .any(|scheduler| scheduler.adopting.is_some_and(|(since, told)| !told && asked <= since));
-        // The list counts only if it is asked for under the lease: it is ordered as soon as that is there.
+        // Only a list requested while the lease is valid counts, so it is ordered as soon as this owner may serve.
         let own = waits && self.may_serve && pause(self.inventory.adoption_list_ordered_at, OWN_READ_INTERVAL);
         if own {
             self.inventory.adoption_list_ordered_at = Some(now);
@@ -91,7 +99,7 @@
         }
     }
 
-    /// This owner's own look at the list.
+    /// Handles an instance list that this owner has read.
     pub(crate) fn handle_listing(&mut self, listing: Listing, asked: Duration) {
         let list: BTreeMap<String, InstanceLine> =
             listing.instances.into_iter().map(|line| (line.id.clone(), line)).collect();
@@ -113,6 +121,7 @@
         self.send_to_other_owners(change);
     }
 
+    /// Handles a worker list that this owner has read.
     pub(crate) fn handle_worker_list(&mut self, lines: Vec<WorkerLine>, asked: Duration) {
         let workers: BTreeMap<String, WorkerLine> =
             lines.iter().map(|line| (line.name.clone(), line.clone())).collect();
@@ -122,7 +131,8 @@
         let differs = changed(&inventory.workers, &workers).map(worker_record).collect::<Vec<_>>();
         let workers_gone = removed(&inventory.workers, &workers);
         (inventory.workers, inventory.workers_requested_at) = (workers, asked);
-        // Before the first list is read there is nobody to tell a difference from: it goes out with that.
+        // Before the first instance list there is no inventory that a change could refer to; the workers are sent with
+        // it.
         let Some((from, since)) = inventory.source else { return };
         if from == self.me {
             inventory.source = Some((from, number));
@@ -149,7 +159,7 @@
         self.outs.extend(others.map(message));
     }
 
-    /// Another owner misses what went before, or has just begun.
+    /// Sends the complete inventory to an owner that missed a change or has just started.
     pub(crate) fn handle_inventory_request(&mut self, to: NodeId) {
         if let Some((_, number)) = self.inventory.source.filter(|(from, _)| *from == self.me) {
             let inventory = self.with_ages(self.complete_inventory(number));
@@ -173,7 +183,8 @@
         InventoryChange { age_ms, workers_age_ms, ..change }
     }
 
-    /// What another owner read. Whatever it shows as leaving counts at once, whoever read it.
+    /// Handles the inventory that another owner has read. Instances shown as leaving are drained at once, whichever
+    /// owner read them.
     pub(crate) fn handle_inventory(&mut self, from: NodeId, change: InventoryChange) {
         let now = self.now;
         let lines: Vec<InstanceLine> = change.instances.iter().map(from_instance_record).collect();
--- a/crates/traffic/src/inventory_records.rs
+++ b/crates/traffic/src/inventory_records.rs
@@ -1,4 +1,4 @@
-//! The provider's lines as the owners tell them to one another, and what differs between two lists.
+//! Conversion of the provider's lists to the records that owners exchange, and differences between two lists.
 
 use instance_provider::{InstanceLine, InstanceState, WorkerLine};
 use std::collections::BTreeMap;
@@ -44,6 +44,7 @@
     WorkerLine { name, zone, memory_mb: record.memory_mb, free_mb: record.free_mb, ready: record.ready != 0 }
 }
 
+/// Returns the lines that are new or differ.
 pub(crate) fn changed<'a, T: PartialEq>(
     before: &'a BTreeMap<String, T>,
     after: &'a BTreeMap<String, T>,
@@ -51,11 +52,12 @@
     after.iter().filter(|(key, line)| before.get(*key) != Some(line)).map(|(_, line)| line)
 }
 
+/// Returns the keys that are no longer present.
 pub(crate) fn removed<T>(before: &BTreeMap<String, T>, after: &BTreeMap<String, T>) -> Vec<Text> {
     before.keys().filter(|key| !after.contains_key(*key)).map(|key| key.as_str().into()).collect()
 }
 
-/// The instances' part of a change.
+/// Returns the change from one instance list to another, without workers.
 pub(crate) fn change_of(
     before: &BTreeMap<String, InstanceLine>,
     after: &BTreeMap<String, InstanceLine>,
--- a/crates/traffic/src/keyed_operations.rs
+++ b/crates/traffic/src/keyed_operations.rs
@@ -1,28 +1,28 @@
-//! Operations under a key that this owner knows: which request runs each, which repeats wait for it, and the answers
-//! of the newest. A repeat that meets its operation here asks the registries nothing. What is not known here is only
-//! unknown here: the registries say whether a key is free.
+//! Operations under a key that this owner knows: which request runs each, which repeats wait for it, and the latest
+//! answers. A repeat of a known operation needs no request to the registries. For an operation that is not known here,
+//! only the registries can tell whether its key is free.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wire::StoredAnswer;
 
-/// Answers are kept here up to so many bytes, the newest of them.
+/// Maximum size of the answers kept in memory; the oldest are dropped first.
 const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// What an answer takes besides its head, its body and twice its scope.
+/// Memory that an answer takes besides its head, its body and two copies of its scope.
 const ANSWER_OVERHEAD_BYTES: usize = 192;
 
-/// What a request meets under its key.
+/// Result of joining the operation of a key.
 #[derive(Debug, PartialEq, Eq)]
 pub enum JoinResult {
-    /// Nothing: the request leads the operation from now on.
+    /// The key had no operation: the request now leads it.
     Leads,
-    /// The operation is under way, and the request waits for it.
+    /// The operation is in progress, and the request waits for it.
     Waits,
-    /// Another request is under way under the key; only the registries can tell which of them is right.
+    /// Another request is in progress under the same key; only the registries can tell which of the two holds it.
     Contested,
-    /// The operation was answered with this.
+    /// The operation has ended with this answer.
     Answered(StoredAnswer),
-    /// The key was used for another request.
+    /// The key was already used for another request.
     OtherRequest,
 }
 
@@ -41,11 +41,11 @@
     scope: String,
 }
 
-/// Operations by scope.
+/// Known operations by scope, which is the binding and the key.
 #[derive(Default)]
 pub struct KeyedOperations {
     operations: BTreeMap<String, Operation>,
-    /// Of those that are answered, in the order of their answers.
+    /// Expiries of the answered operations, in the order of their answers.
     expiries: VecDeque<Expiry>,
     answer_bytes: usize,
 }
@@ -55,7 +55,8 @@
 }
 
 impl KeyedOperations {
-    /// A request comes under its key. One that waits is told by [`KeyedOperations::end`] of its leader.
+    /// Joins the operation of a key with a request. If the request waits, [`KeyedOperations::end`] returns it when its
+    /// leader ends.
     pub fn join(&mut self, now: Duration, scope: &str, digest: &[u8], number: u64) -> JoinResult {
         self.expire(now);
         let Some(operation) = self.operations.get_mut(scope) else {
@@ -75,8 +76,8 @@
         }
     }
 
-    /// The request that leads an operation is through with it; returns those that waited. Its answer, if it is one to
-    /// be given again, is kept until then.
+    /// Ends the operation that a request leads, and returns the requests that waited for it. An answer that may be
+    /// repeated is kept until the given time. A request that only waits is removed.
     pub fn end(&mut self, scope: &str, number: u64, answer: Option<(StoredAnswer, Duration)>) -> Vec<u64> {
         let Some(operation) = self.operations.get_mut(scope) else { return Vec::new() };
         let OperationState::Running { leader, waiting } = &mut operation.state else { return Vec::new() };
@@ -97,22 +98,22 @@
         waiting
     }
 
-    /// How many are under way.
+    /// Returns the number of operations in progress.
     pub fn running(&self) -> usize {
         self.operations.len() - self.expiries.len()
     }
 
-    /// How many answers are kept.
+    /// Returns the number of answers kept.
     pub fn answers(&self) -> usize {
         self.expiries.len()
     }
 
-    /// What they take.
+    /// Returns the memory that the kept answers take, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    /// Forgets answers whose time is over.
+    /// Drops answers that have expired.
     pub fn expire(&mut self, now: Duration) {
         while self.expiries.front().is_some_and(|expiry| now >= expiry.at) {
             self.forget_oldest_answer();
--- a/crates/traffic/src/keyed_operations_tests.rs
+++ b/crates/traffic/src/keyed_operations_tests.rs
@@ -1,4 +1,4 @@
-//! Who leads, who waits, what is kept and for how long.
+//! Which request leads an operation, which requests wait, which answers are kept and for how long.
 
 use super::{JoinResult, KeyedOperations, MAX_ANSWER_BYTES};
 use proptest::prelude::*;
@@ -57,7 +57,8 @@
 }
 
 proptest! {
-    /// At most one request leads a key at a time, whoever waits is named once, and all counts agree.
+    /// At most one request leads a key at a time, each waiting request is returned once, and the count of operations in
+    /// progress is right.
     #[test]
     fn one_leads_at_a_time(steps in prop::collection::vec((0u8..4, 0usize..4, 0u64..40, 0u64..3), 1..200)) {
         let mut operations = KeyedOperations::default();
--- a/crates/traffic/src/owner_answers.rs
+++ b/crates/traffic/src/owner_answers.rs
@@ -1,11 +1,12 @@
-//! What an owner says last of a request, and the end of its record.
+//! Final answers to requests, and the removal of their records.
 
 use crate::function_owner::FunctionOwner;
 use std::time::Duration;
 use wire::{ForwardMessage, Outcome, StoredAnswer};
 
 impl FunctionOwner {
-    /// Answers the caller, if one still waits, and drops the record unless it must live on.
+    /// Answers the caller, if one still waits, and drops the record, unless the request was only accepted and still has
+    /// to run.
     pub(crate) fn answer(
         &mut self,
         number: u64,
@@ -38,12 +39,13 @@
         }
     }
 
-    /// Gives an operation's recorded answer again.
+    /// Answers a request with the recorded answer of its operation.
     pub(crate) fn give_answer(&mut self, number: u64, answer: StoredAnswer) {
         let StoredAnswer { outcome, status, head, body } = answer;
         self.answer(number, outcome, status, Duration::ZERO, head.into_vec(), body.into_vec());
     }
 
+    /// Answers a request with an encoded answer from the registries.
     pub(crate) fn answer_stored(&mut self, number: u64, raw: &[u8]) {
         match wire::from_bytes::<StoredAnswer>(raw) {
             Some(answer) => self.give_answer(number, answer),
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Drops the record of a request. Whoever waited for it as the first under its key is given back.
+    /// Drops the record of a request. Requests that waited for it as the leader of its key return to their fronts.
     pub(crate) fn forget(&mut self, number: u64) {
         self.end_operation(number, None, Duration::ZERO);
         if let Some(task) = self.tasks.remove(&number)
--- a/crates/traffic/src/owner_liveness.rs
+++ b/crates/traffic/src/owner_liveness.rs
@@ -1,25 +1,29 @@
-//! Whether a owner is there to be forwarded to. While an owner has tasks of a front it heartbeats that front, and
-//! any frame of its counts as a heartbeat; so one not heard for a while since a forward is silent. Nothing
-//! more is forwarded there, and it is asked to send a heartbeat, as is one not linked yet, until it is heard.
+//! Detection of owners that cannot be forwarded to. An owner sends heartbeats to each front whose requests it has, and
+//! any of its frames counts as one. An owner that sends nothing for a while after a forward counts as silent: the front
+//! forwards nothing more to it and requests a heartbeat until the owner answers. It also requests heartbeats from an
+//! owner that is not linked yet.
 
 use crate::front::Front;
 use crate::front_types::{FrontOutput, Stage};
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId};
 
-/// An owner not heard for so long after a forward is forwarded nothing more, so that only what it had before
-/// is in doubt.
+/// How long an owner may send nothing after a forward before it counts as silent. Nothing more is forwarded to a silent
+/// owner, so that only earlier requests have an unknown outcome.
 const MAX_SILENCE: Duration = Duration::from_millis(350);
 const HEARTBEAT_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
+/// What a front knows of an owner's liveness.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct OwnerWatch {
-    /// When it was first forwarded something since it was last heard.
+    /// Time of the first forward since the owner's last frame.
     unheard_since: Option<Duration>,
+    /// When a heartbeat was last requested.
     requested_at: Option<Duration>,
 }
 
 impl Front {
+    /// Records a frame from an owner.
     pub(crate) fn heard(&mut self, owner: NodeId) {
         let known = self.watched.get_mut(&owner).map(std::mem::take);
         if known.is_some_and(|watched| watched.requested_at.is_some()) {
@@ -27,7 +31,7 @@
         }
     }
 
-    /// Says whether a task may go there now, and if so takes it as gone.
+    /// Returns whether a request may be forwarded to the owner now; if so, counts it as forwarded.
     pub(crate) fn may_forward_to(&mut self, owner: NodeId) -> bool {
         if owner == self.me {
             return true;
@@ -45,12 +49,12 @@
         false
     }
 
-    /// From when on an owner that is silent now was not heard.
+    /// Returns since when a silent owner has sent nothing; `None` if it is not silent.
     pub(crate) fn silent_since(&self, owner: NodeId) -> Option<Duration> {
         self.watched.get(&owner)?.unheard_since.filter(|at| self.now > *at + MAX_SILENCE)
     }
 
-    /// The link a first task waited for is up.
+    /// Forwards the requests that waited for an owner, now that it is linked or heard.
     pub(crate) fn attempt_waiting(&mut self, owner: NodeId) {
         if !self.watched.contains_key(&owner) {
             return;
--- a/crates/traffic/src/owner_types.rs
+++ b/crates/traffic/src/owner_types.rs
@@ -1,6 +1,5 @@
-//! What an owner takes and returns, the record it keeps of each task, and what it asked of the chain.
+//! Inputs and outputs of a function owner, its record of each request, and its requests to the store.
 
-use crate::allowances::Allowances;
 use bindings::{Class, RouteTable};
 use dispatch::{DispatchOrder, DispatchOutcome};
 use instance_provider::{ProviderOrder, ProviderReport};
@@ -9,26 +8,52 @@
 use std::time::Duration;
 use wire::{DemandSample, ForwardMessage, LeaseMessage, Measurement, NodeId, Outcome, PlanMessage};
 
+/// Identifies a forwarded request: the front that sent it, and the number the front gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     pub from: NodeId,
     pub task: u64,
 }
 
+/// Event that a function owner handles.
 pub enum OwnerInput {
-    Forward { from: NodeId, message: ForwardMessage },
-    Dispatched { number: u64, outcome: DispatchOutcome },
-    StoreReply { message: LeaseMessage },
-    ProviderReport { report: ProviderReport, listed_at: Duration },
-    Probed { id: String, ready: bool },
-    Plan { message: PlanMessage },
-    RouteTable { routes: Rc<RouteTable> },
-    Membership { membership: Rc<Membership> },
-    RegistriesReachable { reachable: bool },
+    Forward {
+        from: NodeId,
+        message: ForwardMessage,
+    },
+    Dispatched {
+        number: u64,
+        outcome: DispatchOutcome,
+    },
+    StoreReply {
+        message: LeaseMessage,
+    },
+    ProviderReport {
+        report: ProviderReport,
+        listed_at: Duration,
+    },
+    Probed {
+        id: String,
+        ready: bool,
+    },
+    Plan {
+        message: PlanMessage,
+    },
+    RouteTable {
+        routes: Rc<RouteTable>,
+    },
+    Membership {
+        membership: Rc<Membership>,
+    },
+    RegistriesReachable {
+        reachable: bool,
+    },
+    /// The router's serving lease ran out; other owners may have taken over since.
     LeaseLapsed,
     Tick,
 }
 
+/// Action that a function owner wants carried out.
 #[derive(Debug)]
 pub enum OwnerOutput {
     Forward {
@@ -45,14 +70,15 @@
     },
     Dispatch(DispatchOrder),
     ProviderOrder(ProviderOrder),
-    /// Connect, from `after` on and for no longer than `limit`; `Probed` tells whether the instance took it.
+    /// Tries to connect to an instance, starting after `after` and for at most `limit`. `OwnerInput::Probed` reports
+    /// whether the instance accepted the connection.
     Probe {
         id: String,
         address: String,
         after: Duration,
         limit: Duration,
     },
-    /// Nothing more goes to this instance.
+    /// Drops what is kept for this instance: nothing more is sent to it.
     ForgetInstance {
         id: String,
     },
@@ -67,79 +93,31 @@
     },
 }
 
-#[derive(Clone, Debug)]
-pub struct OwnerSettings {
-    pub deadline_margin: Duration,
-    pub resend_interval: Duration,
-    /// How long an operation under a key is kept, at least.
-    pub key_window: Duration,
-    /// The longest answer under a key that the registries record, in bytes of head and body.
-    pub recorded_answer_bytes: usize,
-    /// Whether the registries understand claims that say how long their key is kept.
-    pub claims_for_ticks: bool,
-    pub adoption_timeout: Duration,
-    pub sample_interval: Duration,
-    /// How often the provider's list is read for all owners.
-    pub list_interval: Duration,
-    pub recent_order_ttl: Duration,
-    pub start_expiry: Duration,
-    pub deferred_read_interval: Duration,
-    pub deferred_attempt_timeout: Duration,
-    pub max_queue_length: usize,
-    pub starts_per_second: f64,
-    /// What one start costs, in gigabytes of memory kept for a second.
-    pub start_gb_seconds: f64,
-    /// Zones whose loss is to be borne at once.
-    pub tolerated_zone_losses: u32,
-    pub player: scaler::PlayerTiming,
-    pub allowances: Allowances,
-}
-
-impl Default for OwnerSettings {
-    fn default() -> Self {
-        OwnerSettings {
-            deadline_margin: Duration::from_millis(60),
-            resend_interval: Duration::from_millis(700),
-            key_window: Duration::from_secs(1800),
-            recorded_answer_bytes: usize::MAX,
-            claims_for_ticks: true,
-            adoption_timeout: Duration::from_millis(1500),
-            sample_interval: Duration::from_secs(15),
-            list_interval: Duration::from_secs(1),
-            recent_order_ttl: Duration::from_secs(30),
-            start_expiry: Duration::from_secs(10),
-            deferred_read_interval: Duration::from_secs(10),
-            deferred_attempt_timeout: Duration::from_secs(20),
-            max_queue_length: 512,
-            starts_per_second: 64.0,
-            start_gb_seconds: 0.2,
-            tolerated_zone_losses: 1,
-            player: scaler::PlayerTiming::default(),
-            allowances: Allowances::default(),
-        }
-    }
-}
-
+/// Stage that a request has reached at its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestState {
+    /// Its key is being claimed.
     Claiming,
+    /// It is being stored before it is accepted.
     Storing,
     Queued,
+    /// It was sent to an instance under the dispatch number `number`.
     Running {
         number: u64,
     },
-    /// Another request runs its operation, whose answer it waits for.
+    /// Another request with the same key runs the operation; this one waits for its answer.
     AwaitingLeader {
         until: Duration,
     },
+    /// Its claim is being released.
     Releasing,
-    /// Its attempt failed, and its front is asked for another.
+    /// Its attempt failed, and the owner has asked the front to grant another.
     AwaitingGrant {
         until: Duration,
     },
 }
 
-/// What a request is answered with if no further attempt is made.
+/// Answer to a request if no further attempt is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
     pub outcome: Outcome,
@@ -150,19 +128,23 @@
 }
 
 impl Failure {
+    /// Returns a failure that passes on the instance's answer.
     pub fn answered(status: u16, head: Vec<u8>, body: Vec<u8>) -> Failure {
         Failure { outcome: Outcome::Answered, status, retry_after: Duration::ZERO, head, body }
     }
 
+    /// Returns a failure whose outcome is unknown: the request may have run.
     pub fn unknown(status: u16) -> Failure {
         Failure { outcome: Outcome::Unknown, ..Failure::answered(status, Vec::new(), Vec::new()) }
     }
 
+    /// Returns a failure of a request that certainly did not run.
     pub fn not_run(retry_after: Duration) -> Failure {
         Failure { outcome: Outcome::NotRun, retry_after, ..Failure::unknown(503) }
     }
 }
 
+/// Owner's record of a request.
 pub struct OwnedRequest {
     pub id: TaskId,
     pub function: String,
@@ -170,41 +152,50 @@
     pub class: Class,
     pub arrived: Duration,
     pub deadline: Duration,
+    /// Response time that the binding aims at.
     pub aim: Option<Duration>,
+    /// Earliest time of the next dispatch.
     pub not_before: Duration,
     pub state: RequestState,
+    /// Binding and key, under which repeats of the operation are recognized.
     pub scope: String,
+    /// Digest of the request, which tells a repeat from another request under the same key.
     pub digest: Vec<u8>,
     pub head: Vec<u8>,
     pub body: Vec<u8>,
+    /// Number under which its key was claimed; 0 without a claim.
     pub claim_request_id: u64,
+    /// Name under which a deferred request is stored.
     pub stored_id: Option<String>,
     pub respond_async: bool,
+    /// Whether a front still waits for the answer.
     pub is_caller_waiting: bool,
     pub dispatches: u32,
-    /// The most instances it may be sent to.
+    /// Maximum number of attempts, each at another instance if there is one.
     pub attempts: u32,
-    /// To how many of them its front lets it be sent so far.
+    /// Number of attempts that the front has granted so far.
     pub granted: u32,
-    /// Of the last attempt, while another is asked for.
+    /// Failure of the last attempt, while another attempt is requested.
     pub failure: Option<Failure>,
-    /// The instance it was last sent to, which others go before.
+    /// Instance of the last attempt; other instances are preferred for the next one.
     pub last_instance: String,
-    /// It has run, or may have.
+    /// Whether the request has run or may have run.
     pub may_have_run: bool,
-    /// Lower goes first.
+    /// Queue priority; the lowest number is sent first.
     pub rank: u32,
-    /// It came with less time than its binding gives: a call of a running task, or a caller's further try.
+    /// Whether it arrived with less time than its binding allows: a call made by a running request, or a caller's
+    /// retry.
     pub has_shortened_deadline: bool,
 }
 
 impl OwnedRequest {
-    /// Neither sent from here nor counted among retries when it came.
+    /// Returns whether the request was neither sent by this owner nor counted as a retry when it arrived.
     pub fn is_first_attempt(&self) -> bool {
         self.dispatches == 0 && !(self.class == Class::Ordinary && self.may_have_run)
     }
 }
 
+/// Kind of a request to the registries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOperation {
     Claim,
@@ -215,6 +206,7 @@
     ReadDeferred,
 }
 
+/// Request to the registries that has not been answered yet.
 pub struct StoreRequest {
     pub kind: StoreOperation,
     pub task: u64,
--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -1,46 +1,55 @@
-//! Which worker a start goes to: a function's instances are spread over zones and then over workers,
-//! so that no one worker's or zone's crash takes them all; after that the owner's own zone, then memory.
-//! Where no loss of a zone is to be borne, they stand in the owner's own zone, since all that instances are
-//! sent and answer passes through the owner.
-//! The list of workers lags, so what this owner ordered lately is taken off its free memory.
+//! Selection of the worker for a start. A function's instances are spread over zones and then over workers, so that the
+//! crash of one worker or zone does not take all of them; among equals, the owner's own zone and then free memory
+//! decide. If no loss of a zone has to be tolerated, instances are placed in the owner's own zone, because all requests
+//! and answers pass through the owner. The list of workers lags, so memory that this owner ordered lately is subtracted
+//! from the free memory.
 
 use instance_provider::WorkerLine;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How far the list of workers may be behind.
+/// Maximum time by which the list of workers may lag.
 const MAX_LIST_LAG: Duration = Duration::from_millis(1000);
-/// A worker that turned a start away is not asked again for so long.
+/// How long no start is ordered on a worker that had no room for one.
 const FULL_WORKER_PAUSE: Duration = Duration::from_millis(500);
-/// So long after its beginning an owner waits for a first list before it leaves the choice to the provider.
+/// How long a new owner waits for the first list before it leaves the choice of the worker to the provider.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// Where a start goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Placement {
+    /// On this worker, or on one that the provider chooses.
     On(Option<String>),
+    /// Nowhere yet: the workers are not known.
     Wait,
+    /// Nowhere: no worker is ready, or all refused a start lately.
     Full,
 }
 
+/// Workers known from the provider's list, and the starts ordered on them since.
 pub(crate) struct Workers {
     spread_over_zones: bool,
     lines: Option<Vec<WorkerLine>>,
+    /// Worker, memory in megabytes and time of each recent order.
     ordered: Vec<(String, u32, Duration)>,
+    /// Workers that had no room for a start, and when.
     full: BTreeMap<String, Duration>,
 }
 
 impl Workers {
-    /// Nothing is known yet of the workers.
+    /// Returns a set of workers before the first list.
     pub fn new(spread_over_zones: bool) -> Workers {
         Workers { spread_over_zones, lines: None, ordered: Vec::new(), full: BTreeMap::new() }
     }
 
+    /// Replaces the list, and drops orders and refusals that a list requested at this time includes.
     pub fn update(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
         self.ordered.retain(|(_, _, at)| *at + MAX_LIST_LAG > requested);
         self.full.retain(|_, at| *at + MAX_LIST_LAG > requested);
         self.lines = Some(lines);
     }
 
+    /// Returns whether the worker is listed, or may be since there is no list yet.
     pub fn knows(&self, worker: &str) -> bool {
         self.lines.as_ref().is_none_or(|lines| lines.iter().any(|line| line.name == worker))
     }
@@ -50,11 +59,12 @@
         Some(line.zone.as_str())
     }
 
+    /// Records a start ordered on a worker.
     pub fn record_order(&mut self, now: Duration, worker: &str, memory_mb: u32) {
         self.ordered.push((worker.to_owned(), memory_mb, now));
     }
 
-    /// The worker had no room for it: what was taken off for it is given back.
+    /// Records that a worker had no room for a start, and no longer subtracts the start's memory.
     pub fn record_refusal(&mut self, now: Duration, worker: &str, memory_mb: u32) {
         self.full.insert(worker.to_owned(), now);
         let of_it = |(name, mb, _): &(String, u32, Duration)| name == worker && *mb == memory_mb;
@@ -63,17 +73,19 @@
         }
     }
 
+    /// Returns the worker's free memory without what was ordered on it since the list.
     fn free_memory_mb(&self, line: &WorkerLine) -> u32 {
         let own = self.ordered.iter().filter(|(name, ..)| *name == line.name).map(|(_, mb, _)| mb).sum::<u32>();
         line.free_mb.saturating_sub(own)
     }
 
-    /// Where the next instance goes, given the workers and zones that the function's others are on.
-    /// Where none has room by the list, the emptiest is asked all the same: the list may be behind.
+    /// Returns whether a first list was read.
     pub fn are_known(&self) -> bool {
         self.lines.is_some()
     }
 
+    /// Selects the worker for the next instance, given the workers and zones of the function's other instances. If no
+    /// worker has room by the list, the one with the most free memory is tried anyway, since the list may lag.
     pub fn select(
         &self,
         now: Duration,
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -1,6 +1,6 @@
-//! What the provider tells, set against this owner's own orders: its list lags, so an instance
-//! ordered lately need not be on it, and one stopped lately may still be. An instance learned to
-//! be leaving or gone gets nothing more from that moment; one nobody owns is stopped.
+//! Reconciles the provider's reports with this owner's own orders. The provider's list lags: an instance ordered lately
+//! may be missing, and one stopped lately may still be listed. As soon as an instance is known to be leaving or gone,
+//! nothing more is sent to it; an instance without an owner is stopped.
 
 use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, Phase};
@@ -11,15 +11,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// How long an instance of a function without a binding is kept before it is stopped.
 const UNBOUND_INSTANCE_TTL: Duration = Duration::from_secs(15);
+/// Delay before a stop is ordered again after the provider refused it for too many calls.
 const RATE_LIMITED_PAUSE: Duration = Duration::from_millis(300);
+/// Delay before a stop without a reply is ordered again.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(800);
-/// A worker's crash is believed of a start ordered so long before the list of workers was read.
+/// A start counts as lost with its worker only if a list without that worker was requested at least this long after the
+/// order.
 const MIN_CRASH_REPORT_AGE: Duration = Duration::from_millis(1500);
+/// Delay before an instance that refused a connection is probed.
 const REFUSED_PROBE_DELAY: Duration = Duration::from_millis(150);
+/// How long such an instance is probed.
 const REFUSED_PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl FunctionOwner {
+    /// Handles a reply of the provider; `listed_at` is when a list was requested.
     pub(crate) fn handle_provider_report(&mut self, report: ProviderReport, listed_at: Duration) {
         match report {
             ProviderReport::Started { nonce, receipt } => self.handle_start_reply(&nonce, receipt),
@@ -31,7 +38,7 @@
         }
     }
 
-    /// A connection was made, or none for as long as it was worth trying; then the list tells.
+    /// Handles the result of a probe. If no connection was made within its time limit, the provider's list decides.
     pub(crate) fn handle_probe_result(&mut self, id: &str, ready: bool) {
         let now = self.now;
         if !ready || self.leaving_instances.contains_key(id) || self.stopped.contains_key(id) {
@@ -50,7 +57,8 @@
         }
     }
 
-    /// It refused a connection: nothing more goes there unless it takes one again soon.
+    /// Marks an instance that refused a connection as lost: nothing more is sent to it unless it soon accepts one
+    /// again.
     pub(crate) fn mark_lost(&mut self, name: &str, id: &str) {
         let Some(instance) = self.schedulers.get_mut(name).and_then(|scheduler| scheduler.instances.get_mut(id)) else {
             return;
@@ -77,7 +85,7 @@
         }
     }
 
-    /// What was starting on a worker that is down will not come.
+    /// Applies a list of workers: instances starting on a worker that is no longer listed are dropped.
     pub(crate) fn apply_worker_list(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
         self.workers.update(lines, requested);
         let workers = &self.workers;
@@ -91,7 +99,8 @@
         }
     }
 
-    /// What the list shows; `own` if this owner asked for it itself, at that moment for sure.
+    /// Applies an instance list requested at the given time. That time is exact if `own`, that is, if this owner
+    /// requested the list itself.
     pub(crate) fn apply_listing(&mut self, list: &BTreeMap<String, InstanceLine>, requested: Duration, own: bool) {
         let now = self.now;
         let mut by_function: BTreeMap<&str, Vec<&InstanceLine>> = BTreeMap::new();
@@ -150,10 +159,11 @@
                 }
             }
         }
-        never_listed.into_iter().for_each(|id| self.stop(id, "which never came"));
+        never_listed.into_iter().for_each(|id| self.stop(id, "which was never listed"));
         self.stop_orphans(by_function);
     }
 
+    /// Orders the stop of an instance once.
     fn stop(&mut self, id: String, why: &str) {
         if self.stopped.insert(id.clone(), self.now).is_none() {
             event!(stop_ordered, "{id}, {why}");
@@ -161,7 +171,7 @@
         }
     }
 
-    /// Instances of functions bound no longer, whose owner by name this router would be.
+    /// Stops instances of functions that have no binding any more, if this router would own the function by its name.
     fn stop_orphans(&mut self, left: BTreeMap<&str, Vec<&InstanceLine>>) {
         let now = self.now;
         let Some(routes) = self.routes.clone() else { return };
@@ -176,7 +186,7 @@
         for id in orphans {
             let since = *self.unbound_since.entry(id.clone()).or_insert(now);
             if now > since + UNBOUND_INSTANCE_TTL {
-                self.stop(id, "of a function bound no longer");
+                self.stop(id, "of a function without a binding");
             }
         }
     }
--- a/crates/traffic/src/scaling.rs
+++ b/crates/traffic/src/scaling.rs
@@ -1,6 +1,6 @@
-//! Matching instances to the plan: each scheduler's player says a count, starts go out under this
-//! router's share of the platform's allowance with waking functions first, and stops drain before
-//! they are ordered. Samples for the forecast are taken on the way.
+//! Scaling of instances to the plan. Each scheduler's plan player gives the desired count. Starts are ordered within
+//! this router's share of the provider's start rate, first for functions whose requests wait without any instance.
+//! Instances drain before their stop is ordered. Demand samples for the forecast are also taken here.
 
 use crate::function_owner::FunctionOwner;
 use crate::instance::{InstanceEvent, Phase};
@@ -11,15 +11,20 @@
 use std::time::Duration;
 use wire::{DemandSample, PlanMessage};
 
+/// Interval between scaling passes.
 const SCALE_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of starts that may be ordered at once.
 const MAX_STARTS_LEFT: f64 = 8.0;
 const MAX_PLAN_REQUESTS_PER_PASS: usize = 8;
+/// How long a request's id is remembered, to recognize duplicates.
 const OBSERVATION_TTL: Duration = Duration::from_secs(90);
+/// Delay before a stop is ordered again while the instance remains.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(4);
-/// One that refused a connection and is still listed so long after is stopped.
+/// How long after it refused a connection an instance that is still listed is stopped.
 const LOST_INSTANCE_TTL: Duration = Duration::from_secs(4);
 
 impl FunctionOwner {
+    /// Runs the periodic passes; scaling and sampling run at their own intervals.
     pub(crate) fn tick(&mut self) {
         self.handover_pass();
         self.standby_pass();
@@ -48,6 +53,7 @@
         self.sample_pass();
     }
 
+    /// Determines each function's desired count, and orders starts and stops.
     fn scale_pass(&mut self) {
         let now = self.now;
         self.pending_pass();
@@ -129,14 +135,14 @@
         self.plan_requests.retain(|request_id, _| *request_id > oldest);
     }
 
-    /// Functions that are awake, those whose callers wait first.
+    /// Returns the active functions, those with queued requests first.
     fn functions_by_urgency(&self) -> Vec<String> {
         let awake = self.schedulers.iter().filter(|(_, scheduler)| scheduler.is_awake());
         let (waited, others): (Vec<_>, Vec<_>) = awake.partition(|(_, scheduler)| !scheduler.queued.is_empty());
         waited.into_iter().chain(others).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes the least busy out of use, those still starting first where nobody waits for them.
+    /// Drains the given number of instances: the least busy first, and among equals those still starting.
     fn drain(&mut self, name: &str, count: u32) {
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
         let mut list: Vec<(u32, bool, String)> = scheduler
@@ -153,7 +159,8 @@
         }
     }
 
-    /// Stops what has drained and what was lost and is still listed; one that ended needs no call.
+    /// Orders stops for instances that have drained, and for lost ones that are still listed. An instance that has
+    /// ended needs no stop.
     fn stop_drained(&mut self) {
         let now = self.now;
         let fence = self.membership.number;
@@ -176,6 +183,7 @@
         }
     }
 
+    /// Measures each function, and sends demand samples and measurements at the sample interval.
     fn sample_pass(&mut self) {
         let now = self.now;
         self.close_empty_queues();
@@ -222,6 +230,7 @@
         }
     }
 
+    /// Handles a plan or tuned parameters from the registries.
     pub(crate) fn handle_plan_reply(&mut self, message: PlanMessage) {
         if let PlanMessage::Tuned { fence, lines } = message {
             return self.receive_tuned_parameters(fence, lines.into_vec());
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -1,7 +1,7 @@
 //! The router's settings.
 
 use crate::allowances::Allowances;
-use crate::owner_types::OwnerSettings;
+use crate::owner_settings::OwnerSettings;
 use config::{address, address_or_none, any, in_range, seeds, word};
 use http_server::well_formed;
 use quota::QuotaBounds;
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -1,7 +1,7 @@
-//! What an owner knows of its functions, kept by the router that would be the owner next: twice a second a
-//! owner sends it each table in use. After a crash the next owner begins from the table it kept; if the
-//! machine that was lost comes back by itself and is the owner again, the table is handed back to it. A
-//! table under an older membership than the scheduler was taken by is refused: its sender was fenced out.
+//! Standby copies of an owner's tables. Twice a second an owner sends the table of each active function to the router
+//! that would be its next owner. After a crash the next owner starts from its copy; if the lost router returns and is
+//! the owner again, the copy is sent back to it. A table under an older membership than the one by which the scheduler
+//! was acquired is refused, because its sender has been fenced off.
 
 use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, PendingStart, Phase};
@@ -12,13 +12,20 @@
 use std::time::Duration;
 use wire::{ForwardMessage, InstanceSlots, NodeId, OwnershipTable, Text};
 
+/// Interval at which tables are sent to their standby.
 const REPLICATION_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a standby copy is used after it was received.
 const STANDBY_COPY_TTL: Duration = Duration::from_secs(6);
+/// Interval between heartbeats to fronts.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// How long requests of another owner count as running at an instance after its table was received.
 const FOREIGN_TIME: Duration = Duration::from_millis(600);
+/// Maximum number of sent requests that a table lists.
 const MAX_REPORTED_SENT_TASKS: usize = 256;
+/// Maximum number of standby copies kept.
 const MAX_STANDBY_COPIES: usize = 20_000;
 
+/// Table kept for another owner.
 pub struct StandbyCopy {
     pub at: Duration,
     pub from: NodeId,
@@ -27,6 +34,7 @@
 }
 
 impl FunctionOwner {
+    /// Returns the table of a function for another owner, as a standby copy or for a handover.
     pub(crate) fn ownership_table(&mut self, name: &str, is_standby_copy: bool) -> Option<OwnershipTable> {
         let now = self.now;
         let scheduler = self.schedulers.get_mut(name)?;
@@ -59,8 +67,8 @@
         })
     }
 
-    /// Heartbeats to the fronts whose tasks are here, and to those that count on heartbeats, while this owner may
-    /// serve, and tables to those who keep them.
+    /// Sends heartbeats, while this owner may serve, to the fronts whose requests it has and to older ones that rely on
+    /// heartbeats; and sends tables to their standbys.
     pub(crate) fn standby_pass(&mut self) {
         let now = self.now;
         if self.may_serve && now >= self.heartbeat_sent_at + HEARTBEAT_INTERVAL {
@@ -92,6 +100,7 @@
         }
     }
 
+    /// Handles a table from another owner: a standby copy or a handover.
     pub(crate) fn handle_table(&mut self, from: NodeId, table: OwnershipTable) {
         if table.is_standby_copy == 0 {
             return self.handle_handover(table);
@@ -103,18 +112,18 @@
         }
     }
 
-    /// The owner a table was kept for was lost, and this is the owner now.
+    /// Starts from the standby copy of a function whose owner was lost, now that this router is the owner.
     pub(crate) fn adopt_standby_copy(&mut self, name: &str) {
         let now = self.now;
         if let Some(copy) = self.standby_copies.remove(name).filter(|copy| now < copy.at + STANDBY_COPY_TTL) {
-            // The owner may have gone on sending after it: what it names as begun is not all.
+            // The owner may have sent more requests after the copy, so the copy's list of sent ones is not complete.
             let table = OwnershipTable { is_started_complete: 0, ..copy.table };
             self.adopt_table(table, Some(copy.at), (copy.at + FOREIGN_TIME * 4).min(now + FOREIGN_TIME));
         }
     }
 
-    /// A machine that was lost is back under a new incarnation, knowing nothing: it is handed what
-    /// was kept for it.
+    /// Sends standby copies back to their owners that were lost and are back under a new incarnation, without any
+    /// state.
     pub(crate) fn return_standby_copies(&mut self) {
         let now = self.now;
         let back = |copy: &StandbyCopy| {
@@ -141,6 +150,7 @@
         }
     }
 
+    /// Adopts a table handed over by an earlier owner, unless it is from an outdated membership.
     pub(crate) fn handle_handover(&mut self, table: OwnershipTable) {
         let name = table.function.as_str();
         let mine = self.is_owner(name) && table.membership <= self.membership.number;
@@ -154,7 +164,7 @@
         }
     }
 
-    /// A standby copy is as old as its `copied`: the owner it was kept for has spent more since.
+    /// Adopts a table. A standby copy was received at `copied`; its owner may have used more retries since.
     fn adopt_table(&mut self, table: OwnershipTable, copied: Option<Duration>, foreign_until: Duration) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(table.function.as_str()) else { return };
@@ -198,10 +208,10 @@
         }
     }
 
-    /// This router's hold had lapsed: other owners have taken over. What was never dispatched goes back
-    /// to its front, which has moved on if it could, so that nothing old is sent after a new beginning.
-    /// Stored tasks may have been run by the owner between and are read anew from the chain.
-    /// Should this be owner again, it is as one that comes anew: it waits for the table of the owner between.
+    /// Handles the lapse of this router's lease, after which other owners may have taken over. Requests that were never
+    /// dispatched return to their fronts, which may have forwarded them elsewhere, so that no old request is sent once
+    /// the router serves again. Stored requests may have been run by the owner in between and are read from the store
+    /// again. If this router becomes the owner again, it waits for the table of the owner in between, like a new owner.
     pub(crate) fn handle_lease_lapse(&mut self) {
         let now = self.now;
         for scheduler in self.schedulers.values_mut() {
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -1,6 +1,6 @@
-//! Starts: each wish for an instance has a nonce of its own, under which it is ordered until its
-//! outcome is known, so that one wish never makes two instances. A worker without room is passed over
-//! for another at once; an unanswered order is sent again, and after several tries the list tells.
+//! Instance starts. Each start has its own nonce, under which it is ordered until its outcome is known, so that one
+//! start never creates two instances. If a worker has no room, another is tried at once. An unanswered order is sent
+//! again; after several attempts the provider's list decides.
 
 use crate::function_owner::FunctionOwner;
 use crate::instance::{Instance, InstanceEvent, PendingStart, Phase};
@@ -10,23 +10,31 @@
 use instance_provider::{ProviderOrder, StartOrder, StartReply};
 use std::time::Duration;
 
+/// Pause in a function's starts after no worker had room.
 const NO_CAPACITY_PAUSE: Duration = Duration::from_millis(1000);
+/// Pause after too many calls to the provider, and after no worker had room for a function whose requests wait without
+/// any instance.
 const LIMITED_PAUSE: Duration = Duration::from_millis(250);
+/// Pause in a function's starts after the provider refused one.
 const REFUSED_PAUSE: Duration = Duration::from_secs(1);
+/// Base of the exponential backoff after an unanswered order.
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_START_ATTEMPTS: u32 = 6;
+/// Maximum number of workers on which one start is ordered.
 const MAX_WORKERS_TRIED: u32 = 4;
-/// Where in an average start the first look at the new instance is worth it, and when looking ends.
+/// Fraction of the average start time after which probing a new instance is worthwhile.
 const FIRST_PROBE_AT_BOOT_FRACTION: f64 = 0.45;
-const MAX_EARLY_PROBES: u32 = 6;
+/// How long a new instance is probed: this multiple of the average start time, and the extension below.
+const PROBED_BOOT_TIMES: u32 = 6;
 const PROBE_EXTENSION: Duration = Duration::from_secs(2);
 
+/// Returns how long a new instance is probed.
 pub(crate) fn probe_limit(boot: Duration) -> Duration {
-    boot * MAX_EARLY_PROBES + PROBE_EXTENSION
+    boot * PROBED_BOOT_TIMES + PROBE_EXTENSION
 }
 
 impl FunctionOwner {
-    /// Begins a wish; false when no worker may take it now.
+    /// Orders a new instance. Returns false if no worker may take it now.
     pub(crate) fn start(&mut self, name: &str) -> bool {
         let placed = self.place(name);
         let worker = match placed {
@@ -80,7 +88,7 @@
         })));
     }
 
-    /// Wishes whose order is to be sent again; those wished no longer are dropped.
+    /// Sends orders again whose retry time has come, and drops pending starts that are no longer wanted.
     pub(crate) fn pending_pass(&mut self) {
         let now = self.now;
         let mut due: Vec<(String, String)> = Vec::new();
@@ -112,6 +120,7 @@
         }
     }
 
+    /// Handles the provider's reply to the order of a start.
     pub(crate) fn handle_start_reply(&mut self, nonce: &str, receipt: StartReply) {
         let now = self.now;
         let found = self.schedulers.iter().find(|(_, scheduler)| scheduler.instances.contains_key(nonce));
@@ -162,7 +171,8 @@
         }
     }
 
-    /// From now on the instance goes by the provider's id; one found on the list before is the same.
+    /// Replaces the nonce of a start by the provider's instance id. An instance already known from the list under this
+    /// id is the same one.
     fn handle_accepted_start(&mut self, name: &str, nonce: &str, id: String, address: String) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
@@ -187,7 +197,8 @@
         scheduler.instances.insert(id, instance);
     }
 
-    /// No worker has room: callers who wait ask others to give way.
+    /// Pauses a function's starts because no worker has room. If callers wait, other owners are asked to preempt an
+    /// instance.
     fn record_no_capacity(&mut self, name: &str) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
@@ -198,7 +209,7 @@
 }
 
 impl PendingStart {
-    /// A wish handed over by another owner, whose order may be on its way.
+    /// Returns a pending start, which may be one handed over by another owner whose order is still in flight.
     pub(crate) fn handed_over(now: Duration) -> PendingStart {
         PendingStart { requested: false, resends: 0, workers_tried: 0, retry_at: now }
     }
--- a/crates/traffic/src/store_requests.rs
+++ b/crates/traffic/src/store_requests.rs
@@ -1,5 +1,5 @@
-//! The owner's talk with the chain: what it was asked and what it replied, and storing deferred tasks before they are
-//! promised. Each ask may be sent again; the chain gives the same reply.
+//! The owner's requests to the registries and their replies, and storing deferred requests before they are accepted.
+//! Each request may be sent again; the registries give the same reply.
 
 use crate::claims::STORE_TIMEOUT;
 use crate::function_owner::FunctionOwner;
@@ -8,19 +8,21 @@
 use std::time::Duration;
 use wire::{ClaimState, Command, CommandReply, LeaseMessage, Outcome, StoredAnswer, StoredRequest};
 
-/// What a registry says of a proposal: it was surely not appended, or it is committed.
+/// State of a proposal in a registry's reply: it was certainly not appended, or it is committed.
 const NOT_APPENDED: u8 = 0;
 const COMMITTED: u8 = 1;
-/// When what was not appended is proposed again.
+/// Delay before a proposal that was not appended is sent again.
 const REPROPOSE_DELAY: Duration = Duration::from_millis(50);
 
-/// The name a deferred task is stored under, by its binding and key: a repeat finds the same one.
+/// Returns the name under which a deferred request is stored. It is derived from binding and key, so a repeat finds the
+/// same one.
 pub fn stored_id(scope: &str) -> String {
     let halves = [leases::mix(&[scope.as_bytes(), b"1"]), leases::mix(&[b"2", scope.as_bytes()])];
     halves.iter().flat_map(|half| half.to_le_bytes()).map(|byte| format!("{byte:02x}")).collect()
 }
 
 impl FunctionOwner {
+    /// Proposes to store a deferred request.
     pub(crate) fn store(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         task.state = RequestState::Storing;
@@ -41,6 +43,7 @@
         self.request_store(StoreOperation::Store, number, &function, wire::to_bytes(&command), left);
     }
 
+    /// Proposes to mark a stored request as finished, with its answer.
     pub(crate) fn finish(&mut self, number: u64, answer: &StoredAnswer) {
         let Some(task) = self.tasks.get(&number) else { return };
         let Some(id) = task.stored_id.clone() else { return };
@@ -53,7 +56,7 @@
         self.request_store(StoreOperation::Finish, number, &function, wire::to_bytes(&command), STORE_TIMEOUT);
     }
 
-    /// Stored tasks that were answered, of which the store may not have heard yet.
+    /// Returns stored requests that were answered, but which the store may not have marked as finished yet.
     pub(crate) fn unconfirmed_finishes(&self, function: &str) -> impl Iterator<Item = wire::Text> {
         let store_requests = self
             .store_requests
@@ -65,6 +68,7 @@
         })
     }
 
+    /// Handles a registry's reply to a proposal or a read.
     pub(crate) fn handle_store_reply(&mut self, message: LeaseMessage) {
         let (request_id, state, body) = match message {
             LeaseMessage::ProposalAck { request_id, state, body } => (request_id, state, body),
@@ -106,7 +110,8 @@
         }
     }
 
-    /// The store knows that the task is finished: the next owner will not find it pending.
+    /// Removes a request from the sent ones once the store has marked it as finished: the next owner will not find it
+    /// pending.
     fn finish_recorded(&mut self, function: &str, command: &[u8]) {
         if let (Some(Command::Finish { id, .. }), Some(scheduler)) =
             (wire::from_bytes(command), self.schedulers.get_mut(function))
@@ -144,14 +149,14 @@
         }
     }
 
-    /// 202 with the address under which the task's state can be asked.
+    /// Answers 202 with the path at which the status of the stored request can be read.
     pub(crate) fn accept(&mut self, number: u64) {
         let Some(id) = self.tasks.get(&number).and_then(|task| task.stored_id.clone()) else { return };
         let body = format!("{{\"task\":\"{id}\",\"status\":\"/.heron/tasks/{id}\"}}");
         self.answer(number, Outcome::Accepted, 202, Duration::ZERO, Vec::new(), body.into_bytes());
     }
 
-    /// Proposes something, again and again while it lasts, until the chain has replied.
+    /// Proposes a command, and repeats it until the registries have replied or `timeout` has passed.
     pub(crate) fn request_store(
         &mut self,
         kind: StoreOperation,
@@ -169,7 +174,7 @@
         request_id
     }
 
-    /// Sends again what was not answered, and lets go of what is past its time.
+    /// Sends unanswered proposals again, and drops requests that have timed out.
     pub(crate) fn store_pass(&mut self) {
         let now = self.now;
         let mut again = Vec::new();
