--- a/crates/traffic/src/claims.rs
+++ b/crates/traffic/src/claims.rs
@@ -51,8 +51,8 @@
         let now = self.now;
         let Some(task) = self.tasks.get_mut(&number) else { return };
         let half = task.deadline.saturating_sub(now) / 2;
-        let patience = task.aim.map_or(half, |aim| aim.min(half));
-        task.state = RequestState::AwaitingLeader { until: now + patience };
+        let wait_limit = task.aim.map_or(half, |aim| aim.min(half));
+        task.state = RequestState::AwaitingLeader { until: now + wait_limit };
     }
 
     /// Answers repeats that have waited long enough with the status that their operation is in progress.
@@ -66,16 +66,16 @@
     /// Answers that the operation of this key is in progress and its outcome is unknown.
     pub(crate) fn refuse_as_in_progress(&mut self, number: u64) {
         self.counters.keyed.refused_as_running += 1;
-        let again = self.add_jitter(number, IN_PROGRESS_RETRY_AFTER);
-        self.answer_without_body(number, Outcome::Unknown, CONFLICT, again);
+        let retry_after = self.add_jitter(number, IN_PROGRESS_RETRY_AFTER);
+        self.answer_without_body(number, Outcome::Unknown, CONFLICT, retry_after);
     }
 
     /// Ends the operation of a request with a key. The requests that waited for it get its answer, or return to their
     /// fronts if there is none.
     pub(crate) fn end_operation(&mut self, number: u64, answer: Option<&StoredAnswer>, retry_after: Duration) {
         let Some(task) = self.tasks.get(&number).filter(|task| task.class == Class::Once) else { return };
-        let lasting = answer.filter(|answer| answer.outcome == Outcome::Answered);
-        let kept = lasting.map(|answer| (answer.clone(), self.now + self.settings.key_window));
+        let repeatable = answer.filter(|answer| answer.outcome == Outcome::Answered);
+        let kept = repeatable.map(|answer| (answer.clone(), self.now + self.settings.key_window));
         for waiting in self.keyed.end(&task.scope.clone(), number, kept) {
             match answer.cloned() {
                 Some(StoredAnswer { outcome, status, head, body }) => {
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -27,8 +27,8 @@
             return;
         }
         let reading =
-            self.store_requests.values().filter(|request_id| request_id.kind == StoreOperation::ReadDeferred).count();
-        let due: Vec<String> = self
+            self.store_requests.values().filter(|request| request.kind == StoreOperation::ReadDeferred).count();
+        let due_functions: Vec<String> = self
             .schedulers
             .iter()
             .filter(|(_, scheduler)| scheduler.leaving.is_none() && scheduler.adopting.is_none())
@@ -39,7 +39,7 @@
             .map(|(name, _)| name.clone())
             .take(READS_AT_ONCE.saturating_sub(reading))
             .collect();
-        for name in due {
+        for name in due_functions {
             if let Some(scheduler) = self.schedulers.get_mut(&name) {
                 scheduler.deferred_read_at = Some(now);
             }
@@ -96,22 +96,22 @@
         self.update_sent_tasks(&name, &items);
         for item in items {
             let id = task_id(&item).to_owned();
-            let known = self.tasks.values().any(|task| task.stored_id.as_deref() == Some(id.as_str()));
-            let capacity = self
+            let is_known = self.tasks.values().any(|task| task.stored_id.as_deref() == Some(id.as_str()));
+            let has_room = self
                 .schedulers
                 .get(&name)
                 .is_some_and(|scheduler| scheduler.queued.len() < self.settings.max_queue_length / 2);
-            let Some(kept) = wire::from_bytes::<StoredRequest>(item.value.as_slice()) else { continue };
-            if known || !capacity || self.finished.contains_key(&id) {
+            let Some(stored_request) = wire::from_bytes::<StoredRequest>(item.value.as_slice()) else { continue };
+            if is_known || !has_room || self.finished.contains_key(&id) {
                 continue;
             }
             let number = self.next_number();
-            let sent = self.schedulers.get(&name).is_some_and(|scheduler| scheduler.sent_tasks.may_contain(&id));
-            let dispatches = u32::from(sent);
+            let may_be_sent = self.schedulers.get(&name).is_some_and(|scheduler| scheduler.sent_tasks.may_contain(&id));
+            let dispatches = u32::from(may_be_sent);
             let task = OwnedRequest {
                 id: TaskId { from: 0, task: number },
                 function: name.clone(),
-                binding: kept.binding.as_str().into(),
+                binding: stored_request.binding.as_str().into(),
                 class: Class::Deferred,
                 arrived: self.now,
                 deadline: Duration::MAX,
@@ -120,8 +120,8 @@
                 state: RequestState::Queued,
                 scope: String::new(),
                 digest: Vec::new(),
-                head: kept.head.into_vec(),
-                body: kept.body.into_vec(),
+                head: stored_request.head.into_vec(),
+                body: stored_request.body.into_vec(),
                 claim_request_id: 0,
                 stored_id: Some(id),
                 respond_async: false,
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -27,11 +27,11 @@
         let now = self.now;
         let mut restarted = Vec::new();
         for function in routes.functions() {
-            let mine = self.is_owner(&function.name);
+            let is_mine = self.is_owner(&function.name);
             match self.schedulers.get_mut(&function.name) {
                 Some(scheduler) => {
                     scheduler.function = function.clone();
-                    if mine && scheduler.leaving.is_some() {
+                    if is_mine && scheduler.leaving.is_some() {
                         (scheduler.leaving, scheduler.acquired_membership) = (None, self.membership.number);
                         scheduler.restart_adoption(now);
                         let earlier = self.history.earlier_owners_of(now, &function.name);
@@ -39,7 +39,7 @@
                         restarted.push(function.name.clone());
                     }
                 }
-                None if mine => {
+                None if is_mine => {
                     event!(function_owner_changed, "{}", function.name);
                     let mut scheduler = FunctionScheduler::new(
                         now,
@@ -56,14 +56,14 @@
             }
         }
         // Lists of pending requests that were requested before another router was the owner are outdated.
-        self.store_requests.retain(|_, request_id| {
-            request_id.kind != StoreOperation::ReadDeferred || !restarted.contains(&request_id.function)
+        self.store_requests.retain(|_, request| {
+            request.kind != StoreOperation::ReadDeferred || !restarted.contains(&request.function)
         });
         let names: Vec<String> = self.schedulers.keys().cloned().collect();
         for name in names {
             let owner = self.membership.owner(&name);
             let next = owner.filter(|owner| *owner != self.me);
-            let bound = routes.function(&name).is_some();
+            let is_bound = routes.function(&name).is_some();
             let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
             scheduler.is_owned = owner == Some(self.me);
             match next {
@@ -73,7 +73,7 @@
                     queued.into_iter().for_each(|number| self.send_back(number));
                     self.send_handover(&name);
                 }
-                None if !bound => {
+                None if !is_bound => {
                     let queued: Vec<u64> = scheduler.queued.iter().copied().collect();
                     queued.into_iter().for_each(|number| self.send_back(number));
                 }
@@ -99,13 +99,13 @@
         self.drop_queued_deferred(|owner, function| !owner.is_owner(function));
     }
 
-    /// Drops queued stored requests that `which` selects. The current owner finds them in the store.
-    pub(crate) fn drop_queued_deferred(&mut self, which: impl Fn(&FunctionOwner, &str) -> bool) {
+    /// Drops the queued stored requests that `selects` returns true for. The current owner finds them in the store.
+    pub(crate) fn drop_queued_deferred(&mut self, selects: impl Fn(&FunctionOwner, &str) -> bool) {
         let queued = |task: &OwnedRequest| task.stored_id.is_some() && task.state == RequestState::Queued;
         let dropped: Vec<u64> = self
             .tasks
             .iter()
-            .filter(|(_, task)| queued(task) && which(self, &task.function))
+            .filter(|(_, task)| queued(task) && selects(self, &task.function))
             .map(|(number, _)| *number)
             .collect();
         for number in dropped {
@@ -157,11 +157,11 @@
             .collect();
         for name in due {
             self.send_handover(&name);
-            let done = self
+            let is_finished = self
                 .schedulers
                 .get(&name)
                 .is_some_and(|scheduler| scheduler.in_flight == 0 && scheduler.queued.is_empty());
-            if done {
+            if is_finished {
                 self.schedulers.remove(&name);
             }
         }
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -70,30 +70,32 @@
     /// Orders the lists that this owner should read now.
     pub(crate) fn inventory_pass(&mut self) {
         let now = self.now;
-        let Some(place) = self.inventory.reading_order.iter().position(|id| *id == self.me) else { return };
+        let Some(position) = self.inventory.reading_order.iter().position(|id| *id == self.me) else { return };
         let every = self.settings.list_interval;
-        let silent = now >= self.inventory.heard_at + every + STAND_IN_DELAY * place as u32;
-        let for_all = place == 0 || silent;
-        let pause = |ordered: Option<Duration>, pause: Duration| ordered.is_none_or(|at| now >= at + pause);
+        let is_reader_silent = now >= self.inventory.heard_at + every + STAND_IN_DELAY * position as u32;
+        let reads_for_all = position == 0 || is_reader_silent;
+        let is_due =
+            |ordered_at: Option<Duration>, interval: Duration| ordered_at.is_none_or(|at| now >= at + interval);
         let asked = self.inventory.list_ordered_at.unwrap_or_default();
-        let waits = self
+        let needs_list = self
             .schedulers
             .values()
-            .any(|scheduler| scheduler.adopting.is_some_and(|(since, told)| !told && asked <= since));
+            .any(|scheduler| scheduler.adopting.is_some_and(|(since, has_own_list)| !has_own_list && asked <= since));
         // Only a list requested while the lease is valid counts, so it is ordered as soon as this owner may serve.
-        let own = waits && self.may_serve && pause(self.inventory.adoption_list_ordered_at, OWN_READ_INTERVAL);
-        if own {
+        let reads_for_itself =
+            needs_list && self.may_serve && is_due(self.inventory.adoption_list_ordered_at, OWN_READ_INTERVAL);
+        if reads_for_itself {
             self.inventory.adoption_list_ordered_at = Some(now);
         }
-        if own || for_all && pause(self.inventory.list_ordered_at, every) {
+        if reads_for_itself || reads_for_all && is_due(self.inventory.list_ordered_at, every) {
             self.inventory.list_ordered_at = Some(now);
-            self.inventory.reads_for_all = for_all;
+            self.inventory.reads_for_all = reads_for_all;
             self.outs.push(OwnerOutput::ProviderOrder(ProviderOrder::List));
         }
-        let calm = now > self.inventory.changed_at + RECENT_CHANGE_TIME;
-        let every = if calm { WORKERS_INTERVAL } else { WORKERS_INTERVAL_AFTER_CHANGE };
-        let unknown = !self.workers.are_known() && pause(self.inventory.workers_ordered_at, OWN_READ_INTERVAL);
-        if unknown || for_all && pause(self.inventory.workers_ordered_at, every) {
+        let is_unchanged = now > self.inventory.changed_at + RECENT_CHANGE_TIME;
+        let every = if is_unchanged { WORKERS_INTERVAL } else { WORKERS_INTERVAL_AFTER_CHANGE };
+        let are_unknown = !self.workers.are_known() && is_due(self.inventory.workers_ordered_at, OWN_READ_INTERVAL);
+        if are_unknown || reads_for_all && is_due(self.inventory.workers_ordered_at, every) {
             self.inventory.workers_ordered_at = Some(now);
             self.outs.push(OwnerOutput::ProviderOrder(ProviderOrder::Workers));
         }
@@ -191,10 +193,10 @@
         let leaving = lines.iter().filter(|line| line.state == InstanceState::Leaving);
         let leaving: BTreeMap<String, InstanceLine> = leaving.map(|line| (line.id.clone(), line.clone())).collect();
         self.drain_leaving(&leaving);
-        let place =
+        let position =
             |id: NodeId| self.inventory.reading_order.iter().position(|known| *known == id).unwrap_or(usize::MAX);
         if let Some((known, _)) = self.inventory.source
-            && place(known) < place(from)
+            && position(known) < position(from)
             && now < self.inventory.heard_at + self.settings.list_interval + STAND_IN_DELAY
         {
             return;
--- a/crates/traffic/src/keyed_operations_tests.rs
+++ b/crates/traffic/src/keyed_operations_tests.rs
@@ -15,13 +15,13 @@
 }
 
 #[test]
-fn a_repeat_waits_for_the_first_and_later_ones_get_its_answer_until_the_window_is_over() {
+fn a_repeat_waits_for_the_leader_and_later_repeats_get_its_answer_until_it_expires() {
     let mut operations = KeyedOperations::default();
     assert_eq!(operations.join(at(0), "a", b"1", 1), JoinResult::Leads);
     assert_eq!(operations.join(at(0), "a", b"1", 2), JoinResult::Waits);
     assert_eq!(operations.join(at(0), "a", b"2", 3), JoinResult::Contested);
     assert_eq!(operations.running(), 1);
-    assert!(operations.end("a", 3, None).is_empty(), "it leads nothing");
+    assert!(operations.end("a", 3, None).is_empty(), "request 3 leads no operation");
     assert_eq!(operations.end("a", 1, Some((answer(b"x"), at(60)))), [2]);
     assert_eq!((operations.running(), operations.answers()), (0, 1));
     assert_eq!(operations.join(at(59), "a", b"1", 4), JoinResult::Answered(answer(b"x")));
@@ -31,18 +31,18 @@
 }
 
 #[test]
-fn one_that_ends_without_an_answer_frees_its_key_here_and_names_who_waited() {
+fn ending_without_an_answer_frees_the_key_and_returns_the_waiting_requests() {
     let mut operations = KeyedOperations::default();
     operations.join(at(0), "a", b"1", 1);
     operations.join(at(0), "a", b"1", 2);
     operations.join(at(0), "a", b"1", 3);
-    assert!(operations.end("a", 2, None).is_empty(), "it waited no longer");
+    assert!(operations.end("a", 2, None).is_empty(), "only a leader returns waiting requests");
     assert_eq!(operations.end("a", 1, None), [3]);
     assert_eq!(operations.join(at(1), "a", b"1", 4), JoinResult::Leads);
 }
 
 #[test]
-fn the_newest_answers_are_kept_within_their_bound() {
+fn the_latest_answers_are_kept_within_the_size_limit() {
     let mut operations = KeyedOperations::default();
     let body = vec![7; 64 * 1024];
     for number in 0..300 {
@@ -53,14 +53,18 @@
     }
     assert!(operations.answers() > 100);
     assert_eq!(operations.join(at(1), "k299", b"1", 999), JoinResult::Answered(answer(&body)));
-    assert_eq!(operations.join(at(1), "k0", b"1", 1000), JoinResult::Leads, "the registries know it");
+    assert_eq!(
+        operations.join(at(1), "k0", b"1", 1000),
+        JoinResult::Leads,
+        "its answer was dropped; the registries still know it"
+    );
 }
 
 proptest! {
     /// At most one request leads a key at a time, each waiting request is returned once, and the count of operations in
     /// progress is right.
     #[test]
-    fn one_leads_at_a_time(steps in prop::collection::vec((0u8..4, 0usize..4, 0u64..40, 0u64..3), 1..200)) {
+    fn at_most_one_request_leads_a_key(steps in prop::collection::vec((0u8..4, 0usize..4, 0u64..40, 0u64..3), 1..200)) {
         let mut operations = KeyedOperations::default();
         let mut leads: BTreeMap<usize, u64> = BTreeMap::new();
         let mut waits: BTreeMap<usize, BTreeSet<u64>> = BTreeMap::new();
--- a/crates/traffic/src/owner_answers.rs
+++ b/crates/traffic/src/owner_answers.rs
@@ -33,8 +33,8 @@
             let message = ForwardMessage::Answer { task: id, outcome, status, retry_after_ms, head, body };
             self.outs.push(crate::owner_types::OwnerOutput::Forward { to, message });
         }
-        let lives_on = task.stored_id.is_some() && outcome == Outcome::Accepted;
-        if !lives_on {
+        let is_still_to_run = task.stored_id.is_some() && outcome == Outcome::Accepted;
+        if !is_still_to_run {
             self.forget(number);
         }
     }
--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -67,9 +67,9 @@
     /// Records that a worker had no room for a start, and no longer subtracts the start's memory.
     pub fn record_refusal(&mut self, now: Duration, worker: &str, memory_mb: u32) {
         self.full.insert(worker.to_owned(), now);
-        let of_it = |(name, mb, _): &(String, u32, Duration)| name == worker && *mb == memory_mb;
-        if let Some(place) = self.ordered.iter().rposition(of_it) {
-            self.ordered.remove(place);
+        let is_same_order = |(name, mb, _): &(String, u32, Duration)| name == worker && *mb == memory_mb;
+        if let Some(index) = self.ordered.iter().rposition(is_same_order) {
+            self.ordered.remove(index);
         }
     }
 
@@ -97,7 +97,7 @@
         let Some(lines) = &self.lines else {
             return if now < FIRST_LIST_TIMEOUT { Placement::Wait } else { Placement::On(None) };
         };
-        let open = |line: &&WorkerLine| {
+        let is_open = |line: &&WorkerLine| {
             line.ready && self.full.get(&line.name).is_none_or(|at| now >= *at + FULL_WORKER_PAUSE)
         };
         let rank = |line: &&WorkerLine| {
@@ -107,11 +107,12 @@
             };
             let instances_on_worker = others.iter().filter(|(worker, _)| *worker == line.name).count();
             let room_in_fours = self.free_memory_mb(line) / memory_mb.max(1) / 4;
-            let spread = leases::mix(&[function.as_bytes(), line.name.as_bytes()]);
-            (instances_in_zone, instances_on_worker, line.zone != zone, std::cmp::Reverse(room_in_fours), spread)
+            let tie_breaker = leases::mix(&[function.as_bytes(), line.name.as_bytes()]);
+            (instances_in_zone, instances_on_worker, line.zone != zone, std::cmp::Reverse(room_in_fours), tie_breaker)
         };
-        let fits = lines.iter().filter(open).filter(|line| self.free_memory_mb(line) >= memory_mb).min_by_key(rank);
-        let selected = fits.or_else(|| lines.iter().filter(open).max_by_key(|line| self.free_memory_mb(line)));
+        let best_fit =
+            lines.iter().filter(is_open).filter(|line| self.free_memory_mb(line) >= memory_mb).min_by_key(rank);
+        let selected = best_fit.or_else(|| lines.iter().filter(is_open).max_by_key(|line| self.free_memory_mb(line)));
         selected.map_or(Placement::Full, |line| Placement::On(Some(line.name.clone())))
     }
 }
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -91,10 +91,10 @@
         let workers = &self.workers;
         for scheduler in self.schedulers.values_mut().filter(|scheduler| !scheduler.instances.is_empty()) {
             scheduler.instances.retain(|_, instance| {
-                let starting = instance.phase() == Phase::Starting && instance.pending.is_none();
-                let told = requested > instance.ordered_at + MIN_CRASH_REPORT_AGE;
-                let down = !instance.worker.is_empty() && !workers.knows(&instance.worker);
-                !starting || !told || !down
+                let is_starting = instance.phase() == Phase::Starting && instance.pending.is_none();
+                let is_list_recent = requested > instance.ordered_at + MIN_CRASH_REPORT_AGE;
+                let is_worker_down = !instance.worker.is_empty() && !workers.knows(&instance.worker);
+                !is_starting || !is_list_recent || !is_worker_down
             });
         }
     }
@@ -113,7 +113,7 @@
         let mut never_listed = Vec::new();
         for (name, scheduler) in &mut self.schedulers {
             let lines = by_function.remove(name.as_str()).unwrap_or_default();
-            let overlay = self.settings.start_expiry.max(probe_limit(scheduler.boot_time()));
+            let list_timeout = self.settings.start_expiry.max(probe_limit(scheduler.boot_time()));
             let known: BTreeMap<&str, &InstanceLine> = lines.iter().map(|line| (line.id.as_str(), *line)).collect();
             for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
                 match known.get(id.as_str()) {
@@ -130,7 +130,7 @@
                         }
                     }
                     None if instance.listed => instance.apply(InstanceEvent::Lost),
-                    None if requested > instance.ordered_at + overlay => {
+                    None if requested > instance.ordered_at + list_timeout => {
                         instance.apply(InstanceEvent::Lost);
                         never_listed.push(id.clone());
                     }
@@ -141,8 +141,9 @@
             scheduler.instances.retain(|id, instance| !gone(instance) || known.contains_key(id.as_str()));
             if scheduler.leaving.is_none() {
                 for line in &lines {
-                    let ends = self.stopped.contains_key(&line.id) || self.leaving_instances.contains_key(&line.id);
-                    if !ends && !scheduler.instances.contains_key(&line.id) {
+                    let is_ending =
+                        self.stopped.contains_key(&line.id) || self.leaving_instances.contains_key(&line.id);
+                    if !is_ending && !scheduler.instances.contains_key(&line.id) {
                         let mut instance = Instance::new(now, &line.address);
                         instance.update_from_line(line);
                         if line.state == InstanceState::Running {
@@ -164,9 +165,9 @@
     }
 
     /// Orders the stop of an instance once.
-    fn stop(&mut self, id: String, why: &str) {
+    fn stop(&mut self, id: String, reason: &str) {
         if self.stopped.insert(id.clone(), self.now).is_none() {
-            event!(stop_ordered, "{id}, {why}");
+            event!(stop_ordered, "{id}, {reason}");
             self.outs.push(OwnerOutput::ProviderOrder(ProviderOrder::Stop { id, fence: self.membership.number }));
         }
     }
@@ -175,10 +176,10 @@
     fn stop_orphans(&mut self, left: BTreeMap<&str, Vec<&InstanceLine>>) {
         let now = self.now;
         let Some(routes) = self.routes.clone() else { return };
-        let mine = |name: &str| routes.function(name).is_none() && self.is_owner(name);
+        let would_own = |name: &str| routes.function(name).is_none() && self.is_owner(name);
         let orphans: Vec<String> = left
             .into_iter()
-            .filter(|(name, _)| mine(name))
+            .filter(|(name, _)| would_own(name))
             .flat_map(|(_, lines)| lines)
             .map(|line| line.id.clone())
             .collect();
--- a/crates/traffic/src/scaling.rs
+++ b/crates/traffic/src/scaling.rs
@@ -41,12 +41,12 @@
         self.scaled_at = self.now;
         let owners = self.inventory.owners().max(1) as f64;
         self.starts_left = (self.starts_left + elapsed * self.settings.starts_per_second / owners).min(MAX_STARTS_LEFT);
-        let overlay = self.settings.recent_order_ttl;
+        let ttl = self.settings.recent_order_ttl;
         let now = self.now;
-        self.stopped.retain(|_, at| now < *at + overlay);
-        self.leaving_instances.retain(|_, at| now < *at + overlay);
+        self.stopped.retain(|_, at| now < *at + ttl);
+        self.leaving_instances.retain(|_, at| now < *at + ttl);
         self.seen_requests.retain(|_, at| now < *at + OBSERVATION_TTL);
-        self.finished.retain(|_, at| now < *at + overlay * 2);
+        self.finished.retain(|_, at| now < *at + ttl * 2);
         if self.may_serve {
             self.scale_pass();
         }
@@ -91,8 +91,8 @@
                 event!(plan_fallback, "{name}");
             }
             let is_idle = queued == 0 && scheduler.in_flight == 0 && scheduler.function.fixed.is_none();
-            let sleeps = is_idle && !scheduler.is_kept_idle(now, self.settings.start_gb_seconds);
-            let desired = if sleeps { decision.desired.min(scheduler.function.min) } else { decision.desired };
+            let is_removable = is_idle && !scheduler.is_kept_idle(now, self.settings.start_gb_seconds);
+            let desired = if is_removable { decision.desired.min(scheduler.function.min) } else { decision.desired };
             scheduler.desired = if bound { desired } else { 0 };
             plan_requests_left -= usize::from(decision.wants_plan);
             if decision.wants_plan && bound {
@@ -107,15 +107,15 @@
                 self.outs.push(OwnerOutput::PlanRequest { message });
             }
             let count = ready + starting;
-            let kept = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot);
-            let willing = now >= scheduler.no_starts_until && (queued > 0 || now >= scheduler.preempted_until);
+            let kept_count = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot);
+            let may_start = now >= scheduler.no_starts_until && (queued > 0 || now >= scheduler.preempted_until);
             let may_grow = count == 0 || now >= self.no_growth_until;
-            if scheduler.desired > count && willing && may_grow {
-                let waking = queued > 0 && count == 0;
-                let more = if now < self.no_growth_until { 1 } else { scheduler.desired - count };
-                growing.push((waking, scheduler.function.player_weight, more, name));
-            } else if kept < count {
-                self.drain(&name, count - kept);
+            if scheduler.desired > count && may_start && may_grow {
+                let starts_from_zero = queued > 0 && count == 0;
+                let start_count = if now < self.no_growth_until { 1 } else { scheduler.desired - count };
+                growing.push((starts_from_zero, scheduler.function.player_weight, start_count, name));
+            } else if kept_count < count {
+                self.drain(&name, count - kept_count);
             }
         }
         self.stop_drained();
@@ -166,13 +166,13 @@
         let fence = self.membership.number;
         for scheduler in self.schedulers.values_mut() {
             for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
-                let ended = match instance.phase() {
+                let is_ended = match instance.phase() {
                     Phase::Draining => true,
                     Phase::Gone => instance.lost_at.is_some_and(|at| now > at + LOST_INSTANCE_TTL),
                     Phase::Starting | Phase::Ready => false,
                 };
-                let quiet = instance.busy == 0 && (instance.foreign_requests == 0 || now >= instance.foreign_until);
-                if ended && quiet && (instance.stop_ordered_at.is_none() || now >= instance.retry_stop_at) {
+                let is_idle = instance.busy == 0 && (instance.foreign_requests == 0 || now >= instance.foreign_until);
+                if is_ended && is_idle && (instance.stop_ordered_at.is_none() || now >= instance.retry_stop_at) {
                     instance.stop_ordered_at = Some(now);
                     instance.retry_stop_at = now + STOP_RETRY_INTERVAL;
                     self.stopped.insert(id.clone(), now);
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -39,11 +39,11 @@
         let now = self.now;
         let scheduler = self.schedulers.get_mut(name)?;
         let (requests, retries) = scheduler.budget.reported(now);
-        let known = |instance: &Instance| matches!(instance.phase(), Phase::Ready | Phase::Starting);
+        let is_alive = |instance: &Instance| matches!(instance.phase(), Phase::Ready | Phase::Starting);
         let slots: Vec<InstanceSlots> = scheduler
             .instances
             .iter()
-            .filter(|(_, instance)| known(instance))
+            .filter(|(_, instance)| is_alive(instance))
             .map(|(id, instance)| InstanceSlots {
                 instance: id.as_str().into(),
                 address: instance.address.as_str().into(),
@@ -52,7 +52,7 @@
             })
             .collect();
         let sent_tasks = scheduler.sent_tasks.reported(MAX_REPORTED_SENT_TASKS);
-        let whole = sent_tasks.is_some();
+        let is_complete = sent_tasks.is_some();
         let started: Vec<Text> = sent_tasks.into_iter().flatten().map(Text::from).collect();
         Some(OwnershipTable {
             function: name.into(),
@@ -63,7 +63,7 @@
             retries: retries as u32,
             rejections: scheduler.rejection_limit.reported(now) as u32,
             started: started.into(),
-            is_started_complete: whole as u8,
+            is_started_complete: is_complete as u8,
         })
     }
 
@@ -73,9 +73,9 @@
         let now = self.now;
         if self.may_serve && now >= self.heartbeat_sent_at + HEARTBEAT_INTERVAL {
             self.heartbeat_sent_at = now;
-            let older = self.membership.members.iter().filter(|line| line.hashing < 2).map(|line| line.id);
+            let older_members = self.membership.members.iter().filter(|line| line.hashing < 2).map(|line| line.id);
             let waiting = self.tasks.values().filter(|task| task.is_caller_waiting).map(|task| task.id.from);
-            let fronts: BTreeSet<NodeId> = waiting.chain(older).collect();
+            let fronts: BTreeSet<NodeId> = waiting.chain(older_members).collect();
             let others = fronts.into_iter().filter(|id| *id != self.me);
             self.outs.extend(others.map(|to| OwnerOutput::Forward { to, message: ForwardMessage::Heartbeat }));
         }
@@ -84,13 +84,13 @@
         }
         self.replicated_at = now;
         self.standby_copies.retain(|_, copy| now < copy.at + STANDBY_COPY_TTL);
-        let in_use = |scheduler: &mut crate::function_scheduler::FunctionScheduler| {
+        let is_in_use = |scheduler: &mut crate::function_scheduler::FunctionScheduler| {
             scheduler.leaving.is_none() && (!scheduler.instances.is_empty() || scheduler.budget.counts(now) != (0, 0))
         };
         let names: Vec<String> = self
             .schedulers
             .iter_mut()
-            .filter_map(|(name, scheduler)| in_use(scheduler).then(|| name.clone()))
+            .filter_map(|(name, scheduler)| is_in_use(scheduler).then(|| name.clone()))
             .collect();
         for name in names {
             let Some(to) = self.membership.owner_after(&name, self.me).filter(|to| *to != self.me) else { continue };
@@ -126,13 +126,13 @@
     /// state.
     pub(crate) fn return_standby_copies(&mut self) {
         let now = self.now;
-        let back = |copy: &StandbyCopy| {
+        let has_returned = |copy: &StandbyCopy| {
             let line = self.membership.member(copy.from);
             line.is_some_and(|line| line.incarnation != copy.incarnation && line.leaving == 0)
                 && self.membership.owner(copy.table.function.as_str()) == Some(copy.from)
         };
         let names: Vec<String> =
-            self.standby_copies.iter().filter(|(_, copy)| back(copy)).map(|(name, _)| name.clone()).collect();
+            self.standby_copies.iter().filter(|(_, copy)| has_returned(copy)).map(|(name, _)| name.clone()).collect();
         for name in names {
             let Some(copy) = self.standby_copies.remove(&name).filter(|copy| now < copy.at + STANDBY_COPY_TTL) else {
                 continue;
@@ -189,12 +189,12 @@
             }
             let address = slot.address.as_str();
             let boot = scheduler.boot_time();
-            let fresh = !scheduler.instances.contains_key(id);
+            let is_new = !scheduler.instances.contains_key(id);
             let instance = scheduler.instances.entry(id.to_owned()).or_insert_with(|| Instance::new(now, address));
-            if fresh && slot.ready == 0 && !address.is_empty() {
+            if is_new && slot.ready == 0 && !address.is_empty() {
                 let (id, address, after) = (id.to_owned(), address.to_owned(), Duration::ZERO);
                 self.outs.push(OwnerOutput::Probe { id, address, after, limit: probe_limit(boot) });
-            } else if fresh && slot.ready == 0 {
+            } else if is_new && slot.ready == 0 {
                 instance.pending = Some(PendingStart::handed_over(now));
             }
             if instance.address.is_empty() {
@@ -219,14 +219,14 @@
         }
         self.store_requests.retain(|_, request_id| request_id.kind != StoreOperation::ReadDeferred);
         self.assume_stored_sent();
-        let undone: Vec<u64> = self
+        let undispatched: Vec<u64> = self
             .tasks
             .iter()
             .filter(|(_, task)| task.is_caller_waiting && task.stored_id.is_none())
             .filter(|(_, task)| !matches!(task.state, RequestState::Running { .. }))
             .map(|(number, _)| *number)
             .collect();
-        undone.into_iter().for_each(|number| self.send_back(number));
+        undispatched.into_iter().for_each(|number| self.send_back(number));
         self.drop_queued_deferred(|_, _| true);
     }
 }
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -111,8 +111,8 @@
             else {
                 continue;
             };
-            let same = Some(instance.worker.clone()).filter(|worker| !worker.is_empty());
-            let placed = same.map_or_else(|| self.place(&name), |worker| Placement::On(Some(worker)));
+            let same_worker = Some(instance.worker.clone()).filter(|worker| !worker.is_empty());
+            let placed = same_worker.map_or_else(|| self.place(&name), |worker| Placement::On(Some(worker)));
             if let Placement::On(worker) = placed {
                 self.starts_left -= 1.0;
                 self.order_start(&name, &nonce, worker);
@@ -123,8 +123,8 @@
     /// Handles the provider's reply to the order of a start.
     pub(crate) fn handle_start_reply(&mut self, nonce: &str, receipt: StartReply) {
         let now = self.now;
-        let found = self.schedulers.iter().find(|(_, scheduler)| scheduler.instances.contains_key(nonce));
-        let Some(name) = found.map(|(name, _)| name.clone()) else { return };
+        let owning = self.schedulers.iter().find(|(_, scheduler)| scheduler.instances.contains_key(nonce));
+        let Some(name) = owning.map(|(name, _)| name.clone()) else { return };
         let Some(scheduler) = self.schedulers.get_mut(&name) else { return };
         let Some(instance) = scheduler.instances.get_mut(nonce) else { return };
         let is_wanted = instance.phase() == Phase::Starting;
@@ -202,8 +202,8 @@
     fn record_no_capacity(&mut self, name: &str) {
         let now = self.now;
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
-        let wakes = scheduler.instances.is_empty() && !scheduler.queued.is_empty();
-        scheduler.no_starts_until = now + if wakes { LIMITED_PAUSE } else { NO_CAPACITY_PAUSE };
+        let starts_from_zero = scheduler.instances.is_empty() && !scheduler.queued.is_empty();
+        scheduler.no_starts_until = now + if starts_from_zero { LIMITED_PAUSE } else { NO_CAPACITY_PAUSE };
         self.request_preemption(name);
     }
 }
--- a/crates/traffic/src/store_requests.rs
+++ b/crates/traffic/src/store_requests.rs
@@ -28,7 +28,7 @@
         task.state = RequestState::Storing;
         let id = stored_id(&task.scope);
         task.stored_id = Some(id.clone());
-        let kept = StoredRequest {
+        let stored_request = StoredRequest {
             binding: task.binding.as_str().into(),
             head: task.head.clone().into(),
             body: task.body.clone().into(),
@@ -37,7 +37,7 @@
             id: id.into(),
             function: task.function.as_str().into(),
             digest: task.digest.clone().into(),
-            task: wire::to_bytes(&kept).into(),
+            task: wire::to_bytes(&stored_request).into(),
         };
         let (function, left) = (task.function.clone(), task.deadline.saturating_sub(self.now));
         self.request_store(StoreOperation::Store, number, &function, wire::to_bytes(&command), left);
@@ -58,11 +58,11 @@
 
     /// Returns stored requests that were answered, but which the store may not have marked as finished yet.
     pub(crate) fn unconfirmed_finishes(&self, function: &str) -> impl Iterator<Item = wire::Text> {
-        let store_requests = self
+        let finishes = self
             .store_requests
             .values()
-            .filter(move |request_id| request_id.kind == StoreOperation::Finish && request_id.function == function);
-        store_requests.filter_map(|request_id| match wire::from_bytes(&request_id.body) {
+            .filter(move |request| request.kind == StoreOperation::Finish && request.function == function);
+        finishes.filter_map(|request| match wire::from_bytes(&request.body) {
             Some(Command::Finish { id, .. }) => Some(id),
             _ => None,
         })
@@ -86,8 +86,8 @@
             return;
         }
         let Some(record) = self.store_requests.remove(&request_id) else { return };
-        let Some(receipt) = wire::from_bytes::<CommandReply>(body.as_slice()) else { return };
-        match (record.kind, receipt) {
+        let Some(reply) = wire::from_bytes::<CommandReply>(body.as_slice()) else { return };
+        match (record.kind, reply) {
             (StoreOperation::Claim, CommandReply::Claim { state: ClaimState::Granted, .. })
                 if !self.tasks.contains_key(&record.task) =>
             {
@@ -127,9 +127,9 @@
         }
         match state {
             ClaimState::Granted => {
-                let at_once = task.respond_async;
+                let respond_async = task.respond_async;
                 self.enqueue(number);
-                if at_once {
+                if respond_async {
                     self.accept(number);
                 }
             }
@@ -163,10 +163,10 @@
         task: u64,
         function: &str,
         body: Vec<u8>,
-        lasts: Duration,
+        timeout: Duration,
     ) -> u64 {
         let request_id = self.next_number();
-        let due = self.now + lasts;
+        let due = self.now + timeout;
         let record =
             StoreRequest { kind, task, function: function.to_owned(), body: body.clone(), sent: self.now, due };
         self.store_requests.insert(request_id, record);
