--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::forwards::{forwarded, granted, sent, to_front};
+use common::forwards::{dispatch_number, forwarded, granted_attempts, message_to_front};
 use common::{ME, OTHER, membership, ms, reply};
 use std::rc::Rc;
 use test_case::test_case;
@@ -59,7 +59,7 @@
     outputs: &[OwnerOutput],
     outcome: DispatchOutcome,
 ) -> Vec<OwnerOutput> {
-    let number = sent(outputs).expect("sent to an instance");
+    let number = dispatch_number(outputs).expect("sent to an instance");
     owner.step(ms(at), true, OwnerInput::Dispatched { number, outcome })
 }
 
@@ -86,19 +86,19 @@
     let (_, message) = forwarded(&common::send_request(&mut front, 5, true, "/t/f")).expect("forwarded");
     let mut first = owner(OTHER, 2);
     let first_outputs = send_to_owner(&mut first, 6, message);
-    assert!(sent(&first_outputs).is_some());
+    assert!(dispatch_number(&first_outputs).is_some());
     front.step(ms(10), true, FrontInput::Link { id: OTHER, up: false });
     let outputs = front.step(ms(20), true, FrontInput::Membership { membership: membership(3, &[THIRD]) });
     let (_, message) = forwarded(&outputs).expect("forwarded again");
     let mut second = owner(THIRD, 2);
     let second_outputs = send_to_owner(&mut second, 21, message);
-    assert!(sent(&second_outputs).is_some());
+    assert!(dispatch_number(&second_outputs).is_some());
     for (owner, outputs, from) in [(&mut first, &first_outputs, OTHER), (&mut second, &second_outputs, THIRD)] {
         let outputs = end_attempt(owner, 40, outputs, garbled_answer());
-        assert_eq!(sent(&outputs), None, "a third instance");
-        let request_id = to_front(&outputs).expect("asks for a third attempt");
+        assert_eq!(dispatch_number(&outputs), None, "a third instance");
+        let request_id = message_to_front(&outputs).expect("asks for a third attempt");
         let outputs = send_to_front(&mut front, from, 41, request_id);
-        let attempts = granted(&outputs).expect("the front replies");
+        let attempts = granted_attempts(&outputs).expect("the front replies");
         assert!(attempts <= 1, "{attempts} granted to each of two owners");
     }
 }
@@ -110,20 +110,20 @@
     let mut owner = owner(OTHER, 2);
     let outputs = send_to_owner(&mut owner, 6, message);
     let outputs = end_attempt(&mut owner, 20, &outputs, garbled_answer());
-    let request_id = to_front(&outputs).expect("asks for an attempt");
+    let request_id = message_to_front(&outputs).expect("asks for an attempt");
     assert_eq!(request_id, ForwardMessage::AttemptRequest { task, attempts: 2 });
     for at in [21, 22] {
         assert_eq!(
-            granted(&send_to_front(&mut front, OTHER, at, request_id.clone())),
+            granted_attempts(&send_to_front(&mut front, OTHER, at, request_id.clone())),
             Some(2),
             "a repeated frame grants no more"
         );
     }
     let outputs = send_to_owner(&mut owner, 23, grant(task, 2));
-    assert!(sent(&outputs).is_some());
-    assert_eq!(sent(&send_to_owner(&mut owner, 24, grant(task, 2))), None, "the grant came twice");
+    assert!(dispatch_number(&outputs).is_some());
+    assert_eq!(dispatch_number(&send_to_owner(&mut owner, 24, grant(task, 2))), None, "the grant came twice");
     let outputs = end_attempt(&mut owner, 30, &outputs, server_error());
-    let answer = to_front(&outputs);
+    let answer = message_to_front(&outputs);
     assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "no attempt is left: {answer:?}");
 }
 
@@ -135,15 +135,15 @@
     let mut owner = owner(OTHER, 2);
     let outputs = send_to_owner(&mut owner, 6, message);
     let outputs = end_attempt(&mut owner, 20, &outputs, server_error());
-    assert!(matches!(to_front(&outputs), Some(ForwardMessage::AttemptRequest { .. })));
+    assert!(matches!(message_to_front(&outputs), Some(ForwardMessage::AttemptRequest { .. })));
     let outputs = match reported {
         Some(attempts) => send_to_owner(&mut owner, at, grant(task, attempts)),
         None => owner.step(ms(at), true, OwnerInput::Tick),
     };
-    let answer = to_front(&outputs);
+    let answer = message_to_front(&outputs);
     let Some(ForwardMessage::Answer { outcome, status, body, .. }) = answer else { panic!("{answer:?}") };
     assert_eq!((outcome, status, body.as_slice()), (Outcome::Answered, 500, b"first".as_slice()));
-    assert_eq!(sent(&send_to_owner(&mut owner, at + 5, grant(task, 2))), None, "a grant after the answer");
+    assert_eq!(dispatch_number(&send_to_owner(&mut owner, at + 5, grant(task, 2))), None, "a grant after the answer");
 }
 
 /// A front that lost two owners has no attempt left to grant.
@@ -181,7 +181,7 @@
     let outputs = send_to_owner(&mut owner, 6, message);
     owner.step(ms(10), true, OwnerInput::Membership { membership: membership(3, &[THIRD]) });
     let outputs = end_attempt(&mut owner, 20, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
-    assert_eq!(to_front(&outputs), Some(ForwardMessage::Returned { task, attempts: 1 }));
+    assert_eq!(message_to_front(&outputs), Some(ForwardMessage::Returned { task, attempts: 1 }));
 }
 
 #[test]
@@ -191,7 +191,7 @@
     send_to_front(&mut front, OTHER, 10, ForwardMessage::Returned { task, attempts: 1 });
     let (task, _) = forwarded(&front.step(ms(50), true, FrontInput::Tick)).expect("one attempt is left");
     let outputs = send_to_front(&mut front, OTHER, 60, ForwardMessage::AttemptRequest { task, attempts: 2 });
-    assert_eq!(granted(&outputs), Some(1), "the previous owner used one");
+    assert_eq!(granted_attempts(&outputs), Some(1), "the previous owner used one");
     let outputs = send_to_front(&mut front, OTHER, 70, ForwardMessage::Returned { task, attempts: 1 });
     let reported = reply(&outputs).expect("answered at once");
     assert_eq!((reported.outcome, reported.status, reported.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
@@ -207,7 +207,7 @@
     end_attempt(&mut owner, 20, &outputs, garbled_answer());
     let outputs = send_to_owner(&mut owner, 21, grant(task, 2));
     let outputs = end_attempt(&mut owner, 30, &outputs, DispatchOutcome::NotRun { wrong_instance: false });
-    let answer = to_front(&outputs);
+    let answer = message_to_front(&outputs);
     assert!(
         matches!(answer, Some(ForwardMessage::Answer { outcome: Outcome::Unknown, status: 504, .. })),
         "{answer:?}"
@@ -224,7 +224,7 @@
     let outputs = send_to_owner(&mut owner, 6, message);
     owner.step(ms(10), true, OwnerInput::Membership { membership: membership(3, &[THIRD]) });
     let outputs = end_attempt(&mut owner, 20, &outputs, server_error());
-    let answer = to_front(&outputs);
+    let answer = message_to_front(&outputs);
     assert!(matches!(answer, Some(ForwardMessage::Answer { status: 500, .. })), "{answer:?}");
 }
 
@@ -245,5 +245,5 @@
     };
     let outputs = send_to_owner(&mut owner, 6, message);
     let outputs = end_attempt(&mut owner, 20, &outputs, server_error());
-    assert!(sent(&outputs).is_some(), "{outputs:?}");
+    assert!(dispatch_number(&outputs).is_some(), "{outputs:?}");
 }
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -1,4 +1,4 @@
-//! An owner of one deferred function, the tasks sent to it, and the store as it reads it.
+//! An owner of one deferred function, requests to it, and the store's replies.
 
 use super::{ME, OTHER, membership, ms};
 use leases::Membership;
@@ -10,7 +10,7 @@
 
 pub const FUNCTION: &str = "t/f";
 
-/// One that waits for the table of the owner before.
+/// Returns an owner that waits for the earlier owner's table.
 pub fn owner() -> FunctionOwner {
     owner_with_id(ME, 1)
 }
@@ -19,7 +19,7 @@
     router(id, membership(membership_number, &[id]))
 }
 
-/// A router that begins with this membership, owner or not.
+/// Returns a router that starts with the given membership, which need not make it the owner.
 pub fn router(id: u64, first: Rc<Membership>) -> FunctionOwner {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"deferred"}"#;
     let routes = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
@@ -34,6 +34,7 @@
     wire::to_bytes(&RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() })
 }
 
+/// Forwards a deferred request with a key of its own.
 pub fn forward(number: u64) -> OwnerInput {
     let message = ForwardMessage::ForwardUncounted {
         task: number,
@@ -49,7 +50,8 @@
     OwnerInput::Forward { from: OTHER, message }
 }
 
-pub fn granted(outputs: &[OwnerOutput]) -> OwnerInput {
+/// Replies to the proposal among the outputs that the request is stored.
+pub fn store_reply(outputs: &[OwnerOutput]) -> OwnerInput {
     let request_id = outputs.iter().find_map(|output| match output {
         OwnerOutput::Propose { request_id, .. } => Some(*request_id),
         _ => None,
@@ -57,55 +59,64 @@
     let receipt = wire::CommandReply::Stored { state: wire::ClaimState::Granted, answer: Vec::new().into() };
     let body = wire::to_bytes(&receipt).into();
     OwnerInput::StoreReply {
-        message: LeaseMessage::ProposalAck { request_id: request_id.expect("asked to store"), state: 1, body },
+        message: LeaseMessage::ProposalAck {
+            request_id: request_id.expect("a proposal to store the request"),
+            state: 1,
+            body,
+        },
     }
 }
 
-/// A table with one instance that is ready.
+/// Returns a table with one ready instance.
 pub fn table(membership_number: u64) -> OwnershipTable {
     let slots = vec![InstanceSlots { instance: "i1".into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 }].into();
     OwnershipTable { function: FUNCTION.into(), membership: membership_number, slots, ..OwnershipTable::default() }
 }
 
-pub fn handed() -> OwnerInput {
-    given(table(1))
+/// Hands over a table of the first membership.
+pub fn handover() -> OwnerInput {
+    table_message(table(1))
 }
 
-pub fn given(table: OwnershipTable) -> OwnerInput {
+/// Sends a table from the other router.
+pub fn table_message(table: OwnershipTable) -> OwnerInput {
     OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table } }
 }
 
-pub fn reported(outputs: &[OwnerOutput]) -> Option<OwnershipTable> {
+/// Returns the table among the outputs.
+pub fn table_in(outputs: &[OwnerOutput]) -> Option<OwnershipTable> {
     outputs.iter().find_map(|output| match output {
         OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. } => Some(table.clone()),
         _ => None,
     })
 }
 
-pub fn sent(outputs: &[OwnerOutput]) -> usize {
+/// Returns the number of dispatches.
+pub fn dispatch_count(outputs: &[OwnerOutput]) -> usize {
     outputs.iter().filter(|output| matches!(output, OwnerOutput::Dispatch(_))).count()
 }
 
-pub fn read(owner: &mut FunctionOwner, at: u64, numbers: &[u64]) -> Vec<OwnerOutput> {
+/// Lets the owner read the store, which lists the given requests as pending.
+pub fn read_store(owner: &mut FunctionOwner, at: u64, numbers: &[u64]) -> Vec<OwnerOutput> {
     let mut outputs = owner.step(ms(at), true, OwnerInput::Tick);
-    let request_id = asked(&outputs).expect("reads the store");
-    outputs.extend(owner.step(ms(at + 1), true, listed(request_id, numbers)));
+    let request_id = store_read_id(&outputs).expect("a read of the store");
+    outputs.extend(owner.step(ms(at + 1), true, store_list(request_id, numbers)));
     outputs
 }
 
-/// The number under which an owner reads the store.
-pub fn asked(outputs: &[OwnerOutput]) -> Option<u64> {
+/// Returns the id of the owner's read of the store.
+pub fn store_read_id(outputs: &[OwnerOutput]) -> Option<u64> {
     outputs.iter().find_map(|output| match output {
         OwnerOutput::Read { request_id, .. } => Some(*request_id),
         _ => None,
     })
 }
 
-/// The store's answer: these are pending.
-pub fn listed(request_id: u64, numbers: &[u64]) -> OwnerInput {
+/// Replies to a read of the store that the given requests are pending.
+pub fn store_list(request_id: u64, numbers: &[u64]) -> OwnerInput {
     let is_standby_copy = StoredRequest { binding: FUNCTION.into(), head: head().into(), body: Vec::new().into() };
     let item = |number: &u64| ConfigurationItem {
-        key: format!("p/{FUNCTION}/{}", stored(*number)).as_str().into(),
+        key: format!("p/{FUNCTION}/{}", stored_name(*number)).as_str().into(),
         value: wire::to_bytes(&is_standby_copy).into(),
         gone: 0,
     };
@@ -113,6 +124,7 @@
     OwnerInput::StoreReply { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
 }
 
-pub fn stored(number: u64) -> String {
+/// Returns the name under which the request is stored.
+pub fn stored_name(number: u64) -> String {
     traffic::stored_id(&format!("{FUNCTION}/k-{number}"))
 }
--- a/crates/traffic/tests/common/keyed.rs
+++ b/crates/traffic/tests/common/keyed.rs
@@ -1,4 +1,4 @@
-//! An owner of a run-once function with one instance, and what it says and asks.
+//! An owner of a run-once function with one instance, and its answers and proposals.
 
 use super::{ME, OTHER, membership, ms};
 use bindings::RouteTable;
@@ -19,7 +19,7 @@
     Rc::new(RouteTable::build(1, 1, pairs.into_iter()))
 }
 
-/// An owner with one instance.
+/// Returns an owner with one instance.
 pub fn owner(claims_for_ticks: bool) -> FunctionOwner {
     owner_with(OwnerSettings { key_window: WINDOW, claims_for_ticks, ..OwnerSettings::default() }, false)
 }
@@ -37,11 +37,19 @@
     owner
 }
 
-pub fn ask(owner: &mut FunctionOwner, at: u64, task: u64, body: &[u8]) -> Vec<OwnerOutput> {
-    ask_under(owner, at, task, "k-a", body)
+/// Sends a request under the key `k-a`.
+pub fn send_request(owner: &mut FunctionOwner, at: u64, task: u64, body: &[u8]) -> Vec<OwnerOutput> {
+    send_request_with_key(owner, at, task, "k-a", body)
 }
 
-pub fn ask_under(owner: &mut FunctionOwner, at: u64, task: u64, key: &str, body: &[u8]) -> Vec<OwnerOutput> {
+/// Sends a request under the given key.
+pub fn send_request_with_key(
+    owner: &mut FunctionOwner,
+    at: u64,
+    task: u64,
+    key: &str,
+    body: &[u8],
+) -> Vec<OwnerOutput> {
     let head = RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() };
     let message = ForwardMessage::ForwardUncounted {
         task,
@@ -57,6 +65,7 @@
     owner.step(ms(at), true, OwnerInput::Forward { from: OTHER, message })
 }
 
+/// Returns the proposed commands and their request ids.
 pub fn proposals(outputs: &[OwnerOutput]) -> Vec<(u64, Command)> {
     let proposed = outputs.iter().filter_map(|output| match output {
         OwnerOutput::Propose { request_id, body } => Some((*request_id, wire::from_bytes(body)?)),
@@ -65,7 +74,8 @@
     proposed.collect()
 }
 
-pub fn claim_answered(
+/// Replies to a claim.
+pub fn reply_to_claim(
     owner: &mut FunctionOwner,
     at: u64,
     claim: u64,
@@ -77,8 +87,8 @@
     owner.step(ms(at), true, OwnerInput::StoreReply { message })
 }
 
-/// What callers were told: task, outcome, status, time to come back, body.
-pub fn told(outputs: &[OwnerOutput]) -> Vec<(u64, Outcome, u16, u32, Vec<u8>)> {
+/// Returns the answers to callers: request, outcome, status, retry delay in milliseconds, body.
+pub fn answers(outputs: &[OwnerOutput]) -> Vec<(u64, Outcome, u16, u32, Vec<u8>)> {
     let told = outputs.iter().filter_map(|output| match output {
         OwnerOutput::Forward {
             message: ForwardMessage::Answer { task, outcome, status, retry_after_ms, body, .. },
@@ -89,7 +99,8 @@
     told.collect()
 }
 
-pub fn sent(outputs: &[OwnerOutput]) -> Vec<u64> {
+/// Returns the dispatch numbers.
+pub fn dispatch_numbers(outputs: &[OwnerOutput]) -> Vec<u64> {
     let sent = outputs.iter().filter_map(|output| match output {
         OwnerOutput::Dispatch(order) => Some(order.number),
         _ => None,
@@ -97,16 +108,17 @@
     sent.collect()
 }
 
-/// The first under the key is claimed, granted and sent; returns the number of its dispatch.
-pub fn first_is_sent(owner: &mut FunctionOwner) -> u64 {
-    let claims = proposals(&ask(owner, 2, 7, b"x"));
+/// Sends the first request under the key, grants its claim, and returns its dispatch number.
+pub fn dispatch_first_request(owner: &mut FunctionOwner) -> u64 {
+    let claims = proposals(&send_request(owner, 2, 7, b"x"));
     let [(claim, _)] = claims[..] else { panic!("one claim: {claims:?}") };
-    let dispatches = sent(&claim_answered(owner, 10, claim, ClaimState::Granted, b""));
+    let dispatches = dispatch_numbers(&reply_to_claim(owner, 10, claim, ClaimState::Granted, b""));
     let [dispatch] = dispatches[..] else { panic!("one dispatch: {dispatches:?}") };
     dispatch
 }
 
-pub fn complete(owner: &mut FunctionOwner, at: u64, number: u64) -> Vec<OwnerOutput> {
+/// Reports the answer of a dispatch.
+pub fn report_answer(owner: &mut FunctionOwner, at: u64, number: u64) -> Vec<OwnerOutput> {
     let outcome =
         DispatchOutcome::Complete { status: 201, head: Vec::new(), body: b"sword".to_vec(), turned_away: false };
     owner.step(ms(at), true, OwnerInput::Dispatched { number, outcome })
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A small route table, membership and front for the tests of one machine.
+//! A small route table, membership and front for tests of one state machine.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of these helpers")]
 
 pub mod deferred;
 pub mod forwards;
@@ -49,6 +49,7 @@
     front
 }
 
+/// Lets a caller send a request to the front.
 pub fn send_request(front: &mut Front, at: u64, may_serve: bool, path: &str) -> Vec<FrontOutput> {
     let head = RequestHead { method: "POST".into(), target: path.into(), headers: Vec::new().into() };
     let (host, path) = (String::new(), path.to_owned());
@@ -57,15 +58,17 @@
     front.step(ms(at), may_serve, FrontInput::Task { request_id: at, call })
 }
 
+/// Returns the forwarded request, which must be the first output, and its number.
 pub fn forward(outputs: &[FrontOutput]) -> (u64, ForwardMessage) {
     match &outputs[0] {
         FrontOutput::Forward { message: message @ ForwardMessage::Forward { request }, .. } => {
             (request.task, message.clone())
         }
-        other => panic!("not a carry: {other:?}"),
+        other => panic!("not a forward: {other:?}"),
     }
 }
 
+/// Returns the first reply to a caller.
 pub fn reply(outputs: &[FrontOutput]) -> Option<&Reply> {
     outputs.iter().find_map(|output| match output {
         FrontOutput::Reply { reply, .. } => Some(reply),
--- a/crates/traffic/tests/common/provider.rs
+++ b/crates/traffic/tests/common/provider.rs
@@ -1,4 +1,4 @@
-//! An owner fed by a provider: what it orders, and what it is told.
+//! An owner connected to a simulated provider: its orders, and the provider's reports.
 
 use super::{ME, membership, ms};
 use bindings::RouteTable;
@@ -37,6 +37,7 @@
     Rc::new(RouteTable::build(1, 1, [("function-bindings/t/f", binding.as_bytes())].into_iter()))
 }
 
+/// An owner, the simulated time in milliseconds, and its orders so far.
 pub struct OwnerWithProvider {
     pub owner: FunctionOwner,
     pub at: u64,
@@ -47,17 +48,17 @@
 }
 
 impl OwnerWithProvider {
-    /// An owner that has always had an empty route table and now takes one whose function is to have so many.
+    /// Returns an owner that had an empty route table and then receives one whose function has the given minimum.
     pub fn new(min: u32, workers: Vec<WorkerLine>) -> OwnerWithProvider {
         OwnerWithProvider::with_member(ME, min, workers)
     }
 
-    /// The same where the only member, and so the owner, is this one.
+    /// Returns the same, with `member` as the only member and thus the owner.
     pub fn with_member(member: u64, min: u32, workers: Vec<WorkerLine>) -> OwnerWithProvider {
         OwnerWithProvider::with_settings(OwnerSettings::default(), member, min, workers)
     }
 
-    /// The same with other settings.
+    /// Returns the same, with other settings.
     pub fn with_settings(
         settings: OwnerSettings,
         member: u64,
@@ -76,6 +77,7 @@
         provider
     }
 
+    /// Feeds an input at the current time, and collects the outputs.
     pub fn feed(&mut self, input: OwnerInput) {
         for output in self.owner.step(ms(self.at), true, input) {
             match output {
@@ -117,7 +119,7 @@
         self.feed(OwnerInput::Probed { id: id.into(), ready });
     }
 
-    /// Lets time pass in ticks of ten milliseconds.
+    /// Advances the time in ticks of ten milliseconds.
     pub fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.at += 10;
@@ -125,6 +127,7 @@
         }
     }
 
+    /// Returns a count from the function's status.
     pub fn count(&mut self, what: &str) -> u64 {
         self.owner.status()["functions"][FUNCTION][what].as_u64().unwrap_or_default()
     }
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -1,4 +1,4 @@
-//! One owner reads the provider's list for all.
+//! One owner reads the provider's lists on behalf of all.
 
 mod common;
 
@@ -13,7 +13,7 @@
 
 const IDS: [NodeId; 4] = [3, 5, 7, 11];
 
-/// Owners that hear each other at once, and a provider that answers at once.
+/// Owners that receive each other's messages without delay, and a provider that replies without delay.
 struct Owners {
     owners: BTreeMap<NodeId, FunctionOwner>,
     at: u64,
@@ -25,7 +25,7 @@
 
 impl Owners {
     fn new(list: Vec<InstanceLine>) -> Owners {
-        // Starts are dear, so that what nobody calls is kept.
+        // Starts are expensive, so that instances without requests are kept.
         let settings = OwnerSettings { start_gb_seconds: 100.0, ..OwnerSettings::default() };
         let owners = IDS.map(|id| (id, FunctionOwner::new(id, 1, settings.clone()))).into();
         let mut all = Owners { owners, at: 0, list, reads: BTreeMap::new(), disconnected: None, bytes: 0 };
@@ -44,11 +44,11 @@
                 OwnerOutput::ProviderOrder(ProviderOrder::List) => {
                     *self.reads.entry(id).or_default() += 1;
                     let listing = Listing { instances: self.list.clone() };
-                    self.tell(id, ProviderReport::Listed { listing, asked: Instant::now() });
+                    self.report(id, ProviderReport::Listed { listing, asked: Instant::now() });
                 }
                 OwnerOutput::ProviderOrder(ProviderOrder::Workers) => {
                     let lines = vec![worker("w0", "a", 4096, true)];
-                    self.tell(id, ProviderReport::Workers { lines, asked: Instant::now() });
+                    self.report(id, ProviderReport::Workers { lines, asked: Instant::now() });
                 }
                 OwnerOutput::Forward { to, message }
                     if self.disconnected != Some(to) && self.disconnected != Some(id) =>
@@ -63,7 +63,7 @@
         }
     }
 
-    fn tell(&mut self, id: NodeId, report: ProviderReport) {
+    fn report(&mut self, id: NodeId, report: ProviderReport) {
         let listed_at = ms(self.at);
         self.feed(id, OwnerInput::ProviderReport { report, listed_at });
     }
@@ -85,30 +85,31 @@
     }
 }
 
-fn first() -> NodeId {
+/// Returns the first owner in the reading order.
+fn first_reader() -> NodeId {
     membership(7, &IDS).in_turn("inventory")[0]
 }
 
 #[test]
-fn one_owner_reads_and_the_others_know_by_what_it_tells() {
+fn one_owner_reads_the_list_and_sends_it_to_the_others() {
     let mut all = Owners::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(5000);
-    assert_eq!(all.reads.keys().copied().collect::<Vec<_>>(), [first()], "{:?}", all.reads);
-    assert!((4..=6).contains(&all.reads[&first()]));
+    assert_eq!(all.reads.keys().copied().collect::<Vec<_>>(), [first_reader()], "{:?}", all.reads);
+    assert!((4..=6).contains(&all.reads[&first_reader()]));
     assert_eq!(all.ready(), 1);
     let before = std::mem::take(&mut all.bytes);
     all.pass(5000);
     assert!(all.bytes < 1500, "{} after {before} bytes, though nothing changed", all.bytes);
     all.list.clear();
     all.pass(1100);
-    assert_eq!(all.ready(), 0, "what is gone from the list is gone everywhere");
+    assert_eq!(all.ready(), 0, "an instance that is no longer listed is dropped by its owner");
 }
 
 #[test]
-fn the_next_in_turn_reads_when_the_first_is_not_heard_and_stops_when_it_is_back() {
+fn the_next_owner_reads_while_the_first_is_silent_and_stops_when_it_is_back() {
     let mut all = Owners::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(3000);
-    all.disconnected = Some(first());
+    all.disconnected = Some(first_reader());
     let next = membership(7, &IDS).in_turn("inventory")[1];
     all.pass(6000);
     let reads = all.reads.clone();
@@ -122,7 +123,7 @@
 fn an_owner_that_missed_a_change_asks_for_the_complete_inventory() {
     let mut all = Owners::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(2000);
-    all.disconnected = IDS.into_iter().find(|id| *id != first());
+    all.disconnected = IDS.into_iter().find(|id| *id != first_reader());
     all.list.push(line("i22", "w0", InstanceState::Running));
     all.pass(1060);
     all.disconnected = None;
@@ -134,15 +135,15 @@
 }
 
 #[test]
-fn an_owner_that_begins_without_a_table_reads_a_list_of_its_own_after_it() {
+fn an_owner_that_starts_without_a_table_reads_a_list_of_its_own() {
     let mut all = Owners::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(2000);
     let lost = all.owner();
-    let left: Vec<NodeId> = IDS.into_iter().filter(|id| *id != lost).collect();
-    let after = membership(8, &left);
+    let remaining: Vec<NodeId> = IDS.into_iter().filter(|id| *id != lost).collect();
+    let after = membership(8, &remaining);
     let next = after.owner("t/f").unwrap();
     let before = all.reads.get(&next).copied().unwrap_or_default();
-    for id in left {
+    for id in remaining {
         all.feed(id, OwnerInput::Membership { membership: after.clone() });
     }
     all.pass(Duration::from_millis(800).as_millis() as u64);
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn an_owner_without_a_lease_orders_no_list_and_one_as_soon_as_it_has_it() {
+fn a_list_for_an_adoption_is_ordered_as_soon_as_the_lease_is_valid() {
     let mut owner = FunctionOwner::new(3, 1, OwnerSettings::default());
     let lists = |outputs: &[OwnerOutput]| {
         outputs.iter().filter(|output| matches!(output, OwnerOutput::ProviderOrder(ProviderOrder::List))).count()
@@ -158,7 +159,7 @@
     owner.step(ms(0), false, OwnerInput::Membership { membership: membership(7, &[3]) });
     owner.step(ms(0), false, OwnerInput::RouteTable { routes: routes_of(0) });
     let before: usize = (1..=90).map(|n| lists(&owner.step(ms(n * 10), false, OwnerInput::Tick))).sum();
-    assert!(before <= 1, "{before} lists while none can count, beside the one that is read for all");
+    assert!(before <= 1, "{before} lists without a lease, besides the one read for all owners");
     let after: usize = (91..=93).map(|n| lists(&owner.step(ms(n * 10), true, OwnerInput::Tick))).sum();
-    assert_eq!(after, 1, "at once, though one was read lately");
+    assert_eq!(after, 1, "at once, although a list was read lately");
 }
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -4,7 +4,8 @@
 mod common;
 
 use common::deferred::{
-    FUNCTION, asked, forward, given, granted, handed, listed, owner, owner_with_id, read, reported, sent, stored, table,
+    FUNCTION, dispatch_count, forward, handover, owner, owner_with_id, read_store, store_list, store_read_id,
+    store_reply, stored_name, table, table_in, table_message,
 };
 use common::{ME, OTHER, membership, ms};
 use std::collections::BTreeSet;
@@ -14,7 +15,7 @@
 const BACKLOG: [u64; 6] = [1, 2, 3, 4, 5, 6];
 
 fn ids(numbers: &[u64]) -> BTreeSet<String> {
-    numbers.iter().map(|number| stored(*number)).collect()
+    numbers.iter().map(|number| stored_name(*number)).collect()
 }
 
 fn started(table: &OwnershipTable) -> BTreeSet<String> {
@@ -36,25 +37,25 @@
 /// reads the backlog; it may send four at once.
 fn after_a_crash(id: u64) -> FunctionOwner {
     let mut owner = owner_with_id(id, 1);
-    owner.step(ms(1), true, given(table(1)));
+    owner.step(ms(1), true, table_message(table(1)));
     owner
 }
 
 #[test]
 fn a_backlog_in_doubt_is_still_in_doubt_at_the_owner_after_the_next() {
     let mut first = after_a_crash(ME);
-    let at_once = sent(&read(&mut first, 20, &BACKLOG));
+    let at_once = dispatch_count(&read_store(&mut first, 20, &BACKLOG));
     assert!((1..BACKLOG.len()).contains(&at_once), "some are sent, the others wait: {at_once}");
     let outputs = first.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    let handed = reported(&outputs).expect("hands over");
+    let handed = table_in(&outputs).expect("hands over");
     assert_eq!((handed.is_started_complete, started(&handed)), (1, ids(&BACKLOG)), "also those that it only held");
-    let handed_again = reported(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
+    let handed_again = table_in(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
     assert_eq!(started(&handed_again), ids(&BACKLOG), "should the first be lost");
 
     let mut second = owner_with_id(OTHER, 2);
     let spent_before = u64::from(handed.retries);
-    second.step(ms(1), true, given(handed));
-    let sent_again = sent(&read(&mut second, 20, &BACKLOG)) as u64;
+    second.step(ms(1), true, table_message(handed));
+    let sent_again = dispatch_count(&read_store(&mut second, 20, &BACKLOG)) as u64;
     assert_eq!(retries(&mut second), Some(spent_before + sent_again), "each of them is a retry");
 }
 
@@ -62,10 +63,14 @@
 #[test]
 fn what_the_owner_before_reported_and_is_not_read_yet_is_reported_on() {
     let mut owner = owner();
-    let begun_before = BACKLOG.iter().map(|number| stored(*number).as_str().into()).collect::<Vec<_>>();
-    owner.step(ms(1), true, given(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }));
+    let begun_before = BACKLOG.iter().map(|number| stored_name(*number).as_str().into()).collect::<Vec<_>>();
+    owner.step(
+        ms(1),
+        true,
+        table_message(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }),
+    );
     let outputs = owner.step(ms(10), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    let handed = reported(&outputs).expect("hands over");
+    let handed = table_in(&outputs).expect("hands over");
     assert_eq!((handed.is_started_complete, started(&handed)), (1, ids(&BACKLOG)));
 }
 
@@ -73,28 +78,32 @@
 #[test]
 fn what_the_store_no_longer_lists_is_reported_no_longer() {
     let mut owner = owner();
-    let begun_before = vec![stored(1).as_str().into(), stored(2).as_str().into()];
-    owner.step(ms(1), true, given(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }));
-    read(&mut owner, 20, &[1]);
+    let begun_before = vec![stored_name(1).as_str().into(), stored_name(2).as_str().into()];
+    owner.step(
+        ms(1),
+        true,
+        table_message(OwnershipTable { started: begun_before.into(), is_started_complete: 1, ..table(1) }),
+    );
+    read_store(&mut owner, 20, &[1]);
     let outputs = owner.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    assert_eq!(started(&reported(&outputs).expect("hands over")), ids(&[1]));
+    assert_eq!(started(&table_in(&outputs).expect("hands over")), ids(&[1]));
 }
 
 #[test]
 fn a_task_is_reported_until_the_store_has_recorded_that_it_is_finished() {
     let mut owner = after_a_crash(ME);
-    read(&mut owner, 20, &[]);
+    read_store(&mut owner, 20, &[]);
     let outputs = owner.step(ms(30), true, forward(7));
-    let outputs = owner.step(ms(31), true, granted(&outputs));
+    let outputs = owner.step(ms(31), true, store_reply(&outputs));
     let outcome = DispatchOutcome::Complete { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
     let number = order(&outputs).expect("sent");
     let outputs = owner.step(ms(40), true, OwnerInput::Dispatched { number, outcome });
     let is_standby_copy =
-        reported(&owner.step(ms(600), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) }))
+        table_in(&owner.step(ms(600), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) }))
             .expect("a table");
     assert_eq!(started(&is_standby_copy), ids(&[7]), "the store may not have heard of it");
-    owner.step(ms(610), true, granted(&outputs));
-    let later = reported(&owner.step(ms(900), true, OwnerInput::Tick)).expect("a table");
+    owner.step(ms(610), true, store_reply(&outputs));
+    let later = table_in(&owner.step(ms(900), true, OwnerInput::Tick)).expect("a table");
     assert_eq!(started(&later), ids(&[]));
 }
 
@@ -102,14 +111,14 @@
 #[test]
 fn a_task_stored_for_a_function_that_moved_meanwhile_is_run_once_it_is_back() {
     let mut owner = owner();
-    owner.step(ms(1), true, handed());
+    owner.step(ms(1), true, handover());
     let asked_to_store = owner.step(ms(10), true, forward(7));
     owner.step(ms(20), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     owner.step(ms(600), true, OwnerInput::Tick);
-    owner.step(ms(700), true, granted(&asked_to_store));
+    owner.step(ms(700), true, store_reply(&asked_to_store));
     owner.step(ms(800), true, OwnerInput::Membership { membership: membership(3, &[ME]) });
-    owner.step(ms(801), true, given(table(3)));
-    assert_eq!(sent(&read(&mut owner, 900, &[7])), 1);
+    owner.step(ms(801), true, table_message(table(3)));
+    assert_eq!(dispatch_count(&read_store(&mut owner, 900, &[7])), 1);
 }
 
 /// The machine that is back knows nothing, and what it sent after the copy was made is in no table.
@@ -117,7 +126,7 @@
 fn a_standby_copy_that_is_handed_back_does_not_tell_all_that_was_sent() {
     let mut keeper = owner();
     keeper.step(ms(0), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    keeper.step(ms(10), true, given(OwnershipTable { is_standby_copy: 1, is_started_complete: 1, ..table(2) }));
+    keeper.step(ms(10), true, table_message(OwnershipTable { is_standby_copy: 1, is_started_complete: 1, ..table(2) }));
     let mut again = (*membership(3, &[OTHER])).clone();
     let mut members = again.members.into_vec();
     members[0].incarnation = 2;
@@ -136,12 +145,12 @@
 #[test]
 fn a_listing_from_before_another_was_owner_is_not_taken() {
     let mut owner = after_a_crash(ME);
-    let request_id = asked(&owner.step(ms(20), true, OwnerInput::Tick)).expect("reads the store");
+    let request_id = store_read_id(&owner.step(ms(20), true, OwnerInput::Tick)).expect("reads the store");
     owner.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     owner.step(ms(200), true, OwnerInput::Membership { membership: membership(3, &[ME]) });
-    owner.step(ms(201), true, given(table(3)));
-    owner.step(ms(202), true, listed(request_id, &[]));
-    read(&mut owner, 220, &[9]);
+    owner.step(ms(201), true, table_message(table(3)));
+    owner.step(ms(202), true, store_list(request_id, &[]));
+    read_store(&mut owner, 220, &[9]);
     assert_eq!(retries(&mut owner), Some(1), "the home between may have sent it");
 }
 
@@ -149,13 +158,13 @@
 #[test]
 fn what_a_later_table_tells_as_sent_counts_too() {
     let mut owner = after_a_crash(ME);
-    read(&mut owner, 20, &[1]);
-    let begun_later = vec![stored(1).as_str().into(), stored(2).as_str().into()];
+    read_store(&mut owner, 20, &[1]);
+    let begun_later = vec![stored_name(1).as_str().into(), stored_name(2).as_str().into()];
     owner.step(
         ms(100),
         true,
-        given(OwnershipTable { started: begun_later.into(), is_started_complete: 1, ..table(1) }),
+        table_message(OwnershipTable { started: begun_later.into(), is_started_complete: 1, ..table(1) }),
     );
     let outputs = owner.step(ms(200), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    assert_eq!(started(&reported(&outputs).expect("hands over")), ids(&[1, 2]));
+    assert_eq!(started(&table_in(&outputs).expect("hands over")), ids(&[1, 2]));
 }
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -1,4 +1,4 @@
-//! What others keep for an owner, and what a front does when its owner falls silent.
+//! Standby copies that others keep for an owner, and what a front does when its owner falls silent.
 
 mod common;
 
@@ -22,7 +22,7 @@
     }
 }
 
-fn task(number: u64) -> ForwardMessage {
+fn forward_message(number: u64) -> ForwardMessage {
     let head = RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() };
     ForwardMessage::ForwardUncounted {
         task: number,
@@ -37,12 +37,13 @@
     }
 }
 
-/// What nobody calls is kept: these tests look at what an owner knows, not at what is worth its memory.
+/// Returns settings with expensive starts, so that instances without requests are kept: these tests check what an owner
+/// knows, not which instances are worth their memory.
 fn expensive_starts() -> OwnerSettings {
     OwnerSettings { start_gb_seconds: 100.0, ..OwnerSettings::default() }
 }
 
-/// An owner that has just lost the other, with or without a table kept for it.
+/// Returns the new owner after the other one crashed, with or without a standby copy.
 fn after_the_crash(is_standby_copy: Option<ForwardMessage>) -> FunctionOwner {
     let mut owner = FunctionOwner::new(ME, 1, expensive_starts());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
@@ -59,35 +60,39 @@
 }
 
 #[test]
-fn the_next_owner_begins_at_once_from_the_table_it_kept() {
+fn the_next_owner_starts_at_once_from_its_standby_copy() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
-    assert!(dispatched(&owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
-    let mut bare = after_the_crash(None);
-    assert!(!dispatched(&bare.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
+    assert!(dispatched(&owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: forward_message(7) })));
+    let mut without_copy = after_the_crash(None);
+    assert!(!dispatched(&without_copy.step(
+        ms(2001),
+        true,
+        OwnerInput::Forward { from: OTHER, message: forward_message(7) }
+    )));
 }
 
 #[test]
-fn a_former_owner_that_wakes_is_refused_by_its_membership_number() {
+fn a_table_of_a_former_owner_is_refused_by_its_membership_number() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     let ready = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["ready"].as_u64();
     assert_eq!(ready(&mut owner), Some(1));
     owner.step(ms(2100), true, OwnerInput::Forward { from: OTHER, message: table(1, 0, "i2") });
-    assert_eq!(ready(&mut owner), Some(1), "handed over under the roster before");
+    assert_eq!(ready(&mut owner), Some(1), "handed over under the previous membership");
     owner.step(ms(2200), true, OwnerInput::Forward { from: OTHER, message: table(2, 0, "i3") });
-    assert_eq!(ready(&mut owner), Some(2), "handed over under this one");
+    assert_eq!(ready(&mut owner), Some(2), "handed over under the current membership");
 }
 
 #[test]
-fn a_machine_that_comes_back_is_handed_what_was_kept_for_it() {
-    let mut keeper = FunctionOwner::new(ME, 1, OwnerSettings::default());
-    keeper.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
-    keeper.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
-    keeper.step(ms(10), true, OwnerInput::Forward { from: OTHER, message: table(1, 1, "i1") });
-    let mut again = (*membership(2, &[OTHER])).clone();
-    let mut members = again.members.into_vec();
+fn a_router_that_returns_is_sent_its_standby_copy() {
+    let mut standby = FunctionOwner::new(ME, 1, OwnerSettings::default());
+    standby.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
+    standby.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
+    standby.step(ms(10), true, OwnerInput::Forward { from: OTHER, message: table(1, 1, "i1") });
+    let mut returned = (*membership(2, &[OTHER])).clone();
+    let mut members = returned.members.into_vec();
     members[0].incarnation = 2;
-    again.members = members.into();
-    let outputs = keeper.step(ms(500), true, OwnerInput::Membership { membership: again.into() });
+    returned.members = members.into();
+    let outputs = standby.step(ms(500), true, OwnerInput::Membership { membership: returned.into() });
     let handed = outputs.iter().any(|output| {
         matches!(output, OwnerOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } }
             if table.is_standby_copy == 0 && table.membership == 2 && table.slots.as_slice().len() == 1)
@@ -96,9 +101,9 @@
 }
 
 #[test]
-fn what_was_not_dispatched_goes_back_when_the_lease_has_lapsed() {
+fn requests_that_were_not_dispatched_return_to_their_front_when_the_lease_lapses() {
     let mut owner = after_the_crash(None);
-    owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: task(7) });
+    owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: forward_message(7) });
     let outputs = owner.step(ms(2002), false, OwnerInput::LeaseLapsed);
     let back = |output: &OwnerOutput| {
         matches!(output, OwnerOutput::Forward { message: ForwardMessage::NotOwner { task: 7 }, .. })
@@ -106,18 +111,21 @@
     assert!(outputs.iter().any(back), "{outputs:?}");
 }
 
-fn only_asks_to_beat(outputs: &[FrontOutput], owner: u64) -> bool {
+fn only_requests_heartbeat(outputs: &[FrontOutput], owner: u64) -> bool {
     matches!(outputs, [FrontOutput::Forward { to, message: ForwardMessage::HeartbeatRequest }] if *to == owner)
 }
 
 #[test]
-fn a_silent_owner_is_forwarded_nothing_and_its_tasks_are_never_in_doubt() {
+fn a_silent_owner_is_forwarded_nothing_and_waiting_requests_are_answered_as_not_run() {
     let mut front = front(1, OTHER);
     front.step(ms(100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
     forward(&send_request(&mut front, 200, true, "/t/f"));
-    assert!(only_asks_to_beat(&send_request(&mut front, 600, true, "/t/f"), OTHER), "no beat for half a second");
+    assert!(
+        only_requests_heartbeat(&send_request(&mut front, 600, true, "/t/f"), OTHER),
+        "no heartbeat for half a second"
+    );
     let moved = front.step(ms(2000), true, FrontInput::Membership { membership: membership(2, &[3]) });
-    assert!(only_asks_to_beat(&moved, 3), "the next home is not linked yet");
+    assert!(only_requests_heartbeat(&moved, 3), "the next owner is not linked yet");
     let reported = front.step(ms(4600), true, FrontInput::Tick);
     let outcomes: Vec<Outcome> = reported
         .iter()
@@ -126,20 +134,20 @@
             _ => None,
         })
         .collect();
-    assert_eq!(outcomes, [Outcome::Unknown, Outcome::NotRun], "only what was carried may have run");
+    assert_eq!(outcomes, [Outcome::Unknown, Outcome::NotRun], "only the forwarded request may have run");
     assert!(reply(&reported).is_some());
 }
 
-/// An owner of a run-once function whose claim is granted, with nothing yet to run it on.
+/// The claim of a run-once request is granted, but there is no instance yet when the lease lapses.
 #[test]
-fn a_claim_that_is_being_given_back_is_never_dispatched() {
+fn a_request_whose_claim_is_being_released_is_never_dispatched() {
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"once"}"#;
     let once = std::rc::Rc::new(bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter()));
     let mut owner = FunctionOwner::new(ME, 1, OwnerSettings::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: once });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[ME]) });
     owner.step(ms(0), true, OwnerInput::RegistriesReachable { reachable: true });
-    let outputs = owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: task(7) });
+    let outputs = owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: forward_message(7) });
     let request_id = outputs.iter().find_map(|output| match output {
         OwnerOutput::Propose { request_id, .. } => Some(*request_id),
         _ => None,
@@ -154,26 +162,30 @@
 }
 
 #[test]
-fn an_owner_that_had_lapsed_waits_for_the_table_of_the_owner_between() {
+fn an_owner_whose_lease_lapsed_waits_for_the_table_of_the_owner_in_between() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     owner.step(ms(3000), false, OwnerInput::LeaseLapsed);
-    assert!(!dispatched(&owner.step(ms(3001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
-    let ForwardMessage::Table { table: mut between } = table(2, 0, "i2") else { panic!("a table") };
-    between.rejections = 9;
-    let handed = ForwardMessage::Table { table: between.clone() };
+    assert!(!dispatched(&owner.step(ms(3001), true, OwnerInput::Forward { from: OTHER, message: forward_message(7) })));
+    let ForwardMessage::Table { table: mut table_in_between } = table(2, 0, "i2") else { panic!("a table") };
+    table_in_between.rejections = 9;
+    let handed = ForwardMessage::Table { table: table_in_between.clone() };
     assert!(
         !dispatched(&owner.step(ms(3002), true, OwnerInput::Forward { from: OTHER, message: handed })),
-        "nine were turned away"
+        "nine requests were rejected"
     );
     assert!(
         dispatched(&owner.step(ms(8100), true, OwnerInput::Tick))
-            || dispatched(&owner.step(ms(8200), true, OwnerInput::Forward { from: OTHER, message: task(9) }))
+            || dispatched(&owner.step(
+                ms(8200),
+                true,
+                OwnerInput::Forward { from: OTHER, message: forward_message(9) }
+            ))
     );
 }
 
-/// On a planned move it may begin from the copy it kept before the leaving owner's own table is there.
+/// On a planned handover the next owner may start from its standby copy before the leaving owner's table arrives.
 #[test]
-fn what_a_later_table_tells_beyond_the_copy_counts_too() {
+fn rejections_that_a_later_table_adds_to_the_standby_copy_are_counted() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     let ForwardMessage::Table { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
     let rejections = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["turned_away_5s"].as_u64();
@@ -186,5 +198,5 @@
         );
         assert_eq!(rejections(&mut owner), Some(wanted), "at {at} ms");
     }
-    assert!(!dispatched(&owner.step(ms(2600), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
+    assert!(!dispatched(&owner.step(ms(2600), true, OwnerInput::Forward { from: OTHER, message: forward_message(7) })));
 }
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -1,4 +1,4 @@
-//! Wishes for instances: one nonce each, kept until the outcome is known, so that no wish makes two.
+//! Instance starts: each has one nonce until its outcome is known, so that no start creates two instances.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use traffic::{DispatchOrder, DispatchOutcome, OwnerInput, OwnerOutput};
 use wire::{ForwardMessage, RequestHead};
 
-fn accepted_one() -> OwnerWithProvider {
+fn owner_with_accepted_start() -> OwnerWithProvider {
     let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn instances_to_be_kept_warm_are_started_at_once_and_paced() {
+fn the_minimum_number_of_instances_is_started_at_once_at_a_limited_rate() {
     let mut owner = OwnerWithProvider::new(30, six_workers());
     owner.pass(100);
     let first = owner.starts.len();
     assert!((4..=12).contains(&first), "{first}");
     owner.pass(1000);
-    assert_eq!(owner.starts.len(), 30, "alone it may start 64 a second");
+    assert_eq!(owner.starts.len(), 30, "a single owner may order 64 starts per second");
 }
 
 #[test]
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_start_that_took_effect_unanswered_is_one_with_what_the_list_shows() {
+fn a_start_without_a_reply_is_matched_with_the_instance_in_the_list() {
     let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn after_many_unanswered_tries_the_list_tells() {
+fn after_many_unanswered_orders_the_list_decides() {
     let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
@@ -65,15 +65,15 @@
         owner.started(&nonce, StartReply::Unanswered);
         owner.pass(1700);
     }
-    assert_eq!(owner.starts.len(), 7, "six under the first nonce");
+    assert_eq!(owner.starts.len(), 7, "six orders under the first nonce");
     owner.list(vec![line("i1", "w0", InstanceState::Running)]);
     owner.accepted(&owner.starts[6].nonce.clone(), "i2");
     owner.probed("i2", true);
-    assert_eq!(owner.count("ready"), 2, "what the first start made is adopted");
+    assert_eq!(owner.count("ready"), 2, "the instance of the first start is adopted");
 }
 
 #[test]
-fn too_many_calls_are_waited_out_under_the_same_nonce() {
+fn a_start_refused_for_too_many_calls_is_ordered_again_under_the_same_nonce() {
     let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
@@ -85,17 +85,17 @@
 }
 
 #[test]
-fn a_started_one_is_looked_at_and_serves_before_the_list_shows_it() {
-    let mut owner = accepted_one();
+fn a_new_instance_is_probed_and_the_list_decides_if_the_probe_fails() {
+    let mut owner = owner_with_accepted_start();
     assert_eq!(owner.probes.len(), 1);
     assert!(owner.probes[0].1 <= std::time::Duration::from_millis(450));
     owner.probed("i1", false);
-    assert_eq!((owner.count("starting"), owner.count("ready")), (1, 0), "then the list tells");
+    assert_eq!((owner.count("starting"), owner.count("ready")), (1, 0), "the list decides");
     owner.list(vec![line("i1", "w0", InstanceState::Running)]);
     assert_eq!(owner.count("ready"), 1);
 }
 
-fn task(number: u64) -> ForwardMessage {
+fn forward_message(number: u64) -> ForwardMessage {
     let head = RequestHead { method: "GET".into(), target: "/t/f".into(), headers: Vec::new().into() };
     ForwardMessage::ForwardUncounted {
         task: number,
@@ -118,10 +118,10 @@
 }
 
 #[test]
-fn one_that_refuses_a_connection_is_not_taken_back_unless_it_takes_one_again() {
-    let mut owner = accepted_one();
+fn an_instance_that_refused_a_connection_is_used_again_only_after_a_successful_probe() {
+    let mut owner = owner_with_accepted_start();
     owner.probed("i1", true);
-    owner.feed(OwnerInput::Forward { from: OTHER, message: task(1) });
+    owner.feed(OwnerInput::Forward { from: OTHER, message: forward_message(1) });
     let number = last_dispatch(&owner).expect("a dispatch").number;
     owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
     owner.list(vec![line("i1", "w0", InstanceState::Running)]);
@@ -133,12 +133,12 @@
 }
 
 #[test]
-fn one_that_refused_is_stopped_if_it_stays_listed_and_forgotten_if_not() {
+fn an_instance_that_refused_a_connection_is_stopped_only_if_it_stays_listed() {
     for listed in [true, false] {
-        let mut owner = accepted_one();
+        let mut owner = owner_with_accepted_start();
         owner.probed("i1", true);
         owner.list(vec![line("i1", "w0", InstanceState::Running)]);
-        owner.feed(OwnerInput::Forward { from: OTHER, message: task(1) });
+        owner.feed(OwnerInput::Forward { from: OTHER, message: forward_message(1) });
         let number = last_dispatch(&owner).expect("a dispatch").number;
         owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
         for _ in 0..6 {
@@ -150,8 +150,8 @@
 }
 
 #[test]
-fn a_stop_that_was_not_taken_is_ordered_again() {
-    let mut owner = accepted_one();
+fn a_stop_without_effect_is_ordered_again() {
+    let mut owner = owner_with_accepted_start();
     owner.probed("i1", true);
     owner.list(vec![line("i1", "w0", InstanceState::Leaving)]);
     owner.pass(100);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_pending_wish_goes_over_to_the_next_owner_under_its_nonce() {
+fn a_pending_start_is_handed_over_to_the_next_owner_under_its_nonce() {
     let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
