--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -48,7 +48,9 @@
     pub answer_time: Duration,
     /// Exponential moving average of the answer times.
     pub smoothed_answer_time: Duration,
+    /// Sum over the passes since the last sample of the queued requests, in passes with a ready instance.
     pub waiting_sum: f64,
+    /// The same, in passes without a ready instance.
     pub queued_sum: f64,
     /// Number of passes since the last sample.
     pub observations: u32,
@@ -57,9 +59,11 @@
     pub no_starts_until: Duration,
     /// End of the time after a preemption in which instances are started only for queued requests.
     pub preempted_until: Duration,
+    /// Number of instances wanted.
     pub desired: u32,
     pub measurement: MeasurementCounts,
     pub tuned_usage: Option<f64>,
+    /// Whether the last sample was taken while the function was inactive.
     pub sampled_zero: bool,
     /// Reason why the queued requests are not being sent.
     pub queue_wait: QueueWait,
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -33,13 +33,16 @@
     /// Owner that read the known lists, and the number of its last change.
     source: Option<(NodeId, u64)>,
     reading_order: Vec<NodeId>,
+    /// When an inventory was last read or received.
     heard_at: Duration,
+    /// When the known instance list was requested.
     requested_at: Duration,
     workers_requested_at: Duration,
     list_ordered_at: Option<Duration>,
     workers_ordered_at: Option<Duration>,
     /// When this owner last ordered a list for functions that it is adopting.
     adoption_list_ordered_at: Option<Duration>,
+    /// Whether the last list was ordered on behalf of all owners.
     reads_for_all: bool,
     changed_at: Duration,
     missed_at: Option<Duration>,
@@ -76,11 +79,10 @@
         let reads_for_all = position == 0 || is_reader_silent;
         let is_due =
             |ordered_at: Option<Duration>, interval: Duration| ordered_at.is_none_or(|at| now >= at + interval);
-        let asked = self.inventory.list_ordered_at.unwrap_or_default();
-        let needs_list = self
-            .schedulers
-            .values()
-            .any(|scheduler| scheduler.adopting.is_some_and(|(since, has_own_list)| !has_own_list && asked <= since));
+        let requested_at = self.inventory.list_ordered_at.unwrap_or_default();
+        let needs_list = self.schedulers.values().any(|scheduler| {
+            scheduler.adopting.is_some_and(|(since, has_own_list)| !has_own_list && requested_at <= since)
+        });
         // Only a list requested while the lease is valid counts, so it is ordered as soon as this owner may serve.
         let reads_for_itself =
             needs_list && self.may_serve && is_due(self.inventory.adoption_list_ordered_at, OWN_READ_INTERVAL);
@@ -102,10 +104,10 @@
     }
 
     /// Handles an instance list that this owner has read.
-    pub(crate) fn handle_listing(&mut self, listing: Listing, asked: Duration) {
+    pub(crate) fn handle_listing(&mut self, listing: Listing, requested_at: Duration) {
         let list: BTreeMap<String, InstanceLine> =
             listing.instances.into_iter().map(|line| (line.id.clone(), line)).collect();
-        self.apply_listing(&list, asked, true);
+        self.apply_listing(&list, requested_at, true);
         if !self.inventory.reads_for_all {
             return;
         }
@@ -117,22 +119,22 @@
             inventory.changed_at = self.now;
         }
         inventory.instances = list;
-        (inventory.requested_at, inventory.heard_at) = (asked, self.now);
+        (inventory.requested_at, inventory.heard_at) = (requested_at, self.now);
         inventory.source = Some((self.me, number));
         let change = if since == 0 { self.complete_inventory(number) } else { change };
         self.send_to_other_owners(change);
     }
 
     /// Handles a worker list that this owner has read.
-    pub(crate) fn handle_worker_list(&mut self, lines: Vec<WorkerLine>, asked: Duration) {
+    pub(crate) fn handle_worker_list(&mut self, lines: Vec<WorkerLine>, requested_at: Duration) {
         let workers: BTreeMap<String, WorkerLine> =
             lines.iter().map(|line| (line.name.clone(), line.clone())).collect();
-        self.apply_worker_list(lines, asked);
+        self.apply_worker_list(lines, requested_at);
         let number = self.next_number();
         let inventory = &mut self.inventory;
         let differs = changed(&inventory.workers, &workers).map(worker_record).collect::<Vec<_>>();
         let workers_gone = removed(&inventory.workers, &workers);
-        (inventory.workers, inventory.workers_requested_at) = (workers, asked);
+        (inventory.workers, inventory.workers_requested_at) = (workers, requested_at);
         // Before the first instance list there is no inventory that a change could refer to; the workers are sent with
         // it.
         let Some((from, since)) = inventory.source else { return };
@@ -180,7 +182,7 @@
     }
 
     fn with_ages(&self, change: InventoryChange) -> InventoryChange {
-        let age = |asked: Duration| self.now.saturating_sub(asked).as_millis() as u32;
+        let age = |requested_at: Duration| self.now.saturating_sub(requested_at).as_millis() as u32;
         let (age_ms, workers_age_ms) = (age(self.inventory.requested_at), age(self.inventory.workers_requested_at));
         InventoryChange { age_ms, workers_age_ms, ..change }
     }
--- a/crates/traffic/src/owner_types.rs
+++ b/crates/traffic/src/owner_types.rs
@@ -17,25 +17,31 @@
 
 /// Event that a function owner handles.
 pub enum OwnerInput {
+    /// Message from another router's front or owner.
     Forward {
         from: NodeId,
         message: ForwardMessage,
     },
+    /// Result of a dispatch.
     Dispatched {
         number: u64,
         outcome: DispatchOutcome,
     },
+    /// Reply of the registries to a proposal or a read.
     StoreReply {
         message: LeaseMessage,
     },
+    /// Reply of the instance provider; `listed_at` is when a list was requested.
     ProviderReport {
         report: ProviderReport,
         listed_at: Duration,
     },
+    /// Result of a probe: whether the instance accepted a connection.
     Probed {
         id: String,
         ready: bool,
     },
+    /// Scaling plan or tuned parameters.
     Plan {
         message: PlanMessage,
     },
@@ -45,52 +51,40 @@
     Membership {
         membership: Rc<Membership>,
     },
+    /// Whether the registries can be reached.
     RegistriesReachable {
         reachable: bool,
     },
     /// The router's serving lease ran out; other owners may have taken over since.
     LeaseLapsed,
+    /// Time has passed.
     Tick,
 }
 
 /// Action that a function owner wants carried out.
 #[derive(Debug)]
 pub enum OwnerOutput {
-    Forward {
-        to: NodeId,
-        message: ForwardMessage,
-    },
-    Propose {
-        request_id: u64,
-        body: Vec<u8>,
-    },
-    Read {
-        request_id: u64,
-        prefix: String,
-    },
+    /// Sends a message to another router.
+    Forward { to: NodeId, message: ForwardMessage },
+    /// Proposes a command to the registries.
+    Propose { request_id: u64, body: Vec<u8> },
+    /// Reads the stored keys with this prefix.
+    Read { request_id: u64, prefix: String },
+    /// Sends a request to an instance.
     Dispatch(DispatchOrder),
+    /// Sends an order to the instance provider.
     ProviderOrder(ProviderOrder),
     /// Tries to connect to an instance, starting after `after` and for at most `limit`. `OwnerInput::Probed` reports
     /// whether the instance accepted the connection.
-    Probe {
-        id: String,
-        address: String,
-        after: Duration,
-        limit: Duration,
-    },
+    Probe { id: String, address: String, after: Duration, limit: Duration },
     /// Drops what is kept for this instance: nothing more is sent to it.
-    ForgetInstance {
-        id: String,
-    },
-    PlanRequest {
-        message: PlanMessage,
-    },
-    Samples {
-        lines: Vec<DemandSample>,
-    },
-    Measurements {
-        lines: Vec<Measurement>,
-    },
+    ForgetInstance { id: String },
+    /// Requests a scaling plan.
+    PlanRequest { message: PlanMessage },
+    /// Reports demand samples.
+    Samples { lines: Vec<DemandSample> },
+    /// Reports measurements for the tuning of weight sheets.
+    Measurements { lines: Vec<Measurement> },
 }
 
 /// Stage that a request has reached at its owner.
--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -43,9 +43,9 @@
     }
 
     /// Replaces the list, and drops orders and refusals that a list requested at this time includes.
-    pub fn update(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
-        self.ordered.retain(|(_, _, at)| *at + MAX_LIST_LAG > requested);
-        self.full.retain(|_, at| *at + MAX_LIST_LAG > requested);
+    pub fn update(&mut self, lines: Vec<WorkerLine>, requested_at: Duration) {
+        self.ordered.retain(|(_, _, at)| *at + MAX_LIST_LAG > requested_at);
+        self.full.retain(|_, at| *at + MAX_LIST_LAG > requested_at);
         self.lines = Some(lines);
     }
 
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -86,22 +86,27 @@
     }
 
     /// Applies a list of workers: instances starting on a worker that is no longer listed are dropped.
-    pub(crate) fn apply_worker_list(&mut self, lines: Vec<WorkerLine>, requested: Duration) {
-        self.workers.update(lines, requested);
+    pub(crate) fn apply_worker_list(&mut self, lines: Vec<WorkerLine>, requested_at: Duration) {
+        self.workers.update(lines, requested_at);
         let workers = &self.workers;
         for scheduler in self.schedulers.values_mut().filter(|scheduler| !scheduler.instances.is_empty()) {
             scheduler.instances.retain(|_, instance| {
                 let is_starting = instance.phase() == Phase::Starting && instance.pending.is_none();
-                let is_list_recent = requested > instance.ordered_at + MIN_CRASH_REPORT_AGE;
+                let is_list_recent = requested_at > instance.ordered_at + MIN_CRASH_REPORT_AGE;
                 let is_worker_down = !instance.worker.is_empty() && !workers.knows(&instance.worker);
                 !is_starting || !is_list_recent || !is_worker_down
             });
         }
     }
 
-    /// Applies an instance list requested at the given time. That time is exact if `own`, that is, if this owner
+    /// Applies an instance list requested at the given time. That time is exact if `is_own`, that is, if this owner
     /// requested the list itself.
-    pub(crate) fn apply_listing(&mut self, list: &BTreeMap<String, InstanceLine>, requested: Duration, own: bool) {
+    pub(crate) fn apply_listing(
+        &mut self,
+        list: &BTreeMap<String, InstanceLine>,
+        requested_at: Duration,
+        is_own: bool,
+    ) {
         let now = self.now;
         let mut by_function: BTreeMap<&str, Vec<&InstanceLine>> = BTreeMap::new();
         let leaving = list.values().filter(|line| line.state == InstanceState::Leaving);
@@ -130,7 +135,7 @@
                         }
                     }
                     None if instance.listed => instance.apply(InstanceEvent::Lost),
-                    None if requested > instance.ordered_at + list_timeout => {
+                    None if requested_at > instance.ordered_at + list_timeout => {
                         instance.apply(InstanceEvent::Lost);
                         never_listed.push(id.clone());
                     }
@@ -153,8 +158,8 @@
                     }
                 }
                 if let Some((since, _)) = scheduler.adopting
-                    && own
-                    && requested > since
+                    && is_own
+                    && requested_at > since
                 {
                     scheduler.adopting = Some((since, true));
                 }
