--- a/crates/chain/src/bootstrap.rs
+++ b/crates/chain/src/bootstrap.rs
@@ -1,33 +1,33 @@
-//! Founding a cluster, once: empty seeds that see each other and nobody else each bind, on disk, to the same
-//! founders, and only when all of these have said so does the first view stand.
+//! One-time bootstrap of a cluster: empty seeds that hear only each other bind themselves, on disk, to the same
+//! set of founders. The first view takes effect only after every founder has reported that it is bound.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{NodeAddress, NodeId, View};
 
-/// Seeds ask each other this often.
+/// Interval between bootstrap requests of a seed.
 pub const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
-/// A seed that has not asked for this long is not counted as a founder.
+/// Time after its last request for which a seed counts as a founder.
 const FOUNDER_TTL: Duration = Duration::from_millis(1500);
-/// A cluster is founded by at most this many.
+/// Maximum number of founders of a cluster.
 pub const MAX_FOUNDERS: usize = 3;
 
-/// A seed that asked to found a cluster.
+/// Seed that asked to found a cluster.
 #[derive(Clone)]
 pub struct Founder {
-    /// Its id and address.
+    /// Id and address of the seed.
     pub node: NodeAddress,
-    /// When it last asked.
+    /// When the seed last asked.
     pub heard_at: Duration,
-    /// The first view it is bound to; its number is 0 while it is bound to none.
+    /// First view to which the seed is bound; number 0 if it is bound to none.
     pub bound_to: View,
 }
 
-/// The seeds that ask to found a cluster.
+/// Seeds that ask to found a cluster.
 #[derive(Clone)]
 pub struct Bootstrap {
     founders: BTreeMap<NodeId, Founder>,
-    /// How many founders a cluster takes; 0 if this replica may not found one.
+    /// Number of founders required; 0 if this replica may not found a cluster.
     pub founders_needed: usize,
 }
 
@@ -38,20 +38,20 @@
 }
 
 impl Bootstrap {
-    /// Records a seed that asked, and forgets those that no longer ask.
+    /// Records a request of another seed, and removes seeds that no longer ask.
     pub fn record(&mut self, asking: Founder, own: Founder, now: Duration) {
         self.founders.insert(asking.node.id, asking);
         self.founders.insert(own.node.id, own);
         self.founders.retain(|_, founder| now < founder.heard_at + FOUNDER_TTL);
     }
 
-    /// All founders, if there are just as many as it takes.
+    /// Returns the founders if their number is exactly the required one.
     pub fn complete(&self) -> Option<Vec<NodeAddress>> {
         let is_complete = self.founders.len() == self.founders_needed;
         is_complete.then(|| self.founders.values().map(|founder| founder.node.clone()).collect())
     }
 
-    /// Whether every other founder in a first view is bound to that very view.
+    /// Returns whether every other founder in a first view is bound to this same view.
     pub fn all_bound_to(&self, first: &View, own_id: NodeId) -> bool {
         first
             .chain
--- a/crates/chain/src/confirmation.rs
+++ b/crates/chain/src/confirmation.rs
@@ -1,51 +1,51 @@
-//! Rounds in which a majority of voters confirms that no newer view has begun, so that the tail may answer
+//! Confirmation rounds: a majority of voters confirms that no newer view has begun, so that the tail may answer
 //! reads and grant leases from its committed state.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 use wire::NodeId;
 
-/// A confirmed round waits for this entry: what was appended before the round must be committed first.
+/// Confirmed round that waits until the entries appended before its confirmation are committed.
 #[derive(Clone, Copy, Hash)]
 pub struct AwaitingCommit {
-    /// The round.
+    /// Number of the round.
     pub round: u64,
-    /// The newest entry when it was confirmed.
+    /// Newest entry when the round was confirmed.
     pub seq: u64,
 }
 
-/// The round in progress and the one that is wanted next.
+/// State of the current round and the request for the next one.
 #[derive(Clone, Default)]
 pub struct Confirmation {
-    /// The round that is in progress, or was last.
+    /// Number of the current round, or of the last one.
     pub number: u64,
-    /// When it was started.
+    /// When the round was started.
     pub started_at: Duration,
-    /// Voters that answered it.
+    /// Voters that answered the round.
     pub acknowledged_by: BTreeSet<NodeId>,
-    /// Whether it still waits for a majority.
+    /// Whether the round still waits for a majority.
     pub is_running: bool,
-    /// The newest round that was requested.
+    /// Number of the newest requested round.
     pub wanted: u64,
-    /// A confirmed round that waits for entries to be committed.
+    /// Confirmed round that waits for entries to be committed.
     pub awaiting_commit: Option<AwaitingCommit>,
 }
 
 impl Confirmation {
-    /// Numbers rounds from here on. An answer to a round that an earlier process started must not count for one
-    /// of this process, so each numbers them differently.
+    /// Sets the number from which rounds are counted. Each process starts from a different number, so that an
+    /// answer to a round of an earlier process does not count for a round of this one.
     pub fn number_from(&mut self, first: u64) {
         self.wanted = first;
         self.number = first;
     }
 
-    /// Requests a round that is started after this moment, and returns its number.
+    /// Requests a round that starts after this call, and returns its number.
     pub fn request(&mut self) -> u64 {
         self.wanted = self.number + 1;
         self.wanted
     }
 
-    /// Whether a round was requested that has not been started.
+    /// Returns whether a requested round has not been started yet.
     pub fn is_due(&self) -> bool {
         self.wanted > self.number
     }
@@ -58,7 +58,7 @@
         self.started_at = now;
     }
 
-    /// The view changed: what was confirmed was confirmed of the view before.
+    /// Discards the current round after a view change, since its answers apply to the previous view.
     pub fn reset(&mut self) {
         self.is_running = false;
         self.awaiting_commit = None;
--- a/crates/chain/src/departures.rs
+++ b/crates/chain/src/departures.rs
@@ -1,27 +1,29 @@
-//! Replicas that have announced a planned stop, and until when each can wait for it.
+//! Replicas that have announced a planned stop, and the deadline of each.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::NodeId;
 
-/// Whoever sends heartbeats and has not repeated its announcement for so long has withdrawn it, by a restart.
+/// Time after which an announcement that is not repeated counts as withdrawn, if its sender still sends heartbeats:
+/// the replica was restarted.
 const WITHDRAWN_AFTER: Duration = Duration::from_secs(1);
 
-/// What a planned stop still waits for.
+/// Condition that a planned stop still waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DepartureWait {
     /// Another change of the membership is in progress.
     MembershipChange,
-    /// Too few others hold everything.
+    /// Too few other replicas are in the chain and hold all data.
     Replicas,
-    /// The voters that would be left could not bear the losses that are to be tolerated.
+    /// The remaining voters would lose their majority after the number of losses to tolerate, so a successor must
+    /// join first.
     Successor,
-    /// Nobody else is known to have adopted the view without this replica.
+    /// No other replica is known to have adopted the view without this replica.
     Acknowledgement,
 }
 
 impl DepartureWait {
-    /// The word for it in status pages and logs.
+    /// Returns the name used in status pages and logs.
     pub fn name(self) -> &'static str {
         match self {
             DepartureWait::MembershipChange => "membership-change",
@@ -32,55 +34,56 @@
     }
 }
 
-/// This replica's own planned stop.
+/// Planned stop of this replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Departure {
-    /// Since when it is asked to stop.
+    /// When the replica was asked to stop.
     pub since: Duration,
-    /// Its process ends at this moment, whatever is in order by then.
+    /// When the process ends, even if the stop is not prepared by then.
     pub deadline: Duration,
 }
 
-/// Another replica's announcement.
+/// Announcement of a planned stop by another replica.
 #[derive(Clone, Copy, Debug, Hash)]
 pub struct Announcement {
-    /// When it was last heard.
+    /// When the announcement was last received.
     pub heard_at: Duration,
-    /// When the process ends at the latest.
+    /// Latest time at which the process ends.
     pub deadline: Duration,
 }
 
-/// Announcements, by replica.
+/// Announced stops, by replica.
 #[derive(Clone, Debug, Default)]
 pub struct Departures {
     table: BTreeMap<NodeId, Announcement>,
 }
 
 impl Departures {
-    /// A replica announces that its process ends within this time.
+    /// Records that a replica announced the end of its process within `remaining`.
     pub fn record(&mut self, id: NodeId, remaining: Duration, now: Duration) {
         self.table.insert(id, Announcement { heard_at: now, deadline: now + remaining });
     }
 
-    /// A replica is heard. One that was started again is not leaving any more and says so by its silence about it;
-    /// one that is silent altogether has gone.
+    /// Records a heartbeat, and withdraws an announcement that is no longer repeated: its sender was restarted and
+    /// is not leaving any more. The announcement of a replica without heartbeats stays, since that replica has
+    /// stopped.
     pub fn record_heartbeat(&mut self, id: NodeId, now: Duration) {
         if self.table.get(&id).is_some_and(|announcement| now > announcement.heard_at + WITHDRAWN_AFTER) {
             self.table.remove(&id);
         }
     }
 
-    /// Forgets those that are neither voters nor in the chain any more.
+    /// Removes the announcements of replicas that are no longer members.
     pub fn retain(&mut self, is_member: impl Fn(NodeId) -> bool) {
         self.table.retain(|id, _| is_member(*id));
     }
 
-    /// Whether a replica has announced that it leaves.
+    /// Returns whether a replica has announced a planned stop.
     pub fn is_leaving(&self, id: NodeId) -> bool {
         self.table.contains_key(&id)
     }
 
-    /// When the process of a replica that leaves ends at the latest.
+    /// Returns the latest time at which the process of a leaving replica ends.
     pub fn deadline(&self, id: NodeId) -> Option<Duration> {
         self.table.get(&id).map(|announcement| announcement.deadline)
     }
--- a/crates/chain/src/disk.rs
+++ b/crates/chain/src/disk.rs
@@ -1,30 +1,30 @@
-//! A thread of its own for the disk, so that a stalled sync never holds up a heartbeat. It takes batches in order
-//! and reports each ticket when its batch is synced. After an error it takes no more; if the disk was merely full,
-//! it reopens the file until there is room, and reports what it holds.
+//! Dedicated disk thread, so that a stalled sync never delays a heartbeat. It writes batches in order and reports
+//! each ticket when its batch is synced. After an error it stops; if the disk was only full, it instead tries to
+//! reopen the file until there is space again, and reports the contents.
 
 use crate::store::{Store, StoreError};
 use crate::types::{Batch, Stored};
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-/// A full disk is tried again this often.
+/// Interval between attempts to reopen the file on a full disk.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
-/// So many writes may wait for the thread; the replica has one in progress at a time.
+/// Number of writes that may wait for the thread; the replica has only one in progress at a time.
 const QUEUE_CAPACITY: usize = 4;
 
-/// What came of the disk's work.
+/// Result reported by the disk thread.
 #[derive(Debug)]
 pub enum DiskReport {
     /// A write is synced.
     Written {
-        /// The write.
+        /// Ticket of the write.
         ticket: u64,
     },
-    /// The disk failed; it takes no more writes.
+    /// A write failed; no more writes are accepted unless [`DiskReport::Recovered`] follows.
     Failed(StoreError),
-    /// A disk that was full takes writes again.
+    /// A disk that was full accepts writes again.
     Recovered {
-        /// What it holds.
+        /// Contents of the disk.
         stored: Box<Stored>,
     },
 }
@@ -34,13 +34,13 @@
     batch: Batch,
 }
 
-/// The sending end of the disk's thread, which ends when this is dropped.
+/// Handle of the disk thread, which ends when the handle is dropped.
 pub struct Disk {
     requests: mpsc::SyncSender<WriteRequest>,
 }
 
 impl Disk {
-    /// Starts the thread. `reopen` opens the same file once more, or says why it cannot be opened yet.
+    /// Starts the thread. `reopen` opens the same file again, or returns why it cannot be opened yet.
     pub fn start(
         store: Store,
         reopen: impl Fn() -> Result<(Store, Stored), StoreError> + Send + 'static,
@@ -63,13 +63,13 @@
         Ok(Disk { requests })
     }
 
-    /// Hands a write over; false if the thread has ended or its queue is full.
+    /// Queues a write; returns false if the thread has ended or its queue is full.
     pub fn write(&self, ticket: u64, batch: Batch) -> bool {
         self.requests.try_send(WriteRequest { ticket, batch }).is_ok()
     }
 }
 
-/// Writes what comes until an error, or until nothing more can come. The file is closed after it.
+/// Writes queued batches until an error, which is returned, or until the queue is closed. Closes the file.
 fn write_until_error(
     mut store: Store,
     queue: &Receiver<WriteRequest>,
@@ -84,7 +84,8 @@
     None
 }
 
-/// Writes that were handed over before the error are passed over.
+/// Tries to reopen the file until that succeeds; returns `None` if the queue is closed first. Writes that were queued
+/// before the error are discarded.
 fn reopen_when_possible(
     queue: &Receiver<WriteRequest>,
     reopen: &impl Fn() -> Result<(Store, Stored), StoreError>,
--- a/crates/chain/src/join_requests.rs
+++ b/crates/chain/src/join_requests.rs
@@ -1,33 +1,33 @@
-//! Who asks to join the chain, since when, and when last.
+//! Replicas that ask to join the chain, with the times of their first and latest request.
 
 use crate::snapshot::RETRY_INTERVAL;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::NodeId;
 
-/// So many are remembered; further ones are passed over until some are forgotten.
+/// Maximum number of remembered replicas; requests of others are ignored until some expire.
 const MAX_REQUESTS: usize = 16;
-/// Whoever has not asked for this long is forgotten.
+/// Time after its latest request for which a replica is remembered.
 const REQUEST_TTL: Duration = Duration::from_secs(10);
 
-/// One replica's wish to join.
+/// Request of one replica to join.
 #[derive(Clone, Copy, Hash)]
 pub struct JoinRequest {
-    /// Since when it asks, as far as is known here.
+    /// When the replica began to ask, as far as known here.
     pub since: Duration,
-    /// When it last asked.
+    /// When the replica last asked.
     pub last: Duration,
 }
 
-/// Wishes to join, by replica.
+/// Requests to join, by replica.
 #[derive(Clone, Default)]
 pub struct JoinRequests {
     table: BTreeMap<NodeId, JoinRequest>,
 }
 
 impl JoinRequests {
-    /// Records a request. Who asks says how long it has waited, since whoever is the tail now may not have heard
-    /// it before.
+    /// Records a request. The requester reports how long it has waited, because the current tail may not have
+    /// received its earlier requests.
     pub fn record(&mut self, id: NodeId, waited: Duration, now: Duration) {
         self.table.retain(|_, request| now < request.last + REQUEST_TTL);
         if self.table.len() < MAX_REQUESTS || self.table.contains_key(&id) {
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Whether a replica has asked lately.
+    /// Returns whether a replica has asked within the last few retry intervals.
     pub fn is_recent(&self, id: NodeId, now: Duration) -> bool {
         self.table.get(&id).is_some_and(|request| now < request.last + RETRY_INTERVAL * 3)
     }
 
-    /// Whether a replica has been asking for this long.
+    /// Returns whether a replica has been asking for at least `period`.
     pub fn has_waited(&self, id: NodeId, period: Duration, now: Duration) -> bool {
         self.table.get(&id).is_some_and(|request| now >= request.since + period)
     }
 
-    /// Who asks or asked.
+    /// Returns the ids of the remembered replicas.
     pub fn ids(&self) -> impl Iterator<Item = NodeId> {
         self.table.keys().copied()
     }
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -1,11 +1,11 @@
-//! The registries' shared state, by chain replication: entries are appended at the head, synced at each replica
-//! on their way, and acknowledged by the tail. Which replicas are in the chain is agreed by a majority of voters,
-//! view by view.
+//! Chain replication of the registries' shared state: entries are appended at the head, synced to disk by each
+//! replica along the chain, and acknowledged by the tail. A majority of voters agrees on the members of the chain,
+//! one view at a time.
 //!
-//! [`ChainReplica`] is a state machine; it reads no clock and no socket, and the control plane drives it. It
-//! coordinates parts that own their state and do not know it: the log, the write queue, the failure detector, the
-//! view agreement, replication progress, confirmation rounds, catch-up, and what decides who may join. [`Disk`]
-//! keeps what it writes in a redb file.
+//! [`ChainReplica`] is a state machine that reads no clock and no socket; the control plane drives it. It
+//! coordinates components that own their state and do not depend on it: the log, the write queue, the failure
+//! detector, the view agreement, replication progress, confirmation rounds, catch-up and the membership rules.
+//! [`Disk`] writes its batches to a redb file.
 
 #![warn(missing_docs)]
 
--- a/crates/chain/src/log.rs
+++ b/crates/chain/src/log.rs
@@ -1,45 +1,45 @@
-//! The replicated log of one replica, the state that its entries add up to, and the three watermarks in it:
+//! The replicated log of one replica, the state that results from its entries, and its three watermarks:
 //! `committed <= synced <= last`.
 //!
-//! Entries are applied as they are appended. What an entry answers its proposer is kept until the entry is
-//! committed, since only then may it be told.
+//! Entries are applied when they are appended. The reply to an entry's proposer is held back until the entry is
+//! committed.
 
 use crate::types::{Apply, Change, State, Stored};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, VecDeque};
 use wire::{LogEntry, ProposalId};
 
-/// Committed entries are dropped from memory and disk while the log holds more bytes than this.
+/// Size of the log in bytes beyond which committed entries are dropped from memory and disk.
 const MAX_COMMITTED_BYTES: usize = 4 * 1024 * 1024;
 
-/// Watermarks of a replica's log, each a sequence number of an entry.
+/// Watermarks of a replica's log, each the sequence number of an entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Positions {
-    /// The newest entry, which may not be on this replica's disk yet.
+    /// Newest entry, which may not be on this replica's disk yet.
     pub last: u64,
-    /// The newest entry on this replica's disk.
+    /// Newest entry on this replica's disk.
     pub synced: u64,
-    /// The newest entry known here to be committed since this process started.
+    /// Newest entry that this replica has seen committed since the process started.
     pub committed: u64,
 }
 
-/// What an entry answers its proposer once it is committed.
+/// Reply to an entry's proposer, sent once the entry is committed.
 #[derive(Clone, Hash)]
 pub struct PendingReply {
-    /// The proposal that became the entry.
+    /// Proposal that became the entry.
     pub proposal: ProposalId,
-    /// The reply, as the state machine encoded it.
+    /// Reply as encoded by the state machine.
     pub reply: Vec<u8>,
 }
 
-/// The state after a synced entry that is not yet known to be committed.
+/// State after a synced entry that is not yet known to be committed.
 #[derive(Clone)]
 struct SyncedState {
     seq: u64,
     state: State,
 }
 
-/// Entries, the state after them, and the watermarks.
+/// Log entries, the state after them, and the watermarks.
 #[derive(Clone)]
 pub struct ReplicaLog {
     apply: Apply,
@@ -51,14 +51,14 @@
     entries: VecDeque<LogEntry>,
     entry_bytes: usize,
     positions: Positions,
-    /// How far the log was ever known to be committed, by this process or one before it. Such entries are part
-    /// of every later history.
+    /// Highest sequence number that this process or an earlier one knew to be committed. Every later log
+    /// contains the entries up to it.
     known_committed: u64,
     pending_replies: BTreeMap<u64, PendingReply>,
 }
 
 impl ReplicaLog {
-    /// The log as it was read from disk. Nothing in it is known to be committed in the present view.
+    /// Creates the log from the contents of the disk. None of it is known to be committed in the current view.
     pub fn new(stored: &Stored, apply: Apply, max_entries: usize) -> Self {
         let state = stored.state.clone();
         ReplicaLog {
@@ -76,52 +76,53 @@
         }
     }
 
-    /// The state after the newest entry.
+    /// Returns the state after the newest entry.
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// The state after the newest entry that is on this replica's disk.
+    /// Returns the state after the newest entry on this replica's disk.
     pub fn synced_state(&self) -> &State {
         &self.synced_state
     }
 
-    /// The state after the newest entry that is known to be committed: nothing in it can be lost.
+    /// Returns the state after the newest entry known to be committed; none of it can be lost.
     pub fn committed_state(&self) -> &State {
         &self.committed_state
     }
 
-    /// The entries that are still in the log, oldest first.
+    /// Returns the entries that are still in the log, oldest first.
     pub fn entries(&self) -> impl Iterator<Item = &LogEntry> {
         self.entries.iter()
     }
 
-    /// The watermarks.
+    /// Returns the watermarks.
     pub fn positions(&self) -> Positions {
         self.positions
     }
 
-    /// How far the log was ever known to be committed.
+    /// Returns the highest sequence number that was ever known to be committed.
     pub fn known_committed(&self) -> u64 {
         self.known_committed
     }
 
-    /// The sequence number of the oldest entry in the log, or of the next one where the log is empty.
+    /// Returns the sequence number of the oldest entry in the log, or of the next entry if the log is empty.
     pub fn oldest(&self) -> u64 {
         self.entries.front().map_or(self.positions.last + 1, |entry| entry.seq)
     }
 
-    /// Entries below this sequence number are no longer in the log; 0 where the log is empty.
+    /// Returns the sequence number below which entries are no longer in the log; 0 if the log is empty.
     pub fn trimmed_below(&self) -> u64 {
         self.entries.front().map_or(0, |entry| entry.seq)
     }
 
-    /// The entries after a sequence number, unless the log no longer reaches back so far.
+    /// Returns the entries after a sequence number, or `None` if some of them were already trimmed.
     pub fn entries_after(&self, seq: u64) -> Option<impl Iterator<Item = &LogEntry>> {
         (self.oldest() <= seq + 1).then(|| self.entries.iter().filter(move |entry| entry.seq > seq))
     }
 
-    /// Synced entries after a sequence number, no more than so many and not many more bytes than so many.
+    /// Returns synced entries after a sequence number, at most `max_entries` of them. Their bodies may exceed
+    /// `max_bytes` by no more than the last entry.
     pub fn synced_batch_after(&self, seq: u64, max_entries: usize, max_bytes: usize) -> Vec<LogEntry> {
         let skipped = (seq + 1).saturating_sub(self.trimmed_below()) as usize;
         let mut bytes = 0;
@@ -132,7 +133,7 @@
         self.entries.iter().skip(skipped).take(max_entries).take_while(fits).cloned().collect()
     }
 
-    /// Appends and applies an entry, and returns what it changes in the state.
+    /// Appends and applies an entry, and returns its changes of the state.
     pub fn append(&mut self, entry: LogEntry) -> Vec<Change> {
         let effect = (self.apply)(&self.state, entry.seq, entry.body.as_slice());
         for change in &effect.changes {
@@ -146,8 +147,8 @@
         effect.changes
     }
 
-    /// Every replica of the chain has the entries that are committed; how many more of them are retained serves
-    /// replicas that return.
+    /// Removes old entries while the log is too large. Every replica in the chain already has the committed
+    /// entries; retaining some of them lets returning replicas catch up without a snapshot.
     fn trim(&mut self) {
         let committed = self.positions.committed;
         while self.entries.len() > self.max_entries
@@ -159,14 +160,15 @@
         }
     }
 
-    /// Moves the synced watermark to an entry, with the state after it.
+    /// Moves the synced watermark to an entry and keeps the state after it.
     pub fn mark_synced(&mut self, seq: u64, state: State) {
         self.positions.synced = seq;
         self.synced_states.push_back(SyncedState { seq, state: state.clone() });
         self.synced_state = state;
     }
 
-    /// Moves the committed watermark, and returns what may be replied now; nothing if it stands there already.
+    /// Moves the committed watermark and returns the replies that may be sent now, or `None` if the watermark is
+    /// already there.
     pub fn commit(&mut self, seq: u64) -> Option<Vec<PendingReply>> {
         if seq <= self.positions.committed {
             return None;
@@ -180,12 +182,12 @@
         Some(std::mem::replace(&mut self.pending_replies, later).into_values().collect())
     }
 
-    /// Forgets replies to entries that another replica answers.
+    /// Discards replies to entries that another replica answers.
     pub fn clear_pending_replies(&mut self) {
         self.pending_replies.clear();
     }
 
-    /// Puts a snapshot in place of everything. It becomes synced by [`ReplicaLog::mark_synced`].
+    /// Replaces the state and all entries by a snapshot. [`ReplicaLog::mark_synced`] marks it as synced later.
     pub fn install_snapshot(&mut self, state: State, seq: u64) {
         self.state = state;
         self.entries.clear();
@@ -195,13 +197,14 @@
         self.positions.committed = 0;
     }
 
-    /// After a snapshot is on disk, no state from before it can be the committed one.
+    /// Discards states from before a snapshot that is now on disk, since none of them can become the committed
+    /// state.
     pub fn forget_states_before_snapshot(&mut self) {
         let seq = self.positions.synced;
         self.synced_states = [SyncedState { seq, state: self.synced_state.clone() }].into();
     }
 
-    /// States after synced entries that are not yet known to be committed, by sequence number.
+    /// Returns the states after synced entries that are not yet known to be committed, by sequence number.
     pub(crate) fn synced_states(&self) -> impl Iterator<Item = (u64, &State)> {
         self.synced_states.iter().map(|synced| (synced.seq, &synced.state))
     }
@@ -211,7 +214,7 @@
     }
 }
 
-/// A checksum over entries, by which two replicas find out whether their logs agree.
+/// Returns a checksum over entries, with which two replicas compare their logs.
 pub fn entries_checksum<'a>(entries: impl Iterator<Item = &'a LogEntry>) -> u64 {
     let mut hasher = Sha256::new();
     entries.for_each(|entry| hasher.update(wire::to_bytes(entry)));
--- a/crates/chain/src/readmission.rs
+++ b/crates/chain/src/readmission.rs
@@ -1,34 +1,36 @@
-//! Replicas that come back to the chain and are soon taken out again, as when a single link of the core is cut:
-//! each such return is admitted later than the one before, so that the chain stands in between.
+//! Backoff for replicas that rejoin the chain and are soon removed again, for example while a single link between
+//! members is cut. The backoff grows with each early removal, so that the chain is stable in between.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::NodeId;
 
-/// Whoever is taken out again within this time was not well when it returned.
+/// Time in the chain below which a removal counts as early: the replica had not recovered when it rejoined.
 const EARLY_REMOVAL: Duration = Duration::from_secs(5);
+/// Backoff after the first early removal.
 const FIRST_BACKOFF: Duration = Duration::from_secs(2);
+/// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// The last return of one replica.
+/// Latest admission of one replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Readmission {
-    /// When it came into the chain.
+    /// When the replica was added to the chain.
     pub added_at: Duration,
-    /// How long its next return is put off.
+    /// Backoff before the next admission.
     pub backoff: Duration,
-    /// It is not admitted before this.
+    /// Earliest time of the next admission.
     pub not_before: Duration,
 }
 
-/// Returns of replicas, by replica.
+/// Latest admissions, by replica.
 #[derive(Clone, Default)]
 pub struct Readmissions {
     table: BTreeMap<NodeId, Readmission>,
 }
 
 impl Readmissions {
-    /// Notes who came into the chain and who was taken out of it between two views.
+    /// Records which replicas were added to the chain and which were removed from it between two views.
     pub fn record_view_change(&mut self, old_chain: &[NodeId], new_chain: &[NodeId], now: Duration) {
         for id in new_chain.iter().filter(|id| !old_chain.contains(id)) {
             let first = Readmission { added_at: now, backoff: Duration::ZERO, not_before: now };
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Whether a replica may come into the chain at this moment.
+    /// Returns whether a replica may be added to the chain now.
     pub fn may_return(&self, id: NodeId, now: Duration) -> bool {
         self.table.get(&id).is_none_or(|last| now >= last.not_before)
     }
--- a/crates/chain/src/replica/agreement.rs
+++ b/crates/chain/src/replica/agreement.rs
@@ -1,5 +1,5 @@
-//! The agreement on the next view: one Paxos decision per view number, voted on by the voters of the view before
-//! it. Promises and acceptances leave only with the write that holds them.
+//! Agreement on the next view: one Paxos decision per view number, on which the voters of the preceding view vote.
+//! Promises and acceptances are sent only after the write that contains them is synced.
 
 use super::ChainReplica;
 use crate::types::Output;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use wire::{ChainMessage, NodeId, View};
 
-/// Rejected proposers pause for up to this many heartbeats, each for another number of them.
+/// Maximum backoff of a rejected proposer in heartbeat intervals; proposers back off for different numbers of them.
 const MAX_BACKOFF_HEARTBEATS: u64 = 5;
 
 impl ChainReplica {
@@ -22,7 +22,7 @@
         self.send_to_voters(&ChainMessage::Prepare { slot, proposal_number });
     }
 
-    /// Writes identity, view and votes; the outputs leave once they are synced.
+    /// Writes identity, view and votes; the outputs are released once these are synced.
     pub(super) fn write_meta(&mut self, on_synced: Vec<Output>) {
         self.writes.add_meta(self.meta.clone(), on_synced);
     }
@@ -64,7 +64,7 @@
         self.send(proposer, ChainMessage::ProposalRejected { slot, proposal_number });
     }
 
-    /// Whether a slot is that of the next view. Who proposes an earlier one is told what was decided.
+    /// Returns whether a slot is that of the next view. A proposer of an earlier slot is sent the current view.
     fn is_next_slot(&mut self, from: NodeId, slot: u64) -> bool {
         let number = self.meta.view.number;
         if slot <= number {
@@ -121,7 +121,7 @@
     fn announce_decision(&mut self, view: &View) {
         let old_voters = self.meta.view.voters.iter();
         let voters = old_voters.chain(view.voters.iter()).map(|voter| voter.id);
-        // A replica without a vote learns that it is out of the chain, or what its place is.
+        // Members without a vote also need the view, to learn their position or that they were removed.
         let concerned: BTreeSet<NodeId> = voters.chain(self.meta.view.chain.iter().copied()).collect();
         for id in concerned {
             self.send(id, ChainMessage::Decided { view: view.clone() });
--- a/crates/chain/src/replica/bootstrapping.rs
+++ b/crates/chain/src/replica/bootstrapping.rs
@@ -1,5 +1,5 @@
-//! Founding a cluster from empty disks. A machine that comes up empty beside a living cluster is told its view
-//! and asks to join; one that may not found asks for nothing else, unless it had bound itself before.
+//! Bootstrap of a cluster from empty disks. An empty replica that reaches an existing cluster is sent its view and
+//! asks to join. A replica that may not found a cluster only asks to join, unless it bound itself to founders before.
 
 use super::ChainReplica;
 use super::view_repair::optimizer_for;
@@ -8,7 +8,7 @@
 use wire::{ChainMessage, NodeAddress, NodeId, View};
 
 impl ChainReplica {
-    /// With how many founders it may found a cluster, up to three, or 0 for not at all.
+    /// Sets how many founders, at most three, a cluster must have to be founded by this replica; 0 for never.
     pub fn with_founders(mut self, founders: usize) -> Self {
         self.bootstrap.founders_needed = founders.min(MAX_FOUNDERS);
         self
@@ -28,12 +28,13 @@
         self.outputs.push(Output::SendSeeds { message: ChainMessage::BootstrapRequest { node, bound_to } });
     }
 
-    /// Whether it may found a cluster, or has bound itself to founders before.
+    /// Returns whether this replica may found a cluster, or has bound itself to founders before.
     fn may_bootstrap(&self) -> bool {
         self.bootstrap.founders_needed > 0 || self.is_bound()
     }
 
-    /// Before the first view the acceptor's record holds the founders it is bound to.
+    /// Returns whether this replica is bound to founders. Before the first view, `accepted` holds the view of the
+    /// founders to which it is bound.
     fn is_bound(&self) -> bool {
         self.meta.accepted_number > 0
     }
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Binds itself to the founders, once they are all there.
+    /// Binds this replica to the founders once all of them are present.
     fn maybe_bind(&mut self) {
         let Some(voters) = self.bootstrap.complete() else { return };
         let chain: Vec<NodeId> = voters.iter().map(|voter| voter.id).collect();
--- a/crates/chain/src/replica/catch_up.rs
+++ b/crates/chain/src/replica/catch_up.rs
@@ -1,8 +1,8 @@
-//! Bringing a replica up to the others: by the entries it missed, or by a snapshot of the state.
+//! Catch-up of a replica, with the entries it missed or with a snapshot of the state.
 //!
-//! What was once known to be committed is part of every later history, and a replica has that watermark on its
-//! disk. If its log reaches back that far, and what follows in it is entry for entry what the source holds, then
-//! its log is a prefix of the source's, and the entries it missed are all it needs.
+//! Entries once known to be committed are part of every later log, and a replica keeps the watermark of these
+//! entries on its disk. If its log reaches back to the watermark and all its later entries equal those of the
+//! source, then its log is a prefix of the source's log, and the missed entries are all that it needs.
 
 use super::ChainReplica;
 use crate::log::entries_checksum;
@@ -10,11 +10,11 @@
 use crate::types::{Batch, Change, Output};
 use wire::{ChainMessage, KeyValue, LogEntry, NodeId};
 
-/// Where the missed entries take more bytes than this, a snapshot is sent instead.
+/// Size of the missed entries in bytes beyond which a snapshot is sent instead.
 const MAX_MISSED_BYTES: usize = 2 * 1024 * 1024;
-/// What an entry takes beside its body.
+/// Encoded size of an entry without its body, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 40;
-/// Low bits of a snapshot's id that come from the clock; the view's number stands above them.
+/// Number of low bits of a snapshot id taken from the clock; the bits above hold the view number.
 const SNAPSHOT_ID_CLOCK_BITS: u32 = 32;
 
 impl ChainReplica {
@@ -30,7 +30,7 @@
         self.send(from, request);
     }
 
-    /// A joiner is served by the tail alone, and gets no answer from a replica that is the tail no longer.
+    /// Abandons a download from a former tail: only the tail serves joiners, so a former tail does not answer.
     pub(super) fn abandon_download_from_former_tail(&mut self) {
         let tail = self.meta.view.tail();
         let is_from_former_tail = self.catch_up.download.as_ref().is_some_and(|it| Some(it.source) != tail);
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Requests the entries it missed or, where it can prove nothing about its log, a snapshot.
+    /// Returns a request for the missed entries or, if the log no longer reaches back to the known committed
+    /// watermark, for a snapshot.
     pub(super) fn first_catch_up_request(&self) -> ChainMessage {
         let since = self.log.known_committed();
         let last = self.log.positions().last;
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The successor is served by its predecessor, a joiner by the tail.
+    /// Returns whether this replica may serve another: a predecessor serves its successor, the tail serves joiners.
     fn may_serve(&self, joiner: NodeId) -> bool {
         self.successor() == Some(joiner) || self.is_current_tail()
     }
@@ -64,7 +65,7 @@
         id
     }
 
-    /// Serves a chunk; snapshot 0 asks for a new snapshot.
+    /// Serves a chunk; a request with snapshot id 0 starts a new snapshot.
     pub(super) fn handle_snapshot_request(&mut self, from: NodeId, snapshot_id: u64, chunk: u32) {
         if snapshot_id == 0 {
             if !self.may_serve(from) {
@@ -94,8 +95,8 @@
         self.send(from, ChainMessage::MissedEntries { snapshot_id, entries: missed.into() });
     }
 
-    /// The synced entries after `last`, if a log with these entries after `since` is a prefix of the one here and
-    /// they are not too many.
+    /// Returns the synced entries after `last`, if they are not too large and if `checksum`, over the requester's
+    /// entries after `since`, shows that its log is a prefix of the log here.
     fn missed_entries(&self, since: u64, last: u64, checksum: u64) -> Option<Vec<LogEntry>> {
         let synced = self.log.positions().synced;
         if last > synced {
--- a/crates/chain/src/replica/digest.rs
+++ b/crates/chain/src/replica/digest.rs
@@ -1,5 +1,5 @@
-//! A digest of everything a replica remembers, so that a model checker can tell which states it has already
-//! visited. Times enter as ages: two states that differ only in when they happen are one.
+//! Digest of the whole state of a replica, with which a model checker recognizes states that it already visited.
+//! Times are hashed as ages, so that states that differ only by a shift in time are equal.
 
 use super::ChainReplica;
 use crate::log::ReplicaLog;
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use wire::{LogEntry, to_bytes};
 
-/// Ages beyond this make no difference to any timer of a replica.
+/// Age beyond which a time makes no difference to any timer of a replica.
 const MAX_AGE: Duration = Duration::from_secs(40);
 
 impl ChainReplica {
-    /// Feeds everything the replica remembers into a hasher.
+    /// Feeds the whole state of the replica into a hasher.
     pub fn digest(&self, hasher: &mut impl Hasher) {
         digest_meta(&self.meta, hasher);
         digest_log(&self.log, hasher);
@@ -25,7 +25,7 @@
         self.digest_rules(hasher);
     }
 
-    /// How long ago a moment was, or how far ahead it lies.
+    /// Returns how long ago a time was and how far ahead it is, in milliseconds; one of them is 0.
     fn age(&self, moment: Duration) -> (u64, u64) {
         let past = self.clock.now.saturating_sub(moment).min(MAX_AGE);
         let ahead = moment.saturating_sub(self.clock.now).min(MAX_AGE);
@@ -133,7 +133,7 @@
     }
 }
 
-/// Feeds what a disk holds of a replica's identity, view and votes into a hasher.
+/// Feeds a replica's identity, view and votes into a hasher.
 pub fn digest_meta(meta: &Meta, hasher: &mut impl Hasher) {
     to_bytes(&meta.node).hash(hasher);
     to_bytes(&meta.view).hash(hasher);
@@ -152,7 +152,7 @@
     entries.for_each(|entry| to_bytes(entry).hash(hasher));
 }
 
-/// Feeds a write that has not landed into a hasher.
+/// Feeds a write that is not synced yet into a hasher.
 pub fn digest_batch(batch: &Batch, hasher: &mut impl Hasher) {
     (batch.replace, &batch.changes, batch.trim_below, batch.last, batch.known_committed).hash(hasher);
     digest_entries(batch.entries.iter(), hasher);
--- a/crates/chain/src/replica/disk_writes.rs
+++ b/crates/chain/src/replica/disk_writes.rs
@@ -1,4 +1,4 @@
-//! Writes to the disk, and the replica's new start from the disk after a failure.
+//! Writes to the disk, and the restart of the replica from its disk after a failure.
 
 use super::ChainReplica;
 use crate::types::Stored;
@@ -20,13 +20,14 @@
         self.after_progress();
     }
 
-    /// Whether this replica's disk fails or stalls.
+    /// Returns whether this replica's disk fails or stalls.
     pub(super) fn is_unhealthy(&self) -> bool {
         self.writes.has_failed() || self.writes.is_stalled(self.clock.now, self.timing.stall_after)
     }
 
-    /// Starts again from what the disk holds, as a new process would: nothing that was not synced is left. Only
-    /// the numbers of rounds, proposals and writes go on, since answers to earlier ones may still come.
+    /// Restarts from the contents of the disk as a new process would, which drops everything that was not synced.
+    /// The numbers of rounds, proposals and writes continue, since answers to earlier ones may still arrive;
+    /// settings, planned stops and readmission backoffs are kept too.
     pub(super) fn restart_from(&mut self, stored: Stored) {
         if !self.writes.has_failed() || stored.meta.node.id != self.me() {
             return;
--- a/crates/chain/src/replica/heartbeats.rs
+++ b/crates/chain/src/replica/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between voters, and the confirmation rounds that travel with them.
+//! Heartbeats between replicas, and the confirmation rounds that they carry.
 
 use super::ChainReplica;
 use crate::confirmation::AwaitingCommit;
@@ -6,7 +6,7 @@
 use crate::view_agreement::is_majority;
 use wire::{ChainMessage, NodeId};
 
-/// A round that no majority has answered within so many heartbeats is started again.
+/// Number of heartbeat intervals after which a round without a majority of answers is started again.
 const ROUND_TIMEOUT_HEARTBEATS: u32 = 2;
 
 impl ChainReplica {
@@ -25,7 +25,7 @@
             round: self.confirmation.number,
             unhealthy: self.is_unhealthy() as u8,
         };
-        // To itself too, if it votes: a round counts its own answer.
+        // Also sent to this replica itself if it is a voter, since its own answer counts for a round.
         let own = self.meta.view.is_voter(self.me()).then_some(self.me());
         for to in self.peers().into_iter().chain(own) {
             self.send(to, heartbeat.clone());
@@ -47,14 +47,15 @@
         self.send(from, ChainMessage::HeartbeatAck { view, round, has_accepted_next });
     }
 
-    /// Only an answer shows that a voter is there: one that still sends but receives nothing would hold up every
-    /// entry and every confirmation of the view.
+    /// Records an answer to a heartbeat. Only answers count as a sign of life: a voter that still sends but receives
+    /// nothing would block every entry and every confirmation of the view.
     pub(super) fn handle_heartbeat_ack(&mut self, from: NodeId, view: u64, round: u64, has_accepted_next: bool) {
         self.detector.record_answer(from, self.clock.now);
         let is_other_member = from != self.me() && self.meta.view.is_in_chain(from);
         self.is_view_acknowledged |= is_other_member && view == self.meta.view.number;
         if view < self.meta.view.number {
-            // One that restarted before it had kept its first view sends no heartbeats by which it would be told.
+            // A replica that restarted before it had stored its first view sends no heartbeats, so that the answer
+            // is the only occasion to send it the view.
             let view = self.meta.view.clone();
             return self.send(from, ChainMessage::Decided { view });
         }
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Reports a confirmed round once everything that was appended before it is committed.
+    /// Reports a confirmed round once all entries appended before its confirmation are committed.
     pub(super) fn maybe_release_round(&mut self) {
         if let Some(awaited) = self.confirmation.awaiting_commit
             && self.log.positions().committed >= awaited.seq
--- a/crates/chain/src/replica/joining.rs
+++ b/crates/chain/src/replica/joining.rs
@@ -1,5 +1,5 @@
-//! Joining the chain: a replica that has been away or comes up empty catches up with the tail first, and is then
-//! added behind it by a view of its own, as the learner; the next view makes it a full member.
+//! Joining the chain: a replica that was away or starts empty first catches up with the tail. A view change then
+//! appends it to the chain as the learner, and a second view change makes it a full member.
 
 use super::ChainReplica;
 use crate::snapshot::{DOWNLOAD_TIMEOUT, RETRY_INTERVAL};
@@ -23,7 +23,7 @@
         self.catch_up.requested_at = now;
         let waited = now - *self.catch_up.seeking_since.get_or_insert(now);
         let node = self.meta.node.clone();
-        // Until it is ready, `seq` says how long it has waited.
+        // While `ready` is 0, `seq` carries the time it has waited, in milliseconds.
         let message = ChainMessage::JoinRequest { node, ready: 0, seq: waited.as_millis() as u64 };
         if self.meta.view.number == 0 {
             self.outputs.push(Output::SendSeeds { message });
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Requests again what did not arrive, and gives up a download that does not move on.
+    /// Repeats a request that was not answered, and abandons a download that makes no progress.
     fn maybe_continue_download(&mut self) {
         let now = self.clock.now;
         let is_installing = self.writes.is_completing_catch_up();
@@ -50,8 +50,8 @@
         }
     }
 
-    /// A replica asks to join. Until it is `ready`, `detail` says for how many milliseconds it has waited; then it
-    /// names the snapshot that it holds.
+    /// Handles a request to join. If the joiner is `ready`, `detail` is the id of the snapshot that it holds;
+    /// otherwise it is the time that the joiner has waited, in milliseconds.
     pub(super) fn handle_join_request(&mut self, joiner: NodeAddress, ready: bool, detail: u64) {
         let now = self.clock.now;
         let waited = Duration::from_millis(if ready { 0 } else { detail });
@@ -92,7 +92,8 @@
         }
     }
 
-    /// What was received is on disk: a replica that is in the chain goes on from it, another one joins.
+    /// Completes a catch-up that is now on disk: a member of the chain resumes replication, any other replica
+    /// reports to the tail that it is ready to join.
     pub(super) fn finish_catch_up(&mut self) {
         let Some(download) = self.catch_up.download.take() else { return };
         self.log.forget_states_before_snapshot();
@@ -105,7 +106,8 @@
         }
     }
 
-    /// The learner proposes the view in which it is one no longer, once it holds what the tail before it held.
+    /// Proposes, as the learner, the view in which it is a full member, once it holds everything that the previous
+    /// tail held.
     pub(super) fn maybe_finish_joining(&mut self) {
         let view = &self.meta.view;
         let is_learner = view.learner != 0 && view.learner == self.me();
--- a/crates/chain/src/replica/leaving.rs
+++ b/crates/chain/src/replica/leaving.rs
@@ -1,9 +1,9 @@
-//! Planned stops. A replica that is to stop announces it with its heartbeats and stays a full member until the others
-//! can do without it: enough of them hold everything, and their votes are a majority after as many losses as are
-//! to be tolerated. A newcomer takes the vote of a replica that leaves in the view in which it joins, so that there
-//! is no moment with a vote too many; the leaver then stays in the chain without a vote until the newcomer is a full
-//! member, and the others take it out. Shortly before its deadline it is taken out all the same, if the others
-//! are enough to go on; at the deadline its process ends as by a crash.
+//! Planned stops. A replica that is told to stop announces this with its heartbeats and stays a full member until the
+//! others can do without it: enough of them hold all data, and they keep a majority of votes after the number of
+//! losses to tolerate. A joiner takes the vote of a leaving replica in the view in which it joins, so that there is
+//! never an extra vote. The leaving replica then stays in the chain without a vote until the joiner is a full member,
+//! and is removed by the others. Shortly before its deadline it is removed in any case, if the others are enough to
+//! continue; at the deadline its process ends, which to the others is a crash.
 
 use super::ChainReplica;
 use super::view_repair::{next_view_with_chain, optimizer_for};
@@ -11,19 +11,19 @@
 use std::time::Duration;
 use wire::{ChainMessage, NodeAddress, NodeId, View};
 
-/// So long before its deadline a replica is taken out of the chain though a loss more could not be borne without it:
-/// a crash at the deadline would hold up every entry until it is suspected.
+/// Time before its deadline at which a replica is removed from the chain even if the others can then not tolerate
+/// another loss: a crash at the deadline would block every entry until the replica is suspected.
 const FINAL_PERIOD: Duration = Duration::from_millis(600);
-/// Deadlines as near as this are of replicas that were told to stop together.
+/// Difference between deadlines up to which replicas count as told to stop together.
 const SIMULTANEOUS: Duration = Duration::from_millis(250);
-/// No view is left with fewer replicas in its chain by a planned stop.
+/// Minimum length of the chain that a planned stop may leave.
 const MIN_CHAIN_AFTER_LEAVING: usize = 2;
-/// Where all replicas of the chain stop, they have heard so of each other after this.
+/// Time after which replicas that are all told to stop have received each other's announcements.
 const COMMON_STOP_DELAY: Duration = Duration::from_millis(250);
 
 impl ChainReplica {
-    /// The process ends within this time; a second request changes nothing. From now on the replica does not ask to
-    /// join, and stays in the chain no longer than it must.
+    /// Starts a planned stop whose process ends within this time; a second request changes nothing. From now on the
+    /// replica does not ask to join, and stays in the chain no longer than needed.
     pub(super) fn leave(&mut self, within: Duration) {
         let now = self.clock.now;
         self.rules.departure.get_or_insert(Departure { since: now, deadline: now + within });
@@ -35,7 +35,7 @@
         self.rules.departure.is_some()
     }
 
-    /// Goes out beside each heartbeat.
+    /// Announces the planned stop to all peers; called with each heartbeat.
     pub(super) fn announce_departure(&mut self) {
         let now = self.clock.now;
         let Some(departure) = self.rules.departure else { return };
@@ -51,8 +51,7 @@
         }
     }
 
-    /// Proposes the view without this replica once that is safe, and no other change of the membership is in
-    /// progress.
+    /// Proposes the view without this replica once that is safe and no other membership change is in progress.
     pub(super) fn maybe_finish_leaving(&mut self) {
         let is_blocked = self.meta.view.learner != 0 || self.agreement.is_busy(self.clock.now);
         if !self.is_leaving() || is_blocked || !self.is_relied_on() {
@@ -63,15 +62,15 @@
         }
     }
 
-    /// The next view in which a replica without a vote is no longer in the chain. It cannot propose that itself.
+    /// Returns the next view without a chain member that has no vote and so cannot propose the view itself.
     pub(super) fn view_without_voteless_member(&self) -> Option<View> {
         let view = &self.meta.view;
         let voteless = view.chain.iter().copied().find(|id| !view.is_voter(*id))?;
         self.view_without_leaver(voteless)
     }
 
-    /// The next view without a replica that leaves, if that view bears what is to be tolerated, or goes on at least
-    /// and the deadline is near.
+    /// Returns the next view without a leaving replica, if that view still tolerates the configured losses, or if it
+    /// can at least accept entries and the replica has to leave now.
     fn view_without_leaver(&self, leaver: NodeId) -> Option<View> {
         if self.meta.view.learner != 0 {
             return None;
@@ -91,8 +90,9 @@
         self.deadline_of(leaver).is_some_and(|deadline| self.clock.now + FINAL_PERIOD >= deadline)
     }
 
-    /// Of several in the chain that are to stop, the first goes at once, so that it may be back, or replaced, before
-    /// the next one's deadline: if all waited for theirs, they would be missing together.
+    /// Returns whether another member of the chain is told to stop with a later deadline. The replica with the earlier
+    /// deadline then leaves at once, so that it can be back, or replaced, before the next deadline: if each waited
+    /// for its own deadline, they would be absent together.
     fn yields_to_later_leaver(&self, leaver: NodeId) -> bool {
         let Some(deadline) = self.deadline_of(leaver) else { return false };
         let is_later = |id: &NodeId| {
@@ -107,7 +107,8 @@
         own.or_else(|| self.rules.departures.deadline(leaver))
     }
 
-    /// Its vote goes with it where the others are enough: an absent voter would count against the majority.
+    /// Returns the next view without a leaving replica. Its vote is removed too if enough voters remain, since an
+    /// absent voter makes a majority harder to reach.
     fn view_without(&self, leaver: NodeId) -> View {
         let view = &self.meta.view;
         let remaining: Vec<NodeId> = view.chain.iter().copied().filter(|id| *id != leaver).collect();
@@ -122,7 +123,7 @@
         next
     }
 
-    /// Why a view that a leaver is no member of any more would be too weak.
+    /// Returns why a view without a leaving replica would be too weak, or `None` if it is safe.
     fn departure_obstacle(&self, next: &View) -> Option<DepartureWait> {
         if next.chain.as_slice().len() < self.min_chain_after_leaving() {
             return Some(DepartureWait::Replicas);
@@ -133,12 +134,12 @@
         (after_losses * 2 <= voters).then_some(DepartureWait::Successor)
     }
 
-    /// Whether a replica is in the chain of a view and not thought to be lost.
+    /// Returns whether a replica is in the chain of a view and not suspected.
     fn is_present_in(&self, view: &View, id: NodeId) -> bool {
         view.is_in_chain(id) && (id == self.me() || !self.detector.is_suspect(id, self.clock.now))
     }
 
-    /// The vote of a replica that leaves is free for a newcomer.
+    /// Returns the index of a leaving voter, whose vote is available to a joiner.
     pub(super) fn voter_index_of_leaver(&self) -> Option<usize> {
         let is_leaving = |id: NodeId| self.rules.departures.is_leaving(id) || (id == self.me() && self.is_leaving());
         self.meta.view.voters.iter().position(|voter| is_leaving(voter.id))
@@ -148,18 +149,18 @@
         self.meta.view.voters.as_slice().len() > self.min_voters()
     }
 
-    /// When this process ends at the latest, if it was told to stop.
+    /// Returns the latest time at which this process ends, if it was told to stop.
     pub fn departure_deadline(&self) -> Option<Duration> {
         self.rules.departure.map(|departure| departure.deadline)
     }
 
-    /// Whether the process may end: nothing that the others rely on is left to this replica and one of them has
-    /// adopted the view that says so, or all of them stop too.
+    /// Returns whether the process may end: the others no longer rely on this replica and one of them has adopted
+    /// the view without it, or all replicas stop together.
     pub fn may_stop(&self) -> bool {
         self.departure_wait().is_none()
     }
 
-    /// What a planned stop waits for.
+    /// Returns the condition that a planned stop still waits for.
     pub fn departure_wait(&self) -> Option<DepartureWait> {
         let view = &self.meta.view;
         if view.number == 0 || self.all_stop_together() {
@@ -172,14 +173,14 @@
         Some(obstacle.unwrap_or(DepartureWait::MembershipChange))
     }
 
-    /// Whether this replica is in the chain, or has a vote that would be missed though it need not be.
+    /// Returns whether this replica is in the chain, or has a vote that it can still give up.
     fn is_relied_on(&self) -> bool {
         let has_vote_to_give_up = self.meta.view.is_voter(self.me()) && self.has_spare_voters();
         self.is_in_chain() || has_vote_to_give_up
     }
 
-    /// Whether every replica of the chain has been told to stop, and nobody asks to join: there is no one to hand
-    /// anything over to, and the disks keep what was taken.
+    /// Returns whether every replica of the chain was told to stop and no other replica asks to join: there is no
+    /// replica to hand over to, and the disks keep the data.
     fn all_stop_together(&self) -> bool {
         let now = self.clock.now;
         let Some(departure) = self.rules.departure else { return false };
@@ -189,8 +190,9 @@
         now >= departure.since + COMMON_STOP_DELAY && !someone_joins && self.meta.view.chain.iter().all(is_leaving)
     }
 
-    /// The next view with these replicas left in the chain, after others were lost. The vote of a lost one goes with
-    /// it, where the others are enough, if it had announced its stop or weighs on their majority.
+    /// Returns the next view with these replicas left in the chain after others were lost. The vote of a lost replica
+    /// is removed too, if enough voters remain, when it had announced its stop or when its vote keeps the others
+    /// from tolerating further losses.
     pub(super) fn repaired_view(&self, remaining: Vec<NodeId>) -> View {
         let view = &self.meta.view;
         let weighs = self.absent_voters_weigh(&remaining);
@@ -208,8 +210,8 @@
         next
     }
 
-    /// Whether the voters in this chain could bear the losses that are to be tolerated were it not for an absent
-    /// voter: as where a machine is lost whose successor has just got a vote of its own.
+    /// Returns whether the voters in this chain could tolerate the configured losses if one absent voter were removed.
+    /// This happens when a machine is lost just after its successor was given an additional vote.
     pub(super) fn absent_voters_weigh(&self, chain: &[NodeId]) -> bool {
         let voters = self.meta.view.voters.as_slice();
         let present = voters.iter().filter(|voter| chain.contains(&voter.id)).count();
@@ -219,8 +221,8 @@
         present >= self.min_voters() && !bears_losses && would_bear_losses
     }
 
-    /// The next view in which a replica that gave its vote to a newcomer has one again, in the place of a voter that
-    /// has been lost since.
+    /// Returns the next view in which a replica that gave its vote to a joiner has a vote again, in place of a voter
+    /// that was lost since.
     pub(super) fn view_with_vote_returned(&self) -> Option<View> {
         let (view, now) = (&self.meta.view, self.clock.now);
         let former = self.rules.former_voter.as_ref().filter(|node| view.is_in_chain(node.id))?;
--- a/crates/chain/src/replica/membership_rules.rs
+++ b/crates/chain/src/replica/membership_rules.rs
@@ -1,29 +1,30 @@
-//! Who is a voter. Every registry becomes one, so that a majority of voters is a majority of the machines; there
-//! are never fewer than the losses to be tolerated ask for. A new machine first waits a little whether it comes
-//! in another's place, and a voter that stays away is removed.
+//! Rules for voters. Every registry becomes a voter, so that a majority of voters is a majority of the machines, and
+//! there are never fewer voters than the losses to tolerate require. A new machine first waits a few seconds in case
+//! it replaces another one, and a voter that stays absent is removed.
 
 use super::ChainReplica;
 use crate::snapshot::RETRY_INTERVAL;
 use std::time::Duration;
 use wire::{NodeAddress, NodeId, View};
 
-/// More voters make each decision dearer and tolerate no more than is asked.
+/// Maximum number of voters. More of them make each decision more expensive and are not needed for the configured
+/// tolerance.
 const MAX_VOTERS: usize = 9;
-/// How long a new machine waits for another's place while there are enough voters.
+/// Time that a new machine waits to take over the vote of another while there are enough voters.
 const NEW_VOTER_DELAY: Duration = Duration::from_secs(3);
-/// A voter outside the chain is removed after so long a silence.
+/// Time without an answer after which a voter outside the chain is removed.
 const VACANT_VOTER_TIMEOUT: Duration = Duration::from_secs(8);
-/// A voter that missed so many heartbeats may be lost, and its place may be free soon.
+/// Number of missed heartbeats after which a voter may be lost, so that its vote may be available soon.
 const QUIET_HEARTBEATS: u32 = 3;
 
 impl ChainReplica {
-    /// As many voters as it takes to have a majority left after the losses to be tolerated.
+    /// Returns the number of voters needed to keep a majority after the losses to tolerate.
     pub(super) fn min_voters(&self) -> usize {
         self.rules.tolerated_losses * 2 + 1
     }
 
-    /// On how many disks an entry must be before it is acknowledged: on one more than may be lost, or on all
-    /// there were ever meant to be.
+    /// Returns the number of disks that must hold an entry before it is acknowledged: one more than may be lost, or
+    /// the number of voters if the cluster has fewer.
     pub(super) fn required_replicas(&self) -> usize {
         self.meta.view.voters.as_slice().len().min(self.rules.tolerated_losses + 1)
     }
@@ -32,7 +33,8 @@
         self.meta.view.chain.as_slice().len() >= self.required_replicas()
     }
 
-    /// One joins at a time: what another is being served would be lost by serving the next.
+    /// Returns whether another replica is being admitted. Replicas join one at a time, since serving the next one
+    /// would discard the snapshot that is being served.
     pub(super) fn is_admitting_other(&self, id: NodeId) -> bool {
         let now = self.clock.now;
         let active = self.catch_up.source.as_ref().filter(|source| now < source.requested_at + RETRY_INTERVAL * 2);
@@ -40,16 +42,16 @@
         view.learner != 0 || active.is_some_and(|source| source.joiner != id && !view.is_in_chain(source.joiner))
     }
 
-    /// Whether a voter outside the chain hears nothing from a replica in it: the two would take each other out
-    /// again as soon as it returned.
+    /// Returns whether this replica is a voter and receives no answers from a replica in the chain. If it rejoined,
+    /// the two would remove each other again at once.
     pub(super) fn misses_chain_member(&self) -> bool {
         let (me, now) = (self.me(), self.clock.now);
         let is_missed = |id: &NodeId| *id != me && self.detector.is_missed(*id, now);
         self.meta.view.is_voter(me) && self.meta.view.chain.iter().any(is_missed)
     }
 
-    /// The index among the voters that a joiner takes, which may be one after the last. A replica that asks to
-    /// return stays the voter that it was.
+    /// Returns the index that a joiner takes among the voters, which may be one past the last. An absent voter that
+    /// asks to return keeps its vote.
     fn voter_index_for(&self, joiner: &NodeAddress) -> usize {
         let view = &self.meta.view;
         let voters = view.voters.as_slice();
@@ -64,17 +66,17 @@
         same_id.or_else(same_address).or_else(leavers).or_else(replaceable).unwrap_or(voters.len())
     }
 
-    /// Whether several heartbeats of a voter are missing.
+    /// Returns whether a voter has left several heartbeats unanswered.
     fn is_quiet(&self, id: NodeId) -> bool {
         let limit = self.timing.heartbeat * QUIET_HEARTBEATS;
         id != self.me() && self.detector.is_silent(id, self.clock.now, limit)
     }
 
-    /// Whether a joiner can become a voter now.
+    /// Returns whether a joiner can become a voter now.
     pub(super) fn can_become_voter(&self, joiner: &NodeAddress) -> bool {
         let (index, min_voters) = (self.voter_index_for(joiner), self.min_voters());
         let voters = self.meta.view.voters.as_slice();
-        // Its address is another's who is thought to be there: that one is taken out first.
+        // The address belongs to another voter that counts as present; that voter must be removed first.
         let is_other = |(at, voter): (usize, &NodeAddress)| at != index && voter.address == joiner.address;
         let is_address_taken = !self.meta.view.is_voter(joiner.id) && voters.iter().enumerate().any(is_other);
         match voters.get(index) {
@@ -82,13 +84,13 @@
             Some(_) => true,
             None if voters.len() >= MAX_VOTERS => false,
             None if voters.len() < min_voters => true,
-            // If a quiet voter is lost, its place will be free soon.
+            // If such a voter is lost, the joiner can take its place soon.
             None if voters.iter().any(|voter| self.is_quiet(voter.id)) => false,
             None => self.rules.join_requests.has_waited(joiner.id, NEW_VOTER_DELAY, self.clock.now),
         }
     }
 
-    /// The next view with a joiner at the end of the chain, as its learner.
+    /// Returns the next view with a joiner at the end of the chain as the learner.
     pub(super) fn view_with_joiner(&self, joiner: NodeAddress) -> Option<View> {
         let mut next = self.meta.view.clone();
         let mut chain = next.chain.into_vec();
@@ -109,8 +111,8 @@
         Some(next)
     }
 
-    /// The next view with the address at which this replica is met now, where it has kept its disk and the present
-    /// view names another: machines that know no other way go by the addresses of the view.
+    /// Returns the next view with the current address of this replica, if it restarted with its disk at an address
+    /// that differs from the one in the view: machines without another source of addresses use those of the view.
     pub(super) fn view_with_own_address(&self) -> Option<View> {
         let view = &self.meta.view;
         let own = &self.meta.node;
@@ -126,7 +128,7 @@
         Some(next)
     }
 
-    /// The next view without a voter that has been away for long, where there are more than enough.
+    /// Returns the next view without a voter that has been absent for long, if there are more voters than needed.
     pub(super) fn view_without_vacant_voter(&self) -> Option<View> {
         let view = &self.meta.view;
         if view.learner != 0 {
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -1,5 +1,5 @@
-//! One registry's replica as a state machine: it takes ticks, messages, finished writes and proposals, and
-//! returns what to send, write and answer. The submodules hold its handlers, one concern each.
+//! The replica of one registry as a state machine: it handles ticks, messages, finished writes and proposals, and
+//! returns the messages, writes and replies to perform. Each submodule holds the handlers of one concern.
 
 mod agreement;
 mod bootstrapping;
@@ -33,7 +33,7 @@
 use std::time::Duration;
 use wire::{ChainMessage, NodeAddress, NodeId};
 
-/// The moments that the replica goes by, from a clock that never jumps.
+/// Times that the replica uses, from a monotonic clock.
 #[derive(Clone)]
 struct Clock {
     now: Duration,
@@ -41,24 +41,24 @@
     heartbeat_sent_at: Duration,
 }
 
-/// What decides who may come into the chain and who must stay.
+/// State that decides which replicas may join the chain or leave it.
 #[derive(Clone)]
 struct MembershipRules {
-    /// How many disks may be lost at once with all that was acknowledged still replicated.
+    /// Number of disks that may be lost at once without losing acknowledged entries.
     tolerated_losses: usize,
-    /// Joins wait while a joiner would hold up something more pressing, since each becomes the tail.
+    /// Whether joins are postponed: a joiner becomes the tail and would delay more urgent work.
     joins_deferred: bool,
-    /// This replica's own planned stop.
+    /// Planned stop of this replica.
     departure: Option<Departure>,
-    /// The planned stops of others.
+    /// Planned stops of other replicas.
     departures: Departures,
-    /// Who last gave its vote to a newcomer and stayed in the chain.
+    /// Replica that last gave its vote to a joiner and stayed in the chain.
     former_voter: Option<NodeAddress>,
     join_requests: JoinRequests,
     readmissions: Readmissions,
 }
 
-/// A replica of the registries' state: the coordinator of the parts that own it.
+/// Replica of the registries' state; coordinates the components that own the state.
 #[derive(Clone)]
 pub struct ChainReplica {
     meta: Meta,
@@ -76,12 +76,12 @@
     bootstrap: Bootstrap,
     rules: MembershipRules,
     tail_history: TailHistory,
-    /// Whether another replica of the chain is known to have adopted the present view.
+    /// Whether another replica of the chain is known to have adopted the current view.
     is_view_acknowledged: bool,
 }
 
 impl ChainReplica {
-    /// A replica that starts with what its disk holds.
+    /// Creates a replica that starts from the contents of its disk.
     pub fn new(node: NodeAddress, stored: Stored, timing: Timing, apply: Apply, now: Duration) -> Self {
         let log = ReplicaLog::new(&stored, apply, timing.max_log_entries);
         let mut replica = ChainReplica {
@@ -114,7 +114,8 @@
         replica
     }
 
-    /// Takes one input in at a moment, and returns what is to be done. Messages to itself are taken in at once.
+    /// Handles an input at a given time, and returns the actions to perform. Messages of the replica to itself are
+    /// handled immediately.
     pub fn step(&mut self, now: Duration, input: Input) -> Vec<Output> {
         self.clock.now = now;
         match input {
@@ -155,7 +156,7 @@
         self.outputs.push(Output::Send { to, message });
     }
 
-    /// The other replicas of the view: its voters, and who is in its chain without a vote.
+    /// Returns the other replicas of the view: its voters, and members of its chain without a vote.
     fn peers(&self) -> Vec<NodeId> {
         let view = &self.meta.view;
         let voteless = view.chain.iter().copied().filter(|id| !view.is_voter(*id));
@@ -227,7 +228,7 @@
 
     fn tick(&mut self) {
         let now = self.clock.now;
-        // Whoever was not scheduled for long has missed the others' answers by its own fault.
+        // A process that was not scheduled for long missed the answers of the others through its own fault.
         if now > self.clock.ticked_at + self.timing.suspect_after / 2 {
             self.assume_peers_alive();
         }
--- a/crates/chain/src/replica/queries.rs
+++ b/crates/chain/src/replica/queries.rs
@@ -1,4 +1,4 @@
-//! What the control plane may look at, and the few things it may set.
+//! Queries of the control plane, and the few settings that it may change.
 
 use super::ChainReplica;
 use crate::log::Positions;
@@ -7,93 +7,93 @@
 use wire::{LogEntry, NodeAddress, NodeId, View};
 
 impl ChainReplica {
-    /// How many registries may lose their disks at once with everything acknowledged still replicated.
+    /// Sets how many registries may lose their disks at once without losing acknowledged entries, at least one.
     pub fn tolerating_losses(mut self, losses: usize) -> Self {
         self.rules.tolerated_losses = losses.max(1);
         self
     }
 
-    /// Numbers confirmation rounds from here, differently in each process.
+    /// Sets the number from which confirmation rounds are counted, which must differ between processes.
     pub fn numbering_rounds_from(mut self, first: u64) -> Self {
         self.confirmation.number_from(first);
         self
     }
 
-    /// Whether joins wait because a joiner, which becomes the tail, would hold up something more pressing.
+    /// Sets whether joins are postponed because a joiner, which becomes the tail, would delay more urgent work.
     pub fn defer_joins(&mut self, deferred: bool) {
         self.rules.joins_deferred = deferred;
     }
 
-    /// Requests a confirmation round and returns its number; [`crate::Input::Confirm`] starts it.
+    /// Requests a confirmation round and returns its number; [`crate::Input::Confirm`] starts the round.
     pub fn request_confirmation(&mut self) -> u64 {
         self.confirmation.request()
     }
 
-    /// The view it has adopted.
+    /// Returns the view that the replica has adopted.
     pub fn view(&self) -> &View {
         &self.meta.view
     }
 
-    /// The state after the newest entry here, committed or not.
+    /// Returns the state after the newest entry here, committed or not.
     pub fn state(&self) -> &State {
         self.log.state()
     }
 
-    /// The state as far as it is known here to be committed: nothing in it can be lost.
+    /// Returns the state after the newest entry known here to be committed; none of it can be lost.
     pub fn committed_state(&self) -> &State {
         self.log.committed_state()
     }
 
-    /// Its id and address.
+    /// Returns the id and address of the replica.
     pub fn node(&self) -> &NodeAddress {
         &self.meta.node
     }
 
-    /// The entries that are still in its log.
+    /// Returns the entries that are still in the log.
     pub fn entries(&self) -> impl Iterator<Item = &LogEntry> {
         self.log.entries()
     }
 
-    /// The voters it suspects.
+    /// Returns the voters that this replica suspects.
     pub fn suspects(&self) -> Vec<NodeId> {
         let now = self.clock.now;
         let voters = self.meta.view.voters.iter().map(|voter| voter.id);
         voters.filter(|id| self.detector.is_suspect(*id, now)).collect()
     }
 
-    /// The watermarks of its log.
+    /// Returns the watermarks of the log.
     pub fn positions(&self) -> Positions {
         self.log.positions()
     }
 
-    /// Whether it is in the chain of its view.
+    /// Returns whether this replica is in the chain of its view.
     pub fn is_in_chain(&self) -> bool {
         self.meta.view.is_in_chain(self.me())
     }
 
-    /// Whether it is the first in the chain, where entries are appended.
+    /// Returns whether this replica is the head of the chain, where entries are appended.
     pub fn is_head(&self) -> bool {
         self.meta.view.head() == Some(self.me())
     }
 
-    /// Whether it is the last in the chain.
+    /// Returns whether this replica is the last in the chain.
     pub fn is_tail(&self) -> bool {
         self.meta.view.tail() == Some(self.me())
     }
 
-    /// Whether it is the tail and holds everything that was committed before its view.
+    /// Returns whether this replica is the tail and holds everything that was committed before its view.
     pub fn is_current_tail(&self) -> bool {
         let synced = self.log.positions().synced;
         let has_reached_fence = self.is_head() || self.replication.fence.is_some_and(|fence| synced >= fence);
         self.is_tail() && self.catch_up.download.is_none() && has_reached_fence
     }
 
-    /// The view with which its unbroken run as the tail began, if it is the tail now.
+    /// Returns the first of the consecutive views in which this replica is the tail, if it is the tail now.
     pub fn tenure(&self) -> Option<u64> {
         self.is_tail().then(|| self.tail_history.first_view())
     }
 
-    /// No lease of any tail before this one was requested after this moment, as far as a majority has reported.
+    /// Returns the time after which no earlier tail can have requested a lease, once a majority has reported.
     pub fn earlier_tails_answered_until(&self) -> Option<Duration> {
         self.tenure()?;
         self.tail_history.earlier_tails_answered_until()
--- a/crates/chain/src/replica/replication.rs
+++ b/crates/chain/src/replica/replication.rs
@@ -1,21 +1,23 @@
-//! Entries along the chain: appended at the head, written and synced at each replica before they go on, applied
-//! in order, acknowledged by the tail once one disk more holds them than may be lost, or as many as there are
-//! where a cluster was founded with fewer replicas.
+//! Replication of entries along the chain: the head appends them, and each replica applies them in order and syncs
+//! them to disk before it forwards them. The tail acknowledges them once they are on one disk more than may be lost,
+//! or on all disks of a cluster that was founded with fewer replicas.
 
 use super::ChainReplica;
 use crate::replication_progress::ReplicationProgress;
 use crate::types::Output;
 use wire::{Blob, ChainMessage, LogEntry, NodeId, ProposalId};
 
-/// So many entries may be sent to the successor and not yet be acknowledged.
+/// Maximum number of entries sent to the successor and not yet acknowledged.
 const REPLICATION_WINDOW: u64 = 2048;
-/// The head takes no proposals while so many entries are not committed.
+/// Number of uncommitted entries at which the head refuses proposals.
 const MAX_UNCOMMITTED: u64 = REPLICATION_WINDOW * 2;
+/// Maximum number of entries in an append message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 256;
+/// Maximum size of the bodies in an append message, which only its last entry may exceed.
 const MAX_BYTES_PER_MESSAGE: usize = 1024 * 1024;
 
 impl ChainReplica {
-    /// Begins to replicate in a view that was adopted, or after a catch-up.
+    /// Starts replication in a newly adopted view, or after a catch-up.
     pub(super) fn enter_chain(&mut self) {
         let now = self.clock.now;
         self.replication = ReplicationProgress::new(self.log.positions().last, now);
@@ -105,15 +107,16 @@
         self.replication.acknowledge(seq, self.clock.now);
         let known = self.log.positions().committed;
         self.commit(committed.min(self.log.positions().synced));
-        // What this replica has synced was reported when it was. One report for each write of each successor
-        // would be as many frames as the square of the chain's length.
+        // This replica reported its own synced entries when they were synced, so only news about the committed
+        // watermark is passed on. One report for each write of each successor would make the number of frames
+        // quadratic in the length of the chain.
         if self.log.positions().committed > known {
             self.report_progress();
         }
         self.send_pending_entries();
     }
 
-    /// Sends as many entries as the window has capacity for.
+    /// Sends as many entries as the replication window allows.
     fn send_pending_entries(&mut self) {
         while self.replication.sent.is_some_and(|sent| {
             sent < self.log.positions().synced && sent < self.replication.acknowledged + REPLICATION_WINDOW
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Sends the next entries, or none, which still tells the successor the fence of the view.
+    /// Sends the next entries. A message without entries still tells the successor the fence of the view.
     fn send_append(&mut self) {
         let (Some(successor), Some(sent)) = (self.successor(), self.replication.sent) else { return };
         let entries = self.log.synced_batch_after(sent, MAX_ENTRIES_PER_MESSAGE, MAX_BYTES_PER_MESSAGE);
@@ -171,7 +174,7 @@
         self.outputs.push(Output::Committed { seq });
     }
 
-    /// Does what may have become possible by what is synced or acknowledged now.
+    /// Performs the steps that newly synced or acknowledged entries may have made possible.
     pub(super) fn after_progress(&mut self) {
         if self.is_current_tail() && self.has_enough_replicas() {
             self.commit(self.log.positions().synced);
--- a/crates/chain/src/replica/view_repair.rs
+++ b/crates/chain/src/replica/view_repair.rs
@@ -1,13 +1,13 @@
-//! Keeping the view true to the machines: proposing the next one when suspected replicas must be taken out, or
-//! when a decision was left open.
+//! Repair of the view: proposes the next one to remove suspected replicas, or to complete a decision that was left
+//! open.
 
 use super::ChainReplica;
 use crate::view_agreement::is_majority;
 use wire::{NodeId, View};
 
 impl ChainReplica {
-    /// Proposes the next view when it must: to finish a decision that was left open, which else would hold up
-    /// every confirmation, or to take silent and unhealthy replicas out.
+    /// Proposes the next view if needed: to complete a decision that was left open, which would otherwise block
+    /// every confirmation, or to remove unresponsive and unhealthy replicas.
     pub(super) fn maybe_repair_view(&mut self) {
         let now = self.clock.now;
         if let Some(proposal) = self.agreement.proposal() {
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Whether a proposal was accepted here and never decided. Voters wait for each other in turn.
+    /// Returns whether a proposal was accepted here and not decided for so long that this voter should complete it.
+    /// The waiting time grows with the rank of the voter, so that voters do not compete.
     fn has_open_decision(&self) -> bool {
         let me = self.me();
         let rank = self.meta.view.voters.iter().position(|voter| voter.id == me).unwrap_or_default() as u32 + 1;
@@ -36,8 +37,8 @@
         self.meta.accepted_number > 0 && self.clock.now > self.agreement.accepted_at() + patience
     }
 
-    /// Who hears no majority may be the one that is cut off; it takes nobody out, lest its messages do so once
-    /// they arrive after all.
+    /// Returns whether a majority of voters answers. A replica without a majority may itself be the isolated one; it
+    /// must not propose removals, since its messages could still arrive later and take effect.
     fn hears_majority(&self) -> bool {
         let (me, now) = (self.me(), self.clock.now);
         let voters = self.meta.view.voters.as_slice();
@@ -64,8 +65,8 @@
             }
             return;
         }
-        // The first of those that remain may be in touch with all of them while a link between two others is
-        // lost: then whoever misses one proposes, the nearer to the head the sooner.
+        // The first remaining replica may still reach all others while a link between two of them is lost. Then a
+        // replica that misses another one proposes, sooner the nearer it is to the head.
         let position = view.position_of(me).unwrap_or_default() as u32;
         let since = self.detector.suspect_chain(now);
         if first_to_propose != Some(me) && now < since + self.timing.suspect_after * position {
@@ -75,7 +76,8 @@
         self.propose_view(next);
     }
 
-    /// The next view without a replica that leaves or a voter that is gone, where all of the chain are there.
+    /// Returns the next view that completes a departure, returns a vote or removes an absent voter, for use while
+    /// all members of the chain are healthy.
     fn view_with_departures_settled(&self) -> Option<View> {
         self.view_without_voteless_member()
             .or_else(|| self.view_with_vote_returned())
@@ -83,7 +85,7 @@
     }
 }
 
-/// The next view with these replicas in its chain, who are all in the chain of the present one.
+/// Returns the next view with these replicas in its chain, all of them members of the current chain.
 pub(super) fn next_view_with_chain(view: &View, chain: Vec<NodeId>) -> View {
     let mut next = view.clone();
     next.number += 1;
@@ -93,7 +95,8 @@
     next
 }
 
-/// Who hosts the optimizer: whoever did, while it is in the chain, else the replica after the head.
+/// Returns the replica that hosts the optimizer: the present host while it is in the chain, else the replica after
+/// the head.
 pub(super) fn optimizer_for(chain: &[NodeId], present: NodeId) -> NodeId {
     if chain.contains(&present) {
         return present;
--- a/crates/chain/src/replica/views.rs
+++ b/crates/chain/src/replica/views.rs
@@ -1,4 +1,4 @@
-//! Adopting a view that was decided.
+//! Adoption of a view that was decided.
 
 use super::ChainReplica;
 use crate::types::Output;
@@ -7,7 +7,7 @@
 
 impl ChainReplica {
     pub(super) fn handle_decided(&mut self, view: View) {
-        // A view with this replica in it was decided after it had said that it holds a snapshot.
+        // A view that includes this replica was decided after the replica had reported that it holds a snapshot.
         let has_joined = view.is_in_chain(self.me());
         if self.meta.view.number == 0 && self.meta.accepted_number == 0 && !has_joined {
             return self.outputs.push(Output::ViewLearned { view });
@@ -15,7 +15,7 @@
         self.adopt(view);
     }
 
-    /// Adopts a view that is newer than the present one. An empty replica adopts only views that it votes in.
+    /// Adopts a view that is newer than the current one. An empty replica adopts only views in which it is a voter.
     pub(super) fn adopt(&mut self, view: View) {
         let is_older = view.number <= self.meta.view.number;
         if is_older || (self.meta.view.number == 0 && !view.is_voter(self.me())) {
--- a/crates/chain/src/snapshot.rs
+++ b/crates/chain/src/snapshot.rs
@@ -1,50 +1,50 @@
-//! Both ends of a catch-up: the replica that serves its state, and the one that receives it in chunks.
+//! Both sides of a catch-up: the replica that serves its state, and the one that receives it in chunks.
 
 use crate::types::{State, Value};
 use std::time::Duration;
 use wire::{KeyValue, NodeId};
 
-/// A chunk holds no more bytes than this, but for its last pair.
+/// Maximum size of a chunk in bytes, which only its last pair may exceed.
 const MAX_CHUNK_BYTES: usize = 512 * 1024;
-/// A chunk holds no more pairs than this.
+/// Maximum number of key-value pairs in a chunk.
 const MAX_CHUNK_PAIRS: usize = 4096;
-/// A request that was not answered is repeated after this long.
+/// Time after which an unanswered request is repeated.
 pub const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// A download that does not move on is given up after this long.
+/// Time without progress after which a download is abandoned.
 pub const DOWNLOAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A snapshot that is being served to a joiner.
+/// Snapshot that is being served to a joiner.
 #[derive(Clone)]
 pub struct SnapshotSource {
-    /// Identifies the snapshot.
+    /// Id of the snapshot.
     pub id: u64,
-    /// Whom it is served to.
+    /// Replica that receives the snapshot.
     pub joiner: NodeId,
-    /// The state that is served.
+    /// State that is served.
     pub state: State,
-    /// The entry after which it is the state.
+    /// Newest entry that the state includes.
     pub seq: u64,
-    /// The first key of each chunk, as far as chunks have been served.
+    /// First key of each chunk that has been served, and of the next one.
     pub chunk_starts: Vec<String>,
     /// When the joiner last requested something.
     pub requested_at: Duration,
 }
 
-/// One chunk of a snapshot.
+/// Chunk of a snapshot.
 pub struct Chunk {
-    /// Pairs in the order of their keys.
+    /// Pairs, ordered by key.
     pub pairs: Vec<KeyValue>,
-    /// Whether no chunk follows.
+    /// Whether this is the last chunk.
     pub is_last: bool,
 }
 
 impl SnapshotSource {
-    /// Begins to serve a state from its first key.
+    /// Creates a snapshot that is served from its first key.
     pub fn new(id: u64, joiner: NodeId, state: State, seq: u64, now: Duration) -> Self {
         SnapshotSource { id, joiner, state, seq, chunk_starts: vec![String::new()], requested_at: now }
     }
 
-    /// The chunk of this index, unless the one before it was never served.
+    /// Returns the chunk with this index, or `None` if the preceding chunk was never served.
     pub fn chunk(&mut self, index: u32) -> Option<Chunk> {
         let start = self.chunk_starts.get(index as usize).cloned()?;
         let mut bytes = 0;
@@ -68,28 +68,28 @@
     }
 }
 
-/// A catch-up that is being received. Until the source has answered it is not known whether it sends the missed
+/// Catch-up that is being received. Until the source has answered, it is not known whether it will send the missed
 /// entries or a snapshot.
 #[derive(Clone)]
 pub struct Download {
-    /// Who serves it.
+    /// Replica that serves the catch-up.
     pub source: NodeId,
-    /// The snapshot, 0 until the source has named it.
+    /// Id of the snapshot, 0 until the source has reported it.
     pub snapshot_id: u64,
-    /// The chunk that is requested next.
+    /// Index of the chunk to request next.
     pub next_chunk: u32,
-    /// The entry after which it is the state.
+    /// Newest entry that the snapshot includes.
     pub seq: u64,
-    /// The pairs received so far.
+    /// Pairs received so far.
     pub pairs: Vec<(String, Value)>,
-    /// When something was last requested.
+    /// When the last request was sent.
     pub requested_at: Duration,
-    /// When something last arrived.
+    /// When data last arrived.
     pub progressed_at: Duration,
 }
 
 impl Download {
-    /// Nothing has arrived yet.
+    /// Creates a download of which nothing has arrived yet.
     pub fn new(source: NodeId, now: Duration) -> Self {
         Download {
             source,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Takes a chunk in; false if it is not the one that was requested.
+    /// Adds a chunk; returns false if it is not the requested one.
     pub fn receive(&mut self, from: NodeId, snapshot_id: u64, index: u32, seq: u64, pairs: Vec<KeyValue>) -> bool {
         let is_other_snapshot = self.snapshot_id != 0 && self.snapshot_id != snapshot_id;
         if self.source != from || self.next_chunk != index || is_other_snapshot {
@@ -115,28 +115,28 @@
         true
     }
 
-    /// Something arrived, and what follows is requested at once.
+    /// Records that data arrived and that the next request is sent at once.
     pub fn record_progress(&mut self, now: Duration) {
         self.requested_at = now;
         self.progressed_at = now;
     }
 }
 
-/// The catch-ups that this replica takes part in.
+/// Catch-ups in which this replica takes part.
 #[derive(Clone, Default)]
 pub struct CatchUp {
-    /// The snapshot it serves.
+    /// Snapshot that this replica serves.
     pub source: Option<SnapshotSource>,
-    /// What it receives.
+    /// Catch-up that this replica receives.
     pub download: Option<Download>,
-    /// When it last asked to join, or to bootstrap a cluster.
+    /// When this replica last asked to join or to bootstrap a cluster.
     pub requested_at: Duration,
-    /// Since when it asks to join.
+    /// When this replica began to ask to join.
     pub seeking_since: Option<Duration>,
 }
 
 impl CatchUp {
-    /// Forgets a download that arrives no more.
+    /// Drops a download that no longer makes progress.
     pub fn abandon_download(&mut self) {
         self.download = None;
     }
--- a/crates/chain/src/store.rs
+++ b/crates/chain/src/store.rs
@@ -1,5 +1,5 @@
-//! The redb file: identity and view, the state as pairs, and the recent entries. A file that is damaged, of another
-//! format or of another cluster is an error; it is never written over.
+//! The redb data file: identity and view, the state as key-value pairs, and the recent log entries. Opening a file
+//! that is damaged, of another format or of another cluster is an error; such a file is never overwritten.
 
 use crate::types::{Batch, Meta, Stored};
 use deku::prelude::*;
@@ -8,7 +8,7 @@
 use std::path::Path;
 use wire::{LogEntry, NodeAddress, Text, View};
 
-// Names of tables and keys are part of the record format.
+// The names of tables and keys are part of the record format.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
@@ -16,10 +16,10 @@
 const LAST_KEY: &str = "last";
 const KNOWN_COMMITTED_KEY: &str = "settled";
 const RECORD_FORMAT: u16 = 1;
-/// Bytes of the file cached in memory; all that is read again is in the state.
+/// Size of redb's cache. It is small because reads are served from the state in memory.
 const CACHE_BYTES: usize = 2 * 1024 * 1024;
 
-/// Identity, view and votes as they are stored.
+/// Identity, view and votes in their stored form.
 #[derive(DekuRead, DekuWrite)]
 struct MetaRecord {
     format: u16,
@@ -52,10 +52,10 @@
     }
 }
 
-/// Why a data file cannot be used.
+/// Reason why a data file cannot be used.
 #[derive(Debug, Display, Error, From)]
 pub enum StoreError {
-    /// It cannot be opened, read or written.
+    /// The file cannot be opened, read or written.
     #[display("the data file cannot be used: {_0}")]
     #[from(
         redb::Error,
@@ -66,44 +66,43 @@
         redb::CommitError
     )]
     File(redb::Error),
-    /// It belongs to the cluster of this name.
+    /// The file belongs to another cluster, with this name.
     #[display("the data file belongs to cluster {_0}")]
     Foreign(#[error(not(source))] String),
-    /// It has this record format.
+    /// The file has a record format, this one, that the program does not support.
     #[display("the data file has record format {_0}, this program writes {RECORD_FORMAT}")]
     Format(#[error(not(source))] u16),
-    /// It holds a record that cannot be read, or one that must be there is missing.
+    /// A record cannot be decoded, or a required record is missing.
     #[display("the data file holds a record that cannot be read")]
     Damaged,
 }
 
 impl StoreError {
-    /// The disk has no room, and nothing else is wrong with it. After other faults what a read brings back
-    /// need not be what the disk holds, so only a full disk is ever written to again by the same process.
+    /// Returns whether the only fault is that the disk is full. After other faults a read may return data that
+    /// differs from what is on disk, so only a full disk is written to again by the same process.
     pub fn is_disk_full(&self) -> bool {
         use std::io::ErrorKind::{QuotaExceeded, StorageFull};
         matches!(self, StoreError::File(redb::Error::Io(error)) if matches!(error.kind(), StorageFull | QuotaExceeded))
     }
 }
 
-/// An open data file of one registry.
+/// Open data file of one registry.
 pub struct Store {
     database: Database,
     cluster: String,
 }
 
 impl Store {
-    /// Opens a file, or creates one for this registry; its identity is the one on disk where there is one.
+    /// Opens the data file, or creates it for this registry. The identity in an existing file takes precedence.
     pub fn open(path: &Path, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
-        // One that was closed cleanly is looked at without a byte of it being written.
+        // A file that was closed cleanly is first checked read-only, so that a foreign file stays unmodified.
         if let Some(database) = path.exists().then(|| ReadOnlyDatabase::open(path).ok()).flatten() {
             stored_meta(&database, cluster)?;
         }
         Store::start(Database::builder().set_cache_size(CACHE_BYTES).create(path)?, cluster, node)
     }
 
-    /// Opens a file that is there already and is this member's own, and proves by a write that the disk takes
-    /// one.
+    /// Opens the existing data file of this replica, and tests with a write that the disk accepts writes.
     pub fn reopen(path: &Path, cluster: &str, node: &NodeAddress) -> Result<(Store, Stored), StoreError> {
         let database = Database::builder().set_cache_size(CACHE_BYTES).open(path)?;
         let mut store = Store { database, cluster: cluster.to_owned() };
@@ -115,7 +114,7 @@
         Ok((store, stored))
     }
 
-    /// On a disk of another kind, such as one that loses its power.
+    /// Opens a store on another storage backend, such as a simulated disk that loses power.
     pub fn open_on(disk: impl StorageBackend, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
         Store::start(Database::builder().create_with_backend(disk)?, cluster, node)
     }
@@ -153,7 +152,7 @@
         Ok(Some(stored))
     }
 
-    /// Writes a batch in one transaction, which is synced when this returns.
+    /// Writes a batch in one transaction, which is synced to disk when this function returns.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let write = self.database.begin_write()?;
         {
@@ -186,7 +185,7 @@
     }
 }
 
-/// The record that says whose file this is, if anything was ever written to it.
+/// Reads and checks the identity record, or returns `None` if nothing was ever written to the file.
 fn stored_meta(database: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
     let read = database.begin_read()?;
     let meta = match read.open_table(META) {
--- a/crates/chain/src/tail_history.rs
+++ b/crates/chain/src/tail_history.rs
@@ -1,43 +1,44 @@
-//! How long this replica has been the tail, and when the tail before it can last have had a round confirmed.
+//! Since which view this replica has been the tail, and the latest time at which the previous tail can have had a
+//! confirmation round answered.
 //!
-//! A lease is granted only after a round that a majority of the view's voters answered, and counts from before
-//! that round. Each voter that adopts a view with another tail therefore reports how long ago it last answered
-//! the tail before. Any confirmed round was answered by a voter of each majority, so that no lease of the tail
-//! before can have been requested later than the latest answer reported by a majority.
+//! A tail grants a lease only after a majority of the view's voters answered a confirmation round, and the lease
+//! period counts from before that round. Each voter that adopts a view with a different tail therefore reports how
+//! long ago it last answered the previous tail. Any two majorities share a voter, so no lease of the previous tail
+//! can have been requested later than the latest answer that a majority reports.
 
 use crate::view_agreement::is_majority;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{NodeId, View};
 
-/// A run of views, without a gap, in which this replica is the tail.
+/// Consecutive views in which this replica is the tail.
 #[derive(Clone, Default, Hash)]
 pub struct Tenure {
-    /// The view with which the run began.
+    /// First of these views.
     first_view: u64,
-    /// The voters of the view before it, empty where that view is not known here.
+    /// Voters of the preceding view, empty if this replica did not know that view.
     voters_before: Vec<NodeId>,
 }
 
-/// What voters report on the tail before the one of a view.
+/// Reports of voters on when they last answered the previous tail.
 #[derive(Clone, Default)]
 pub struct AnswerReports {
-    /// The view.
+    /// Number of the view with the new tail.
     pub view: u64,
-    /// The latest moment, by the clock here, at which each voter can have answered.
+    /// Latest time, by the clock of this replica, at which each voter can have answered the previous tail.
     pub answered_at: BTreeMap<NodeId, Duration>,
 }
 
-/// This voter's report on the tail before, to be sent once the adoption of the view is on disk: else a voter that
-/// restarts could answer the tail before once more.
+/// Report of this voter on the previous tail. It is sent only after the adoption of the view is on disk: otherwise
+/// the voter could restart in the old view and answer the previous tail again.
 pub struct AnswerReport {
-    /// The new tail.
+    /// New tail, which receives the report.
     pub to: NodeId,
-    /// How long ago this voter last answered the tail before.
+    /// Time since this voter last answered the previous tail.
     pub age: Duration,
 }
 
-/// This replica's tenure as the tail, and what is known of tails before.
+/// Views in which this replica is the tail, and what voters reported on earlier tails.
 #[derive(Clone)]
 pub struct TailHistory {
     tenure: Tenure,
@@ -47,22 +48,22 @@
 }
 
 impl TailHistory {
-    /// Of a replica that has just started, and may have answered a tail until now.
+    /// Creates the history of a replica that has just started and may have answered a tail until now.
     pub fn new(now: Duration) -> Self {
         TailHistory { tenure: Tenure::default(), reports: AnswerReports::default(), last_answer_at: now }
     }
 
-    /// The view with which this replica's run as the tail began, which is of meaning while it is the tail.
+    /// Returns the first of the consecutive views in which this replica is the tail; meaningful only while it is.
     pub fn first_view(&self) -> u64 {
         self.tenure.first_view
     }
 
-    /// This voter answered a heartbeat of the tail in a way that may confirm its round.
+    /// Records that this voter answered a heartbeat of the tail in a way that may confirm its round.
     pub fn record_answer(&mut self, now: Duration) {
         self.last_answer_at = now;
     }
 
-    /// A view is about to be replaced by the next; returns what this voter has to report, if anything.
+    /// Records that a view is about to be replaced, and returns the report that this voter has to send, if any.
     pub fn record_view_change(&mut self, old: &View, next: &View, me: NodeId, now: Duration) -> Option<AnswerReport> {
         let is_consecutive = old.number > 0 && next.number == old.number + 1;
         let (old_tail, new_tail) = (old.tail(), next.tail());
@@ -76,7 +77,7 @@
         new_tail.filter(|_| must_report).map(|to| AnswerReport { to, age })
     }
 
-    /// A voter reports how long ago it last answered the tail before the one of a view.
+    /// Records a voter's report on how long ago it last answered the tail that preceded the tail of a view.
     pub fn record_report(&mut self, from: NodeId, view: u64, age: Duration, now: Duration) {
         if view > self.reports.view {
             self.reports = AnswerReports { view, answered_at: BTreeMap::new() };
@@ -86,7 +87,7 @@
         }
     }
 
-    /// No lease of any tail before this one was requested after this moment, as far as a majority has reported.
+    /// Returns the time after which no earlier tail can have requested a lease, once a majority has reported.
     pub fn earlier_tails_answered_until(&self) -> Option<Duration> {
         let voters = &self.tenure.voters_before;
         let reported: Vec<Duration> =
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -1,35 +1,35 @@
-//! The inputs a replica takes, the outputs it returns, and the records it keeps on disk.
+//! Inputs and outputs of a replica, and the records that it keeps on disk.
 
 use std::sync::Arc;
 use std::time::Duration;
 use wire::{ChainMessage, LogEntry, NodeAddress, NodeId, ProposalId, View};
 
-/// A stored value; copies share their bytes.
+/// A stored value; clones share the bytes.
 pub type Value = Arc<[u8]>;
-/// The replicated state, by key.
+/// The replicated state: values by key.
 pub type State = im::OrdMap<String, Value>;
 
-/// One change of the state.
+/// A change of one key of the state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Change {
-    /// The key that is changed.
+    /// Key that is changed.
     pub key: String,
-    /// The new value; none removes the key.
+    /// New value; `None` removes the key.
     pub value: Option<Value>,
 }
 
 impl Change {
-    /// Sets a key to a value.
+    /// Returns a change that sets a key to a value.
     pub fn put(key: impl Into<String>, value: impl Into<Value>) -> Self {
         Change { key: key.into(), value: Some(value.into()) }
     }
 
-    /// Removes a key.
+    /// Returns a change that removes a key.
     pub fn remove(key: impl Into<String>) -> Self {
         Change { key: key.into(), value: None }
     }
 
-    /// Makes the change in a state.
+    /// Applies the change to a state.
     pub fn apply_to(&self, state: &mut State) {
         match &self.value {
             Some(value) => state.insert(self.key.clone(), value.clone()),
@@ -38,30 +38,30 @@
     }
 }
 
-/// What an entry does.
+/// Result of applying a log entry.
 pub struct Effect {
-    /// Its changes of the state, in order.
+    /// Changes of the state, in order.
     pub changes: Vec<Change>,
-    /// What its proposer is answered once it is committed.
+    /// Reply sent to the proposer once the entry is committed.
     pub reply: Vec<u8>,
 }
 
-/// The state machine that is replicated: what an entry with this sequence number and body does to a state. It
-/// must depend on nothing else.
+/// Transition function of the replicated state machine: computes the effect of an entry from the state, the entry's
+/// sequence number and its body. The result must depend on nothing else.
 pub type Apply = fn(&State, u64, &[u8]) -> Effect;
 
-/// Periods and bounds of a replica.
+/// Intervals, timeouts and limits of a replica.
 #[derive(Clone, Debug)]
 pub struct Timing {
-    /// How often voters send each other heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// A voter is suspected after so long a silence.
+    /// Time without an answer after which a voter is suspected to have failed.
     pub suspect_after: Duration,
-    /// A disk is unhealthy when a write takes longer than this.
+    /// Duration of a disk write beyond which the disk counts as unhealthy.
     pub stall_after: Duration,
-    /// What is not acknowledged is sent again after this.
+    /// Time after which unacknowledged entries are sent again.
     pub resend_after: Duration,
-    /// The log holds at most so many entries.
+    /// Maximum number of entries in the log.
     pub max_log_entries: usize,
 }
 
@@ -77,57 +77,57 @@
     }
 }
 
-/// A replica's identity, its view, and its votes on the next.
+/// Identity of a replica, its current view, and its votes on the next view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Meta {
-    /// Its id and address.
+    /// Id and address of the replica.
     pub node: NodeAddress,
-    /// The newest view it adopted.
+    /// Newest view that the replica adopted.
     pub view: View,
-    /// It accepts no proposal with a number below this.
+    /// Lowest proposal number that the replica may still accept.
     pub promised: u64,
-    /// The number of the proposal it accepted, 0 for none.
+    /// Number of the accepted proposal, 0 for none.
     pub accepted_number: u64,
-    /// The view it accepted.
+    /// View of the accepted proposal.
     pub accepted: View,
 }
 
-/// One write to disk: all of it takes effect, or nothing.
+/// An atomic write to disk.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
-    /// Whether what was there is removed first.
+    /// Whether the stored state and log are deleted first.
     pub replace: bool,
-    /// Changes of the state.
+    /// Changes of the state, in order.
     pub changes: Vec<Change>,
-    /// Entries to be added to the log.
+    /// Entries to append to the log.
     pub entries: Vec<LogEntry>,
-    /// Entries below this leave the log.
+    /// Entries below this sequence number are removed from the log.
     pub trim_below: u64,
-    /// The newest entry.
+    /// Sequence number of the newest entry.
     pub last: u64,
-    /// How far the log was known to be committed: part of every history after.
+    /// Highest sequence number known to be committed; every later log contains the entries up to it.
     pub known_committed: u64,
-    /// Identity, view and votes, where they changed.
+    /// Identity, view and votes, if they changed.
     pub meta: Option<Meta>,
 }
 
-/// What a disk holds.
+/// Contents of a replica's disk.
 #[derive(Clone, Debug, Default)]
 pub struct Stored {
     /// Identity, view and votes.
     pub meta: Meta,
-    /// The state after the newest entry.
+    /// State after the newest entry.
     pub state: State,
-    /// The entries that are still in the log.
+    /// Entries that are still in the log.
     pub entries: Vec<LogEntry>,
-    /// The newest entry.
+    /// Sequence number of the newest entry.
     pub last: u64,
-    /// How far the log was known to be committed.
+    /// Highest sequence number known to be committed.
     pub known_committed: u64,
 }
 
 impl Stored {
-    /// What a synced write does to it.
+    /// Applies a synced write.
     pub fn apply(&mut self, batch: &Batch) {
         if batch.replace {
             self.state = State::new();
@@ -146,52 +146,52 @@
     }
 }
 
-/// What a replica takes in.
+/// Event that a replica handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time went on.
+    /// Time has passed.
     Tick,
-    /// A message of another registry arrived.
+    /// A message from another registry arrived.
     Message {
-        /// Its sender.
+        /// Sender of the message.
         from: NodeId,
         /// The message.
         message: ChainMessage,
     },
-    /// A write is synced.
+    /// A write is synced to disk.
     Written {
-        /// The write.
+        /// Ticket of the write.
         ticket: u64,
     },
-    /// The disk refused a write.
+    /// A write to disk failed.
     DiskError,
-    /// The disk takes writes again and holds this: the replica starts again from it.
+    /// The disk accepts writes again; the replica restarts from its contents.
     DiskRecovered {
-        /// What it holds.
+        /// Contents of the disk.
         stored: Stored,
     },
-    /// A command is to be appended.
+    /// Append a command to the log.
     Propose {
-        /// Names the proposal.
+        /// Id of the proposal.
         op: ProposalId,
         /// The command.
         body: Vec<u8>,
     },
-    /// A round that was requested is to be started.
+    /// Start the confirmation round that was requested.
     Confirm,
-    /// The process is to stop for good or for a while, as planned, and ends after this time at the latest.
+    /// Prepare for a planned stop of the process, temporary or permanent.
     Leave {
-        /// How long it can wait until the others can do without it.
+        /// Time after which the process ends, even if the other replicas still need this one.
         within: Duration,
     },
 }
 
-/// What a replica wants done.
+/// Action that a replica requests from its driver.
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Send a message to a registry.
     Send {
-        /// The registry.
+        /// Registry that receives the message.
         to: NodeId,
         /// The message.
         message: ChainMessage,
@@ -203,44 +203,44 @@
     },
     /// Write to disk and report [`Input::Written`] once it is synced.
     Write {
-        /// Names the write.
+        /// Number that [`Input::Written`] repeats.
         ticket: u64,
-        /// What is to be written.
+        /// Batch to write.
         batch: Batch,
     },
-    /// A proposal of this registry was committed, or was not appended.
+    /// A proposal of this registry was committed, or refused without being appended.
     ProposalDone {
         /// The proposal.
         op: ProposalId,
-        /// Whether it was appended; it never takes effect if not.
+        /// Whether the proposal was appended; if not, it never takes effect.
         appended: bool,
-        /// The reply to it, empty if it was not appended.
+        /// Reply to the proposal, empty if it was not appended.
         reply: Vec<u8>,
     },
-    /// The log is committed up to here.
+    /// The log is committed up to an entry.
     Committed {
-        /// The sequence number.
+        /// Sequence number of the entry.
         seq: u64,
     },
-    /// A majority confirmed that no newer view has begun since the round was started, and what was appended
-    /// before is committed.
+    /// A majority confirmed that no newer view had begun when the round was started, and all entries appended
+    /// before the confirmation are committed.
     Confirmed {
-        /// The round.
+        /// Number of the round.
         round: u64,
     },
-    /// Another view stands.
+    /// The replica adopted a new view.
     ViewAdopted {
-        /// The view.
+        /// The new view.
         view: View,
     },
-    /// Another registry reported, while this one is empty, which view stands: its voters can be asked to join.
+    /// This replica is empty and another registry reported its view, whose voters can be asked for admission.
     ViewLearned {
-        /// The view.
+        /// The reported view.
         view: View,
     },
-    /// This replica caught up with the others.
+    /// This replica received the data that it was missing from another replica.
     CaughtUp {
-        /// By so many entries that it missed; none for a whole snapshot.
+        /// Number of missed entries received; `None` if a snapshot was received instead.
         missed_entries: Option<usize>,
     },
 }
--- a/crates/chain/src/write_queue.rs
+++ b/crates/chain/src/write_queue.rs
@@ -1,28 +1,28 @@
-//! What is to be written to disk. One write is in progress at a time; whatever arrives meanwhile joins the
-//! next. Messages that promise something leave only after the write that holds the promise is synced.
+//! Queue of disk writes. One write is in progress at a time; changes that arrive meanwhile are collected into the
+//! next. Messages that make a promise are sent only after the write that contains the promise is synced.
 
 use crate::types::{Batch, Change, Meta, Output, State};
 use std::time::Duration;
 use wire::LogEntry;
 
-/// A write that was handed to the disk.
+/// Write that was passed to the disk.
 #[derive(Clone)]
 pub struct Write {
-    /// Pairs the write with the report that it is synced.
+    /// Number that the report of the synced write repeats.
     pub ticket: u64,
-    /// The newest entry in it.
+    /// Newest entry in the write.
     pub last: u64,
-    /// The state after that entry.
+    /// State after that entry.
     pub state: State,
-    /// What may leave once it is synced.
+    /// Outputs to release once the write is synced.
     pub on_synced: Vec<Output>,
-    /// When it was handed over.
+    /// When the write was passed to the disk.
     pub started_at: Duration,
-    /// Whether it completes a catch-up from another replica.
+    /// Whether the write completes a catch-up from another replica.
     pub completes_catch_up: bool,
 }
 
-/// The write in progress, and the one being gathered.
+/// The write in progress, and the next one that is being collected.
 #[derive(Clone)]
 pub struct WriteQueue {
     next: Batch,
@@ -35,7 +35,7 @@
 }
 
 impl WriteQueue {
-    /// An empty queue behind a disk that holds entries up to `last`, none of them below `trim_below`.
+    /// Creates an empty queue for a disk that holds entries from `trim_below` up to `last`.
     pub fn new(last: u64, trim_below: u64) -> Self {
         WriteQueue {
             next: Batch { trim_below, last, ..Batch::default() },
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Numbers of writes go on from those of an earlier queue, whose reports may still come.
+    /// Continues the ticket numbers of an earlier queue, since reports of its writes may still arrive.
     pub fn continue_tickets(&mut self, earlier: &WriteQueue) {
         self.last_ticket = earlier.last_ticket;
     }
 
-    /// Adds an entry and what it changed to the next write.
+    /// Adds an entry and its changes of the state to the next write.
     pub fn add_entry(&mut self, entry: LogEntry, changes: Vec<Change>, trim_below: u64) {
         self.next.last = entry.seq;
         self.next.changes.extend(changes);
@@ -62,36 +62,36 @@
         self.is_dirty = true;
     }
 
-    /// Puts the identity, view and votes into the next write, and what may leave only after it.
+    /// Adds identity, view and votes to the next write, with the outputs to release once it is synced.
     pub fn add_meta(&mut self, meta: Meta, on_synced: Vec<Output>) {
         self.next.meta = Some(meta);
         self.next_on_synced.extend(on_synced);
         self.is_dirty = true;
     }
 
-    /// The next write replaces everything on disk, which completes a catch-up.
+    /// Makes the next write replace everything on disk, which completes a catch-up.
     pub fn replace_all(&mut self, batch: Batch) {
         self.next = batch;
         self.is_dirty = true;
         self.next_completes_catch_up = true;
     }
 
-    /// The next write completes a catch-up by the entries in it.
+    /// Marks the next write as the one whose entries complete a catch-up.
     pub fn complete_catch_up(&mut self) {
         self.next_completes_catch_up = true;
     }
 
-    /// Whether a write that completes a catch-up is gathered or in progress.
+    /// Returns whether a write that completes a catch-up is being collected or in progress.
     pub fn is_completing_catch_up(&self) -> bool {
         self.next_completes_catch_up || self.in_progress.as_ref().is_some_and(|write| write.completes_catch_up)
     }
 
-    /// Whether nothing is being written.
+    /// Returns whether no write is in progress.
     pub fn is_idle(&self) -> bool {
         self.in_progress.is_none()
     }
 
-    /// Starts the next write, if there is something to write and nothing is being written.
+    /// Starts the next write, if there is something to write and no write is in progress.
     pub fn start_next(&mut self, now: Duration, last: u64, state: &State, known_committed: u64) -> Option<Output> {
         if !self.is_dirty || self.in_progress.is_some() {
             return None;
@@ -112,22 +112,22 @@
         Some(Output::Write { ticket: self.last_ticket, batch })
     }
 
-    /// Ends the write of this ticket, if it is the one in progress.
+    /// Finishes the write in progress and returns it, if it has this ticket.
     pub fn finish(&mut self, ticket: u64) -> Option<Write> {
         self.in_progress.take_if(|write| write.ticket == ticket)
     }
 
-    /// The disk refused a write.
+    /// Records that a write failed.
     pub fn fail(&mut self) {
         self.has_failed = true;
     }
 
-    /// Whether the disk refused a write.
+    /// Returns whether a write has failed.
     pub fn has_failed(&self) -> bool {
         self.has_failed
     }
 
-    /// Whether the write in progress has taken longer than this.
+    /// Returns whether the write in progress has taken longer than `limit`.
     pub fn is_stalled(&self, now: Duration, limit: Duration) -> bool {
         self.in_progress.as_ref().is_some_and(|write| now > write.started_at + limit)
     }
--- a/crates/chain/tests/catch_up.rs
+++ b/crates/chain/tests/catch_up.rs
@@ -1,12 +1,12 @@
-//! Members that missed hundreds of changes: what they are sent is bounded by what they missed, beside new
-//! changes; and no member takes a role on state that is not known to be the newest.
+//! Catch-up of members that missed hundreds of changes while new ones arrive: the data sent to them is bounded by what
+//! they missed, and no member takes a role with state that is not known to be the newest.
 
 mod net;
 
 use net::Net;
 use wire::NodeId;
 
-/// An entry's words are the key it sets: these are some 4 KB each.
+/// Returns an entry body, which is also the key that the entry sets, of about 4 KB.
 fn words(name: &str) -> String {
     format!("{name} {}", "x".repeat(4000))
 }
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Losses right after a departure, a return or a replacement, as the model explorer found them.
+//! Losses right after a departure, a return or a replacement, in cases that the model explorer found.
 
 mod net;
 
@@ -12,7 +12,7 @@
     voters
 }
 
-/// Three founders, and a fourth machine that joined them with a voter of its own.
+/// Returns a cluster of three founders and a fourth member that joined with a vote of its own.
 fn with_successor() -> Net {
     let mut net = Net::founded();
     net.propose_entry(1, "kept");
--- a/crates/chain/tests/founding.rs
+++ b/crates/chain/tests/founding.rs
@@ -1,4 +1,4 @@
-//! Who founds a cluster, of how many voters, and how whoever comes later finds it.
+//! Bootstrap of a cluster: which members found it, with how many voters, and how later members find it.
 
 mod net;
 
--- a/crates/chain/tests/full.rs
+++ b/crates/chain/tests/full.rs
@@ -1,5 +1,5 @@
-//! A disk that is full for a while: the file holds all that was acknowledged, and the disk's thread goes on
-//! by itself once there is room. After any other fault it does not.
+//! Temporarily full disk: the data file keeps everything acknowledged, and the disk thread resumes by itself once
+//! there is space. After any other fault it does not resume.
 
 mod platter;
 
@@ -18,7 +18,7 @@
     Batch { changes, entries: vec![entry], trim_below: seq.saturating_sub(4), last: seq, ..Batch::default() }
 }
 
-/// The disk's thread over a disk in memory, and what it reports.
+/// Starts the disk thread on a simulated disk, and returns the channel of its reports.
 fn start(platter: &Platter) -> (Disk, mpsc::Receiver<DiskReport>) {
     let (store, _) = Store::open_on(platter.clone(), "posta", node()).unwrap();
     let (reports, reported) = mpsc::channel();
--- a/crates/chain/tests/members.rs
+++ b/crates/chain/tests/members.rs
@@ -1,4 +1,4 @@
-//! What the simulator once found of chain members, pinned one by one.
+//! Regression tests for failures that the simulator found in chain members.
 
 mod net;
 
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -1,4 +1,5 @@
-//! Chain members wired to each other by hand, over disks that keep what was written.
+//! In-memory cluster of replicas: the test delivers their messages and disk writes itself, and disks keep their
+//! contents across restarts.
 
 #![allow(dead_code)]
 
@@ -20,21 +21,21 @@
     pub cut: Vec<NodeId>,
     pub pairs: Vec<(NodeId, NodeId)>,
     pub stalled: Vec<NodeId>,
-    /// To whom no log entries get through.
+    /// Members to which no append messages are delivered.
     pub starved: Vec<NodeId>,
     pub done: Vec<(NodeId, ProposalId, bool)>,
     pub confirmed: Vec<NodeId>,
     pub installed: Vec<(NodeId, Option<usize>)>,
     pub now: Duration,
     pub next_op: u64,
-    /// Whom a member has as seeds, if not all others.
+    /// Seeds of a member, if not all other members.
     pub seeds: BTreeMap<NodeId, Vec<NodeId>>,
     pub told: BTreeMap<NodeId, Vec<NodeId>>,
-    /// Where a member is met, if not at an address of its own.
+    /// Address of a member, if not its default one.
     pub addresses: BTreeMap<NodeId, wire::Text>,
-    /// Whose disk refuses every write.
+    /// Members whose disk refuses every write.
     pub full: Vec<NodeId>,
-    /// Messages of a copy or of missed entries that reached a member, and their bytes.
+    /// Number and total bytes of the snapshot and missed-entries messages delivered to a member.
     pub caught_up_by: BTreeMap<NodeId, (usize, usize)>,
 }
 
@@ -72,12 +73,12 @@
         self.start_founding(id, 3);
     }
 
-    /// Starts a member that may found a cluster of so many voters, or none.
+    /// Starts a member that may found a cluster with this many founders; 0 for never.
     pub fn start_founding(&mut self, id: NodeId, seats: usize) {
         self.start_bearing(id, seats, 1);
     }
 
-    /// One that bears so many losses.
+    /// Like `start_founding`, with the number of losses to tolerate.
     pub fn start_bearing(&mut self, id: NodeId, seats: usize, losses: usize) {
         let stored = self.disks.entry(id).or_default().clone();
         let address = self.addresses.get(&id).cloned().unwrap_or(node(id).address);
@@ -85,7 +86,7 @@
         self.members.insert(id, member.with_founders(seats).tolerating_losses(losses));
     }
 
-    /// Starts a member anew, with a process whose confirmation rounds begin at a number of its own.
+    /// Restarts a member as a process whose confirmation rounds begin at another number.
     pub fn restart_numbering_from(&mut self, id: NodeId, round: u64) {
         self.start(id);
         if let Some(member) = self.members.remove(&id) {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Whatever a member has handed to its disk is synced and reported.
+    /// Completes all disk writes of a member.
     pub fn land(&mut self, id: NodeId) {
         while let Some(place) = self.writes.iter().position(|(owner, ..)| *owner == id) {
             let (_, ticket, batch) = self.writes.remove(place);
@@ -133,7 +134,7 @@
         self.steps(usize::MAX);
     }
 
-    /// Carries so many frames and writes, or all there are.
+    /// Delivers up to `count` messages and completed disk writes.
     pub fn steps(&mut self, count: usize) {
         for _ in 0..count {
             if let Some((from, to, message)) = self.frames.pop_front() {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The disk has room again, and the member starts from what it holds.
+    /// Makes the full disk of a member accept writes again, and restarts the member from its contents.
     pub fn free_disk(&mut self, id: NodeId) {
         self.full.retain(|full| *full != id);
         let stored = self.disks[&id].clone();
@@ -183,7 +184,7 @@
         }
     }
 
-    /// As `pass`, in steps of ten milliseconds.
+    /// Like `pass`, in steps of ten milliseconds.
     pub fn pass_finely(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now += Duration::from_millis(10);
--- a/crates/chain/tests/planned.rs
+++ b/crates/chain/tests/planned.rs
@@ -1,4 +1,4 @@
-//! Planned replacements: the successor is started, and a little later its predecessor is told to leave.
+//! Planned replacement: a successor is started, and shortly after that its predecessor is told to leave.
 
 mod net;
 
@@ -7,7 +7,8 @@
 use test_case::test_case;
 use wire::NodeId;
 
-/// Whether the predecessor may end, and who is in the chain and synced at that moment.
+/// Tells the predecessor to leave this long after the successor starts, and returns the chain at the moment at which
+/// the predecessor may stop.
 fn leave_after(millis: u64) -> (Net, Vec<NodeId>) {
     let mut net = Net::founded();
     net.propose_entry(1, "kept");
--- a/crates/chain/tests/platter/mod.rs
+++ b/crates/chain/tests/platter/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that can lose its power and can be full.
+//! Simulated disk in memory that can lose power and can be full.
 
 #![allow(dead_code)]
 
@@ -15,11 +15,12 @@
     unsynced: Vec<(u64, Vec<u8>)>,
     left: u64,
     pub used: u64,
-    /// Takes no more bytes, though what it holds can be read.
+    /// Whether all writes fail because the disk is full; reads still succeed.
     pub full: bool,
 }
 
-/// The trait asks for a lock; nothing of the product has one.
+/// Simulated disk, shared between a test and the store. Only the `StorageBackend` trait makes the lock necessary; the
+/// product has none here.
 #[derive(Clone, Debug)]
 pub struct Disk(pub Arc<Mutex<Platter>>);
 
@@ -29,8 +30,8 @@
         Disk(Arc::new(Mutex::new(Platter { now, synced, unsynced, left, used: 0, full: false })))
     }
 
-    /// What the disk holds once its power is back: each write since the last sync was lost, landed
-    /// whole, or landed in part.
+    /// Returns the contents of the disk after a power loss: each write since the last sync is dropped, applied
+    /// completely, or applied in part.
     pub fn after_the_loss(&self, dice: &mut ChaCha8Rng) -> Vec<u8> {
         let platter = self.0.lock().unwrap();
         let mut image = platter.synced.clone();
--- a/crates/chain/tests/power.rs
+++ b/crates/chain/tests/power.rs
@@ -1,6 +1,5 @@
-//! The store on a disk that loses its power: at every write in turn, what was not synced is dropped,
-//! kept or torn by the seed. After that the file opens, everything acknowledged is there, and nothing
-//! is there by halves.
+//! Power loss of the store's disk, at every write in turn: the seed decides whether each unsynced write is dropped,
+//! kept or torn. Afterwards the file must open and hold everything acknowledged, and no batch in part.
 
 mod platter;
 
@@ -28,7 +27,7 @@
     }
 }
 
-/// Writes until the power is gone and says how many batches were acknowledged.
+/// Writes batches until the power is lost, and returns the sequence number of the last acknowledged one.
 fn until_the_loss(disk: &Disk, from: u64, batches: u64) -> Option<u64> {
     let (mut store, _) = Store::open_on(disk.clone(), "posta", node()).ok()?;
     let mut done = from;
@@ -75,7 +74,7 @@
     println!("{writes} moments, {torn} landed though not acknowledged");
 }
 
-/// A whole snapshot in the place of what was there: 600 pairs, each with the same mark.
+/// Returns a batch that replaces everything by a snapshot of 600 pairs, all with the same mark.
 fn checkpoint(mark: u8, last: u64) -> Batch {
     let changes = (0..600).map(|n| Change::put(format!("pair {n:03}"), vec![mark; 200 + n % 90])).collect();
     Batch { replace: true, changes, trim_below: last + 1, last, known_committed: last, ..Batch::default() }
--- a/crates/chain/tests/rejoin.rs
+++ b/crates/chain/tests/rejoin.rs
@@ -1,4 +1,4 @@
-//! Members that were away and come back.
+//! Members that return to the chain after an absence.
 
 mod net;
 
--- a/crates/chain/tests/restarts.rs
+++ b/crates/chain/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts of a whole group at once: planned stops of all, lost last messages, new addresses.
+//! Restarts of all members at once: planned stops of all, lost final messages, changed addresses.
 
 mod net;
 
@@ -6,7 +6,7 @@
 use net::Net;
 use std::time::Duration;
 
-/// A deadline so near that a replica leaves though nobody has taken its place.
+/// Deadline so near that a replica leaves before another has replaced it.
 const SHORT: Duration = Duration::from_millis(300);
 
 #[test]
@@ -17,7 +17,7 @@
         net.settle();
         net.feed(first, Input::Leave { within: SHORT });
         net.now += Duration::from_millis(ms);
-        // Delivered until the leaver has decided; what it sends from then on is lost with its process.
+        // Messages are delivered until the leaver has decided the view; those it sends later are lost.
         while net.members[&first].is_in_chain() {
             net.steps(1);
         }
--- a/crates/chain/tests/seats.rs
+++ b/crates/chain/tests/seats.rs
@@ -1,5 +1,5 @@
-//! Clusters that bear the loss of two: founded by three, joined by others until all machines vote; what is
-//! acknowledged is on three disks; a wiped machine takes its own voter again, a dead one's is taken away.
+//! Clusters that tolerate two losses: three members found them and others join until all machines vote. Acknowledged
+//! entries are on three disks; a wiped machine takes its old vote over, and a dead machine loses its vote.
 
 mod net;
 
@@ -45,7 +45,7 @@
             net.disks.remove(&id);
         }
         net.pass(3000);
-        // Wiped machines come back under a new name at the address they had.
+        // Wiped machines return with a new id at their old address.
         for id in lost {
             net.addresses.insert(id + 10, node(id).address);
             net.seeds.insert(id + 10, vec![1, 2, 3, 4, 5, 6]);
--- a/crates/chain/tests/stops.rs
+++ b/crates/chain/tests/stops.rs
@@ -1,5 +1,5 @@
-//! Planned stops: what a replica that is told to stop waits for, who takes its vote, and what is left at each moment
-//! if it is killed meanwhile.
+//! Planned stops: what a replica that is told to stop waits for, which replica takes its vote, and what the others
+//! can still do if it is killed at any moment.
 
 mod net;
 
@@ -113,7 +113,7 @@
     net.pass(8000);
     assert_eq!(voters(&net, 1), vec![1, 2, 3, 4]);
     net.feed(LEAVER, Input::Leave { within: GRACE });
-    // Its announcement arrives, its proposal does not.
+    // Its announcement is delivered, its proposal is lost.
     net.frames.retain(|(_, _, message)| matches!(message, wire::ChainMessage::Leaving { .. }));
     net.settle();
     lose(&mut net, LEAVER);
--- a/crates/chain/tests/store.rs
+++ b/crates/chain/tests/store.rs
@@ -1,5 +1,5 @@
-//! The data file: what was synced comes back; a damaged, foreign or newer file is refused with a
-//! clear word and left as it was.
+//! Data file of the store: synced data is read back; a damaged, foreign or newer file is refused with a clear error
+//! and left unmodified.
 
 use chain::{Batch, Change, Store, StoreError};
 use redb::{Database, ReadableTable, TableDefinition};
--- a/crates/chain/tests/stored_format.rs
+++ b/crates/chain/tests/stored_format.rs
@@ -1,4 +1,4 @@
-//! A data file written by an earlier version of the program is read whole by this one.
+//! Compatibility with a data file written by an earlier version of the program.
 
 use chain::{Batch, Change, Meta, Store, Stored};
 use std::path::PathBuf;
@@ -27,8 +27,8 @@
     LogEntry { seq, op: ProposalId { origin: 2, number: seq + 100 }, body: vec![seq as u8; 30].into() }
 }
 
-/// Every kind of content a file holds: identity, view, an open proposal, pairs, one of them removed, and
-/// entries, the first of them trimmed.
+/// Returns batches with every kind of content: identity, view, an open proposal, pairs (one of them removed), and
+/// entries (the first of them trimmed).
 fn batches() -> Vec<Batch> {
     let pair = |key: &str, value: u8| Change::put(key, vec![value; 20]);
     let first = Batch {
--- a/crates/chain/tests/tenure.rs
+++ b/crates/chain/tests/tenure.rs
@@ -1,5 +1,5 @@
-//! What a new tail learns of the tail before: a bound on its last confirmed round, told by a majority of the
-//! voters, each once its adoption of the new view is on disk.
+//! Bound on the last confirmed round of the previous tail, which a new tail learns from a majority of the voters.
+//! Each voter reports once its adoption of the new view is on disk.
 
 mod net;
 
