--- a/crates/chain/tests/catch_up.rs
+++ b/crates/chain/tests/catch_up.rs
@@ -34,13 +34,13 @@
             net.pass(100);
             waited += 1;
         }
-        println!("{missed} missed: up after {waited} tenths of a second, {:?}", net.caught_up_by);
-        assert!(waited < 40, "not up to date within 4 s beside new changes");
+        println!("{missed} missed: caught up after {waited} tenths of a second, {:?}", net.caught_up_by);
+        assert!(waited < 40, "not caught up within 4 s while new changes arrive");
         let (messages, bytes) = net.caught_up_by[&2];
         assert!(messages <= 2, "{messages} messages");
         assert!(bytes <= (missed + 20) * 4200, "{bytes} bytes for {missed} changes of 4 KB");
         net.pass(4000);
-        assert!(all_hold(&net, 300 + missed + waited), "one member lacks something");
+        assert!(all_hold(&net, 300 + missed + waited), "a member lacks entries");
         assert_eq!(net.chain(1).len(), 3);
     }
 }
@@ -56,7 +56,7 @@
         net.propose_entry(head, "while it fills");
         net.pass(3000);
         let other: NodeId = if full == 1 { 2 } else { 1 };
-        assert_eq!(net.chain(other).len(), 2, "a full disk is out of the chain");
+        assert_eq!(net.chain(other).len(), 2, "a member with a full disk is removed from the chain");
         (0..200).for_each(|n| _ = net.propose_entry(net.chain(other)[0], &format!("missed {n}")));
         net.pass(500);
         net.free_disk(full);
@@ -68,7 +68,7 @@
         net.pass(3000);
         let op = net.propose_entry(full, "after a second loss");
         net.pass(500);
-        assert!(net.done.contains(&(full, op, true)), "what came back bears the next loss");
+        assert!(net.done.contains(&(full, op, true)), "the cluster does not tolerate a loss after the return");
     }
 }
 
@@ -82,10 +82,10 @@
     [1, 3].iter().for_each(|id| net.members.get_mut(id).unwrap().defer_joins(true));
     net.start(2);
     net.pass(2000);
-    assert_eq!(net.chain(1), vec![1, 3], "while there are enough, joiners wait");
+    assert_eq!(net.chain(1), vec![1, 3], "joiners wait while there are enough replicas");
     net.members.remove(&3);
     net.pass(3500);
-    assert_eq!(net.chain(1), vec![1, 2], "what is pending can only go on with a second copy");
+    assert_eq!(net.chain(1), vec![1, 2], "pending entries need a second replica");
 }
 
 #[test]
@@ -108,7 +108,7 @@
     net.frames.clear();
     held.into_iter().for_each(|frame| net.frames.push_back(frame));
     net.settle();
-    assert!(net.confirmed.is_empty(), "a round of before was taken for one of now");
+    assert!(net.confirmed.is_empty(), "an answer to an earlier round was counted for the current one");
 }
 
 #[test]
@@ -128,7 +128,7 @@
             net.steps(40);
             turns += 1;
         }
-        assert!(!net.members[&4].is_in_chain(), "it is no member while it lacks something");
+        assert!(!net.members[&4].is_in_chain(), "it joined the chain with incomplete state");
         let kept = net.members.remove(&lost);
         net.pass(2000);
         net.start(comes);
@@ -161,13 +161,13 @@
         net.confirmed.clear();
         net.start(old);
         for _ in 0..60 {
-            let op = net.propose_entry(old, "an order to one that knows nothing new");
+            let op = net.propose_entry(old, "a proposal to a member with old state");
             net.members.get_mut(&old).unwrap().request_confirmation();
             net.feed(old, chain::Input::Confirm);
             net.pass(100);
             assert!(!net.done.contains(&(old, op, true)), "member {old} acknowledged");
             assert!(net.confirmed.is_empty(), "member {old} was confirmed by itself");
-            assert!(!net.members[&old].committed_state().contains_key("before 9"), "it answers from old state");
+            assert!(!net.members[&old].committed_state().contains_key("before 9"), "old state counts as committed");
         }
         [1, 2, 3].into_iter().filter(|id| *id != old).for_each(|id| net.start(id));
         net.pass(6000);
--- a/crates/chain/tests/departures.rs
+++ b/crates/chain/tests/departures.rs
@@ -49,7 +49,7 @@
         let mut net = with_successor();
         net.feed(3, chain::Input::Leave { within: Duration::from_secs(4) });
         net.settle();
-        assert!(!net.members[&3].is_in_chain(), "it may end");
+        assert!(!net.members[&3].is_in_chain(), "it is still in the chain");
         for id in [3, lost] {
             net.members.remove(&id);
             net.disks.remove(&id);
@@ -65,7 +65,11 @@
     let mut net = with_successor();
     net.cut = vec![3];
     net.pass(1500);
-    assert_eq!((net.chain(1), voters(&net, 1)), (vec![1, 2, 4], vec![1, 2, 4]), "it weighs on the others' majority");
+    assert_eq!(
+        (net.chain(1), voters(&net, 1)),
+        (vec![1, 2, 4], vec![1, 2, 4]),
+        "its vote keeps the others from tolerating a loss"
+    );
     net.cut.clear();
     net.feed(3, chain::Input::Leave { within: Duration::from_secs(4) });
     net.pass(300);
@@ -112,7 +116,7 @@
     late.sort_by_key(|(from, ..)| *from != 2);
     net.frames.extend(late);
     net.settle();
-    assert_ne!(net.chain(2), vec![2], "it alone would hold the only copy");
+    assert_ne!(net.chain(2), vec![2], "it removed all others and holds the only copy");
     net.members.remove(&2);
     net.disks.remove(&2);
     net.pass(4000);
@@ -124,7 +128,7 @@
     let mut net = grown(6);
     net.members.remove(&4);
     net.pass(2000);
-    assert_eq!(net.chain(2).len(), 5, "one seat is empty");
+    assert_eq!(net.chain(2).len(), 5, "one voter is absent");
     net.members.remove(&1);
     net.addresses.insert(11, node(1).address);
     net.seeds.insert(11, vec![2, 3]);
@@ -164,7 +168,7 @@
     net.pass(1500);
     net.cut.clear();
     net.pass(200);
-    assert_eq!(net.chain(1), vec![1, 2], "who is soon taken out again returns later");
+    assert_eq!(net.chain(1), vec![1, 2], "a member that is removed early is readmitted later");
     net.seeds.insert(4, vec![1, 2, 3]);
     net.start_founding(4, 0);
     net.pass(500);
@@ -181,7 +185,7 @@
     net.seeds.insert(9, vec![1, 2, 3]);
     net.start_bearing(9, 0, 2);
     net.pass(3000);
-    assert_eq!((net.members[&1].view().learner, voters(&net, 1).len()), (9, 7), "one seat is empty");
+    assert_eq!((net.members[&1].view().learner, voters(&net, 1).len()), (9, 7), "one voter is absent");
     net.pass(10_000);
     assert_eq!((net.members[&1].view().learner, voters(&net, 1).len()), (9, 7));
     net.starved.clear();
@@ -198,7 +202,7 @@
     net.start_founding(4, 0);
     net.stalled = vec![4];
     net.pass(4000);
-    assert!(net.writes.iter().any(|(id, ..)| *id == 4), "its copy is being written");
+    assert!(net.writes.iter().any(|(id, ..)| *id == 4), "its snapshot is not being written");
     net.feed(4, chain::Input::Leave { within: Duration::from_secs(4) });
     net.stalled.clear();
     for _ in 0..60 {
@@ -218,7 +222,7 @@
     net.members.remove(&1);
     for _ in 0..80 {
         net.pass(50);
-        assert_eq!(voters(&net, 2).len(), 3, "of four voters with one gone two may not be lost");
+        assert_eq!(voters(&net, 2).len(), 3, "four voters with one absent do not tolerate a loss");
     }
     assert_eq!(voters(&net, 2), vec![2, 3, 4]);
 }
@@ -241,5 +245,5 @@
     net.members.get_mut(&3).unwrap().request_confirmation();
     net.feed(3, chain::Input::Confirm);
     net.feed(3, chain::Input::Message { from: 1, message: reply });
-    assert!(net.confirmed.is_empty(), "it is not the tail any more, and does not know");
+    assert!(net.confirmed.is_empty(), "a replaced tail was confirmed by an old answer");
 }
--- a/crates/chain/tests/founding.rs
+++ b/crates/chain/tests/founding.rs
@@ -28,7 +28,7 @@
     assert!(net.members.values().all(|member| member.view().number == 0));
     net.start_founding(1, 3);
     net.pass(8000);
-    assert!(net.members.values().all(|member| member.view().number == 0), "one alone doesn't either");
+    assert!(net.members.values().all(|member| member.view().number == 0), "a single founder does not suffice");
 }
 
 #[test]
@@ -37,7 +37,10 @@
     while net.disks.values().all(|disk| disk.meta.accepted_number == 0) {
         net.pass(50);
     }
-    assert!(net.members.values().any(|member| member.view().number == 0), "not all have heard of it yet");
+    assert!(
+        net.members.values().any(|member| member.view().number == 0),
+        "all members have adopted the first view already"
+    );
     net.members.clear();
     (1..=3).for_each(|id| net.start_founding(id, 0));
     net.pass(3000);
@@ -60,10 +63,10 @@
         net.start_founding(seats, 0);
         net.pass(5000);
         assert_eq!(net.chain(1).len(), seats as usize);
-        assert!(net.members[&seats].committed_state().contains_key("kept"), "it comes back with its disk");
+        assert!(net.members[&seats].committed_state().contains_key("kept"), "it lost its disk contents");
         net.start_founding(7, 0);
         net.pass(5000);
-        assert_eq!(net.chain(7).len(), seats as usize + 1, "and others may join");
+        assert_eq!(net.chain(7).len(), seats as usize + 1, "another member could not join");
         assert!(net.members[&7].committed_state().contains_key("kept"));
     }
 }
--- a/crates/chain/tests/full.rs
+++ b/crates/chain/tests/full.rs
@@ -48,10 +48,10 @@
             disk.write(acknowledged + 1, batch(acknowledged + 1));
             assert!(matches!(reported.recv(), Ok(DiskReport::Failed(error)) if error.is_disk_full()), "round {round}");
             platter.0.lock().unwrap().full = false;
-            let Ok(DiskReport::Recovered { stored }) = reported.recv() else { panic!("it does not come back") };
+            let Ok(DiskReport::Recovered { stored }) = reported.recv() else { panic!("the disk does not recover") };
             assert!((acknowledged..=acknowledged + 1).contains(&stored.last), "{} of {acknowledged}", stored.last);
             let newest = stored.state.get(&format!("key {}", stored.last % 5)).map(|value| value[0]);
-            assert_eq!(newest, Some(stored.last as u8), "what stands there is that of the last entry");
+            assert_eq!(newest, Some(stored.last as u8), "the stored value is not that of the last entry");
             acknowledged = stored.last;
         }
     }
@@ -72,5 +72,5 @@
         }
     });
     assert!(error.is_some_and(|error| !error.is_disk_full()));
-    assert!(reported.recv().is_err(), "the disk's thread has ended");
+    assert!(reported.recv().is_err(), "the disk thread still runs");
 }
--- a/crates/chain/tests/members.rs
+++ b/crates/chain/tests/members.rs
@@ -81,7 +81,7 @@
     net.members.get_mut(&tail).unwrap().request_confirmation();
     net.feed(tail, Input::Confirm);
     net.settle();
-    assert_eq!(net.confirmed, vec![tail], "confirmations are still refused");
+    assert_eq!(net.confirmed, vec![tail], "confirmations are still blocked");
 }
 
 #[test]
@@ -90,7 +90,7 @@
     net.cut = vec![3];
     net.pass(3000);
     assert_eq!(net.chain(1), vec![1, 2]);
-    assert_eq!(net.chain(3), vec![1, 2, 3], "it does not know yet");
+    assert_eq!(net.chain(3), vec![1, 2, 3], "it has learned of its removal already");
     net.members.get_mut(&3).unwrap().request_confirmation();
     net.cut.clear();
     net.confirmed.clear();
@@ -107,7 +107,7 @@
     net.members.remove(&3);
     net.start(4);
     net.pass(500);
-    assert_eq!(net.members[&4].view().number, 0, "it waits to be taken in");
+    assert_eq!(net.members[&4].view().number, 0, "it adopted a view before it was admitted");
     net.pass(5000);
     assert_eq!(net.chain(4), vec![1, 2, 4]);
     let voters: Vec<NodeId> = net.members[&4].view().voters.iter().map(|node| node.id).collect();
--- a/crates/chain/tests/planned.rs
+++ b/crates/chain/tests/planned.rs
@@ -23,18 +23,18 @@
             break;
         }
     }
-    assert!(net.members[&3].may_stop(), "it cannot leave");
+    assert!(net.members[&3].may_stop(), "it may not stop");
     let chain = net.chain(1);
     (net, chain)
 }
 
-#[test_case(700; "as soon as the successor has asked")]
+#[test_case(700; "as soon as the successor has asked to join")]
 #[test_case(1000; "a second later")]
-#[test_case(2500; "while it waits for a seat")]
-#[test_case(4000; "once it has a seat")]
+#[test_case(2500; "while it waits for a vote")]
+#[test_case(4000; "once it has a vote")]
 fn a_member_leaves_only_after_its_successor_is_in_the_chain(millis: u64) {
     let (mut net, chain) = leave_after(millis);
-    assert!(chain.contains(&4) && chain.len() == 3, "{chain:?} are left");
+    assert!(chain.contains(&4) && chain.len() == 3, "chain {chain:?} is left");
     net.members.remove(&3);
     net.members.remove(&1);
     net.disks.remove(&1);
@@ -42,7 +42,10 @@
     let head = net.chain(2)[0];
     let op = net.propose_entry(head, "after the loss");
     net.pass(1000);
-    assert!(net.done.iter().any(|(_, done, appended)| *done == op && *appended), "no majority or copy is left");
+    assert!(
+        net.done.iter().any(|(_, done, appended)| *done == op && *appended),
+        "no majority is left, or too few replicas"
+    );
     assert!(net.members[&2].committed_state().contains_key("kept"));
 }
 
--- a/crates/chain/tests/platter/mod.rs
+++ b/crates/chain/tests/platter/mod.rs
@@ -59,7 +59,7 @@
             return Err(io::ErrorKind::StorageFull.into());
         }
         self.used += 1;
-        if self.used > self.left { Err(io::Error::other("the power is gone")) } else { Ok(()) }
+        if self.used > self.left { Err(io::Error::other("power lost")) } else { Ok(()) }
     }
 }
 
--- a/crates/chain/tests/power.rs
+++ b/crates/chain/tests/power.rs
@@ -65,13 +65,17 @@
                 (acknowledged..=acknowledged + 1).contains(&at),
                 "write {moment} seed {seed}: {at} of {acknowledged}"
             );
-            assert_eq!(stored.state.get("newest").map(|v| v.to_vec()), Some(at.to_le_bytes().to_vec()), "by halves");
+            assert_eq!(
+                stored.state.get("newest").map(|v| v.to_vec()),
+                Some(at.to_le_bytes().to_vec()),
+                "partial batch"
+            );
             let entries: Vec<u64> = stored.entries.iter().map(|entry| entry.seq).collect();
             assert_eq!(entries, (at.saturating_sub(4).max(1)..=at).collect::<Vec<_>>(), "write {moment} seed {seed}");
             torn += u64::from(at > acknowledged);
         }
     }
-    println!("{writes} moments, {torn} landed though not acknowledged");
+    println!("{writes} moments, {torn} batches stored though not acknowledged");
 }
 
 /// Returns a batch that replaces everything by a snapshot of 600 pairs, all with the same mark.
@@ -110,7 +114,7 @@
             let entries: Vec<u64> = stored.entries.iter().map(|entry| entry.seq).collect();
             match stored.last {
                 104 => {
-                    assert!(!acknowledged, "write {moment} seed {seed}: an acknowledged checkpoint is gone");
+                    assert!(!acknowledged, "write {moment} seed {seed}: an acknowledged snapshot is lost");
                     assert_eq!((marks(1), marks(2), entries), (600, 0, vec![101, 102, 103, 104]));
                     assert!(stored.state.contains_key("newest"));
                     old += 1;
@@ -123,6 +127,6 @@
             }
         }
     }
-    println!("{writes} moments: {old} times the old, {new} times the new");
+    println!("{writes} moments: old contents {old} times, new contents {new} times");
     assert!(old > 0 && new > 0);
 }
--- a/crates/chain/tests/rejoin.rs
+++ b/crates/chain/tests/rejoin.rs
@@ -26,7 +26,7 @@
     let other = net.chain(net.chain(if head == 1 { 3 } else { 1 })[0])[0];
     net.propose_entry(other, "went on without it");
     net.pass(5000);
-    assert_eq!(net.installed, [(head, None)], "its log is no prefix of what is committed");
+    assert_eq!(net.installed, [(head, None)], "its log is no prefix of the committed log");
     let (one, two) = (net.members[&head].state().clone(), net.members[&other].state().clone());
     assert!(!one.contains_key("never went on") && one == two);
 }
@@ -46,10 +46,10 @@
     }
     let views = net.members[&3].view().number - from;
     assert!(views <= 15, "{views} views in fifteen seconds");
-    assert!(taken >= 110, "{taken} of 150 entries were taken");
+    assert!(taken >= 110, "{taken} of 150 entries were appended");
     net.pairs.clear();
     net.pass(35_000);
-    assert_eq!(net.chain(3).len(), 3, "whole again once the link is back");
+    assert_eq!(net.chain(3).len(), 3, "the chain is not complete after the link is repaired");
 }
 
 #[test]
--- a/crates/chain/tests/seats.rs
+++ b/crates/chain/tests/seats.rs
@@ -73,7 +73,7 @@
     net.pass(3000);
     let op = net.propose_entry(1, "thin");
     net.pass(3000);
-    assert!(!net.done.contains(&(1, op, true)), "two of six voters acknowledge nothing");
+    assert!(!net.done.contains(&(1, op, true)), "acknowledged by two of six voters");
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let mut net = grown(6);
     net.members.remove(&4);
     net.pass(5000);
-    assert_eq!(voters(&net, 1), vec![1, 2, 3, 5, 6], "of six voters with one absent no two more may be lost");
+    assert_eq!(voters(&net, 1), vec![1, 2, 3, 5, 6], "six voters with one absent do not tolerate two losses");
     net.start_bearing(4, 0, 2);
     net.pass(10_000);
     assert_eq!(voters(&net, 1), vec![1, 2, 3, 4, 5, 6]);
@@ -90,7 +90,7 @@
     net.seeds.insert(7, vec![1, 2, 3]);
     net.start_bearing(7, 0, 2);
     net.pass(4000);
-    assert_eq!(voters(&net, 1), vec![1, 2, 3, 4, 6, 7], "a new machine sits where one is missing");
+    assert_eq!(voters(&net, 1), vec![1, 2, 3, 4, 6, 7], "a new machine takes the vote of an absent one");
 }
 
 #[test]
@@ -113,7 +113,7 @@
     assert_eq!(voters(&net, 1).len(), 8);
     net.members.remove(&4);
     net.pass(5000);
-    assert_eq!(voters(&net, 1).len(), 8, "five of eight are left after two more");
+    assert_eq!(voters(&net, 1).len(), 8, "five of eight voters would remain after two more losses");
     net.pass(10_000);
     assert_eq!(voters(&net, 1), vec![1, 2, 3, 5, 6, 7, 8]);
 }
--- a/crates/chain/tests/stops.rs
+++ b/crates/chain/tests/stops.rs
@@ -52,7 +52,7 @@
     let op = net.propose_entry(head, "after the loss");
     net.pass(1000);
     assert!(net.done.iter().any(|(_, done, appended)| *done == op && *appended), "{what}: no majority is left");
-    assert!(net.members[&head].committed_state().contains_key("kept"), "{what}: a copy is missing");
+    assert!(net.members[&head].committed_state().contains_key("kept"), "{what}: an entry is missing");
 }
 
 #[test]
@@ -64,9 +64,9 @@
     assert_eq!(wait(&net, LEAVER), Some(DepartureWait::Successor));
     let op = net.propose_entry(1, "more");
     net.settle();
-    assert!(net.done.contains(&(1, op, true)), "it passes entries on");
+    assert!(net.done.contains(&(1, op, true)), "it forwards entries");
     net.pass(700);
-    assert_eq!((net.chain(1), wait(&net, LEAVER)), (vec![1, 2], None), "a crash would hold up every entry");
+    assert_eq!((net.chain(1), wait(&net, LEAVER)), (vec![1, 2], None), "a crash would block every entry");
 }
 
 #[test]
@@ -136,7 +136,7 @@
     net.pass(2800);
     assert_eq!((net.chain(1), wait(&net, LEAVER)), (vec![1, 2], None));
     lose(&mut net, LEAVER);
-    assert_takes_changes(&mut net, "with both that are left");
+    assert_takes_changes(&mut net, "with both remaining replicas");
 }
 
 #[test]
@@ -146,7 +146,7 @@
     net.pass(1500);
     tell_to_stop(&mut net, LEAVER);
     net.pass(4000);
-    assert_eq!(net.chain(1), vec![1, 3], "no view is left with one copy");
+    assert_eq!(net.chain(1), vec![1, 3], "no view may have a single replica");
     assert_eq!(wait(&net, LEAVER), Some(DepartureWait::Replicas));
 }
 
@@ -193,7 +193,7 @@
     assert_eq!(net.chain(1), vec![1, 2, 3]);
     start_newcomer(&mut net);
     net.pass(2500);
-    assert_eq!(voters(&net, 1), vec![1, 2, 3], "its vote is its own again");
+    assert_eq!(voters(&net, 1), vec![1, 2, 3], "it lost its vote although the stop was withdrawn");
 }
 
 #[test]
--- a/crates/chain/tests/store.rs
+++ b/crates/chain/tests/store.rs
@@ -39,7 +39,7 @@
     let path = folder.join("registry.redb");
     write_some(&path);
     let (_, stored) = Store::open(&path, "posta", NodeAddress { id: 99, address: "".into() }).unwrap();
-    assert_eq!((stored.last, stored.meta.node.id, stored.state.len()), (20, 5, 7), "identity lives on the disk");
+    assert_eq!((stored.last, stored.meta.node.id, stored.state.len()), (20, 5, 7), "the identity is the stored one");
     assert_eq!(stored.entries.iter().map(|entry| entry.seq).collect::<Vec<_>>(), (15..=20).collect::<Vec<_>>());
     assert_eq!(stored.state.get("key 6").map(|value| value[0]), Some(20));
     let _ = std::fs::remove_dir_all(folder);
@@ -55,8 +55,8 @@
     assert!(std::fs::read(&path).unwrap() == whole, "a foreign file was written to");
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("garbage", vec![0x5a; 8192]),
-        ("cut", whole[..whole.len() / 3].to_vec()),
-        ("bad head", [vec![0; 512], whole[512..].to_vec()].concat()),
+        ("truncated", whole[..whole.len() / 3].to_vec()),
+        ("bad header", [vec![0; 512], whole[512..].to_vec()].concat()),
     ];
     for (name, bytes) in cases {
         std::fs::write(&path, &bytes).unwrap();
--- a/crates/chain/tests/tenure.rs
+++ b/crates/chain/tests/tenure.rs
@@ -63,9 +63,9 @@
     net.feed(1, Input::Message { from: 2, message: ChainMessage::Decided { view: next } });
     let told =
         |net: &Net| net.frames.iter().any(|(_, _, message)| matches!(message, ChainMessage::TailLastAnswered { .. }));
-    assert!(!told(&net), "not on disk yet");
+    assert!(!told(&net), "reported before the adoption is on disk");
     net.settle();
-    assert_eq!(bound(&net, 2), None, "one of three voters is no majority");
+    assert_eq!(bound(&net, 2), None, "one report of three voters is not a majority");
     net.stalled.clear();
     net.settle();
     assert!(bound(&net, 2).is_some());
