--- a/crates/chain/src/disk.rs
+++ b/crates/chain/src/disk.rs
@@ -3,7 +3,7 @@
 //! reopen the file until there is space again, and reports the contents.
 
 use crate::store::{Store, StoreError};
-use crate::types::{Batch, Stored};
+use crate::types::{Batch, StoredReplica};
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError};
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     /// A disk that was full accepts writes again.
     Recovered {
         /// Contents of the disk.
-        stored: Box<Stored>,
+        stored: Box<StoredReplica>,
     },
 }
 
@@ -35,17 +35,17 @@
 }
 
 /// Handle of the disk thread, which ends when the handle is dropped.
-pub struct Disk {
+pub struct DiskWriter {
     requests: mpsc::SyncSender<WriteRequest>,
 }
 
-impl Disk {
+impl DiskWriter {
     /// Starts the thread. `reopen` opens the same file again, or returns why it cannot be opened yet.
     pub fn start(
         store: Store,
-        reopen: impl Fn() -> Result<(Store, Stored), StoreError> + Send + 'static,
+        reopen: impl Fn() -> Result<(Store, StoredReplica), StoreError> + Send + 'static,
         report: impl Fn(DiskReport) + Send + 'static,
-    ) -> std::io::Result<Disk> {
+    ) -> std::io::Result<DiskWriter> {
         let (requests, queue) = mpsc::sync_channel::<WriteRequest>(QUEUE_CAPACITY);
         std::thread::Builder::new().name("disk".into()).spawn(move || {
             let mut store = store;
@@ -60,7 +60,7 @@
                 report(DiskReport::Recovered { stored: Box::new(stored) });
             }
         })?;
-        Ok(Disk { requests })
+        Ok(DiskWriter { requests })
     }
 
     /// Queues a write; returns false if the thread has ended or its queue is full.
@@ -88,8 +88,8 @@
 /// before the error are discarded.
 fn reopen_when_possible(
     queue: &Receiver<WriteRequest>,
-    reopen: &impl Fn() -> Result<(Store, Stored), StoreError>,
-) -> Option<(Store, Stored)> {
+    reopen: &impl Fn() -> Result<(Store, StoredReplica), StoreError>,
+) -> Option<(Store, StoredReplica)> {
     loop {
         match queue.recv_timeout(REOPEN_INTERVAL) {
             Ok(_) => {}
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`ChainReplica`] is a state machine that reads no clock and no socket; the control plane drives it. It
 //! coordinates components that own their state and do not depend on it: the log, the write queue, the failure
 //! detector, the view agreement, replication progress, confirmation rounds, catch-up and the membership rules.
-//! [`Disk`] writes its batches to a redb file.
+//! [`DiskWriter`] writes its batches to a redb file.
 
 #![warn(missing_docs)]
 
@@ -27,8 +27,8 @@
 mod write_queue;
 
 pub use departures::DepartureWait;
-pub use disk::{Disk, DiskReport};
+pub use disk::{DiskReport, DiskWriter};
 pub use log::Positions;
 pub use replica::{ChainReplica, digest_batch, digest_entries, digest_meta, digest_state};
 pub use store::{Store, StoreError};
-pub use types::{Apply, Batch, Change, Effect, Input, Meta, Output, State, Stored, Timing, Value};
+pub use types::{Apply, Batch, Change, Effect, Input, Meta, Output, State, StoredReplica, Timing, Value};
--- a/crates/chain/src/log.rs
+++ b/crates/chain/src/log.rs
@@ -4,7 +4,7 @@
 //! Entries are applied when they are appended. The reply to an entry's proposer is held back until the entry is
 //! committed.
 
-use crate::types::{Apply, Change, State, Stored};
+use crate::types::{Apply, Change, State, StoredReplica};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, VecDeque};
 use wire::{LogEntry, ProposalId};
@@ -59,7 +59,7 @@
 
 impl ReplicaLog {
     /// Creates the log from the contents of the disk. None of it is known to be committed in the current view.
-    pub fn new(stored: &Stored, apply: Apply, max_entries: usize) -> Self {
+    pub fn new(stored: &StoredReplica, apply: Apply, max_entries: usize) -> Self {
         let state = stored.state.clone();
         ReplicaLog {
             apply,
--- a/crates/chain/src/replica/disk_writes.rs
+++ b/crates/chain/src/replica/disk_writes.rs
@@ -1,7 +1,7 @@
 //! Writes to the disk, and the restart of the replica from its disk after a failure.
 
 use super::ChainReplica;
-use crate::types::Stored;
+use crate::types::StoredReplica;
 
 impl ChainReplica {
     pub(super) fn maybe_start_write(&mut self) {
@@ -28,7 +28,7 @@
     /// Restarts from the contents of the disk as a new process would, which drops everything that was not synced.
     /// The numbers of rounds, proposals and writes continue, since answers to earlier ones may still arrive;
     /// settings, planned stops and readmission backoffs are kept too.
-    pub(super) fn restart_from(&mut self, stored: Stored) {
+    pub(super) fn restart_from(&mut self, stored: StoredReplica) {
         if !self.writes.has_failed() || stored.meta.node.id != self.me() {
             return;
         }
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -27,7 +27,7 @@
 use crate::replication_progress::ReplicationProgress;
 use crate::snapshot::CatchUp;
 use crate::tail_history::TailHistory;
-use crate::types::{Apply, Input, Meta, Output, Stored, Timing};
+use crate::types::{Apply, Input, Meta, Output, StoredReplica, Timing};
 use crate::view_agreement::ViewAgreement;
 use crate::write_queue::WriteQueue;
 use std::time::Duration;
@@ -82,7 +82,7 @@
 
 impl ChainReplica {
     /// Creates a replica that starts from the contents of its disk.
-    pub fn new(node: NodeAddress, stored: Stored, timing: Timing, apply: Apply, now: Duration) -> Self {
+    pub fn new(node: NodeAddress, stored: StoredReplica, timing: Timing, apply: Apply, now: Duration) -> Self {
         let log = ReplicaLog::new(&stored, apply, timing.max_log_entries);
         let mut replica = ChainReplica {
             writes: WriteQueue::new(stored.last, log.trimmed_below()),
--- a/crates/chain/src/replica/queries.rs
+++ b/crates/chain/src/replica/queries.rs
@@ -8,13 +8,13 @@
 
 impl ChainReplica {
     /// Sets how many registries may lose their disks at once without losing acknowledged entries, at least one.
-    pub fn tolerating_losses(mut self, losses: usize) -> Self {
+    pub fn with_tolerated_losses(mut self, losses: usize) -> Self {
         self.rules.tolerated_losses = losses.max(1);
         self
     }
 
     /// Sets the number from which confirmation rounds are counted, which must differ between processes.
-    pub fn numbering_rounds_from(mut self, first: u64) -> Self {
+    pub fn with_first_round(mut self, first: u64) -> Self {
         self.confirmation.number_from(first);
         self
     }
@@ -89,14 +89,14 @@
     }
 
     /// Returns the first of the consecutive views in which this replica is the tail, if it is the tail now.
-    pub fn tenure(&self) -> Option<u64> {
+    pub fn tail_since_view(&self) -> Option<u64> {
         self.is_tail().then(|| self.tail_history.first_view())
     }
 
     /// Returns the time after which no earlier tail can have requested a lease, once a majority has reported.
-    pub fn earlier_tails_answered_until(&self) -> Option<Duration> {
-        self.tenure()?;
-        self.tail_history.earlier_tails_answered_until()
+    pub fn last_answer_to_earlier_tails(&self) -> Option<Duration> {
+        self.tail_since_view()?;
+        self.tail_history.last_answer_to_earlier_tails()
     }
 
     pub(super) fn predecessor(&self) -> Option<NodeId> {
--- a/crates/chain/src/store.rs
+++ b/crates/chain/src/store.rs
@@ -1,7 +1,7 @@
 //! The redb data file: identity and view, the state as key-value pairs, and the recent log entries. Opening a file
 //! that is damaged, of another format or of another cluster is an error; such a file is never overwritten.
 
-use crate::types::{Batch, Meta, Stored};
+use crate::types::{Batch, Meta, StoredReplica};
 use deku::prelude::*;
 use derive_more::{Display, Error, From};
 use redb::{Database, ReadOnlyDatabase, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
@@ -68,10 +68,10 @@
     File(redb::Error),
     /// The file belongs to another cluster, with this name.
     #[display("the data file belongs to cluster {_0}")]
-    Foreign(#[error(not(source))] String),
+    OtherCluster(#[error(not(source))] String),
     /// The file has a record format, this one, that the program does not support.
     #[display("the data file has record format {_0}, this program writes {RECORD_FORMAT}")]
-    Format(#[error(not(source))] u16),
+    UnsupportedFormat(#[error(not(source))] u16),
     /// A record cannot be decoded, or a required record is missing.
     #[display("the data file holds a record that cannot be read")]
     Damaged,
@@ -94,7 +94,7 @@
 
 impl Store {
     /// Opens the data file, or creates it for this registry. The identity in an existing file takes precedence.
-    pub fn open(path: &Path, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
+    pub fn open(path: &Path, cluster: &str, node: NodeAddress) -> Result<(Store, StoredReplica), StoreError> {
         // A file that was closed cleanly is first checked read-only, so that a foreign file stays unmodified.
         if let Some(database) = path.exists().then(|| ReadOnlyDatabase::open(path).ok()).flatten() {
             stored_meta(&database, cluster)?;
@@ -103,7 +103,7 @@
     }
 
     /// Opens the existing data file of this replica, and tests with a write that the disk accepts writes.
-    pub fn reopen(path: &Path, cluster: &str, node: &NodeAddress) -> Result<(Store, Stored), StoreError> {
+    pub fn reopen(path: &Path, cluster: &str, node: &NodeAddress) -> Result<(Store, StoredReplica), StoreError> {
         let database = Database::builder().set_cache_size(CACHE_BYTES).open(path)?;
         let mut store = Store { database, cluster: cluster.to_owned() };
         let stored = store.load()?.ok_or(StoreError::Damaged)?;
@@ -115,28 +115,32 @@
     }
 
     /// Opens a store on another storage backend, such as a simulated disk that loses power.
-    pub fn open_on(disk: impl StorageBackend, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
+    pub fn open_on(
+        disk: impl StorageBackend,
+        cluster: &str,
+        node: NodeAddress,
+    ) -> Result<(Store, StoredReplica), StoreError> {
         Store::start(Database::builder().create_with_backend(disk)?, cluster, node)
     }
 
-    fn start(database: Database, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
+    fn start(database: Database, cluster: &str, node: NodeAddress) -> Result<(Store, StoredReplica), StoreError> {
         let mut store = Store { database, cluster: cluster.to_owned() };
         let stored = match store.load()? {
             Some(stored) => stored,
             None => {
                 let meta = Meta { node, ..Meta::default() };
                 store.write(&Batch { meta: Some(meta.clone()), ..Batch::default() })?;
-                Stored { meta, ..Stored::default() }
+                StoredReplica { meta, ..StoredReplica::default() }
             }
         };
         Ok((store, stored))
     }
 
-    fn load(&self) -> Result<Option<Stored>, StoreError> {
+    fn load(&self) -> Result<Option<StoredReplica>, StoreError> {
         let Some(record) = stored_meta(&self.database, &self.cluster)? else { return Ok(None) };
         let read = self.database.begin_read()?;
         let meta = read.open_table(META)?;
-        let mut stored = Stored { meta: record.into(), ..Stored::default() };
+        let mut stored = StoredReplica { meta: record.into(), ..StoredReplica::default() };
         let last = meta.get(LAST_KEY)?.ok_or(StoreError::Damaged)?;
         let number = |raw: &[u8]| raw.try_into().map(u64::from_le_bytes).map_err(|_| StoreError::Damaged);
         stored.last = number(last.value())?;
@@ -196,11 +200,11 @@
     let raw = meta.get(META_KEY)?.ok_or(StoreError::Damaged)?.value().to_vec();
     let format = raw.get(..2).map(|b| u16::from_le_bytes([b[0], b[1]])).ok_or(StoreError::Damaged)?;
     if format != RECORD_FORMAT {
-        return Err(StoreError::Format(format));
+        return Err(StoreError::UnsupportedFormat(format));
     }
     let record: MetaRecord = wire::from_bytes(&raw).ok_or(StoreError::Damaged)?;
     if record.cluster.as_str() != cluster {
-        return Err(StoreError::Foreign(record.cluster.as_str().to_owned()));
+        return Err(StoreError::OtherCluster(record.cluster.as_str().to_owned()));
     }
     Ok(Some(record))
 }
--- a/crates/chain/src/tail_history.rs
+++ b/crates/chain/src/tail_history.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the time after which no earlier tail can have requested a lease, once a majority has reported.
-    pub fn earlier_tails_answered_until(&self) -> Option<Duration> {
+    pub fn last_answer_to_earlier_tails(&self) -> Option<Duration> {
         let voters = &self.tenure.voters_before;
         let reported: Vec<Duration> =
             voters.iter().filter_map(|id| self.reports.answered_at.get(id)).copied().collect();
--- a/crates/chain/src/types.rs
+++ b/crates/chain/src/types.rs
@@ -113,7 +113,7 @@
 
 /// Contents of a replica's disk.
 #[derive(Clone, Debug, Default)]
-pub struct Stored {
+pub struct StoredReplica {
     /// Identity, view and votes.
     pub meta: Meta,
     /// State after the newest entry.
@@ -126,7 +126,7 @@
     pub known_committed: u64,
 }
 
-impl Stored {
+impl StoredReplica {
     /// Applies a synced write.
     pub fn apply(&mut self, batch: &Batch) {
         if batch.replace {
@@ -168,7 +168,7 @@
     /// The disk accepts writes again; the replica restarts from its contents.
     DiskRecovered {
         /// Contents of the disk.
-        stored: Stored,
+        stored: StoredReplica,
     },
     /// Append a command to the log.
     Propose {
--- a/crates/chain/tests/full.rs
+++ b/crates/chain/tests/full.rs
@@ -3,7 +3,7 @@
 
 mod platter;
 
-use chain::{Batch, Change, Disk, DiskReport, Store};
+use chain::{Batch, Change, DiskReport, DiskWriter, Store};
 use platter::Disk as Platter;
 use std::sync::mpsc;
 use wire::{LogEntry, NodeAddress, ProposalId};
@@ -19,7 +19,7 @@
 }
 
 /// Starts the disk thread on a simulated disk, and returns the channel of its reports.
-fn start(platter: &Platter) -> (Disk, mpsc::Receiver<DiskReport>) {
+fn start(platter: &Platter) -> (DiskWriter, mpsc::Receiver<DiskReport>) {
     let (store, _) = Store::open_on(platter.clone(), "posta", node()).unwrap();
     let (reports, reported) = mpsc::channel();
     let again = platter.clone();
@@ -28,7 +28,7 @@
         store.write(&Batch { last: stored.last, known_committed: stored.known_committed, ..Batch::default() })?;
         Ok((store, stored))
     };
-    let disk = Disk::start(store, reopen, move |report| _ = reports.send(report)).unwrap();
+    let disk = DiskWriter::start(store, reopen, move |report| _ = reports.send(report)).unwrap();
     (disk, reported)
 }
 
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use chain::{Batch, ChainReplica, Change, Effect, Input, Output, State, Stored, Timing};
+use chain::{Batch, ChainReplica, Change, Effect, Input, Output, State, StoredReplica, Timing};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wire::{ChainMessage, NodeAddress, NodeId, ProposalId};
@@ -15,7 +15,7 @@
 
 pub struct Net {
     pub members: BTreeMap<NodeId, ChainReplica>,
-    pub disks: BTreeMap<NodeId, Stored>,
+    pub disks: BTreeMap<NodeId, StoredReplica>,
     pub frames: VecDeque<(NodeId, NodeId, ChainMessage)>,
     pub writes: Vec<(NodeId, u64, Batch)>,
     pub cut: Vec<NodeId>,
@@ -83,14 +83,14 @@
         let stored = self.disks.entry(id).or_default().clone();
         let address = self.addresses.get(&id).cloned().unwrap_or(node(id).address);
         let member = ChainReplica::new(NodeAddress { id, address }, stored, Timing::default(), apply, self.now);
-        self.members.insert(id, member.with_founders(seats).tolerating_losses(losses));
+        self.members.insert(id, member.with_founders(seats).with_tolerated_losses(losses));
     }
 
     /// Restarts a member as a process whose confirmation rounds begin at another number.
     pub fn restart_numbering_from(&mut self, id: NodeId, round: u64) {
         self.start(id);
         if let Some(member) = self.members.remove(&id) {
-            self.members.insert(id, member.numbering_rounds_from(round));
+            self.members.insert(id, member.with_first_round(round));
         }
     }
 
--- a/crates/chain/tests/store.rs
+++ b/crates/chain/tests/store.rs
@@ -51,7 +51,7 @@
     let path = folder.join("registry.redb");
     write_some(&path);
     let whole = std::fs::read(&path).unwrap();
-    assert!(matches!(Store::open(&path, "pixel", node()), Err(StoreError::Foreign(name)) if name == "posta"));
+    assert!(matches!(Store::open(&path, "pixel", node()), Err(StoreError::OtherCluster(name)) if name == "posta"));
     assert!(std::fs::read(&path).unwrap() == whole, "a foreign file was written to");
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("garbage", vec![0x5a; 8192]),
@@ -84,7 +84,7 @@
     }
     let before = std::fs::read(&path).unwrap();
     let refused = Store::open(&path, "posta", node()).map(drop);
-    assert!(matches!(refused, Err(StoreError::Format(9))), "{refused:?}");
+    assert!(matches!(refused, Err(StoreError::UnsupportedFormat(9))), "{refused:?}");
     assert!(std::fs::read(&path).unwrap() == before, "the file was written to");
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/chain/tests/stored_format.rs
+++ b/crates/chain/tests/stored_format.rs
@@ -1,6 +1,6 @@
 //! Compatibility with a data file written by an earlier version of the program.
 
-use chain::{Batch, Change, Meta, Store, Stored};
+use chain::{Batch, Change, Meta, Store, StoredReplica};
 use std::path::PathBuf;
 use wire::{LogEntry, NodeAddress, ProposalId, View};
 
@@ -50,7 +50,7 @@
     vec![first, second]
 }
 
-fn check(stored: &Stored) {
+fn check(stored: &StoredReplica) {
     assert_eq!(stored.meta, meta());
     assert_eq!((stored.last, stored.known_committed), (LAST, COMMITTED));
     assert_eq!(stored.entries, (2..=LAST).map(entry).collect::<Vec<_>>());
--- a/crates/chain/tests/tenure.rs
+++ b/crates/chain/tests/tenure.rs
@@ -9,7 +9,7 @@
 use wire::ChainMessage;
 
 fn bound(net: &Net, id: u64) -> Option<Duration> {
-    net.members[&id].earlier_tails_answered_until()
+    net.members[&id].last_answer_to_earlier_tails()
 }
 
 #[test]
@@ -29,24 +29,24 @@
 fn a_tail_that_stays_the_tail_goes_on_with_its_tenure() {
     let mut net = Net::founded();
     net.pass(1000);
-    let before = net.members[&3].tenure();
+    let before = net.members[&3].tail_since_view();
     net.members.remove(&1);
     net.pass(2000);
     assert_eq!(net.chain(3), vec![2, 3]);
-    assert!(before.is_some() && net.members[&3].tenure() == before);
+    assert!(before.is_some() && net.members[&3].tail_since_view() == before);
 }
 
 #[test]
 fn another_tail_in_between_ends_a_tenure() {
     let mut net = Net::founded();
     net.pass(1000);
-    let before = net.members[&3].tenure();
+    let before = net.members[&3].tail_since_view();
     net.cut = vec![3];
     net.pass(3000);
     net.cut.clear();
     net.pass(8000);
     assert_eq!(net.chain(3), vec![1, 2, 3]);
-    assert!(net.members[&3].tenure() > before);
+    assert!(net.members[&3].tail_since_view() > before);
 }
 
 #[test]
@@ -83,5 +83,5 @@
         net.feed(id, Input::Message { from: 1, message: ChainMessage::Decided { view: next.clone() } });
     }
     net.settle();
-    assert_eq!((net.members[&2].tenure(), bound(&net, 2)), (Some(next.number), None));
+    assert_eq!((net.members[&2].tail_since_view(), bound(&net, 2)), (Some(next.number), None));
 }
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -6,7 +6,7 @@
 use crate::keys;
 use crate::membership_log::MembershipLog;
 use crate::optimizer::OptimizerMessage;
-use chain::{DepartureWait, Disk, DiskReport};
+use chain::{DepartureWait, DiskReport, DiskWriter};
 use events::event;
 use kernel::{Inbox, InboxSender, wait_for_signal};
 use links::{LinkEvent, LinkOrder};
@@ -20,7 +20,7 @@
 
 pub struct Control {
     pub core: Core,
-    pub disk: Disk,
+    pub disk: DiskWriter,
     pub links: InboxSender<LinkOrder>,
     pub optimizer: InboxSender<OptimizerMessage>,
     pub calls: BTreeMap<u64, oneshot::Sender<ApiReply>>,
--- a/crates/control/src/control_loop_tests.rs
+++ b/crates/control/src/control_loop_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::apply::apply;
 use crate::core::{Core, CoreTiming};
-use chain::{ChainReplica, Meta, Store, Stored, Timing};
+use chain::{ChainReplica, Meta, Store, StoredReplica, Timing};
 use kernel::inbox;
 use std::thread;
 use wire::{ChainMessage, NodeAddress};
@@ -18,13 +18,13 @@
 fn control(links: InboxSender<LinkOrder>) -> Control {
     let voters: Vec<NodeAddress> = (1..=3).map(node).collect();
     let view = View { number: 1, chain: vec![1, 2, 3].into(), voters: voters.into(), learner: 0, optimizer: 2 };
-    let stored = Stored { meta: Meta { node: node(1), view, ..Meta::default() }, ..Stored::default() };
+    let stored = StoredReplica { meta: Meta { node: node(1), view, ..Meta::default() }, ..StoredReplica::default() };
     let folder = std::env::temp_dir().join(format!("heronlink-control-loop-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("registry.redb");
     let (store, _) = Store::open(&file, "test", node(1)).unwrap();
     let reopen = move || Store::reopen(&file, "test", &node(1));
-    let disk = Disk::start(store, reopen, |_| {}).unwrap();
+    let disk = DiskWriter::start(store, reopen, |_| {}).unwrap();
     let member = ChainReplica::new(node(1), stored, Timing::default(), apply, Duration::ZERO);
     let (optimizer, _) = inbox(INBOX);
     Control {
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -11,7 +11,7 @@
 use crate::push_state::PushState;
 use crate::router_requests::RouterRequests;
 use crate::tail_role::TailRole;
-use chain::{Batch, ChainReplica, Input, Output, State, Stored};
+use chain::{Batch, ChainReplica, Input, Output, State, StoredReplica};
 use leases::{DEFAULT_PEER_HOLD, Sessions};
 use std::time::Duration;
 use wire::{ChainMessage, LeaseMessage, NodeId, View};
@@ -60,7 +60,7 @@
     Chain { from: NodeId, message: ChainMessage },
     Written { ticket: u64 },
     DiskError,
-    DiskRecovered { stored: Box<Stored> },
+    DiskRecovered { stored: Box<StoredReplica> },
     Router { from: NodeId, incarnation: u64, message: LeaseMessage },
     Call { request_id: u64, call: ApiCall },
     Leave { within: Duration },
@@ -104,7 +104,7 @@
     /// incarnation.
     pub fn new(member: ChainReplica, timing: CoreTiming, first_number: u64) -> Self {
         Core {
-            member: member.numbering_rounds_from(first_number),
+            member: member.with_first_round(first_number),
             timing,
             format: wire::FORMAT,
             now: Duration::ZERO,
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -15,7 +15,7 @@
 use crate::settings::RegistrySettings;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
-use chain::{ChainReplica, Disk, Store, StoreError, Stored, Timing};
+use chain::{ChainReplica, DiskWriter, Store, StoreError, StoredReplica, Timing};
 use events::event;
 use http_server::{ResourceIndex, ServerLimits, Tokens, Views};
 use kernel::{Directory, Inbox, InboxSender, adopt, find, listen, listen_address, local, thread};
@@ -51,7 +51,7 @@
 struct Opened {
     file: PathBuf,
     store: Store,
-    stored: Stored,
+    stored: StoredReplica,
     node: NodeAddress,
 }
 
@@ -196,28 +196,28 @@
     store: Store,
     node: NodeAddress,
     control: InboxSender<ControlMessage>,
-) -> Result<Disk, RunError> {
+) -> Result<DiskWriter, RunError> {
     let cluster = settings.cluster.clone();
     let reopen = move || Store::reopen(&file, &cluster, &node);
     let report = move |report| {
         control.send_blocking(ControlMessage::Disk(report));
     };
-    Disk::start(store, reopen, report).map_err(RunError::Disk)
+    DiskWriter::start(store, reopen, report).map_err(RunError::Disk)
 }
 
-fn new_core(settings: &RegistrySettings, node: NodeAddress, stored: Stored, incarnation: u64) -> Core {
+fn new_core(settings: &RegistrySettings, node: NodeAddress, stored: StoredReplica, incarnation: u64) -> Core {
     let founds = settings.found && settings.seeds.contains(&settings.address);
     let founders = if founds { settings.seeds.len() } else { 0 };
     let member = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO)
         .with_founders(founders)
-        .tolerating_losses(settings.losses);
+        .with_tolerated_losses(settings.losses);
     let timing =
         CoreTiming { call: settings.call, ..CoreTiming::for_hold(settings.hold).with_peer_hold(settings.peer_hold) };
     Core::new(member, timing, incarnation << NUMBERS_SHIFT).speaking(settings.format)
 }
 
 /// A disk that is full at the start is waited for: it has room again sooner or later.
-fn open_when_possible(file: &Path, cluster: &str, newcomer: NodeAddress) -> Result<(Store, Stored), StoreError> {
+fn open_when_possible(file: &Path, cluster: &str, newcomer: NodeAddress) -> Result<(Store, StoredReplica), StoreError> {
     loop {
         match Store::open(file, cluster, newcomer.clone()) {
             Err(fault) if fault.is_disk_full() => {
--- a/crates/control/src/tail_tenure.rs
+++ b/crates/control/src/tail_tenure.rs
@@ -16,7 +16,7 @@
             self.pending_activation = None;
             return self.tail.lose();
         }
-        let first_view = self.member.tenure().unwrap_or_default();
+        let first_view = self.member.tail_since_view().unwrap_or_default();
         if self.tail.hold(first_view, self.member.view().number, self.now) {
             self.sessions = Sessions::default();
             self.pushes.forget_alignment();
@@ -51,7 +51,7 @@
     /// Whether every lease granted by tails before this one has run out.
     pub(crate) fn earlier_leases_are_over(&mut self) -> bool {
         self.take_over_leases();
-        let reported = self.member.earlier_tails_answered_until();
+        let reported = self.member.last_answer_to_earlier_tails();
         let Some(tenure) = &mut self.tail.tenure else { return false };
         if let Some(until) = reported.filter(|until| *until < tenure.earlier_leases_until) {
             tenure.earlier_leases_until = until;
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use chain::{ChainReplica, Stored, Timing};
+use chain::{ChainReplica, StoredReplica, Timing};
 use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -33,7 +33,7 @@
 #[derive(Default)]
 pub struct Cluster {
     cores: BTreeMap<NodeId, Core>,
-    disks: BTreeMap<NodeId, Stored>,
+    disks: BTreeMap<NodeId, StoredReplica>,
     frames: VecDeque<Envelope>,
     cuts: BTreeSet<(NodeId, NodeId)>,
     now: Duration,
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use chain::{Batch, ChainReplica, Stored, Timing};
+use chain::{Batch, ChainReplica, StoredReplica, Timing};
 use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, ServingStatus};
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,7 @@
     pub replies: BTreeMap<u64, (Duration, ApiReply)>,
     /// Which voters an empty registry was told of.
     reported_registries: BTreeMap<NodeId, Vec<NodeId>>,
-    disks: BTreeMap<NodeId, Stored>,
+    disks: BTreeMap<NodeId, StoredReplica>,
     queue: BTreeMap<(Duration, u64), Event>,
     events: u64,
     asks: u64,
@@ -67,7 +67,7 @@
         let node = NodeAddress { id, address: format!("10.0.0.{id}:1").into() };
         let founds = if id <= 3 { 3 } else { 0 };
         let member = ChainReplica::new(node, stored, Timing::default(), control::apply, self.now);
-        let member = member.with_founders(founds).tolerating_losses(self.losses);
+        let member = member.with_founders(founds).with_tolerated_losses(self.losses);
         self.registries.insert(id, Core::new(member, CoreTiming::for_hold(self.hold), (id << 40) + self.events));
         self.at(Duration::ZERO, Event::RegistryTick(id));
     }
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -2,7 +2,7 @@
 
 mod cluster;
 
-use chain::{ChainReplica, Stored, Timing};
+use chain::{ChainReplica, StoredReplica, Timing};
 use cluster::{change, fetch};
 use control::{ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 /// Registry 3 as it starts with a view on its disk.
 fn registry(chain: &[NodeId]) -> Core {
-    let mut stored = Stored::default();
+    let mut stored = StoredReplica::default();
     stored.meta.view = view(1, chain);
     let member = ChainReplica::new(node(3), stored, Timing::default(), control::apply, Duration::ZERO);
     Core::new(member, CoreTiming::default(), 100)
--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -229,7 +229,7 @@
     pub(crate) fn wipe(&mut self, index: usize) {
         self.stop(index);
         let machine = &mut self.machines[index];
-        machine.disk = chain::Stored::default();
+        machine.disk = chain::StoredReplica::default();
         machine.wipes += 1;
         machine.may_found = false;
         self.start(index);
--- a/crates/explore/src/invariants.rs
+++ b/crates/explore/src/invariants.rs
@@ -2,7 +2,7 @@
 
 use crate::history::Asked;
 use crate::world::{World, machine_of};
-use chain::{Output, Stored};
+use chain::{Output, StoredReplica};
 use wire::{NodeId, ProposalId, View};
 
 impl World {
@@ -160,7 +160,7 @@
     }
 }
 
-fn holds_view(disk: &Stored, view: &View) -> bool {
+fn holds_view(disk: &StoredReplica, view: &View) -> bool {
     let accepted = disk.meta.accepted_number > 0 && disk.meta.accepted == *view;
     disk.meta.view.number >= view.number || accepted
 }
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -2,7 +2,7 @@
 
 use crate::faults::Plant;
 use crate::history::History;
-use chain::{Batch, ChainReplica, Change, Effect, Input, Output, State, Stored, Timing};
+use chain::{Batch, ChainReplica, Change, Effect, Input, Output, State, StoredReplica, Timing};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -27,7 +27,7 @@
 pub struct Machine {
     pub id: NodeId,
     pub member: Option<ChainReplica>,
-    pub disk: Stored,
+    pub disk: StoredReplica,
     /// Writes handed to the disk that are not yet synced.
     pub pending: Vec<(u64, Batch)>,
     /// How often its disk was lost, and its process started.
@@ -91,7 +91,7 @@
         self.machines.push(Machine {
             id: 0,
             member: None,
-            disk: Stored::default(),
+            disk: StoredReplica::default(),
             pending: Vec::new(),
             wipes: 0,
             starts: 0,
@@ -119,8 +119,8 @@
         machine.disk.meta.node = node.clone();
         let seats = if machine.may_found { 3 } else { 0 };
         let member = ChainReplica::new(node, machine.disk.clone(), Timing::default(), apply, self.now);
-        let member = member.with_founders(seats).tolerating_losses(self.losses);
-        machine.member = Some(member.numbering_rounds_from(machine.starts << 20));
+        let member = member.with_founders(seats).with_tolerated_losses(self.losses);
+        machine.member = Some(member.with_first_round(machine.starts << 20));
     }
 
     /// The process ends; what was not synced is gone. Messages on their way to it may still reach the
--- a/crates/sim/src/core_rules.rs
+++ b/crates/sim/src/core_rules.rs
@@ -159,7 +159,7 @@
 
     fn check_copies(&mut self, entry: u64) {
         let Some(op) = self.rules.committed_op(entry) else { return };
-        let holds = |disk: &chain::Stored| {
+        let holds = |disk: &chain::StoredReplica| {
             let same = |line: &wire::LogEntry| (line.op.origin, line.op.number) == op;
             let known = disk.entries.binary_search_by_key(&entry, |line| line.seq);
             // What was copied whole, or trimmed, has no entry to look at.
--- a/crates/sim/src/failing.rs
+++ b/crates/sim/src/failing.rs
@@ -6,7 +6,7 @@
 use crate::follow_ups::FollowUp;
 use crate::replacement::{GRACE, LOOK};
 use crate::world::{Event, Place, World};
-use chain::Stored;
+use chain::StoredReplica;
 use rand::RngExt;
 use std::time::Duration;
 
@@ -87,7 +87,7 @@
             return;
         }
         self.kill_registry(n);
-        self.registries[n].disk = Stored::default();
+        self.registries[n].disk = StoredReplica::default();
         self.registries[n].seeds = self.addresses_of_others(n);
         self.registries[n].pending = None;
         self.registries[n].disk_lost = true;
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -3,7 +3,7 @@
 use crate::slowness::SLOW_DISK;
 use crate::world::{Event, Place, TICK, World};
 use bindings::RouteTable;
-use chain::{Batch, ChainReplica, Stored, Timing};
+use chain::{Batch, ChainReplica, StoredReplica, Timing};
 use control::{Core, CoreInput, CoreOutput, CoreTiming, Planner};
 use rand::RngExt;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     pub address: String,
     pub life: u64,
     pub core: Option<Core>,
-    pub disk: Stored,
+    pub disk: StoredReplica,
     pub pending: Option<(u64, Batch)>,
     pub stalled_until: Duration,
     pub full: bool,
@@ -53,7 +53,7 @@
             address,
             life: 0,
             core: None,
-            disk: Stored::default(),
+            disk: StoredReplica::default(),
             pending: None,
             stalled_until: Duration::ZERO,
             full: false,
@@ -102,7 +102,7 @@
             ChainReplica::new(address, node.disk.clone(), Timing::default(), control::apply, Duration::ZERO);
         if self.plan.sort.is_on_control() {
             member =
-                member.with_founders(if founds { self.seeds.len() } else { 0 }).tolerating_losses(self.plan.losses);
+                member.with_founders(if founds { self.seeds.len() } else { 0 }).with_tolerated_losses(self.plan.losses);
         }
         node.core = Some(Core::new(member, CoreTiming::default().with_peer_hold(self.plan.peer_hold), life << 20));
         self.net.names.insert(id, Place::Registry(n));
--- a/crates/sim/src/replacement.rs
+++ b/crates/sim/src/replacement.rs
@@ -3,7 +3,7 @@
 
 use crate::follow_ups::FollowUp;
 use crate::world::World;
-use chain::Stored;
+use chain::StoredReplica;
 use rand::RngExt;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     /// The machine is gone with its disk; an empty one comes, mostly at an address of its own.
     pub(crate) fn replace_with_empty(&mut self, n: usize, back: Duration) {
         self.kill_registry(n);
-        self.registries[n].disk = Stored::default();
+        self.registries[n].disk = StoredReplica::default();
         self.registries[n].disk_lost = true;
         if self.dice.random_bool(0.7) {
             self.registries[n].address = self.new_address();
