--- a/crates/chain/src/bootstrap.rs
+++ b/crates/chain/src/bootstrap.rs
@@ -28,12 +28,12 @@
 pub struct Bootstrap {
     founders: BTreeMap<NodeId, Founder>,
     /// Number of founders required; 0 if this replica may not found a cluster.
-    pub founders_needed: usize,
+    pub required_founders: usize,
 }
 
 impl Default for Bootstrap {
     fn default() -> Self {
-        Bootstrap { founders: BTreeMap::new(), founders_needed: MAX_FOUNDERS }
+        Bootstrap { founders: BTreeMap::new(), required_founders: MAX_FOUNDERS }
     }
 }
 
@@ -46,8 +46,8 @@
     }
 
     /// Returns the founders if their number is exactly the required one.
-    pub fn complete(&self) -> Option<Vec<NodeAddress>> {
-        let is_complete = self.founders.len() == self.founders_needed;
+    pub fn complete_founders(&self) -> Option<Vec<NodeAddress>> {
+        let is_complete = self.founders.len() == self.required_founders;
         is_complete.then(|| self.founders.values().map(|founder| founder.node.clone()).collect())
     }
 
--- a/crates/chain/src/confirmation.rs
+++ b/crates/chain/src/confirmation.rs
@@ -26,7 +26,7 @@
     /// Whether the round still waits for a majority.
     pub is_running: bool,
     /// Number of the newest requested round.
-    pub wanted: u64,
+    pub requested: u64,
     /// Confirmed round that waits for entries to be committed.
     pub awaiting_commit: Option<AwaitingCommit>,
 }
@@ -35,19 +35,19 @@
     /// Sets the number from which rounds are counted. Each process starts from a different number, so that an
     /// answer to a round of an earlier process does not count for a round of this one.
     pub fn number_from(&mut self, first: u64) {
-        self.wanted = first;
+        self.requested = first;
         self.number = first;
     }
 
     /// Requests a round that starts after this call, and returns its number.
     pub fn request(&mut self) -> u64 {
-        self.wanted = self.number + 1;
-        self.wanted
+        self.requested = self.number + 1;
+        self.requested
     }
 
     /// Returns whether a requested round has not been started yet.
     pub fn is_due(&self) -> bool {
-        self.wanted > self.number
+        self.requested > self.number
     }
 
     /// Starts the next round.
--- a/crates/chain/src/failure_detector.rs
+++ b/crates/chain/src/failure_detector.rs
@@ -19,13 +19,13 @@
     suspect_after: Duration,
     voters: BTreeMap<NodeId, VoterHealth>,
     /// Start of the uninterrupted period in which some member of the chain has been suspected.
-    suspecting_since: Option<Duration>,
+    chain_suspected_since: Option<Duration>,
 }
 
 impl FailureDetector {
     /// Creates a detector that suspects voters without an answer for longer than `suspect_after`.
     pub fn new(suspect_after: Duration) -> Self {
-        FailureDetector { suspect_after, voters: BTreeMap::new(), suspecting_since: None }
+        FailureDetector { suspect_after, voters: BTreeMap::new(), chain_suspected_since: None }
     }
 
     /// Treats these voters as healthy, as if all of them had just answered.
@@ -37,7 +37,7 @@
 
     /// Records the health reported in a voter's heartbeat. This does not count as an answer, since only an answer
     /// shows that the voter can also receive.
-    pub fn record_heartbeat(&mut self, id: NodeId, is_unhealthy: bool) {
+    pub fn record_reported_health(&mut self, id: NodeId, is_unhealthy: bool) {
         if let Some(health) = self.voters.get_mut(&id) {
             health.is_unhealthy = is_unhealthy;
         }
@@ -61,26 +61,26 @@
     }
 
     /// Returns whether a watched voter has not answered for long enough to be suspected.
-    pub fn is_missed(&self, id: NodeId, now: Duration) -> bool {
+    pub fn has_timed_out(&self, id: NodeId, now: Duration) -> bool {
         self.voters.get(&id).is_some_and(|health| now > health.last_heard + self.suspect_after)
     }
 
     /// Records that a member of the chain is suspected now, and returns when the uninterrupted period of suspicion
     /// began.
-    pub fn suspect_chain(&mut self, now: Duration) -> Duration {
-        *self.suspecting_since.get_or_insert(now)
+    pub fn record_chain_suspicion(&mut self, now: Duration) -> Duration {
+        *self.chain_suspected_since.get_or_insert(now)
     }
 
     /// Records that no member of the chain is suspected.
-    pub fn clear_suspicion(&mut self) {
-        self.suspecting_since = None;
+    pub fn clear_chain_suspicion(&mut self) {
+        self.chain_suspected_since = None;
     }
 
     pub(crate) fn voters(&self) -> &BTreeMap<NodeId, VoterHealth> {
         &self.voters
     }
 
-    pub(crate) fn suspecting_since(&self) -> Option<Duration> {
-        self.suspecting_since
+    pub(crate) fn chain_suspected_since(&self) -> Option<Duration> {
+        self.chain_suspected_since
     }
 }
--- a/crates/chain/src/replica/agreement.rs
+++ b/crates/chain/src/replica/agreement.rs
@@ -17,7 +17,7 @@
         let me = self.me();
         let Some(rank) = self.meta.view.voters.iter().position(|voter| voter.id == me) else { return };
         let slot = self.meta.view.number + 1;
-        let proposal = self.agreement.start(slot, value, self.meta.promised, rank, self.clock.now);
+        let proposal = self.agreement.start_proposal(slot, value, self.meta.promised, rank, self.clock.now);
         let proposal_number = proposal.number;
         self.send_to_voters(&ChainMessage::Prepare { slot, proposal_number });
     }
--- a/crates/chain/src/replica/bootstrapping.rs
+++ b/crates/chain/src/replica/bootstrapping.rs
@@ -10,7 +10,7 @@
 impl ChainReplica {
     /// Sets how many founders, at most three, a cluster must have to be founded by this replica; 0 for never.
     pub fn with_founders(mut self, founders: usize) -> Self {
-        self.bootstrap.founders_needed = founders.min(MAX_FOUNDERS);
+        self.bootstrap.required_founders = founders.min(MAX_FOUNDERS);
         self
     }
 
@@ -22,7 +22,7 @@
         }
         let node = self.meta.node.clone();
         let bound_to = self.meta.accepted.clone();
-        if self.bootstrap.founders_needed == 1 {
+        if self.bootstrap.required_founders == 1 {
             return self.handle_bootstrap_request(node, bound_to);
         }
         self.outputs.push(Output::SendSeeds { message: ChainMessage::BootstrapRequest { node, bound_to } });
@@ -30,7 +30,7 @@
 
     /// Returns whether this replica may found a cluster, or has bound itself to founders before.
     fn may_bootstrap(&self) -> bool {
-        self.bootstrap.founders_needed > 0 || self.is_bound()
+        self.bootstrap.required_founders > 0 || self.is_bound()
     }
 
     /// Returns whether this replica is bound to founders. Before the first view, `accepted` holds the view of the
@@ -61,7 +61,7 @@
 
     /// Binds this replica to the founders once all of them are present.
     fn maybe_bind(&mut self) {
-        let Some(voters) = self.bootstrap.complete() else { return };
+        let Some(voters) = self.bootstrap.complete_founders() else { return };
         let chain: Vec<NodeId> = voters.iter().map(|voter| voter.id).collect();
         let optimizer = optimizer_for(&chain, 0);
         self.meta.accepted = View { number: 1, chain: chain.into(), voters: voters.into(), learner: 0, optimizer };
--- a/crates/chain/src/replica/digest.rs
+++ b/crates/chain/src/replica/digest.rs
@@ -36,7 +36,7 @@
         let (next, on_synced) = self.writes.next();
         digest_batch(next, hasher);
         digest_outputs(on_synced, hasher);
-        self.writes.flags().hash(hasher);
+        self.writes.digest_fields().hash(hasher);
         let write = self.writes.in_progress();
         write.is_some().hash(hasher);
         if let Some(write) = write {
@@ -50,7 +50,7 @@
         for (id, health) in self.detector.voters() {
             (id, self.age(health.last_heard), health.is_unhealthy).hash(hasher);
         }
-        self.detector.suspecting_since().map(|since| self.age(since)).hash(hasher);
+        self.detector.chain_suspected_since().map(|since| self.age(since)).hash(hasher);
         let proposal = self.agreement.proposal();
         proposal.is_some().hash(hasher);
         if let Some(proposal) = proposal {
@@ -61,14 +61,14 @@
                 (id, accepted.proposal_number, to_bytes(&accepted.view)).hash(hasher);
             }
         }
-        let (propose_after, accepted_at, highest_seen_number) = self.agreement.times();
+        let (propose_after, accepted_at, highest_seen_number) = self.agreement.digest_fields();
         (self.age(propose_after), self.age(accepted_at), highest_seen_number).hash(hasher);
         (self.age(self.clock.ticked_at), self.age(self.clock.heartbeat_sent_at)).hash(hasher);
     }
 
     fn digest_confirmation(&self, hasher: &mut impl Hasher) {
         let round = &self.confirmation;
-        (round.number, round.is_running, round.wanted, round.awaiting_commit, &round.acknowledged_by).hash(hasher);
+        (round.number, round.is_running, round.requested, round.awaiting_commit, &round.acknowledged_by).hash(hasher);
         self.age(round.started_at).hash(hasher);
     }
 
@@ -79,8 +79,8 @@
     }
 
     fn digest_tail_history(&self, hasher: &mut impl Hasher) {
-        let (tenure, reports, last_answer_at) = self.tail_history.parts();
-        (tenure, reports.view, self.age(last_answer_at)).hash(hasher);
+        let (period, reports, last_answer_at) = self.tail_history.digest_fields();
+        (period, reports.view, self.age(last_answer_at)).hash(hasher);
         for (id, answered_at) in &reports.answered_at {
             (id, self.age(*answered_at)).hash(hasher);
         }
@@ -96,7 +96,7 @@
             self.age(source.requested_at).hash(hasher);
             digest_state(&source.state, hasher);
         }
-        let seeking = self.catch_up.seeking_since.map(|since| self.age(since));
+        let seeking = self.catch_up.joining_since.map(|since| self.age(since));
         (self.age(self.catch_up.requested_at), seeking).hash(hasher);
         for founder in self.bootstrap.founders() {
             (founder.node.id, self.age(founder.heard_at), to_bytes(&founder.bound_to)).hash(hasher);
--- a/crates/chain/src/replica/disk_writes.rs
+++ b/crates/chain/src/replica/disk_writes.rs
@@ -34,7 +34,7 @@
         }
         let node = self.meta.node.clone();
         let mut replica = ChainReplica::new(node, stored, self.timing.clone(), self.apply, self.clock.now);
-        replica.agreement.continue_numbers(&self.agreement);
+        replica.agreement.continue_numbering(&self.agreement);
         replica.confirmation.number = self.confirmation.number;
         replica.writes.continue_tickets(&self.writes);
         replica.bootstrap = std::mem::take(&mut self.bootstrap);
--- a/crates/chain/src/replica/heartbeats.rs
+++ b/crates/chain/src/replica/heartbeats.rs
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn handle_heartbeat(&mut self, from: NodeId, view: u64, round: u64, is_unhealthy: bool) {
-        self.detector.record_heartbeat(from, is_unhealthy);
+        self.detector.record_reported_health(from, is_unhealthy);
         self.rules.departures.record_heartbeat(from, self.clock.now);
         if view < self.meta.view.number {
             let view = self.meta.view.clone();
@@ -77,7 +77,7 @@
         if self.is_current_tail() {
             let (round, seq) = (self.confirmation.number, self.log.positions().last);
             self.confirmation.awaiting_commit = Some(AwaitingCommit { round, seq });
-            self.maybe_release_round();
+            self.maybe_report_confirmed_round();
         }
         if self.confirmation.is_due() {
             self.start_round();
@@ -85,7 +85,7 @@
     }
 
     /// Reports a confirmed round once all entries appended before its confirmation are committed.
-    pub(super) fn maybe_release_round(&mut self) {
+    pub(super) fn maybe_report_confirmed_round(&mut self) {
         if let Some(awaited) = self.confirmation.awaiting_commit
             && self.log.positions().committed >= awaited.seq
             && self.is_current_tail()
--- a/crates/chain/src/replica/joining.rs
+++ b/crates/chain/src/replica/joining.rs
@@ -14,14 +14,14 @@
             return self.maybe_continue_download();
         }
         if self.is_in_chain() {
-            self.catch_up.seeking_since = None;
+            self.catch_up.joining_since = None;
         }
-        let is_blocked = self.writes.has_failed() || self.is_leaving() || self.misses_chain_member();
+        let is_blocked = self.writes.has_failed() || self.is_leaving() || self.has_unreachable_chain_member();
         if self.is_in_chain() || is_blocked || now < self.catch_up.requested_at + RETRY_INTERVAL {
             return;
         }
         self.catch_up.requested_at = now;
-        let waited = now - *self.catch_up.seeking_since.get_or_insert(now);
+        let waited = now - *self.catch_up.joining_since.get_or_insert(now);
         let node = self.meta.node.clone();
         // While `ready` is 0, `seq` carries the time it has waited, in milliseconds.
         let message = ChainMessage::JoinRequest { node, ready: 0, seq: waited.as_millis() as u64 };
--- a/crates/chain/src/replica/leaving.rs
+++ b/crates/chain/src/replica/leaving.rs
@@ -13,13 +13,13 @@
 
 /// Time before its deadline at which a replica is removed from the chain even if the others can then not tolerate
 /// another loss: a crash at the deadline would block every entry until the replica is suspected.
-const FINAL_PERIOD: Duration = Duration::from_millis(600);
+const FORCED_REMOVAL_LEAD: Duration = Duration::from_millis(600);
 /// Difference between deadlines up to which replicas count as told to stop together.
-const SIMULTANEOUS: Duration = Duration::from_millis(250);
+const SIMULTANEOUS_DEADLINE_GAP: Duration = Duration::from_millis(250);
 /// Minimum length of the chain that a planned stop may leave.
 const MIN_CHAIN_AFTER_LEAVING: usize = 2;
 /// Time after which replicas that are all told to stop have received each other's announcements.
-const COMMON_STOP_DELAY: Duration = Duration::from_millis(250);
+const COLLECTIVE_STOP_DELAY: Duration = Duration::from_millis(250);
 
 impl ChainReplica {
     /// Starts a planned stop whose process ends within this time; a second request changes nothing. From now on the
@@ -77,27 +77,27 @@
         }
         let next = self.view_without(leaver);
         let is_safe = self.departure_obstacle(&next).is_none();
-        let goes_on = next.chain.as_slice().len() >= self.min_chain_after_leaving();
-        let must_go = self.is_final_period(leaver) || self.yields_to_later_leaver(leaver);
-        (is_safe || (goes_on && must_go)).then_some(next)
+        let accepts_entries = next.chain.as_slice().len() >= self.min_chain_after_leaving();
+        let must_leave = self.is_near_deadline(leaver) || self.has_later_leaver(leaver);
+        (is_safe || (accepts_entries && must_leave)).then_some(next)
     }
 
     fn min_chain_after_leaving(&self) -> usize {
         self.required_replicas().max(MIN_CHAIN_AFTER_LEAVING)
     }
 
-    fn is_final_period(&self, leaver: NodeId) -> bool {
-        self.deadline_of(leaver).is_some_and(|deadline| self.clock.now + FINAL_PERIOD >= deadline)
+    fn is_near_deadline(&self, leaver: NodeId) -> bool {
+        self.deadline_of(leaver).is_some_and(|deadline| self.clock.now + FORCED_REMOVAL_LEAD >= deadline)
     }
 
     /// Returns whether another member of the chain is told to stop with a later deadline. The replica with the earlier
     /// deadline then leaves at once, so that it can be back, or replaced, before the next deadline: if each waited
     /// for its own deadline, they would be absent together.
-    fn yields_to_later_leaver(&self, leaver: NodeId) -> bool {
+    fn has_later_leaver(&self, leaver: NodeId) -> bool {
         let Some(deadline) = self.deadline_of(leaver) else { return false };
         let is_later = |id: &NodeId| {
             let other = self.deadline_of(*id).filter(|_| *id != leaver);
-            other.is_some_and(|other| other > deadline + SIMULTANEOUS)
+            other.is_some_and(|other| other > deadline + SIMULTANEOUS_DEADLINE_GAP)
         };
         self.meta.view.chain.iter().any(is_later)
     }
@@ -186,8 +186,8 @@
         let Some(departure) = self.rules.departure else { return false };
         let is_leaving = |id: &NodeId| *id == self.me() || self.rules.departures.is_leaving(*id);
         let requests = &self.rules.join_requests;
-        let someone_joins = requests.ids().any(|id| !self.meta.view.is_in_chain(id) && requests.is_recent(id, now));
-        now >= departure.since + COMMON_STOP_DELAY && !someone_joins && self.meta.view.chain.iter().all(is_leaving)
+        let has_joiner = requests.ids().any(|id| !self.meta.view.is_in_chain(id) && requests.is_recent(id, now));
+        now >= departure.since + COLLECTIVE_STOP_DELAY && !has_joiner && self.meta.view.chain.iter().all(is_leaving)
     }
 
     /// Returns the next view with these replicas left in the chain after others were lost. The vote of a lost replica
@@ -195,10 +195,10 @@
     /// from tolerating further losses.
     pub(super) fn repaired_view(&self, remaining: Vec<NodeId>) -> View {
         let view = &self.meta.view;
-        let weighs = self.absent_voters_weigh(&remaining);
+        let prevents_tolerance = self.absent_voter_prevents_tolerance(&remaining);
         let is_given_up = |voter: &NodeAddress| {
             let is_lost = view.is_in_chain(voter.id) && !remaining.contains(&voter.id);
-            is_lost && (weighs || self.rules.departures.is_leaving(voter.id))
+            is_lost && (prevents_tolerance || self.rules.departures.is_leaving(voter.id))
         };
         let index = view.voters.iter().position(is_given_up);
         let mut next = next_view_with_chain(view, remaining);
@@ -212,13 +212,13 @@
 
     /// Returns whether the voters in this chain could tolerate the configured losses if one absent voter were removed.
     /// This happens when a machine is lost just after its successor was given an additional vote.
-    pub(super) fn absent_voters_weigh(&self, chain: &[NodeId]) -> bool {
+    pub(super) fn absent_voter_prevents_tolerance(&self, chain: &[NodeId]) -> bool {
         let voters = self.meta.view.voters.as_slice();
         let present = voters.iter().filter(|voter| chain.contains(&voter.id)).count();
         let after_losses = present.saturating_sub(self.rules.tolerated_losses);
-        let bears_losses = after_losses * 2 > voters.len();
-        let would_bear_losses = after_losses * 2 > voters.len() - 1;
-        present >= self.min_voters() && !bears_losses && would_bear_losses
+        let tolerates_losses = after_losses * 2 > voters.len();
+        let would_tolerate_losses = after_losses * 2 > voters.len() - 1;
+        present >= self.min_voters() && !tolerates_losses && would_tolerate_losses
     }
 
     /// Returns the next view in which a replica that gave its vote to a joiner has a vote again, in place of a voter
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -9,11 +9,11 @@
 mod heartbeats;
 mod joining;
 mod leaving;
-mod membership_rules;
 mod queries;
 mod replication;
 mod view_repair;
 mod views;
+mod voter_rules;
 
 pub use digest::{digest_batch, digest_entries, digest_meta, digest_state};
 
--- a/crates/chain/src/replica/replication.rs
+++ b/crates/chain/src/replica/replication.rs
@@ -105,12 +105,12 @@
             return self.handle_position(from, view, seq);
         }
         self.replication.acknowledge(seq, self.clock.now);
-        let known = self.log.positions().committed;
+        let previously_committed = self.log.positions().committed;
         self.commit(committed.min(self.log.positions().synced));
         // This replica reported its own synced entries when they were synced, so only news about the committed
         // watermark is passed on. One report for each write of each successor would make the number of frames
         // quadratic in the length of the chain.
-        if self.log.positions().committed > known {
+        if self.log.positions().committed > previously_committed {
             self.report_progress();
         }
         self.send_pending_entries();
@@ -181,7 +181,7 @@
         }
         self.report_progress();
         self.send_pending_entries();
-        self.maybe_release_round();
+        self.maybe_report_confirmed_round();
         self.maybe_finish_joining();
     }
 }
--- a/crates/chain/src/replica/view_repair.rs
+++ b/crates/chain/src/replica/view_repair.rs
@@ -22,8 +22,8 @@
             unchanged.number += 1;
             return self.propose_view(unchanged);
         }
-        let is_able = self.is_in_chain() && self.meta.view.learner != self.me() && !self.is_unhealthy();
-        if is_able && !is_backing_off && self.hears_majority() {
+        let may_remove_suspects = self.is_in_chain() && self.meta.view.learner != self.me() && !self.is_unhealthy();
+        if may_remove_suspects && !is_backing_off && self.hears_majority() {
             self.remove_suspects();
         }
     }
@@ -33,8 +33,8 @@
     fn has_open_decision(&self) -> bool {
         let me = self.me();
         let rank = self.meta.view.voters.iter().position(|voter| voter.id == me).unwrap_or_default() as u32 + 1;
-        let patience = self.timing.suspect_after / 2 * rank;
-        self.meta.accepted_number > 0 && self.clock.now > self.agreement.accepted_at() + patience
+        let completion_delay = self.timing.suspect_after / 2 * rank;
+        self.meta.accepted_number > 0 && self.clock.now > self.agreement.accepted_at() + completion_delay
     }
 
     /// Returns whether a majority of voters answers. A replica without a majority may itself be the isolated one; it
@@ -54,12 +54,12 @@
         let remaining: Vec<NodeId> = chain.iter().copied().filter(is_alive).collect();
         let first_to_propose = remaining.iter().copied().find(|id| *id != view.learner && view.is_voter(*id));
         if remaining.len() == chain.len() {
-            self.detector.clear_suspicion();
+            self.detector.clear_chain_suspicion();
             if let Some(next) = self.view_with_own_address() {
                 return self.propose_view(next);
             }
             if first_to_propose == Some(me)
-                && let Some(next) = self.view_with_departures_settled()
+                && let Some(next) = self.next_cleanup_view()
             {
                 self.propose_view(next);
             }
@@ -68,7 +68,7 @@
         // The first remaining replica may still reach all others while a link between two of them is lost. Then a
         // replica that misses another one proposes, sooner the nearer it is to the head.
         let position = view.position_of(me).unwrap_or_default() as u32;
-        let since = self.detector.suspect_chain(now);
+        let since = self.detector.record_chain_suspicion(now);
         if first_to_propose != Some(me) && now < since + self.timing.suspect_after * position {
             return;
         }
@@ -78,10 +78,10 @@
 
     /// Returns the next view that completes a departure, returns a vote or removes an absent voter, for use while
     /// all members of the chain are healthy.
-    fn view_with_departures_settled(&self) -> Option<View> {
+    fn next_cleanup_view(&self) -> Option<View> {
         self.view_without_voteless_member()
             .or_else(|| self.view_with_vote_returned())
-            .or_else(|| self.view_without_vacant_voter())
+            .or_else(|| self.view_without_absent_voter())
     }
 }
 
--- a/crates/chain/src/replica/views.rs
+++ b/crates/chain/src/replica/views.rs
@@ -29,7 +29,7 @@
         self.meta.accepted_number = 0;
         self.meta.accepted = View::default();
         self.agreement.reset();
-        self.detector.clear_suspicion();
+        self.detector.clear_chain_suspicion();
         self.assume_peers_alive();
         self.write_meta(on_synced);
         self.abandon_download_from_former_tail();
--- a/crates/chain/src/replica/membership_rules.rs
+++ b/crates/chain/src/replica/voter_rules.rs
@@ -13,9 +13,9 @@
 /// Time that a new machine waits to take over the vote of another while there are enough voters.
 const NEW_VOTER_DELAY: Duration = Duration::from_secs(3);
 /// Time without an answer after which a voter outside the chain is removed.
-const VACANT_VOTER_TIMEOUT: Duration = Duration::from_secs(8);
+const ABSENT_VOTER_TIMEOUT: Duration = Duration::from_secs(8);
 /// Number of missed heartbeats after which a voter may be lost, so that its vote may be available soon.
-const QUIET_HEARTBEATS: u32 = 3;
+const MISSED_HEARTBEATS_LIMIT: u32 = 3;
 
 impl ChainReplica {
     /// Returns the number of voters needed to keep a majority after the losses to tolerate.
@@ -44,10 +44,10 @@
 
     /// Returns whether this replica is a voter and receives no answers from a replica in the chain. If it rejoined,
     /// the two would remove each other again at once.
-    pub(super) fn misses_chain_member(&self) -> bool {
+    pub(super) fn has_unreachable_chain_member(&self) -> bool {
         let (me, now) = (self.me(), self.clock.now);
-        let is_missed = |id: &NodeId| *id != me && self.detector.is_missed(*id, now);
-        self.meta.view.is_voter(me) && self.meta.view.chain.iter().any(is_missed)
+        let has_timed_out = |id: &NodeId| *id != me && self.detector.has_timed_out(*id, now);
+        self.meta.view.is_voter(me) && self.meta.view.chain.iter().any(has_timed_out)
     }
 
     /// Returns the index that a joiner takes among the voters, which may be one past the last. An absent voter that
@@ -60,15 +60,15 @@
         let same_id = voters.iter().position(|voter| voter.id == joiner.id);
         let same_address = || voters.iter().position(|voter| voter.address == joiner.address && is_absent(voter));
         let has_enough = voters.len() >= self.min_voters();
-        let leavers = || self.voter_index_of_leaver().filter(|_| has_enough);
-        let replaceable =
+        let leaver_index = || self.voter_index_of_leaver().filter(|_| has_enough);
+        let absent_index =
             || voters.iter().position(|voter| is_absent(voter) && !is_returning(voter.id)).filter(|_| has_enough);
-        same_id.or_else(same_address).or_else(leavers).or_else(replaceable).unwrap_or(voters.len())
+        same_id.or_else(same_address).or_else(leaver_index).or_else(absent_index).unwrap_or(voters.len())
     }
 
     /// Returns whether a voter has left several heartbeats unanswered.
-    fn is_quiet(&self, id: NodeId) -> bool {
-        let limit = self.timing.heartbeat * QUIET_HEARTBEATS;
+    fn misses_heartbeats(&self, id: NodeId) -> bool {
+        let limit = self.timing.heartbeat * MISSED_HEARTBEATS_LIMIT;
         id != self.me() && self.detector.is_silent(id, self.clock.now, limit)
     }
 
@@ -77,15 +77,15 @@
         let (index, min_voters) = (self.voter_index_for(joiner), self.min_voters());
         let voters = self.meta.view.voters.as_slice();
         // The address belongs to another voter that counts as present; that voter must be removed first.
-        let is_other = |(at, voter): (usize, &NodeAddress)| at != index && voter.address == joiner.address;
-        let is_address_taken = !self.meta.view.is_voter(joiner.id) && voters.iter().enumerate().any(is_other);
+        let has_joiner_address = |(at, voter): (usize, &NodeAddress)| at != index && voter.address == joiner.address;
+        let is_address_taken = !self.meta.view.is_voter(joiner.id) && voters.iter().enumerate().any(has_joiner_address);
         match voters.get(index) {
             _ if is_address_taken => false,
             Some(_) => true,
             None if voters.len() >= MAX_VOTERS => false,
             None if voters.len() < min_voters => true,
             // If such a voter is lost, the joiner can take its place soon.
-            None if voters.iter().any(|voter| self.is_quiet(voter.id)) => false,
+            None if voters.iter().any(|voter| self.misses_heartbeats(voter.id)) => false,
             None => self.rules.join_requests.has_waited(joiner.id, NEW_VOTER_DELAY, self.clock.now),
         }
     }
@@ -129,19 +129,19 @@
     }
 
     /// Returns the next view without a voter that has been absent for long, if there are more voters than needed.
-    pub(super) fn view_without_vacant_voter(&self) -> Option<View> {
+    pub(super) fn view_without_absent_voter(&self) -> Option<View> {
         let view = &self.meta.view;
         if view.learner != 0 {
             return None;
         }
-        let weighs = self.absent_voters_weigh(view.chain.as_slice());
-        let is_vacant = |voter: &NodeAddress| {
-            let is_given_up = weighs || self.rules.departures.is_leaving(voter.id);
-            let timeout = if is_given_up { self.timing.suspect_after } else { VACANT_VOTER_TIMEOUT };
+        let prevents_tolerance = self.absent_voter_prevents_tolerance(view.chain.as_slice());
+        let is_removable = |voter: &NodeAddress| {
+            let is_given_up = prevents_tolerance || self.rules.departures.is_leaving(voter.id);
+            let timeout = if is_given_up { self.timing.suspect_after } else { ABSENT_VOTER_TIMEOUT };
             !view.is_in_chain(voter.id) && self.detector.is_silent(voter.id, self.clock.now, timeout)
         };
         let voters = view.voters.as_slice();
-        let index = voters.iter().position(is_vacant).filter(|_| voters.len() > self.min_voters())?;
+        let index = voters.iter().position(is_removable).filter(|_| voters.len() > self.min_voters())?;
         let mut next = view.clone();
         let mut voters = next.voters.into_vec();
         voters.remove(index);
--- a/crates/chain/src/snapshot.rs
+++ b/crates/chain/src/snapshot.rs
@@ -132,7 +132,7 @@
     /// When this replica last asked to join or to bootstrap a cluster.
     pub requested_at: Duration,
     /// When this replica began to ask to join.
-    pub seeking_since: Option<Duration>,
+    pub joining_since: Option<Duration>,
 }
 
 impl CatchUp {
--- a/crates/chain/src/store.rs
+++ b/crates/chain/src/store.rs
@@ -97,9 +97,9 @@
     pub fn open(path: &Path, cluster: &str, node: NodeAddress) -> Result<(Store, StoredReplica), StoreError> {
         // A file that was closed cleanly is first checked read-only, so that a foreign file stays unmodified.
         if let Some(database) = path.exists().then(|| ReadOnlyDatabase::open(path).ok()).flatten() {
-            stored_meta(&database, cluster)?;
+            read_meta(&database, cluster)?;
         }
-        Store::start(Database::builder().set_cache_size(CACHE_BYTES).create(path)?, cluster, node)
+        Store::load_or_initialize(Database::builder().set_cache_size(CACHE_BYTES).create(path)?, cluster, node)
     }
 
     /// Opens the existing data file of this replica, and tests with a write that the disk accepts writes.
@@ -120,10 +120,14 @@
         cluster: &str,
         node: NodeAddress,
     ) -> Result<(Store, StoredReplica), StoreError> {
-        Store::start(Database::builder().create_with_backend(disk)?, cluster, node)
+        Store::load_or_initialize(Database::builder().create_with_backend(disk)?, cluster, node)
     }
 
-    fn start(database: Database, cluster: &str, node: NodeAddress) -> Result<(Store, StoredReplica), StoreError> {
+    fn load_or_initialize(
+        database: Database,
+        cluster: &str,
+        node: NodeAddress,
+    ) -> Result<(Store, StoredReplica), StoreError> {
         let mut store = Store { database, cluster: cluster.to_owned() };
         let stored = match store.load()? {
             Some(stored) => stored,
@@ -137,20 +141,20 @@
     }
 
     fn load(&self) -> Result<Option<StoredReplica>, StoreError> {
-        let Some(record) = stored_meta(&self.database, &self.cluster)? else { return Ok(None) };
+        let Some(record) = read_meta(&self.database, &self.cluster)? else { return Ok(None) };
         let read = self.database.begin_read()?;
         let meta = read.open_table(META)?;
         let mut stored = StoredReplica { meta: record.into(), ..StoredReplica::default() };
         let last = meta.get(LAST_KEY)?.ok_or(StoreError::Damaged)?;
-        let number = |raw: &[u8]| raw.try_into().map(u64::from_le_bytes).map_err(|_| StoreError::Damaged);
-        stored.last = number(last.value())?;
-        stored.known_committed = meta.get(KNOWN_COMMITTED_KEY)?.map_or(Ok(0), |raw| number(raw.value()))?;
+        let parse_number = |raw: &[u8]| raw.try_into().map(u64::from_le_bytes).map_err(|_| StoreError::Damaged);
+        stored.last = parse_number(last.value())?;
+        stored.known_committed = meta.get(KNOWN_COMMITTED_KEY)?.map_or(Ok(0), |raw| parse_number(raw.value()))?;
         for pair in read.open_table(STATE)?.iter()? {
             let (key, value) = pair?;
             stored.state.insert(key.value().to_owned(), value.value().into());
         }
-        for line in read.open_table(LOG)?.iter()? {
-            let entry: LogEntry = wire::from_bytes(line?.1.value()).ok_or(StoreError::Damaged)?;
+        for row in read.open_table(LOG)?.iter()? {
+            let entry: LogEntry = wire::from_bytes(row?.1.value()).ok_or(StoreError::Damaged)?;
             stored.entries.push(entry);
         }
         Ok(Some(stored))
@@ -190,7 +194,7 @@
 }
 
 /// Reads and checks the identity record, or returns `None` if nothing was ever written to the file.
-fn stored_meta(database: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
+fn read_meta(database: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
     let read = database.begin_read()?;
     let meta = match read.open_table(META) {
         Ok(table) => table,
--- a/crates/chain/src/tail_history.rs
+++ b/crates/chain/src/tail_history.rs
@@ -13,11 +13,11 @@
 
 /// Consecutive views in which this replica is the tail.
 #[derive(Clone, Default, Hash)]
-pub struct Tenure {
+pub struct TailPeriod {
     /// First of these views.
     first_view: u64,
     /// Voters of the preceding view, empty if this replica did not know that view.
-    voters_before: Vec<NodeId>,
+    previous_voters: Vec<NodeId>,
 }
 
 /// Reports of voters on when they last answered the previous tail.
@@ -41,7 +41,7 @@
 /// Views in which this replica is the tail, and what voters reported on earlier tails.
 #[derive(Clone)]
 pub struct TailHistory {
-    tenure: Tenure,
+    period: TailPeriod,
     reports: AnswerReports,
     /// When this voter last answered the tail of its view, or adopted that view, or started.
     last_answer_at: Duration,
@@ -50,12 +50,12 @@
 impl TailHistory {
     /// Creates the history of a replica that has just started and may have answered a tail until now.
     pub fn new(now: Duration) -> Self {
-        TailHistory { tenure: Tenure::default(), reports: AnswerReports::default(), last_answer_at: now }
+        TailHistory { period: TailPeriod::default(), reports: AnswerReports::default(), last_answer_at: now }
     }
 
     /// Returns the first of the consecutive views in which this replica is the tail; meaningful only while it is.
     pub fn first_view(&self) -> u64 {
-        self.tenure.first_view
+        self.period.first_view
     }
 
     /// Records that this voter answered a heartbeat of the tail in a way that may confirm its round.
@@ -69,7 +69,7 @@
         let (old_tail, new_tail) = (old.tail(), next.tail());
         if new_tail == Some(me) && !(is_consecutive && old_tail == Some(me)) {
             let voters = old.voters.iter().map(|voter| voter.id).filter(|_| is_consecutive);
-            self.tenure = Tenure { first_view: next.number, voters_before: voters.collect() };
+            self.period = TailPeriod { first_view: next.number, previous_voters: voters.collect() };
         }
         let age = now.saturating_sub(self.last_answer_at);
         self.last_answer_at = now;
@@ -89,14 +89,14 @@
 
     /// Returns the time after which no earlier tail can have requested a lease, once a majority has reported.
     pub fn last_answer_to_earlier_tails(&self) -> Option<Duration> {
-        let voters = &self.tenure.voters_before;
+        let voters = &self.period.previous_voters;
         let reported: Vec<Duration> =
             voters.iter().filter_map(|id| self.reports.answered_at.get(id)).copied().collect();
-        let is_known = self.reports.view == self.tenure.first_view && is_majority(reported.len(), voters.len());
+        let is_known = self.reports.view == self.period.first_view && is_majority(reported.len(), voters.len());
         reported.into_iter().max().filter(|_| is_known)
     }
 
-    pub(crate) fn parts(&self) -> (&Tenure, &AnswerReports, Duration) {
-        (&self.tenure, &self.reports, self.last_answer_at)
+    pub(crate) fn digest_fields(&self) -> (&TailPeriod, &AnswerReports, Duration) {
+        (&self.period, &self.reports, self.last_answer_at)
     }
 }
--- a/crates/chain/src/view_agreement.rs
+++ b/crates/chain/src/view_agreement.rs
@@ -84,7 +84,7 @@
     }
 
     /// Starts a proposal with a number higher than any that was promised or seen.
-    pub fn start(&mut self, slot: u64, value: View, promised: u64, rank: usize, now: Duration) -> &Proposal {
+    pub fn start_proposal(&mut self, slot: u64, value: View, promised: u64, rank: usize, now: Duration) -> &Proposal {
         let round = (promised.max(self.highest_seen_number) >> RANK_BITS) + 1;
         self.proposal.insert(Proposal {
             slot,
@@ -112,8 +112,8 @@
         self.highest_seen_number = self.highest_seen_number.max(number);
         // A voter that already promised this number also answers a duplicated prepare with a rejection that
         // names the same number; that is no reason to give up.
-        let is_outbid = |proposal: &Proposal| proposal.slot == slot && number > proposal.number;
-        if self.proposal.as_ref().is_some_and(is_outbid) {
+        let is_superseded = |proposal: &Proposal| proposal.slot == slot && number > proposal.number;
+        if self.proposal.as_ref().is_some_and(is_superseded) {
             self.proposal = None;
             self.propose_after = now + backoff;
         }
@@ -127,12 +127,12 @@
 
     /// Continues above the proposal numbers of the replica before its restart, since answers to its proposals may
     /// still arrive.
-    pub fn continue_numbers(&mut self, earlier: &ViewAgreement) {
+    pub fn continue_numbering(&mut self, earlier: &ViewAgreement) {
         let proposed = earlier.proposal.as_ref().map_or(0, |proposal| proposal.number);
         self.highest_seen_number = earlier.highest_seen_number.max(proposed);
     }
 
-    pub(crate) fn times(&self) -> (Duration, Duration, u64) {
+    pub(crate) fn digest_fields(&self) -> (Duration, Duration, u64) {
         (self.propose_after, self.accepted_at, self.highest_seen_number)
     }
 }
--- a/crates/chain/src/write_queue.rs
+++ b/crates/chain/src/write_queue.rs
@@ -140,7 +140,7 @@
         (&self.next, &self.next_on_synced)
     }
 
-    pub(crate) fn flags(&self) -> (bool, bool, u64, bool) {
+    pub(crate) fn digest_fields(&self) -> (bool, bool, u64, bool) {
         (self.is_dirty, self.next_completes_catch_up, self.last_ticket, self.has_failed)
     }
 }
