--- a/crates/chain/tests/full.rs
+++ b/crates/chain/tests/disk_full.rs
@@ -1,10 +1,10 @@
 //! Temporarily full disk: the data file keeps everything acknowledged, and the disk thread resumes by itself once
 //! there is space. After any other fault it does not resume.
 
-mod platter;
+mod simulated_disk;
 
 use chain::{Batch, Change, DiskReport, DiskWriter, Store};
-use platter::Disk as Platter;
+use simulated_disk::SimulatedDisk;
 use std::sync::mpsc;
 use wire::{LogEntry, NodeAddress, ProposalId};
 
@@ -19,12 +19,12 @@
 }
 
 /// Starts the disk thread on a simulated disk, and returns the channel of its reports.
-fn start(platter: &Platter) -> (DiskWriter, mpsc::Receiver<DiskReport>) {
-    let (store, _) = Store::open_on(platter.clone(), "posta", node()).unwrap();
+fn start(simulated: &SimulatedDisk) -> (DiskWriter, mpsc::Receiver<DiskReport>) {
+    let (store, _) = Store::open_on(simulated.clone(), "posta", node()).unwrap();
     let (reports, reported) = mpsc::channel();
-    let again = platter.clone();
+    let reopened = simulated.clone();
     let reopen = move || {
-        let (mut store, stored) = Store::open_on(again.clone(), "posta", node())?;
+        let (mut store, stored) = Store::open_on(reopened.clone(), "posta", node())?;
         store.write(&Batch { last: stored.last, known_committed: stored.known_committed, ..Batch::default() })?;
         Ok((store, stored))
     };
@@ -33,10 +33,10 @@
 }
 
 #[test]
-fn a_disk_that_was_full_is_written_to_again_and_holds_all_that_was_acknowledged() {
+fn a_disk_that_was_full_is_written_again_and_holds_everything_acknowledged() {
     for seed in 0..4u64 {
-        let platter = Platter::new(Vec::new(), u64::MAX);
-        let (disk, reported) = start(&platter);
+        let simulated = SimulatedDisk::new(Vec::new(), u64::MAX);
+        let (disk, reported) = start(&simulated);
         let mut acknowledged = 0;
         for round in 1..=3u64 {
             for seq in acknowledged + 1..=acknowledged + 3 + seed {
@@ -44,10 +44,10 @@
                 assert!(matches!(reported.recv(), Ok(DiskReport::Written { ticket }) if ticket == seq));
                 acknowledged = seq;
             }
-            platter.0.lock().unwrap().full = true;
+            simulated.0.lock().unwrap().full = true;
             disk.write(acknowledged + 1, batch(acknowledged + 1));
             assert!(matches!(reported.recv(), Ok(DiskReport::Failed(error)) if error.is_disk_full()), "round {round}");
-            platter.0.lock().unwrap().full = false;
+            simulated.0.lock().unwrap().full = false;
             let Ok(DiskReport::Recovered { stored }) = reported.recv() else { panic!("the disk does not recover") };
             assert!((acknowledged..=acknowledged + 1).contains(&stored.last), "{} of {acknowledged}", stored.last);
             let newest = stored.state.get(&format!("key {}", stored.last % 5)).map(|value| value[0]);
@@ -58,12 +58,12 @@
 }
 
 #[test]
-fn after_a_fault_that_is_no_lack_of_capacity_the_file_is_not_touched_again() {
-    let platter = Platter::new(Vec::new(), u64::MAX);
-    drop(Store::open_on(platter.clone(), "posta", node()).unwrap());
-    let image = platter.0.lock().unwrap().synced.clone();
-    let broken = Platter::new(image, 12);
-    let (disk, reported) = start(&broken);
+fn after_a_fault_other_than_a_full_disk_the_file_is_not_written_again() {
+    let simulated = SimulatedDisk::new(Vec::new(), u64::MAX);
+    drop(Store::open_on(simulated.clone(), "posta", node()).unwrap());
+    let image = simulated.0.lock().unwrap().synced.clone();
+    let failing = SimulatedDisk::new(image, 12);
+    let (disk, reported) = start(&failing);
     let error = (1..50u64).find_map(|seq| {
         disk.write(seq, batch(seq));
         match reported.recv() {
--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -18,25 +18,25 @@
     pub disks: BTreeMap<NodeId, StoredReplica>,
     pub frames: VecDeque<(NodeId, NodeId, ChainMessage)>,
     pub writes: Vec<(NodeId, u64, Batch)>,
-    pub cut: Vec<NodeId>,
-    pub pairs: Vec<(NodeId, NodeId)>,
-    pub stalled: Vec<NodeId>,
+    pub isolated: Vec<NodeId>,
+    pub cut_links: Vec<(NodeId, NodeId)>,
+    pub stalled_disks: Vec<NodeId>,
     /// Members to which no append messages are delivered.
-    pub starved: Vec<NodeId>,
-    pub done: Vec<(NodeId, ProposalId, bool)>,
+    pub append_blocked: Vec<NodeId>,
+    pub finished: Vec<(NodeId, ProposalId, bool)>,
     pub confirmed: Vec<NodeId>,
-    pub installed: Vec<(NodeId, Option<usize>)>,
+    pub caught_up: Vec<(NodeId, Option<usize>)>,
     pub now: Duration,
     pub next_op: u64,
     /// Seeds of a member, if not all other members.
     pub seeds: BTreeMap<NodeId, Vec<NodeId>>,
-    pub told: BTreeMap<NodeId, Vec<NodeId>>,
+    pub learned_voters: BTreeMap<NodeId, Vec<NodeId>>,
     /// Address of a member, if not its default one.
     pub addresses: BTreeMap<NodeId, wire::Text>,
     /// Members whose disk refuses every write.
-    pub full: Vec<NodeId>,
+    pub full_disks: Vec<NodeId>,
     /// Number and total bytes of the snapshot and missed-entries messages delivered to a member.
-    pub caught_up_by: BTreeMap<NodeId, (usize, usize)>,
+    pub catch_up_traffic: BTreeMap<NodeId, (usize, usize)>,
 }
 
 pub fn node(id: NodeId) -> NodeAddress {
@@ -50,40 +50,40 @@
             disks: BTreeMap::new(),
             frames: VecDeque::new(),
             writes: Vec::new(),
-            cut: Vec::new(),
-            pairs: Vec::new(),
-            stalled: Vec::new(),
-            starved: Vec::new(),
-            done: Vec::new(),
+            isolated: Vec::new(),
+            cut_links: Vec::new(),
+            stalled_disks: Vec::new(),
+            append_blocked: Vec::new(),
+            finished: Vec::new(),
             confirmed: Vec::new(),
-            installed: Vec::new(),
+            caught_up: Vec::new(),
             now: Duration::from_secs(1),
             next_op: 0,
             seeds: BTreeMap::new(),
-            told: BTreeMap::new(),
+            learned_voters: BTreeMap::new(),
             addresses: BTreeMap::new(),
-            full: Vec::new(),
-            caught_up_by: BTreeMap::new(),
+            full_disks: Vec::new(),
+            catch_up_traffic: BTreeMap::new(),
         };
         ids.iter().for_each(|id| net.start(*id));
         net
     }
 
     pub fn start(&mut self, id: NodeId) {
-        self.start_founding(id, 3);
+        self.start_with_founders(id, 3);
     }
 
     /// Starts a member that may found a cluster with this many founders; 0 for never.
-    pub fn start_founding(&mut self, id: NodeId, seats: usize) {
-        self.start_bearing(id, seats, 1);
+    pub fn start_with_founders(&mut self, id: NodeId, founders: usize) {
+        self.start_tolerating(id, founders, 1);
     }
 
-    /// Like `start_founding`, with the number of losses to tolerate.
-    pub fn start_bearing(&mut self, id: NodeId, seats: usize, losses: usize) {
+    /// Like `start_with_founders`, with the number of losses to tolerate.
+    pub fn start_tolerating(&mut self, id: NodeId, founders: usize, losses: usize) {
         let stored = self.disks.entry(id).or_default().clone();
         let address = self.addresses.get(&id).cloned().unwrap_or(node(id).address);
         let member = ChainReplica::new(NodeAddress { id, address }, stored, Timing::default(), apply, self.now);
-        self.members.insert(id, member.with_founders(seats).with_tolerated_losses(losses));
+        self.members.insert(id, member.with_founders(founders).with_tolerated_losses(losses));
     }
 
     /// Restarts a member as a process whose confirmation rounds begin at another number.
@@ -94,25 +94,25 @@
         }
     }
 
-    pub fn feed(&mut self, id: NodeId, input: Input) {
+    pub fn step(&mut self, id: NodeId, input: Input) {
         let Some(member) = self.members.get_mut(&id) else { return };
         for output in member.step(self.now, input) {
             match output {
                 Output::Send { to, message } => self.frames.push_back((id, to, message)),
                 Output::SendSeeds { message } => {
-                    let told = self.told.get(&id).into_iter().flatten();
+                    let learned = self.learned_voters.get(&id).into_iter().flatten();
                     let others: Vec<NodeId> = match self.seeds.get(&id) {
-                        Some(seeds) => seeds.iter().chain(told).copied().collect(),
+                        Some(seeds) => seeds.iter().chain(learned).copied().collect(),
                         None => self.members.keys().copied().filter(|other| *other != id).collect(),
                     };
                     others.into_iter().for_each(|to| self.frames.push_back((id, to, message.clone())));
                 }
                 Output::Write { ticket, batch } => self.writes.push((id, ticket, batch)),
-                Output::ProposalDone { op, appended, .. } => self.done.push((id, op, appended)),
+                Output::ProposalDone { op, appended, .. } => self.finished.push((id, op, appended)),
                 Output::Confirmed { .. } => self.confirmed.push(id),
-                Output::CaughtUp { missed_entries } => self.installed.push((id, missed_entries)),
+                Output::CaughtUp { missed_entries } => self.caught_up.push((id, missed_entries)),
                 Output::ViewLearned { view } => {
-                    drop(self.told.insert(id, view.voters.iter().map(|node| node.id).collect()))
+                    drop(self.learned_voters.insert(id, view.voters.iter().map(|node| node.id).collect()))
                 }
                 Output::Committed { .. } | Output::ViewAdopted { .. } => {}
             }
@@ -120,48 +120,48 @@
     }
 
     /// Completes all disk writes of a member.
-    pub fn land(&mut self, id: NodeId) {
-        while let Some(place) = self.writes.iter().position(|(owner, ..)| *owner == id) {
-            let (_, ticket, batch) = self.writes.remove(place);
+    pub fn complete_writes(&mut self, id: NodeId) {
+        while let Some(index) = self.writes.iter().position(|(owner, ..)| *owner == id) {
+            let (_, ticket, batch) = self.writes.remove(index);
             if let Some(disk) = self.disks.get_mut(&id) {
                 disk.apply(&batch);
             }
-            self.feed(id, Input::Written { ticket });
+            self.step(id, Input::Written { ticket });
         }
     }
 
-    pub fn settle(&mut self) {
-        self.steps(usize::MAX);
+    pub fn deliver_all(&mut self) {
+        self.deliver(usize::MAX);
     }
 
     /// Delivers up to `count` messages and completed disk writes.
-    pub fn steps(&mut self, count: usize) {
+    pub fn deliver(&mut self, count: usize) {
         for _ in 0..count {
             if let Some((from, to, message)) = self.frames.pop_front() {
-                let pair = self.pairs.contains(&(from, to)) || self.pairs.contains(&(to, from));
-                let starved = matches!(message, ChainMessage::Append { .. }) && self.starved.contains(&to);
-                if !self.cut.contains(&from) && !self.cut.contains(&to) && !pair && !starved {
-                    self.count(to, &message);
-                    self.feed(to, Input::Message { from, message });
+                let is_cut = self.cut_links.contains(&(from, to)) || self.cut_links.contains(&(to, from));
+                let is_blocked = matches!(message, ChainMessage::Append { .. }) && self.append_blocked.contains(&to);
+                if !self.isolated.contains(&from) && !self.isolated.contains(&to) && !is_cut && !is_blocked {
+                    self.count_catch_up(to, &message);
+                    self.step(to, Input::Message { from, message });
                 }
                 continue;
             }
-            let Some(place) = self.writes.iter().position(|(id, ..)| !self.stalled.contains(id)) else { return };
-            let (id, ticket, batch) = self.writes.remove(place);
-            if self.full.contains(&id) {
-                self.feed(id, Input::DiskError);
+            let Some(index) = self.writes.iter().position(|(id, ..)| !self.stalled_disks.contains(id)) else { return };
+            let (id, ticket, batch) = self.writes.remove(index);
+            if self.full_disks.contains(&id) {
+                self.step(id, Input::DiskError);
                 continue;
             }
             if let Some(disk) = self.disks.get_mut(&id) {
                 disk.apply(&batch);
             }
-            self.feed(id, Input::Written { ticket });
+            self.step(id, Input::Written { ticket });
         }
     }
 
-    fn count(&mut self, to: NodeId, message: &ChainMessage) {
+    fn count_catch_up(&mut self, to: NodeId, message: &ChainMessage) {
         if matches!(message, ChainMessage::SnapshotChunk { .. } | ChainMessage::MissedEntries { .. }) {
-            let (messages, bytes) = self.caught_up_by.entry(to).or_default();
+            let (messages, bytes) = self.catch_up_traffic.entry(to).or_default();
             *messages += 1;
             *bytes += wire::to_bytes(message).len();
         }
@@ -169,35 +169,35 @@
 
     /// Makes the full disk of a member accept writes again, and restarts the member from its contents.
     pub fn free_disk(&mut self, id: NodeId) {
-        self.full.retain(|full| *full != id);
+        self.full_disks.retain(|full| *full != id);
         let stored = self.disks[&id].clone();
-        self.feed(id, Input::DiskRecovered { stored });
-        self.settle();
+        self.step(id, Input::DiskRecovered { stored });
+        self.deliver_all();
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 50 {
             self.now += Duration::from_millis(50);
             let ids: Vec<NodeId> = self.members.keys().copied().collect();
-            ids.into_iter().for_each(|id| self.feed(id, Input::Tick));
-            self.settle();
+            ids.into_iter().for_each(|id| self.step(id, Input::Tick));
+            self.deliver_all();
         }
     }
 
-    /// Like `pass`, in steps of ten milliseconds.
-    pub fn pass_finely(&mut self, millis: u64) {
+    /// Like `advance`, in steps of ten milliseconds.
+    pub fn advance_finely(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.now += Duration::from_millis(10);
             let ids: Vec<NodeId> = self.members.keys().copied().collect();
-            ids.into_iter().for_each(|id| self.feed(id, Input::Tick));
-            self.settle();
+            ids.into_iter().for_each(|id| self.step(id, Input::Tick));
+            self.deliver_all();
         }
     }
 
-    pub fn propose_entry(&mut self, at: NodeId, words: &str) -> ProposalId {
+    pub fn propose_entry(&mut self, at: NodeId, body: &str) -> ProposalId {
         self.next_op += 1;
         let op = ProposalId { origin: at, number: self.next_op };
-        self.feed(at, Input::Propose { op, body: words.as_bytes().to_vec() });
+        self.step(at, Input::Propose { op, body: body.as_bytes().to_vec() });
         op
     }
 
@@ -207,7 +207,7 @@
 
     pub fn founded() -> Net {
         let mut net = Net::new(&[1, 2, 3]);
-        net.pass(3000);
+        net.advance(3000);
         assert_eq!((net.chain(1), net.chain(3)), (vec![1, 2, 3], vec![1, 2, 3]));
         net
     }
--- a/crates/chain/tests/planned.rs
+++ b/crates/chain/tests/planned_replacement.rs
@@ -12,13 +12,13 @@
 fn leave_after(millis: u64) -> (Net, Vec<NodeId>) {
     let mut net = Net::founded();
     net.propose_entry(1, "kept");
-    net.settle();
+    net.deliver_all();
     net.seeds.insert(4, vec![1, 2, 3]);
-    net.start_founding(4, 0);
-    net.pass(millis);
-    net.feed(3, chain::Input::Leave { within: Duration::from_secs(4) });
+    net.start_with_founders(4, 0);
+    net.advance(millis);
+    net.step(3, chain::Input::Leave { within: Duration::from_secs(4) });
     for _ in 0..40 {
-        net.pass(100);
+        net.advance(100);
         if net.members[&3].may_stop() {
             break;
         }
@@ -38,27 +38,27 @@
     net.members.remove(&3);
     net.members.remove(&1);
     net.disks.remove(&1);
-    net.pass(3000);
+    net.advance(3000);
     let head = net.chain(2)[0];
     let op = net.propose_entry(head, "after the loss");
-    net.pass(1000);
+    net.advance(1000);
     assert!(
-        net.done.iter().any(|(_, done, appended)| *done == op && *appended),
+        net.finished.iter().any(|(_, done, appended)| *done == op && *appended),
         "no majority is left, or too few replicas"
     );
     assert!(net.members[&2].committed_state().contains_key("kept"));
 }
 
 #[test]
-fn a_member_whose_successor_never_gets_in_leaves_all_the_same() {
+fn a_member_whose_successor_is_never_admitted_leaves_anyway() {
     let mut net = Net::founded();
     net.seeds.insert(4, vec![1, 2, 3]);
-    net.start_founding(4, 0);
-    net.pass(1000);
+    net.start_with_founders(4, 0);
+    net.advance(1000);
     net.members.get_mut(&1).unwrap().defer_joins(true);
     net.members.get_mut(&2).unwrap().defer_joins(true);
     net.members.get_mut(&3).unwrap().defer_joins(true);
-    net.feed(3, chain::Input::Leave { within: Duration::from_secs(4) });
-    net.pass(4000);
+    net.step(3, chain::Input::Leave { within: Duration::from_secs(4) });
+    net.advance(4000);
     assert!(net.members[&3].may_stop());
 }
--- a/crates/chain/tests/restarts.rs
+++ b/crates/chain/tests/restarts.rs
@@ -7,26 +7,26 @@
 use std::time::Duration;
 
 /// Deadline so near that a replica leaves before another has replaced it.
-const SHORT: Duration = Duration::from_millis(300);
+const SHORT_DEADLINE: Duration = Duration::from_millis(300);
 
 #[test]
 fn a_view_decided_by_a_leaver_alone_is_adopted_by_the_others_while_they_leave_too() {
     for (first, ms) in [(1, 0), (2, 0), (3, 0), (1, 2), (2, 2), (3, 2)] {
         let mut net = Net::founded();
         net.propose_entry(1, "kept");
-        net.settle();
-        net.feed(first, Input::Leave { within: SHORT });
+        net.deliver_all();
+        net.step(first, Input::Leave { within: SHORT_DEADLINE });
         net.now += Duration::from_millis(ms);
         // Messages are delivered until the leaver has decided the view; those it sends later are lost.
         while net.members[&first].is_in_chain() {
-            net.steps(1);
+            net.deliver(1);
         }
         net.members.remove(&first);
-        let left: Vec<u64> = net.members.keys().copied().collect();
-        left.iter().for_each(|id| net.feed(*id, Input::Leave { within: Duration::from_secs(4) }));
-        net.pass(4000);
-        for id in &left {
-            assert_eq!(net.members[id].view().chain.as_slice(), &left[..], "member {id}, leaver {first}");
+        let remaining: Vec<u64> = net.members.keys().copied().collect();
+        remaining.iter().for_each(|id| net.step(*id, Input::Leave { within: Duration::from_secs(4) }));
+        net.advance(4000);
+        for id in &remaining {
+            assert_eq!(net.members[id].view().chain.as_slice(), &remaining[..], "member {id}, leaver {first}");
         }
     }
 }
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn members_that_return_at_other_addresses_with_their_disks_are_met_there_by_the_next_views() {
+fn the_next_views_name_the_new_addresses_of_members_restarted_with_their_disks() {
     let mut net = Net::founded();
     net.propose_entry(1, "kept");
-    net.settle();
+    net.deliver_all();
     for round in 1..=5 {
         net.members.clear();
         net.frames.clear();
@@ -48,30 +48,30 @@
             net.addresses.insert(id, format!("10.0.{round}.{id}:1").into());
             net.start(id);
         }
-        net.pass(4000);
+        net.advance(4000);
         let expected: Vec<String> = (1..=3).map(|id| format!("10.0.{round}.{id}:1")).collect();
         for id in 1..=3 {
-            let mut named = addresses(&net, id);
-            named.sort();
-            assert_eq!(named, expected, "round {round}, member {id}");
+            let mut listed = addresses(&net, id);
+            listed.sort();
+            assert_eq!(listed, expected, "round {round}, member {id}");
         }
         let head = net.chain(1)[0];
         let op = net.propose_entry(head, "more");
-        net.pass(500);
-        assert!(net.done.iter().any(|(_, done, appended)| *done == op && *appended), "round {round}");
+        net.advance(500);
+        assert!(net.finished.iter().any(|(_, done, appended)| *done == op && *appended), "round {round}");
     }
 }
 
 #[test]
-fn a_new_machine_at_the_former_address_of_another_is_let_in() {
+fn a_new_machine_at_the_former_address_of_another_is_admitted() {
     let mut net = Net::founded();
     net.members.remove(&3);
     net.addresses.insert(3, "10.0.9.3:1".into());
     net.start(3);
-    net.pass(3000);
+    net.advance(3000);
     net.addresses.insert(4, net::node(3).address);
     net.seeds.insert(4, vec![1, 2, 3]);
-    net.start_founding(4, 0);
-    net.pass(8000);
+    net.start_with_founders(4, 0);
+    net.advance(8000);
     assert_eq!(net.chain(1).len(), 4, "{:?}", net.members[&1].view());
 }
--- a/crates/chain/tests/store.rs
+++ b/crates/chain/tests/store.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_was_synced_comes_back_and_old_entries_are_trimmed() {
+fn synced_data_is_read_back_and_old_entries_are_trimmed() {
     let folder = folder("back");
     let path = folder.join("registry.redb");
     write_some(&path);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_foreign_or_damaged_file_is_refused_and_left_as_it_was() {
+fn a_foreign_or_damaged_file_is_refused_and_left_unmodified() {
     let folder = folder("damaged");
     let path = folder.join("registry.redb");
     write_some(&path);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_file_of_a_record_format_not_known_here_is_refused_and_left_as_it_was() {
+fn a_file_of_an_unsupported_record_format_is_refused_and_left_unmodified() {
     let folder = folder("format");
     let path = folder.join("registry.redb");
     write_some(&path);
