--- a/crates/chain/tests/net/mod.rs
+++ b/crates/chain/tests/net/mod.rs
@@ -8,28 +8,39 @@
 use std::time::Duration;
 use wire::{ChainMessage, NodeAddress, NodeId, ProposalId};
 
+/// State machine of the tests: sets the key named by the entry's body to the entry's sequence number.
 pub fn apply(_: &State, seq: u64, body: &[u8]) -> Effect {
     let key = String::from_utf8_lossy(body).into_owned();
     Effect { changes: vec![Change::put(key, seq.to_le_bytes().to_vec())], reply: body.to_vec() }
 }
 
+/// Replicas, their disks, and the messages and writes in flight.
 pub struct Net {
     pub members: BTreeMap<NodeId, ChainReplica>,
     pub disks: BTreeMap<NodeId, StoredReplica>,
+    /// Undelivered messages: sender, receiver and message.
     pub frames: VecDeque<(NodeId, NodeId, ChainMessage)>,
+    /// Disk writes that are not complete: member, ticket and batch.
     pub writes: Vec<(NodeId, u64, Batch)>,
+    /// Members that neither send nor receive messages.
     pub isolated: Vec<NodeId>,
+    /// Pairs of members between which no messages are delivered.
     pub cut_links: Vec<(NodeId, NodeId)>,
+    /// Members whose disk writes do not complete.
     pub stalled_disks: Vec<NodeId>,
     /// Members to which no append messages are delivered.
     pub append_blocked: Vec<NodeId>,
+    /// Finished proposals: member, proposal, and whether it was appended.
     pub finished: Vec<(NodeId, ProposalId, bool)>,
+    /// Members that reported a confirmed round, one item per round.
     pub confirmed: Vec<NodeId>,
+    /// Catch-ups: member, and the number of missed entries or `None` for a snapshot.
     pub caught_up: Vec<(NodeId, Option<usize>)>,
     pub now: Duration,
     pub next_op: u64,
     /// Seeds of a member, if not all other members.
     pub seeds: BTreeMap<NodeId, Vec<NodeId>>,
+    /// Voters of the view that a member without a view was sent.
     pub learned_voters: BTreeMap<NodeId, Vec<NodeId>>,
     /// Address of a member, if not its default one.
     pub addresses: BTreeMap<NodeId, wire::Text>,
@@ -39,11 +50,13 @@
     pub catch_up_traffic: BTreeMap<NodeId, (usize, usize)>,
 }
 
+/// Returns the id and default address of a member.
 pub fn node(id: NodeId) -> NodeAddress {
     NodeAddress { id, address: format!("10.0.0.{id}:1").into() }
 }
 
 impl Net {
+    /// Starts members with empty disks.
     pub fn new(ids: &[NodeId]) -> Net {
         let mut net = Net {
             members: BTreeMap::new(),
@@ -69,6 +82,7 @@
         net
     }
 
+    /// Starts a member from its disk; it may found a cluster with three founders.
     pub fn start(&mut self, id: NodeId) {
         self.start_with_founders(id, 3);
     }
@@ -94,6 +108,7 @@
         }
     }
 
+    /// Passes an input to a member and records its outputs.
     pub fn step(&mut self, id: NodeId, input: Input) {
         let Some(member) = self.members.get_mut(&id) else { return };
         for output in member.step(self.now, input) {
@@ -130,6 +145,7 @@
         }
     }
 
+    /// Delivers all messages and completes all disk writes that are not blocked.
     pub fn deliver_all(&mut self) {
         self.deliver(usize::MAX);
     }
@@ -175,6 +191,7 @@
         self.deliver_all();
     }
 
+    /// Advances the clock in steps of 50 ms, with a tick of each member and all deliveries after each step.
     pub fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 50 {
             self.now += Duration::from_millis(50);
@@ -194,6 +211,7 @@
         }
     }
 
+    /// Proposes an entry at a member and returns the id of the proposal.
     pub fn propose_entry(&mut self, at: NodeId, body: &str) -> ProposalId {
         self.next_op += 1;
         let op = ProposalId { origin: at, number: self.next_op };
@@ -201,10 +219,12 @@
         op
     }
 
+    /// Returns the chain of a member's view.
     pub fn chain(&self, id: NodeId) -> Vec<NodeId> {
         self.members[&id].view().chain.as_slice().to_vec()
     }
 
+    /// Returns a cluster founded by members 1 to 3.
     pub fn founded() -> Net {
         let mut net = Net::new(&[1, 2, 3]);
         net.advance(3000);
--- a/crates/chain/tests/power_loss.rs
+++ b/crates/chain/tests/power_loss.rs
@@ -48,7 +48,7 @@
     let image = initial.0.lock().unwrap().synced.clone();
     let unlimited = SimulatedDisk::new(image.clone(), u64::MAX);
     assert_eq!(write_until_power_loss(&unlimited, 2, BATCHES), Some(2 + BATCHES));
-    let writes = unlimited.0.lock().unwrap().writes_used;
+    let writes = unlimited.0.lock().unwrap().operations;
     assert!(writes > 20, "the disk was written to {writes} times");
     let mut unacknowledged = 0;
     for moment in 0..writes {
@@ -103,7 +103,7 @@
     };
     let unlimited = SimulatedDisk::new(image.clone(), u64::MAX);
     assert_eq!(install(&unlimited), Some(true));
-    let writes = unlimited.0.lock().unwrap().writes_used;
+    let writes = unlimited.0.lock().unwrap().operations;
     let (mut old, mut new) = (0, 0);
     for moment in 0..=writes {
         for seed in 0..4 {
--- a/crates/chain/tests/simulated_disk/mod.rs
+++ b/crates/chain/tests/simulated_disk/mod.rs
@@ -8,13 +8,19 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
+/// Contents and limits of a simulated disk.
 #[derive(Debug)]
 pub struct DiskState {
+    /// Contents after the last sync.
     pub synced: Vec<u8>,
+    /// Contents with all writes.
     current: Vec<u8>,
+    /// Writes since the last sync: offset and bytes.
     unsynced: Vec<(u64, Vec<u8>)>,
-    writes_left: u64,
-    pub writes_used: u64,
+    /// Number of operations after which the power is lost.
+    max_operations: u64,
+    /// Number of operations so far: writes, syncs and size changes.
+    pub operations: u64,
     /// Whether all writes fail because the disk is full; reads still succeed.
     pub full: bool,
 }
@@ -25,14 +31,15 @@
 pub struct SimulatedDisk(pub Arc<Mutex<DiskState>>);
 
 impl SimulatedDisk {
-    pub fn new(image: Vec<u8>, writes_left: u64) -> SimulatedDisk {
+    /// Returns a disk with these contents that loses power after this many operations.
+    pub fn new(image: Vec<u8>, max_operations: u64) -> SimulatedDisk {
         let (current, synced, unsynced) = (image.clone(), image, Vec::new());
         SimulatedDisk(Arc::new(Mutex::new(DiskState {
             current,
             synced,
             unsynced,
-            writes_left,
-            writes_used: 0,
+            max_operations,
+            operations: 0,
             full: false,
         })))
     }
@@ -61,12 +68,12 @@
 }
 
 impl DiskState {
-    fn count_write(&mut self) -> io::Result<()> {
+    fn count_operation(&mut self) -> io::Result<()> {
         if self.full {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        self.writes_used += 1;
-        if self.writes_used > self.writes_left { Err(io::Error::other("power lost")) } else { Ok(()) }
+        self.operations += 1;
+        if self.operations > self.max_operations { Err(io::Error::other("power lost")) } else { Ok(()) }
     }
 }
 
@@ -82,7 +89,7 @@
     }
     fn set_len(&self, len: u64) -> io::Result<()> {
         let mut state = self.0.lock().unwrap();
-        state.count_write()?;
+        state.count_operation()?;
         state.current.resize(len as usize, 0);
         let grown = state.synced.len().max(len as usize);
         state.synced.resize(grown, 0);
@@ -90,14 +97,14 @@
     }
     fn sync_data(&self) -> io::Result<()> {
         let mut state = self.0.lock().unwrap();
-        state.count_write()?;
+        state.count_operation()?;
         state.synced = state.current.clone();
         state.unsynced.clear();
         Ok(())
     }
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         let mut state = self.0.lock().unwrap();
-        let result = state.count_write();
+        let result = state.count_operation();
         state.unsynced.push((offset, data.to_vec()));
         if result.is_ok() {
             state.current[offset as usize..offset as usize + data.len()].copy_from_slice(data);
