--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -1,11 +1,11 @@
-//! The registries' shared state, by chain replication: entries are appended at the head, synced at each replica
-//! on their way, and acknowledged by the tail. Which replicas are in the chain is agreed by a majority of voters,
-//! view by view.
+//! Chain replication of the registries' shared state: entries are appended at the head, synced to disk by each
+//! replica along the chain, and acknowledged by the tail. A majority of voters agrees on the members of the chain,
+//! one view at a time.
 //!
-//! [`ChainReplica`] is a state machine; it reads no clock and no socket, and the control plane drives it. It
-//! coordinates parts that own their state and do not know it: the log, the write queue, the failure detector, the
-//! view agreement, replication progress, confirmation rounds, catch-up, and what decides who may join. [`Disk`]
-//! keeps what it writes in a redb file.
+//! [`ChainReplica`] is a state machine that reads no clock and no socket; the control plane drives it. It
+//! coordinates components that own their state and do not depend on it: the log, the write queue, the failure
+//! detector, the view agreement, replication progress, confirmation rounds, catch-up and the membership rules.
+//! [`DiskWriter`] writes its batches to a redb file.
 
 #![warn(missing_docs)]
 
@@ -27,8 +27,8 @@
 mod write_queue;
 
 pub use departures::DepartureWait;
-pub use disk::{Disk, DiskReport};
+pub use disk::{DiskReport, DiskWriter};
 pub use log::Positions;
 pub use replica::{ChainReplica, digest_batch, digest_entries, digest_meta, digest_state};
 pub use store::{Store, StoreError};
-pub use types::{Apply, Batch, Change, Effect, Input, Meta, Output, State, Stored, Timing, Value};
+pub use types::{Apply, Batch, Change, Effect, Input, Meta, Output, State, StoredReplica, Timing, Value};
--- a/crates/chain/tests/store.rs
+++ b/crates/chain/tests/store.rs
@@ -1,5 +1,5 @@
-//! The data file: what was synced comes back; a damaged, foreign or newer file is refused with a
-//! clear word and left as it was.
+//! Data file of the store: synced data is read back; a damaged, foreign or newer file is refused with a clear error
+//! and left unmodified.
 
 use chain::{Batch, Change, Store, StoreError};
 use redb::{Database, ReadableTable, TableDefinition};
@@ -34,29 +34,29 @@
 }
 
 #[test]
-fn what_was_synced_comes_back_and_old_entries_are_trimmed() {
+fn synced_data_is_read_back_and_old_entries_are_trimmed() {
     let folder = folder("back");
     let path = folder.join("registry.redb");
     write_some(&path);
     let (_, stored) = Store::open(&path, "posta", NodeAddress { id: 99, address: "".into() }).unwrap();
-    assert_eq!((stored.last, stored.meta.node.id, stored.state.len()), (20, 5, 7), "identity lives on the disk");
+    assert_eq!((stored.last, stored.meta.node.id, stored.state.len()), (20, 5, 7), "the identity is the stored one");
     assert_eq!(stored.entries.iter().map(|entry| entry.seq).collect::<Vec<_>>(), (15..=20).collect::<Vec<_>>());
     assert_eq!(stored.state.get("key 6").map(|value| value[0]), Some(20));
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn a_foreign_or_damaged_file_is_refused_and_left_as_it_was() {
+fn a_foreign_or_damaged_file_is_refused_and_left_unmodified() {
     let folder = folder("damaged");
     let path = folder.join("registry.redb");
     write_some(&path);
     let whole = std::fs::read(&path).unwrap();
-    assert!(matches!(Store::open(&path, "pixel", node()), Err(StoreError::Foreign(name)) if name == "posta"));
+    assert!(matches!(Store::open(&path, "pixel", node()), Err(StoreError::OtherCluster(name)) if name == "posta"));
     assert!(std::fs::read(&path).unwrap() == whole, "a foreign file was written to");
     let cases: Vec<(&str, Vec<u8>)> = vec![
         ("garbage", vec![0x5a; 8192]),
-        ("cut", whole[..whole.len() / 3].to_vec()),
-        ("bad head", [vec![0; 512], whole[512..].to_vec()].concat()),
+        ("truncated", whole[..whole.len() / 3].to_vec()),
+        ("bad header", [vec![0; 512], whole[512..].to_vec()].concat()),
     ];
     for (name, bytes) in cases {
         std::fs::write(&path, &bytes).unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_file_of_a_record_format_not_known_here_is_refused_and_left_as_it_was() {
+fn a_file_of_an_unsupported_record_format_is_refused_and_left_unmodified() {
     let folder = folder("format");
     let path = folder.join("registry.redb");
     write_some(&path);
@@ -84,7 +84,7 @@
     }
     let before = std::fs::read(&path).unwrap();
     let refused = Store::open(&path, "posta", node()).map(drop);
-    assert!(matches!(refused, Err(StoreError::Format(9))), "{refused:?}");
+    assert!(matches!(refused, Err(StoreError::UnsupportedFormat(9))), "{refused:?}");
     assert!(std::fs::read(&path).unwrap() == before, "the file was written to");
     let _ = std::fs::remove_dir_all(folder);
 }
