--- a/crates/leases/src/configuration_fetch.rs
+++ b/crates/leases/src/configuration_fetch.rs
@@ -1,6 +1,6 @@
-//! Taking the whole active configuration, by a router that is new or too far behind for the steps the
-//! core still keeps: in packed parts, or in pieces from a core that speaks an older format. Pieces of
-//! another step than the first are thrown away.
+//! Fetches the complete active configuration for a router that is new, or so far behind that the core no longer keeps
+//! the epochs it lacks. It arrives in packed parts, or in pages from a core of an older wire format. A page of another
+//! epoch than the first page's ends the fetch.
 
 use crate::follower::Follower;
 use crate::follower_types::FollowerOutput;
@@ -9,6 +9,7 @@
 use std::time::Duration;
 use wire::{ConfigurationItem, LeaseMessage, NodeId, Text};
 
+/// Fetch of the complete configuration in progress.
 pub struct Fetch {
     pub request_id: u64,
     pub step: Option<u64>,
--- a/crates/leases/src/epochs.rs
+++ b/crates/leases/src/epochs.rs
@@ -1,10 +1,10 @@
-//! The configuration epochs of a router: the one that is active, and those that are staged after it. An epoch is
-//! staged only in its turn, and is activated when the core says so.
+//! Configuration epochs of a router: the active one and those staged after it. Epochs are staged in the order of their
+//! numbers and activated when the core says so.
 
 use std::collections::BTreeMap;
 use wire::{ConfigurationEpoch, NodeId};
 
-/// The active configuration and what is staged.
+/// Active configuration and staged epochs.
 #[derive(Default)]
 pub struct Epochs {
     active: u64,
@@ -12,59 +12,59 @@
     quorum: Vec<NodeId>,
     items: BTreeMap<String, Vec<u8>>,
     staged: BTreeMap<u64, ConfigurationEpoch>,
-    /// The newest epoch that is known to exist, staged here or not.
+    /// Newest epoch that is known to exist, staged here or not.
     newest_known: u64,
-    /// Whether the active epoch is one that the core confirmed, so that later ones may be staged after it.
+    /// Whether the core confirmed the active epoch, so that later ones may be staged after it.
     pub is_initialized: bool,
 }
 
 impl Epochs {
-    /// The number of the active epoch, 0 before the first.
+    /// Returns the number of the active epoch, 0 before the first.
     pub fn active(&self) -> u64 {
         self.active
     }
 
-    /// The operators' revision of the active epoch.
+    /// Returns the operators' revision of the active epoch.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The routers whose majority can confirm the active epoch.
+    /// Returns the routers whose majority can confirm leases on the active epoch.
     pub fn quorum(&self) -> &[NodeId] {
         &self.quorum
     }
 
-    /// The resources of the active epoch, by key.
+    /// Returns the resources of the active epoch, by key.
     pub fn items(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.items.iter().map(|(key, value)| (key.as_str(), value.as_slice()))
     }
 
-    /// The newest epoch that is staged or active.
+    /// Returns the newest epoch that is staged or active.
     pub fn newest_staged(&self) -> u64 {
         self.staged.keys().next_back().copied().unwrap_or(self.active)
     }
 
-    /// The newest epoch that is known to exist.
+    /// Returns the newest epoch that is known to exist.
     pub fn newest_known(&self) -> u64 {
         self.newest_staged().max(self.newest_known)
     }
 
-    /// Whether a newer epoch than the active one may come into force at any moment.
+    /// Returns whether an epoch newer than the active one may be activated at any moment.
     pub fn has_newer(&self) -> bool {
         self.newest_known() > self.active
     }
 
-    /// An epoch of this number exists.
+    /// Records that an epoch of this number exists.
     pub fn record_known(&mut self, number: u64) {
         self.newest_known = self.newest_known.max(number);
     }
 
-    /// Whether it is the next epoch after what is held here.
+    /// Returns whether this is the next epoch to stage.
     pub fn accepts(&self, number: u64) -> bool {
         number == self.newest_staged() + 1 && (self.is_initialized || self.active + 1 == number)
     }
 
-    /// Stages an epoch, if it is the next.
+    /// Stages an epoch if it is the next one.
     pub fn stage(&mut self, epoch: ConfigurationEpoch) {
         self.record_known(epoch.number);
         if self.accepts(epoch.number) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Activates staged epochs up to a number; true if any was.
+    /// Activates staged epochs up to a number; returns whether any was activated.
     pub fn activate_to(&mut self, number: u64) -> bool {
         let before = self.active;
         while self.active < number {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Puts a complete configuration in place of the active one. What is staged stays where it follows on it.
+    /// Replaces the active epoch by a complete configuration. Staged epochs are kept if they directly follow it.
     pub fn install(&mut self, number: u64, revision: u64, quorum: Vec<NodeId>, items: BTreeMap<String, Vec<u8>>) {
         self.items = items;
         self.active = number;
--- a/crates/leases/src/follower.rs
+++ b/crates/leases/src/follower.rs
@@ -1,6 +1,6 @@
-//! A router's side of membership and leases. It renews its lease, remembers when each confirmation was requested,
-//! stages and activates epochs, and says whether it may serve at this moment. A confirmation counts from when it was
-//! requested, so a frozen or late router can only be too careful.
+//! Router side of membership and leases: renews the lease, records when each confirmation was requested, stages and
+//! activates epochs, and determines whether the router may serve. A confirmation counts from its request, so a router
+//! that was paused or is late ends its lease too early rather than too late.
 
 use crate::configuration_fetch::Fetch;
 use crate::epochs::Epochs;
@@ -13,17 +13,17 @@
 use std::time::Duration;
 use wire::{Capacity, LeaseMessage, NodeId};
 
-/// The messages that are on their way in parts.
+/// Transfers that arrive in parts.
 #[derive(Default)]
 pub(crate) struct Transfers {
-    /// The complete configuration.
+    /// Fetch of the complete configuration.
     pub fetch: Option<Fetch>,
-    /// The next epoch.
+    /// Parts of the next epoch.
     pub arriving: Option<Arriving>,
 }
 
-/// A router's side of membership and leases, as a state machine: the coordinator of its epochs, its lease, its
-/// peers' quorum and what arrives in parts.
+/// State machine of the router side of membership and leases. Coordinates the epochs, the lease, the confirmations by
+/// peers and the transfers in parts.
 pub struct Follower {
     pub(crate) me: NodeId,
     pub(crate) joining: LeaseMessage,
@@ -42,14 +42,14 @@
     serving_status: ServingStatus,
 }
 
-/// Numbers of one incarnation are never those of another, so that an answer meant for the one
-/// before finds nothing asked by this one.
+/// Returns the request number at which an incarnation begins to count. Incarnations never share request numbers, so an
+/// answer to an earlier incarnation matches no request of the present one.
 pub fn first_number(incarnation: u64) -> u64 {
     (incarnation & 0x3fff_ffff) << 32
 }
 
 impl Follower {
-    /// A router that has just started, with its addresses for routers and for operators.
+    /// Creates the follower of a router that has just started. `address` is for routers, `ops` for operators.
     pub fn new(me: NodeId, incarnation: u64, address: &str, zone: &str, ops: &str, timing: FollowerTiming) -> Self {
         let (address, zone, ops) = (address.into(), zone.into(), ops.into());
         Follower {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// What this machine can carry, as it is told on joining.
+    /// Sets the capacity of this machine, which is sent on joining.
     pub fn able_to_own(mut self, able: Capacity) -> Self {
         if let LeaseMessage::JoinWithCapacity { capacity, .. } = &mut self.joining {
             *capacity = able;
@@ -85,36 +85,36 @@
         self
     }
 
-    /// The resources of the active epoch, by key.
+    /// Returns the resources of the active epoch, by key.
     pub fn pairs(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.epochs.items()
     }
-    /// This router's id.
+    /// Returns the id of this router.
     pub fn me(&self) -> NodeId {
         self.me
     }
-    /// The number of the active epoch.
+    /// Returns the number of the active epoch.
     pub fn step_number(&self) -> u64 {
         self.epochs.active()
     }
-    /// The operators' revision of the active epoch.
+    /// Returns the operators' revision of the active epoch.
     pub fn revision(&self) -> u64 {
         self.epochs.revision()
     }
-    /// The newest epoch that is staged or active.
+    /// Returns the newest epoch that is staged or active.
     pub fn staged_number(&self) -> u64 {
         self.epochs.newest_staged()
     }
-    /// The member routers, as far as they are known here.
+    /// Returns the newest membership known here.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
-    /// The registry that last confirmed the lease.
+    /// Returns the registry that last confirmed the lease.
     pub fn tail(&self) -> Option<NodeId> {
         self.lease.tail.map(|tail| tail.id)
     }
 
-    /// Takes one input in at a moment, and returns what is to be done.
+    /// Handles one input and returns the resulting outputs.
     pub fn step(&mut self, now: Duration, input: FollowerInput) -> Vec<FollowerOutput> {
         self.now = now;
         match input {
@@ -134,7 +134,7 @@
         std::mem::take(&mut self.outs)
     }
 
-    /// Asked again at the very moment of each dispatch.
+    /// Returns whether the router may serve at `now`. It is called again right before each dispatch.
     pub fn serving_status_at(&mut self, now: Duration) -> ServingStatus {
         let ends = self.lease_ends();
         let event = if now < ends.by_core {
@@ -147,13 +147,14 @@
         self.state_machine.take(event)
     }
 
-    /// The moment until which this router may serve by its step, as far as it knows now.
+    /// Returns until when this router may serve by its active epoch, as far as it knows now.
     pub fn serves_until(&self) -> Duration {
         let ends = self.lease_ends();
         ends.by_core.max(ends.by_peers)
     }
 
-    /// While a newer epoch may come into force, only the core's word counts, and only for a short while.
+    /// Returns when the lease expires. While a newer epoch may be activated, only a confirmation by the core counts,
+    /// and only for a short time.
     fn lease_ends(&self) -> LeaseEnds {
         if self.is_guarded() {
             return self.lease.ends(self.timing.guard, Duration::ZERO, Duration::ZERO).without_peers();
--- a/crates/leases/src/follower_types.rs
+++ b/crates/leases/src/follower_types.rs
@@ -1,29 +1,29 @@
-//! What a follower takes in and returns, and its periods.
+//! Inputs, outputs and timing of a follower.
 
 use crate::serving_status::ServingStatus;
 use std::time::Duration;
 use wire::{LeaseMessage, NodeId};
 
-/// How long routers go by each other's word without the core, where no setting says otherwise.
+/// Default time for which routers confirm each other's leases without the core.
 pub const DEFAULT_PEER_HOLD: Duration = Duration::from_secs(300);
 
-/// Periods and bounds of a follower.
+/// Intervals and limits of a follower.
 #[derive(Clone, Debug)]
 pub struct FollowerTiming {
-    /// How long a confirmation by the core lasts.
+    /// Duration of a confirmation by the core.
     pub hold: Duration,
-    /// How long one lasts while a newer epoch may come into force, and how long a confirmation by peers does.
+    /// Duration of a confirmation by the core while a newer epoch may be activated, and of a confirmation by peers.
     pub guard: Duration,
-    /// For how long after the core's last word the word of peers counts. The core waits so long before it does
-    /// without the routers of a quorum that are gone.
+    /// Time after the core's last confirmation during which confirmations by peers count. The core waits for this time
+    /// before it stops requiring the missing routers of a quorum.
     pub peer_hold: Duration,
-    /// How often the lease is renewed.
+    /// Interval of lease renewals.
     pub renew: Duration,
-    /// How often while a newer epoch may come into force.
+    /// Interval of renewals while a newer epoch may be activated.
     pub renew_guarded: Duration,
-    /// The same in a fleet that is not small: the tail answers them all.
+    /// Interval of such renewals in a large fleet, where the tail answers many routers.
     pub renew_guarded_many: Duration,
-    /// Fleets above this many are not small; they confirm one another through a few who ask for all.
+    /// Number of routers above which a fleet is large. Its routers confirm each other's leases through a few relays.
     pub relay_above: usize,
 }
 
@@ -41,35 +41,35 @@
     }
 }
 
-/// What a follower takes in.
+/// Input of a follower.
 #[derive(Clone, Debug)]
 pub enum FollowerInput {
-    /// Time went on.
+    /// Time has passed.
     Tick,
-    /// A message of a registry.
+    /// A message from a registry.
     Registry {
         /// The registry.
         from: NodeId,
         /// The message.
         message: LeaseMessage,
     },
-    /// A message of another router.
+    /// A message from another router.
     Peer {
         /// The router.
         from: NodeId,
         /// The message.
         message: LeaseMessage,
     },
-    /// The process is about to stop, as planned.
+    /// The process is about to stop as planned.
     Leave,
 }
 
-/// What a follower wants done.
+/// Output of a follower.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowerOutput {
     /// Send a message to a registry.
     ToRegistry {
-        /// The registry, or none for all.
+        /// The registry, or `None` for all registries.
         to: Option<NodeId>,
         /// The message.
         message: LeaseMessage,
@@ -81,19 +81,19 @@
         /// The message.
         message: LeaseMessage,
     },
-    /// Another epoch is active.
+    /// Another epoch was activated.
     Activated {
-        /// Its number.
+        /// Number of the epoch.
         step: u64,
-        /// The operators' revision of it.
+        /// Operators' revision of the epoch.
         revision: u64,
     },
-    /// Another membership is known.
+    /// Another membership was adopted.
     MembershipUpdated {
-        /// Its number.
+        /// Number of the membership.
         number: u64,
     },
-    /// Registries are at these addresses.
+    /// New addresses of the registries are known.
     RegistryAddresses {
         /// The addresses.
         addresses: Vec<String>,
@@ -103,6 +103,6 @@
         /// The new status.
         serving_status: ServingStatus,
     },
-    /// The core counted this router among the members and does so no longer.
+    /// The core has removed this router from the members.
     Lapsed,
 }
--- a/crates/leases/src/lease.rs
+++ b/crates/leases/src/lease.rs
@@ -1,47 +1,47 @@
-//! A router's lease: until when it may serve by its active epoch, on the word of the core or of its peers.
+//! Lease of a router: until when it may serve by its active epoch, as confirmed by the core or by its peers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::NodeId;
 
-/// The registry that last confirmed the lease, and when.
+/// Registry that last confirmed the lease.
 #[derive(Clone, Copy)]
 pub struct ConfirmingTail {
-    /// The registry.
+    /// Id of the registry.
     pub id: NodeId,
-    /// When it last did.
+    /// When it last confirmed the lease.
     pub heard_at: Duration,
 }
 
-/// Until when each side's word lasts, zero where there is none.
+/// When the confirmations of the lease expire; zero if there is none.
 #[derive(Clone, Copy)]
 pub struct LeaseEnds {
-    /// The core's.
+    /// End of the confirmation by the core.
     pub by_core: Duration,
-    /// The peers'.
+    /// End of the confirmation by peers.
     pub by_peers: Duration,
 }
 
 impl LeaseEnds {
-    /// Without the peers' word.
+    /// Returns the ends without the confirmation by peers.
     pub fn without_peers(self) -> Self {
         LeaseEnds { by_peers: Duration::ZERO, ..self }
     }
 }
 
-/// The lease, and the renewals that are not answered. A confirmation counts from when it was requested, so a
-/// frozen or late router can only be too careful.
+/// Lease of a router and its unanswered renewals. A confirmation counts from its request, so a router that was paused
+/// or is late ends its lease too early rather than too late.
 #[derive(Default)]
 pub struct Lease {
-    /// When the newest confirmation by the core was requested.
+    /// When the newest confirmation of the active epoch by the core was requested.
     pub core_confirmed: Option<Duration>,
-    /// When the newest confirmation by the core of any epoch was requested.
+    /// When the newest confirmation of any epoch by the core was requested.
     pub core_heard: Option<Duration>,
     /// When the newest confirmation by a majority of peers was requested.
     pub peers_confirmed: Option<Duration>,
-    /// When a renewal was last sent; none makes the next due at once.
+    /// When a renewal was last sent; `None` makes the next one due at once.
     pub renewed_at: Option<Duration>,
-    /// The tail, as far as it is known.
+    /// Registry that is the tail, if known.
     pub tail: Option<ConfirmingTail>,
     /// Whether the core counts this router among the members.
     pub is_member: bool,
@@ -49,32 +49,32 @@
 }
 
 impl Lease {
-    /// A renewal is sent under this number. Those that are older than the longest lease are forgotten.
+    /// Records that a renewal was sent, and drops renewals older than `duration`, the longest lease.
     pub fn record_renewal(&mut self, request_id: u64, now: Duration, duration: Duration) {
         self.pending.insert(request_id, now);
         self.pending.retain(|_, requested_at| now < *requested_at + duration);
     }
 
-    /// A renewal is answered; returns when it was requested.
+    /// Removes an answered renewal and returns when it was sent.
     pub fn take_renewal(&mut self, request_id: u64) -> Option<Duration> {
         self.pending.remove(&request_id)
     }
 
-    /// Another epoch is active: what was confirmed was confirmed of the one before.
+    /// Drops the confirmations, which apply to the previous epoch, after another epoch was activated.
     pub fn reset(&mut self) {
         self.core_confirmed = None;
         self.peers_confirmed = None;
         self.renewed_at = None;
     }
 
-    /// The core confirms the active epoch, in answer to a request of this moment.
+    /// Records that the core confirmed the active epoch in response to a renewal sent at `requested_at`.
     pub fn record_core_confirmation(&mut self, requested_at: Duration) {
         self.core_confirmed = self.core_confirmed.max(Some(requested_at));
         self.core_heard = self.core_heard.max(Some(requested_at));
     }
 
-    /// Until when it lasts, if the core's word lasts so long and the peers' so long, though never longer than
-    /// `peer_hold` after the core was last heard.
+    /// Returns when the confirmations expire: `by_core` and `by_peers` are their durations. A confirmation by peers
+    /// also expires `peer_hold` after the last confirmation by the core was requested.
     pub fn ends(&self, by_core: Duration, by_peers: Duration, peer_hold: Duration) -> LeaseEnds {
         let end =
             |requested_at: Option<Duration>, lasts: Duration| requested_at.map_or(Duration::ZERO, |at| at + lasts);
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,6 +1,6 @@
-//! Membership by leases. [`Sessions`] is the tail's side: who renewed, who staged which epoch, whose lease has run out.
-//! [`Follower`] is a router's side: its epochs, its lease and the membership. Both are state machines without I/O.
-//! [`Membership`] says which router owns which function.
+//! Lease-based membership of routers. [`Sessions`] is the state at the tail of the registry chain: which routers
+//! renewed, which epoch each has staged, whose lease has expired. [`Follower`] is the state of one router: its epochs,
+//! its lease and the membership. Both are state machines without I/O. [`Membership`] assigns functions to routers.
 
 #![warn(missing_docs)]
 
--- a/crates/leases/src/membership.rs
+++ b/crates/leases/src/membership.rs
@@ -1,59 +1,60 @@
-//! The numbered list of member routers, and the owner of each function as a pure reading of it: weighted
-//! rendezvous hashing over the machines that can carry an owner, each by what it can carry, so that a
-//! change of one machine moves only what it must. The membership's number is the fence. Owners follow from
-//! the hashing, so it has a number of its own, and the oldest that some member knows is in force.
+//! Numbered list of member routers. The owner of each function is a pure function of this list: weighted rendezvous
+//! hashing over the machines with enough capacity, weighted by that capacity, so a change of one machine moves only
+//! the functions it has to. The membership number is the fence. Owners depend on the hashing, which is therefore
+//! versioned; the oldest version among the members applies.
 
 use deku::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use wire::{Capacity, List, NodeId, Text};
 
-/// The newest hashing known here: 1 gives zones and machines equal parts, 2 follows their capacity.
+/// Newest hashing version known here: 1 gives zones and machines equal shares, 2 weights machines by capacity.
 pub const HASHING: u8 = 2;
-/// A machine owns something if it can carry this part of what the strongest member can.
+/// Minimum capacity of an owner, as a fraction of the strongest member's.
 const FIT: f64 = 0.25;
-/// A machine half as able owns a quarter as much, since it carries tasks as a front as well.
+/// Exponent of the capacity in an owner's weight: a machine with half of the capacity owns a quarter as much, since it
+/// also forwards requests as a front.
 const RAISED: f64 = 2.0;
 
 /// One member router.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct Member {
-    /// Its id.
+    /// Id of the router.
     pub id: NodeId,
-    /// Its incarnation: another one is another member.
+    /// Incarnation of the router; a new incarnation is a new member.
     pub incarnation: u64,
-    /// Where other routers reach it.
+    /// Address for other routers.
     pub address: Text,
-    /// Its zone.
+    /// Zone of the router.
     pub zone: Text,
-    /// Its address for operators.
+    /// Address for operators.
     pub ops: Text,
-    /// Not 0 once it is about to stop.
+    /// Nonzero if the router is about to stop.
     pub leaving: u8,
-    /// The newest hashing it knows.
+    /// Newest hashing version that the router knows.
     pub hashing: u8,
-    /// What its machine can carry.
+    /// Capacity of its machine.
     pub capacity: Capacity,
 }
 
-/// The member routers, under a number that grows with each change.
+/// Member routers, with a number that grows with each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct Membership {
-    /// The number, which fences whatever an owner does.
+    /// Number of the membership, which fences the actions of owners.
     pub number: u64,
-    /// The members, by id.
+    /// Members, ordered by id.
     pub members: List<Member>,
 }
 
-/// What differs between two memberships: the lines that are new or other, and who is gone.
+/// Difference between two memberships.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct MembershipChange {
     /// Members that are new or changed.
     pub lines: List<Member>,
-    /// Members that are gone.
+    /// Ids of removed members.
     pub gone: List<NodeId>,
 }
 
-/// The records of programs that knew only the first hashing.
+/// Member record of programs that know only hashing version 1.
 #[derive(DekuRead, DekuWrite)]
 struct PlainMember {
     id: NodeId,
@@ -64,6 +65,7 @@
     leaving: u8,
 }
 
+/// Membership record of programs that know only hashing version 1.
 #[derive(DekuRead, DekuWrite)]
 struct PlainMembership {
     number: u64,
@@ -85,12 +87,12 @@
 }
 
 impl Member {
-    /// A record of either shape.
+    /// Decodes a record of either format.
     pub fn read(raw: &[u8]) -> Option<Member> {
         wire::from_bytes(raw).or_else(|| wire::from_bytes::<PlainMember>(raw).map(Member::from))
     }
 
-    /// One that joined as a program of the first hashing does stays in that shape.
+    /// Encodes the record; a member that knows only hashing version 1 is written in the older format.
     pub fn written(&self) -> Vec<u8> {
         if self.hashing < 2 { wire::to_bytes(&PlainMember::from(self.clone())) } else { wire::to_bytes(self) }
     }
@@ -111,13 +113,13 @@
     hash ^ (hash >> 33)
 }
 
-/// A stable 64-bit hash of byte strings; owners follow from it, so it never changes.
+/// Returns a stable 64-bit hash of byte strings. Owners depend on it, so it must never change.
 pub fn mix(words: &[&[u8]]) -> u64 {
     ended(words.iter().fold(SEED, |hash, word| go_on(hash, word)))
 }
 
 impl Membership {
-    /// A record of either shape.
+    /// Decodes a record of either format.
     pub fn read(raw: &[u8]) -> Option<Membership> {
         wire::from_bytes(raw).or_else(|| {
             let PlainMembership { number, members } = wire::from_bytes(raw)?;
@@ -126,7 +128,7 @@
         })
     }
 
-    /// The record as a program of that wire format reads it.
+    /// Encodes the record for programs of a wire format.
     pub fn written(self, format: u16) -> Vec<u8> {
         if format >= wire::CAPACITY {
             return wire::to_bytes(&self);
@@ -135,27 +137,27 @@
         wire::to_bytes(&PlainMembership { number: self.number, members: members.into() })
     }
 
-    /// The member of this id.
+    /// Returns the member with this id.
     pub fn member(&self, id: NodeId) -> Option<&Member> {
         self.members.iter().find(|member| member.id == id)
     }
 
-    /// Who owns a function.
+    /// Returns the owner of a function.
     pub fn owner(&self, function: &str) -> Option<NodeId> {
         self.best(function, None)
     }
 
-    /// Who would be owner if this one were lost.
+    /// Returns the owner of a function if the member `lost` were gone.
     pub fn owner_after(&self, function: &str, lost: NodeId) -> Option<NodeId> {
         self.best(function, Some(lost))
     }
 
-    /// Those who own something, or may be.
+    /// Returns the members that can own functions.
     pub fn owners(&self) -> Vec<NodeId> {
         self.able(None).into_iter().map(|(member, _)| member.id).collect()
     }
 
-    /// The owners in the order in which they are called upon for something that one does for all.
+    /// Returns the owners in the order of preference for a task that one of them does for all.
     pub fn in_turn(&self, what: &str) -> Vec<NodeId> {
         let mut owners = self.owners();
         owners.sort_by_key(|id| std::cmp::Reverse(mix(&[what.as_bytes(), &id.to_le_bytes()])));
@@ -173,7 +175,7 @@
         scored.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|(_, id)| id)
     }
 
-    /// Members that stay, or all where none does, that can carry an owner, each with its weight.
+    /// Returns the members that can own functions, with their weights. Leaving members are excluded unless all leave.
     fn able(&self, lost: Option<NodeId>) -> Vec<(&Member, f64)> {
         let there = || self.members.iter().filter(move |member| lost != Some(member.id));
         let stays = there().any(|member| member.leaving == 0);
@@ -194,7 +196,7 @@
 }
 
 impl Membership {
-    /// What differs from an earlier membership.
+    /// Returns the difference from an earlier membership.
     pub fn change_since(&self, earlier: &Membership) -> MembershipChange {
         let known: BTreeMap<NodeId, &Member> = earlier.members.iter().map(|line| (line.id, line)).collect();
         let here: BTreeSet<NodeId> = self.members.iter().map(|line| line.id).collect();
@@ -204,7 +206,7 @@
         MembershipChange { lines: lines.into(), gone: gone.into() }
     }
 
-    /// The membership after a change.
+    /// Returns the membership after a change.
     pub fn changed(&self, number: u64, change: MembershipChange) -> Membership {
         let mut lines: BTreeMap<NodeId, Member> = self.members.iter().map(|line| (line.id, line.clone())).collect();
         change.gone.iter().for_each(|id| drop(lines.remove(id)));
@@ -213,7 +215,7 @@
     }
 }
 
-/// The first hashing: a zone, then a machine within the zone.
+/// Hashing version 1: selects a zone, then a machine in that zone.
 fn evenly(able: &[(&Member, f64)], function: &str) -> Option<NodeId> {
     let zones = able.iter().map(|(member, _)| member.zone.as_str());
     let zone = zones.max_by_key(|zone| (mix(&[function.as_bytes(), zone.as_bytes()]), *zone))?;
@@ -221,7 +223,7 @@
     in_it.max_by_key(|id| (mix(&[function.as_bytes(), &id.to_le_bytes()]), *id))
 }
 
-/// Between 0 and 1, neither of them.
+/// Maps a hash to a number between 0 and 1, both excluded.
 fn unit(hash: u64) -> f64 {
     ((hash >> 12) as f64 + 0.5) / (1u64 << 52) as f64
 }
--- a/crates/leases/src/peer_messages.rs
+++ b/crates/leases/src/peer_messages.rs
@@ -1,5 +1,5 @@
-//! What routers tell each other of their epochs and memberships. Whoever asks by an earlier membership is sent the
-//! newer one first, so that the reply after it counts.
+//! Messages between routers about their epochs and memberships. A router that sends a request under an older
+//! membership is sent the newer one before the reply, because it ignores replies that name a newer membership.
 
 use crate::follower::Follower;
 use crate::follower_types::FollowerOutput;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Whoever goes by an earlier membership is sent this one, which the core numbered.
+    /// Sends the membership, which the core numbered, to a router that has an older one.
     fn maybe_send_membership(&mut self, to: NodeId, known: u64) {
         if known >= self.membership.number {
             return;
--- a/crates/leases/src/peer_quorum.rs
+++ b/crates/leases/src/peer_quorum.rs
@@ -1,11 +1,11 @@
-//! Proof without the core: a majority of the machines of the active step's quorum say that they
-//! hold nothing newer, staged included. A step can only be activated once a majority of that same
-//! quorum has staged it, so the two majorities share a machine. Nor may they hold a newer membership: owners
-//! follow from it, and this router may have been dropped without knowing.
+//! Confirms leases without the core: a majority of the active epoch's quorum reply that they hold no newer epoch,
+//! staged ones included. An epoch can only be activated once a majority of the same quorum has staged it, so the two
+//! majorities share a machine. Nor may they hold a newer membership: owners depend on it, and this router may have been
+//! removed without knowing.
 //!
-//! Where the quorum is large, not all ask all: a few able machines ask a majority on behalf of whoever
-//! asks them, in rounds, and each ask is answered by a round begun after it came. Who answered before is
-//! asked first, and a few more than a majority are asked.
+//! In a large quorum, routers do not all query each other. A few strong machines, the relays, query a majority in
+//! rounds on behalf of the others, and a request is answered by a round begun after it arrived. A round queries a few
+//! more machines than a majority, starting with those that answered before.
 
 use crate::follower::Follower;
 use crate::follower_types::FollowerOutput;
@@ -13,16 +13,20 @@
 use std::time::Duration;
 use wire::{LeaseMessage, NodeId};
 
+/// Time after which an incomplete round is replaced by a new one.
 const ROUND_TIMEOUT: Duration = Duration::from_millis(50);
-/// Rounds for others begin no sooner after one another, so that many share each.
+/// Minimum time between rounds on behalf of other routers, so that many requests share a round.
 const SHARED_ROUND_INTERVAL: Duration = Duration::from_millis(30);
-/// How often one is asked to ask for others; a proof lasts 200 ms.
+/// Interval of requests to a relay; a confirmation by peers lasts 200 ms.
 const RELAY_REQUEST_INTERVAL: Duration = Duration::from_millis(80);
-/// Another is asked when two asks went unanswered.
+/// Number of unanswered requests after which the next relay is used.
 const MAX_UNANSWERED_RELAY_REQUESTS: u32 = 2;
+/// Maximum number of relays in a quorum.
 const MAX_RELAYS: usize = 4;
+/// Maximum number of routers that wait for a round.
 const MAX_WAITING: usize = 4096;
 
+/// A round of requests to the quorum.
 pub struct PeerRound {
     pub request_id: u64,
     pub requested_at: Duration,
@@ -30,28 +34,29 @@
     done: bool,
 }
 
-/// The newest that a peer holds.
+/// Newest epoch and membership that a peer holds.
 pub(crate) struct Held {
-    /// Active, staged or known.
+    /// Newest epoch that is active, staged or known.
     pub epoch: u64,
     pub membership: u64,
 }
 
-/// A peer that asked for a majority's word.
+/// A peer that requested confirmation by a majority.
 struct WaitingPeer {
     peer: NodeId,
     request_id: u64,
     since: Duration,
 }
 
+/// State of the confirmations by peers.
 #[derive(Default)]
 pub struct Peers {
     round: Option<PeerRound>,
-    /// Who answered the last rounds.
+    /// Routers that answered recent rounds.
     answering: BTreeSet<NodeId>,
-    /// Where asking went on last time.
+    /// Index of the next router to query among those that did not answer.
     next_unknown: usize,
-    /// Who asked for a majority, with what ask, and when.
+    /// Peers that requested confirmation by a majority.
     waiting: Vec<WaitingPeer>,
     relayed: Option<(u64, Duration)>,
     relay: usize,
@@ -145,7 +150,7 @@
         }
     }
 
-    /// Begins a round, unless the last is young and still open.
+    /// Begins a round, unless the interval since the start of the last one has not passed.
     fn maybe_start_round(&mut self, all: bool) {
         let now = self.now;
         let every = |round: &PeerRound| if round.done && !all { SHARED_ROUND_INTERVAL } else { ROUND_TIMEOUT };
@@ -197,7 +202,7 @@
         let requested_at = round.requested_at;
         self.lease.peers_confirmed = self.lease.peers_confirmed.max(Some(requested_at));
         let (active, membership) = (self.epochs.active(), self.membership.number);
-        // Whoever asked after the round began is answered by the next.
+        // Requests that arrived after the round began are answered by the next one.
         let answered: Vec<WaitingPeer> =
             self.peers.waiting.extract_if(.., |waiting| waiting.since <= requested_at).collect();
         for WaitingPeer { peer: to, request_id, .. } in answered {
--- a/crates/leases/src/registry_messages.rs
+++ b/crates/leases/src/registry_messages.rs
@@ -1,4 +1,4 @@
-//! What registries tell a follower: proofs, steps staged and activated, the membership.
+//! Messages from registries to a follower: lease confirmations, epochs to stage and activate, and the membership.
 
 use crate::follower::Follower;
 use crate::follower_types::FollowerOutput;
@@ -48,14 +48,16 @@
         }
     }
 
-    /// A registry that says it is not the tail any more is not asked for another half second: all are, at once.
+    /// Forgets the tail if it says that it no longer is the tail, and makes the next renewal due at once. Otherwise
+    /// renewals would go to that registry for another half second; now they go to all registries.
     fn forget_tail(&mut self, said_by: NodeId) {
         if self.lease.tail.take_if(|tail| tail.id == said_by).is_some() {
             self.lease.renewed_at = None;
         }
     }
 
-    /// A change of a membership this router has not is passed over: the core hears its number with each renewal.
+    /// Applies a membership change. A change to a membership that this router does not have is ignored: the core learns
+    /// the router's membership number from each renewal.
     fn on_membership_change(&mut self, since: u64, number: u64, size: u32, body: &Blob) {
         if number <= self.membership.number || (since != 0 && since != self.membership.number) {
             return;
--- a/crates/leases/src/renewal.rs
+++ b/crates/leases/src/renewal.rs
@@ -1,16 +1,16 @@
-//! What a follower does as time goes on: it renews, and asks again for what stays away; and when that is
-//! due next, so that its owner need not wake it in between.
+//! Periodic work of a follower: it renews its lease and repeats unanswered requests. Also computes when that work is
+//! due next, so that the caller need not tick in between.
 
 use crate::follower::Follower;
 use std::time::Duration;
 use wire::{LeaseMessage, NodeId};
 
-/// While no registry is known to be the tail, all are asked, and not as often.
+/// Renewal interval while the tail is unknown and each renewal goes to all registries.
 const BROADCAST_RENEWAL_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Follower {
-    /// Said again with each renewal until the membership shows it: a core that is being mended may
-    /// have let the first word fall.
+    /// Sends the leave message. It is repeated with each renewal until the membership shows it, because a core under
+    /// repair may have dropped the first one.
     pub(crate) fn say_leaving(&mut self) {
         let shown = self.membership.member(self.me).is_none_or(|line| line.leaving != 0);
         if self.is_leaving && !shown {
@@ -18,7 +18,8 @@
         }
     }
 
-    /// The registry that proved lately, and how soon the next renewal is due: asking all of them costs more.
+    /// Returns the registry that recently confirmed the lease, if any, and the renewal interval. Sending each renewal
+    /// to all registries costs more.
     fn renewing(&self) -> (Option<NodeId>, Duration) {
         let heard = self.lease.tail.filter(|tail| self.now < tail.heard_at + self.timing.renew * 2).map(|tail| tail.id);
         match (self.is_guarded(), heard) {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// The moment of the next tick that does something, as far as is known now.
+    /// Returns when the next tick has work to do, as far as is known now.
     pub fn due(&self) -> Duration {
         let renewal = self.lease.renewed_at.map_or(self.now, |last| last + self.renewing().1);
         let parts = self.next_part_due();
--- a/crates/leases/src/serving_status.rs
+++ b/crates/leases/src/serving_status.rs
@@ -1,30 +1,31 @@
-//! Whether a router may serve, as a small hierarchical state machine: waiting without a proof,
-//! serving on the core's word, or serving on the word of its peers while the core is away.
+//! Hierarchical state machine for whether a router may serve: waiting without a lease, serving with a lease confirmed
+//! by the core, or serving with a lease confirmed by its peers while the core is unreachable.
 
 use statig::prelude::*;
 
-/// Whether a router may serve, and on whose word.
+/// Whether a router may serve, and who confirmed its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingStatus {
-    /// It may not.
+    /// The router may not serve.
     Waiting,
-    /// On the word of the core.
+    /// The router may serve: the core confirmed its lease.
     ByCore,
-    /// On the word of a majority of its peers.
+    /// The router may serve: a majority of its peers confirmed its lease.
     ByPeers,
 }
 
-/// What was found of the lease.
+/// Present state of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingEvent {
-    /// The core confirmed it.
+    /// The core has confirmed the lease.
     CoreProved,
-    /// Only peers confirmed it.
+    /// Only peers have confirmed the lease.
     PeersProved,
-    /// It has run out.
+    /// The lease has expired.
     Unproved,
 }
 
+/// States and transitions of the serving status.
 #[derive(Default)]
 pub struct Machine;
 
@@ -64,7 +65,7 @@
     }
 }
 
-/// Goes from one status to the next.
+/// State machine of the serving status.
 pub struct ServingStateMachine {
     machine: StateMachine<Machine>,
 }
@@ -76,7 +77,7 @@
 }
 
 impl ServingStateMachine {
-    /// The status after an event.
+    /// Handles an event and returns the resulting status.
     pub fn take(&mut self, event: ServingEvent) -> ServingStatus {
         self.machine.handle(&event);
         match self.machine.state() {
--- a/crates/leases/src/sessions.rs
+++ b/crates/leases/src/sessions.rs
@@ -1,38 +1,38 @@
-//! The tail's table of member routers: when each was last given a proof, and how far it has
-//! staged and activated. A tail that has just become one counts every hold from that moment.
+//! The tail's table of member routers: when each was last granted a lease, and which epochs it has staged and
+//! activated. A newly appointed tail assumes that every lease was granted at the moment of its appointment.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::NodeId;
 
-/// What the tail knows of one router.
+/// State of one router as known to the tail.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     /// The router's incarnation.
     pub incarnation: u64,
-    /// When it was last given a proof here, or first came into this table.
+    /// When this tail last granted it a lease, or added it to the table.
     pub proved_at: Duration,
-    /// No proof it may still have was asked for after this moment.
+    /// Latest moment at which any lease that it may still hold was requested.
     pub lease_requested_until: Duration,
-    /// The newest epoch it has staged.
+    /// Newest epoch that it has staged.
     pub staged: u64,
-    /// The epoch it has active.
+    /// Epoch that is active on it.
     pub active: u64,
-    /// The membership it has.
+    /// Number of the membership that it has.
     pub membership: u64,
-    /// It is no member any more, but its lease may still be valid.
+    /// Whether it is no longer a member; its lease may still be valid.
     pub departed: bool,
-    /// The newest epoch it was offered.
+    /// Newest epoch that was sent to it for staging.
     pub pushed: u64,
-    /// When.
+    /// When that epoch was sent.
     pub pushed_at: Duration,
-    /// The newest activation it was sent.
+    /// Newest activation that was sent to it.
     pub activation_sent: u64,
-    /// When.
+    /// When that activation was sent.
     pub activation_sent_at: Duration,
-    /// The newest membership it was sent, and when.
+    /// Number of the newest membership that was sent to it.
     pub membership_sent: u64,
-    /// When.
+    /// When that membership was sent.
     pub membership_sent_at: Duration,
 }
 
@@ -41,33 +41,33 @@
 pub struct GrantedLease {
     /// The router's incarnation.
     pub incarnation: u64,
-    /// When the router can last have requested it.
+    /// Latest moment at which the router may have requested it.
     pub requested_at: Duration,
 }
 
-/// How long leases may outlast the moment at which they were requested, by the tail's clock.
+/// Upper bounds of how long leases last after their request, by the tail's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseBounds {
-    /// Those that the core confirmed.
+    /// Bound for leases confirmed by the core.
     pub by_core: Duration,
-    /// Those that peers confirm, since the core's last word.
+    /// Bound for leases confirmed by peers, counted from the last confirmation by the core.
     pub by_peers: Duration,
-    /// No router that this tail has no session of was granted a lease after this moment.
+    /// Latest moment at which a router without a session on this tail may have been granted a lease.
     pub unknown_until: Duration,
 }
 
-/// What keeps a staged epoch from coming into force.
+/// Reason why a staged epoch cannot be activated yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ActivationBlocker {
-    /// These routers have not staged it and may hold a lease on an earlier one.
+    /// These routers have not staged the epoch and may hold a lease on an earlier one.
     Members(Vec<NodeId>),
-    /// Less than a majority of a quorum has staged it, and these have not: they may confirm each other's leases
-    /// on an earlier one.
+    /// Less than a majority of a quorum has staged the epoch. These routers have not staged it and may confirm each
+    /// other's leases on an earlier one.
     Quorum(Vec<NodeId>),
 }
 
 impl ActivationBlocker {
-    /// The routers that are waited for.
+    /// Returns the routers that have not staged the epoch.
     pub fn routers(&self) -> &[NodeId] {
         match self {
             ActivationBlocker::Members(routers) | ActivationBlocker::Quorum(routers) => routers,
@@ -83,8 +83,8 @@
 }
 
 impl Sessions {
-    /// Brings the table in line with the members the chain's state names. One that is named no longer stays as a
-    /// departed member for as long `after` its last lease as that can matter.
+    /// Updates the table to the members in the chain's state. A router that is no longer a member is kept as departed
+    /// until `after` has passed since its last lease.
     pub fn align(&mut self, now: Duration, members: &BTreeMap<NodeId, u64>, after: Duration) {
         for (id, session) in &mut self.table {
             session.departed = members.get(id) != Some(&session.incarnation);
@@ -94,7 +94,7 @@
             match self.table.get_mut(id) {
                 Some(session) if session.incarnation == *incarnation => {}
                 Some(session) => {
-                    // It has just joined, however long ago the incarnation before it had its last lease.
+                    // The router has just joined, however long ago its previous incarnation was last granted a lease.
                     let (proved_at, lease_requested_until) = (now, session.lease_requested_until);
                     *session =
                         Session { incarnation: *incarnation, proved_at, lease_requested_until, ..Session::default() };
@@ -112,29 +112,29 @@
         }
     }
 
-    /// Members that had no lease for this long, by incarnation.
+    /// Returns members whose last lease was granted more than `after` ago, with their incarnations.
     pub fn lapsed(&self, now: Duration, after: Duration) -> Vec<(NodeId, u64)> {
         let silent = |session: &&Session| !session.departed && now > session.proved_at + after;
         self.table.iter().filter(|(_, s)| silent(s)).map(|(id, s)| (*id, s.incarnation)).collect()
     }
 
-    /// A lease is granted to a router.
+    /// Records that a lease was granted to a router.
     pub fn record_proof(&mut self, id: NodeId, now: Duration) {
         if let Some(session) = self.table.get_mut(&id) {
             (session.proved_at, session.lease_requested_until) = (now, now);
         }
     }
 
-    /// Learns that tails before this one granted no proof that was asked for after `until`. Whoever was given
-    /// one here, which is at `since` or later, is left as it is.
+    /// Records that earlier tails granted no lease that was requested after `until`. Sessions to which this tail
+    /// granted a lease after `since` are not changed.
     pub fn bound_earlier_proofs(&mut self, since: Duration, until: Duration) {
         for session in self.table.values_mut().filter(|session| session.proved_at <= since) {
             session.lease_requested_until = session.lease_requested_until.min(until);
         }
     }
 
-    /// Takes over from the tail before, which reported everyone it had in its table. A member it did not report
-    /// was granted nothing by it; `earlier` bounds what tails before that one granted.
+    /// Takes over from the previous tail, which reported every router in its table. It granted no lease to a member
+    /// that it did not report; `earlier` is the latest request time of leases granted by the tails before it.
     pub fn take_over(&mut self, since: Duration, earlier: Duration, reported: &BTreeMap<NodeId, GrantedLease>) {
         for (id, session) in self.table.iter_mut().filter(|(_, session)| session.proved_at <= since) {
             let until = reported.get(id).map_or(earlier, |lease| lease.requested_at);
@@ -151,9 +151,10 @@
         }
     }
 
-    /// What keeps an epoch from coming into force; none if nothing does. Every router has staged it or holds no
-    /// lease by the core on an earlier one; and of each quorum given a majority has staged it, or everyone has
-    /// staged it or can no longer hold a lease by peers. An empty quorum asks nothing.
+    /// Returns why an epoch cannot be activated, or `None` if it can be. Activation requires that every router has
+    /// staged the epoch or holds no lease by the core on an earlier one. It also requires of each quorum that a
+    /// majority has staged the epoch, or that every router which has not can no longer hold a lease by peers. An empty
+    /// quorum requires nothing.
     pub fn activation_blocker(
         &self,
         epoch: u64,
--- a/crates/leases/src/step_parts.rs
+++ b/crates/leases/src/step_parts.rs
@@ -1,22 +1,29 @@
-//! Steps, and the whole configuration, as they arrive in packed parts. The next part is asked for only
-//! when the one before it is here, so that no more than one is on its way to a router and a proof never
-//! waits behind more than that. What stays away for a while is asked for again.
+//! Receives epochs, and the complete configuration, in packed parts. The next part is requested only after the
+//! previous one has arrived, so at most one is on its way to a router and delays a lease confirmation. A part that
+//! does not arrive is requested again.
 
 use crate::follower::Follower;
 use std::time::Duration;
 use wire::{Blob, ConfigurationEpoch, LeaseMessage, NodeId};
 
+/// Time after which a missing part is requested again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
+/// One part of a packed epoch or configuration.
 pub struct Part {
+    /// Number of the epoch.
     pub number: u64,
+    /// Size of the unpacked data in bytes.
     pub size: u32,
+    /// Size of the packed data in bytes.
     pub packed: u32,
+    /// Offset of this part in the packed data.
     pub offset: u32,
+    /// Packed data of this part.
     pub bytes: Blob,
 }
 
-/// Something packed of which a part is here.
+/// Packed data of which some parts have arrived.
 pub struct Arriving {
     pub from: NodeId,
     pub number: u64,
@@ -27,9 +34,13 @@
     pub moved: Duration,
 }
 
+/// Result of receiving a part.
 enum Received {
+    /// The part was not the expected one.
     Nothing,
+    /// More parts are missing.
     More,
+    /// All parts have arrived; `None` if the data is invalid.
     Complete(Option<ConfigurationEpoch>),
 }
 
--- a/crates/leases/tests/follower.rs
+++ b/crates/leases/tests/follower.rs
@@ -1,4 +1,4 @@
-//! The follower's promises, one by one.
+//! Tests of the follower's lease, confirmations and messages.
 
 use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, Member, Membership, ServingStatus};
 use std::time::Duration;
@@ -103,17 +103,25 @@
             FollowerOutput::ToPeer { message: LeaseMessage::PeerRequest { request_id, .. }, .. } => Some(*request_id),
             _ => None,
         });
-        peer.expect("without the core, peers are asked")
+        peer.expect("without the core, the router sends requests to its peers")
     };
     let first = last_ask(3000);
     let answer = |request_id, latest| LeaseMessage::PeerReply { request_id, active: 1, latest, membership: 0 };
     one.step(ms(3001), FollowerInput::Peer { from: 8, message: answer(first, 2) });
     assert_eq!(one.serving_status_at(ms(3002)), ServingStatus::Waiting);
     one.step(ms(3003), FollowerInput::Peer { from: 55, message: answer(first, 1) });
-    assert_eq!(one.serving_status_at(ms(3004)), ServingStatus::Waiting, "a machine outside the quorum");
+    assert_eq!(
+        one.serving_status_at(ms(3004)),
+        ServingStatus::Waiting,
+        "a reply from outside the quorum does not count"
+    );
     one.step(ms(3005), FollowerInput::Peer { from: 7, message: answer(first, 1) });
     assert_eq!(one.serving_status_at(ms(3006)), ServingStatus::ByPeers);
-    assert_eq!(one.serving_status_at(ms(3200)), ServingStatus::Waiting, "200 ms from when it was asked");
+    assert_eq!(
+        one.serving_status_at(ms(3200)),
+        ServingStatus::Waiting,
+        "a confirmation by peers ends 200 ms after its request"
+    );
 }
 
 #[test]
@@ -128,5 +136,5 @@
         .any(|output| matches!(output, FollowerOutput::ToRegistry { to: None, message: LeaseMessage::Renew { .. } }));
     assert!(to_all);
     tell(&mut follower, 40, LeaseMessage::RegistryAddresses { addresses: Vec::new().into() });
-    assert_eq!(renewals(&tick(&mut follower, 50)), [], "said again, it makes no more renewals");
+    assert_eq!(renewals(&tick(&mut follower, 50)), [], "a repeated message causes no further renewal");
 }
--- a/crates/leases/tests/membership.rs
+++ b/crates/leases/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The membership as a list of members with a number: owners picked from it, and what differs between two.
+//! Tests of the membership: selection of owners, record formats, and differences between two memberships.
 
 use leases::{HASHING, Member, Membership};
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
     counts
 }
 
-/// Whatever machine is lost, only its own functions move, and to those who were told to keep them.
+/// Removes each member in turn and checks that only its functions move, each to its predicted next owner.
 fn loses_one_by_one(members: &[Member]) {
     let (full, names) = (membership(members.to_vec()), names(600));
     for gone in members {
@@ -39,7 +39,7 @@
         let less = membership(left);
         for name in &names {
             let (before, after) = (full.owner(name).unwrap(), less.owner(name).unwrap());
-            assert!(before != gone.id || full.owner_after(name, gone.id) == Some(after), "{name}: the next home");
+            assert!(before != gone.id || full.owner_after(name, gone.id) == Some(after), "{name}: next owner");
             assert!(before == after || before == gone.id, "{name} moved from {before} to {after}");
         }
     }
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -1,5 +1,5 @@
-//! Packed parts as a follower takes them: lost, twice, late or of another step, by seed; what is staged in
-//! the end is what was packed, and no more than one part is ever asked for ahead.
+//! Tests of receiving packed parts over a network that loses and duplicates them, by seed. The staged epoch must equal
+//! the packed one, and the follower must not request more than one part ahead.
 
 use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming};
 use rand::{RngExt, SeedableRng};
@@ -28,12 +28,12 @@
     LeaseMessage::Part { request_id, full: full as u8, number, size, packed: total, offset, bytes }
 }
 
-/// The core's side over a bad network: answers what is asked, drops a fifth, says a fifth twice.
+/// Simulates the core over an unreliable network that drops a fifth and duplicates a fifth of the answers. Returns when the epoch was staged or activated, in milliseconds.
 fn play(dice: &mut ChaCha8Rng, one: &mut Follower, first: Option<LeaseMessage>, number: u64, packed: &Packed) -> u64 {
     let mut coming = Vec::new();
     for at in (0..20_000).step_by(10) {
         let now = Duration::from_millis(at);
-        // Offered anew now and then, as the core does.
+        // The first message is repeated every 700 ms, as the core does.
         coming.extend(first.clone().filter(|_| at % 700 == 0));
         let mut outs = one.step(now, FollowerInput::Tick);
         for message in std::mem::take(&mut coming) {
@@ -55,12 +55,12 @@
                 _ => {}
             }
         }
-        assert!(requested_at <= 2, "one part ahead, and once more what was said twice");
+        assert!(requested_at <= 2, "more than one part ahead, plus one repeated for a duplicate");
         if one.step_number() == number {
             return at;
         }
     }
-    panic!("step {number} never arrived");
+    panic!("epoch {number} never arrived");
 }
 
 #[test]
@@ -86,14 +86,18 @@
         let mut dice = ChaCha8Rng::seed_from_u64(seed);
         let mut one = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
         let full = packed(&mut dice, 7, 80);
-        // The first proof names a step it has not: it begins to fetch.
+        // The first confirmation names an epoch that the follower lacks, so it begins a fetch.
         let renewed = one.step(Duration::ZERO, FollowerInput::Tick);
         let request_id = renewed.iter().find_map(|out| match out {
             FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } => Some(*request_id),
             _ => None,
         });
-        let message =
-            LeaseMessage::Proof { request_id: request_id.expect("it renews at once"), active: 7, latest: 7, member: 1 };
+        let message = LeaseMessage::Proof {
+            request_id: request_id.expect("the follower renews at once"),
+            active: 7,
+            latest: 7,
+            member: 1,
+        };
         let outs = one.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message });
         let fetch = outs.iter().find_map(|out| match out {
             FollowerOutput::ToRegistry {
@@ -102,7 +106,7 @@
             } => Some(*request_id),
             _ => None,
         });
-        let first = part(fetch.expect("it fetches"), true, 7, &full, 0);
+        let first = part(fetch.expect("the follower begins a fetch"), true, 7, &full, 0);
         play(&mut dice, &mut one, Some(first), 7, &full);
         assert_eq!((one.step_number(), one.pairs().count()), (7, 80), "seed {seed}");
     }
--- a/crates/leases/tests/relays.rs
+++ b/crates/leases/tests/relays.rs
@@ -1,6 +1,6 @@
-//! A large fleet without its core: all go on serving through a few who ask a majority, with far fewer words
-//! than if all asked all, whoever of the relays is lost; and nobody serves once a newer step is held by
-//! more than half.
+//! Tests of a large fleet without its core. All routers keep serving through a few relays that query a majority, with
+//! far fewer messages than if all queried all, also after relays fail. No router serves once more than half hold a
+//! newer epoch.
 
 use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, Member, Membership, ServingStatus};
 use rand::{RngExt, SeedableRng};
@@ -97,7 +97,7 @@
         }
     }
 
-    /// In steps of 2 ms; each member ticks when it says that something is due, 10 ms apart at least.
+    /// Advances the time in steps of 2 ms. Each member ticks when its work is due, at intervals of 10 to 250 ms.
     fn pass(&mut self, millis: u64) {
         for _ in 0..millis / 2 {
             self.now += Duration::from_millis(2);
@@ -139,7 +139,7 @@
             assert_eq!(fleet.serving(), 79, "seed {seed} at {:?}", fleet.now);
         }
         let words = fleet.words - before;
-        assert!(words < 8000, "seed {seed}: {words} words in a second; all asking all says 246,480");
+        assert!(words < 8000, "seed {seed}: {words} messages in a second; 246,480 if all query all");
     }
 }
 
--- a/crates/leases/tests/sessions.rs
+++ b/crates/leases/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! The tail's table: which members a step still waits for.
+//! Tests of the tail's session table: which routers keep an epoch from being activated.
 
 use leases::{ActivationBlocker, GrantedLease, LeaseBounds, Sessions};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
     Duration::from_millis(count)
 }
 
-/// Members 1 to 3 as a new tail meets them at 10 s, of whom 1 and 2 have staged step 5.
+/// Sessions of a tail that was appointed at 10 s, with members 1 to 3; 1 and 2 have staged epoch 5.
 fn met() -> Sessions {
     let mut sessions = Sessions::default();
     sessions.align(millis(10_000), &BTreeMap::from([(1, 1), (2, 1), (3, 1)]), LAPSE);
@@ -49,7 +49,7 @@
     assert!(ready(&sessions, 10_701));
     sessions.record_proof(3, millis(10_050));
     sessions.bound_earlier_proofs(millis(10_000), millis(9000));
-    assert!(!ready(&sessions, 11_650), "its proof is from here");
+    assert!(!ready(&sessions, 11_650), "the present tail granted its lease");
     assert!(ready(&sessions, 11_651));
 }
 
@@ -69,7 +69,11 @@
     sessions.record_proof(2, millis(12_000));
     assert_eq!(blocker(&sessions, 13_000), Some(ActivationBlocker::Members(vec![2])));
     assert_eq!(blocker(&sessions, 60_000), Some(ActivationBlocker::Quorum(vec![2, 3])));
-    assert_eq!(blocker(&sessions, 332_000), Some(ActivationBlocker::Quorum(vec![2, 3])), "2 was proved at 12 s");
+    assert_eq!(
+        blocker(&sessions, 332_000),
+        Some(ActivationBlocker::Quorum(vec![2, 3])),
+        "member 2 was last granted a lease at 12 s"
+    );
     assert_eq!(blocker(&sessions, 332_001), None);
 }
 
@@ -88,8 +92,8 @@
     let granted_at = |at: u64| GrantedLease { incarnation: 1, requested_at: millis(at) };
     let reported = BTreeMap::from([(1, granted_at(9900)), (7, granted_at(9800))]);
     sessions.take_over(millis(10_000), millis(5000), &reported);
-    assert!(!ready(&sessions, 11_400), "7 is a member no more and was proved at 9.8 s");
-    assert!(ready(&sessions, 11_401), "3 was never met by the tail before");
+    assert!(!ready(&sessions, 11_400), "router 7 is no longer a member, but was granted a lease at 9.8 s");
+    assert!(ready(&sessions, 11_401), "the previous tail did not report member 3");
     sessions.align(millis(11_551), &BTreeMap::from([(1, 1), (2, 1), (3, 1)]), LAPSE);
     assert!(!sessions.table.contains_key(&7));
 }
--- a/crates/leases/tests/split_membership.rs
+++ b/crates/leases/tests/split_membership.rs
@@ -1,5 +1,6 @@
-//! Owners follow from the membership, so routers that serve on each other's word go by one membership: whoever the
-//! core has dropped without its knowing learns it from its peers before it serves again.
+//! Guards against two owners of one function while the core is unreachable: owners depend on the membership, so routers
+//! that confirm each other's leases must use the same one. A router that the core has removed without its knowledge
+//! learns of it from its peers before it serves again.
 
 use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, Member, Membership};
 use std::collections::BTreeMap;
@@ -11,13 +12,13 @@
 /// How long a confirmation by peers lasts.
 const GUARD: Duration = Duration::from_millis(200);
 
-/// Routers whose messages to each other take one step; the core answers while it is there.
+/// Simulated routers whose messages take one step; the core answers renewals while `has_core` is set.
 struct Fleet {
     routers: BTreeMap<NodeId, Follower>,
     frames: Vec<(NodeId, NodeId, LeaseMessage)>,
     now: Duration,
     has_core: bool,
-    /// Routers on one side of a cut that parts them from the others.
+    /// Routers that are partitioned from the others.
     cut_off: Vec<NodeId>,
 }
 
@@ -42,7 +43,7 @@
 }
 
 impl Fleet {
-    /// All are members under number 1, have the first epoch active and hold a lease of the core.
+    /// Creates routers that are all members of membership 1, have epoch 1 active and hold a lease by the core.
     fn new(count: NodeId, relay_above: usize) -> Fleet {
         let ids: Vec<NodeId> = (1..=count).collect();
         let timing = FollowerTiming { relay_above, ..FollowerTiming::default() };
@@ -98,7 +99,7 @@
         }
     }
 
-    /// The routers that serve at this moment, with the number of the membership they go by.
+    /// Returns the routers that serve now, each with the number of its membership.
     fn serving(&self) -> Vec<(NodeId, u64)> {
         let serving = self.routers.iter().filter(|(_, router)| self.now < router.serves_until());
         serving.map(|(id, router)| (*id, router.membership().number)).collect()
@@ -110,7 +111,7 @@
     }
 }
 
-/// Half of the routers are cut off, the core drops them and is lost itself; then the cut heals.
+/// Partitions half of the routers; the core removes them and then fails itself; then the partition heals.
 fn heal_after_the_core_dropped_half(count: NodeId, relay_above: usize) -> Fleet {
     let mut fleet = Fleet::new(count, relay_above);
     fleet.cut_off = (count / 2 + 1..=count).collect();
@@ -120,7 +121,7 @@
         fleet.tell(*id, TAIL, told(&membership(2, &kept)));
     }
     fleet.pass(Duration::from_millis(3000), |_| {});
-    assert_eq!(fleet.serving(), [], "neither side has a majority or a core");
+    assert_eq!(fleet.serving(), [], "neither side has a majority or the core");
     fleet.cut_off.clear();
     fleet
 }
@@ -134,7 +135,7 @@
             assert!(owners.len() <= 1, "{function} has the owners {owners:?} at {:?}", fleet.now);
         }
     });
-    assert_eq!(fleet.serving(), [(1, 2), (2, 2), (3, 2), (4, 2)], "all serve, by the newest membership");
+    assert_eq!(fleet.serving(), [(1, 2), (2, 2), (3, 2), (4, 2)], "all serve under the newest membership");
 }
 
 #[test]
@@ -147,13 +148,13 @@
     assert_eq!(fleet.serving().len(), 16, "all serve");
 }
 
-/// One that only the core cannot reach is dropped by it while its peers still confirm its lease.
+/// The core removes a router that it cannot reach while the router's peers still confirm its lease.
 #[test]
 fn a_router_that_only_the_core_lost_learns_that_it_was_dropped() {
     let mut fleet = Fleet::new(4, 12);
     fleet.has_core = false;
     fleet.pass(Duration::from_millis(2000), |_| {});
-    assert_eq!(fleet.serving().len(), 4, "all serve on each other's word");
+    assert_eq!(fleet.serving().len(), 4, "all serve on confirmations by peers");
     for id in 1..=3 {
         fleet.tell(id, TAIL, told(&membership(2, &[1, 2, 3])));
     }
@@ -164,7 +165,7 @@
     });
 }
 
-/// A router of an earlier format tells no membership: its word counts as it did.
+/// Replies from routers of an older wire format name no membership and still count as confirmations.
 #[test]
 fn peers_that_tell_no_membership_still_confirm() {
     let mut fleet = Fleet::new(4, 12);
@@ -176,7 +177,7 @@
         FollowerOutput::ToPeer { message: LeaseMessage::PeerRequest { request_id, .. }, .. } => Some(request_id),
         _ => None,
     });
-    let request_id = request_id.expect("without the core, peers are asked");
+    let request_id = request_id.expect("without the core, the router sends requests to its peers");
     fleet.now += GUARD;
     for from in [2, 3] {
         fleet.tell(1, from, LeaseMessage::PeerEpochReply { request_id, active: 1, latest: 1 });
--- a/crates/scaler/src/arma.rs
+++ b/crates/scaler/src/arma.rs
@@ -1,19 +1,19 @@
-//! The ARMA(1,1) core of the fit on once-differenced data: conditional sum of squares with the
-//! regression part solved inside it, and the outer search by Nelder and Mead's method.
+//! Fits ARMA(1,1) with regressors to once-differenced data: minimizes the conditional sum of squares over
+//! (phi, theta) by the Nelder-Mead method and solves the linear regression in each evaluation.
 
 use crate::fourier::COLUMNS;
 use argmin::core::{CostFunction, Error, Executor, State};
 use argmin::solver::neldermead::NelderMead;
 use nalgebra::{DMatrix, DVector};
 
-/// The greatest size of phi and theta.
+/// Maximum absolute value of phi and theta.
 const BOUND: f64 = 0.98;
-/// The most iterations of the outer search.
+/// Maximum number of Nelder-Mead iterations.
 const ITERATIONS: u64 = 60;
-/// Singular values below this part of the greatest are taken as none.
+/// Singular values below this fraction of the largest are treated as zero.
 const RANK_CUT: f64 = 1e-4;
 
-/// The fitted parameters.
+/// Fitted parameters of the model.
 #[derive(Clone, Debug)]
 pub struct Arma {
     pub phi: f64,
@@ -22,7 +22,7 @@
     pub variance: f64,
 }
 
-/// Turns a series into its innovations under (phi, theta), starting from nothing.
+/// Returns the innovations of a series under (phi, theta), with initial value and innovation zero.
 pub fn innovations(series: impl Iterator<Item = f64>, phi: f64, theta: f64) -> Vec<f64> {
     let (mut before, mut shock) = (0.0, 0.0);
     series
@@ -68,7 +68,7 @@
     }
 }
 
-/// Fits a differenced series with its regression rows; none if the search fails or the fit is not finite.
+/// Fits a differenced series and its regressor rows; `None` if the search fails or the fit is not finite.
 pub fn fit(target: &[f64], rows: &[[f64; COLUMNS]]) -> Option<Arma> {
     let squares = Squares { target, rows };
     let corners = vec![vec![0.3, -0.3], vec![-0.4, 0.2], vec![0.6, 0.5]];
--- a/crates/scaler/src/demand.rs
+++ b/crates/scaler/src/demand.rs
@@ -1,32 +1,32 @@
-//! From a forecast rate to demand, to the letter of the source: rate x response time x 0.05, plus
-//! three-sample means of waiting tasks x 0.1 and held tasks x 1.0. The source leaves the unit of
-//! the response time open. It is taken here in units of 50 ms, so that the first term is the mean
-//! number of tasks in flight and every term counts tasks; an instance's capacity is then its limit
-//! at the sheet's target usage, and never less than the one task any instance can do. Demand below
-//! the sheet's floor is none: a forecast is hardly ever exactly zero, and a function called once in
-//! several minutes should sleep between.
+//! Converts a forecast request rate to demand: rate x response time x 0.05, plus three-sample means of
+//! waiting requests x 0.1 and queued requests x 1.0. The formula comes from the design this scaler
+//! follows, which does not give the unit of the response time. It is measured here in units of 50 ms, so
+//! the first term is the mean number of requests in flight and every term counts requests. The capacity
+//! of an instance is its request limit at the sheet's target usage, and at least the one request that
+//! every instance can serve. Demand below the sheet's floor counts as zero: a forecast is hardly ever
+//! exactly zero, and a function called once in several minutes should scale to zero between calls.
 
 use crate::forecast::Forecast;
 use crate::window::Sample;
 use bindings::WeightSheet;
 use std::time::Duration;
 
-/// The unit in which response times enter the demand.
+/// Unit of response times in the demand formula.
 const UNIT: Duration = Duration::from_millis(50);
 
-/// The state of one function just now, as the demand counts it.
+/// Recent load of one function, averaged over its latest samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Level {
-    /// Mean response time of answered requests; zero if there were none.
+    /// Mean response time of answered requests; zero if none was answered.
     pub response: Duration,
-    /// Mean number of requests waiting for room on an instance.
+    /// Mean number of requests waiting for a free slot on a running instance.
     pub waiting: f64,
-    /// Mean number of requests waiting for a first instance.
+    /// Mean number of requests waiting while no instance runs.
     pub queued: f64,
 }
 
 impl Level {
-    /// Means of the last three samples, the newest of which may be a gauge read just now.
+    /// Averages the first three of `samples`, which are ordered from the newest; the newest may be a current reading.
     pub fn mean<'a>(samples: impl Iterator<Item = &'a Sample>) -> Level {
         let three: Vec<&Sample> = samples.take(3).collect();
         let count = three.len().max(1) as f64;
@@ -39,7 +39,7 @@
     }
 }
 
-/// The demand, in requests in flight, for each forecast rate (requests a second).
+/// Returns the demand, in requests in flight, for each forecast rate in requests per second.
 pub fn demand(rates: &[f64], level: Level, sheet: &WeightSheet) -> Vec<f64> {
     let units = level.response.as_secs_f64() / UNIT.as_secs_f64();
     let standing = level.waiting * sheet.waiting_weight + level.queued * sheet.held_weight;
@@ -47,14 +47,15 @@
     whole.map(|demand| if demand < sheet.demand_floor { 0.0 } else { demand }).collect()
 }
 
-/// Demand, and the coverage the plan is held to: the upper band where the sheet is risk-aware.
+/// Returns the expected demand and the demand the plan has to cover: the latter follows the forecast's upper
+/// bound if the sheet is risk-aware.
 pub fn coverage(forecast: &Forecast, level: Level, sheet: &WeightSheet) -> (Vec<f64>, Vec<f64>) {
     let mean = demand(&forecast.mean, level, sheet);
     let covered = if sheet.risk_aware { demand(&forecast.upper, level, sheet) } else { mean.clone() };
     (mean, covered)
 }
 
-/// How much demand one instance serves at the sheet's target utilization; never under one request.
+/// Returns the demand that one instance serves at the sheet's target usage; at least one request.
 pub fn capacity(instance_limit: u32, sheet: &WeightSheet) -> f64 {
     (f64::from(instance_limit) * sheet.target_usage).max(1.0)
 }
@@ -75,8 +76,8 @@
         assert!((asked - 1.0 / 3.0).abs() < 1e-12);
         assert_eq!((asked / capacity(1, &sheet)).ceil(), 1.0);
         let calm = Level::mean([sample(120, 0.0, 0.0)].iter());
-        assert_eq!(demand(&[0.03], calm, &sheet), vec![0.0], "a call in half a minute lets it sleep");
-        // 60 a second at 200 ms keep 12 tasks in flight; limit 5 at 0.6 is 3 a piece: 4 instances.
+        assert_eq!(demand(&[0.03], calm, &sheet), vec![0.0], "a call every half minute scales to zero");
+        // 60 requests/s at 200 ms keep 12 in flight; limit 5 at usage 0.6 is 3 per instance: 4 instances.
         let busy = Level::mean([sample(200, 0.0, 0.0)].iter());
         let asked = demand(&[60.0], busy, &sheet)[0];
         assert!((asked - 12.0).abs() < 1e-9);
--- a/crates/scaler/src/forecast.rs
+++ b/crates/scaler/src/forecast.rs
@@ -1,24 +1,24 @@
-//! The request rate's forecast: SARIMAX(1,1,1) with Fourier terms, its mean and the 90th
-//! percentile of its interval. With fewer than eight observations, or after a failed fit or a
-//! forecast that is not finite, the last value is repeated.
+//! Forecast of the request rate by SARIMAX(1,1,1) with Fourier terms: the mean and the 90th percentile. With
+//! fewer than eight observations, after a failed fit, or if the forecast is not finite, the last value is
+//! repeated.
 
 use crate::arma::{Arma, fit, innovations};
 use crate::fourier::{COLUMNS, row};
 use std::time::Duration;
 
-/// The fewest observations that are fitted.
+/// Minimum number of observations for a fit.
 pub const LEAST: usize = 8;
-/// The 90th percentile of the standard normal distribution.
+/// 90th percentile of the standard normal distribution.
 const P90: f64 = 1.281_551_565_544_600_4;
 
-/// Request rates to come, one value a step.
+/// Forecast of request rates, one value per step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Forecast {
-    /// The expected rates, a second.
+    /// Expected rates, in requests per second.
     pub mean: Vec<f64>,
-    /// The 90th percentile of each rate.
+    /// 90th percentile of each rate.
     pub upper: Vec<f64>,
-    /// Whether this is the last value repeated, for want of a fit.
+    /// Whether the last value is repeated because there is no usable fit.
     pub persisted: bool,
 }
 
@@ -28,7 +28,7 @@
     arma: Arma,
 }
 
-/// The last value of a series repeated for all steps.
+/// Returns a forecast that repeats the last value of a series for all steps.
 pub fn persistence(series: &[f64], steps: usize) -> Forecast {
     let last = series.last().copied().filter(|value| value.is_finite()).unwrap_or(0.0).max(0.0);
     Forecast { mean: vec![last; steps], upper: vec![last; steps], persisted: true }
@@ -40,7 +40,7 @@
 }
 
 impl Model {
-    /// Fits a series whose first value was seen at `from`, one value a step.
+    /// Fits a series with one value per step, the first of them observed at `from`.
     pub fn fit(series: &[f64], from: Duration, step: Duration) -> Option<Model> {
         if series.len() < LEAST || series.iter().any(|value| !value.is_finite()) {
             return None;
@@ -53,12 +53,12 @@
         fit(&target, &rows).map(|arma| Model { arma })
     }
 
-    /// The autoregressive and the moving-average parameter (phi, theta).
+    /// Returns the autoregressive and the moving-average parameter (phi, theta).
     pub fn parameters(&self) -> (f64, f64) {
         (self.arma.phi, self.arma.theta)
     }
 
-    /// Forecasts from the newest tail of a series; the fit itself may be older.
+    /// Forecasts the steps after the end of `series`, which may be newer than the series of the fit.
     pub fn forecast(&self, series: &[f64], from: Duration, step: Duration, steps: usize) -> Forecast {
         let Arma { phi, theta, beta, variance } = &self.arma;
         let explained = |at: Duration| -> f64 { differenced_row(at, step).iter().zip(beta).map(|(x, b)| x * b).sum() };
--- a/crates/scaler/src/fourier.rs
+++ b/crates/scaler/src/fourier.rs
@@ -1,14 +1,14 @@
-//! The exogenous terms: two harmonics each of the day and of the week, as functions of time alone,
-//! so the future ones are known.
+//! Exogenous regressors of the forecast: two harmonics each of the day and of the week. They depend on time
+//! alone, so their future values are known.
 
 use std::time::Duration;
 
-/// The number of terms.
+/// Number of regressors.
 pub const COLUMNS: usize = 8;
 const DAY: f64 = 86_400.0;
 const WEEK: f64 = 7.0 * DAY;
 
-/// The terms at a time.
+/// Returns the regressors at a time.
 pub fn row(at: Duration) -> [f64; COLUMNS] {
     let seconds = at.as_secs_f64();
     let mut row = [0.0; COLUMNS];
--- a/crates/scaler/src/idle_retention.rs
+++ b/crates/scaler/src/idle_retention.rs
@@ -1,34 +1,35 @@
-//! Whether an idle function keeps its instances. Keeping one costs its memory by the second; starting
-//! one anew costs the start, and its memory while it boots. At a steady rate of arrivals one of the two is
-//! always cheaper: keeping pays if the next request is expected before the memory has cost as much.
+//! Decides whether an idle function keeps its instances. An idle instance costs its memory for every
+//! second; a new one costs its start and its memory while it boots. At a steady arrival rate one of the two
+//! is always cheaper: keeping pays if the next request is expected before the memory has cost as much.
 
 use std::time::Duration;
 
-/// How far back arrivals count, by an exponential decay.
+/// Time constant of the exponential decay of counted arrivals.
 const MEMORY: Duration = Duration::from_secs(20);
-/// A function watched for less than this counts as watched for so long.
+/// Lower bound of the observation time used for a rate.
 const MIN_WATCHED: Duration = Duration::from_secs(1);
-/// A pause of so many times the usual gap is hardly chance (one in twenty at a steady rate): the rate fell.
+/// Number of mean gaps after which a pause means that the rate fell: at a steady rate, one gap in twenty
+/// is as long.
 const UNUSUAL_GAPS: f64 = 3.0;
 const MB_PER_GB: f64 = 1024.0;
 
-/// Arrivals a second over the last while, the newer ones weighing more.
+/// Exponentially weighted arrival rate of one function.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ArrivalRate {
     watched_since: Duration,
     counted_at: Duration,
     last_arrival: Duration,
-    /// Arrivals, each decayed by its age.
+    /// Sum of the arrivals, each decayed by its age.
     weight: f64,
 }
 
 impl ArrivalRate {
-    /// Of a function that is watched from now on.
+    /// Creates the rate of a function that is observed from `now` on.
     pub fn new(now: Duration) -> ArrivalRate {
         ArrivalRate { watched_since: now, counted_at: now, last_arrival: now, weight: 0.0 }
     }
 
-    /// Takes the arrivals since the call before.
+    /// Records the number of arrivals since the previous call.
     pub fn pass(&mut self, now: Duration, arrivals: u32) {
         let passed = now.saturating_sub(self.counted_at);
         self.weight = self.weight * remaining(passed) + f64::from(arrivals);
@@ -38,12 +39,12 @@
         }
     }
 
-    /// For how long arrivals have been counted.
+    /// Returns for how long arrivals have been counted.
     pub fn watched(&self, now: Duration) -> Duration {
         now.saturating_sub(self.watched_since)
     }
 
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_second(&self, now: Duration) -> f64 {
         let weight = self.weight * remaining(now.saturating_sub(self.counted_at));
         let watched = self.watched(now).max(MIN_WATCHED);
@@ -53,31 +54,31 @@
     }
 }
 
-/// What is left of a weight after so long.
+/// Returns the fraction of a weight that remains after a time.
 fn remaining(passed: Duration) -> f64 {
     (-passed.as_secs_f64() / MEMORY.as_secs_f64()).exp()
 }
 
-/// What an instance of one function costs.
+/// Cost of an instance of one function.
 #[derive(Clone, Copy, Debug)]
 pub struct InstanceCost {
-    /// The memory it takes.
+    /// Memory of the instance.
     pub memory_mb: u32,
-    /// How long it boots, on average.
+    /// Mean boot time.
     pub boot: Duration,
-    /// What one start costs, in gigabytes of memory kept for a second.
+    /// Cost of one start, in gigabyte-seconds of memory.
     pub start_gb_seconds: f64,
 }
 
 impl InstanceCost {
-    /// For how long the memory of an idle instance costs less than starting it anew.
+    /// Returns for how long keeping an idle instance costs less than a new start.
     pub fn break_even(&self) -> Duration {
         let memory_gb = f64::from(self.memory_mb.max(1)) / MB_PER_GB;
         self.boot + Duration::from_secs_f64(self.start_gb_seconds / memory_gb)
     }
 
-    /// Whether an idle instance is kept: the next request is expected within the break-even time, or the
-    /// function has not been watched for as long, as after a change of its owner.
+    /// Returns whether to keep an idle instance: the next request is expected within the break-even time, or
+    /// the function has been observed for less than that time, for example after its owner changed.
     pub fn is_kept_idle(&self, now: Duration, arrivals: &ArrivalRate) -> bool {
         let break_even = self.break_even();
         arrivals.watched(now) < break_even || arrivals.per_second(now) * break_even.as_secs_f64() >= 1.0
--- a/crates/scaler/src/lib.rs
+++ b/crates/scaler/src/lib.rs
@@ -1,6 +1,7 @@
-//! The source design's scaler: a window of fifteen-second samples, a SARIMAX forecast with daily
-//! and weekly Fourier terms, its conversion to demand, an integer plan that counts the startup
-//! delay, and the playing of that plan by elapsed step. `Optimizer` is one host's whole state.
+//! Predictive scaler of function instances: a window of fifteen-second samples, a SARIMAX forecast with
+//! daily and weekly Fourier terms, its conversion to demand, an integer program that accounts for the
+//! startup delay, and the execution of the resulting plan by elapsed step. `Optimizer` holds the whole
+//! state of the registry that plans.
 
 #![warn(missing_docs)]
 
--- a/crates/scaler/src/live_demand.rs
+++ b/crates/scaler/src/live_demand.rs
@@ -1,44 +1,45 @@
-//! How many instances the load of this moment takes, beside what a plan of whole steps says.
+//! Number of instances that the current load needs, independent of the plan, which is made in whole steps.
 
 use std::time::Duration;
 
-/// Up to so many arrivals in the measured span say nothing of a rate.
+/// Maximum number of arrivals in the measured interval that is too small to derive a rate from.
 const SPARSE_ARRIVALS: u32 = 2;
 
-/// What one function's owner sees just now.
+/// Current load of one function, as its owner measures it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LiveDemand {
-    /// Requests that arrived within the measured span, about a second.
+    /// Number of requests that arrived within the measured interval of about a second.
     pub arrivals: u32,
-    /// The same as requests a second.
+    /// Arrival rate in that interval, in requests per second.
     pub rate: f64,
-    /// Requests waiting for room.
+    /// Number of requests waiting for a free slot.
     pub queued: u32,
-    /// Requests on instances.
+    /// Number of requests being served by instances.
     pub in_flight: u32,
-    /// What an answer takes when nothing is wrong.
+    /// Response time in the absence of faults.
     pub usual: Duration,
-    /// Requests one instance is planned for.
+    /// Number of concurrent requests that one instance is planned for.
     pub capacity: f64,
-    /// Requests one instance may have at once.
+    /// Maximum number of concurrent requests on one instance.
     pub instance_limit: u32,
-    /// Instances that take requests.
+    /// Number of instances that accept requests.
     pub ready: u32,
 }
 
 impl LiveDemand {
-    /// The instances that the load takes; little more than twice what is ready, until those are ready too.
+    /// Returns the number of instances that the load needs, at most two more than twice the ready ones. The limit
+    /// rises as new instances become ready.
     pub fn instances(&self) -> u32 {
         let wanted = if self.arrivals <= SPARSE_ARRIVALS { self.present() } else { self.expected() };
         wanted.min(self.ready * 2 + 2)
     }
 
-    /// What the requests here take, where a few arrivals tell no rate by which more are to be expected.
+    /// Returns the number of instances for the present requests, if there are too few arrivals to predict more.
     fn present(&self) -> u32 {
         (self.queued + self.in_flight).div_ceil(self.instance_limit.max(1))
     }
 
-    /// What the arrivals take if they go on, and the queue if it is to be worked off within a second.
+    /// Returns the number of instances needed to serve arrivals at the current rate and the queue within a second.
     fn expected(&self) -> u32 {
         let requests = self.rate + f64::from(self.queued);
         (requests * self.usual.as_secs_f64() / self.capacity).ceil() as u32
--- a/crates/scaler/src/optimizer.rs
+++ b/crates/scaler/src/optimizer.rs
@@ -1,5 +1,5 @@
-//! The optimizer's host: windows of all functions, staggered fits, demand and plan. It answers
-//! with the counts from the startup delay on, or with the fallback where no plan could be made.
+//! Plans the instance counts of all functions from their sample windows. Model fits are rate-limited. A
+//! result holds the counts from the startup delay on, or the fallback count if planning failed.
 
 use crate::demand::{Level, capacity, coverage};
 use crate::plan::{PlanTask, plan};
@@ -10,25 +10,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Steps planned beyond the startup delay.
+/// Number of steps planned beyond the startup delay.
 const HORIZON: usize = 4;
-/// The longest startup delay that is planned with, in steps.
+/// Maximum startup delay derived from a function's boot time, in steps.
 const MOST_DELAY: f64 = 8.0;
+/// Default rate limit of model fits.
 const FITS_PER_SECOND: f64 = 8.0;
 
-/// The answer to a request for a plan.
+/// Result of a plan request.
 pub struct Planned {
-    /// The number of instances for each step from the startup delay on.
+    /// Number of instances in each step from the startup delay on.
     pub desired: Vec<u32>,
-    /// How long one step lasts.
+    /// Duration of one step.
     pub step: Duration,
-    /// Why there is only the fallback, if so.
+    /// Reason why `desired` is only the fallback count; `None` if planning succeeded.
     pub fault: Option<String>,
 }
 
-/// Samples and fits of all functions, on the machine that plans for all.
+/// Samples, fitted models and tuned weights of all functions.
 pub struct Optimizer {
-    /// The weight sheets' fields that are set from measures.
+    /// Tuner of the weight sheets.
     pub tuner: Tuner,
     step: Duration,
     fits_per_second: f64,
@@ -44,25 +45,25 @@
 }
 
 impl Optimizer {
-    /// An optimizer with no samples; `fits_per_second` bounds the processor time spent on fits.
+    /// Creates an optimizer without samples; `fits_per_second` bounds the processor time spent on fits.
     pub fn new(step: Duration, fits_per_second: f64) -> Optimizer {
         let (windows, tuner) = (BTreeMap::new(), Tuner::new(step));
         Optimizer { tuner, step, fits_per_second, windows, fits_left: 0.0, refilled: Duration::ZERO }
     }
 
-    /// Takes a function's sample.
+    /// Adds a sample to a function's window.
     pub fn sample(&mut self, now: Duration, function: &str, sample: Sample) {
         let step = self.step;
         self.windows.entry(function.to_owned()).or_insert_with(|| Window::new(step)).take(now, sample);
     }
 
-    /// Forgets functions that are bound no longer.
+    /// Drops the state of functions that are no longer bound.
     pub fn keep_only(&mut self, known: impl Fn(&str) -> bool) {
         self.windows.retain(|name, _| known(name));
         self.tuner.keep_only(known);
     }
 
-    /// Plans one function from `current` instances and a gauge read just now; the solver may take `limit`.
+    /// Plans one function from its `current` instances and a current reading; the solver may take `limit`.
     pub fn plan(
         &mut self,
         now: Duration,
--- a/crates/scaler/src/plan.rs
+++ b/crates/scaler/src/plan.rs
@@ -1,55 +1,55 @@
-//! The integer plan, as the source states it: the first step pinned to the current count, a
-//! scale-up decided at k counting from k plus the startup delay, bounded ramps, shortfall split
-//! into a cheap soft and a dear hard tier, a penalty for nothing running under demand, and a last
-//! step that covers its demand as far as ramps and bounds reach.
+//! Integer program for the instance counts. The first step is fixed to the current count; a scale-up decided
+//! at step k takes effect at k plus the startup delay; changes per step are bounded; uncovered demand has a
+//! low-cost soft tier and a high-cost hard tier; zero instances under demand are penalized; and the last step
+//! covers its demand as far as the bounds allow. The formulation comes from the design this scaler follows.
 
 use bindings::WeightSheet;
 use derive_more::Display;
 use microlp::{ComparisonOp, OptimizationDirection, Problem, Variable};
 use std::time::Duration;
 
-/// One integer program: how many instances a function has in each step.
+/// Input of the integer program for one function.
 #[derive(Clone, Debug)]
 pub struct PlanTask<'a> {
-    /// Instances running or starting now.
+    /// Number of instances running or starting now.
     pub current: u32,
-    /// The fewest instances allowed.
+    /// Minimum number of instances.
     pub min: u32,
-    /// The most instances allowed.
+    /// Maximum number of instances.
     pub max: u32,
-    /// The demand one instance serves.
+    /// Demand that one instance serves.
     pub capacity: f64,
-    /// The expected demand in each step.
+    /// Expected demand in each step.
     pub demand: &'a [f64],
-    /// The demand to be covered in each step.
+    /// Demand to cover in each step.
     pub coverage: &'a [f64],
-    /// The weights of the costs.
+    /// Weights of the costs.
     pub sheet: &'a WeightSheet,
-    /// How long the solver may take.
+    /// Time limit of the solver.
     pub limit: Duration,
 }
 
-/// The cheapest counts found.
+/// Solution of the integer program.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Instances in each step.
+    /// Number of instances in each step.
     pub counts: Vec<u32>,
-    /// The value of the objective.
+    /// Value of the objective.
     pub cost: f64,
 }
 
-/// Why there is no plan.
+/// Reason why planning failed.
 #[derive(Debug, Display, PartialEq, Eq)]
 pub enum PlanError {
     /// The capacity is zero, negative or not finite.
-    #[display("the capacity of an instance is not a positive number")]
+    #[display("instance capacity is not a positive number")]
     Capacity,
     /// The solver failed or ran out of time.
-    #[display("the solver found no plan: {_0}")]
+    #[display("solver found no plan: {_0}")]
     Solver(String),
 }
 
-/// Solves the program.
+/// Solves the integer program.
 pub fn plan(task: &PlanTask) -> Result<Plan, PlanError> {
     if !task.capacity.is_finite() || task.capacity <= 0.0 {
         return Err(PlanError::Capacity);
@@ -96,7 +96,7 @@
         }
     }
     let solved = problem.solve().map_err(|fault| PlanError::Solver(fault.to_string()))?;
-    let solution = solved.into_solution().map_err(|_| PlanError::Solver("time ran out".into()))?;
+    let solution = solved.into_solution().map_err(|_| PlanError::Solver("time limit exceeded".into()))?;
     let found: Vec<u32> = counts.iter().map(|count| solution.var_value(*count).round().max(0.0) as u32).collect();
     Ok(Plan { counts: found, cost: solution.objective() })
 }
@@ -109,7 +109,7 @@
 
     const LIMIT: Duration = Duration::from_secs(60);
 
-    /// The least cost over every path of ups and downs, counted without the solver.
+    /// Returns the minimum cost over every sequence of scale-ups and scale-downs, enumerated without the solver.
     fn brute(task: &PlanTask, t: usize, count: u32, ups: &mut Vec<u32>) -> f64 {
         let sheet = task.sheet;
         let steps = task.coverage.len();
--- a/crates/scaler/src/player.rs
+++ b/crates/scaler/src/player.rs
@@ -1,21 +1,21 @@
-//! The serving side of one function: plays desired[elapsed / step], asks again when the plan has
-//! run out, retries once, and on failure holds the count or starts one under demand. Three small
-//! exceptions: a plan meets live load by not being played below what that takes; held tasks with nothing running or starting start one at once, which is
-//! kept while they wait, and held tasks
-//! beyond what the played step can serve ask for a new plan early, at most once a second.
+//! Executes the plan of one function: the desired count is `counts[elapsed / step]`. When the plan has run
+//! out, a new one is requested, with one retry; if both fail, the current count is kept, or one instance is
+//! started if there is demand. Three exceptions: the count never falls below the live demand; queued
+//! requests with no instance running or starting start one at once, which is kept while they wait; and
+//! queued requests beyond the capacity of the planned count request a new plan early, at most once a second.
 
 use std::time::Duration;
 
-/// When a plan is asked for, and how often.
+/// Timeouts and intervals of plan requests.
 #[derive(Clone, Debug)]
 pub struct PlayerTiming {
-    /// How long an answer may take.
+    /// Maximum time until a plan request is answered.
     pub timeout: Duration,
-    /// The pause after an answer that did not come.
+    /// Pause after a first unanswered request.
     pub backoff: Duration,
-    /// The least time between two plans asked for early, since load came up.
+    /// Minimum time between two early requests, made because load rose.
     pub early: Duration,
-    /// The pause after two answers in a row that did not come.
+    /// Pause after two consecutive unanswered requests.
     pub rest: Duration,
 }
 
@@ -30,60 +30,60 @@
     }
 }
 
-/// What one function looks like now.
+/// Current state of one function.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Situation {
-    /// Instances that take requests.
+    /// Number of instances that accept requests.
     pub running: u32,
-    /// Instances ordered or coming up.
+    /// Number of instances ordered or booting.
     pub starting: u32,
-    /// Requests waiting for room.
+    /// Number of requests waiting for a free slot.
     pub queued: u32,
-    /// Requests on instances.
+    /// Number of requests being served by instances.
     pub in_flight: u32,
-    /// Requests one instance may have at once.
+    /// Number of concurrent requests that one instance is planned for.
     pub capacity: f64,
-    /// The fewest instances allowed.
+    /// Minimum number of instances.
     pub min: u32,
-    /// The most instances allowed.
+    /// Maximum number of instances.
     pub max: u32,
-    /// The operator's own count, which goes before any plan.
+    /// Instance count fixed by the operator, which overrides every plan.
     pub fixed: Option<u32>,
-    /// Whether a plan may be asked for now.
+    /// Whether a plan may be requested now.
     pub may_ask: bool,
-    /// How many the load just now takes; a plan made of older samples is not played below it.
+    /// Number of instances that the current load needs: the lower bound of a plan, which is based on older samples.
     pub live: u32,
 }
 
-/// What to do now.
+/// Result of one step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decision {
-    /// How many instances there should be.
+    /// Desired number of instances.
     pub desired: u32,
-    /// Whether a plan is to be asked for.
+    /// Whether to request a plan.
     pub wants_plan: bool,
 }
 
-/// A plan from the moment it came.
+/// A plan and the time at which it began.
 #[derive(Clone, Debug)]
 struct RunningPlan {
-    /// Instances in each step.
+    /// Number of instances in each step.
     counts: Vec<u32>,
     step: Duration,
     begun: Duration,
 }
 
-/// A plan asked for and not yet answered.
+/// A plan request without an answer yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingAsk {
     number: u64,
     asked_at: Duration,
 }
 
-/// No plan is played by longer steps than this.
+/// Upper bound of the step of a plan.
 const LONGEST_STEP: Duration = Duration::from_secs(3600);
 
-/// Plays one function's plan by the time that has passed, and falls back where there is none.
+/// Executes one function's plan by elapsed time, with a fallback if there is no plan.
 #[derive(Clone, Debug, Default)]
 pub struct Player {
     plan: Option<RunningPlan>,
@@ -92,37 +92,38 @@
     resting: Option<Duration>,
     early_at: Option<Duration>,
     fence: u64,
-    /// How often two answers in a row did not come.
+    /// Number of times that two consecutive requests went unanswered.
     pub fallbacks: u64,
-    /// How often a plan was asked for before its time.
+    /// Number of plans requested before the previous one ran out.
     pub early_asks: u64,
 }
 
-/// The count where there is no plan: as it is, one if there is demand and none runs, within the bounds.
+/// Returns the instance count without a plan: the current count, or one if there is demand and no instance,
+/// within the bounds.
 pub fn fallback(current: u32, demand: bool, min: u32, max: u32) -> u32 {
     let count = if demand && current == 0 { 1 } else { current };
     count.clamp(min.min(max), max)
 }
 
 impl Player {
-    /// The plan's count for now; none without a plan.
+    /// Returns the planned count at `now`; `None` if there is no plan or it has run out.
     pub fn played(&self, now: Duration) -> Option<u32> {
         let plan = self.plan.as_ref()?;
         let place = now.saturating_sub(plan.begun).as_millis() / plan.step.as_millis().max(1);
         plan.counts.get(place as usize).copied()
     }
 
-    /// The number that named the host of the latest plan.
+    /// Returns the fence of the latest plan: the number of the view that appointed its planner.
     pub fn fence(&self) -> u64 {
         self.fence
     }
 
-    /// The counts of the latest plan, one a step.
+    /// Returns the counts of the latest plan, one per step.
     pub fn plan(&self) -> &[u32] {
         self.plan.as_ref().map_or(&[], |plan| plan.counts.as_slice())
     }
 
-    /// Says what the count should be now, and whether a plan is to be asked for under `request_id`.
+    /// Returns the desired count, and whether to request a plan under `request_id`.
     pub fn step(&mut self, now: Duration, request_id: u64, situation: Situation, timing: &PlayerTiming) -> Decision {
         let Situation { running, starting, queued, in_flight, capacity, min, max, fixed, may_ask, live } = situation;
         if let Some(count) = fixed {
@@ -159,7 +160,7 @@
         Decision { desired: woken.max(live).clamp(min.min(max), max), wants_plan: is_requested }
     }
 
-    /// Takes a plan asked for under `request_id`, unless a later host has already been heard.
+    /// Accepts the plan requested under `request_id`, unless a plan with a higher fence was accepted before.
     pub fn take(&mut self, now: Duration, request_id: u64, fence: u64, desired: Vec<u32>, step: Duration) -> bool {
         let due = self.asked.is_some_and(|asked| asked.number == request_id);
         if !due || fence < self.fence || desired.is_empty() || step.is_zero() {
@@ -192,8 +193,8 @@
         assert_eq!(player.step(10 * S, 2, situation(4, 0), &timing), Decision { desired: 3, wants_plan: false });
         assert_eq!(player.step(17 * S, 3, situation(3, 0), &timing), Decision { desired: 6, wants_plan: false });
         assert_eq!(player.step(32 * S, 4, situation(6, 0), &timing), Decision { desired: 6, wants_plan: true });
-        assert!(!player.take(32 * S, 4, 4, vec![1], 15 * S), "a fenced-off host's plan");
-        assert!(!player.take(32 * S, 3, 6, vec![1], 15 * S), "an answer to an older ask");
+        assert!(!player.take(32 * S, 4, 4, vec![1], 15 * S), "a plan with an older fence");
+        assert!(!player.take(32 * S, 3, 6, vec![1], 15 * S), "an answer to an older request");
     }
 
     #[test]
--- a/crates/scaler/src/tuner.rs
+++ b/crates/scaler/src/tuner.rs
@@ -1,33 +1,42 @@
-//! Tuning weight sheets by what was measured, slowly and within their bounds. A function that was
-//! short (tasks refused, rejected or kept waiting though instances ran) is planned with a lower
-//! usage and a higher shortfall penalty; one that was calm for long goes back, and a little beyond
-//! where its bounds allow it. The startup delay follows the boots that were seen. The sheet as declared
-//! stays as it is: what is in force is a view beside it, and says why.
+//! Tunes weight sheets from measurements, slowly and within their declared bounds. A function that lacked
+//! capacity (requests refused, rejected or kept waiting although instances ran) is planned with a lower target
+//! usage and a higher penalty for uncovered demand. After a long time without a shortage, both return, and go
+//! a little beyond the declared values if the bounds allow it. The startup delay follows the measured boot
+//! times. The declared sheet is not modified; the tuned values are kept beside it with the reason for the
+//! latest change.
 
 use crate::window::STEP;
 use bindings::{Function, WeightSheet};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Number of steps from one change to the next, at least.
 const REST: u32 = 4;
+/// Number of steps without a shortage after which the values begin to return.
 const CALM: u32 = 40;
+/// Decrease of the target usage after a shortage.
 const LOWER: f64 = 0.02;
+/// Increase of the target usage after a calm period.
 const RAISE: f64 = 0.01;
+/// Factor of the hard penalty after a shortage.
 const SHARPER: f64 = 1.1;
+/// Factor of the hard penalty after a calm period.
 const MILDER: f64 = 0.95;
+/// Mean number of waiting requests above which a function lacks capacity.
 const WAITING: f64 = 0.5;
+/// Number of consecutive measurements that must contradict the startup delay before it changes.
 const AGREEING: u32 = 3;
 
-/// What an owner saw of one function in one step.
+/// Measurements of one function in one step, taken by its owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Measure {
-    /// Mean time from the order to readiness of the instances that came up.
+    /// Mean time from the start order to readiness, of the instances that became ready.
     pub boot: Duration,
-    /// How many came up.
+    /// Number of instances that became ready.
     pub boots: u32,
-    /// Requests refused by the owner.
+    /// Number of requests refused by the owner.
     pub refused: u32,
-    /// Requests that instances rejected for want of room.
+    /// Number of requests that instances rejected because they were full.
     pub rejections: u32,
     /// Mean number of requests waiting.
     pub waiting: f64,
@@ -35,16 +44,16 @@
     pub usage: f64,
 }
 
-/// The tuned fields of one weight sheet.
+/// Tuned fields of one weight sheet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tuned {
-    /// Steps between an order and a ready instance.
+    /// Number of steps between a start order and a ready instance.
     pub startup_delay_steps: u32,
-    /// The utilization that capacity is planned at, 0 to 1.
+    /// Utilization at which capacity is planned, 0 to 1.
     pub target_usage: f64,
-    /// The cost of uncovered demand.
+    /// Cost of uncovered demand in the hard tier.
     pub sla_hard: f64,
-    /// The reason for the latest change.
+    /// Reason for the latest change; empty if nothing was changed.
     pub why: String,
 }
 
@@ -58,7 +67,7 @@
     calm: u32,
 }
 
-/// Sets fields of weight sheets within their declared bounds, by what owners measured.
+/// Tunes fields of weight sheets within their declared bounds, from the measurements of owners.
 pub struct Tuner {
     step: Duration,
     tracks: BTreeMap<String, Track>,
@@ -89,13 +98,13 @@
             self.move_to(
                 -LOWER,
                 SHARPER,
-                format!("short: {refused} refused, {rejections} turned away, {waiting:.2} waiting"),
+                format!("capacity shortage: {refused} refused, {rejections} rejected, {waiting:.2} waiting"),
             );
         } else if self.calm >= CALM {
             self.calm = CALM / 2;
             self.rest = REST;
             let room = measure.usage < self.tuned.target_usage;
-            self.move_to(if room { RAISE } else { 0.0 }, MILDER, "calm for ten minutes".into());
+            self.move_to(if room { RAISE } else { 0.0 }, MILDER, "no capacity shortage for ten minutes".into());
         }
     }
 
@@ -134,12 +143,12 @@
 }
 
 impl Tuner {
-    /// `step` is the time between two measures of a function.
+    /// Creates a tuner; `step` is the time between two measurements of a function.
     pub fn new(step: Duration) -> Tuner {
         Tuner { step, tracks: BTreeMap::new() }
     }
 
-    /// Takes what an owner saw of a function in one step.
+    /// Records an owner's measurements of a function in one step and tunes its sheet.
     pub fn take(&mut self, function: &Function, measure: Measure) {
         let track = self.tracks.entry(function.name.clone()).or_insert_with(|| Track::new(&function.sheet));
         if track.declared != function.sheet {
@@ -148,7 +157,7 @@
         track.take(measure, self.step);
     }
 
-    /// Goes on from what an earlier host had in force.
+    /// Adopts the values that another registry tuned, limited to the declared bounds.
     pub fn adopt(&mut self, function: &Function, tuned: Tuned) {
         let mut track = Track::new(&function.sheet);
         let keep =
@@ -167,17 +176,17 @@
         self.tracks.insert(function.name.clone(), track);
     }
 
-    /// Forgets functions that are bound no longer.
+    /// Drops the state of functions that are no longer bound.
     pub fn keep_only(&mut self, known: impl Fn(&str) -> bool) {
         self.tracks.retain(|name, _| known(name));
     }
 
-    /// What differs from the declared sheets.
+    /// Returns the tuned values of all functions whose values were changed.
     pub fn tuned(&self) -> impl Iterator<Item = (&String, &Tuned)> {
         self.tracks.iter().filter(|(_, track)| !track.tuned.why.is_empty()).map(|(name, track)| (name, &track.tuned))
     }
 
-    /// The sheet in force for a function.
+    /// Returns a function's declared sheet with the tuned values applied.
     pub fn in_force(&self, function: &Function) -> WeightSheet {
         let track = self.tracks.get(&function.name).filter(|track| track.declared == function.sheet);
         track.map_or_else(
--- a/crates/scaler/src/tuner_tests.rs
+++ b/crates/scaler/src/tuner_tests.rs
@@ -1,4 +1,4 @@
-//! Tuning from measures worked by hand.
+//! Tests of the tuner with hand-computed results.
 
 use super::*;
 
@@ -23,11 +23,11 @@
     let (tuner, function) = after("{}", SHORT, 1);
     assert!((tuner.in_force(&function).target_usage - 0.58).abs() < 1e-9);
     let (tuner, function) = after("{}", SHORT, 4);
-    assert!((tuner.in_force(&function).target_usage - 0.58).abs() < 1e-9, "a minute's rest between two moves");
+    assert!((tuner.in_force(&function).target_usage - 0.58).abs() < 1e-9, "changes are at least a minute apart");
     let (tuner, function) = after("{}", SHORT, 1000);
     let sheet = tuner.in_force(&function);
     assert_eq!((sheet.target_usage, sheet.sla_hard), (0.4, 800.0));
-    assert_eq!(function.sheet.target_usage, 0.6, "what was declared stays");
+    assert_eq!(function.sheet.target_usage, 0.6, "the declared sheet is unchanged");
     assert!(tuner.tuned().next().unwrap().1.why.contains("2 refused"));
 }
 
@@ -38,7 +38,7 @@
     let sheet = tuner.in_force(&function);
     assert_eq!((sheet.target_usage, sheet.sla_hard), (0.75, 200.0));
     let (tuner, function) = after("{}", SLOW, 2);
-    assert_eq!(tuner.in_force(&function).startup_delay_steps, 1, "not on the first look");
+    assert_eq!(tuner.in_force(&function).startup_delay_steps, 1, "not after the first measurements");
     let (tuner, function) = after("{}", SLOW, 100);
     assert_eq!(tuner.in_force(&function).startup_delay_steps, 3);
 }
--- a/crates/scaler/src/window.rs
+++ b/crates/scaler/src/window.rs
@@ -1,45 +1,46 @@
-//! One function's window: 960 samples, which are 240 minutes at the usual fifteen-second step, and the fit kept
-//! from it for five minutes, as long as the newest ten observations stay within half of its mean.
+//! Sample window of one function: 960 samples, which are 240 minutes at the default fifteen-second step. A
+//! model fitted to the window is reused for five minutes while the mean of the newest ten rates stays within
+//! half of the mean at the fit.
 
 use crate::forecast::{Forecast, Model, persistence};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The step where none is set.
+/// Default time between two samples.
 pub const STEP: Duration = Duration::from_secs(15);
-/// How many samples are kept: four hours of the default step.
+/// Maximum number of samples kept: four hours at the default step.
 pub const LENGTH: usize = 240 * 60 / 15;
-/// How long a fit is used.
+/// Maximum age of a fit.
 const FIT_LASTS: Duration = Duration::from_secs(300);
-/// How many of the newest observations are held against a fit.
+/// Number of newest samples compared with a fit.
 const RECENT: usize = 10;
-/// A fit is made anew once the mean of the recent rates moved by more than this share of the fitted mean.
+/// Change of the mean recent rate, as a fraction of the mean at the fit, above which the model is refitted.
 const MOVED_SHARE: f64 = 0.5;
-/// Means below this count as this, in requests a second.
+/// Lower bound of the mean rate in that comparison, in requests per second.
 const LEAST_RATE: f64 = 0.1;
 
-/// What one function had in one step.
+/// Load of one function in one step.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// Requests a second.
+    /// Request rate per second.
     pub rate: f64,
-    /// Mean response time; zero if nothing was answered.
+    /// Mean response time; zero if no request was answered.
     pub response: Duration,
-    /// Requests waiting for room on an instance.
+    /// Mean number of requests waiting for a free slot on a running instance.
     pub waiting: f64,
-    /// Requests waiting for a first instance.
+    /// Mean number of requests waiting while no instance runs.
     pub queued: f64,
 }
 
-/// A fit and what it was made from.
+/// A fitted model with the time and the mean rate of its fit.
 struct Fit {
     model: Model,
     fitted_at: Duration,
-    /// Mean of the rates fitted, requests a second.
+    /// Mean of the newest rates at the fit, in requests per second.
     mean_rate: f64,
 }
 
-/// The latest samples of one function and the fit made from them.
+/// Latest samples of one function and the model fitted to them.
 pub struct Window {
     step: Duration,
     samples: VecDeque<Sample>,
@@ -56,12 +57,12 @@
 }
 
 impl Window {
-    /// An empty window whose samples are one `step` apart.
+    /// Creates an empty window for samples that are one `step` apart.
     pub fn new(step: Duration) -> Window {
         Window { step, samples: VecDeque::new(), first: 0, fitted: None, failed: None, newest: None }
     }
 
-    /// Takes a sample; steps that brought none are filled with the sample before.
+    /// Adds a sample; missed steps are filled with the previous sample.
     pub fn take(&mut self, now: Duration, sample: Sample) {
         if let Some(newest) = self.newest {
             let missed = (now.saturating_sub(newest).as_secs_f64() / self.step.as_secs_f64()).round() as usize;
@@ -82,17 +83,17 @@
         }
     }
 
-    /// The three newest samples, the newest first.
+    /// Returns the three newest samples, the newest first.
     pub fn last_three(&self) -> impl Iterator<Item = &Sample> {
         self.samples.iter().rev().take(3)
     }
 
-    /// How many samples are kept.
+    /// Returns the number of samples kept.
     pub fn len(&self) -> usize {
         self.samples.len()
     }
 
-    /// Whether no sample was taken yet.
+    /// Returns whether the window has no samples.
     pub fn is_empty(&self) -> bool {
         self.samples.is_empty()
     }
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Forecasts the rate; fits only where `may_fit` lets it, else uses the fit there is.
+    /// Forecasts the rate. Refits the model if that is needed and `may_fit` allows it, else uses the present fit.
     pub fn forecast(&mut self, now: Duration, steps: usize, may_fit: &mut dyn FnMut() -> bool) -> Forecast {
         let rates: Vec<f64> = self.samples.iter().map(|sample| sample.rate).collect();
         let (step, from) = (self.step, self.step * self.first);
--- a/crates/scaler/tests/idle_retention.rs
+++ b/crates/scaler/tests/idle_retention.rs
@@ -1,4 +1,4 @@
-//! How long an idle instance is kept, by what it costs and how often its function is called.
+//! Tests of how long an idle instance is kept, depending on its cost and its function's arrival rate.
 
 use scaler::{ArrivalRate, InstanceCost};
 use std::time::Duration;
@@ -8,7 +8,7 @@
     InstanceCost { memory_mb, boot: Duration::from_millis(500), start_gb_seconds }
 }
 
-/// A function called every `gap_ms` for a minute, and then not for `idle_ms`.
+/// Arrival rate of a function called every `gap_ms` for a minute and then not for `idle_ms`.
 fn called_every(gap_ms: u64, idle_ms: u64) -> (Duration, ArrivalRate) {
     let mut rate = ArrivalRate::new(Duration::ZERO);
     let end = 60_000 / gap_ms * gap_ms;
@@ -20,17 +20,17 @@
     (now, rate)
 }
 
-#[test_case(128, 0.2 => 2100; "a start is as dear as 1.6 seconds of an eighth of a gigabyte, and it boots")]
-#[test_case(1024, 0.2 => 700; "a large one is kept for less")]
-#[test_case(128, 0.0 => 500; "where starts are free only the boot counts")]
+#[test_case(128, 0.2 => 2100; "a start costs as much as 1.6 s of 128 MB, plus the boot time")]
+#[test_case(1024, 0.2 => 700; "a large instance is kept for less time")]
+#[test_case(128, 0.0 => 500; "with free starts only the boot time counts")]
 fn the_break_even_time_follows_from_memory_and_start(memory_mb: u32, start_gb_seconds: f64) -> u128 {
     cost(memory_mb, start_gb_seconds).break_even().as_millis()
 }
 
-#[test_case(1000, 0 => true; "called each second")]
-#[test_case(1000, 10_000 => false; "called each second until ten seconds ago")]
-#[test_case(1500, 200 => true; "called somewhat oftener than the break-even time")]
-#[test_case(5000, 200 => false; "called each five seconds")]
+#[test_case(1000, 0 => true; "called every second")]
+#[test_case(1000, 10_000 => false; "called every second until ten seconds ago")]
+#[test_case(1500, 200 => true; "called slightly more often than the break-even time")]
+#[test_case(5000, 200 => false; "called every five seconds")]
 #[test_case(60_000, 0 => false; "called for the first time in a minute")]
 fn an_instance_is_kept_where_the_next_request_is_expected_soon_enough(gap_ms: u64, idle_ms: u64) -> bool {
     let (now, rate) = called_every(gap_ms, idle_ms);
--- a/crates/scaler/tests/live_demand.rs
+++ b/crates/scaler/tests/live_demand.rs
@@ -1,4 +1,4 @@
-//! The count that the load of a moment takes.
+//! Tests of the instance count that the current load needs.
 
 use scaler::LiveDemand;
 use std::time::Duration;
@@ -17,12 +17,12 @@
     }
 }
 
-#[test_case(0, 0, 0 => 0; "nothing")]
+#[test_case(0, 0, 0 => 0; "no load")]
 #[test_case(1, 1, 0 => 1; "one request takes one instance")]
-#[test_case(1, 0, 1 => 1; "and no second one once it runs")]
-#[test_case(2, 1, 1 => 2; "two at once take two")]
-#[test_case(0, 0, 1 => 1; "one that still runs keeps its instance")]
-#[test_case(3, 0, 1 => 4; "three in a third of a second are a rate, met within what is ready")]
+#[test_case(1, 0, 1 => 1; "a running request needs no second instance")]
+#[test_case(2, 1, 1 => 2; "two concurrent requests take two")]
+#[test_case(0, 0, 1 => 1; "a running request keeps its instance")]
+#[test_case(3, 0, 1 => 4; "three in a third of a second make a rate, limited by the ready instances")]
 fn a_few_arrivals_are_counted_and_more_are_a_rate(arrivals: u32, queued: u32, in_flight: u32) -> u32 {
     rare(arrivals, queued, in_flight).instances()
 }
@@ -39,5 +39,5 @@
         ..LiveDemand::default()
     };
     assert_eq!(load.instances(), 5);
-    assert_eq!(LiveDemand { queued: 400, ..load }.instances(), 10, "a crowd grows by no more than double and two");
+    assert_eq!(LiveDemand { queued: 400, ..load }.instances(), 10, "growth is limited to two more than double");
 }
