--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -4,7 +4,7 @@
 //! fence; a host that was named later goes on from there.
 
 use bindings::{Function, RouteTable};
-use scaler::{Measure, Optimizer, Sample, Tuned};
+use scaler::{FunctionMeasurement, Optimizer, Sample, TunedWeights};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{Measurement, NodeId, PlanMessage, TunedParameters, View};
@@ -47,7 +47,7 @@
     pub fn routes(&mut self, routes: &RouteTable) {
         self.functions = routes.functions().map(|function| (function.name.clone(), function.clone())).collect();
         let known = &self.functions;
-        self.optimizer.keep_only(|name| known.contains_key(name));
+        self.optimizer.retain_functions(|name| known.contains_key(name));
     }
 
     /// What is tuned at present, as far as this registry knows, and by which host's fence.
@@ -68,11 +68,11 @@
                 for line in lines.iter().filter(|line| self.functions.contains_key(line.function.as_str())) {
                     let sample = Sample {
                         rate: line.rate_milli as f64 / 1000.0,
-                        response: Duration::from_micros(line.response_micro),
+                        response_time: Duration::from_micros(line.response_micro),
                         waiting: line.waiting_milli as f64 / 1000.0,
                         queued: line.queued_milli as f64 / 1000.0,
                     };
-                    self.optimizer.sample(now, line.function.as_str(), sample);
+                    self.optimizer.record_sample(now, line.function.as_str(), sample);
                 }
                 Vec::new()
             }
@@ -83,11 +83,11 @@
                 let message = PlanMessage::Reply {
                     request_id,
                     fence: self.view.number,
-                    state: planned.fault.is_none() as u8,
+                    state: planned.error.is_none() as u8,
                     step_ms: planned.step.as_millis() as u32,
                     desired: planned.desired.into(),
                 };
-                let fault = planned.fault.map(|fault| format!("{}: {fault}", function.name));
+                let fault = planned.error.map(|fault| format!("{}: {fault}", function.name));
                 vec![Planned { to: from, message, fault }]
             }
             PlanMessage::Measures { lines } if self.view.optimizer == me => {
@@ -104,7 +104,7 @@
     fn measured(&mut self, now: Duration, me: NodeId, from: NodeId, lines: &[Measurement]) -> Vec<Planned> {
         for line in lines.iter().filter(|_| self.tunes) {
             let Some(function) = self.functions.get(line.function.as_str()) else { continue };
-            let measure = Measure {
+            let measure = FunctionMeasurement {
                 boot: Duration::from_micros(line.boot_micro),
                 boots: line.boots,
                 refused: line.refused,
@@ -112,10 +112,10 @@
                 waiting: line.waiting_milli as f64 / 1000.0,
                 usage: line.usage_milli as f64 / 1000.0,
             };
-            self.optimizer.tuner.take(function, measure);
+            self.optimizer.tuner.record(function, measure);
         }
         self.fence = self.view.number;
-        self.in_force = self.optimizer.tuner.tuned().map(|(name, tuned)| line_of(name, tuned)).collect();
+        self.in_force = self.optimizer.tuner.tuned_weights().map(|(name, tuned)| line_of(name, tuned)).collect();
         let others = self.view.chain.iter().copied().filter(|id| *id != me);
         let due: Vec<NodeId> = others
             .chain([from])
@@ -146,21 +146,21 @@
     }
 }
 
-fn line_of(name: &str, tuned: &Tuned) -> TunedParameters {
+fn line_of(name: &str, tuned: &TunedWeights) -> TunedParameters {
     TunedParameters {
         function: name.into(),
         startup_delay_steps: tuned.startup_delay_steps,
         usage_micro: (tuned.target_usage * 1e6).round() as u64,
         hard_milli: (tuned.sla_hard * 1e3).round() as u64,
-        why: tuned.why.as_str().into(),
+        why: tuned.reason.as_str().into(),
     }
 }
 
-fn tuned_of(line: &TunedParameters) -> Tuned {
-    Tuned {
+fn tuned_of(line: &TunedParameters) -> TunedWeights {
+    TunedWeights {
         startup_delay_steps: line.startup_delay_steps,
         target_usage: line.usage_micro as f64 / 1e6,
         sla_hard: line.hard_milli as f64 / 1e3,
-        why: line.why.as_str().to_owned(),
+        reason: line.why.as_str().to_owned(),
     }
 }
--- a/crates/scaler/src/idle_retention.rs
+++ b/crates/scaler/src/idle_retention.rs
@@ -5,18 +5,18 @@
 use std::time::Duration;
 
 /// Time constant of the exponential decay of counted arrivals.
-const MEMORY: Duration = Duration::from_secs(20);
+const DECAY_TIME: Duration = Duration::from_secs(20);
 /// Lower bound of the observation time used for a rate.
-const MIN_WATCHED: Duration = Duration::from_secs(1);
+const MIN_OBSERVATION: Duration = Duration::from_secs(1);
 /// Number of mean gaps after which a pause means that the rate fell: at a steady rate, one gap in twenty
 /// is as long.
-const UNUSUAL_GAPS: f64 = 3.0;
+const UNUSUAL_PAUSE_GAPS: f64 = 3.0;
 const MB_PER_GB: f64 = 1024.0;
 
 /// Exponentially weighted arrival rate of one function.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ArrivalRate {
-    watched_since: Duration,
+    observed_since: Duration,
     counted_at: Duration,
     last_arrival: Duration,
     /// Sum of the arrivals, each decayed by its age.
@@ -26,13 +26,13 @@
 impl ArrivalRate {
     /// Creates the rate of a function that is observed from `now` on.
     pub fn new(now: Duration) -> ArrivalRate {
-        ArrivalRate { watched_since: now, counted_at: now, last_arrival: now, weight: 0.0 }
+        ArrivalRate { observed_since: now, counted_at: now, last_arrival: now, weight: 0.0 }
     }
 
     /// Records the number of arrivals since the previous call.
-    pub fn pass(&mut self, now: Duration, arrivals: u32) {
-        let passed = now.saturating_sub(self.counted_at);
-        self.weight = self.weight * remaining(passed) + f64::from(arrivals);
+    pub fn record(&mut self, now: Duration, arrivals: u32) {
+        let elapsed = now.saturating_sub(self.counted_at);
+        self.weight = self.weight * decay_factor(elapsed) + f64::from(arrivals);
         self.counted_at = now;
         if arrivals > 0 {
             self.last_arrival = now;
@@ -40,23 +40,23 @@
     }
 
     /// Returns for how long arrivals have been counted.
-    pub fn watched(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.watched_since)
+    pub fn observed_for(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.observed_since)
     }
 
     /// Returns the rate in requests per second.
     pub fn per_second(&self, now: Duration) -> f64 {
-        let weight = self.weight * remaining(now.saturating_sub(self.counted_at));
-        let watched = self.watched(now).max(MIN_WATCHED);
-        let rate = weight / (MEMORY.as_secs_f64() * (1.0 - remaining(watched)));
+        let weight = self.weight * decay_factor(now.saturating_sub(self.counted_at));
+        let observed_for = self.observed_for(now).max(MIN_OBSERVATION);
+        let rate = weight / (DECAY_TIME.as_secs_f64() * (1.0 - decay_factor(observed_for)));
         let pause = now.saturating_sub(self.last_arrival).as_secs_f64();
-        if rate * pause > UNUSUAL_GAPS { UNUSUAL_GAPS / pause } else { rate }
+        if rate * pause > UNUSUAL_PAUSE_GAPS { UNUSUAL_PAUSE_GAPS / pause } else { rate }
     }
 }
 
 /// Returns the fraction of a weight that remains after a time.
-fn remaining(passed: Duration) -> f64 {
-    (-passed.as_secs_f64() / MEMORY.as_secs_f64()).exp()
+fn decay_factor(elapsed: Duration) -> f64 {
+    (-elapsed.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
 }
 
 /// Cost of an instance of one function.
@@ -81,6 +81,6 @@
     /// the function has been observed for less than that time, for example after its owner changed.
     pub fn is_kept_idle(&self, now: Duration, arrivals: &ArrivalRate) -> bool {
         let break_even = self.break_even();
-        arrivals.watched(now) < break_even || arrivals.per_second(now) * break_even.as_secs_f64() >= 1.0
+        arrivals.observed_for(now) < break_even || arrivals.per_second(now) * break_even.as_secs_f64() >= 1.0
     }
 }
--- a/crates/scaler/src/plan.rs
+++ b/crates/scaler/src/plan.rs
@@ -10,7 +10,7 @@
 
 /// Input of the integer program for one function.
 #[derive(Clone, Debug)]
-pub struct PlanTask<'a> {
+pub struct PlanInput<'a> {
     /// Number of instances running or starting now.
     pub current: u32,
     /// Minimum number of instances.
@@ -26,7 +26,7 @@
     /// Weights of the costs.
     pub sheet: &'a WeightSheet,
     /// Time limit of the solver.
-    pub limit: Duration,
+    pub time_limit: Duration,
 }
 
 /// Solution of the integer program.
@@ -43,59 +43,63 @@
 pub enum PlanError {
     /// The capacity is zero, negative or not finite.
     #[display("instance capacity is not a positive number")]
-    Capacity,
+    InvalidCapacity,
     /// The solver failed or ran out of time.
     #[display("solver found no plan: {_0}")]
     Solver(String),
 }
 
 /// Solves the integer program.
-pub fn plan(task: &PlanTask) -> Result<Plan, PlanError> {
-    if !task.capacity.is_finite() || task.capacity <= 0.0 {
-        return Err(PlanError::Capacity);
+pub fn solve_plan(input: &PlanInput) -> Result<Plan, PlanError> {
+    if !input.capacity.is_finite() || input.capacity <= 0.0 {
+        return Err(PlanError::InvalidCapacity);
     }
-    let steps = task.coverage.len();
-    let sheet = task.sheet;
+    let steps = input.coverage.len();
+    let sheet = input.sheet;
     let delay = sheet.startup_delay_steps as usize;
-    let (min, max) = (task.min.min(task.max), task.max);
-    let current = task.current.clamp(min, max);
+    let (min, max) = (input.min.min(input.max), input.max);
+    let current = input.current.clamp(min, max);
     let discount = |t: usize| sheet.time_discount.powi(t as i32);
     let mut problem = Problem::new(OptimizationDirection::Minimize);
-    problem.set_time_limit(task.limit);
+    problem.set_time_limit(input.time_limit);
     let mut counts: Vec<Variable> = Vec::with_capacity(steps);
-    let (mut ups, mut downs) = (Vec::new(), Vec::new());
+    let (mut scale_ups, mut scale_downs) = (Vec::new(), Vec::new());
     for t in 0..steps {
         let bounds = if t == 0 { (current as i32, current as i32) } else { (min as i32, max as i32) };
         counts.push(problem.add_integer_var(sheet.replica_cost, bounds));
-        ups.push(problem.add_integer_var(sheet.startup_cost, (0, sheet.max_scale_up as i32)));
-        let most = if t == 0 { 0 } else { sheet.max_scale_down as i32 };
-        downs.push(problem.add_integer_var(sheet.shutdown_cost, (0, most)));
-        let covered = task.coverage[t].max(0.0);
-        let soft = problem.add_var(discount(t) * sheet.sla_soft, (0.0, sheet.soft_fraction * covered));
-        let hard = problem.add_var(discount(t) * sheet.sla_hard, (0.0, f64::INFINITY));
-        problem.add_constraint([(counts[t], task.capacity), (soft, 1.0), (hard, 1.0)], ComparisonOp::Ge, covered);
-        if task.demand[t] > 0.0 {
-            let none = problem.add_binary_var(discount(t) * sheet.sla_hard);
-            problem.add_constraint([(counts[t], 1.0), (none, 1.0)], ComparisonOp::Ge, 1.0);
+        scale_ups.push(problem.add_integer_var(sheet.startup_cost, (0, sheet.max_scale_up as i32)));
+        let max_scale_down = if t == 0 { 0 } else { sheet.max_scale_down as i32 };
+        scale_downs.push(problem.add_integer_var(sheet.shutdown_cost, (0, max_scale_down)));
+        let covered = input.coverage[t].max(0.0);
+        let soft_shortfall = problem.add_var(discount(t) * sheet.sla_soft, (0.0, sheet.soft_fraction * covered));
+        let hard_shortfall = problem.add_var(discount(t) * sheet.sla_hard, (0.0, f64::INFINITY));
+        problem.add_constraint(
+            [(counts[t], input.capacity), (soft_shortfall, 1.0), (hard_shortfall, 1.0)],
+            ComparisonOp::Ge,
+            covered,
+        );
+        if input.demand[t] > 0.0 {
+            let no_instances = problem.add_binary_var(discount(t) * sheet.sla_hard);
+            problem.add_constraint([(counts[t], 1.0), (no_instances, 1.0)], ComparisonOp::Ge, 1.0);
         }
         if t > 0 {
-            let mut flow = vec![(counts[t], 1.0), (counts[t - 1], -1.0), (downs[t], 1.0)];
+            let mut flow = vec![(counts[t], 1.0), (counts[t - 1], -1.0), (scale_downs[t], 1.0)];
             if t >= delay {
-                flow.push((ups[t - delay], -1.0));
+                flow.push((scale_ups[t - delay], -1.0));
             }
             problem.add_constraint(flow, ComparisonOp::Eq, 0.0);
-            problem.add_constraint([(downs[t], 1.0), (counts[t - 1], -1.0)], ComparisonOp::Le, 0.0);
+            problem.add_constraint([(scale_downs[t], 1.0), (counts[t - 1], -1.0)], ComparisonOp::Le, 0.0);
         }
     }
     let last = steps.saturating_sub(1);
     let reachable = current.saturating_add(sheet.max_scale_up.saturating_mul(steps.saturating_sub(delay) as u32));
     if steps > 1 {
-        let wanted = ((task.demand[last] / task.capacity).ceil().max(0.0) as u32).min(max).min(reachable);
-        if wanted > min {
-            problem.add_constraint([(counts[last], 1.0)], ComparisonOp::Ge, f64::from(wanted));
+        let required = ((input.demand[last] / input.capacity).ceil().max(0.0) as u32).min(max).min(reachable);
+        if required > min {
+            problem.add_constraint([(counts[last], 1.0)], ComparisonOp::Ge, f64::from(required));
         }
     }
-    let solved = problem.solve().map_err(|fault| PlanError::Solver(fault.to_string()))?;
+    let solved = problem.solve().map_err(|error| PlanError::Solver(error.to_string()))?;
     let solution = solved.into_solution().map_err(|_| PlanError::Solver("time limit exceeded".into()))?;
     let found: Vec<u32> = counts.iter().map(|count| solution.var_value(*count).round().max(0.0) as u32).collect();
     Ok(Plan { counts: found, cost: solution.objective() })
@@ -110,82 +114,82 @@
     const LIMIT: Duration = Duration::from_secs(60);
 
     /// Returns the minimum cost over every sequence of scale-ups and scale-downs, enumerated without the solver.
-    fn brute(task: &PlanTask, t: usize, count: u32, ups: &mut Vec<u32>) -> f64 {
-        let sheet = task.sheet;
-        let steps = task.coverage.len();
+    fn minimum_cost(input: &PlanInput, t: usize, count: u32, scale_ups: &mut Vec<u32>) -> f64 {
+        let sheet = input.sheet;
+        let steps = input.coverage.len();
         let delay = sheet.startup_delay_steps as usize;
-        let short = (task.coverage[t] - task.capacity * f64::from(count)).max(0.0);
-        let soft = short.min(sheet.soft_fraction * task.coverage[t]);
-        let none = f64::from(u8::from(count == 0 && task.demand[t] > 0.0));
+        let shortfall = (input.coverage[t] - input.capacity * f64::from(count)).max(0.0);
+        let soft_shortfall = shortfall.min(sheet.soft_fraction * input.coverage[t]);
+        let no_instances = f64::from(u8::from(count == 0 && input.demand[t] > 0.0));
         let weight = sheet.time_discount.powi(t as i32);
-        let here = sheet.replica_cost * f64::from(count)
-            + weight * (sheet.sla_soft * soft + sheet.sla_hard * (short - soft + none));
-        let mut least = f64::INFINITY;
+        let step_cost = sheet.replica_cost * f64::from(count)
+            + weight * (sheet.sla_soft * soft_shortfall + sheet.sla_hard * (shortfall - soft_shortfall + no_instances));
+        let mut minimum = f64::INFINITY;
         for up in 0..=sheet.max_scale_up {
-            ups.push(up);
-            let paid = here + sheet.startup_cost * f64::from(up);
+            scale_ups.push(up);
+            let total_cost = step_cost + sheet.startup_cost * f64::from(up);
             if t + 1 == steps {
-                let reach = task.current + sheet.max_scale_up * (steps - delay) as u32;
-                let wanted = ((task.demand[t] / task.capacity).ceil() as u32).min(task.max).min(reach);
-                if steps == 1 || count >= wanted {
-                    least = least.min(paid);
+                let reachable = input.current + sheet.max_scale_up * (steps - delay) as u32;
+                let required = ((input.demand[t] / input.capacity).ceil() as u32).min(input.max).min(reachable);
+                if steps == 1 || count >= required {
+                    minimum = minimum.min(total_cost);
                 }
             } else {
-                let arriving = if t + 1 >= delay { ups[t + 1 - delay] } else { 0 };
+                let started = if t + 1 >= delay { scale_ups[t + 1 - delay] } else { 0 };
                 for down in 0..=sheet.max_scale_down.min(count) {
-                    let next = count + arriving - down;
-                    if next >= task.min && next <= task.max {
-                        let rest = brute(task, t + 1, next, ups);
-                        least = least.min(paid + sheet.shutdown_cost * f64::from(down) + rest);
+                    let next = count + started - down;
+                    if next >= input.min && next <= input.max {
+                        let rest = minimum_cost(input, t + 1, next, scale_ups);
+                        minimum = minimum.min(total_cost + sheet.shutdown_cost * f64::from(down) + rest);
                     }
                 }
             }
-            ups.pop();
+            scale_ups.pop();
         }
-        least
+        minimum
     }
 
     #[test_case(3; "seed 3")]
     #[test_case(8; "seed 8")]
     #[test_case(21; "seed 21")]
-    fn the_solver_meets_the_least_cost_found_by_trying_every_plan(seed: u64) {
-        let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
+    fn solver_cost_equals_the_enumerated_minimum(seed: u64) {
+        let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(seed);
         for _ in 0..12 {
-            let steps = dice.random_range(2..=4);
-            let demand: Vec<f64> = (0..steps).map(|_| f64::from(dice.random_range(0..50u32)) / 10.0).collect();
+            let steps = rng.random_range(2..=4);
+            let demand: Vec<f64> = (0..steps).map(|_| f64::from(rng.random_range(0..50u32)) / 10.0).collect();
             let coverage: Vec<f64> = demand.iter().map(|d| d * 1.2).collect();
             let sheet = WeightSheet {
-                replica_cost: dice.random_range(1..8u32).into(),
-                sla_soft: dice.random_range(1..12u32).into(),
-                sla_hard: dice.random_range(10..60u32).into(),
-                startup_cost: f64::from(dice.random_range(0..6u32)) / 2.0,
-                shutdown_cost: f64::from(dice.random_range(0..4u32)) / 4.0,
+                replica_cost: rng.random_range(1..8u32).into(),
+                sla_soft: rng.random_range(1..12u32).into(),
+                sla_hard: rng.random_range(10..60u32).into(),
+                startup_cost: f64::from(rng.random_range(0..6u32)) / 2.0,
+                shutdown_cost: f64::from(rng.random_range(0..4u32)) / 4.0,
                 max_scale_up: 2,
                 max_scale_down: 2,
-                startup_delay_steps: dice.random_range(1..=2),
+                startup_delay_steps: rng.random_range(1..=2),
                 ..WeightSheet::default()
             };
-            let task = PlanTask {
-                current: dice.random_range(0..=3),
+            let input = PlanInput {
+                current: rng.random_range(0..=3),
                 min: 0,
                 max: 5,
                 capacity: 1.5,
                 demand: &demand,
                 coverage: &coverage,
                 sheet: &sheet,
-                limit: LIMIT,
+                time_limit: LIMIT,
             };
-            let least = brute(&task, 0, task.current, &mut Vec::new());
-            let found = plan(&task).unwrap();
-            assert_eq!(found.counts[0], task.current);
-            assert!((found.cost - least).abs() < 1e-6, "{task:?}: solver {found:?}, least {least}");
+            let minimum = minimum_cost(&input, 0, input.current, &mut Vec::new());
+            let found = solve_plan(&input).unwrap();
+            assert_eq!(found.counts[0], input.current);
+            assert!((found.cost - minimum).abs() < 1e-6, "{input:?}: solver {found:?}, minimum {minimum}");
         }
     }
 
     #[test]
-    fn a_plan_of_one_step_has_nothing_free_and_the_delay_is_waited_for() {
+    fn one_step_plan_keeps_the_count_and_scale_up_waits_for_the_startup_delay() {
         let sheet = WeightSheet::default();
-        let mut task = PlanTask {
+        let mut input = PlanInput {
             current: 2,
             min: 0,
             max: 9,
@@ -193,12 +197,12 @@
             demand: &[7.0],
             coverage: &[7.0],
             sheet: &sheet,
-            limit: LIMIT,
+            time_limit: LIMIT,
         };
-        assert_eq!(plan(&task).unwrap().counts, vec![2]);
-        (task.demand, task.coverage) = (&[7.0; 3], &[7.0; 3]);
-        assert_eq!(plan(&task).unwrap().counts, vec![2, 7, 7]);
-        task.capacity = f64::NAN;
-        assert_eq!(plan(&task), Err(PlanError::Capacity));
+        assert_eq!(solve_plan(&input).unwrap().counts, vec![2]);
+        (input.demand, input.coverage) = (&[7.0; 3], &[7.0; 3]);
+        assert_eq!(solve_plan(&input).unwrap().counts, vec![2, 7, 7]);
+        input.capacity = f64::NAN;
+        assert_eq!(solve_plan(&input), Err(PlanError::InvalidCapacity));
     }
 }
--- a/crates/scaler/tests/idle_retention.rs
+++ b/crates/scaler/tests/idle_retention.rs
@@ -10,20 +10,20 @@
 
 /// Arrival rate of a function called every `gap_ms` for a minute and then not for `idle_ms`.
 fn called_every(gap_ms: u64, idle_ms: u64) -> (Duration, ArrivalRate) {
-    let mut rate = ArrivalRate::new(Duration::ZERO);
+    let mut arrival_rate = ArrivalRate::new(Duration::ZERO);
     let end = 60_000 / gap_ms * gap_ms;
     for at in (gap_ms..=end).step_by(gap_ms as usize) {
-        rate.pass(Duration::from_millis(at), 1);
+        arrival_rate.record(Duration::from_millis(at), 1);
     }
     let now = Duration::from_millis(end + idle_ms);
-    rate.pass(now, 0);
-    (now, rate)
+    arrival_rate.record(now, 0);
+    (now, arrival_rate)
 }
 
 #[test_case(128, 0.2 => 2100; "a start costs as much as 1.6 s of 128 MB, plus the boot time")]
 #[test_case(1024, 0.2 => 700; "a large instance is kept for less time")]
 #[test_case(128, 0.0 => 500; "with free starts only the boot time counts")]
-fn the_break_even_time_follows_from_memory_and_start(memory_mb: u32, start_gb_seconds: f64) -> u128 {
+fn break_even_time_depends_on_memory_and_start_cost(memory_mb: u32, start_gb_seconds: f64) -> u128 {
     cost(memory_mb, start_gb_seconds).break_even().as_millis()
 }
 
@@ -32,24 +32,28 @@
 #[test_case(1500, 200 => true; "called slightly more often than the break-even time")]
 #[test_case(5000, 200 => false; "called every five seconds")]
 #[test_case(60_000, 0 => false; "called for the first time in a minute")]
-fn an_instance_is_kept_where_the_next_request_is_expected_soon_enough(gap_ms: u64, idle_ms: u64) -> bool {
-    let (now, rate) = called_every(gap_ms, idle_ms);
-    cost(128, 0.2).is_kept_idle(now, &rate)
+fn idle_instance_is_kept_if_the_next_request_is_expected_soon_enough(gap_ms: u64, idle_ms: u64) -> bool {
+    let (now, arrival_rate) = called_every(gap_ms, idle_ms);
+    cost(128, 0.2).is_kept_idle(now, &arrival_rate)
 }
 
 #[test]
-fn a_function_that_was_hardly_watched_keeps_what_it_has() {
-    let rate = ArrivalRate::new(Duration::from_secs(100));
+fn instances_are_kept_while_a_function_was_observed_too_briefly() {
+    let arrival_rate = ArrivalRate::new(Duration::from_secs(100));
     let cost = cost(128, 0.2);
-    assert!(cost.is_kept_idle(Duration::from_secs(101), &rate));
-    assert!(!cost.is_kept_idle(Duration::from_secs(103), &rate));
+    assert!(cost.is_kept_idle(Duration::from_secs(101), &arrival_rate));
+    assert!(!cost.is_kept_idle(Duration::from_secs(103), &arrival_rate));
 }
 
 #[test]
-fn the_rate_is_that_of_the_arrivals_however_long_they_were_watched() {
+fn rate_matches_the_arrivals_at_any_gap() {
     for gap_ms in [100, 1000, 4000] {
-        let (now, rate) = called_every(gap_ms, 0);
+        let (now, arrival_rate) = called_every(gap_ms, 0);
         let expected = 1000.0 / gap_ms as f64;
-        assert!((rate.per_second(now) / expected - 1.0).abs() < 0.15, "{gap_ms}: {}", rate.per_second(now));
+        assert!(
+            (arrival_rate.per_second(now) / expected - 1.0).abs() < 0.15,
+            "{gap_ms}: {}",
+            arrival_rate.per_second(now)
+        );
     }
 }
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -9,7 +9,7 @@
 use crate::sent_tasks::SentTasks;
 use crate::unproven::UnprovenLimit;
 use bindings::Function;
-use scaler::Player;
+use scaler::PlanExecutor;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wire::NodeId;
@@ -21,7 +21,7 @@
     pub function: Function,
     pub queued: VecDeque<u64>,
     pub instances: BTreeMap<String, Instance>,
-    pub player: Player,
+    pub player: PlanExecutor,
     pub budget: Budget,
     pub unproven: UnprovenLimit,
     pub in_flight: u32,
@@ -71,7 +71,7 @@
             function,
             queued: VecDeque::new(),
             instances: BTreeMap::new(),
-            player: Player::default(),
+            player: PlanExecutor::default(),
             budget: Budget::new(now, allowances),
             unproven: UnprovenLimit::new(now, allowances),
             in_flight: 0,
@@ -129,7 +129,10 @@
     pub fn capacity(&self) -> f64 {
         let sheet = &self.function.sheet;
         let usage = self.tuned_usage.unwrap_or(sheet.target_usage);
-        scaler::capacity(self.function.instance_limit, &bindings::WeightSheet { target_usage: usage, ..sheet.clone() })
+        scaler::instance_capacity(
+            self.function.instance_limit,
+            &bindings::WeightSheet { target_usage: usage, ..sheet.clone() },
+        )
     }
 
     /// The least time in which a task can be expected to be answered once it is sent.
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -36,7 +36,7 @@
     pub fn pass(&mut self, now: Duration, arrivals: u32) {
         let has_changes = if arrivals >= self.counted { arrivals - self.counted } else { arrivals };
         self.counted = arrivals;
-        self.long_run.pass(now, has_changes);
+        self.long_run.record(now, has_changes);
         if has_changes > 0 {
             self.passes.push_back((now, has_changes));
             self.total += has_changes;
@@ -107,12 +107,12 @@
             rate: self.load.rate(now),
             queued: self.queued.len() as u32,
             in_flight: self.in_flight,
-            usual: if self.usual.time.is_zero() { self.answer_mean() } else { self.usual.time },
+            usual_response_time: if self.usual.time.is_zero() { self.answer_mean() } else { self.usual.time },
             capacity: self.capacity(),
             instance_limit: self.function.instance_limit,
             ready: self.count(Phase::Ready),
         };
-        demand.instances()
+        demand.instances_needed()
     }
 
     /// Whether instances with nothing to do are worth their memory.
--- a/crates/traffic/src/owner_types.rs
+++ b/crates/traffic/src/owner_types.rs
@@ -91,7 +91,7 @@
     pub start_gb_seconds: f64,
     /// Zones whose loss is to be borne at once.
     pub zone_losses: u32,
-    pub player: scaler::PlayerTiming,
+    pub player: scaler::PlanRequestTiming,
     pub allowances: Allowances,
 }
 
@@ -114,7 +114,7 @@
             starts_per_second: 64.0,
             start_gb_seconds: 0.2,
             zone_losses: 1,
-            player: scaler::PlayerTiming::default(),
+            player: scaler::PlanRequestTiming::default(),
             allowances: Allowances::default(),
         }
     }
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -7,7 +7,7 @@
 use crate::owner_types::OwnerOutput;
 use events::event;
 use instance_provider::ProviderOrder;
-use scaler::Situation;
+use scaler::FunctionState;
 use std::time::Duration;
 use wire::{DemandSample, PlanMessage};
 
@@ -67,7 +67,7 @@
             let queued =
                 scheduler.queued.iter().filter(|n| self.tasks.get(n).is_some_and(|t| now >= t.not_before)).count()
                     as u32;
-            let situation = Situation {
+            let situation = FunctionState {
                 running: ready,
                 starting,
                 queued,
@@ -76,8 +76,8 @@
                 min: scheduler.function.min,
                 max: scheduler.function.max,
                 fixed: scheduler.function.fixed,
-                may_ask: asks_left > 0,
-                live: scheduler.live(now),
+                may_request_plan: asks_left > 0,
+                live_demand: scheduler.live(now),
             };
             let before = scheduler.player.fallbacks;
             let decision = scheduler.player.step(now, request_id, situation, &self.timing.player);
@@ -88,8 +88,8 @@
             let sleeps = is_idle && !scheduler.is_kept_idle(now, self.timing.start_gb_seconds);
             let desired = if sleeps { decision.desired.min(scheduler.function.min) } else { decision.desired };
             scheduler.desired = if bound { desired } else { 0 };
-            asks_left -= usize::from(decision.wants_plan);
-            if decision.wants_plan && bound {
+            asks_left -= usize::from(decision.requests_plan);
+            if decision.requests_plan && bound {
                 let message = PlanMessage::Request {
                     request_id,
                     function: name.as_str().into(),
@@ -231,7 +231,7 @@
         let now = self.now;
         if let Some(scheduler) = self.schedulers.get_mut(&name) {
             let step = Duration::from_millis(step_ms.into());
-            if scheduler.player.take(now, request_id, fence, desired.into_vec(), step) {
+            if scheduler.player.accept_plan(now, request_id, fence, desired.into_vec(), step) {
                 event!(plan_received, "{name}: {:?}", scheduler.player.plan());
             }
         }
--- a/crates/traffic/src/status.rs
+++ b/crates/traffic/src/status.rs
@@ -31,7 +31,7 @@
         self.schedulers.iter().filter(|(_, scheduler)| scheduler.leaving.is_none()).map(move |(name, scheduler)| {
             let played = Played {
                 desired: scheduler.player.plan().to_vec(),
-                played: scheduler.player.played(now),
+                played: scheduler.player.planned_count(now),
                 wanted: scheduler.desired,
                 ready: scheduler.count(Phase::Ready),
                 starting: scheduler.count(Phase::Starting),
@@ -59,9 +59,9 @@
                     "held": scheduler.queued.len(), "in_flight": scheduler.in_flight,
                     "starting": scheduler.count(Phase::Starting), "ready": scheduler.count(Phase::Ready),
                     "draining": scheduler.count(Phase::Draining),
-                    "desired": scheduler.desired, "plan": scheduler.player.plan(), "played": scheduler.player.played(now),
+                    "desired": scheduler.desired, "plan": scheduler.player.plan(), "played": scheduler.player.planned_count(now),
                     "fixed": scheduler.function.fixed, "fallbacks": scheduler.player.fallbacks,
-                    "early_asks": scheduler.player.early_asks,
+                    "early_asks": scheduler.player.early_requests,
                     "requests_10s": requests, "second_tries_10s": seconds,
                     "turned_away_5s": scheduler.unproven.rejections(now),
                     "free_slots": scheduler.free_slots(now), "unproven": scheduler.unproven.in_flight(),
