--- a/crates/control/src/apply_member.rs
+++ b/crates/control/src/apply_member.rs
@@ -15,7 +15,7 @@
 }
 
 pub fn join(draft: &mut Draft, line: Member) -> CommandReply {
-    let (key, raw) = (keys::member_key(line.id), line.written());
+    let (key, raw) = (keys::member_key(line.id), line.encode());
     if draft.state.get(&key).is_none_or(|known| known[..] != raw[..]) {
         draft.put(key, raw);
         next_membership(draft);
@@ -41,7 +41,7 @@
         && line.leaving == 0
     {
         line.leaving = 1;
-        draft.put(keys::member_key(id), line.written());
+        draft.put(keys::member_key(id), line.encode());
         next_membership(draft);
     }
     CommandReply::Plain
--- a/crates/control/src/membership_updates.rs
+++ b/crates/control/src/membership_updates.rs
@@ -40,7 +40,7 @@
         let membership = self.sent.back()?;
         Some(LeaseMessage::Membership {
             number: membership.number,
-            body: membership.clone().written(wire::CAPACITY - 1).into(),
+            body: membership.clone().encode(wire::CAPACITY - 1).into(),
         })
     }
 
--- a/crates/control/src/packed_steps.rs
+++ b/crates/control/src/packed_steps.rs
@@ -76,8 +76,8 @@
             return self.not_tail(from);
         }
         let now = self.now;
-        if let Some(session) = self.sessions.table.get_mut(&from) {
-            session.pushed_at = now;
+        if let Some(session) = self.sessions.by_router.get_mut(&from) {
+            session.epoch_sent_at = now;
         }
         let state = self.state().clone();
         if let Some(message) = self.pushes.packed_steps.part(&state, request_id, full, number, offset) {
--- a/crates/control/src/router_messages.rs
+++ b/crates/control/src/router_messages.rs
@@ -47,7 +47,7 @@
                 self.propose_duty(Duty::Leaving { id, incarnation }, &wire::Command::Leaving { id, incarnation });
             }
             LeaseMessage::Staged { number } => {
-                if let Some(session) = self.sessions.table.get_mut(&from)
+                if let Some(session) = self.sessions.by_router.get_mut(&from)
                     && session.incarnation == incarnation
                 {
                     session.staged = session.staged.max(number);
@@ -116,9 +116,9 @@
             member: member as u8,
         };
         if member {
-            self.sessions.record_proof(from, now);
+            self.sessions.record_lease(from, now);
         }
-        if let Some(session) = self.sessions.table.get_mut(&from).filter(|_| member) {
+        if let Some(session) = self.sessions.by_router.get_mut(&from).filter(|_| member) {
             session.staged = session.staged.max(staged);
             session.active = active;
             session.membership = membership;
--- a/crates/control/src/router_pushes.rs
+++ b/crates/control/src/router_pushes.rs
@@ -21,7 +21,7 @@
         let state = self.state().clone();
         let members = self.pushes.members(&state);
         if self.pushes.take_alignment(&state, self.now) {
-            self.sessions.align(self.now, &members, self.timing.lapse.max(self.timing.peers_over));
+            self.sessions.update_members(self.now, &members, self.timing.lapse.max(self.timing.peers_over));
         }
         members
     }
@@ -34,14 +34,14 @@
         self.align();
         let number = self.pushes.membership_updates.newest(now, &state);
         let mut outs = Vec::new();
-        for (id, session) in self.sessions.table.iter_mut().filter(|(_, session)| !session.departed) {
+        for (id, session) in self.sessions.by_router.iter_mut().filter(|(_, session)| !session.has_departed) {
             if let Some(next) = next_step(now, session, active, latest) {
                 let step = match self.format {
                     ..PARTS => keys::step(&state, next).map(|step| LeaseMessage::Stage { step }),
                     _ => self.pushes.packed_steps.part(&state, 0, false, next, 0),
                 };
-                session.pushed = next;
-                session.pushed_at = now;
+                session.epoch_sent = next;
+                session.epoch_sent_at = now;
                 outs.extend(step.map(|message| (*id, message)));
             }
             let untold =
@@ -70,6 +70,6 @@
 /// The step to offer a router. One that is behind the active step takes the whole configuration itself.
 fn next_step(now: Duration, session: &Session, active: u64, latest: u64) -> Option<u64> {
     let next = session.staged + 1;
-    let due = session.pushed < next || now >= session.pushed_at + PUSH_RETRY_INTERVAL;
+    let due = session.epoch_sent < next || now >= session.epoch_sent_at + PUSH_RETRY_INTERVAL;
     (session.staged >= active && next <= latest && due).then_some(next)
 }
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -22,7 +22,7 @@
         let members: Vec<Value> = keys::members(state)
             .iter()
             .map(|line| {
-                let session = self.sessions.table.get(&line.id);
+                let session = self.sessions.by_router.get(&line.id);
                 json!({
                     "id": hex(line.id), "address": line.address.as_str(), "zone": line.zone.as_str(),
                     "ops": line.ops.as_str(), "leaving": line.leaving != 0,
--- a/crates/control/src/tail_duties.rs
+++ b/crates/control/src/tail_duties.rs
@@ -35,7 +35,7 @@
             let number = keys::number(self.state(), keys::TICKS) + 1;
             self.propose_duty(Duty::Tick, &Command::Tick { number });
         }
-        for (id, incarnation) in self.sessions.lapsed(self.now, self.timing.proof_over) {
+        for (id, incarnation) in self.sessions.expired_members(self.now, self.timing.proof_over) {
             self.propose_duty(Duty::Lapse { id, incarnation }, &Command::Lapse { id, incarnation });
         }
         self.maybe_activate();
--- a/crates/control/src/tail_tenure.rs
+++ b/crates/control/src/tail_tenure.rs
@@ -35,7 +35,7 @@
             incarnation: session.incarnation,
             millis: as_millis(now.saturating_sub(session.lease_requested_until)),
         };
-        let proofs: Vec<ProofAge> = self.sessions.table.iter().map(age_of).collect();
+        let proofs: Vec<ProofAge> = self.sessions.by_router.iter().map(age_of).collect();
         let earlier_millis = as_millis(now.saturating_sub(tenure.earlier_leases_until));
         let message = LeaseMessage::Proofs { view, earlier_millis, proofs: proofs.into() };
         self.outs.push(CoreOutput::Router { to, message });
@@ -55,7 +55,7 @@
         let Some(tenure) = &mut self.tail.tenure else { return false };
         if let Some(until) = reported.filter(|until| *until < tenure.earlier_leases_until) {
             tenure.earlier_leases_until = until;
-            self.sessions.bound_earlier_proofs(tenure.started_at, until);
+            self.sessions.limit_earlier_leases(tenure.started_at, until);
         }
         self.now >= tenure.earlier_leases_until + self.timing.proof_over
     }
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -134,7 +134,7 @@
         let active = self.registries.values().map(|core| control::number(core.state(), "c/active"));
         let newest = active.max().unwrap_or_default();
         let serves = |follower: &mut Follower| follower.serving_status_at(now) != ServingStatus::Waiting;
-        let older = self.routers.iter_mut().filter(|(_, router)| router.step_number() < newest);
+        let older = self.routers.iter_mut().filter(|(_, router)| router.active_epoch() < newest);
         older.filter_map(|(id, router)| serves(router).then_some(*id)).collect()
     }
 
--- a/crates/control/tests/recovery_timeline.rs
+++ b/crates/control/tests/recovery_timeline.rs
@@ -85,7 +85,7 @@
         reached(&mut timeline.suspected, is_out || core.member().suspects().contains(&lost));
         reached(&mut timeline.view_decided, is_out);
         reached(&mut timeline.taken, step > step_before);
-        let has_staged = fleet.routers.values().all(|router| router.staged_number() > step_before);
+        let has_staged = fleet.routers.values().all(|router| router.staged_epoch() > step_before);
         reached(&mut timeline.staged, has_staged);
         if let Some((at, reply)) = fleet.replies.get(&request_id) {
             assert_eq!(reply.status, 200);
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -69,7 +69,7 @@
     assert_eq!(serves(&mut fleet), 0);
     fleet.isolate_together(&[]);
     fleet.pass(5000);
-    assert!(fleet.routers.values().all(|router| router.step_number() == steps(&fleet).0), "they are back");
+    assert!(fleet.routers.values().all(|router| router.active_epoch() == steps(&fleet).0), "they are back");
 }
 
 #[test]
--- a/crates/leases/src/configuration_fetch.rs
+++ b/crates/leases/src/configuration_fetch.rs
@@ -4,30 +4,35 @@
 
 use crate::follower::Follower;
 use crate::follower_types::FollowerOutput;
-use crate::step_parts::Arriving;
+use crate::part_transfer::PartialTransfer;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{ConfigurationItem, LeaseMessage, NodeId, Text};
 
 /// Fetch of the complete configuration in progress.
-pub struct Fetch {
+pub struct ConfigurationFetch {
     pub request_id: u64,
-    pub step: Option<u64>,
-    pub pairs: BTreeMap<String, Vec<u8>>,
-    pub parts: Option<Arriving>,
-    pub moved: Duration,
+    pub epoch: Option<u64>,
+    pub resources: BTreeMap<String, Vec<u8>>,
+    pub parts: Option<PartialTransfer>,
+    pub progressed_at: Duration,
 }
 
 impl Follower {
     pub(crate) fn begin_fetch(&mut self, from: NodeId) {
         let request_id = self.next_request_number();
-        self.transfers.fetch =
-            Some(Fetch { request_id, step: None, pairs: BTreeMap::new(), parts: None, moved: self.now });
+        self.transfers.fetch = Some(ConfigurationFetch {
+            request_id,
+            epoch: None,
+            resources: BTreeMap::new(),
+            parts: None,
+            progressed_at: self.now,
+        });
         self.send_to_registry(Some(from), LeaseMessage::PartRequest { request_id, full: 1, number: 0, offset: 0 });
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(crate) fn on_configuration_page(
+    pub(crate) fn handle_configuration_page(
         &mut self,
         from: NodeId,
         request_id: u64,
@@ -39,20 +44,20 @@
     ) {
         let now = self.now;
         let Some(fetch) = self.transfers.fetch.as_mut().filter(|fetch| fetch.request_id == request_id) else { return };
-        if fetch.step.is_some_and(|first| first != step) || step <= self.epochs.active() {
+        if fetch.epoch.is_some_and(|first| first != step) || step <= self.epochs.active() {
             self.transfers.fetch = None;
             return;
         }
-        fetch.step = Some(step);
-        fetch.moved = now;
+        fetch.epoch = Some(step);
+        fetch.progressed_at = now;
         for item in items {
-            fetch.pairs.insert(item.key.as_str().to_owned(), item.value.into_vec());
+            fetch.resources.insert(item.key.as_str().to_owned(), item.value.into_vec());
         }
         if !next.as_str().is_empty() {
             return self.send_to_registry(Some(from), LeaseMessage::ConfigurationRequest { request_id, from: next });
         }
-        let pairs = std::mem::take(&mut fetch.pairs);
-        self.install(step, revision, quorum, pairs);
+        let resources = std::mem::take(&mut fetch.resources);
+        self.install(step, revision, quorum, resources);
     }
 
     pub(crate) fn install(
@@ -65,6 +70,6 @@
         self.transfers.fetch = None;
         self.epochs.install(number, revision, quorum, items);
         self.lease.reset();
-        self.outs.push(FollowerOutput::Activated { step: number, revision });
+        self.outputs.push(FollowerOutput::Activated { step: number, revision });
     }
 }
--- a/crates/leases/src/epochs.rs
+++ b/crates/leases/src/epochs.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns whether an epoch newer than the active one may be activated at any moment.
-    pub fn has_newer(&self) -> bool {
+    pub fn knows_newer(&self) -> bool {
         self.newest_known() > self.active
     }
 
--- a/crates/leases/src/follower_types.rs
+++ b/crates/leases/src/follower_types.rs
@@ -104,5 +104,5 @@
         serving_status: ServingStatus,
     },
     /// The core has removed this router from the members.
-    Lapsed,
+    RemovedFromMembers,
 }
--- a/crates/leases/src/lease.rs
+++ b/crates/leases/src/lease.rs
@@ -56,7 +56,7 @@
     }
 
     /// Removes an answered renewal and returns when it was sent.
-    pub fn take_renewal(&mut self, request_id: u64) -> Option<Duration> {
+    pub fn complete_renewal(&mut self, request_id: u64) -> Option<Duration> {
         self.pending.remove(&request_id)
     }
 
@@ -76,8 +76,9 @@
     /// Returns when the confirmations expire: `by_core` and `by_peers` are their durations. A confirmation by peers
     /// also expires `peer_hold` after the last confirmation by the core was requested.
     pub fn ends(&self, by_core: Duration, by_peers: Duration, peer_hold: Duration) -> LeaseEnds {
-        let end =
-            |requested_at: Option<Duration>, lasts: Duration| requested_at.map_or(Duration::ZERO, |at| at + lasts);
+        let end = |requested_at: Option<Duration>, duration: Duration| {
+            requested_at.map_or(Duration::ZERO, |at| at + duration)
+        };
         let peers_end = end(self.peers_confirmed, by_peers).min(end(self.core_heard, peer_hold));
         LeaseEnds { by_core: end(self.core_confirmed, by_core), by_peers: peers_end }
     }
--- a/crates/leases/src/membership.rs
+++ b/crates/leases/src/membership.rs
@@ -8,12 +8,12 @@
 use wire::{Capacity, List, NodeId, Text};
 
 /// Newest hashing version known here: 1 gives zones and machines equal shares, 2 weights machines by capacity.
-pub const HASHING: u8 = 2;
+pub const HASHING_VERSION: u8 = 2;
 /// Minimum capacity of an owner, as a fraction of the strongest member's.
-const FIT: f64 = 0.25;
+const MIN_CAPACITY_FRACTION: f64 = 0.25;
 /// Exponent of the capacity in an owner's weight: a machine with half of the capacity owns a quarter as much, since it
 /// also forwards requests as a front.
-const RAISED: f64 = 2.0;
+const CAPACITY_EXPONENT: f64 = 2.0;
 
 /// One member router.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
@@ -49,14 +49,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct MembershipChange {
     /// Members that are new or changed.
-    pub lines: List<Member>,
+    pub updated: List<Member>,
     /// Ids of removed members.
-    pub gone: List<NodeId>,
+    pub removed: List<NodeId>,
 }
 
 /// Member record of programs that know only hashing version 1.
 #[derive(DekuRead, DekuWrite)]
-struct PlainMember {
+struct MemberV1 {
     id: NodeId,
     incarnation: u64,
     address: Text,
@@ -67,45 +67,45 @@
 
 /// Membership record of programs that know only hashing version 1.
 #[derive(DekuRead, DekuWrite)]
-struct PlainMembership {
+struct MembershipV1 {
     number: u64,
-    members: List<PlainMember>,
+    members: List<MemberV1>,
 }
 
-impl From<PlainMember> for Member {
-    fn from(line: PlainMember) -> Member {
-        let PlainMember { id, incarnation, address, zone, ops, leaving } = line;
+impl From<MemberV1> for Member {
+    fn from(member: MemberV1) -> Member {
+        let MemberV1 { id, incarnation, address, zone, ops, leaving } = member;
         Member { id, incarnation, address, zone, ops, leaving, hashing: 1, capacity: Capacity::default() }
     }
 }
 
-impl From<Member> for PlainMember {
-    fn from(line: Member) -> PlainMember {
-        let Member { id, incarnation, address, zone, ops, leaving, .. } = line;
-        PlainMember { id, incarnation, address, zone, ops, leaving }
+impl From<Member> for MemberV1 {
+    fn from(member: Member) -> MemberV1 {
+        let Member { id, incarnation, address, zone, ops, leaving, .. } = member;
+        MemberV1 { id, incarnation, address, zone, ops, leaving }
     }
 }
 
 impl Member {
     /// Decodes a record of either format.
     pub fn read(raw: &[u8]) -> Option<Member> {
-        wire::from_bytes(raw).or_else(|| wire::from_bytes::<PlainMember>(raw).map(Member::from))
+        wire::from_bytes(raw).or_else(|| wire::from_bytes::<MemberV1>(raw).map(Member::from))
     }
 
     /// Encodes the record; a member that knows only hashing version 1 is written in the older format.
-    pub fn written(&self) -> Vec<u8> {
-        if self.hashing < 2 { wire::to_bytes(&PlainMember::from(self.clone())) } else { wire::to_bytes(self) }
+    pub fn encode(&self) -> Vec<u8> {
+        if self.hashing < 2 { wire::to_bytes(&MemberV1::from(self.clone())) } else { wire::to_bytes(self) }
     }
 }
 
-const SEED: u64 = 0xcbf2_9ce4_8422_2325;
+const HASH_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 
-fn go_on(hash: u64, word: &[u8]) -> u64 {
+fn hash_word(hash: u64, word: &[u8]) -> u64 {
     let bytes = word.iter().copied().chain([0xff]);
     bytes.fold(hash, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3))
 }
 
-fn ended(mut hash: u64) -> u64 {
+fn finalize_hash(mut hash: u64) -> u64 {
     hash ^= hash >> 33;
     hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash ^= hash >> 33;
@@ -114,27 +114,27 @@
 }
 
 /// Returns a stable 64-bit hash of byte strings. Owners depend on it, so it must never change.
-pub fn mix(words: &[&[u8]]) -> u64 {
-    ended(words.iter().fold(SEED, |hash, word| go_on(hash, word)))
+pub fn stable_hash(words: &[&[u8]]) -> u64 {
+    finalize_hash(words.iter().fold(HASH_OFFSET, |hash, word| hash_word(hash, word)))
 }
 
 impl Membership {
     /// Decodes a record of either format.
     pub fn read(raw: &[u8]) -> Option<Membership> {
         wire::from_bytes(raw).or_else(|| {
-            let PlainMembership { number, members } = wire::from_bytes(raw)?;
+            let MembershipV1 { number, members } = wire::from_bytes(raw)?;
             let members: Vec<Member> = members.into_vec().into_iter().map(Member::from).collect();
             Some(Membership { number, members: members.into() })
         })
     }
 
     /// Encodes the record for programs of a wire format.
-    pub fn written(self, format: u16) -> Vec<u8> {
+    pub fn encode(self, format: u16) -> Vec<u8> {
         if format >= wire::CAPACITY {
             return wire::to_bytes(&self);
         }
-        let members: Vec<PlainMember> = self.members.into_vec().into_iter().map(PlainMember::from).collect();
-        wire::to_bytes(&PlainMembership { number: self.number, members: members.into() })
+        let members: Vec<MemberV1> = self.members.into_vec().into_iter().map(MemberV1::from).collect();
+        wire::to_bytes(&MembershipV1 { number: self.number, members: members.into() })
     }
 
     /// Returns the member with this id.
@@ -144,86 +144,93 @@
 
     /// Returns the owner of a function.
     pub fn owner(&self, function: &str) -> Option<NodeId> {
-        self.best(function, None)
+        self.select_owner(function, None)
     }
 
     /// Returns the owner of a function if the member `lost` were gone.
     pub fn owner_after(&self, function: &str, lost: NodeId) -> Option<NodeId> {
-        self.best(function, Some(lost))
+        self.select_owner(function, Some(lost))
     }
 
     /// Returns the members that can own functions.
     pub fn owners(&self) -> Vec<NodeId> {
-        self.able(None).into_iter().map(|(member, _)| member.id).collect()
+        self.eligible_members(None).into_iter().map(|(member, _)| member.id).collect()
     }
 
     /// Returns the owners in the order of preference for a task that one of them does for all.
-    pub fn in_turn(&self, what: &str) -> Vec<NodeId> {
+    pub fn in_order_of_preference(&self, task: &str) -> Vec<NodeId> {
         let mut owners = self.owners();
-        owners.sort_by_key(|id| std::cmp::Reverse(mix(&[what.as_bytes(), &id.to_le_bytes()])));
+        owners.sort_by_key(|id| std::cmp::Reverse(stable_hash(&[task.as_bytes(), &id.to_le_bytes()])));
         owners
     }
 
-    fn best(&self, function: &str, lost: Option<NodeId>) -> Option<NodeId> {
-        let able = self.able(lost);
+    fn select_owner(&self, function: &str, lost: Option<NodeId>) -> Option<NodeId> {
+        let eligible_members = self.eligible_members(lost);
         if self.members.iter().any(|member| member.hashing < 2) {
-            return evenly(&able, function);
+            return select_owner_unweighted(&eligible_members, function);
         }
-        let name = go_on(SEED, function.as_bytes());
-        let score = |id: NodeId, weight: f64| -weight / unit(ended(go_on(name, &id.to_le_bytes()))).ln();
-        let scored = able.into_iter().map(|(member, weight)| (score(member.id, weight), member.id));
+        let name = hash_word(HASH_OFFSET, function.as_bytes());
+        let score = |id: NodeId, weight: f64| {
+            -weight / to_unit_interval(finalize_hash(hash_word(name, &id.to_le_bytes()))).ln()
+        };
+        let scored = eligible_members.into_iter().map(|(member, weight)| (score(member.id, weight), member.id));
         scored.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|(_, id)| id)
     }
 
     /// Returns the members that can own functions, with their weights. Leaving members are excluded unless all leave.
-    fn able(&self, lost: Option<NodeId>) -> Vec<(&Member, f64)> {
-        let there = || self.members.iter().filter(move |member| lost != Some(member.id));
-        let stays = there().any(|member| member.leaving == 0);
-        let staying = || there().filter(move |member| !stays || member.leaving == 0);
+    fn eligible_members(&self, lost: Option<NodeId>) -> Vec<(&Member, f64)> {
+        let present = || self.members.iter().filter(move |member| lost != Some(member.id));
+        let any_stays = present().any(|member| member.leaving == 0);
+        let staying = || present().filter(move |member| !any_stays || member.leaving == 0);
         if self.members.iter().any(|member| member.hashing < 2) {
             return staying().map(|member| (member, 1.0)).collect();
         }
-        let most = |of: fn(&Capacity) -> u32| staying().map(|member| of(&member.capacity)).max().unwrap_or_default();
-        let (processor, link) = (most(|has| has.processor_milli), most(|has| has.link_kbit));
-        let part = |has: u32, most: u32| if most == 0 { 1.0 } else { f64::from(has) / f64::from(most) };
-        let scarcer = |member: &Member| {
-            part(member.capacity.processor_milli, processor).min(part(member.capacity.link_kbit, link))
+        let maximum = |of: fn(&Capacity) -> u32| staying().map(|member| of(&member.capacity)).max().unwrap_or_default();
+        let (processor, link) = (maximum(|has| has.processor_milli), maximum(|has| has.link_kbit));
+        let fraction = |has: u32, maximum: u32| if maximum == 0 { 1.0 } else { f64::from(has) / f64::from(maximum) };
+        let capacity_fraction = |member: &Member| {
+            fraction(member.capacity.processor_milli, processor).min(fraction(member.capacity.link_kbit, link))
         };
-        let two = staying().filter(|member| scarcer(member) >= FIT).take(2).count() == 2;
-        let fit = staying().map(|member| (member, scarcer(member))).filter(|(_, part)| !two || *part >= FIT);
-        fit.map(|(member, part)| (member, part.max(0.001).powf(RAISED))).collect()
+        let two_are_fit =
+            staying().filter(|member| capacity_fraction(member) >= MIN_CAPACITY_FRACTION).take(2).count() == 2;
+        let selected = staying()
+            .map(|member| (member, capacity_fraction(member)))
+            .filter(|(_, fraction)| !two_are_fit || *fraction >= MIN_CAPACITY_FRACTION);
+        selected.map(|(member, fraction)| (member, fraction.max(0.001).powf(CAPACITY_EXPONENT))).collect()
     }
 }
 
 impl Membership {
     /// Returns the difference from an earlier membership.
     pub fn change_since(&self, earlier: &Membership) -> MembershipChange {
-        let known: BTreeMap<NodeId, &Member> = earlier.members.iter().map(|line| (line.id, line)).collect();
-        let here: BTreeSet<NodeId> = self.members.iter().map(|line| line.id).collect();
-        let lines: Vec<Member> =
-            self.members.iter().filter(|line| known.get(&line.id) != Some(line)).cloned().collect();
-        let gone: Vec<NodeId> = known.into_keys().filter(|id| !here.contains(id)).collect();
-        MembershipChange { lines: lines.into(), gone: gone.into() }
+        let known: BTreeMap<NodeId, &Member> = earlier.members.iter().map(|member| (member.id, member)).collect();
+        let present_ids: BTreeSet<NodeId> = self.members.iter().map(|member| member.id).collect();
+        let updated: Vec<Member> =
+            self.members.iter().filter(|member| known.get(&member.id) != Some(member)).cloned().collect();
+        let removed: Vec<NodeId> = known.into_keys().filter(|id| !present_ids.contains(id)).collect();
+        MembershipChange { updated: updated.into(), removed: removed.into() }
     }
 
     /// Returns the membership after a change.
-    pub fn changed(&self, number: u64, change: MembershipChange) -> Membership {
-        let mut lines: BTreeMap<NodeId, Member> = self.members.iter().map(|line| (line.id, line.clone())).collect();
-        change.gone.iter().for_each(|id| drop(lines.remove(id)));
-        lines.extend(change.lines.into_vec().into_iter().map(|line| (line.id, line)));
-        Membership { number, members: lines.into_values().collect::<Vec<_>>().into() }
+    pub fn with_change(&self, number: u64, change: MembershipChange) -> Membership {
+        let mut members: BTreeMap<NodeId, Member> =
+            self.members.iter().map(|member| (member.id, member.clone())).collect();
+        change.removed.iter().for_each(|id| drop(members.remove(id)));
+        members.extend(change.updated.into_vec().into_iter().map(|member| (member.id, member)));
+        Membership { number, members: members.into_values().collect::<Vec<_>>().into() }
     }
 }
 
 /// Hashing version 1: selects a zone, then a machine in that zone.
-fn evenly(able: &[(&Member, f64)], function: &str) -> Option<NodeId> {
-    let zones = able.iter().map(|(member, _)| member.zone.as_str());
-    let zone = zones.max_by_key(|zone| (mix(&[function.as_bytes(), zone.as_bytes()]), *zone))?;
-    let in_it = able.iter().filter(|(member, _)| member.zone.as_str() == zone).map(|(member, _)| member.id);
-    in_it.max_by_key(|id| (mix(&[function.as_bytes(), &id.to_le_bytes()]), *id))
+fn select_owner_unweighted(eligible_members: &[(&Member, f64)], function: &str) -> Option<NodeId> {
+    let zones = eligible_members.iter().map(|(member, _)| member.zone.as_str());
+    let zone = zones.max_by_key(|zone| (stable_hash(&[function.as_bytes(), zone.as_bytes()]), *zone))?;
+    let in_zone =
+        eligible_members.iter().filter(|(member, _)| member.zone.as_str() == zone).map(|(member, _)| member.id);
+    in_zone.max_by_key(|id| (stable_hash(&[function.as_bytes(), &id.to_le_bytes()]), *id))
 }
 
 /// Maps a hash to a number between 0 and 1, both excluded.
-fn unit(hash: u64) -> f64 {
+fn to_unit_interval(hash: u64) -> f64 {
     ((hash >> 12) as f64 + 0.5) / (1u64 << 52) as f64
 }
--- a/crates/leases/src/peer_quorum.rs
+++ b/crates/leases/src/peer_quorum.rs
@@ -30,12 +30,12 @@
 pub struct PeerRound {
     pub request_id: u64,
     pub requested_at: Duration,
-    pub agreeing: BTreeSet<NodeId>,
-    done: bool,
+    pub confirmed_by: BTreeSet<NodeId>,
+    is_complete: bool,
 }
 
 /// Newest epoch and membership that a peer holds.
-pub(crate) struct Held {
+pub(crate) struct HeldVersions {
     /// Newest epoch that is active, staged or known.
     pub epoch: u64,
     pub membership: u64,
@@ -45,76 +45,80 @@
 struct WaitingPeer {
     peer: NodeId,
     request_id: u64,
-    since: Duration,
+    arrived_at: Duration,
 }
 
 /// State of the confirmations by peers.
 #[derive(Default)]
-pub struct Peers {
+pub struct PeerConfirmations {
     round: Option<PeerRound>,
     /// Routers that answered recent rounds.
-    answering: BTreeSet<NodeId>,
+    recent_responders: BTreeSet<NodeId>,
     /// Index of the next router to query among those that did not answer.
-    next_unknown: usize,
+    next_unresponsive: usize,
     /// Peers that requested confirmation by a majority.
     waiting: Vec<WaitingPeer>,
-    relayed: Option<(u64, Duration)>,
-    relay: usize,
-    unanswered: u32,
+    relay_request: Option<(u64, Duration)>,
+    relay_index: usize,
+    unanswered_relay_requests: u32,
 }
 
 impl Follower {
-    fn wants_peers(&self) -> bool {
-        let core_is_near =
+    fn needs_peer_confirmation(&self) -> bool {
+        let core_confirmed_recently =
             self.lease.core_confirmed.is_some_and(|requested_at| self.now < requested_at + self.timing.hold / 2);
-        !core_is_near && self.answers_peers()
+        !core_confirmed_recently && self.can_query_peers()
     }
 
-    fn answers_peers(&self) -> bool {
-        self.epochs.is_initialized && self.epochs.quorum().contains(&self.me) && !self.is_guarded()
+    fn can_query_peers(&self) -> bool {
+        self.epochs.is_initialized && self.epochs.quorum().contains(&self.me) && !self.newer_epoch_is_known()
     }
 
     fn relays(&self) -> Vec<NodeId> {
-        let able = |id: &NodeId| self.membership.member(*id).map_or(0, |line| line.capacity.processor_milli);
+        let processor_capacity =
+            |id: &NodeId| self.membership.member(*id).map_or(0, |line| line.capacity.processor_milli);
         let mut relays: Vec<NodeId> = self.epochs.quorum().to_vec();
-        relays.sort_by_cached_key(|id| (std::cmp::Reverse(able(id)), *id));
+        relays.sort_by_cached_key(|id| (std::cmp::Reverse(processor_capacity(id)), *id));
         relays.truncate(MAX_RELAYS);
         relays
     }
 
-    pub(crate) fn peers_due(&self) -> Duration {
-        let near = self.lease.core_confirmed.map_or(Duration::ZERO, |requested_at| requested_at + self.timing.hold / 2);
-        if !self.answers_peers() || (self.now < near && self.peers.waiting.is_empty()) {
-            return if self.epochs.is_initialized { near.max(self.now + ROUND_TIMEOUT) } else { Duration::MAX };
+    pub(crate) fn next_peer_request_due(&self) -> Duration {
+        let core_confirmation_ends =
+            self.lease.core_confirmed.map_or(Duration::ZERO, |requested_at| requested_at + self.timing.hold / 2);
+        if !self.can_query_peers() || (self.now < core_confirmation_ends && self.peers.waiting.is_empty()) {
+            return if self.epochs.is_initialized {
+                core_confirmation_ends.max(self.now + ROUND_TIMEOUT)
+            } else {
+                Duration::MAX
+            };
         }
         let idle = self.now + ROUND_TIMEOUT;
-        let round = self
-            .peers
-            .round
-            .as_ref()
-            .map_or(idle, |it| it.requested_at + if it.done { SHARED_ROUND_INTERVAL } else { ROUND_TIMEOUT });
+        let round = self.peers.round.as_ref().map_or(idle, |round| {
+            round.requested_at + if round.is_complete { SHARED_ROUND_INTERVAL } else { ROUND_TIMEOUT }
+        });
         let round = if self.peers.waiting.is_empty() { round.max(idle) } else { round };
-        self.peers.relayed.map_or(round, |(_, requested_at)| round.min(requested_at + RELAY_REQUEST_INTERVAL))
+        self.peers.relay_request.map_or(round, |(_, requested_at)| round.min(requested_at + RELAY_REQUEST_INTERVAL))
     }
 
-    pub(crate) fn tick_peers(&mut self) {
+    pub(crate) fn tick_peer_confirmations(&mut self) {
         let now = self.now;
-        let wants = self.wants_peers();
-        if !wants {
-            (self.peers.relayed, self.peers.relay, self.peers.unanswered) = (None, 0, 0);
+        let is_needed = self.needs_peer_confirmation();
+        if !is_needed {
+            (self.peers.relay_request, self.peers.relay_index, self.peers.unanswered_relay_requests) = (None, 0, 0);
         }
-        if !self.answers_peers() {
+        if !self.can_query_peers() {
             self.peers.waiting.clear();
             self.peers.round = None;
             return;
         }
-        self.peers.waiting.retain(|waiting| now < waiting.since + self.timing.guard);
-        let small = self.epochs.quorum().len() <= self.timing.relay_above;
-        if wants && !small {
+        self.peers.waiting.retain(|waiting| now < waiting.arrived_at + self.timing.guard);
+        let is_small = self.epochs.quorum().len() <= self.timing.relay_above;
+        if is_needed && !is_small {
             self.request_from_relay();
         }
-        if (wants && small) || !self.peers.waiting.is_empty() {
-            self.maybe_start_round(small);
+        if (is_needed && is_small) || !self.peers.waiting.is_empty() {
+            self.start_round_if_due(is_small);
         } else {
             self.peers.round = None;
         }
@@ -122,99 +126,106 @@
 
     fn request_from_relay(&mut self) {
         let now = self.now;
-        if self.peers.relayed.is_some_and(|(_, requested_at)| now < requested_at + RELAY_REQUEST_INTERVAL) {
+        if self.peers.relay_request.is_some_and(|(_, requested_at)| now < requested_at + RELAY_REQUEST_INTERVAL) {
             return;
         }
         let request_id = self.next_request_number();
-        self.peers.relayed = Some((request_id, now));
+        self.peers.relay_request = Some((request_id, now));
         let relays = self.relays();
-        if self.peers.unanswered >= MAX_UNANSWERED_RELAY_REQUESTS {
-            (self.peers.relay, self.peers.unanswered) = (self.peers.relay + 1, 0);
+        if self.peers.unanswered_relay_requests >= MAX_UNANSWERED_RELAY_REQUESTS {
+            (self.peers.relay_index, self.peers.unanswered_relay_requests) = (self.peers.relay_index + 1, 0);
         }
-        self.peers.unanswered += 1;
-        let to = relays[self.peers.relay % relays.len()];
+        self.peers.unanswered_relay_requests += 1;
+        let to = relays[self.peers.relay_index % relays.len()];
         if to == self.me {
-            self.collect(to, request_id, self.epochs.active());
+            self.add_waiting_peer(to, request_id, self.epochs.active());
         } else {
             let (active, membership) = (self.epochs.active(), self.membership.number);
             let message = LeaseMessage::MajorityRequest { request_id, active, membership };
-            self.outs.push(FollowerOutput::ToPeer { to, message });
+            self.outputs.push(FollowerOutput::ToPeer { to, message });
         }
     }
 
-    pub(crate) fn collect(&mut self, from: NodeId, request_id: u64, active: u64) {
-        if active == self.epochs.active() && self.answers_peers() && self.peers.waiting.len() < MAX_WAITING {
+    pub(crate) fn add_waiting_peer(&mut self, from: NodeId, request_id: u64, active: u64) {
+        if active == self.epochs.active() && self.can_query_peers() && self.peers.waiting.len() < MAX_WAITING {
             self.peers.waiting.retain(|waiting| waiting.peer != from);
-            self.peers.waiting.push(WaitingPeer { peer: from, request_id, since: self.now });
-            self.maybe_start_round(false);
+            self.peers.waiting.push(WaitingPeer { peer: from, request_id, arrived_at: self.now });
+            self.start_round_if_due(false);
         }
     }
 
     /// Begins a round, unless the interval since the start of the last one has not passed.
-    fn maybe_start_round(&mut self, all: bool) {
+    fn start_round_if_due(&mut self, query_all: bool) {
         let now = self.now;
-        let every = |round: &PeerRound| if round.done && !all { SHARED_ROUND_INTERVAL } else { ROUND_TIMEOUT };
-        if self.peers.round.as_ref().is_some_and(|round| now < round.requested_at + every(round)) {
+        let interval =
+            |round: &PeerRound| if round.is_complete && !query_all { SHARED_ROUND_INTERVAL } else { ROUND_TIMEOUT };
+        if self.peers.round.as_ref().is_some_and(|round| now < round.requested_at + interval(round)) {
             return;
         }
         let request_id = self.next_request_number();
         let others: Vec<NodeId> = self.epochs.quorum().iter().copied().filter(|id| *id != self.me).collect();
-        let count = if all {
+        let count = if query_all {
             others.len()
         } else {
             (self.epochs.quorum().len() / 2 + self.epochs.quorum().len() / 8 + 1).min(others.len())
         };
-        let (known, unknown): (Vec<NodeId>, Vec<NodeId>) =
-            others.iter().copied().partition(|id| self.peers.answering.contains(id));
-        let next_unknown = self.peers.next_unknown % unknown.len().max(1);
-        let requested_at: Vec<NodeId> =
-            known.iter().chain(&unknown[next_unknown..]).chain(&unknown[..next_unknown]).copied().take(count).collect();
-        self.peers.next_unknown = next_unknown + count.saturating_sub(known.len());
-        self.peers.answering.retain(|id| !requested_at.contains(id));
-        self.peers.round = Some(PeerRound { request_id, requested_at: now, agreeing: [self.me].into(), done: false });
-        for to in requested_at {
+        let (responsive, unresponsive): (Vec<NodeId>, Vec<NodeId>) =
+            others.iter().copied().partition(|id| self.peers.recent_responders.contains(id));
+        let next_unresponsive = self.peers.next_unresponsive % unresponsive.len().max(1);
+        let targets: Vec<NodeId> = responsive
+            .iter()
+            .chain(&unresponsive[next_unresponsive..])
+            .chain(&unresponsive[..next_unresponsive])
+            .copied()
+            .take(count)
+            .collect();
+        self.peers.next_unresponsive = next_unresponsive + count.saturating_sub(responsive.len());
+        self.peers.recent_responders.retain(|id| !targets.contains(id));
+        self.peers.round =
+            Some(PeerRound { request_id, requested_at: now, confirmed_by: [self.me].into(), is_complete: false });
+        for to in targets {
             let (active, membership) = (self.epochs.active(), self.membership.number);
             let message = LeaseMessage::PeerRequest { request_id, active, membership };
-            self.outs.push(FollowerOutput::ToPeer { to, message });
+            self.outputs.push(FollowerOutput::ToPeer { to, message });
         }
     }
 
     pub(crate) fn handle_majority_reply(&mut self, request_id: u64) {
-        if let Some((_, requested_at)) = self.peers.relayed.filter(|(number, _)| *number == request_id) {
-            self.peers.unanswered = 0;
+        if let Some((_, requested_at)) = self.peers.relay_request.filter(|(number, _)| *number == request_id) {
+            self.peers.unanswered_relay_requests = 0;
             self.lease.peers_confirmed = self.lease.peers_confirmed.max(Some(requested_at));
         }
     }
 
-    pub(crate) fn handle_peer_reply(&mut self, from: NodeId, request_id: u64, held: Held) {
-        let guarded = self.is_guarded();
+    pub(crate) fn handle_peer_reply(&mut self, from: NodeId, request_id: u64, held: HeldVersions) {
+        let newer_epoch_known = self.newer_epoch_is_known();
         let Some(round) = self.peers.round.as_mut().filter(|round| round.request_id == request_id) else { return };
         let is_newer = held.epoch > self.epochs.active() || held.membership > self.membership.number;
         if is_newer || !self.epochs.quorum().contains(&from) {
             return;
         }
-        self.peers.answering.insert(from);
-        round.agreeing.insert(from);
-        if round.agreeing.len() * 2 <= self.epochs.quorum().len() || guarded {
+        self.peers.recent_responders.insert(from);
+        round.confirmed_by.insert(from);
+        if round.confirmed_by.len() * 2 <= self.epochs.quorum().len() || newer_epoch_known {
             return;
         }
-        round.done = true;
+        round.is_complete = true;
         let requested_at = round.requested_at;
         self.lease.peers_confirmed = self.lease.peers_confirmed.max(Some(requested_at));
         let (active, membership) = (self.epochs.active(), self.membership.number);
         // Requests that arrived after the round began are answered by the next one.
         let answered: Vec<WaitingPeer> =
-            self.peers.waiting.extract_if(.., |waiting| waiting.since <= requested_at).collect();
+            self.peers.waiting.extract_if(.., |waiting| waiting.arrived_at <= requested_at).collect();
         for WaitingPeer { peer: to, request_id, .. } in answered {
             let message = LeaseMessage::MajorityReply { request_id, active, membership };
             if to == self.me {
-                self.peers.unanswered = 0;
+                self.peers.unanswered_relay_requests = 0;
             } else {
-                self.outs.push(FollowerOutput::ToPeer { to, message });
+                self.outputs.push(FollowerOutput::ToPeer { to, message });
             }
         }
         if !self.peers.waiting.is_empty() {
-            self.maybe_start_round(false);
+            self.start_round_if_due(false);
         }
     }
 }
--- a/crates/leases/src/serving_status.rs
+++ b/crates/leases/src/serving_status.rs
@@ -18,32 +18,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingEvent {
     /// The core has confirmed the lease.
-    CoreProved,
+    CoreConfirmed,
     /// Only peers have confirmed the lease.
-    PeersProved,
+    PeersConfirmed,
     /// The lease has expired.
-    Unproved,
+    LeaseExpired,
 }
 
 /// States and transitions of the serving status.
 #[derive(Default)]
-pub struct Machine;
+pub struct ServingMachine;
 
 #[state_machine(initial = "State::waiting()", state(derive(Debug)))]
-impl Machine {
+impl ServingMachine {
     #[state]
     fn waiting(event: &ServingEvent) -> Outcome<State> {
         match event {
-            ServingEvent::CoreProved => Transition(State::by_core()),
-            ServingEvent::PeersProved => Transition(State::by_peers()),
-            ServingEvent::Unproved => Handled,
+            ServingEvent::CoreConfirmed => Transition(State::by_core()),
+            ServingEvent::PeersConfirmed => Transition(State::by_peers()),
+            ServingEvent::LeaseExpired => Handled,
         }
     }
 
     #[state(superstate = "serving")]
     fn by_core(event: &ServingEvent) -> Outcome<State> {
         match event {
-            ServingEvent::PeersProved => Transition(State::by_peers()),
+            ServingEvent::PeersConfirmed => Transition(State::by_peers()),
             _ => Super,
         }
     }
@@ -51,7 +51,7 @@
     #[state(superstate = "serving")]
     fn by_peers(event: &ServingEvent) -> Outcome<State> {
         match event {
-            ServingEvent::CoreProved => Transition(State::by_core()),
+            ServingEvent::CoreConfirmed => Transition(State::by_core()),
             _ => Super,
         }
     }
@@ -59,7 +59,7 @@
     #[superstate]
     fn serving(event: &ServingEvent) -> Outcome<State> {
         match event {
-            ServingEvent::Unproved => Transition(State::waiting()),
+            ServingEvent::LeaseExpired => Transition(State::waiting()),
             _ => Handled,
         }
     }
@@ -67,18 +67,18 @@
 
 /// State machine of the serving status.
 pub struct ServingStateMachine {
-    machine: StateMachine<Machine>,
+    machine: StateMachine<ServingMachine>,
 }
 
 impl Default for ServingStateMachine {
     fn default() -> Self {
-        ServingStateMachine { machine: Machine.state_machine() }
+        ServingStateMachine { machine: ServingMachine.state_machine() }
     }
 }
 
 impl ServingStateMachine {
     /// Handles an event and returns the resulting status.
-    pub fn take(&mut self, event: ServingEvent) -> ServingStatus {
+    pub fn handle(&mut self, event: ServingEvent) -> ServingStatus {
         self.machine.handle(&event);
         match self.machine.state() {
             State::Waiting {} => ServingStatus::Waiting,
--- a/crates/leases/src/sessions.rs
+++ b/crates/leases/src/sessions.rs
@@ -11,7 +11,7 @@
     /// The router's incarnation.
     pub incarnation: u64,
     /// When this tail last granted it a lease, or added it to the table.
-    pub proved_at: Duration,
+    pub lease_granted_at: Duration,
     /// Latest moment at which any lease that it may still hold was requested.
     pub lease_requested_until: Duration,
     /// Newest epoch that it has staged.
@@ -21,11 +21,11 @@
     /// Number of the membership that it has.
     pub membership: u64,
     /// Whether it is no longer a member; its lease may still be valid.
-    pub departed: bool,
+    pub has_departed: bool,
     /// Newest epoch that was sent to it for staging.
-    pub pushed: u64,
+    pub epoch_sent: u64,
     /// When that epoch was sent.
-    pub pushed_at: Duration,
+    pub epoch_sent_at: Duration,
     /// Newest activation that was sent to it.
     pub activation_sent: u64,
     /// When that activation was sent.
@@ -79,56 +79,60 @@
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
     /// Sessions by router.
-    pub table: BTreeMap<NodeId, Session>,
+    pub by_router: BTreeMap<NodeId, Session>,
 }
 
 impl Sessions {
     /// Updates the table to the members in the chain's state. A router that is no longer a member is kept as departed
     /// until `after` has passed since its last lease.
-    pub fn align(&mut self, now: Duration, members: &BTreeMap<NodeId, u64>, after: Duration) {
-        for (id, session) in &mut self.table {
-            session.departed = members.get(id) != Some(&session.incarnation);
+    pub fn update_members(&mut self, now: Duration, members: &BTreeMap<NodeId, u64>, after: Duration) {
+        for (id, session) in &mut self.by_router {
+            session.has_departed = members.get(id) != Some(&session.incarnation);
         }
-        self.table.retain(|_, session| !session.departed || now <= session.proved_at + after);
+        self.by_router.retain(|_, session| !session.has_departed || now <= session.lease_granted_at + after);
         for (id, incarnation) in members {
-            match self.table.get_mut(id) {
+            match self.by_router.get_mut(id) {
                 Some(session) if session.incarnation == *incarnation => {}
                 Some(session) => {
                     // The router has just joined, however long ago its previous incarnation was last granted a lease.
-                    let (proved_at, lease_requested_until) = (now, session.lease_requested_until);
-                    *session =
-                        Session { incarnation: *incarnation, proved_at, lease_requested_until, ..Session::default() };
+                    let (lease_granted_at, lease_requested_until) = (now, session.lease_requested_until);
+                    *session = Session {
+                        incarnation: *incarnation,
+                        lease_granted_at,
+                        lease_requested_until,
+                        ..Session::default()
+                    };
                 }
                 None => {
                     let session = Session {
                         incarnation: *incarnation,
-                        proved_at: now,
+                        lease_granted_at: now,
                         lease_requested_until: now,
                         ..Session::default()
                     };
-                    self.table.insert(*id, session);
+                    self.by_router.insert(*id, session);
                 }
             }
         }
     }
 
     /// Returns members whose last lease was granted more than `after` ago, with their incarnations.
-    pub fn lapsed(&self, now: Duration, after: Duration) -> Vec<(NodeId, u64)> {
-        let silent = |session: &&Session| !session.departed && now > session.proved_at + after;
-        self.table.iter().filter(|(_, s)| silent(s)).map(|(id, s)| (*id, s.incarnation)).collect()
+    pub fn expired_members(&self, now: Duration, after: Duration) -> Vec<(NodeId, u64)> {
+        let is_expired = |session: &&Session| !session.has_departed && now > session.lease_granted_at + after;
+        self.by_router.iter().filter(|(_, s)| is_expired(s)).map(|(id, s)| (*id, s.incarnation)).collect()
     }
 
     /// Records that a lease was granted to a router.
-    pub fn record_proof(&mut self, id: NodeId, now: Duration) {
-        if let Some(session) = self.table.get_mut(&id) {
-            (session.proved_at, session.lease_requested_until) = (now, now);
+    pub fn record_lease(&mut self, id: NodeId, now: Duration) {
+        if let Some(session) = self.by_router.get_mut(&id) {
+            (session.lease_granted_at, session.lease_requested_until) = (now, now);
         }
     }
 
     /// Records that earlier tails granted no lease that was requested after `until`. Sessions to which this tail
     /// granted a lease after `since` are not changed.
-    pub fn bound_earlier_proofs(&mut self, since: Duration, until: Duration) {
-        for session in self.table.values_mut().filter(|session| session.proved_at <= since) {
+    pub fn limit_earlier_leases(&mut self, since: Duration, until: Duration) {
+        for session in self.by_router.values_mut().filter(|session| session.lease_granted_at <= since) {
             session.lease_requested_until = session.lease_requested_until.min(until);
         }
     }
@@ -136,16 +140,16 @@
     /// Takes over from the previous tail, which reported every router in its table. It granted no lease to a member
     /// that it did not report; `earlier` is the latest request time of leases granted by the tails before it.
     pub fn take_over(&mut self, since: Duration, earlier: Duration, reported: &BTreeMap<NodeId, GrantedLease>) {
-        for (id, session) in self.table.iter_mut().filter(|(_, session)| session.proved_at <= since) {
+        for (id, session) in self.by_router.iter_mut().filter(|(_, session)| session.lease_granted_at <= since) {
             let until = reported.get(id).map_or(earlier, |lease| lease.requested_at);
             session.lease_requested_until = session.lease_requested_until.min(until);
         }
         for (id, lease) in reported {
-            self.table.entry(*id).or_insert_with(|| Session {
+            self.by_router.entry(*id).or_insert_with(|| Session {
                 incarnation: lease.incarnation,
-                proved_at: lease.requested_at,
+                lease_granted_at: lease.requested_at,
                 lease_requested_until: lease.requested_at,
-                departed: true,
+                has_departed: true,
                 ..Session::default()
             });
         }
@@ -163,10 +167,10 @@
         bounds: LeaseBounds,
     ) -> Option<ActivationBlocker> {
         let may_serve = |session: &Session| now <= session.lease_requested_until + bounds.by_core;
-        let behind = self.table.iter().filter(|(_, session)| session.staged < epoch && may_serve(session));
-        let behind: Vec<NodeId> = behind.map(|(id, _)| *id).collect();
-        if !behind.is_empty() {
-            return Some(ActivationBlocker::Members(behind));
+        let not_staged = self.by_router.iter().filter(|(_, session)| session.staged < epoch && may_serve(session));
+        let not_staged: Vec<NodeId> = not_staged.map(|(id, _)| *id).collect();
+        if !not_staged.is_empty() {
+            return Some(ActivationBlocker::Members(not_staged));
         }
         quorums.iter().find_map(|quorum| self.quorum_blocker(epoch, quorum, now, bounds))
     }
@@ -178,13 +182,13 @@
         now: Duration,
         bounds: LeaseBounds,
     ) -> Option<ActivationBlocker> {
-        let has_staged = |id: &NodeId| self.table.get(id).is_some_and(|session| session.staged >= epoch);
+        let has_staged = |id: &NodeId| self.by_router.get(id).is_some_and(|session| session.staged >= epoch);
         let missing: Vec<NodeId> = quorum.iter().copied().filter(|id| !has_staged(id)).collect();
         if (quorum.len() - missing.len()) * 2 > quorum.len() {
             return None;
         }
         let lease_until =
-            |id: &NodeId| self.table.get(id).map_or(bounds.unknown_until, |session| session.lease_requested_until);
+            |id: &NodeId| self.by_router.get(id).map_or(bounds.unknown_until, |session| session.lease_requested_until);
         let may_serve = missing.iter().any(|id| now <= lease_until(id) + bounds.by_peers);
         may_serve.then_some(ActivationBlocker::Quorum(missing))
     }
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -10,53 +10,59 @@
 const TAIL: u64 = 1;
 const PART: usize = 700;
 
-fn packed(dice: &mut ChaCha8Rng, number: u64, count: usize) -> Packed {
-    let value = |dice: &mut ChaCha8Rng| (0..40).map(|_| dice.random::<u8>()).collect::<Vec<u8>>();
+fn packed_epoch(rng: &mut ChaCha8Rng, number: u64, count: usize) -> Packed {
+    let value = |rng: &mut ChaCha8Rng| (0..40).map(|_| rng.random::<u8>()).collect::<Vec<u8>>();
     let items: Vec<ConfigurationItem> = (0..count)
         .map(|n| ConfigurationItem {
             key: format!("functions/t/f{n}").as_str().into(),
             gone: 0,
-            value: value(dice).into(),
+            value: value(rng).into(),
         })
         .collect();
     pack(&to_bytes(&ConfigurationEpoch { number, revision: number, quorum: vec![9].into(), items: items.into() }))
 }
 
-fn part(request_id: u64, full: bool, number: u64, packed: &Packed, offset: u32) -> LeaseMessage {
-    let bytes = packed.bytes.part(offset as usize, PART);
-    let (size, total) = (packed.size, packed.bytes.len() as u32);
+fn part(request_id: u64, full: bool, number: u64, packed_epoch: &Packed, offset: u32) -> LeaseMessage {
+    let bytes = packed_epoch.bytes.part(offset as usize, PART);
+    let (size, total) = (packed_epoch.size, packed_epoch.bytes.len() as u32);
     LeaseMessage::Part { request_id, full: full as u8, number, size, packed: total, offset, bytes }
 }
 
 /// Simulates the core over an unreliable network that drops a fifth and duplicates a fifth of the answers. Returns when the epoch was staged or activated, in milliseconds.
-fn play(dice: &mut ChaCha8Rng, one: &mut Follower, first: Option<LeaseMessage>, number: u64, packed: &Packed) -> u64 {
-    let mut coming = Vec::new();
+fn deliver(
+    rng: &mut ChaCha8Rng,
+    follower: &mut Follower,
+    first: Option<LeaseMessage>,
+    number: u64,
+    packed_epoch: &Packed,
+) -> u64 {
+    let mut incoming = Vec::new();
     for at in (0..20_000).step_by(10) {
         let now = Duration::from_millis(at);
         // The first message is repeated every 700 ms, as the core does.
-        coming.extend(first.clone().filter(|_| at % 700 == 0));
-        let mut outs = one.step(now, FollowerInput::Tick);
-        for message in std::mem::take(&mut coming) {
-            outs.extend(one.step(now, FollowerInput::Registry { from: TAIL, message }));
+        incoming.extend(first.clone().filter(|_| at % 700 == 0));
+        let mut outputs = follower.step(now, FollowerInput::Tick);
+        for message in std::mem::take(&mut incoming) {
+            outputs.extend(follower.step(now, FollowerInput::Registry { from: TAIL, message }));
         }
-        let mut requested_at = 0;
-        for out in outs {
-            let FollowerOutput::ToRegistry { message, .. } = out else { continue };
+        let mut requested_parts = 0;
+        for output in outputs {
+            let FollowerOutput::ToRegistry { message, .. } = output else { continue };
             match message {
                 LeaseMessage::PartRequest { request_id, full, offset, .. } => {
-                    requested_at += 1;
-                    let times = [0, 2, 1, 1, 1][dice.random_range(0..5)];
-                    coming.extend((0..times).map(|_| part(request_id, full != 0, number, packed, offset)));
+                    requested_parts += 1;
+                    let copies = [0, 2, 1, 1, 1][rng.random_range(0..5)];
+                    incoming.extend((0..copies).map(|_| part(request_id, full != 0, number, packed_epoch, offset)));
                 }
                 LeaseMessage::Staged { number: staged } if staged == number => return at,
                 LeaseMessage::Renew { request_id, .. } => {
-                    coming.push(LeaseMessage::Proof { request_id, active: number - 1, latest: number, member: 1 })
+                    incoming.push(LeaseMessage::Proof { request_id, active: number - 1, latest: number, member: 1 })
                 }
                 _ => {}
             }
         }
-        assert!(requested_at <= 2, "more than one part ahead, plus one repeated for a duplicate");
-        if one.step_number() == number {
+        assert!(requested_parts <= 2, "at most one part ahead, and one repeat for a duplicate");
+        if follower.active_epoch() == number {
             return at;
         }
     }
@@ -64,31 +70,31 @@
 }
 
 #[test]
-fn a_step_arrives_complete_over_a_bad_network() {
+fn epoch_arrives_complete_over_an_unreliable_network() {
     for seed in 0..40 {
-        let mut dice = ChaCha8Rng::seed_from_u64(seed);
-        let mut one = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
-        let step = packed(&mut dice, 1, 100);
-        let first = part(0, false, 1, &step, 0);
-        play(&mut dice, &mut one, Some(first), 1, &step);
-        assert_eq!(one.staged_number(), 1, "seed {seed}");
-        one.step(
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut follower = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
+        let epoch = packed_epoch(&mut rng, 1, 100);
+        let first = part(0, false, 1, &epoch, 0);
+        deliver(&mut rng, &mut follower, Some(first), 1, &epoch);
+        assert_eq!(follower.staged_epoch(), 1, "seed {seed}");
+        follower.step(
             Duration::from_secs(30),
             FollowerInput::Registry { from: TAIL, message: LeaseMessage::Activate { number: 1 } },
         );
-        assert_eq!(one.pairs().count(), 100, "seed {seed}");
+        assert_eq!(follower.resources().count(), 100, "seed {seed}");
     }
 }
 
 #[test]
-fn a_router_that_is_behind_takes_the_complete_configuration_in_parts() {
+fn outdated_router_fetches_the_complete_configuration_in_parts() {
     for seed in 0..40 {
-        let mut dice = ChaCha8Rng::seed_from_u64(seed);
-        let mut one = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
-        let full = packed(&mut dice, 7, 80);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let mut follower = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
+        let full = packed_epoch(&mut rng, 7, 80);
         // The first confirmation names an epoch that the follower lacks, so it begins a fetch.
-        let renewed = one.step(Duration::ZERO, FollowerInput::Tick);
-        let request_id = renewed.iter().find_map(|out| match out {
+        let renewed = follower.step(Duration::ZERO, FollowerInput::Tick);
+        let request_id = renewed.iter().find_map(|output| match output {
             FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } => Some(*request_id),
             _ => None,
         });
@@ -98,8 +104,8 @@
             latest: 7,
             member: 1,
         };
-        let outs = one.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message });
-        let fetch = outs.iter().find_map(|out| match out {
+        let outputs = follower.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message });
+        let fetch = outputs.iter().find_map(|output| match output {
             FollowerOutput::ToRegistry {
                 message: LeaseMessage::PartRequest { request_id, full: 1, offset: 0, .. },
                 ..
@@ -107,21 +113,21 @@
             _ => None,
         });
         let first = part(fetch.expect("the follower begins a fetch"), true, 7, &full, 0);
-        play(&mut dice, &mut one, Some(first), 7, &full);
-        assert_eq!((one.step_number(), one.pairs().count()), (7, 80), "seed {seed}");
+        deliver(&mut rng, &mut follower, Some(first), 7, &full);
+        assert_eq!((follower.active_epoch(), follower.resources().count()), (7, 80), "seed {seed}");
     }
 }
 
 #[test]
-fn a_part_that_lies_about_its_size_stages_nothing() {
-    let mut dice = ChaCha8Rng::seed_from_u64(1);
-    let mut one = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
-    let honest = packed(&mut dice, 1, 4);
-    for size in [honest.size - 1, honest.size + 1, u32::MAX] {
-        let lie = part(0, false, 1, &Packed { size, ..honest.clone() }, 0);
-        one.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message: lie });
-        assert_eq!(one.staged_number(), 0);
+fn part_with_a_wrong_size_stages_nothing() {
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
+    let mut follower = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
+    let valid = packed_epoch(&mut rng, 1, 4);
+    for size in [valid.size - 1, valid.size + 1, u32::MAX] {
+        let wrong_size = part(0, false, 1, &Packed { size, ..valid.clone() }, 0);
+        follower.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message: wrong_size });
+        assert_eq!(follower.staged_epoch(), 0);
     }
-    one.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message: part(0, false, 1, &honest, 0) });
-    assert_eq!(one.staged_number(), 1);
+    follower.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message: part(0, false, 1, &valid, 0) });
+    assert_eq!(follower.staged_epoch(), 1);
 }
--- a/crates/leases/tests/relays.rs
+++ b/crates/leases/tests/relays.rs
@@ -2,7 +2,9 @@
 //! far fewer messages than if all queried all, also after relays fail. No router serves once more than half hold a
 //! newer epoch.
 
-use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING, Member, Membership, ServingStatus};
+use leases::{
+    Follower, FollowerInput, FollowerOutput, FollowerTiming, HASHING_VERSION, Member, Membership, ServingStatus,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -15,12 +17,12 @@
 struct Fleet {
     members: BTreeMap<NodeId, Follower>,
     frames: Vec<(Duration, NodeId, NodeId, LeaseMessage)>,
-    due: BTreeMap<NodeId, Duration>,
-    lost: Vec<NodeId>,
-    core: bool,
+    last_ticks: BTreeMap<NodeId, Duration>,
+    failed: Vec<NodeId>,
+    has_core: bool,
     now: Duration,
-    words: u64,
-    dice: ChaCha8Rng,
+    messages: u64,
+    rng: ChaCha8Rng,
 }
 
 fn stage(number: u64) -> LeaseMessage {
@@ -36,61 +38,61 @@
 
 impl Fleet {
     fn new(seed: u64) -> Fleet {
-        let line = |id: NodeId| Member {
+        let member = |id: NodeId| Member {
             id,
             incarnation: 1,
             address: "".into(),
             zone: "a".into(),
             ops: "".into(),
             leaving: 0,
-            hashing: HASHING,
+            hashing: HASHING_VERSION,
             capacity: Capacity { processor_milli: if id <= 6 { 260 } else { 62 }, link_kbit: 2000 },
         };
-        let membership = Membership { number: 1, members: (1..=COUNT).map(line).collect::<Vec<_>>().into() };
+        let membership = Membership { number: 1, members: (1..=COUNT).map(member).collect::<Vec<_>>().into() };
         let mut fleet = Fleet {
             members: BTreeMap::new(),
             frames: Vec::new(),
-            due: BTreeMap::new(),
-            lost: Vec::new(),
-            core: true,
+            last_ticks: BTreeMap::new(),
+            failed: Vec::new(),
+            has_core: true,
             now: Duration::ZERO,
-            words: 0,
-            dice: ChaCha8Rng::seed_from_u64(seed),
+            messages: 0,
+            rng: ChaCha8Rng::seed_from_u64(seed),
         };
         for id in 1..=COUNT {
             fleet.members.insert(id, Follower::new(id, 1, "", "a", "", FollowerTiming::default()));
             let change = membership.change_since(&Membership::default());
             let packed = wire::pack(&wire::to_bytes(&change));
             let (size, body) = (packed.size, packed.bytes);
-            fleet.tell(id, TAIL, LeaseMessage::MembershipChange { since: 0, number: 1, size, body });
-            fleet.tell(id, TAIL, stage(1));
-            fleet.tell(id, TAIL, LeaseMessage::Activate { number: 1 });
+            fleet.deliver(id, TAIL, LeaseMessage::MembershipChange { since: 0, number: 1, size, body });
+            fleet.deliver(id, TAIL, stage(1));
+            fleet.deliver(id, TAIL, LeaseMessage::Activate { number: 1 });
         }
-        fleet.pass(600);
+        fleet.advance(600);
         fleet
     }
 
-    fn tell(&mut self, to: NodeId, from: NodeId, message: LeaseMessage) {
+    fn deliver(&mut self, to: NodeId, from: NodeId, message: LeaseMessage) {
         let input = match message.is_from_peer() {
             true => FollowerInput::Peer { from, message },
             false => FollowerInput::Registry { from, message },
         };
-        self.feed(to, input);
+        self.step_member(to, input);
     }
 
-    fn feed(&mut self, id: NodeId, input: FollowerInput) {
+    fn step_member(&mut self, id: NodeId, input: FollowerInput) {
         let now = self.now;
-        let Some(member) = self.members.get_mut(&id).filter(|_| !self.lost.contains(&id)) else { return };
-        for out in member.step(now, input) {
-            let wait = Duration::from_micros(self.dice.random_range(200..6000));
-            match out {
+        let Some(member) = self.members.get_mut(&id).filter(|_| !self.failed.contains(&id)) else { return };
+        for output in member.step(now, input) {
+            let delay = Duration::from_micros(self.rng.random_range(200..6000));
+            match output {
                 FollowerOutput::ToPeer { to, message } => {
-                    self.words += 1;
-                    self.frames.push((now + wait, id, to, message));
+                    self.messages += 1;
+                    self.frames.push((now + delay, id, to, message));
                 }
-                FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } if self.core => {
-                    let proof = LeaseMessage::Proof { request_id, active: 1, latest: 1, member: 1 };
-                    self.frames.push((now + wait, TAIL, id, proof));
+                FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } if self.has_core => {
+                    let confirmation = LeaseMessage::Proof { request_id, active: 1, latest: 1, member: 1 };
+                    self.frames.push((now + delay, TAIL, id, confirmation));
                 }
                 _ => {}
             }
@@ -98,62 +100,62 @@
     }
 
     /// Advances the time in steps of 2 ms. Each member ticks when its work is due, at intervals of 10 to 250 ms.
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 2 {
             self.now += Duration::from_millis(2);
             let now = self.now;
             let mut ready: Vec<_> = self.frames.extract_if(.., |(at, ..)| *at <= now).collect();
             ready.sort_by_key(|(at, ..)| *at);
-            ready.into_iter().for_each(|(_, from, to, message)| self.tell(to, from, message));
+            ready.into_iter().for_each(|(_, from, to, message)| self.deliver(to, from, message));
             for id in 1..=COUNT {
-                let ticked = self.due.get(&id).copied().unwrap_or_default();
+                let last_tick = self.last_ticks.get(&id).copied().unwrap_or_default();
                 if now
                     >= self.members[&id]
                         .due()
-                        .clamp(ticked + Duration::from_millis(10), ticked + Duration::from_millis(250))
+                        .clamp(last_tick + Duration::from_millis(10), last_tick + Duration::from_millis(250))
                 {
-                    self.due.insert(id, now);
-                    self.feed(id, FollowerInput::Tick);
+                    self.last_ticks.insert(id, now);
+                    self.step_member(id, FollowerInput::Tick);
                 }
             }
         }
     }
 
     fn serving(&mut self) -> usize {
-        let (now, lost) = (self.now, self.lost.clone());
-        let live = self.members.iter_mut().filter(|(id, _)| !lost.contains(id));
+        let (now, failed) = (self.now, self.failed.clone());
+        let live = self.members.iter_mut().filter(|(id, _)| !failed.contains(id));
         live.filter(|(_, member)| now < member.serves_until()).count()
     }
 }
 
 #[test]
-fn without_the_core_all_serve_on_few_words() {
+fn without_the_core_all_serve_with_few_messages() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(seed);
         assert_eq!(fleet.serving(), 79);
-        fleet.core = false;
-        fleet.pass(2000);
-        let before = fleet.words;
+        fleet.has_core = false;
+        fleet.advance(2000);
+        let before = fleet.messages;
         for _ in 0..100 {
-            fleet.pass(10);
+            fleet.advance(10);
             assert_eq!(fleet.serving(), 79, "seed {seed} at {:?}", fleet.now);
         }
-        let words = fleet.words - before;
-        assert!(words < 8000, "seed {seed}: {words} messages in a second; 246,480 if all query all");
+        let messages = fleet.messages - before;
+        assert!(messages < 8000, "seed {seed}: {messages} messages in a second; 246,480 if all query all");
     }
 }
 
 #[test]
-fn relays_that_are_lost_are_gone_round() {
+fn failed_relays_are_replaced() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(seed);
-        fleet.core = false;
-        fleet.pass(2000);
-        fleet.lost = vec![1, 2, 40, 41, 42, 43, 44];
-        fleet.pass(700);
+        fleet.has_core = false;
+        fleet.advance(2000);
+        fleet.failed = vec![1, 2, 40, 41, 42, 43, 44];
+        fleet.advance(700);
         let mut gaps = 0;
         for _ in 0..50 {
-            fleet.pass(10);
+            fleet.advance(10);
             gaps += 72 - fleet.serving();
         }
         assert_eq!(gaps, 0, "seed {seed}");
@@ -161,17 +163,17 @@
 }
 
 #[test]
-fn nobody_is_proved_once_more_than_half_hold_a_newer_step() {
+fn no_router_serves_once_more_than_half_hold_a_newer_epoch() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(seed);
-        fleet.core = false;
-        fleet.pass(2000);
+        fleet.has_core = false;
+        fleet.advance(2000);
         for id in 1..=40 {
-            fleet.tell(id, TAIL, stage(2));
+            fleet.deliver(id, TAIL, stage(2));
         }
-        fleet.pass(230);
+        fleet.advance(230);
         assert_eq!(fleet.serving(), 0, "seed {seed}");
-        fleet.pass(1000);
+        fleet.advance(1000);
         let now = fleet.now;
         assert!(
             fleet.members.values_mut().all(|member| member.serving_status_at(now) == ServingStatus::Waiting),
--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/ending.rs
@@ -63,8 +63,8 @@
         let routers = self.routers.iter().enumerate().map(|(n, node)| match &node.machines {
             Some(machines) => format!(
                 "router {n}: step {} staged {} roster {} tail {:x?}, front {}, home {:?}",
-                machines.follower.step_number(),
-                machines.follower.staged_number(),
+                machines.follower.active_epoch(),
+                machines.follower.staged_epoch(),
                 machines.follower.membership().number,
                 machines.follower.tail(),
                 machines.front.depth(),
--- a/crates/sim/src/restarts.rs
+++ b/crates/sim/src/restarts.rs
@@ -2,7 +2,7 @@
 //! time for it, others are killed, with changes under way.
 
 use crate::world::World;
-use leases::mix;
+use leases::stable_hash;
 use rand::RngExt;
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
             if routers_move {
                 self.next += 1;
                 let address = format!("10.0.7.{}:1", self.next);
-                self.routers[n].id = mix(&[address.as_bytes()]) | 1;
+                self.routers[n].id = stable_hash(&[address.as_bytes()]) | 1;
                 self.routers[n].address = address;
             }
         }
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -4,7 +4,7 @@
 use crate::router_limits::{capacity, front_limits};
 use crate::world::{Event, Place, TICK, World};
 use bindings::RouteTable;
-use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, mix};
+use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, stable_hash};
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     pub fn add_router(&mut self, n: usize) {
         let address = format!("10.0.1.{n}:1");
         self.routers.push(RouterNode {
-            id: mix(&[address.as_bytes()]) | 1,
+            id: stable_hash(&[address.as_bytes()]) | 1,
             address,
             zone: ["a", "b", "c"][n % 3],
             life: 0,
@@ -91,7 +91,7 @@
         let relay_above = if self.seed & 4 != 0 { 2 } else { 12 };
         let timing = FollowerTiming { relay_above, peer_hold, ..FollowerTiming::default() };
         node.machines = Some(Machines {
-            follower: Follower::new(node.id, life, &node.address, node.zone, "", timing).able_to_own(capacity(n)),
+            follower: Follower::new(node.id, life, &node.address, node.zone, "", timing).with_capacity(capacity(n)),
             front: Front::new(node.id, life, front_limits()),
             owner: FunctionOwner::new(node.id, life, OwnerTiming::default()),
             heard: None,
@@ -220,7 +220,7 @@
             FollowerOutput::ToPeer { to, message } => self.send(place, to, Message::Lease(message)),
             FollowerOutput::Activated { step, revision } => {
                 let Some(machines) = &self.routers[n].machines else { return };
-                let routes = Rc::new(RouteTable::build(step, revision, machines.follower.pairs()));
+                let routes = Rc::new(RouteTable::build(step, revision, machines.follower.resources()));
                 self.turn(n, Turn::FunctionOwner(OwnerInput::RouteTable { routes: routes.clone() }));
                 self.turn(n, Turn::Front(FrontInput::RouteTable { routes }));
             }
@@ -231,7 +231,7 @@
                     machines.seats = addresses.into_iter().chain(seeds).collect();
                 }
             }
-            FollowerOutput::Lapsed => {
+            FollowerOutput::RemovedFromMembers => {
                 self.turn(n, Turn::FunctionOwner(OwnerInput::Lapsed));
                 self.turn(n, Turn::Front(FrontInput::Lapsed));
             }
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -146,7 +146,7 @@
     fn feed(&mut self, input: FollowerInput) {
         let now = self.started_at.elapsed();
         let outputs = self.follower.step(now, input);
-        self.pass.set(self.follower.step_number(), self.follower.serves_until());
+        self.pass.set(self.follower.active_epoch(), self.follower.serves_until());
         for output in outputs {
             match output {
                 FollowerOutput::ToRegistry { to: Some(to), message } => self.send(to, message),
@@ -162,8 +162,8 @@
                         self.tell(TrafficMessage::Step(step));
                     } else {
                         self.booked = Some(revision);
-                        let routes = RouteTable::build(step, revision, self.follower.pairs());
-                        let routes = if self.viewed { routes.showing(self.follower.pairs()) } else { routes };
+                        let routes = RouteTable::build(step, revision, self.follower.resources());
+                        let routes = if self.viewed { routes.showing(self.follower.resources()) } else { routes };
                         self.tell(TrafficMessage::RouteTable(Box::new(routes)));
                     }
                     self.show();
@@ -179,7 +179,7 @@
                         self.dial();
                     }
                 }
-                FollowerOutput::Lapsed => self.tell(TrafficMessage::Lapsed),
+                FollowerOutput::RemovedFromMembers => self.tell(TrafficMessage::Lapsed),
                 FollowerOutput::ServingStatus { serving_status } => {
                     self.serving_status = serving_status;
                     self.stood_at = Instant::now();
--- a/crates/traffic/src/control_view.rs
+++ b/crates/traffic/src/control_view.rs
@@ -12,8 +12,8 @@
             .collect();
         let page = json!({
             "program": "router", "id": format!("{:016x}", self.follower.me()),
-            "revision": self.follower.revision(), "step": self.follower.step_number(),
-            "staged": self.follower.staged_number(), "roster": membership.number, "members": members,
+            "revision": self.follower.revision(), "step": self.follower.active_epoch(),
+            "staged": self.follower.staged_epoch(), "roster": membership.number, "members": members,
             "standing": format!("{:?}", self.serving_status), "tail": self.follower.tail().map(|id| format!("{id:016x}")),
         });
         self.view.send_if_modified(|old| {
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -9,7 +9,7 @@
 use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
 use crate::owner_liveness::Watched;
 use bindings::{Class, RouteTable};
-use leases::{Membership, first_number};
+use leases::{Membership, first_request_number};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
@@ -55,7 +55,7 @@
             watched: BTreeMap::new(),
             routes: None,
             membership: Rc::default(),
-            next: first_number(incarnation),
+            next: first_request_number(incarnation),
             now: Duration::ZERO,
             may_serve: false,
             quota,
@@ -239,5 +239,5 @@
 
 /// Evenly spread, and the same each time for the same task.
 fn dice(seed: u64) -> u64 {
-    leases::mix(&[&seed.to_le_bytes()])
+    leases::stable_hash(&[&seed.to_le_bytes()])
 }
--- a/crates/traffic/src/front_quota.rs
+++ b/crates/traffic/src/front_quota.rs
@@ -7,7 +7,7 @@
 use crate::front_types::{FrontOutput, Reply};
 use bindings::RouteTable;
 use events::event;
-use leases::{Membership, mix};
+use leases::{Membership, stable_hash};
 use quota::{
     Admission, ConsumerId, ConsumerLimit, GranterMembership, Granters, QuotaBounds, QuotaGranter, QuotaLimits,
     QuotaMeter,
@@ -235,5 +235,5 @@
 
 /// The same on every router.
 fn consumer_id(name: &str) -> ConsumerId {
-    ConsumerId(mix(&[b"consumer", name.as_bytes()]))
+    ConsumerId(stable_hash(&[b"consumer", name.as_bytes()]))
 }
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -12,7 +12,7 @@
 use crate::placement::Workers;
 use crate::standby::StandbyCopy;
 use bindings::RouteTable;
-use leases::{Membership, first_number};
+use leases::{Membership, first_request_number};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -81,7 +81,7 @@
             stopped: BTreeMap::new(),
             unbound: BTreeMap::new(),
             finished: BTreeMap::new(),
-            next: first_number(incarnation),
+            next: first_request_number(incarnation),
             starts_left: 4.0,
             refilled: Duration::ZERO,
             scaled: Duration::ZERO,
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -48,7 +48,7 @@
 impl FunctionOwner {
     /// The owners in the order in which they read for all, under a new membership.
     pub(crate) fn is_inventory_reader(&mut self) {
-        let turn = self.membership.in_turn("inventory");
+        let turn = self.membership.in_order_of_preference("inventory");
         let (now, inventory) = (self.now, &mut self.inventory);
         if !inventory.turn.contains(&self.me) {
             inventory.heard = now;
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/ledger.rs
@@ -16,7 +16,7 @@
 
 /// The name a deferred task is stored under, by its binding and key: a repeat finds the same one.
 pub fn stored_id(scope: &str) -> String {
-    let halves = [leases::mix(&[scope.as_bytes(), b"1"]), leases::mix(&[b"2", scope.as_bytes()])];
+    let halves = [leases::stable_hash(&[scope.as_bytes(), b"1"]), leases::stable_hash(&[b"2", scope.as_bytes()])];
     halves.iter().flat_map(|half| half.to_le_bytes()).map(|byte| format!("{byte:02x}")).collect()
 }
 
--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -93,7 +93,7 @@
             };
             let on_it = others.iter().filter(|(worker, _)| *worker == line.name).count();
             let whole = self.free(line) / memory_mb.max(1) / 4;
-            let spread = leases::mix(&[function.as_bytes(), line.name.as_bytes()]);
+            let spread = leases::stable_hash(&[function.as_bytes(), line.name.as_bytes()]);
             (in_zone, on_it, line.zone != zone, std::cmp::Reverse(whole), spread)
         };
         let fits = lines.iter().filter(open).filter(|line| self.free(line) >= memory_mb).min_by_key(rank);
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -20,7 +20,7 @@
 use http_server::{ResourceIndex, ServerLimits, Tokens};
 use instance_provider::{InstanceProvider, OwnInstanceProvider, ProviderOrder};
 use kernel::{Directory, InboxSender, SendError, adopt, find, listen, listen_address, local, thread, wait_for_signal};
-use leases::{Follower, FollowerTiming, ServingStatus, mix};
+use leases::{Follower, FollowerTiming, ServingStatus, stable_hash};
 use links::{LinkEvent, LinkOrder, LocalNode};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,7 +37,7 @@
 pub fn run(settings: RouterSettings, dialect: Dialect) -> Result<(), RunError> {
     let started_at = Instant::now();
     let incarnation = rand::random::<u64>() >> 8;
-    let me: NodeId = mix(&[b"router", settings.cluster.as_bytes(), settings.address.as_bytes()]) | 1;
+    let me: NodeId = stable_hash(&[b"router", settings.cluster.as_bytes(), settings.address.as_bytes()]) | 1;
     let (peers, callers, ops) =
         (listen(listen_address(&settings.bind, &settings.address))?, listen(&settings.listen)?, listen(&settings.ops)?);
     let pages = dialect.pages_address.as_deref().map(listen).transpose()?;
@@ -145,7 +145,7 @@
     let timing = FollowerTiming { hold: settings.hold, peer_hold: settings.peer_hold, ..FollowerTiming::default() };
     let control = Control {
         started_at,
-        follower: Follower::new(me, incarnation, address, zone, ops, timing).able_to_own(settings.capacity()),
+        follower: Follower::new(me, incarnation, address, zone, ops, timing).with_capacity(settings.capacity()),
         pass,
         links: find(&directory, "links"),
         traffic: find(&directory, "traffic"),
--- a/crates/traffic/src/wait_queue.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -66,7 +66,7 @@
 
     /// Up to half as long again, so that those told so together come back one by one.
     pub(crate) fn spread(&self, number: u64, least: Duration) -> Duration {
-        let dice = leases::mix(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
+        let dice = leases::stable_hash(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
         least + least * (dice >> 55) as u32 / 1024
     }
 
--- a/crates/traffic/tests/common/mod.rs
+++ b/crates/traffic/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub mod supplied;
 
 use bindings::RouteTable;
-use leases::{HASHING, Member, Membership};
+use leases::{HASHING_VERSION, Member, Membership};
 use std::rc::Rc;
 use std::time::Duration;
 use traffic::{Call, Front, FrontInput, FrontLimits, FrontOutput, Reply};
@@ -34,7 +34,7 @@
         zone: "a".into(),
         ops: "".into(),
         leaving: 0,
-        hashing: HASHING,
+        hashing: HASHING_VERSION,
         capacity: Capacity::default(),
     };
     let members: Vec<Member> = ids.iter().map(line).collect();
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -84,7 +84,7 @@
 }
 
 fn first() -> NodeId {
-    membership(7, &IDS).in_turn("inventory")[0]
+    membership(7, &IDS).in_order_of_preference("inventory")[0]
 }
 
 #[test]
@@ -107,7 +107,7 @@
     let mut all = Homes::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(3000);
     all.deaf = Some(first());
-    let next = membership(7, &IDS).in_turn("inventory")[1];
+    let next = membership(7, &IDS).in_order_of_preference("inventory")[1];
     all.pass(6000);
     let looks = all.looks.clone();
     assert!(looks.len() == 2 && (3..=6).contains(&looks[&next]), "{looks:?}");
