--- a/crates/scaler/src/tuner.rs
+++ b/crates/scaler/src/tuner.rs
@@ -105,7 +105,7 @@
             self.tune_weights(
                 -USAGE_DECREASE,
                 PENALTY_INCREASE_FACTOR,
-                format!("capacity shortage: {refused} refused, {rejections} rejected, {waiting:.2} waiting"),
+                format!("short: {refused} refused, {rejections} turned away, {waiting:.2} waiting"),
             );
         } else if self.calm_steps >= CALM_STEPS {
             self.calm_steps = CALM_STEPS / 2;
@@ -114,7 +114,7 @@
             self.tune_weights(
                 if has_spare_capacity { USAGE_INCREASE } else { 0.0 },
                 PENALTY_DECREASE_FACTOR,
-                "no capacity shortage for ten minutes".into(),
+                "calm for ten minutes".into(),
             );
         }
     }
