--- a/crates/leases/src/peer_quorum.rs
+++ b/crates/leases/src/peer_quorum.rs
@@ -76,7 +76,7 @@
 
     fn relays(&self) -> Vec<NodeId> {
         let processor_capacity =
-            |id: &NodeId| self.membership.member(*id).map_or(0, |line| line.capacity.processor_milli);
+            |id: &NodeId| self.membership.member(*id).map_or(0, |member| member.capacity.processor_milli);
         let mut relays: Vec<NodeId> = self.epochs.quorum().to_vec();
         relays.sort_by_cached_key(|id| (std::cmp::Reverse(processor_capacity(id)), *id));
         relays.truncate(MAX_RELAYS);
--- a/crates/leases/src/renewal.rs
+++ b/crates/leases/src/renewal.rs
@@ -12,7 +12,7 @@
     /// Sends the leave message. It is repeated with each renewal until the membership shows it, because a core under
     /// repair may have dropped the first one.
     pub(crate) fn send_leaving(&mut self) {
-        let is_shown_as_leaving = self.membership.member(self.me).is_none_or(|line| line.leaving != 0);
+        let is_shown_as_leaving = self.membership.member(self.me).is_none_or(|member| member.leaving != 0);
         if self.is_leaving && !is_shown_as_leaving {
             self.send_to_registry(None, LeaseMessage::Leaving);
         }
