--- a/crates/leases/src/sessions.rs
+++ b/crates/leases/src/sessions.rs
@@ -1,38 +1,38 @@
-//! The tail's table of member routers: when each was last given a proof, and how far it has
-//! staged and activated. A tail that has just become one counts every hold from that moment.
+//! The tail's table of member routers: when each was last granted a lease, and which epochs it has staged and
+//! activated. A newly appointed tail assumes that every lease was granted at the moment of its appointment.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::NodeId;
 
-/// What the tail knows of one router.
+/// State of one router as known to the tail.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     /// The router's incarnation.
     pub incarnation: u64,
-    /// When it was last given a proof here, or first came into this table.
-    pub proved_at: Duration,
-    /// No proof it may still have was asked for after this moment.
+    /// When this tail last granted it a lease, or added it to the table.
+    pub lease_granted_at: Duration,
+    /// Latest moment at which any lease that it may still hold was requested.
     pub lease_requested_until: Duration,
-    /// The newest epoch it has staged.
+    /// Newest epoch that it has staged.
     pub staged: u64,
-    /// The epoch it has active.
+    /// Epoch that is active on it.
     pub active: u64,
-    /// The membership it has.
+    /// Number of the membership that it has.
     pub membership: u64,
-    /// It is no member any more, but its lease may still be valid.
-    pub departed: bool,
-    /// The newest epoch it was offered.
-    pub pushed: u64,
-    /// When.
-    pub pushed_at: Duration,
-    /// The newest activation it was sent.
+    /// Whether it is no longer a member; its lease may still be valid.
+    pub has_departed: bool,
+    /// Newest epoch that was sent to it for staging.
+    pub epoch_sent: u64,
+    /// When that epoch was sent.
+    pub epoch_sent_at: Duration,
+    /// Newest activation that was sent to it.
     pub activation_sent: u64,
-    /// When.
+    /// When that activation was sent.
     pub activation_sent_at: Duration,
-    /// The newest membership it was sent, and when.
+    /// Number of the newest membership that was sent to it.
     pub membership_sent: u64,
-    /// When.
+    /// When that membership was sent.
     pub membership_sent_at: Duration,
 }
 
@@ -41,33 +41,33 @@
 pub struct GrantedLease {
     /// The router's incarnation.
     pub incarnation: u64,
-    /// When the router can last have requested it.
+    /// Latest moment at which the router may have requested it.
     pub requested_at: Duration,
 }
 
-/// How long leases may outlast the moment at which they were requested, by the tail's clock.
+/// Upper bounds of how long leases last after their request, by the tail's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseBounds {
-    /// Those that the core confirmed.
+    /// Bound for leases confirmed by the core.
     pub by_core: Duration,
-    /// Those that peers confirm, since the core's last word.
+    /// Bound for leases confirmed by peers, counted from the last confirmation by the core.
     pub by_peers: Duration,
-    /// No router that this tail has no session of was granted a lease after this moment.
+    /// Latest moment at which a router without a session on this tail may have been granted a lease.
     pub unknown_until: Duration,
 }
 
-/// What keeps a staged epoch from coming into force.
+/// Reason why a staged epoch cannot be activated yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ActivationBlocker {
-    /// These routers have not staged it and may hold a lease on an earlier one.
+    /// These routers have not staged the epoch and may hold a lease on an earlier one.
     Members(Vec<NodeId>),
-    /// Less than a majority of a quorum has staged it, and these have not: they may confirm each other's leases
-    /// on an earlier one.
+    /// Less than a majority of a quorum has staged the epoch. These routers have not staged it and may confirm each
+    /// other's leases on an earlier one.
     Quorum(Vec<NodeId>),
 }
 
 impl ActivationBlocker {
-    /// The routers that are waited for.
+    /// Returns the routers that have not staged the epoch.
     pub fn routers(&self) -> &[NodeId] {
         match self {
             ActivationBlocker::Members(routers) | ActivationBlocker::Quorum(routers) => routers,
@@ -79,81 +79,86 @@
 #[derive(Clone, Debug, Default)]
 pub struct Sessions {
     /// Sessions by router.
-    pub table: BTreeMap<NodeId, Session>,
+    pub by_router: BTreeMap<NodeId, Session>,
 }
 
 impl Sessions {
-    /// Brings the table in line with the members the chain's state names. One that is named no longer stays as a
-    /// departed member for as long `after` its last lease as that can matter.
-    pub fn align(&mut self, now: Duration, members: &BTreeMap<NodeId, u64>, after: Duration) {
-        for (id, session) in &mut self.table {
-            session.departed = members.get(id) != Some(&session.incarnation);
+    /// Updates the table to the members in the chain's state. A router that is no longer a member is kept as departed
+    /// until `after` has passed since its last lease.
+    pub fn update_members(&mut self, now: Duration, members: &BTreeMap<NodeId, u64>, after: Duration) {
+        for (id, session) in &mut self.by_router {
+            session.has_departed = members.get(id) != Some(&session.incarnation);
         }
-        self.table.retain(|_, session| !session.departed || now <= session.proved_at + after);
+        self.by_router.retain(|_, session| !session.has_departed || now <= session.lease_granted_at + after);
         for (id, incarnation) in members {
-            match self.table.get_mut(id) {
+            match self.by_router.get_mut(id) {
                 Some(session) if session.incarnation == *incarnation => {}
                 Some(session) => {
-                    // It has just joined, however long ago the incarnation before it had its last lease.
-                    let (proved_at, lease_requested_until) = (now, session.lease_requested_until);
-                    *session =
-                        Session { incarnation: *incarnation, proved_at, lease_requested_until, ..Session::default() };
+                    // The router has just joined, however long ago its previous incarnation was last granted a lease.
+                    let (lease_granted_at, lease_requested_until) = (now, session.lease_requested_until);
+                    *session = Session {
+                        incarnation: *incarnation,
+                        lease_granted_at,
+                        lease_requested_until,
+                        ..Session::default()
+                    };
                 }
                 None => {
                     let session = Session {
                         incarnation: *incarnation,
-                        proved_at: now,
+                        lease_granted_at: now,
                         lease_requested_until: now,
                         ..Session::default()
                     };
-                    self.table.insert(*id, session);
+                    self.by_router.insert(*id, session);
                 }
             }
         }
     }
 
-    /// Members that had no lease for this long, by incarnation.
-    pub fn lapsed(&self, now: Duration, after: Duration) -> Vec<(NodeId, u64)> {
-        let silent = |session: &&Session| !session.departed && now > session.proved_at + after;
-        self.table.iter().filter(|(_, s)| silent(s)).map(|(id, s)| (*id, s.incarnation)).collect()
+    /// Returns members whose last lease was granted more than `after` ago, with their incarnations.
+    pub fn expired_members(&self, now: Duration, after: Duration) -> Vec<(NodeId, u64)> {
+        let is_expired = |session: &&Session| !session.has_departed && now > session.lease_granted_at + after;
+        self.by_router.iter().filter(|(_, s)| is_expired(s)).map(|(id, s)| (*id, s.incarnation)).collect()
     }
 
-    /// A lease is granted to a router.
-    pub fn record_proof(&mut self, id: NodeId, now: Duration) {
-        if let Some(session) = self.table.get_mut(&id) {
-            (session.proved_at, session.lease_requested_until) = (now, now);
+    /// Records that a lease was granted to a router.
+    pub fn record_lease(&mut self, id: NodeId, now: Duration) {
+        if let Some(session) = self.by_router.get_mut(&id) {
+            (session.lease_granted_at, session.lease_requested_until) = (now, now);
         }
     }
 
-    /// Learns that tails before this one granted no proof that was asked for after `until`. Whoever was given
-    /// one here, which is at `since` or later, is left as it is.
-    pub fn bound_earlier_proofs(&mut self, since: Duration, until: Duration) {
-        for session in self.table.values_mut().filter(|session| session.proved_at <= since) {
+    /// Records that earlier tails granted no lease that was requested after `until`. Sessions to which this tail
+    /// granted a lease after `since` are not changed.
+    pub fn limit_earlier_leases(&mut self, since: Duration, until: Duration) {
+        for session in self.by_router.values_mut().filter(|session| session.lease_granted_at <= since) {
             session.lease_requested_until = session.lease_requested_until.min(until);
         }
     }
 
-    /// Takes over from the tail before, which reported everyone it had in its table. A member it did not report
-    /// was granted nothing by it; `earlier` bounds what tails before that one granted.
+    /// Takes over from the previous tail, which reported every router in its table. It granted no lease to a member
+    /// that it did not report; `earlier` is the latest request time of leases granted by the tails before it.
     pub fn take_over(&mut self, since: Duration, earlier: Duration, reported: &BTreeMap<NodeId, GrantedLease>) {
-        for (id, session) in self.table.iter_mut().filter(|(_, session)| session.proved_at <= since) {
+        for (id, session) in self.by_router.iter_mut().filter(|(_, session)| session.lease_granted_at <= since) {
             let until = reported.get(id).map_or(earlier, |lease| lease.requested_at);
             session.lease_requested_until = session.lease_requested_until.min(until);
         }
         for (id, lease) in reported {
-            self.table.entry(*id).or_insert_with(|| Session {
+            self.by_router.entry(*id).or_insert_with(|| Session {
                 incarnation: lease.incarnation,
-                proved_at: lease.requested_at,
+                lease_granted_at: lease.requested_at,
                 lease_requested_until: lease.requested_at,
-                departed: true,
+                has_departed: true,
                 ..Session::default()
             });
         }
     }
 
-    /// What keeps an epoch from coming into force; none if nothing does. Every router has staged it or holds no
-    /// lease by the core on an earlier one; and of each quorum given a majority has staged it, or everyone has
-    /// staged it or can no longer hold a lease by peers. An empty quorum asks nothing.
+    /// Returns why an epoch cannot be activated, or `None` if it can be. Activation requires that every router has
+    /// staged the epoch or holds no lease by the core on an earlier one. It also requires of each quorum that a
+    /// majority has staged the epoch, or that every router which has not can no longer hold a lease by peers. An empty
+    /// quorum requires nothing.
     pub fn activation_blocker(
         &self,
         epoch: u64,
@@ -162,10 +167,10 @@
         bounds: LeaseBounds,
     ) -> Option<ActivationBlocker> {
         let may_serve = |session: &Session| now <= session.lease_requested_until + bounds.by_core;
-        let behind = self.table.iter().filter(|(_, session)| session.staged < epoch && may_serve(session));
-        let behind: Vec<NodeId> = behind.map(|(id, _)| *id).collect();
-        if !behind.is_empty() {
-            return Some(ActivationBlocker::Members(behind));
+        let not_staged = self.by_router.iter().filter(|(_, session)| session.staged < epoch && may_serve(session));
+        let not_staged: Vec<NodeId> = not_staged.map(|(id, _)| *id).collect();
+        if !not_staged.is_empty() {
+            return Some(ActivationBlocker::Members(not_staged));
         }
         quorums.iter().find_map(|quorum| self.quorum_blocker(epoch, quorum, now, bounds))
     }
@@ -177,13 +182,13 @@
         now: Duration,
         bounds: LeaseBounds,
     ) -> Option<ActivationBlocker> {
-        let has_staged = |id: &NodeId| self.table.get(id).is_some_and(|session| session.staged >= epoch);
+        let has_staged = |id: &NodeId| self.by_router.get(id).is_some_and(|session| session.staged >= epoch);
         let missing: Vec<NodeId> = quorum.iter().copied().filter(|id| !has_staged(id)).collect();
         if (quorum.len() - missing.len()) * 2 > quorum.len() {
             return None;
         }
         let lease_until =
-            |id: &NodeId| self.table.get(id).map_or(bounds.unknown_until, |session| session.lease_requested_until);
+            |id: &NodeId| self.by_router.get(id).map_or(bounds.unknown_until, |session| session.lease_requested_until);
         let may_serve = missing.iter().any(|id| now <= lease_until(id) + bounds.by_peers);
         may_serve.then_some(ActivationBlocker::Quorum(missing))
     }
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -39,7 +39,7 @@
     pub fn update(&mut self, now: Duration, arrivals: u32) {
         let new_arrivals = if arrivals >= self.last_count { arrivals - self.last_count } else { arrivals };
         self.last_count = arrivals;
-        self.long_run.pass(now, new_arrivals);
+        self.long_run.record(now, new_arrivals);
         if new_arrivals > 0 {
             self.passes.push_back((now, new_arrivals));
             self.total += new_arrivals;
@@ -112,12 +112,12 @@
             rate: self.load.rate(now),
             queued: self.queued.len() as u32,
             in_flight: self.in_flight,
-            usual: if self.usual.time.is_zero() { self.mean_answer_time() } else { self.usual.time },
+            usual_response_time: if self.usual.time.is_zero() { self.mean_answer_time() } else { self.usual.time },
             capacity: self.capacity(),
             instance_limit: self.function.instance_limit,
             ready: self.count(Phase::Ready),
         };
-        demand.instances()
+        demand.instances_needed()
     }
 
     /// Returns whether keeping idle instances is worth their memory.
