--- a/crates/control/examples/change_cost.rs
+++ b/crates/control/examples/change_cost.rs
@@ -1,5 +1,5 @@
-//! What one change costs a registry, and a router that builds its route table of it, on a configuration of
-//! many routes: `cargo run --release -p control --example change_cost -- 2000`.
+//! Measures the time that a configuration change takes in a registry, and the time a router takes to build its route
+//! table, with a configuration of many routes: `cargo run --release -p control --example change_cost -- 2000`.
 
 use bindings::RouteTable;
 use chain::State;
@@ -35,14 +35,14 @@
 }
 
 fn take(state: &mut State, what: &str, command: Command) {
-    let body = timed(&format!("{what}: written as an entry"), || to_bytes(&command));
+    let body = timed(&format!("{what}: encoded as an entry"), || to_bytes(&command));
     println!("{what}: {} bytes", body.len());
     let effect = timed(&format!("{what}: applied"), || control::apply(state, 1, &body));
     match from_bytes::<CommandReply>(&effect.reply) {
         Some(CommandReply::Refused { body, .. }) => panic!("{}", String::from_utf8_lossy(body.as_slice())),
         reply => println!("{what}: {reply:?}"),
     }
-    timed(&format!("{what}: put into the state"), || {
+    timed(&format!("{what}: written to the state"), || {
         effect.changes.iter().for_each(|change| change.apply_to(state));
     });
 }
@@ -56,13 +56,13 @@
     let count = std::env::args().nth(1).and_then(|count| count.parse().ok()).unwrap_or(2000);
     let mut state = State::new();
     let items: Vec<ConfigurationItem> = (0..158).map(service).chain((0..count).map(|n| route(n, 4000))).collect();
-    take(&mut state, "whole", change("one", 0, true, items.clone()));
+    take(&mut state, "complete", change("one", 0, true, items.clone()));
     take(&mut state, "activation", Command::Activate { step: 1 });
     take(&mut state, "patch", change("two", 3, false, vec![route(5, 900)]));
     take(&mut state, "activation of the patch", Command::Activate { step: 2 });
-    take(&mut state, "whole again", change("three", 6, true, items));
+    take(&mut state, "complete again", change("three", 6, true, items));
     let pairs = || state.iter().filter_map(|(key, value)| Some((key.strip_prefix("a/")?, &value[..])));
-    let routes = timed("a router's book", || RouteTable::build(1, 1, pairs()));
+    let routes = timed("a router's route table", || RouteTable::build(1, 1, pairs()));
     let begun = Instant::now();
     let paths: Vec<String> = (0..count).map(|number| format!("/gowu{number}/fi14/2f/some/more")).collect();
     let hosts = ["h0.example", "H1.example:8080", "h2.example", "h3.example", "h4.example", "h5.example", "h6.example"];
--- a/crates/control/examples/keyed_cost.rs
+++ b/crates/control/examples/keyed_cost.rs
@@ -1,6 +1,6 @@
-//! What operations under a key cost a chain of registries, with the real rules of the state, the real data files and
-//! frames, and simulated links and syncs:
-//! `cargo run --release -p control --example keyed_cost -- [operations a second] [seconds] [bytes of an answer] [replicas] [window]`.
+//! Measures the cost of operations with run-once keys in a chain of registries, with the real state machine, data files
+//! and frames, and with simulated links and syncs:
+//! `cargo run --release -p control --example keyed_cost -- [operations per second] [seconds] [bytes per answer] [replicas] [window]`.
 
 use chain::{ChainReplica, Input, Output, Store, Timing};
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 const SYNC_TIME: Duration = Duration::from_millis(2);
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
 const SETTLING: Duration = Duration::from_secs(8);
-/// From a claim's proposal until the answer is recorded.
+/// Time from the proposal of a claim until its answer is recorded.
 const RUN_TIME: Duration = Duration::from_millis(60);
 
 enum Event {
@@ -97,7 +97,7 @@
                 Output::Send { to, message } => self.send(id, to, &message),
                 Output::SendSeeds { message } => ids.iter().for_each(|to| self.send(id, *to, &message)),
                 Output::ProposalDone { op, appended, .. } => {
-                    assert!(appended, "the chain takes every proposal");
+                    assert!(appended, "the chain appends every proposal");
                     self.costs.committed += 1;
                     let proposed_at = self.proposed_at.remove(&op.number).unwrap_or_default();
                     self.latencies.push(self.now - proposed_at);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Proposes at the tail, as routers do.
+    /// Proposes a command at the tail, as routers do.
     fn propose(&mut self, command: &Command) {
         let Some(tail) = self.replicas[&1].0.view().chain.as_slice().last().copied() else { return };
         self.number += 1;
@@ -169,7 +169,7 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let mut chain = Chain::founded(&folder, count);
     chain.run(SETTLING, |_| {});
-    assert_eq!(chain.replicas[&1].0.view().chain.as_slice().len() as u64, count, "the chain is whole");
+    assert_eq!(chain.replicas[&1].0.view().chain.as_slice().len() as u64, count, "all replicas are in the chain");
     chain.costs = Costs::default();
     let (begun, used) = (chain.now, processor_time());
     let (mut claimed, mut answered, mut ticked, mut largest) = (0, 0, 0, 0);
@@ -199,21 +199,21 @@
     chain.latencies.sort();
     let latency = |part: usize| chain.latencies.get(chain.latencies.len() * part / 100).copied().unwrap_or_default();
     let pairs = chain.replicas[&1].0.committed_state().len();
-    println!("{rate} operations a second for {seconds} s, answers of {bytes} B, window {window} s, {count} replicas");
+    println!("{rate} operations per second for {seconds} s, answers of {bytes} B, window {window} s, {count} replicas");
     println!("entries committed: {committed}; pairs in the state: {pairs}");
     println!(
-        "processor, cores a replica: {:.4} in all; elapsed: steps {:.4}, writes {:.4}",
+        "CPU cores per replica: {:.4} in total; elapsed: steps {:.4}, writes {:.4}",
         share(used),
         share(steps),
         share(writes)
     );
     println!(
-        "writes a second a replica: {:.0}; frames: {:.0}; bytes sent: {:.0}",
+        "per second and replica: {:.0} writes, {:.0} frames, {:.0} bytes sent",
         write_count as f64 / seconds as f64 / count as f64,
         frames as f64 / seconds as f64 / count as f64,
         frame_bytes as f64 / seconds as f64 / count as f64
     );
-    println!("from proposal to reply: half {:?}, 99 of 100 {:?}", latency(50), latency(99));
-    println!("data file at most: {} KB; memory of all replicas: {} KB", largest / 1024, resident_kilobytes());
+    println!("from proposal to reply: median {:?}, 99th percentile {:?}", latency(50), latency(99));
+    println!("largest data file: {} KB; memory of all replicas: {} KB", largest / 1024, resident_kilobytes());
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/control/src/activation.rs
+++ b/crates/control/src/activation.rs
@@ -1,4 +1,4 @@
-//! Bringing staged epochs into force, and telling operators what a staged epoch still waits for.
+//! Activation of staged epochs, and reports to operators on why a staged epoch is not in force yet.
 
 use crate::core::{Core, CoreOutput};
 use crate::keys;
@@ -8,22 +8,22 @@
 use std::time::Duration;
 use wire::{Command, NodeId};
 
-/// An epoch that waits for longer than this is reported in the log.
+/// Waiting time after which a pending epoch is reported in the log.
 const REPORT_AFTER: Duration = Duration::from_secs(2);
-/// It is reported again this often.
+/// Interval between further reports of the same pending epoch.
 const REPORT_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What a staged epoch waits for.
+/// Reason why a staged epoch is not activated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ActivationWait {
-    /// Leases that earlier tails granted have not run out.
+    /// Leases granted by earlier tails may still be valid.
     EarlierLeases,
-    /// Routers that have not staged it and may hold a lease.
+    /// Some routers have not staged the epoch and may hold a lease.
     Routers(ActivationBlocker),
 }
 
 impl ActivationWait {
-    /// The routers that are waited for.
+    /// Returns the routers that block the activation.
     pub fn routers(&self) -> &[NodeId] {
         match self {
             ActivationWait::EarlierLeases => &[],
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The word for it in status pages and logs.
+    /// Returns the reason's name in status pages and logs.
     pub fn name(&self) -> &'static str {
         match self {
             ActivationWait::EarlierLeases => "earlier-leases",
@@ -41,20 +41,20 @@
     }
 }
 
-/// The first epoch that is staged and not in force, as the tail knows it.
+/// The first epoch that is staged but not in force, as known to the tail.
 #[derive(Clone, Debug)]
 pub struct PendingActivation {
-    /// The epoch.
+    /// The epoch's number.
     pub step: u64,
-    /// Since when this tail has waited for it.
+    /// When this tail first saw the epoch pending.
     pub since: Duration,
-    /// What it waits for.
+    /// Reason why the epoch is not activated.
     pub wait: ActivationWait,
     reported_at: Option<Duration>,
 }
 
 impl PendingActivation {
-    /// The epoch in a status page.
+    /// Returns the pending epoch as shown in a status page.
     pub fn page(&self, now: Duration) -> Value {
         let routers: Vec<String> = self.wait.routers().iter().map(|id| format!("{id:016x}")).collect();
         let waited_ms = now.saturating_sub(self.since).as_millis() as u64;
@@ -71,7 +71,7 @@
 }
 
 impl Core {
-    /// Activates what all have staged, once no earlier tail's lease can be valid any more.
+    /// Activates the epochs that all routers have staged, once no lease of an earlier tail can be valid.
     pub(crate) fn maybe_activate(&mut self) {
         let active = keys::number(self.state(), keys::ACTIVE);
         let latest = keys::number(self.state(), keys::LATEST);
@@ -96,7 +96,7 @@
         self.record_pending(ready, latest, first_wait);
     }
 
-    /// How long leases may last, once those that other tails granted by the core's word have run out.
+    /// Returns the bounds on lease durations, once the leases that earlier tails granted by core proofs have expired.
     fn lease_bounds(&mut self) -> Option<LeaseBounds> {
         if !self.earlier_leases_are_over() {
             return None;
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -1,5 +1,5 @@
-//! The operators' HTTP/1.1 API: read, replace and patch the configuration, look up an operation,
-//! look at one node's view and watch it change. Everything but health needs a bearer token.
+//! The operators' HTTP/1.1 API: read, replace and patch the configuration, look up an operation, and read or watch
+//! one registry's status. All pages but /health, /ready and /metrics need a bearer token.
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::api_views::{metrics, ready, status, watch_view};
@@ -15,12 +15,16 @@
 use serde_json::{Map, Value, json};
 use wire::ConfigurationItem;
 
+/// State shared by the API's handlers.
 #[derive(Clone)]
 pub struct Api {
+    /// Handle of the registry.
     pub operators: Operators,
+    /// Bearer tokens and their tenants.
     pub tokens: Tokens,
 }
 
+/// Returns the API's routes, for request bodies of at most `body` bytes.
 pub fn router(api: Api, body: usize) -> Router {
     Router::new()
         .route("/health", get(|| async { "ok\n" }))
@@ -61,7 +65,7 @@
 }
 
 impl Api {
-    /// Refuses a change that can't be read, and notes it if it is an operator's.
+    /// Refuses a change that can't be parsed, and records it as invalid if the caller is authenticated.
     async fn refuse_change(&self, headers: &HeaderMap, status: u16, detail: &str) -> Response {
         if self.scope(headers).is_none() {
             return refuse(401, "a bearer token is needed");
@@ -70,6 +74,7 @@
         refuse(status, detail)
     }
 
+    /// Returns the tenant of the caller's bearer token (empty for all tenants), or none without a valid token.
     pub(crate) fn scope(&self, headers: &HeaderMap) -> Option<String> {
         self.tokens.scope(headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok()))
     }
@@ -79,21 +84,21 @@
         let Some(scope) = self.scope(headers) else { return refuse(401, "a bearer token is needed") };
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
         let base = match text("if-match").as_deref().map(|tag| tag.trim().trim_matches('"').to_owned()) {
-            None => return refuse(428, "If-Match with the revision the change is based on, or *, is needed"),
+            None => return refuse(428, "If-Match must name the revision that the change is based on, or *"),
             Some(tag) if tag == "*" => None,
             Some(tag) => match tag.parse() {
                 Ok(revision) => Some(revision),
-                Err(_) => return refuse(400, "If-Match is a revision number in quotes, or *"),
+                Err(_) => return refuse(400, "If-Match must be a revision number in quotes, or *"),
             },
         };
         let op = text("operation-id").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
         if config::word(&op).is_err() {
-            return refuse(400, "Operation-Id is 1 to 64 letters, digits, '-', '_' or '.'");
+            return refuse(400, "Operation-Id must have 1 to 64 letters, digits, '-', '_' or '.'");
         }
         let revision = match text("revision").map(|number| number.trim().parse::<u64>()) {
             None => None,
             Some(Ok(revision)) if revision > 0 => Some(revision),
-            Some(_) => return refuse(400, "Revision is the number the change declares, 1 or more"),
+            Some(_) => return refuse(400, "Revision must be a number, 1 or more"),
         };
         let call = ApiCall::Change { op: op.clone(), base, revision, full, scope, items, dry };
         let reply = if dry { self.operators.call(call).await } else { self.operators.change(call).await };
@@ -192,18 +197,24 @@
         return api.refuse_change(&headers, 400, "the body is not a JSON object").await;
     };
     if let Some(odd) = patch.keys().find(|key| !["name", "set", "remove"].contains(&key.as_str())) {
-        return api.refuse_change(&headers, 422, &format!("{odd}: a patch has name, set and remove")).await;
+        return api
+            .refuse_change(&headers, 422, &format!("{odd}: unknown field; a patch has name, set and remove"))
+            .await;
     }
     let mut items = Vec::new();
     match patch.get("set") {
         None => {}
         Some(Value::Object(list)) => items.extend(list.iter().map(|(key, value)| item(key, Some(value)))),
-        Some(_) => return api.refuse_change(&headers, 422, "set: an object of kind/tenant/name to resource").await,
+        Some(_) => {
+            return api
+                .refuse_change(&headers, 422, "set: must be an object that maps kind/tenant/name to resources")
+                .await;
+        }
     }
     match patch.get("remove") {
         None => {}
         Some(Value::Array(list)) => items.extend(list.iter().filter_map(Value::as_str).map(|key| item(key, None))),
-        Some(_) => return api.refuse_change(&headers, 422, "remove: a list of kind/tenant/name").await,
+        Some(_) => return api.refuse_change(&headers, 422, "remove: must be a list of kind/tenant/name").await,
     }
     api.change(&headers, &uri, false, items).await
 }
--- a/crates/control/src/api_tests.rs
+++ b/crates/control/src/api_tests.rs
@@ -1,4 +1,4 @@
-//! Which refused changes are noted as invalid, before a core that says what it is told to say.
+//! Which refused changes are recorded as invalid, tested against a core with prescribed replies.
 
 use super::*;
 use crate::control_message::ControlMessage;
@@ -14,7 +14,8 @@
 
 const TOKEN: &str = "Bearer long-secret";
 
-/// Sends one call to the API over a core that answers every change so; gives the answer's status and what was noted.
+/// Sends one request to the API over a core that answers every change with the given status. Returns the response's
+/// status and the recorded faults.
 fn send(core_says: u16, method: &str, path: &str, token: &str, body: &str) -> (u16, Vec<String>) {
     let request = Request::builder().method(method).uri(path).header("authorization", token).header("if-match", "*");
     let request = request.body(Body::from(body.to_owned())).expect("a request");
@@ -45,16 +46,20 @@
 }
 
 #[test_case("PUT", "/v1/configuration", r#"{"gadgets":{}}"#, 422; "a kind that this release doesn't know")]
-#[test_case("PUT", "/v1/configuration", "[]", 400; "no object")]
-#[test_case("PATCH", "/v1/configuration", "{", 400; "half a patch")]
+#[test_case("PUT", "/v1/configuration", "[]", 400; "not an object")]
+#[test_case("PATCH", "/v1/configuration", "{", 400; "a truncated patch")]
 #[test_case("PATCH", "/v1/configuration", r#"{"unset":[]}"#, 422; "a patch with an unknown field")]
 #[test_case("PATCH", "/v1/configuration", r#"{"set":[]}"#, 422; "a list to set")]
 #[test_case("PATCH", "/v1/configuration", r#"{"remove":{}}"#, 422; "an object to remove")]
-#[test_case("PUT", "/v1/bounds/t/n", "no JSON", 400; "a resource that is no JSON")]
+#[test_case("PUT", "/v1/bounds/t/n", "no JSON", 400; "a resource that is not JSON")]
 fn a_change_that_cannot_be_read_is_noted(method: &str, path: &str, body: &str, status: u16) {
     let (told, noted) = send(200, method, path, TOKEN, body);
     assert_eq!((told, noted.len()), (status, 1), "{noted:?}");
-    assert_eq!(send(200, method, path, "Bearer other-secret", body), (401, Vec::new()), "of nobody it isn't");
+    assert_eq!(
+        send(200, method, path, "Bearer other-secret", body),
+        (401, Vec::new()),
+        "an unauthenticated change is not recorded"
+    );
 }
 
 #[test_case(422, true; "invalid")]
@@ -68,5 +73,5 @@
     assert_eq!((told, noted.len()), (status, usize::from(is_noted)));
     assert!(noted.iter().all(|fault| fault.contains(r#""fault":"odd""#)), "{noted:?}");
     let dry = send(status, "PUT", "/v1/bounds/t/n?dry-run=true", TOKEN, "{}");
-    assert_eq!(dry, (status, Vec::new()), "whoever only asks is told, and nobody else");
+    assert_eq!(dry, (status, Vec::new()), "a refused dry run is not recorded");
 }
--- a/crates/control/src/api_views.rs
+++ b/crates/control/src/api_views.rs
@@ -1,4 +1,4 @@
-//! The API's pages that only look: readiness, metrics, this node's view and a live watch of it.
+//! The API's read-only pages: readiness, metrics, this registry's status and a live stream of it.
 
 use crate::api::{Api, answer, refuse};
 use crate::api_calls::ApiCall;
@@ -11,6 +11,7 @@
 use std::convert::Infallible;
 use tokio::sync::watch;
 
+/// Answers 200 if this registry is in the chain, otherwise 503.
 pub async fn ready(State(api): State<Api>) -> Response {
     if api.operators.is_ready() {
         "ready\n".into_response()
@@ -19,12 +20,14 @@
     }
 }
 
+/// Returns the metrics.
 pub async fn metrics(State(api): State<Api>) -> String {
     let view: Value = serde_json::from_str(&api.operators.view.borrow()).unwrap_or_default();
     let control = &api.operators.control;
     metrics_text(&view, InboxLoad { depth: control.depth(), refused: control.refused() })
 }
 
+/// Returns this registry's status.
 pub async fn status(State(api): State<Api>, headers: HeaderMap) -> Response {
     if api.scope(&headers).is_none() {
         return refuse(401, "a bearer token is needed");
@@ -32,6 +35,7 @@
     answer(api.operators.call(ApiCall::Status).await, None)
 }
 
+/// Streams this registry's status, one line of JSON per change.
 pub async fn watch_view(State(api): State<Api>, headers: HeaderMap) -> Response {
     if api.scope(&headers).as_deref() != Some("") {
         return refuse(401, "a bearer token for all tenants is needed");
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -1,5 +1,5 @@
-//! What an entry does to the state. The same entry on the same state gives the same changes and
-//! the same reply on every member; nothing here reads a clock, a file or a random number.
+//! The effect of a log entry on the replicated state. The same entry on the same state gives the same
+//! changes and the same reply on every replica; nothing here reads a clock, a file or a random number.
 
 use crate::apply_change::{activate, change, declare, quorum};
 use crate::apply_member::{join, lapse, leaving, tick};
@@ -10,31 +10,39 @@
 use leases::Member;
 use wire::{Capacity, Command, CommandReply};
 
+/// The changes that an entry makes to a state, collected before they are applied.
 pub struct Draft<'a> {
+    /// The state before the entry.
     pub state: &'a State,
+    /// The changes so far.
     pub changes: Vec<chain::Change>,
 }
 
 impl Draft<'_> {
+    /// Sets a key.
     pub fn put(&mut self, key: impl Into<String>, value: impl Into<Value>) {
         self.changes.push(chain::Change::put(key, value));
     }
+    /// Sets a key to a number.
     pub fn put_number(&mut self, key: &str, number: u64) {
         self.put(key, keys::value(number));
     }
+    /// Removes a key.
     pub fn drop(&mut self, key: impl Into<String>) {
         self.changes.push(chain::Change::remove(key));
     }
+    /// Returns the number under a key, or 0 without one.
     pub fn number(&self, key: &str) -> u64 {
         keys::number(self.state, key)
     }
-    /// Marks a record to be forgotten so many ticks from now.
+    /// Schedules the removal of a record after a number of ticks.
     pub fn expire(&mut self, key: &str, ticks: u64) {
         let due = self.number(keys::TICKS) + ticks;
         self.put(format!("x/{due:012}/{key}"), Vec::new());
     }
 }
 
+/// Computes the changes and the reply of a log entry.
 pub fn apply(state: &State, _seq: u64, body: &[u8]) -> Effect {
     let mut draft = Draft { state, changes: Vec::new() };
     let reply = match wire::from_bytes::<Command>(body) {
--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -1,5 +1,5 @@
-//! Configuration: compare-and-set on the latest revision, checked whole, kept as a numbered step
-//! until it is activated. A taken change asked again under its operation id gets its first reply.
+//! Configuration changes: each is a compare-and-set on the latest revision, is validated as a whole, and is
+//! kept as a numbered epoch until it is activated. A repeated operation id gets the reply of the accepted change.
 
 use crate::api_calls::ApiReply;
 use crate::apply::Draft;
@@ -10,10 +10,12 @@
 use wire::{CommandReply, OpRecord};
 use wire::{ConfigurationEpoch, ConfigurationItem, NodeId};
 
+/// Ticks for which the outcome of an operation is kept.
 const OP_TICKS: u64 = 86_400;
-/// Steps in force that are kept for routers a little behind, as many as these and no more than so many
-/// bytes; the newest is kept whatever its size, since it names the quorum.
+/// Maximum number of activated epochs that are kept for routers that lag behind. The active epoch is kept
+/// whatever its size, since it names the quorum.
 const MAX_RETAINED_EPOCHS: u64 = 64;
+/// Maximum size of the activated epochs that are kept.
 const MAX_RETAINED_BYTES: usize = 512 * 1024;
 
 fn known(draft: &Draft, key: &str) -> Option<CommandReply> {
@@ -32,7 +34,7 @@
     draft.expire(key, OP_TICKS);
 }
 
-/// An entry of format 2, whose refusal is remembered like a taken change.
+/// Executes an entry of format 2, whose refusal is remembered like an accepted change.
 pub fn change(draft: &mut Draft, op: &str, change: &Change) -> CommandReply {
     let key = format!("{}{op}", keys::TAKEN);
     if let Some(reply) = known(draft, &key) {
@@ -43,8 +45,9 @@
     reply
 }
 
-/// Only a taken change is answered by what it was; one that was refused is looked at anew when it is
-/// asked again, since it may fit by then. That it was refused is kept for whoever looks it up.
+/// Executes a change that may declare its revision. A repeated operation gets its first reply only if the change
+/// was accepted; a refused change is validated again, since it may be valid by then. The refusal is kept for
+/// lookups of the operation.
 pub fn declare(draft: &mut Draft, op: &str, change: &Change) -> CommandReply {
     let key = format!("{}{op}", keys::TAKEN);
     if let Some(reply @ CommandReply::Changed { .. }) = known(draft, &key) {
@@ -61,13 +64,13 @@
     reply
 }
 
-/// What became of an operation, as far as it is known here.
+/// Returns the outcome of an operation, if this registry knows it.
 pub fn outcome(state: &State, op: &str) -> Option<CommandReply> {
     let draft = Draft { state, changes: Vec::new() };
     known(&draft, &format!("{}{op}", keys::TAKEN)).or_else(|| known(&draft, &format!("{}{op}", keys::REFUSED)))
 }
 
-/// The whole check of a change on the state as it is, and what it would come to; nothing is changed.
+/// Validates a change against a state and reports its effect without changing anything.
 pub fn dry_run(state: &State, change: &Change) -> ApiReply {
     let draft = Draft { state, changes: Vec::new() };
     let revision = draft.number(keys::LATEST_REVISION);
@@ -113,6 +116,7 @@
     number
 }
 
+/// Adds an epoch with another quorum, if the epoch `after` is the latest and is active.
 pub fn quorum(draft: &mut Draft, after: u64, members: Vec<NodeId>) -> CommandReply {
     let latest = draft.number(keys::LATEST);
     if latest == after && latest == draft.number(keys::ACTIVE) {
@@ -122,6 +126,7 @@
     CommandReply::Plain
 }
 
+/// Activates the epochs up to and including `to`.
 pub fn activate(draft: &mut Draft, to: u64) -> CommandReply {
     let active = draft.number(keys::ACTIVE);
     if to <= active || to > draft.number(keys::LATEST) {
@@ -144,8 +149,8 @@
     CommandReply::Plain
 }
 
-/// Forgets the steps up to the active one that are beyond what is kept: each may be as large as a whole
-/// configuration, and a router that is further behind takes that instead.
+/// Removes activated epochs beyond the retention limits: each may be as large as a whole configuration, and a
+/// router that is further behind fetches the whole configuration instead.
 fn forget_steps(draft: &mut Draft, active: u64) {
     let oldest = keys::step_key(active.saturating_sub(MAX_RETAINED_EPOCHS));
     let newest = keys::step_key(active);
--- a/crates/control/src/apply_member.rs
+++ b/crates/control/src/apply_member.rs
@@ -1,5 +1,5 @@
-//! Members and time: routers joining, leaving, lapsing, each under a new membership number; and the
-//! chain's own ticks, by which records are forgotten without trusting any wall clock.
+//! Membership and logical time: routers that join, leave or lapse, each of which increments the membership
+//! number; and the ticks of the chain's own clock, which expire records without trusting any wall clock.
 
 use crate::apply::Draft;
 use crate::keys;
@@ -7,6 +7,7 @@
 use wire::NodeId;
 use wire::{ClaimRecord, CommandReply};
 
+/// Maximum number of expiry marks that one tick processes.
 const FORGOTTEN_PER_TICK: usize = 2000;
 
 fn next_membership(draft: &mut Draft) {
@@ -14,6 +15,7 @@
     draft.put_number(keys::MEMBERSHIP, number);
 }
 
+/// Adds a member, or replaces its record if that differs.
 pub fn join(draft: &mut Draft, line: Member) -> CommandReply {
     let (key, raw) = (keys::member_key(line.id), line.written());
     if draft.state.get(&key).is_none_or(|known| known[..] != raw[..]) {
@@ -28,6 +30,7 @@
     Member::read(raw).filter(|line| line.incarnation == incarnation)
 }
 
+/// Removes a member whose lease ran out, if its incarnation matches.
 pub fn lapse(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
     if known(draft, id, incarnation).is_some() {
         draft.drop(keys::member_key(id));
@@ -36,6 +39,7 @@
     CommandReply::Plain
 }
 
+/// Marks a member as leaving, if its incarnation matches.
 pub fn leaving(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
     if let Some(mut line) = known(draft, id, incarnation)
         && line.leaving == 0
@@ -47,6 +51,7 @@
     CommandReply::Plain
 }
 
+/// Advances the chain's clock by one and removes the records that expire with this tick.
 pub fn tick(draft: &mut Draft, number: u64) -> CommandReply {
     let ticks = draft.number(keys::TICKS);
     if number != ticks + 1 {
@@ -76,7 +81,8 @@
     CommandReply::Plain
 }
 
-/// A key claimed anew after a release outlives the mark its first claim left.
+/// Whether a record has expired. A run-once key that was released and claimed again outlives the expiry mark of
+/// its first claim.
 fn is_due(draft: &Draft, key: &str, number: u64) -> bool {
     match draft.state.get(key) {
         Some(raw) if key.starts_with("k/") => {
--- a/crates/control/src/apply_task.rs
+++ b/crates/control/src/apply_task.rs
@@ -1,6 +1,6 @@
-//! The store of run-once keys and the store of deferred tasks. A key is granted to one asker
-//! only; it is released only by that asker's own word that it never dispatched. A key held by a
-//! router that is no longer a member has an outcome nobody knows, and is answered so.
+//! Run-once keys and deferred requests. A key is granted to one claimant only, and is released only when that
+//! claimant reports that it never dispatched the request. If the holder of an unanswered key is a router that is no
+//! longer a member, claims are answered with an unknown outcome.
 
 use crate::apply::Draft;
 use crate::keys;
@@ -8,14 +8,18 @@
 use wire::{Blob, NodeId, Text};
 use wire::{ClaimRecord, ClaimState, CommandReply, DeferredRecord};
 
-/// How long a key is kept whose claim does not say it.
+/// Ticks for which a key is kept if its claim does not name a window.
 pub const DEFAULT_KEY_TICKS: u32 = 1800;
-/// No claim keeps its key longer: a day, and what the router adds.
+/// Maximum number of ticks for which a key is kept: the longest window, a day, and the margin that the router adds.
 const MAX_KEY_TICKS: u32 = 2 * 86_400;
+/// Ticks for which a finished deferred request is kept.
 const DONE_TICKS: u64 = 3600;
+/// Maximum number of run-once keys.
 const CLAIMS: u64 = 300_000;
+/// Maximum number of deferred requests.
 const DEFERRED: u64 = 50_000;
 
+/// A claimant: member, incarnation and request id.
 type Asker = (NodeId, u64, u64);
 
 fn owner(record: &ClaimRecord) -> Asker {
@@ -26,7 +30,7 @@
     CommandReply::Claim { state, answer }
 }
 
-/// Claims a key for a request, to be forgotten so many ticks from now.
+/// Claims a key for a request. The key expires after the given number of ticks.
 pub fn claim(draft: &mut Draft, scope: &str, digest: Blob, asker: Asker, ticks: u32) -> CommandReply {
     let key = format!("k/{scope}");
     let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw)) else {
@@ -59,6 +63,7 @@
     reply(state, Blob::default())
 }
 
+/// Records the answer to the request that holds a key.
 pub fn record_answer(draft: &mut Draft, scope: &str, asker: Asker, answer: Blob) -> CommandReply {
     let key = format!("k/{scope}");
     if let Some(mut record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw))
@@ -72,6 +77,7 @@
     CommandReply::Plain
 }
 
+/// Releases a key that its holder did not use.
 pub fn release(draft: &mut Draft, scope: &str, asker: Asker) -> CommandReply {
     let key = format!("k/{scope}");
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw))
@@ -85,6 +91,7 @@
     CommandReply::Plain
 }
 
+/// Stores a deferred request.
 pub fn store(draft: &mut Draft, id: &str, function: Text, digest: Blob, task: Blob) -> CommandReply {
     let key = format!("d/{id}");
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw)) {
@@ -106,6 +113,7 @@
     CommandReply::Stored { state: ClaimState::Granted, answer: Blob::default() }
 }
 
+/// Records the answer of a deferred request and removes the request from its function's queue.
 pub fn finish(draft: &mut Draft, id: &str, function: &str, answer: Blob) -> CommandReply {
     let key = format!("d/{id}");
     if let Some(mut record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw))
--- a/crates/control/src/change_validation.rs
+++ b/crates/control/src/change_validation.rs
@@ -1,5 +1,6 @@
-//! The complete check of a change on the state as it is: whether it builds on the latest revision, stays within its
-//! tenant, and leaves a configuration without a fault.
+//! Validation of a change against a state: that it is based on the latest revision, stays within its tenant, and
+//! results in a valid configuration. Refusals of format 2 entries are stored in the replicated state, so their texts
+//! must be the same in every release.
 
 use crate::apply::Draft;
 use crate::keys;
@@ -7,27 +8,28 @@
 use std::collections::BTreeMap;
 use wire::ConfigurationItem;
 
-/// A change takes no more bytes than this, so that its epoch fits in a frame.
+/// Maximum size of a change, chosen so that its epoch fits in a frame.
 const MAX_EPOCH_BYTES: usize = 5 * 1024 * 1024;
-/// What an item takes beside its key and value.
+/// Encoded size of an item beyond its key and value.
 const ITEM_OVERHEAD_BYTES: usize = 16;
+/// Maximum number of resources in a configuration.
 const MAX_RESOURCES: usize = 50_000;
 
 /// A change as an operator sent it.
 pub struct Change<'a> {
-    /// The revision it builds on, none for whichever is the latest.
+    /// The revision that the change is based on, or none to accept whichever is the latest.
     pub base: Option<u64>,
-    /// The revision it declares, or 0 for the next.
+    /// The revision that the change declares, or 0 for the next one.
     pub revision: u64,
-    /// Whether everything else in its scope is removed.
+    /// Whether all other resources in the scope are removed.
     pub full: bool,
-    /// The tenant it may change, empty for all.
+    /// The tenant whose resources may be changed, or empty for all tenants.
     pub scope: &'a str,
-    /// What it sets and removes.
+    /// The resources that are set and removed.
     pub items: &'a [ConfigurationItem],
 }
 
-/// Why a change is refused.
+/// Refusal of a change.
 pub struct ChangeRefused {
     /// The HTTP status.
     pub status: u16,
@@ -45,7 +47,7 @@
     }
 }
 
-/// What a change comes to: the items that differ from the latest configuration.
+/// Validates a change and returns the items that differ from the latest configuration.
 pub fn validate(draft: &Draft, change: &Change) -> Result<Vec<ConfigurationItem>, ChangeRefused> {
     check_revision(draft, change)?;
     let in_scope = |key: &str| change.scope.is_empty() || key.split('/').nth(1) == Some(change.scope);
--- a/crates/control/src/configuration_reads.rs
+++ b/crates/control/src/configuration_reads.rs
@@ -1,5 +1,5 @@
-//! Reads of the whole configuration, from the tail, page by page and all of one step. A read that is slow
-//! is begun anew; a page that answers an earlier ask is left aside, since pages before it may be missing.
+//! Reads of the whole configuration from the tail, in pages that all belong to one epoch. A slow read is restarted;
+//! pages requested before the restart are ignored, since the pages before them may be missing.
 
 use crate::api_calls::ApiReply;
 use crate::core::{Core, CoreOutput};
@@ -11,9 +11,11 @@
 use std::time::Duration;
 use wire::{ConfigurationItem, LeaseMessage};
 
+/// Time without a page after which a read is restarted.
 const PAGE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Core {
+    /// Restarts slow reads, and gives up those that are past their deadline.
     pub(crate) fn tick_reads(&mut self) {
         let now = self.now;
         let open: Vec<u64> = self.calls.reads.keys().copied().collect();
@@ -28,6 +30,7 @@
         }
     }
 
+    /// Requests the page of a read that starts at a key; an empty key restarts the read.
     pub(crate) fn read_on(&mut self, request_id: u64, from: String) {
         let Some(tail) = self.member.view().chain.as_slice().last().copied() else { return };
         let page_request_id = self.proposals.next_number();
@@ -43,6 +46,7 @@
         }
     }
 
+    /// Adds a page to the read that requested it, and answers the read after its last page.
     pub(crate) fn on_configuration_page(
         &mut self,
         page_request_id: u64,
@@ -73,7 +77,7 @@
     }
 }
 
-/// The configuration in force as one data file keeps it, which may be behind the others'.
+/// Returns the active configuration as stored in one data file, which may be older than in other registries' files.
 pub fn stored_document(state: &State) -> Value {
     let pairs = keys::with_prefix(state, keys::ACTIVE_PAIRS)
         .map(|(key, value)| (key[keys::ACTIVE_PAIRS.len()..].to_owned(), value.to_vec()))
@@ -81,6 +85,7 @@
     document(keys::number(state, keys::ACTIVE_REVISION), "", &pairs)
 }
 
+/// Renders the configuration of a tenant, or of all if `scope` is empty, as JSON by kind and name.
 pub fn document(revision: u64, scope: &str, pairs: &BTreeMap<String, Vec<u8>>) -> Value {
     let mut kinds: BTreeMap<&str, Map<String, Value>> =
         Kind::ALL.iter().map(|kind| (kind.word(), Map::new())).collect();
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -1,4 +1,4 @@
-//! The control thread's loop: feeds the core from its inbox and carries out what it returns.
+//! The control thread's loop: feeds the core from the inbox and executes the core's outputs.
 
 use crate::api_calls::ApiReply;
 use crate::control_message::ControlMessage;
@@ -18,6 +18,7 @@
 const TICK: Duration = Duration::from_millis(10);
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
+/// The control thread's state.
 pub struct Control {
     pub core: Core,
     pub disk: Disk,
@@ -26,18 +27,18 @@
     pub calls: BTreeMap<u64, oneshot::Sender<ApiReply>>,
     pub next_call: u64,
     pub view: watch::Sender<String>,
-    /// The revision the optimizer was last told of.
+    /// The revision that was last sent to the optimizer.
     pub revision: Option<u64>,
     pub shown: Instant,
     pub membership: MembershipLog,
     pub seeds: Vec<String>,
-    /// How long a planned stop may wait until the others can do without this registry.
+    /// Maximum time that a planned stop waits until the other registries no longer need this one.
     pub grace: Duration,
-    /// Registries that a seed told of while this one is empty.
+    /// Registries that a seed reported while this registry is empty.
     pub reported_registries: Vec<String>,
 }
 
-/// A planned stop that is under way.
+/// A planned stop in progress.
 struct Departure {
     deadline: Instant,
     reported: Option<DepartureWait>,
@@ -48,6 +49,7 @@
 }
 
 impl Control {
+    /// Runs the loop until a planned stop is over.
     pub async fn run(mut self, post: InboxSender<ControlMessage>, mut inbox: Inbox<ControlMessage>) {
         let begun = Instant::now();
         let view = self.core.member().view().clone();
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Whether a planned stop is over: the chain goes on without this replica, by a view that also names the
-    /// optimizer's next host, or there is no more time to wait for that.
+    /// Whether a planned stop is over: either a view without this replica, which also names the optimizer's next host,
+    /// is in effect, or the deadline has passed.
     fn has_left(&self, departure: &mut Option<Departure>) -> bool {
         let Some(departure) = departure else { return false };
         let Some(wait) = self.core.member().departure_wait() else { return true };
@@ -93,7 +95,7 @@
         }
         let is_over = Instant::now() >= departure.deadline;
         if is_over {
-            event!(departure_overdue, "stops as by a crash, without {}", wait.name());
+            event!(departure_overdue, "stops like a crash, without waiting for {}", wait.name());
         }
         is_over
     }
@@ -163,7 +165,7 @@
                 }
                 CoreOutput::Write { ticket, batch } => {
                     if !self.disk.write(ticket, batch) {
-                        event!(disk_failed, "the disk's thread takes no more writes");
+                        event!(disk_failed, "the disk thread accepts no more writes");
                     }
                 }
                 CoreOutput::Reply { request_id, reply } => {
@@ -203,7 +205,8 @@
         }
     }
 
-    /// A step of the quorum alone changes nothing that is read from the configuration.
+    /// Sends the active configuration to the optimizer. An epoch that changes only the quorum has the same revision and
+    /// is not sent.
     fn tell_active(&mut self, step: u64) {
         let (state, prefix) = (self.core.state(), keys::ACTIVE_PAIRS);
         let revision = keys::number(state, keys::ACTIVE_REVISION);
--- a/crates/control/src/control_loop_tests.rs
+++ b/crates/control/src/control_loop_tests.rs
@@ -1,4 +1,4 @@
-//! What the control thread goes on doing while a planned stop waits for the others.
+//! Work that the control thread continues while a planned stop waits for the other registries.
 
 use super::*;
 use crate::apply::apply;
@@ -14,7 +14,7 @@
     NodeAddress { id, address: format!("10.0.0.{id}:1").into() }
 }
 
-/// One of three registries whose peers do not answer, so that it cannot leave the chain.
+/// Returns one of three registries whose peers do not answer, so that it cannot leave the chain.
 fn control(links: InboxSender<LinkOrder>) -> Control {
     let voters: Vec<NodeAddress> = (1..=3).map(node).collect();
     let view = View { number: 1, chain: vec![1, 2, 3].into(), voters: voters.into(), learner: 0, optimizer: 2 };
@@ -52,7 +52,7 @@
     let running = thread::spawn(move || kernel::local(control(links).run(post, messages)));
     let mut proposals = 0;
     let mut heartbeats = 0;
-    // The orders end with the process.
+    // The inbox closes when the control loop ends.
     while heartbeats < 5
         && let Some(order) = orders.next_blocking()
     {
@@ -64,6 +64,6 @@
             _ => {}
         }
     }
-    assert_eq!(heartbeats, 5, "it was silent once it had proposed to leave");
+    assert_eq!(heartbeats, 5, "the registry sent no heartbeats after it had proposed to leave");
     running.join().unwrap();
 }
--- a/crates/control/src/control_message.rs
+++ b/crates/control/src/control_message.rs
@@ -1,4 +1,4 @@
-//! What the control thread is sent by the others.
+//! Messages that other threads send to the control thread.
 
 use crate::api_calls::{ApiCall, ApiReply};
 use chain::DiskReport;
@@ -7,14 +7,14 @@
 
 /// A message to the control thread.
 pub enum ControlMessage {
-    /// A frame of another process, or a connection that came up or went down.
+    /// A frame from another process, or a connection that came up or went down.
     Link(LinkEvent),
     /// A write is synced, or the disk failed or recovered.
     Disk(DiskReport),
     /// An operator's call.
     Call { call: ApiCall, reply: oneshot::Sender<ApiReply> },
-    /// The seeds as the settings file has them now, or why it cannot be read.
+    /// The seeds as reread from the settings file, or the reason why the file cannot be read.
     Seeds(Result<Vec<String>, String>),
-    /// The process is to stop.
+    /// A request to stop the process.
     Stop,
 }
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -1,6 +1,6 @@
-//! A registry as one state machine over its chain member: it takes ticks, frames, finished writes
-//! and operators' calls, and returns frames, writes and replies. The service feeds it from real
-//! sockets and disks, the simulator from seeded ones.
+//! A registry as one state machine over its chain replica: it takes ticks, frames, finished writes and
+//! operators' calls, and returns frames, writes and replies. The service feeds it from real sockets and
+//! disks, the simulator from simulated ones driven by a seed.
 
 use crate::activation::{ActivationWait, PendingActivation};
 use crate::api_calls::{ApiCall, ApiReply};
@@ -16,15 +16,20 @@
 use std::time::Duration;
 use wire::{ChainMessage, LeaseMessage, NodeId, View};
 
+/// Timeouts and intervals of a core.
 #[derive(Clone, Debug)]
 pub struct CoreTiming {
+    /// Time after which a router's lease from the core counts as lapsed.
     pub lapse: Duration,
-    /// How long after it was asked for no proof can still hold.
+    /// Time after the request for a lease proof by which the proof has expired on every clock.
     pub proof_over: Duration,
-    /// How long after the core's last word no router can hold a lease by its peers' any more.
+    /// Time after the core's last proof by which no router can hold a lease proved by its peers.
     pub peers_over: Duration,
+    /// Time after which an operator's call is answered with an unknown outcome.
     pub call: Duration,
+    /// Interval of the chain's logical clock, which expires records.
     pub tick: Duration,
+    /// Time for which the members must stay the same before the quorum is renewed.
     pub calm: Duration,
 }
 
@@ -35,8 +40,9 @@
 }
 
 impl CoreTiming {
-    /// A router's lease lapses here a sixth later than it can have lapsed there. A proof is taken to be over a
-    /// fifteenth after it has run out, which allows for clocks that run apart by so much.
+    /// Returns the timing for leases that last for `hold`. The core lets a router's lease lapse a sixth of `hold`
+    /// after the router itself did. A proof counts as expired a fifteenth of `hold` after its end, which tolerates
+    /// clocks whose rates differ by that much.
     pub fn for_hold(hold: Duration) -> Self {
         CoreTiming {
             lapse: hold + hold / 6,
@@ -48,40 +54,61 @@
         }
     }
 
-    /// For routers that go by their peers' word for so long after the core's last.
+    /// Adapts the timing to routers that accept their peers' proofs for `peer_hold` after the core's last proof.
     pub fn with_peer_hold(self, peer_hold: Duration) -> Self {
         CoreTiming { peers_over: peer_hold + peer_hold / 15, ..self }
     }
 }
 
+/// An event that drives a core.
 #[derive(Debug)]
 pub enum CoreInput {
+    /// Time has passed.
     Tick,
+    /// A frame from another registry.
     Chain { from: NodeId, message: ChainMessage },
+    /// The write with this ticket is synced.
     Written { ticket: u64 },
+    /// A write failed.
     DiskError,
+    /// The disk works again and holds `stored`.
     DiskRecovered { stored: Box<Stored> },
+    /// A lease message from a router or from another registry.
     Router { from: NodeId, incarnation: u64, message: LeaseMessage },
+    /// A call of an operator.
     Call { request_id: u64, call: ApiCall },
+    /// A planned stop of this registry.
     Leave { within: Duration },
 }
 
+/// An action that a core requests, or an event that it reports.
 #[derive(Debug)]
 pub enum CoreOutput {
+    /// Send a frame to a registry.
     Registry { to: NodeId, message: ChainMessage },
+    /// Send a frame to every seed address.
     Seeds { message: ChainMessage },
+    /// Write and sync a batch.
     Write { ticket: u64, batch: Batch },
+    /// Send a lease message to a router or to another registry.
     Router { to: NodeId, message: LeaseMessage },
+    /// Answer an operator's call.
     Reply { request_id: u64, reply: ApiReply },
+    /// This replica adopted a view.
     ViewAdopted { view: View },
+    /// A seed reported a view while this registry is empty.
     ViewLearned { view: View },
+    /// A configuration epoch came into force.
     Activated { step: u64 },
+    /// A staged configuration epoch has waited for long.
     ActivationDelayed { step: u64, wait: ActivationWait, waited: Duration },
+    /// This replica caught up, by this number of log entries or, if none is given, by a snapshot.
     CaughtUp { missed_entries: Option<usize> },
+    /// A configuration change was refused as invalid.
     ChangeInvalid { fault: String },
 }
 
-/// The control plane's state machine: the coordinator of a chain replica and of what the tail does with it.
+/// The control plane's state machine: a chain replica and the duties of the chain's tail.
 pub struct Core {
     pub(crate) member: ChainReplica,
     pub(crate) timing: CoreTiming,
@@ -100,8 +127,8 @@
 }
 
 impl Core {
-    /// A core over a replica, whose proposals and rounds are numbered from `first_number` on, differently in each
-    /// incarnation.
+    /// Creates a core over a replica. Proposals and confirmation rounds are numbered from `first_number`, which must
+    /// differ between incarnations.
     pub fn new(member: ChainReplica, timing: CoreTiming, first_number: u64) -> Self {
         Core {
             member: member.numbering_rounds_from(first_number),
@@ -121,28 +148,33 @@
         }
     }
 
-    /// Proposes nothing that a program of this format could not read.
+    /// Limits proposals to commands that programs of this format can read.
     pub fn speaking(mut self, format: u16) -> Self {
         self.format = format;
         self
     }
 
+    /// Returns the chain replica.
     pub fn member(&self) -> &ChainReplica {
         &self.member
     }
 
+    /// Returns the committed state.
     pub fn state(&self) -> &State {
         self.member.committed_state()
     }
 
+    /// Whether a router is a member.
     pub fn has_member(&self, id: NodeId) -> bool {
         keys::incarnations(self.state()).contains_key(&id)
     }
 
+    /// Returns this registry's id.
     pub fn me(&self) -> NodeId {
         self.member.node().id
     }
 
+    /// Handles one input and returns the resulting outputs.
     pub fn step(&mut self, now: Duration, input: CoreInput) -> Vec<CoreOutput> {
         self.now = now;
         match input {
--- a/crates/control/src/deferred_calls.rs
+++ b/crates/control/src/deferred_calls.rs
@@ -1,5 +1,5 @@
-//! Calls that a registry judges by its own state: what it knows of the latest revision, and dry runs. They
-//! see only what is committed, and wait a little where this registry is behind the revision they build on.
+//! Calls that a registry answers from its own committed state: reads of the latest revision, and dry runs. They
+//! wait briefly if this registry has not committed the revision that they are based on.
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::apply_change;
@@ -10,12 +10,13 @@
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
-/// How long a call waits for the revision that it builds on to be committed here.
+/// Maximum time that a call waits until the revision it is based on is committed here.
 pub(crate) const MAX_DEFERRAL: Duration = Duration::from_millis(600);
 
 impl Core {
-    /// Answers the calls whose revision is committed here by now, and those that have waited for long: a
-    /// registry that is behind can't tell whether a change fits, and must refuse none.
+    /// Answers the calls whose revision is committed here, and those that have waited for too long. A dry run that
+    /// has waited too long is answered as not run: a registry that is behind can't tell whether the change is valid,
+    /// so it must not refuse it.
     pub(crate) fn answer_deferred_calls(&mut self) {
         if self.calls.deferred.is_empty() {
             return;
@@ -35,7 +36,7 @@
                     self.reply(waiting.request_id, reply);
                 }
                 _ if self.now > waiting.due => {
-                    self.busy(waiting.request_id, "this registry does not know that revision")
+                    self.busy(waiting.request_id, "this registry has not committed that revision yet")
                 }
                 call => self.calls.deferred.push(DeferredCall { call, ..waiting }),
             }
--- a/crates/control/src/duty_timers.rs
+++ b/crates/control/src/duty_timers.rs
@@ -1,19 +1,19 @@
-//! When the tail last did what it does of its own accord, and for how long its members have been the same.
+//! Timers of the tail's duties, and the time since which the members have been the same.
 
 use std::time::Duration;
 use wire::NodeId;
 
-/// The tail's duties are looked after this often.
+/// Minimum time between two checks of the tail's duties.
 const DUTIES_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The members, and since when they have been these.
+/// The members, and the time since which they have not changed.
 #[derive(Default)]
 struct StableMembers {
     members: Vec<NodeId>,
     since: Duration,
 }
 
-/// Timers of the duties.
+/// Timers of the tail's duties.
 #[derive(Default)]
 pub struct DutyTimers {
     ticked_at: Duration,
@@ -22,7 +22,7 @@
 }
 
 impl DutyTimers {
-    /// Whether the duties are due; if so, they are taken to be done.
+    /// Whether a check of the duties is due; if so, records it as done.
     pub fn take_due(&mut self, now: Duration) -> bool {
         let is_due = now >= self.checked_at + DUTIES_INTERVAL;
         if is_due {
@@ -31,7 +31,7 @@
         is_due
     }
 
-    /// Whether a tick of the chain's clock is due; if so, it is taken to be done.
+    /// Whether a tick of the chain's clock is due; if so, records it as done.
     pub fn take_tick(&mut self, now: Duration, interval: Duration) -> bool {
         let is_due = now >= self.ticked_at + interval;
         if is_due {
@@ -40,7 +40,7 @@
         is_due
     }
 
-    /// Since when the members have been these; none if they have just changed.
+    /// Returns the time since which the members have not changed, or none if they have just changed.
     pub fn members_since(&mut self, members: &[NodeId], now: Duration) -> Option<Duration> {
         if self.stable.members != members {
             self.stable = StableMembers { members: members.to_vec(), since: now };
--- a/crates/control/src/errors.rs
+++ b/crates/control/src/errors.rs
@@ -1,4 +1,4 @@
-//! What may keep a registry from running.
+//! Errors that prevent a registry from running.
 
 use chain::StoreError;
 use derive_more::{Display, Error, From};
@@ -7,20 +7,28 @@
 use std::io;
 use std::path::PathBuf;
 
+/// Reason why a registry could not start, or could not print its configuration.
 #[derive(Debug, Display, Error, From)]
 pub enum RunError {
+    /// A listener or a thread could not be started.
     #[from]
     Start(StartError),
+    /// The bearer tokens could not be read.
     #[from]
     Tokens(TokensError),
-    #[display("{}: there is no data file", path.display())]
+    /// The data file does not exist.
+    #[display("{}: the data file does not exist", path.display())]
     NoFile { path: PathBuf },
+    /// The data folder could not be created.
     #[display("data folder {}: {fault}", path.display())]
     Folder { path: PathBuf, fault: io::Error },
-    #[display("{}: {fault}; it is left as it is", path.display())]
+    /// The data file could not be opened.
+    #[display("cannot open {}: {fault}; the file is left unchanged", path.display())]
     Store { path: PathBuf, fault: StoreError },
-    #[display("the disk's thread: {_0}")]
+    /// The disk thread could not be started.
+    #[display("cannot start the disk thread: {_0}")]
     Disk(io::Error),
+    /// The configuration could not be printed.
     #[display("cannot print: {_0}")]
     Print(io::Error),
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,6 @@
-//! The control plane as a library: what the chain's entries mean (`apply`), the tail's duties and
-//! the answers to routers and operators (`Core`, a state machine), and the service around it:
-//! HTTP for operators, the optimizer on its own thread, links, disk.
+//! The control plane as a library: the effect of log entries on the replicated state (`apply`), the
+//! state machine that runs the tail's duties and answers routers and operators (`Core`), and the service
+//! around it: the operators' HTTP API, the optimizer on its own thread, links and disk.
 
 mod activation;
 mod api;
--- a/crates/control/src/link_routing.rs
+++ b/crates/control/src/link_routing.rs
@@ -1,4 +1,4 @@
-//! The registry's connections to other processes: frames on plans go to the optimizer's thread, all others to the
+//! The registry's connections to other processes. Plan frames go to the optimizer's thread, all other events to the
 //! control thread.
 
 use crate::control_message::ControlMessage;
@@ -10,6 +10,7 @@
 use std::rc::Rc;
 use wire::Message;
 
+/// Accepts and makes connections, and passes on their events.
 pub(crate) async fn run_links(names: Directory, me: LocalNode, listener: TcpListener, orders: Inbox<LinkOrder>) {
     let control = find::<ControlMessage>(&names, "control");
     let optimizer = find::<OptimizerMessage>(&names, "optimizer");
--- a/crates/control/src/membership_log.rs
+++ b/crates/control/src/membership_log.rs
@@ -1,6 +1,6 @@
-//! Who among the routers joined, is leaving or lapsed between one membership and the next, so that every
-//! registry's log tells it, whichever of them was the tail. What a registry finds at its first look
-//! is no change; before it has caught up with a first membership it has not looked.
+//! Routers that joined, are leaving or lapsed between two memberships. Every registry logs them, whichever was the
+//! tail. The first membership that a registry sees is not logged as a change, and a registry that has not caught up
+//! with any membership (number 0) has seen none.
 
 use crate::keys;
 use chain::State;
@@ -8,19 +8,25 @@
 use leases::{Member, Membership};
 use wire::NodeId;
 
+/// Change of a member router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberChange {
+    /// The router joined, or restarted with a new incarnation.
     Joined,
+    /// The router announced that it will stop.
     Leaving,
+    /// The router's lease ran out.
     Lapsed,
 }
 
+/// The last membership whose changes were reported.
 #[derive(Default)]
 pub struct MembershipLog {
     seen: Option<Membership>,
 }
 
 impl MembershipLog {
+    /// Returns the changes since the previous call.
     pub fn changes(&mut self, state: &State) -> Vec<(MemberChange, Member)> {
         let number = keys::number(state, keys::MEMBERSHIP);
         if self.seen.as_ref().is_some_and(|seen| seen.number == number) {
@@ -34,6 +40,7 @@
         seen.map(|seen| between(&seen, &membership)).unwrap_or_default()
     }
 
+    /// Logs the changes since the previous call.
     pub fn tell(&mut self, state: &State) {
         for (change, line) in self.changes(state) {
             let (id, zone, address) = (line.id, line.zone.as_str(), line.address.as_str());
@@ -58,7 +65,8 @@
     membership.members.iter().find(|line| line.id == id)
 }
 
-/// A router that left after it had said so is no lapse: that it leaves was told before.
+/// Returns the changes between two memberships. The removal of a router that was leaving is not a lapse: its
+/// departure was reported when it announced it.
 fn between(seen: &Membership, membership: &Membership) -> Vec<(MemberChange, Member)> {
     let gone = seen.members.iter().filter(|line| line.leaving == 0 && find(membership, line.id).is_none());
     let gone = gone.map(|line| (MemberChange::Lapsed, line.clone()));
--- a/crates/control/src/membership_updates.rs
+++ b/crates/control/src/membership_updates.rs
@@ -1,5 +1,5 @@
-//! The memberships routers were sent of late, so that one who has one of them is sent only what differs from
-//! it; whoever has none of them is sent the whole. A change goes out at once, those after it together.
+//! The memberships recently sent to routers. A router that has one of them is sent only the difference, any other
+//! router the complete membership. The first change is sent at once; changes shortly after it are sent together.
 
 use crate::keys;
 use chain::State;
@@ -8,19 +8,22 @@
 use std::time::Duration;
 use wire::{LeaseMessage, Packed};
 
+/// Minimum time between two memberships that are sent.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of memberships that are kept for differences.
 const MAX_RETAINED: usize = 16;
 
+/// Recently sent memberships.
 #[derive(Default)]
 pub struct MembershipUpdates {
     sent: VecDeque<Membership>,
     sent_at: Duration,
-    /// What differs in the newest from an earlier one, by the number of that.
+    /// Differences between the newest membership and earlier ones, by the earlier one's number.
     changes: BTreeMap<u64, Packed>,
 }
 
 impl MembershipUpdates {
-    /// The number to be sent at this moment, which may be behind the state's for a little.
+    /// Returns the number of the membership to send now, which may briefly lag behind the state's.
     pub fn newest(&mut self, now: Duration, state: &State) -> u64 {
         let number = keys::number(state, keys::MEMBERSHIP);
         let newest = self.sent.back().map_or(0, |membership| membership.number);
@@ -36,6 +39,7 @@
         number
     }
 
+    /// Returns the newest membership as a complete message, for formats without differences.
     pub fn newest_complete(&self) -> Option<LeaseMessage> {
         let membership = self.sent.back()?;
         Some(LeaseMessage::Membership {
@@ -44,6 +48,7 @@
         })
     }
 
+    /// Returns the difference between the newest membership and the one that a router has.
     pub fn change(&mut self, known: u64) -> Option<LeaseMessage> {
         let newest = self.sent.back()?;
         let earlier = self.sent.iter().find(|membership| membership.number == known);
--- a/crates/control/src/open_calls.rs
+++ b/crates/control/src/open_calls.rs
@@ -4,71 +4,71 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A call to be answered from this registry's state once that is new enough.
+/// A call that is answered from this registry's state once the state is new enough.
 pub struct DeferredCall {
-    /// The call's number.
+    /// The call's request id.
     pub request_id: u64,
-    /// The call.
+    /// The call itself.
     pub call: ApiCall,
-    /// When it is answered all the same, or refused.
+    /// When the call is answered even if the state is not new enough.
     pub due: Duration,
 }
 
-/// A change that is appended, and is answered once its epoch is in force.
+/// A committed change that is answered once its epoch is in force.
 pub struct AwaitedActivation {
-    /// The call's number.
+    /// The call's request id.
     pub request_id: u64,
     /// The operation's id.
     pub op: String,
-    /// The epoch it became.
+    /// The change's epoch.
     pub step: u64,
-    /// The revision it declared.
+    /// The change's revision.
     pub revision: u64,
-    /// When it is answered as unknown.
+    /// When the change is answered with an unknown outcome.
     pub due: Duration,
 }
 
-/// A read of the whole configuration from the tail, page by page and all of one epoch.
+/// A read of the whole configuration from the tail, in pages that all belong to one epoch.
 pub struct ConfigurationRead {
-    /// The number under which the newest page was requested; answers to earlier requests are not for it.
+    /// The request id of the newest page; answers to earlier requests are ignored.
     pub page_request_id: u64,
-    /// The tenant that is read, or none for all.
+    /// The tenant whose configuration is read, or empty for all.
     pub scope: String,
     /// The epoch of the pages so far.
     pub step: Option<u64>,
-    /// What has arrived.
+    /// The resources received so far.
     pub pairs: BTreeMap<String, Vec<u8>>,
     /// When the newest page was requested.
     pub requested_at: Duration,
-    /// When it is given up.
+    /// When the read is given up.
     pub due: Duration,
 }
 
-/// All of them.
+/// All open calls.
 #[derive(Default)]
 pub struct OpenCalls {
     /// Calls that wait for this registry to catch up.
     pub deferred: Vec<DeferredCall>,
     /// Changes that wait for their epoch.
     pub activations: Vec<AwaitedActivation>,
-    /// Reads by call.
+    /// Configuration reads by the number of their call.
     pub reads: BTreeMap<u64, ConfigurationRead>,
-    /// The newest epoch that is known here to be in force.
+    /// The newest epoch known to be in force.
     pub active_step: u64,
 }
 
 impl OpenCalls {
-    /// How many there are.
+    /// Returns the number of open calls.
     pub fn len(&self) -> usize {
         self.deferred.len() + self.activations.len() + self.reads.len()
     }
 
-    /// Takes out the changes that are in force with an epoch.
+    /// Removes and returns the changes that are in force once an epoch is.
     pub fn take_activated(&mut self, step: u64) -> Vec<AwaitedActivation> {
         self.activations.extract_if(.., |waiting| waiting.step <= step).collect()
     }
 
-    /// Takes out the changes that waited too long.
+    /// Removes and returns the changes that are past their deadline.
     pub fn take_overdue_activations(&mut self, now: Duration) -> Vec<AwaitedActivation> {
         self.activations.extract_if(.., |waiting| now > waiting.due).collect()
     }
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -1,6 +1,6 @@
-//! Operators' calls inside the core. A change is answered once its step is in force everywhere a
-//! hold lives; one whose outcome is not known in time is answered so, under its operation id.
-//! A read goes to the tail, in pieces, all of one step.
+//! Operators' calls in the core. A change is answered once its epoch is in force at every router that holds a lease;
+//! if its outcome is not known in time, the answer says so and names the operation id. A read of the configuration
+//! goes to the tail, in pages that all belong to one epoch.
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::apply_change;
@@ -12,11 +12,11 @@
 use std::collections::BTreeMap;
 use wire::{Command, CommandReply};
 
-/// The format that first knew declared revisions.
+/// First format with declared revisions.
 const DECLARES: u16 = 3;
-/// So many calls may be open at once.
+/// Maximum number of open calls and proposals.
 const MAX_OPEN_CALLS: usize = 4096;
-/// So much is logged of what is wrong with a change.
+/// Maximum length of the logged faults of a change.
 const MAX_FAULT_CHARS: usize = 500;
 
 impl Core {
@@ -24,13 +24,15 @@
         self.outs.push(CoreOutput::Reply { request_id, reply });
     }
 
+    /// Answers that the outcome of an operation is unknown.
     pub(crate) fn unknown(&mut self, request_id: u64, op: &str) {
         let detail = format!(
-            "the outcome is not known yet; ask for it at /v1/operations/{op}, or repeat the change under the same Operation-Id"
+            "the outcome is not known yet; look it up at /v1/operations/{op}, or repeat the change with the same Operation-Id"
         );
         self.reply(request_id, ApiReply::new(504, json!({"outcome": "unknown", "operation": op, "fault": detail})));
     }
 
+    /// Answers that a call was not run and may be repeated.
     pub(crate) fn busy(&mut self, request_id: u64, detail: &str) {
         let mut reply = ApiReply::new(503, json!({"outcome": "not-run", "fault": detail}));
         reply.retry_after = Some(1);
@@ -51,13 +53,13 @@
         }
     }
 
-    /// A call that is answered from the chain's state, or changes it.
+    /// Handles a call that reads or changes the chain's state.
     fn chain_call(&mut self, request_id: u64, call: ApiCall) {
         if self.proposals.len() + self.calls.len() >= MAX_OPEN_CALLS {
-            return self.busy(request_id, "too many calls at once");
+            return self.busy(request_id, "too many open calls");
         }
         if !self.member.is_in_chain() {
-            return self.busy(request_id, "this registry is not in the chain at present; ask another");
+            return self.busy(request_id, "this registry is not in the chain at present; try another one");
         }
         if call.builds_on().is_some() {
             self.calls.deferred.push(DeferredCall { request_id, call, due: self.now + MAX_DEFERRAL });
@@ -70,7 +72,7 @@
                 let command = match (self.format, revision) {
                     (..DECLARES, None) => Command::Change { op: name, base, any, full, scope, items },
                     (..DECLARES, Some(_)) => {
-                        let detail = "revisions are declared once every registry speaks the newest format";
+                        let detail = "revisions can be declared once the registries write format 3 or newer";
                         return self.busy(request_id, detail);
                     }
                     _ => {
--- a/crates/control/src/operator_dialect.rs
+++ b/crates/control/src/operator_dialect.rs
@@ -1,5 +1,5 @@
-//! How operators' pages in words other than the product's own are put beside it: a program hands in
-//! what makes them, and they ask the core through a handle that can be cloned.
+//! Extension point for an operators' API in another vocabulary than the built-in one: a program passes in a
+//! constructor for the additional pages, which call the core through a cloneable handle.
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::control_message::ControlMessage;
@@ -9,21 +9,25 @@
 use serde_json::{Value, json};
 use tokio::sync::{oneshot, watch};
 
-/// The statuses of changes that no sending again would make valid; 412 tells only that another came first.
+/// HTTP statuses of changes that stay invalid when repeated. 412 is not among them: it only means that another change
+/// came first.
 const INVALID: [u16; 4] = [400, 403, 409, 422];
 
+/// Constructor of the additional pages.
 pub type MakePages = Box<dyn FnOnce(Operators) -> Router + Send>;
 
-/// Further pages for operators and where they are served; by default there are none.
+/// Additional pages for operators, none by default, and how to reread the settings.
 #[derive(Default)]
 pub struct ControlDialect {
+    /// Makes the additional pages.
     pub pages: Option<MakePages>,
+    /// The address that serves the additional pages.
     pub pages_address: Option<String>,
-    /// Reads the settings again; without it they stay as they were at the start.
+    /// Rereads the settings; without it they stay as they were at the start.
     pub reread: Option<config::Reread<RegistrySettings>>,
 }
 
-/// What operators' pages ask of a registry.
+/// Handle through which operators' pages call a registry.
 #[derive(Clone)]
 pub struct Operators {
     pub(crate) control: InboxSender<ControlMessage>,
@@ -31,10 +35,12 @@
 }
 
 impl Operators {
+    /// Creates a handle from the control thread's inbox and the registry's published status.
     pub fn new(control: InboxSender<ControlMessage>, view: watch::Receiver<String>) -> Operators {
         Operators { control, view }
     }
 
+    /// Sends a call to the core and waits for the reply.
     pub async fn call(&self, call: ApiCall) -> ApiReply {
         let (reply, answered) = oneshot::channel();
         if self.control.send(ControlMessage::Call { call, reply }).is_err() {
@@ -45,8 +51,8 @@
         answered.await.unwrap_or_else(|_| ApiReply::new(504, json!({"outcome": "unknown", "fault": "stopping"})))
     }
 
-    /// Asks for a change. One that is refused as invalid is logged and counted, since whoever sent it may be a
-    /// program that drops the answer.
+    /// Requests a change. A change that is refused as invalid is logged and counted, since its sender may be a program
+    /// that ignores the answer.
     pub async fn change(&self, change: ApiCall) -> ApiReply {
         let reply = self.call(change).await;
         if INVALID.contains(&reply.status) {
@@ -56,17 +62,17 @@
         reply
     }
 
-    /// Notes a change that the pages themselves refused. The fault must not tell an API key.
+    /// Logs and counts a change that a page itself refused. The fault must not contain an API key.
     pub async fn note_invalid(&self, fault: &str) {
         self.call(ApiCall::NoteInvalid { fault: fault.to_owned() }).await;
     }
 
-    /// This registry's view of the system as JSON, as it changes.
+    /// Returns this registry's status as JSON, updated as it changes.
     pub fn view(&self) -> watch::Receiver<String> {
         self.view.clone()
     }
 
-    /// Whether this registry is in the chain, and so can take changes.
+    /// Whether this registry is in the chain and so can accept changes.
     pub fn is_ready(&self) -> bool {
         let view: Value = serde_json::from_str(&self.view.borrow()).unwrap_or_default();
         view["role"].as_str().is_some_and(|role| role != "out")
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -1,6 +1,7 @@
-//! The optimizer's thread, which no heartbeat waits for. Every registry keeps the samples, so that a
-//! moved duty has history. What a configuration means is read here too, as it takes long where it is large:
-//! the route table for plans, and the kinds as they are shown, with what is tuned beside what was declared.
+//! The optimizer's thread, separate so that heartbeats never wait for it. Every registry keeps the samples, so that
+//! the next host of the optimizer has their history. Parsing the configuration also happens here, since it takes long
+//! if the configuration is large: the route table for plans, and the published resources, in which tuned values stand
+//! beside the declared ones.
 
 use crate::planner::Planner;
 use bindings::RouteTable;
@@ -15,23 +16,37 @@
 use tokio::sync::watch;
 use wire::{Message, NodeId, PlanMessage, View};
 
+/// A message to the optimizer's thread.
 pub enum OptimizerMessage {
+    /// A frame about samples, plans or tuning.
     Frame { from: NodeId, message: PlanMessage },
+    /// Another configuration came into force.
     Active { step: u64, revision: u64, pairs: BTreeMap<String, Value> },
+    /// This replica adopted a view.
     ViewAdopted { view: View },
 }
 
+/// Settings and connections of the optimizer's thread.
 pub struct Host {
+    /// This registry.
     pub me: NodeId,
+    /// Maximum time for solving one headcount plan.
     pub solve: Duration,
+    /// Length of one step of samples and plans.
     pub step: Duration,
+    /// Maximum number of forecast fits per second.
     pub fits: f64,
+    /// Whether plans are made.
     pub plans: bool,
+    /// Whether weight sheets are tuned.
     pub tuning: bool,
+    /// The published resources.
     pub index: watch::Sender<ResourceIndex>,
+    /// Inbox of the links.
     pub links: InboxSender<LinkOrder>,
 }
 
+/// Runs the optimizer until its inbox is closed.
 pub fn run(host: Host, mut inbox: Inbox<OptimizerMessage>) {
     let begun = Instant::now();
     let mut planner = Planner::new(host.tuning, Optimizer::new(host.step, host.fits));
@@ -71,7 +86,7 @@
     }
 }
 
-/// Puts the kinds that are other than before, and those that are tuned, in their place on the index.
+/// Publishes the resources that differ from before, and those that are tuned, in the index.
 fn show(
     index: &watch::Sender<ResourceIndex>,
     (revision, pairs): &(u64, BTreeMap<String, Value>),
--- a/crates/control/src/packed_steps.rs
+++ b/crates/control/src/packed_steps.rs
@@ -1,6 +1,6 @@
-//! Steps packed for their way to routers: each is packed once, and its bytes are shared by all it goes to.
-//! A router is offered the first part of a step, and asks for the next when it has the one before, so that
-//! no more than a part is on its way to any.
+//! Epochs compressed for transfer to routers. Each epoch is compressed once, and all recipients share its bytes.
+//! A router is sent the first part of an epoch and requests each further part when it has the previous one, so that
+//! at most one part is in flight to any router.
 
 use crate::core::{Core, CoreOutput};
 use crate::keys;
@@ -8,10 +8,12 @@
 use std::collections::BTreeMap;
 use wire::{ConfigurationEpoch, LeaseMessage, NodeId, Packed};
 
-/// A thin link of 2 Mbit/s takes 64 ms for one; a proof may wait so long.
+/// Maximum size of a part. A slow link of 2 Mbit/s takes 64 ms to send one, and can delay a lease proof by as much.
 const MAX_PART_BYTES: usize = 16 * 1024;
+/// Maximum number of cached epochs.
 const MAX_PACKED_STEPS: usize = 8;
 
+/// Cache of compressed epochs, and of the active configuration as one epoch.
 #[derive(Default)]
 pub struct PackedSteps {
     steps: BTreeMap<u64, Packed>,
@@ -30,7 +32,7 @@
         self.steps.get(&number)
     }
 
-    /// The active configuration as one step that sets all there is.
+    /// Returns the active configuration as one epoch that sets all resources.
     fn full(&mut self, state: &State) -> (u64, &Packed) {
         let number = keys::number(state, keys::ACTIVE);
         if self.full.as_ref().is_none_or(|(packed, _)| *packed != number) {
@@ -45,10 +47,11 @@
             let packed = wire::pack(&wire::to_bytes(&step));
             return (number, &self.full.insert((number, packed)).1);
         }
-        let (number, packed) = self.full.as_ref().expect("it was packed above or before");
+        let (number, packed) = self.full.as_ref().expect("the active configuration is packed");
         (*number, packed)
     }
 
+    /// Returns the part at an offset of an epoch or, with `full`, of the active configuration.
     pub fn part(
         &mut self,
         state: &State,
@@ -61,7 +64,7 @@
             true => self.full(state),
             false => (number, self.step(state, number)?),
         };
-        // Begun under a step that is no longer active: from the start of the one that is.
+        // The transfer began with an epoch that is no longer active: restart with the active one.
         let offset = if full && number != found { 0 } else { offset };
         let bytes = packed.bytes.part(offset as usize, MAX_PART_BYTES);
         let (size, total) = (packed.size, packed.bytes.len() as u32);
@@ -71,6 +74,7 @@
 }
 
 impl Core {
+    /// Answers a router's request for a part.
     pub(crate) fn on_part_request(&mut self, from: NodeId, request_id: u64, full: bool, number: u64, offset: u32) {
         if !self.tail.is_held() {
             return self.not_tail(from);
--- a/crates/control/src/pending_proposals.rs
+++ b/crates/control/src/pending_proposals.rs
@@ -1,45 +1,45 @@
-//! Commands that were handed to the chain and whose outcome is not known yet.
+//! Commands that were proposed to the chain and whose outcome is not known yet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use wire::NodeId;
 
-/// What the tail proposes by itself. Of each, one proposal at a time is in flight.
+/// A command that the tail proposes on its own behalf. At most one proposal of each duty is in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Duty {
-    /// The chain's clock goes on.
+    /// Advance the chain's clock.
     Tick,
-    /// Epochs that all routers have staged come into force.
+    /// Activate the epochs that all routers have staged.
     Activate,
-    /// Another set of routers proves leases without the core.
+    /// Change the set of routers that prove leases without the core.
     Quorum,
-    /// A router joins.
+    /// Add a router.
     Join { id: NodeId, incarnation: u64 },
-    /// A router is about to stop.
+    /// Mark a router as about to stop.
     Leaving { id: NodeId, incarnation: u64 },
-    /// A router's lease ran out.
+    /// Remove a router whose lease ran out.
     Lapse { id: NodeId, incarnation: u64 },
 }
 
-/// On whose behalf a command was proposed.
+/// Originator of a proposed command.
 pub enum Origin {
-    /// A singleton role of the tail.
+    /// A duty of the tail.
     Duty(Duty),
-    /// A router, which is told the reply under its own number.
+    /// A router, which gets the reply under its own request id.
     Router { to: NodeId, request_id: u64 },
-    /// An operator's change. `may_be_appended`: it was proposed before, in an earlier view, and may be in the log.
+    /// An operator's change. With `may_be_appended` it was also proposed in an earlier view and may be in the log.
     Change { request_id: u64, op: String, body: Vec<u8>, may_be_appended: bool },
 }
 
 /// A proposal in flight.
 pub struct PendingProposal {
-    /// On whose behalf.
+    /// The originator.
     pub origin: Origin,
-    /// When its outcome is given up.
+    /// When waiting for the outcome ends.
     pub due: Duration,
 }
 
-/// Proposals in flight by number. Numbers are never used twice by one incarnation.
+/// Proposals in flight by number. An incarnation never reuses a number.
 pub struct PendingProposals {
     table: BTreeMap<u64, PendingProposal>,
     duties: BTreeSet<Duty>,
@@ -47,23 +47,23 @@
 }
 
 impl PendingProposals {
-    /// Numbers go on from this one.
+    /// Creates an empty table whose numbers start after `last_number`.
     pub fn new(last_number: u64) -> Self {
         PendingProposals { table: BTreeMap::new(), duties: BTreeSet::new(), last_number }
     }
 
-    /// The number of the next proposal or read.
+    /// Allocates the number of the next proposal or page request.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// How many are in flight.
+    /// Returns the number of proposals in flight.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Marks a duty as in flight; false if it is already.
+    /// Marks a duty as in flight; returns false if it already is.
     pub fn start_duty(&mut self, duty: Duty) -> bool {
         self.duties.insert(duty)
     }
@@ -75,7 +75,7 @@
         number
     }
 
-    /// Takes out a proposal whose outcome is known. A duty may be proposed again after it.
+    /// Removes a proposal and returns its origin. A duty may be proposed again afterwards.
     pub fn remove(&mut self, number: u64) -> Option<Origin> {
         let origin = self.table.remove(&number)?.origin;
         if let Origin::Duty(duty) = &origin {
@@ -84,12 +84,12 @@
         Some(origin)
     }
 
-    /// The proposals whose time is up.
+    /// Returns the numbers of the proposals that are past their deadline.
     pub fn overdue(&self, now: Duration) -> Vec<u64> {
         self.table.iter().filter(|(_, proposal)| now > proposal.due).map(|(number, _)| *number).collect()
     }
 
-    /// Forgets the duties in flight, and takes out operators' changes to be proposed again.
+    /// Drops the duties in flight, and removes and returns operators' changes so that they can be proposed again.
     pub fn take_after_view_change(&mut self) -> Vec<PendingProposal> {
         self.table.retain(|_, proposal| !matches!(proposal.origin, Origin::Duty(_)));
         self.duties.clear();
--- a/crates/control/src/periodic.rs
+++ b/crates/control/src/periodic.rs
@@ -1,15 +1,16 @@
-//! What a registry does of its own accord: at each tick, and after whatever it took in.
+//! Work that a registry does at each tick and after each input.
 
 use crate::core::{Core, CoreOutput};
 use crate::keys;
 use chain::Positions;
 use std::time::Duration;
 
-/// A registry that joins becomes the tail, and a new tail lets no step come into force for a while: one
-/// that is pending goes first, if it can at all.
+/// Maximum time for which a pending epoch defers the join of a registry. A joining registry becomes the tail, and a
+/// new tail cannot activate any epoch for a while, so a pending epoch goes first if it can.
 const JOIN_DEFERRAL: Duration = Duration::from_secs(1);
 
 impl Core {
+    /// Does the periodic work of a tick.
     pub(crate) fn tick(&mut self) {
         let now = self.now;
         self.expire_proposals();
@@ -21,7 +22,7 @@
         self.confirm_renewals();
     }
 
-    /// Follows what became synced and committed since: steps in force, the tail's role, pushes.
+    /// Reacts to newly synced and committed entries: activated epochs, the tail's role, pushes.
     pub(crate) fn after(&mut self) {
         let Positions { synced, committed, .. } = self.member.positions();
         let active = keys::number(self.state(), keys::ACTIVE);
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -1,7 +1,7 @@
-//! The optimizer's host as a state machine: it keeps every sample, answers an ask only while the view
-//! names this registry, with that view's number as the fence, and tunes the weight sheets by what owners
-//! measured. What is tuned is sent to whoever measures and to the other registries, under the same
-//! fence; a host that was named later goes on from there.
+//! The optimizer as a state machine. It keeps every sample. While the view names this registry as the optimizer's
+//! host, it answers plan requests, with the view's number as a fencing number, and tunes weight sheets by the
+//! measurements of the functions' owners. Tuned values are sent to those owners and to the other registries under
+//! the same fencing number, and a later host continues from them.
 
 use bindings::{Function, RouteTable};
 use scaler::{Measure, Optimizer, Sample, Tuned};
@@ -9,8 +9,10 @@
 use std::time::Duration;
 use wire::{Measurement, NodeId, PlanMessage, TunedParameters, View};
 
+/// Minimum time between two messages with tuned values to the same process.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
 
+/// Plans headcounts and tunes weight sheets.
 pub struct Planner {
     optimizer: Optimizer,
     functions: BTreeMap<String, Function>,
@@ -21,9 +23,13 @@
     in_force: Vec<TunedParameters>,
 }
 
+/// A message that the planner sends.
 pub struct Planned {
+    /// The recipient.
     pub to: NodeId,
+    /// The message.
     pub message: PlanMessage,
+    /// Reason why the plan is only a fallback.
     pub fault: Option<String>,
 }
 
@@ -34,27 +40,31 @@
 }
 
 impl Planner {
+    /// Creates a planner over an optimizer. `tunes` is whether weight sheets are tuned.
     pub fn new(tunes: bool, optimizer: Optimizer) -> Planner {
         let functions = BTreeMap::new();
         let (plans_sent_at, in_force) = (BTreeMap::new(), Vec::new());
         Planner { optimizer, functions, view: View::default(), tunes, plans_sent_at, fence: 0, in_force }
     }
 
+    /// Sets the view, which names the optimizer's host.
     pub fn viewed(&mut self, view: View) {
         self.view = view;
     }
 
+    /// Sets the functions to those of a route table, and drops the samples of all others.
     pub fn routes(&mut self, routes: &RouteTable) {
         self.functions = routes.functions().map(|function| (function.name.clone(), function.clone())).collect();
         let known = &self.functions;
         self.optimizer.keep_only(|name| known.contains_key(name));
     }
 
-    /// What is tuned at present, as far as this registry knows, and by which host's fence.
+    /// Returns the newest tuned values known to this registry, and their fencing number.
     pub fn in_force(&self) -> (u64, &[TunedParameters]) {
         (self.fence, &self.in_force)
     }
 
+    /// Handles a message and returns the messages to send.
     pub fn step(
         &mut self,
         now: Duration,
@@ -131,7 +141,7 @@
             .collect()
     }
 
-    /// Another host's word, unless a later one has been heard.
+    /// Adopts tuned values of another host, unless values with a higher fencing number are known.
     fn adopt(&mut self, fence: u64, lines: Vec<TunedParameters>) {
         if fence < self.fence {
             return;
--- a/crates/control/src/proposals.rs
+++ b/crates/control/src/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposing commands to the chain on behalf of duties, routers and operators, and what came of them.
+//! Proposals to the chain on behalf of duties, routers and operators, and the handling of their outcomes.
 
 use crate::core::{Core, CoreOutput};
 use crate::pending_proposals::{Duty, Origin, PendingProposal};
@@ -6,12 +6,13 @@
 use std::time::Duration;
 use wire::{Command, LeaseMessage, ProposalId};
 
-/// A duty may be proposed twice without harm; one that was lost on the way holds up the others no longer.
+/// Time after which a duty may be proposed again. Duties are idempotent, and a lost proposal must not block its duty
+/// for longer.
 const DUTY_TIMEOUT: Duration = Duration::from_millis(1500);
 
 impl Core {
-    /// What was on its way to the head of the view before may be lost with it. Duties are started anew, and a
-    /// change is proposed again: under its operation id it takes effect once.
+    /// Repeats the proposals that may have been lost with the previous view's head. Duties are dropped, to be started
+    /// again when due; changes are proposed again, which is safe because an operation id takes effect only once.
     pub(crate) fn propose_again(&mut self) {
         for mut proposal in self.proposals.take_after_view_change() {
             let Origin::Change { body, may_be_appended, .. } = &mut proposal.origin else { continue };
@@ -21,12 +22,14 @@
         }
     }
 
+    /// Proposes a duty unless it is already in flight.
     pub(crate) fn propose_duty(&mut self, duty: Duty, command: &Command) {
         if self.proposals.start_duty(duty) {
             self.propose_raw(Origin::Duty(duty), wire::to_bytes(command));
         }
     }
 
+    /// Proposes an encoded command.
     pub(crate) fn propose_raw(&mut self, origin: Origin, body: Vec<u8>) {
         let timeout = if matches!(origin, Origin::Duty(_)) { DUTY_TIMEOUT } else { self.timing.call };
         self.propose_pending(PendingProposal { origin, due: self.now + timeout }, body);
@@ -37,6 +40,7 @@
         self.chain(Input::Propose { op: ProposalId { origin: self.me(), number }, body });
     }
 
+    /// Passes the outcome of a proposal on to its originator.
     pub(crate) fn handle_proposal_done(&mut self, op: ProposalId, appended: bool, reply: Vec<u8>) {
         match self.proposals.remove(op.number) {
             Some(Origin::Router { to, request_id }) => {
@@ -50,7 +54,7 @@
         }
     }
 
-    /// Gives up proposals whose outcome did not come in time.
+    /// Gives up proposals that are past their deadline, and reports an unknown outcome to their originators.
     pub(crate) fn expire_proposals(&mut self) {
         for number in self.proposals.overdue(self.now) {
             match self.proposals.remove(number) {
--- a/crates/control/src/push_state.rs
+++ b/crates/control/src/push_state.rs
@@ -1,4 +1,4 @@
-//! What the tail remembers to send member routers only what they lack, and only as often as it helps.
+//! State of the tail's pushes, so that routers are sent only what they lack, and no more often than useful.
 
 use crate::keys;
 use crate::membership_updates::MembershipUpdates;
@@ -9,29 +9,30 @@
 use std::time::Duration;
 use wire::NodeId;
 
-/// Routers are sent what they lack at least this often.
+/// Maximum time between two pushes.
 const PUSH_INTERVAL: Duration = Duration::from_millis(40);
-/// Sessions are aligned with the members at least this often.
+/// Maximum time between two alignments of the sessions with the members.
 const ALIGN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Members by incarnation, as of a membership.
+/// Cached incarnations of the members, as of a membership.
 #[derive(Default)]
 struct KnownMembers {
     membership: u64,
     incarnations: Rc<BTreeMap<NodeId, u64>>,
 }
 
+/// The last alignment of the sessions with the members.
 struct Alignment {
     membership: u64,
     at: Duration,
 }
 
-/// State of the pushes.
+/// State of the pushes to member routers.
 #[derive(Default)]
 pub struct PushState {
-    /// Memberships that routers were sent lately.
+    /// Memberships recently sent to routers.
     pub membership_updates: MembershipUpdates,
-    /// Epochs as they are packed for routers.
+    /// Compressed epochs for transfer to routers.
     pub packed_steps: PackedSteps,
     members: KnownMembers,
     aligned: Option<Alignment>,
@@ -41,12 +42,12 @@
 }
 
 impl PushState {
-    /// A router reported something after which it may lack something else.
+    /// Requests a push, since a router reported progress and may lack the next item.
     pub fn make_due(&mut self) {
         self.is_due = true;
     }
 
-    /// Whether a push is due, which it is after each commit; if so, it is taken to be made.
+    /// Whether a push is due, as it is after each commit; if so, records it as done.
     pub fn take_due(&mut self, committed: u64, now: Duration) -> bool {
         let is_due = self.is_due || committed != self.pushed_commit || now >= self.pushed_at + PUSH_INTERVAL;
         if is_due {
@@ -57,7 +58,7 @@
         is_due
     }
 
-    /// The members by incarnation.
+    /// Returns the members' incarnations by id.
     pub fn members(&mut self, state: &State) -> Rc<BTreeMap<NodeId, u64>> {
         let membership = keys::number(state, keys::MEMBERSHIP);
         if self.members.membership != membership {
@@ -66,7 +67,7 @@
         self.members.incarnations.clone()
     }
 
-    /// Whether sessions are to be aligned with the members; if so, they are taken to be.
+    /// Whether the sessions must be aligned with the members; if so, records it as done.
     pub fn take_alignment(&mut self, state: &State, now: Duration) -> bool {
         let membership = keys::number(state, keys::MEMBERSHIP);
         let is_aligned = |known: &Alignment| known.membership == membership && now < known.at + ALIGN_INTERVAL;
@@ -77,7 +78,7 @@
         is_due
     }
 
-    /// Sessions were started anew.
+    /// Forces an alignment, since the sessions were reset.
     pub fn forget_alignment(&mut self) {
         self.aligned = None;
     }
--- a/crates/control/src/registry_metrics.rs
+++ b/crates/control/src/registry_metrics.rs
@@ -1,4 +1,4 @@
-//! A registry's metrics as OpenMetrics text, made from its status.
+//! A registry's metrics as OpenMetrics text, derived from its status.
 
 use prometheus_client::encoding::text;
 use prometheus_client::metrics::counter::Counter;
@@ -6,7 +6,7 @@
 use prometheus_client::registry::Registry;
 use serde_json::Value;
 
-/// Gauges, by name, help and where their value stands in the status.
+/// Gauges: name, help text and JSON pointer to the value in the status.
 const GAUGES: [(&str, &str, &str); 11] = [
     ("view_number", "Number of the chain's view", "/view/number"),
     ("entries_synced", "Newest log entry on this disk", "/positions/synced"),
@@ -21,22 +21,22 @@
     ("jobs", "Requests of routers that wait for a round", "/jobs"),
 ];
 
-/// Gauges that count the elements of a list in the status.
+/// Gauges that count the elements of a list in the status: name, help text and JSON pointer to the list.
 const COUNTS: [(&str, &str, &str); 2] = [
     ("members", "Member routers", "/members"),
     ("activation_waits_for_routers", "Routers that a staged configuration epoch waits for", "/pending/routers"),
 ];
 
-/// The messages that wait for the control thread, and those that were refused because too many did.
+/// Load of the control thread's inbox.
 #[derive(Clone, Copy, Debug)]
 pub struct InboxLoad {
-    /// Messages that wait.
+    /// Number of waiting messages.
     pub depth: usize,
-    /// Messages refused since the start.
+    /// Number of messages refused since the start because the inbox was full.
     pub refused: u64,
 }
 
-/// The metrics of one moment, read from a status page; what is missing there counts as zero.
+/// Renders the metrics of a status page. Values that the page lacks count as zero.
 pub fn metrics_text(status: &Value, inbox: InboxLoad) -> String {
     let mut registry = Registry::with_prefix("heronlink_registry");
     for (name, help, at) in GAUGES {
@@ -62,7 +62,7 @@
     let refused = "Messages refused because the control thread's inbox was full";
     add_counter(&mut registry, "inbox_refused", refused, inbox.refused);
     let mut page = String::new();
-    text::encode(&mut page, &registry).expect("a string takes all that is written to it");
+    text::encode(&mut page, &registry).expect("writing to a string succeeds");
     page
 }
 
--- a/crates/control/src/registry_metrics_tests.rs
+++ b/crates/control/src/registry_metrics_tests.rs
@@ -1,4 +1,4 @@
-//! The names under which operators' dashboards find a registry's figures.
+//! Names of a registry's metrics, which operators' dashboards rely on.
 
 use super::*;
 use serde_json::json;
--- a/crates/control/src/router_messages.rs
+++ b/crates/control/src/router_messages.rs
@@ -1,6 +1,6 @@
-//! The core's side of its talk with routers: holds and proofs, pieces of the configuration, commands
-//! entered and state read on a router's behalf. Whatever claims to be current waits for a round begun
-//! after it was asked; renewals that come close together share one.
+//! Handling of routers' messages: lease renewals, parts of the configuration, and proposals and reads of the state on
+//! a router's behalf. An answer that claims to be current waits for a confirmation round that began after the request
+//! came in; renewals that come close together share a round.
 
 use crate::core::{Core, CoreOutput};
 use crate::keys;
@@ -9,9 +9,11 @@
 use std::time::Duration;
 use wire::{LeaseMessage, List, NodeId};
 
+/// Maximum number of proposals in flight; further ones of routers are refused.
 const MAX_PENDING_PROPOSALS: usize = 8192;
 
 impl Core {
+    /// Handles a lease message.
     pub(crate) fn router(&mut self, from: NodeId, incarnation: u64, message: LeaseMessage) {
         match message {
             LeaseMessage::Renew { .. } if self.tail.is_held() && self.requests.has_renewal_capacity() => {
@@ -72,6 +74,7 @@
         }
     }
 
+    /// Answers a request that only the tail can serve with the registries' addresses.
     pub(crate) fn not_tail(&mut self, to: NodeId) {
         let view = self.member.view();
         let addresses: List<wire::Text> =
@@ -80,6 +83,7 @@
         self.outs.push(CoreOutput::Router { to, message });
     }
 
+    /// Answers the requests that waited for a confirmation round, and does the tail's duties.
     pub(crate) fn confirmed(&mut self, round: u64) {
         while let Some(RouterRequest { from, incarnation, message }) = self.requests.next_confirmed(round) {
             match message {
@@ -100,12 +104,14 @@
         self.duties_confirmed();
     }
 
+    /// Requests a confirmation round for the waiting renewals, if one is due.
     pub(crate) fn confirm_renewals(&mut self) {
         if self.requests.is_round_due(self.now) {
             self.request_round();
         }
     }
 
+    /// Sends a lease proof, and records it in the router's session.
     fn prove(&mut self, from: NodeId, incarnation: u64, request_id: u64, staged: u64, active: u64, membership: u64) {
         let now = self.now;
         let member = self.align().get(&from) == Some(&incarnation);
--- a/crates/control/src/router_pushes.rs
+++ b/crates/control/src/router_pushes.rs
@@ -1,5 +1,5 @@
-//! What the tail sends member routers of its own accord: the next step each has not staged, that a step
-//! is in force, the membership. Nothing is sent again while what was sent before may still be on its way.
+//! Messages that the tail sends to member routers unasked: the next epoch that a router has not staged, activations,
+//! and the membership. A message is sent again only when the previous copy can no longer be in flight.
 
 use crate::core::{Core, CoreOutput};
 use crate::keys;
@@ -9,14 +9,16 @@
 use std::time::Duration;
 use wire::{LeaseMessage, NodeId};
 
-/// A part or a membership may take so long over a thin link with others before it.
+/// Time after which a part or a membership is sent again. It may take this long over a slow link with other messages
+/// queued before it.
 const PUSH_RETRY_INTERVAL: Duration = Duration::from_millis(700);
+/// Time after which an activation is sent again.
 const ACTIVATION_RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// The first format with packed parts and differences of memberships.
+/// First format with compressed parts and membership differences.
 const PARTS: u16 = 4;
 
 impl Core {
-    /// The members by incarnation, with the sessions brought in line with them.
+    /// Aligns the sessions with the members, and returns the members' incarnations by id.
     pub(crate) fn align(&mut self) -> Rc<BTreeMap<NodeId, u64>> {
         let state = self.state().clone();
         let members = self.pushes.members(&state);
@@ -26,6 +28,7 @@
         members
     }
 
+    /// Sends each member router what it lacks.
     pub(crate) fn push(&mut self) {
         let now = self.now;
         let state = self.state().clone();
@@ -67,7 +70,8 @@
     }
 }
 
-/// The step to offer a router. One that is behind the active step takes the whole configuration itself.
+/// Returns the epoch to send to a router, if any. A router that is behind the active epoch fetches the whole
+/// configuration by itself.
 fn next_step(now: Duration, session: &Session, active: u64, latest: u64) -> Option<u64> {
     let next = session.staged + 1;
     let due = session.pushed < next || now >= session.pushed_at + PUSH_RETRY_INTERVAL;
--- a/crates/control/src/router_requests.rs
+++ b/crates/control/src/router_requests.rs
@@ -1,22 +1,22 @@
-//! Requests of routers that wait for a confirmation round started after they came: whatever claims to be current
-//! must be confirmed by a majority first. Renewals that come close together share a round.
+//! Routers' requests that wait for a confirmation round started after they arrived, since an answer that claims to be
+//! current must first be confirmed by a majority. Renewals that come close together share a round.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use wire::{LeaseMessage, NodeId};
 
-/// So many requests may wait for rounds, and so many renewals for their round to start.
+/// Maximum number of requests that wait for rounds, and of renewals that wait for their round to start.
 const MAX_WAITING: usize = 4096;
-/// Rounds for renewals start no sooner after one another.
+/// Minimum time between the starts of two rounds for renewals.
 const SHARED_ROUND_INTERVAL: Duration = Duration::from_millis(15);
 
-/// A request as it came.
+/// A request of a router.
 pub struct RouterRequest {
-    /// The router.
+    /// The router that sent the request.
     pub from: NodeId,
-    /// Its incarnation.
+    /// The router's incarnation.
     pub incarnation: u64,
-    /// What it requests.
+    /// The request's message.
     pub message: LeaseMessage,
 }
 
@@ -25,7 +25,7 @@
     request: RouterRequest,
 }
 
-/// Requests that wait.
+/// Requests that wait for confirmation rounds.
 #[derive(Default)]
 pub struct RouterRequests {
     renewals: Vec<RouterRequest>,
@@ -34,17 +34,17 @@
 }
 
 impl RouterRequests {
-    /// Whether a renewal can be taken.
+    /// Whether another renewal can be added.
     pub fn has_renewal_capacity(&self) -> bool {
         self.renewals.len() < MAX_WAITING
     }
 
-    /// Whether another request can be taken.
+    /// Whether another request can be added.
     pub fn has_capacity(&self) -> bool {
         self.awaiting.len() < MAX_WAITING
     }
 
-    /// How many wait for a round.
+    /// Returns the number of requests that wait for a round.
     pub fn len(&self) -> usize {
         self.awaiting.len()
     }
@@ -59,7 +59,7 @@
         !self.renewals.is_empty() && now >= self.round_requested_at + SHARED_ROUND_INTERVAL
     }
 
-    /// A round was requested: the renewals wait for it.
+    /// Records that a round was requested, which the renewals now wait for.
     pub fn record_round(&mut self, round: u64, now: Duration) {
         self.round_requested_at = now;
         let renewals = self.renewals.drain(..).map(|request| AwaitingRound { round, request });
@@ -71,7 +71,7 @@
         self.awaiting.push_back(AwaitingRound { round, request });
     }
 
-    /// The next request whose round is confirmed.
+    /// Removes and returns the next request whose round is confirmed.
     pub fn next_confirmed(&mut self, round: u64) -> Option<RouterRequest> {
         self.awaiting.pop_front_if(|awaiting| awaiting.round <= round).map(|awaiting| awaiting.request)
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,5 +1,5 @@
-//! A registry put together: disk, API and optimizer on threads of their own, the core and its links on
-//! the control thread. Services find each other's inboxes by name.
+//! Assembly of a registry: disk, API and optimizer run on separate threads, the core and its links on the control
+//! thread. Services find each other's inboxes by name.
 
 use crate::api::{self, Api};
 use crate::apply::apply;
@@ -29,11 +29,11 @@
 use tokio::sync::watch;
 use wire::{NodeAddress, NodeId};
 
-/// A full disk is tried again this often.
+/// Interval between attempts to open the data file on a full disk.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
-/// Incarnations are drawn with so many high bits clear, so that numbers of one fit in 64 bits.
+/// Number of high bits that are zero in an incarnation, so that the numbers derived from it fit in 64 bits.
 const INCARNATION_SHIFT: u32 = 8;
-/// Proposals and rounds are numbered from the incarnation, shifted by so many bits.
+/// Proposals and rounds are numbered from the incarnation shifted left by this many bits.
 const NUMBERS_SHIFT: u32 = 20;
 const CONTROL_INBOX: usize = 16_384;
 const OPTIMIZER_INBOX: usize = 8192;
@@ -47,7 +47,7 @@
     grace: Duration::from_secs(1),
 };
 
-/// What the registry holds on to before anything of it runs.
+/// The data file and identity of a registry, opened before anything else starts.
 struct Opened {
     file: PathBuf,
     store: Store,
@@ -55,18 +55,18 @@
     node: NodeAddress,
 }
 
-/// The sockets it listens at.
+/// Listening sockets of a registry.
 struct Listeners {
     peers: TcpListener,
     operators: TcpListener,
     pages: Option<TcpListener>,
 }
 
-/// Runs a registry until it is told to stop.
+/// Runs a registry until it is asked to stop.
 ///
 /// # Errors
 ///
-/// What keeps it from starting; once it runs it ends only when it is told to.
+/// Returns the reason why the registry cannot start. A running registry ends only on request.
 pub fn run(settings: RegistrySettings, dialect: ControlDialect) -> Result<(), RunError> {
     let incarnation = rand::random::<u64>() >> INCARNATION_SHIFT;
     let Opened { file, store, stored, node } = open(&settings)?;
@@ -127,7 +127,7 @@
                 control.send_waiting(ControlMessage::Seeds(seeds)).await;
             }));
         }
-        // On the same thread: between threads each frame costs a wake-up each way.
+        // On the control thread, since passing frames between threads costs a wake-up each way.
         tokio::task::spawn_local(run_links(directory, local_node, listeners.peers, links_inbox));
         work.run(control, control_inbox).await
     });
@@ -216,7 +216,7 @@
     Core::new(member, timing, incarnation << NUMBERS_SHIFT).speaking(settings.format)
 }
 
-/// A disk that is full at the start is waited for: it has room again sooner or later.
+/// Opens the data file. On a full disk it retries until there is space.
 fn open_when_possible(file: &Path, cluster: &str, newcomer: NodeAddress) -> Result<(Store, Stored), StoreError> {
     loop {
         match Store::open(file, cluster, newcomer.clone()) {
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -1,4 +1,4 @@
-//! A registry's view of the system as JSON, for status calls and for the live watch.
+//! A registry's status as JSON, for status calls and for the live stream.
 
 use crate::core::Core;
 use crate::keys;
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 impl Core {
-    /// What a planned stop of this registry waits for.
+    /// Returns what a planned stop of this registry waits for, and for how much longer.
     fn leaving_page(&self) -> Option<Value> {
         let deadline = self.member.departure_deadline()?;
         let remaining_ms = deadline.saturating_sub(self.now).as_millis() as u64;
@@ -14,6 +14,7 @@
         Some(json!({"waits_for": wait, "remaining_ms": remaining_ms}))
     }
 
+    /// Returns the status.
     pub fn status(&self) -> Value {
         let view = self.member.view();
         let Positions { last, synced, committed } = self.member.positions();
--- a/crates/control/src/tail_duties.rs
+++ b/crates/control/src/tail_duties.rs
@@ -1,6 +1,5 @@
-//! What the current tail does of its own accord, and only just after a majority has confirmed its
-//! view: lapse silent routers, activate steps that all have staged, renew the quorum of machines,
-//! and tick the chain's clock.
+//! Duties of the current tail, done only right after a majority has confirmed its view: remove silent routers,
+//! activate epochs that all routers have staged, renew the quorum of routers, and tick the chain's clock.
 
 use crate::core::Core;
 use crate::keys;
@@ -8,10 +7,12 @@
 use wire::Command;
 use wire::NodeId;
 
-/// In a fleet of more, a change of a few machines in the quorum can wait.
+/// Maximum size of a fleet in which every change of the quorum is urgent. In larger fleets, a change of a few routers
+/// can wait.
 const SMALL_FLEET: usize = 12;
 
 impl Core {
+    /// Requests the confirmation round that the duties need, if they are due.
     pub(crate) fn maybe_start_duties(&mut self) {
         if !self.tail.is_held() || !self.duties.take_due(self.now) {
             return;
@@ -19,6 +20,7 @@
         self.request_round();
     }
 
+    /// Requests a confirmation round, which the waiting renewals share, and returns its number.
     pub(crate) fn request_round(&mut self) -> u64 {
         let round = self.member.request_confirmation();
         self.requests.record_round(round, self.now);
@@ -26,6 +28,7 @@
         round
     }
 
+    /// Does the duties, since a majority has just confirmed this tail.
     pub(crate) fn duties_confirmed(&mut self) {
         if !self.tail.is_held() {
             return;
@@ -44,6 +47,7 @@
         }
     }
 
+    /// Proposes the members as the quorum once they have been the same for long enough.
     fn renew_quorum(&mut self, members: Vec<NodeId>) {
         let Some(since) = self.duties.members_since(&members, self.now) else { return };
         let active = keys::number(self.state(), keys::ACTIVE);
@@ -52,7 +56,7 @@
         if active != latest || members.is_empty() || quorum == members {
             return;
         }
-        // Each renewal has every router prove itself five times as often for a while.
+        // After each renewal, every router requests proofs five times as often for a while.
         let known = members.iter().filter(|id| quorum.contains(id)).count();
         let few = known * 4 >= members.len().max(quorum.len()) * 3 && members.len() > SMALL_FLEET;
         let calm = if few { self.timing.calm * 5 } else { self.timing.calm };
--- a/crates/control/src/tail_role.rs
+++ b/crates/control/src/tail_role.rs
@@ -1,37 +1,37 @@
-//! This registry's role as the tail: since when it has it, the run of views it belongs to, and until when leases
-//! that tails before it granted may still be valid.
+//! This registry's role as the tail: when it took the role, the run of views that it covers, and until when leases
+//! granted by earlier tails may be valid.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{NodeId, ProofAge};
 
-/// A run of views in which this registry is the tail without another in between. Its sessions stay valid for all
-/// of it: nobody else can have granted a lease meanwhile.
+/// A run of consecutive views in which this registry is the tail. Its sessions stay valid throughout the run, since no
+/// other registry can have granted a lease in between.
 pub struct Tenure {
-    /// The view with which the run began.
+    /// The first view of the run.
     pub first_view: u64,
     /// The newest view in which this registry was the tail and had caught up.
     pub last_view: u64,
-    /// When it became the tail and had caught up.
+    /// When this registry became the tail and had caught up.
     pub started_at: Duration,
-    /// No tail before granted a lease requested after this moment.
+    /// No earlier tail granted a lease that was requested after this time.
     pub earlier_leases_until: Duration,
 }
 
-/// What the tail of the view before reported when it adopted the view of this number.
+/// Report of the previous view's tail on the leases that it granted, sent when it adopted the new view.
 pub struct PredecessorLeases {
-    /// The view.
+    /// The new view's number.
     pub view: u64,
-    /// No tail before that one granted a lease requested after this moment.
+    /// No tail before the reporting one granted a lease that was requested after this time.
     pub earlier_until: Duration,
-    /// The leases it may have granted, by router.
+    /// The leases that the reporting tail may have granted, by router.
     pub granted: BTreeMap<NodeId, leases::GrantedLease>,
 }
 
-/// The role and what is known of tails before.
+/// The tail's role, and the report of its predecessor.
 #[derive(Default)]
 pub struct TailRole {
-    /// Since when this registry is the tail and has caught up; none while it is not.
+    /// When this registry became the tail and had caught up; none while it is not the tail.
     pub since: Option<Duration>,
     /// The run of views that the sessions belong to.
     pub tenure: Option<Tenure>,
@@ -44,12 +44,12 @@
         self.since.is_some()
     }
 
-    /// The role is lost, or about to be taken anew.
+    /// Ends the role, which this registry may get again later.
     pub fn lose(&mut self) {
         self.since = None;
     }
 
-    /// This registry is the tail of a view and has caught up; true if sessions must be started anew.
+    /// Records that this registry is the tail of a view and has caught up. Returns true if the sessions must be reset.
     pub fn hold(&mut self, first_view: u64, view: u64, now: Duration) -> bool {
         let mut is_new_run = false;
         if self.since.is_none() {
@@ -66,12 +66,12 @@
         is_new_run
     }
 
-    /// The run of views, if this registry was the tail of the view before this one.
+    /// Returns the run of views, if this registry was the tail of the view just before `view`.
     pub fn tenure_before(&self, view: u64) -> Option<&Tenure> {
         self.tenure.as_ref().filter(|tenure| self.since.is_some() && tenure.last_view + 1 == view)
     }
 
-    /// The tail of the view before reports which leases it granted.
+    /// Records which leases the tail of the previous view granted.
     pub fn record_report(&mut self, view: u64, earlier: Duration, ages: Vec<ProofAge>, now: Duration) {
         if self.predecessor.as_ref().is_some_and(|known| known.view >= view) {
             return;
@@ -84,7 +84,7 @@
         self.predecessor = Some(PredecessorLeases { view, earlier_until: now.saturating_sub(earlier), granted });
     }
 
-    /// What the tail just before this run reported, once.
+    /// Removes and returns the report of the tail just before this run.
     pub fn take_report(&mut self) -> Option<PredecessorLeases> {
         let first_view = self.tenure.as_ref()?.first_view;
         self.predecessor.take_if(|report| report.view <= first_view).filter(|report| report.view == first_view)
--- a/crates/control/src/tail_tenure.rs
+++ b/crates/control/src/tail_tenure.rs
@@ -1,4 +1,4 @@
-//! Taking over and handing over the tail's role: which leases may still be valid that other tails granted.
+//! Handover of the tail's role between registries: which leases granted by other tails may still be valid.
 
 use crate::core::{Core, CoreOutput};
 use leases::{Session, Sessions};
@@ -10,7 +10,7 @@
 }
 
 impl Core {
-    /// Keeps the sessions while the run of views goes on, and starts them anew with another.
+    /// Keeps the sessions while the run of views continues, and resets them when another run begins.
     pub(crate) fn follow_tenure(&mut self) {
         if !self.member.is_current_tail() {
             self.pending_activation = None;
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Reports to the tail of a view just adopted which leases may still be valid, if this registry was the tail
-    /// of the view before. From here on it grants none: no round is confirmed to it any more.
+    /// If this registry was the tail of the previous view, reports to the tail of the newly adopted view which leases
+    /// may still be valid. After that it grants no lease, since no confirmation round of its own succeeds any more.
     pub(crate) fn hand_over_leases(&mut self) {
         let (now, view) = (self.now, self.member.view().number);
         let Some(to) = self.member.view().tail().filter(|to| *to != self.me()) else { return };
@@ -41,6 +41,7 @@
         self.outs.push(CoreOutput::Router { to, message });
     }
 
+    /// Applies the report of the previous tail, if it has arrived.
     fn take_over_leases(&mut self) {
         let Some(report) = self.tail.take_report() else { return };
         let Some(tenure) = &mut self.tail.tenure else { return };
@@ -48,7 +49,7 @@
         tenure.earlier_leases_until = tenure.earlier_leases_until.min(report.earlier_until);
     }
 
-    /// Whether every lease granted by tails before this one has run out.
+    /// Whether every lease granted by earlier tails has expired.
     pub(crate) fn earlier_leases_are_over(&mut self) -> bool {
         self.take_over_leases();
         let reported = self.member.earlier_tails_answered_until();
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes by their entries: declared revisions, and what is remembered of an operation.
+//! Effects of change entries on the state: declared revisions, and remembered outcomes of operations.
 
 use chain::State;
 use control::{apply, number};
@@ -7,7 +7,7 @@
 fn propose(state: &mut State, command: &Command) -> CommandReply {
     let effect = apply(state, 1, &to_bytes(command));
     effect.changes.iter().for_each(|change| change.apply_to(state));
-    from_bytes(&effect.reply).expect("every entry has a receipt")
+    from_bytes(&effect.reply).expect("every entry has a reply")
 }
 
 fn plan(fixed: u32) -> Vec<ConfigurationItem> {
@@ -57,7 +57,7 @@
     let before = state.clone();
     assert_eq!(propose(&mut state, &early), taken);
     assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), CommandReply::Changed { step: 1, revision: 3 });
-    assert!(state == before, "asked again, nothing changes");
+    assert!(state == before, "a repeated change has no effect");
 }
 
 #[test]
@@ -70,10 +70,14 @@
     propose(&mut state, &declare("first", Some(0), 3, 2));
     let taken = propose(&mut state, &early);
     (201..=86_500).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
-    assert!(!state.contains_key("q/early"), "the refusal is forgotten by now");
+    assert!(!state.contains_key("q/early"), "the refusal has expired");
     assert_eq!(propose(&mut state, &early), taken);
     (86_501..=86_600).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
-    assert_eq!(refused(propose(&mut state, &early)), 412, "and the change a day after it was taken");
+    assert_eq!(
+        refused(propose(&mut state, &early)),
+        412,
+        "the accepted change has expired a day after it was accepted"
+    );
 }
 
 #[test]
@@ -89,12 +93,12 @@
     };
     assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412);
     assert_eq!(propose(&mut state, &entry("first", 0)), CommandReply::Changed { step: 1, revision: 1 });
-    assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412, "its refusal stands");
+    assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412, "the refusal is remembered");
     let again = declare("early", Some(1), 0, 1);
     assert_eq!(
         propose(&mut state, &again),
         CommandReply::Changed { step: 2, revision: 2 },
-        "but not for the new entry"
+        "an entry of the newer format is validated again"
     );
     assert_eq!(propose(&mut state, &declare("first", Some(0), 0, 1)), CommandReply::Changed { step: 1, revision: 1 });
 }
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Registry cores wired to each other by hand, over disks that keep what was written and links that
-//! can be cut in either direction.
+//! Registry cores connected in memory, with disks that keep what was written and links that can be cut in either
+//! direction.
 
 #![allow(dead_code)]
 
@@ -22,7 +22,7 @@
     frame: Frame,
 }
 
-/// A reply of one registry to one call.
+/// A registry's reply to a call.
 #[derive(Clone, Debug)]
 pub struct Answered {
     pub at: NodeId,
@@ -47,12 +47,12 @@
 }
 
 impl Cluster {
-    /// Founds a cluster of so many registries, with ids from 1, and lets it settle.
+    /// Founds a cluster of `count` registries, with ids from 1, and waits until it is complete.
     pub fn founded(count: u64) -> Cluster {
         let mut cluster = Cluster { now: Duration::from_secs(1), ..Cluster::default() };
         (1..=count).for_each(|id| cluster.start_founding(id, count as usize));
         cluster.run(Duration::from_secs(6));
-        assert_eq!(cluster.chain().len(), count as usize, "the cluster is whole");
+        assert_eq!(cluster.chain().len(), count as usize, "all registries are in the chain");
         cluster
     }
 
@@ -68,7 +68,7 @@
         self.start_founding(id, 0);
     }
 
-    /// Ends a process; what it had written stays.
+    /// Kills a registry; its disk is kept.
     pub fn kill(&mut self, id: NodeId) {
         self.cores.remove(&id);
         self.frames.retain(|envelope| envelope.to != id);
@@ -88,7 +88,7 @@
         views.max_by_key(|view| view.number).map(|view| view.chain.as_slice().to_vec()).unwrap_or_default()
     }
 
-    /// Loses whatever is sent from one to the other.
+    /// Drops all frames from one registry to another.
     pub fn cut_one_way(&mut self, from: NodeId, to: NodeId) {
         self.cuts.insert((from, to));
     }
@@ -109,7 +109,7 @@
         self.answered.iter().find(|answered| answered.request_id == request_id).map(|answered| &answered.reply)
     }
 
-    /// Asks and goes on until the reply is there.
+    /// Sends a call and runs the cluster until the reply arrives.
     pub fn call_and_wait(&mut self, at: NodeId, call: ApiCall) -> ApiReply {
         let request_id = self.call(at, call);
         for _ in 0..2000 {
@@ -118,7 +118,7 @@
             }
             self.tick();
         }
-        panic!("no reply of {at} within twenty seconds");
+        panic!("no reply from {at} within twenty seconds");
     }
 
     pub fn run(&mut self, time: Duration) {
@@ -179,7 +179,7 @@
     }
 }
 
-/// A change of one headcount plan, under an operation id, on a revision.
+/// Returns a change of one headcount plan, with an operation id and a base revision.
 pub fn change(op: &str, base: u64) -> ApiCall {
     let fixed = op.bytes().fold(7u64, |sum, byte| (sum * 31 + u64::from(byte)) % 997);
     let value = format!(r#"{{"fixed":{fixed}}}"#).into_bytes();
@@ -195,6 +195,7 @@
     }
 }
 
+/// Returns a read of the whole configuration.
 pub fn fetch() -> ApiCall {
     ApiCall::Configuration { scope: String::new() }
 }
--- a/crates/control/tests/cut_off.rs
+++ b/crates/control/tests/cut_off.rs
@@ -1,5 +1,5 @@
-//! Operators' calls at a registry that is cut off from the others: what it answers has to hold
-//! everywhere, and everyone else goes on.
+//! Operators' calls at a registry that is cut off from the others: its answers must be valid for the whole cluster,
+//! and the other registries must continue to serve.
 
 mod cluster;
 
@@ -11,7 +11,7 @@
 
 const CUT: Duration = Duration::from_secs(20);
 
-/// Which links of the registry are cut.
+/// Direction in which a registry's links are cut.
 #[derive(Clone, Copy)]
 enum Cut {
     Both,
@@ -30,7 +30,8 @@
     }
 }
 
-/// Orders come to the cut off registry and to another all along; then each is sent again to all.
+/// Changes are sent to the isolated registry and to another one; after the cut, each accepted change is repeated at all
+/// registries.
 #[test_case(0, Cut::Both; "head, both ways")]
 #[test_case(1, Cut::Both; "middle, both ways")]
 #[test_case(2, Cut::Both; "tail, both ways")]
@@ -56,32 +57,32 @@
         let reply = cluster.call_and_wait(other, change(&op, revision));
         if reply.status == 200 {
             taken.push((op, revision));
-            revision = reply.revision.expect("an acknowledgement has its revision");
+            revision = reply.revision.expect("an acknowledgement has a revision");
         } else if reply.status == 412 {
-            // What the registry could still pass on came first.
-            let activation_sent: serde_json::Value =
-                serde_json::from_str(&reply.body).expect("a refusal has its reason");
-            revision =
-                activation_sent["faults"]["latest"].as_u64().expect("a stale change is told the latest revision");
+            // A change that the isolated registry could still forward was committed first.
+            let activation_sent: serde_json::Value = serde_json::from_str(&reply.body).expect("a refusal has a reason");
+            revision = activation_sent["faults"]["latest"]
+                .as_u64()
+                .expect("the refusal of a stale change names the latest revision");
         }
         cluster.run(Duration::from_secs(1));
     }
-    assert!(taken.len() >= 8, "the others acknowledged {} orders", taken.len());
+    assert!(taken.len() >= 8, "the others acknowledged {} changes", taken.len());
     for request_id in alone {
         let status = cluster.reply(request_id).map(|reply| reply.status);
-        assert!(status.is_none_or(|status| status >= 500), "alone it answered {status:?}");
+        assert!(status.is_none_or(|status| status >= 500), "the isolated registry answered {status:?}");
     }
     cluster.heal();
     cluster.run(Duration::from_secs(12));
     for id in cluster.ids() {
         for (op, base) in &taken {
-            assert_eq!(cluster.call_and_wait(id, change(op, *base)).status, 200, "{op} sent again to {id}");
+            assert_eq!(cluster.call_and_wait(id, change(op, *base)).status, 200, "{op} repeated at {id}");
         }
     }
-    assert_eq!(cluster.call_and_wait(lone, fetch()).revision, Some(revision), "sent again, none was applied again");
+    assert_eq!(cluster.call_and_wait(lone, fetch()).revision, Some(revision), "no repeated change was applied twice");
 }
 
-/// One link is lost, one way or both, while all else is whole: orders are acknowledged all along.
+/// One link is lost, in one or both directions, while all others work: changes must still be acknowledged.
 #[test_case(true; "both ways")]
 #[test_case(false; "one way")]
 fn a_lost_link_between_two_holds_up_no_orders(both: bool) {
@@ -104,7 +105,8 @@
         assert!(acknowledged >= 15, "{acknowledged} acknowledged with the link from {from} to {to} lost");
     }
 }
-/// What a head took in alone isn't decided, so no dry run may be refused because of it.
+
+/// Changes that only an isolated head has appended are not committed, so no dry run may be refused because of them.
 #[test]
 fn a_dry_run_is_judged_by_what_is_committed() {
     let mut cluster = Cluster::founded(3);
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -1,5 +1,5 @@
-//! The data file under hundreds of whole configurations: its size follows what is kept, not how much
-//! was ever written, and stays far below the 64 MB of a small machine's disk.
+//! Size of the data file under many complete configurations: it depends on what is kept, not on how much was ever
+//! written, and stays far below the 64 MB of a small machine's disk.
 
 use chain::{ChainReplica, Input, Output, Store, Timing};
 use control::apply;
@@ -23,7 +23,7 @@
     std::fs::metadata(path).map_or(0, |metadata| metadata.len())
 }
 
-/// A registry alone, with the real rules of the state and the real data file.
+/// A single registry with the real state machine and the real data file.
 struct Registry {
     member: ChainReplica,
     store: Store,
@@ -115,11 +115,14 @@
             println!("{number} changes: {} KB", file_bytes(&path) / 1024);
         }
     }
-    assert_eq!(control::number(registry.member.state(), "c/revision"), CHANGES, "all of them were taken");
+    assert_eq!(control::number(registry.member.state(), "c/revision"), CHANGES, "all changes were accepted");
     assert!(most < DISK_BYTES / 2, "the file grew to {most} bytes");
     let state = registry.member.state().clone();
     drop(registry);
     let again = Registry::open(&path);
-    assert!(again.member.state().ptr_eq(&state) || *again.member.state() == state, "what was kept is what was there");
+    assert!(
+        again.member.state().ptr_eq(&state) || *again.member.state() == state,
+        "the reopened state equals the last one"
+    );
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/control/tests/failover.rs
+++ b/crates/control/tests/failover.rs
@@ -1,5 +1,5 @@
-//! How long the next acknowledgement takes after a core machine is lost, by the simulated clock, and that
-//! nobody may serve by an older step once a newer one is acknowledged.
+//! Time until the next acknowledgement after a registry's machine is lost, by the simulated clock; and no router may
+//! serve by an older epoch once a newer one is acknowledged.
 
 mod fleet_net;
 
@@ -8,11 +8,11 @@
 use test_case::test_case;
 use wire::NodeId;
 
-/// A router that has staged the step may serve by the older one for so long after the acknowledgement.
+/// Time after an acknowledgement during which a router that has staged the new epoch may still serve by the older one.
 const GUARD_MILLIS: u64 = 200;
 const BOUND: Duration = Duration::from_secs(2);
 const NOBODY: [NodeId; 0] = [];
-/// Routers of the fleets have numbers from here.
+/// Id of the first router.
 const ROUTER: NodeId = 1000;
 
 fn place(fleet: &Fleet, which: &str) -> NodeId {
@@ -48,7 +48,7 @@
 ) {
     let mut fleet = Fleet::started(registries, routers);
     let quiet = fleet.acknowledged_after(survivor(&fleet), 1);
-    assert!(quiet < Duration::from_millis(500), "{quiet:?} with all machines there");
+    assert!(quiet < Duration::from_millis(500), "{quiet:?} with all machines running");
     fleet.pass(2500);
     let killed = place(&fleet, which);
     fleet.kill(killed);
@@ -61,9 +61,9 @@
     assert!(after < BOUND, "{after:?}");
 }
 
-#[test_case(100; "the joiner still copies")]
-#[test_case(900; "the joiner is the tail")]
-#[test_case(1800; "the joiner has been the tail for a while")]
+#[test_case(100; "the joining registry still copies the state")]
+#[test_case(900; "the joining registry is the tail")]
+#[test_case(1800; "the joining registry has been the tail for a while")]
 fn the_next_acknowledgement_comes_within_two_seconds_while_a_replacement_joins(wait: u64) {
     for which in ["head", "tail"] {
         let mut fleet = Fleet::started(3, 8);
@@ -73,7 +73,7 @@
         fleet.start_registry(killed);
         fleet.pass(wait);
         let after = fleet.acknowledged_after(survivor(&fleet), 2);
-        println!("{which} killed, asked {wait} ms after its replacement came: {after:?}");
+        println!("{which} killed, change sent {wait} ms after its replacement started: {after:?}");
         fleet.pass(GUARD_MILLIS);
         assert_eq!(fleet.serving_by_older(), NOBODY);
         assert!(after < BOUND, "{which}: {after:?}");
@@ -92,13 +92,16 @@
         let asked = survivor(&fleet);
         let after = fleet.acknowledged_after(asked, 2);
         println!("{which} killed {wait} ms after the router was cut off: {after:?}");
-        assert!(!fleet.serving_by_older().contains(&(ROUTER + 3)), "{which}, {wait} ms: at the acknowledgement");
+        assert!(
+            !fleet.serving_by_older().contains(&(ROUTER + 3)),
+            "{which}, {wait} ms: serving by an older epoch at the acknowledgement"
+        );
         fleet.pass(GUARD_MILLIS);
         assert_eq!(fleet.serving_by_older(), NOBODY, "{which}, {wait} ms");
     }
 }
 
-/// The router's last proof came from a tail that is cut off with it, so that no other member heard of it.
+/// The router's last proof came from a tail that is cut off together with it, so no other registry knows of that proof.
 #[test]
 fn a_router_cut_off_together_with_its_tail_serves_by_nothing_older_once_the_change_is_acknowledged() {
     let mut fleet = Fleet::started(3, 8);
@@ -113,7 +116,7 @@
     assert!(after < BOUND, "{after:?}");
 }
 
-/// Lets a replacement join and returns at the moment its view is adopted, with the replacement as the tail.
+/// Lets a replacement join, and returns its id as soon as its view, which makes it the tail, is adopted.
 fn replaced(fleet: &mut Fleet, which: &str) -> NodeId {
     let killed = place(fleet, which);
     fleet.kill_and_wipe(killed);
@@ -132,7 +135,7 @@
     let joined = replaced(&mut fleet, which);
     let asked = fleet.registries.keys().copied().find(|id| *id != joined).unwrap();
     let after = fleet.acknowledged_after(asked, 2);
-    println!("{which} replaced, asked as its replacement became the tail: {after:?}");
+    println!("{which} replaced, change sent when its replacement became the tail: {after:?}");
     fleet.pass(GUARD_MILLIS);
     assert_eq!(fleet.serving_by_older(), NOBODY);
     assert!(after < Duration::from_millis(500), "{after:?}");
@@ -153,7 +156,7 @@
             fleet.pass(1);
         }
         let after = fleet.acknowledged_after(asked, 2);
-        println!("a router cut off {wait} ms before the replacement came: {after:?}");
+        println!("router cut off {wait} ms before the replacement started: {after:?}");
         assert!(!fleet.serving_by_older().contains(&(ROUTER + 3)), "at the acknowledgement");
         assert!(after < BOUND, "{after:?}");
     }
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -1,5 +1,5 @@
-//! Registries and routers' followers on one simulated network and clock: the real `Core` and `Follower`
-//! with a fixed delay on each frame and each write, and machines that can be killed, cut off or added.
+//! Registries and routers on one simulated network and clock: the real `Core` and `Follower`, with a fixed delay for
+//! each frame and each write, and machines that can be killed, cut off or added.
 
 #![allow(dead_code)]
 
@@ -28,19 +28,19 @@
     pub now: Duration,
     pub registries: BTreeMap<NodeId, Core>,
     pub routers: BTreeMap<NodeId, Follower>,
-    /// Machines that run but whose frames reach nobody.
+    /// Machines that run, but exchange no frames with any other.
     pub cut: BTreeSet<NodeId>,
-    /// Machines that reach each other and nobody else.
+    /// Machines that exchange frames only with each other.
     pub island: BTreeSet<NodeId>,
     pub replies: BTreeMap<u64, (Duration, ApiReply)>,
-    /// Which voters an empty registry was told of.
+    /// Voters that were reported to an empty registry.
     reported_registries: BTreeMap<NodeId, Vec<NodeId>>,
     disks: BTreeMap<NodeId, Stored>,
     queue: BTreeMap<(Duration, u64), Event>,
     events: u64,
     asks: u64,
     losses: usize,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     hold: Duration,
 }
 
@@ -56,7 +56,7 @@
         fleet.pass(if registries > 3 { 12_000 } else { 3000 });
         (0..routers).for_each(|n| fleet.start_router(FIRST_ROUTER + n as NodeId));
         fleet.pass(8000);
-        assert_eq!(fleet.chain().len(), registries as usize, "the chain is whole");
+        assert_eq!(fleet.chain().len(), registries as usize, "all registries are in the chain");
         let members = fleet.routers.keys().filter(|id| fleet.head().has_member(**id)).count();
         assert_eq!(members, routers, "every router is a member");
         fleet
@@ -79,7 +79,7 @@
         self.at(Duration::from_micros(id % 20 * 1000), Event::RouterTick(id));
     }
 
-    /// Kills the program of a registry; its disk is kept.
+    /// Kills a registry or a router; a registry's disk is kept.
     pub fn kill(&mut self, id: NodeId) {
         self.registries.remove(&id);
         self.routers.remove(&id);
@@ -94,7 +94,7 @@
         self.disks.remove(&id);
     }
 
-    /// The chain of the newest view that any living registry has adopted.
+    /// Returns the chain of the newest view that any running registry has adopted.
     pub fn chain(&self) -> Vec<NodeId> {
         let views = self.registries.values().map(|core| core.member().view());
         views.max_by_key(|view| view.number).map(|view| view.chain.as_slice().to_vec()).unwrap_or_default()
@@ -104,7 +104,7 @@
         &self.registries[&self.chain()[0]]
     }
 
-    /// Sends a change to a registry and returns the number under which its reply will stand.
+    /// Sends a change to a registry and returns the request id of its reply.
     pub fn change(&mut self, registry: NodeId, value: u64) -> u64 {
         self.asks += 1;
         let request_id = self.asks;
@@ -116,7 +116,7 @@
         request_id
     }
 
-    /// Sends a change and returns how long its acknowledgement took.
+    /// Sends a change and returns the time until its acknowledgement.
     pub fn acknowledged_after(&mut self, registry: NodeId, value: u64) -> Duration {
         let asked = self.now;
         let request_id = self.change(registry, value);
@@ -128,7 +128,7 @@
         *at - asked
     }
 
-    /// Routers that may serve at this moment by an older step than the one in force at the core.
+    /// Returns the routers that may now serve by an older epoch than the one active at the registries.
     pub fn serving_by_older(&mut self) -> Vec<NodeId> {
         let now = self.now;
         let active = self.registries.values().map(|core| control::number(core.state(), "c/active"));
--- a/crates/control/tests/fuzz.rs
+++ b/crates/control/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Entries and configurations bent at random: applying them never panics, the same entry on the
-//! same state always does the same, and nothing invalid ever becomes the latest.
+//! Randomly corrupted entries and configurations: applying them never panics, the same entry on the same state always
+//! has the same effect, and no invalid configuration ever becomes the latest.
 
 use chain::State;
 use control::{apply, number};
@@ -79,7 +79,7 @@
             }
             let (one, two) = (apply(&state, round, &body), apply(&state, round, &body));
             assert!(one.changes == two.changes && one.reply == two.reply, "seed {seed} round {round}");
-            let reply = from_bytes::<CommandReply>(&one.reply).expect("every entry has a receipt");
+            let reply = from_bytes::<CommandReply>(&one.reply).expect("every entry has a reply");
             changed += u32::from(matches!(reply, CommandReply::Changed { .. }));
             one.changes.iter().for_each(|change| change.apply_to(&mut state));
             let latest = state.iter().filter_map(|(key, value)| Some((key.strip_prefix("l/")?, &value[..])));
@@ -87,6 +87,6 @@
             assert!(faults.is_empty(), "seed {seed} round {round}: {faults:?}");
             assert!(number(&state, "c/active") <= number(&state, "c/latest"));
         }
-        assert!(changed > 100, "seed {seed}: only {changed} changes were taken");
+        assert!(changed > 100, "seed {seed}: only {changed} changes were accepted");
     }
 }
--- a/crates/control/tests/key_table.rs
+++ b/crates/control/tests/key_table.rs
@@ -1,5 +1,5 @@
-//! A model of the key table: claims, releases, records and ticks at random, sent twice and out of order, with members
-//! that leave. Within its window a key is granted to one asker at most, unless that asker gave it back.
+//! Model test of the run-once keys: random claims, releases, recorded answers and ticks, duplicated and reordered, with
+//! members that lapse. Within its window a key is granted to at most one claimant, unless that claimant releases it.
 
 use chain::State;
 use control::apply;
@@ -14,7 +14,7 @@
 const WINDOW: u32 = 12;
 const ROUNDS: u64 = 4000;
 
-/// Who holds a key by the model, and what it was answered.
+/// Holder of a key in the model, and the recorded answer.
 struct Held {
     asker: (u64, u64),
     until: u64,
@@ -64,13 +64,20 @@
         let held = self.held.get(&key);
         match state {
             ClaimState::Granted => {
-                assert!(held.is_none_or(|held| held.asker == asker), "granted to two within its window");
+                assert!(
+                    held.is_none_or(|held| held.asker == asker),
+                    "a key was granted to two claimants within its window"
+                );
                 self.grants += 1;
                 let until = self.ticks + u64::from(WINDOW);
                 self.held.entry(key).or_insert(Held { asker, until, answer: None });
             }
             ClaimState::Answered => {
-                assert_eq!(held.and_then(|held| held.answer.as_deref()), Some(answer.as_slice()), "the first's answer");
+                assert_eq!(
+                    held.and_then(|held| held.answer.as_deref()),
+                    Some(answer.as_slice()),
+                    "the answer is the first one recorded"
+                );
             }
             ClaimState::Running | ClaimState::Unknown => {
                 assert!(held.is_some_and(|held| held.answer.is_none() && held.asker != asker));
@@ -110,8 +117,8 @@
 
     fn check(&self) {
         let kept = self.state.keys().filter(|key| key.starts_with("k/")).count();
-        assert_eq!(kept, self.held.len(), "what is kept is what is held");
-        assert_eq!(control::number(&self.state, "n/claims"), kept as u64, "and is counted");
+        assert_eq!(kept, self.held.len(), "the keys in the state are those of the model");
+        assert_eq!(control::number(&self.state, "n/claims"), kept as u64, "the number of keys is correct");
     }
 }
 
@@ -134,7 +141,7 @@
             let second = if dice.random_ratio(1, 3) { Step::Release } else { Step::Record };
             waiting.push((second, key, member, round));
             if dice.random_ratio(1, 4) {
-                let again = *waiting.last().expect("one waits");
+                let again = *waiting.last().expect("the list is not empty");
                 waiting.push(again);
             }
             waiting.shuffle(&mut dice);
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! What a registry tells its operator when an answer it waited for comes late, or for an earlier ask.
+//! Replies to operators when an answer that the registry waits for comes late, or belongs to an earlier request.
 
 mod cluster;
 
@@ -17,7 +17,7 @@
     View { number, chain: chain.to_vec().into(), voters: voters.into(), learner: 0, optimizer: chain[0] }
 }
 
-/// Registry 3 as it starts with a view on its disk.
+/// Returns registry 3 as started with a view on its disk.
 fn registry(chain: &[NodeId]) -> Core {
     let mut stored = Stored::default();
     stored.meta.view = view(1, chain);
@@ -54,25 +54,25 @@
 fn a_change_that_was_entered_before_a_view_change_is_never_called_not_run() {
     let now = Duration::from_millis(10);
     let mut core = registry(&[1, 2, 3]);
-    let (head, first) =
-        appended(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) })).expect("it is entered");
+    let (head, first) = appended(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) }))
+        .expect("the change is proposed");
     assert_eq!(head, 1);
     let decided = ChainMessage::Decided { view: view(2, &[2, 3]) };
-    let (head, second) =
-        appended(&core.step(now, CoreInput::Chain { from: 2, message: decided })).expect("entered again");
+    let (head, second) = appended(&core.step(now, CoreInput::Chain { from: 2, message: decided }))
+        .expect("the change is proposed again");
     assert_eq!(head, 2);
-    assert!(replied(&core.step(now, not_entered(1, first))).is_none(), "the earlier entry is waited for no longer");
+    assert!(replied(&core.step(now, not_entered(1, first))).is_none(), "the outcome of the first proposal is ignored");
     let outputs = core.step(now, not_entered(2, second));
-    let reply = replied(&outputs).expect("it is answered");
-    assert_eq!(reply.status, 504, "the first entry may have come into the log: {}", reply.body);
+    let reply = replied(&outputs).expect("the change is answered");
+    assert_eq!(reply.status, 504, "the first proposal may be in the log: {}", reply.body);
 }
 
 #[test]
 fn a_change_that_was_entered_once_and_turned_down_is_not_run() {
     let now = Duration::from_millis(10);
     let mut core = registry(&[1, 2, 3]);
-    let (_, op) =
-        appended(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) })).expect("it is entered");
+    let (_, op) = appended(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) }))
+        .expect("the change is proposed");
     let outputs = core.step(now, not_entered(1, op));
     assert_eq!(replied(&outputs).map(|reply| (reply.status, reply.retry_after)), Some((503, Some(1))));
 }
@@ -95,17 +95,17 @@
 fn a_read_that_was_started_anew_takes_no_late_page_of_its_first_try() {
     let mut now = Duration::from_millis(10);
     let mut core = registry(&[3, 2, 1]);
-    let first =
-        page_request_id(&core.step(now, CoreInput::Call { request_id: 1, call: fetch() })).expect("the tail is asked");
+    let first = page_request_id(&core.step(now, CoreInput::Call { request_id: 1, call: fetch() }))
+        .expect("the first page is requested");
     let second = page_request_id(&core.step(now, page(first, "function-bindings/t/a", "function-bindings/t/b")));
-    let second = second.expect("the next page is asked for");
+    let second = second.expect("the next page is requested");
     now += Duration::from_millis(450);
-    let again = page_request_id(&core.step(now, CoreInput::Tick)).expect("it is begun anew");
+    let again = page_request_id(&core.step(now, CoreInput::Tick)).expect("the read is restarted");
     let outputs = core.step(now, page(second, "function-bindings/t/b", ""));
-    assert!(replied(&outputs).is_none(), "the last page alone isn't the configuration");
-    let last =
-        page_request_id(&core.step(now, page(again, "function-bindings/t/a", "function-bindings/t/b"))).expect("asked");
+    assert!(replied(&outputs).is_none(), "the last page alone is not the whole configuration");
+    let last = page_request_id(&core.step(now, page(again, "function-bindings/t/a", "function-bindings/t/b")))
+        .expect("the next page is requested");
     let outputs = core.step(now, page(last, "function-bindings/t/b", ""));
-    let reply = replied(&outputs).expect("all pages are there");
+    let reply = replied(&outputs).expect("all pages have arrived");
     assert!(reply.status == 200 && reply.body.contains("\"t/a\"") && reply.body.contains("\"t/b\""), "{}", reply.body);
 }
--- a/crates/control/tests/membership_log.rs
+++ b/crates/control/tests/membership_log.rs
@@ -1,4 +1,4 @@
-//! What a registry's log tells of the routers that join, leave and lapse, membership by membership.
+//! Changes that a registry logs when routers join, leave and lapse.
 
 use chain::State;
 use control::{MemberChange, MembershipLog, apply};
@@ -23,7 +23,7 @@
     let (mut state, mut membership) = (State::new(), MembershipLog::default());
     assert_eq!(activation_sent(&mut membership, &state), []);
     propose(&mut state, &join(1, 1));
-    assert_eq!(activation_sent(&mut membership, &state), [], "what is found at the first look is no change");
+    assert_eq!(activation_sent(&mut membership, &state), [], "the first membership seen is not a change");
     propose(&mut state, &join(2, 1));
     assert_eq!(activation_sent(&mut membership, &state), [(MemberChange::Joined, 2)]);
     assert_eq!(activation_sent(&mut membership, &state), []);
@@ -31,14 +31,14 @@
     propose(&mut state, &Command::Lapse { id: 2, incarnation: 1 });
     assert_eq!(activation_sent(&mut membership, &state), [(MemberChange::Lapsed, 2), (MemberChange::Leaving, 1)]);
     propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
-    assert_eq!(activation_sent(&mut membership, &state), [], "that it leaves was told before");
+    assert_eq!(activation_sent(&mut membership, &state), [], "the departure was already reported");
 }
 
 #[test]
 fn a_router_started_again_is_reported_as_joined_and_its_old_lapse_as_nothing() {
     let (mut state, mut membership) = (State::new(), MembershipLog::default());
     propose(&mut state, &join(1, 1));
-    assert_eq!(activation_sent(&mut membership, &state), [], "what is found at the first look is no change");
+    assert_eq!(activation_sent(&mut membership, &state), [], "the first membership seen is not a change");
     propose(&mut state, &join(1, 2));
     assert_eq!(activation_sent(&mut membership, &state), [(MemberChange::Joined, 1)]);
     propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
--- a/crates/control/tests/recovery_timeline.rs
+++ b/crates/control/tests/recovery_timeline.rs
@@ -1,7 +1,7 @@
-//! What the next acknowledgement waits for after a core machine is lost, phase by phase, by the simulated clock.
+//! Phases until the next acknowledgement after a registry's machine is lost, by the simulated clock.
 //!
-//! `HERONLINK_KILLS=10 cargo test --release -p control --test recovery_timeline -- --nocapture` prints the table that
-//! stands in docs/measurements.md.
+//! `HERONLINK_KILLS=10 cargo test --release -p control --test recovery_timeline -- --nocapture` prints the table in
+//! docs/measurements.md.
 
 mod fleet_net;
 
@@ -10,29 +10,31 @@
 use test_case::test_case;
 use wire::NodeId;
 
-/// Kills of each place without the variable.
+/// Number of kills per position in the chain if `HERONLINK_KILLS` is not set.
 const DEFAULT_KILLS: u64 = 2;
-/// Kills come so much later after a calm time, each at another place in the heartbeats' interval.
+/// Additional delay of each further kill, so that kills fall at different points of the heartbeat interval.
 const OFFSET_MILLIS: u64 = 37;
 const BOUND: Duration = Duration::from_secs(2);
-/// The product's default, and what the users' deployments set.
+/// Default duration of a lease.
 const DEFAULT_HOLD: Duration = Duration::from_millis(1500);
+/// Duration of a lease in users' deployments.
 const PLATFORM_HOLD: Duration = Duration::from_secs(1);
 const PATIENCE_MILLIS: u64 = 9000;
-/// Routers of the fleets have numbers from here.
+/// Id of the first router.
 const FIRST_ROUTER: NodeId = 1000;
 
-/// How a core machine is lost.
+/// Way in which a registry is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loss {
+    /// The registry is killed.
     Killed,
-    /// With the router on the same machine.
+    /// The registry and the router on the same machine are killed.
     KilledWithRouter,
-    /// It runs, and nothing reaches it or leaves it.
+    /// The registry runs, but exchanges no frames.
     CutOff,
 }
 
-/// When each phase was over, counted from the loss.
+/// Time from the loss to the end of each phase.
 #[derive(Clone, Copy, Debug, Default)]
 struct Timeline {
     suspected: Duration,
--- a/crates/control/tests/resending.rs
+++ b/crates/control/tests/resending.rs
@@ -1,5 +1,5 @@
-//! Orders sent again after lost answers: to any registry, after newer changes, after restarts and cuts,
-//! while the first sending is still under way, eight at a time.
+//! Changes that are repeated after lost answers: at any registry, after newer changes, after restarts and network
+//! cuts, while the first attempt is still in progress, and eight at a time.
 
 mod cluster;
 
@@ -50,13 +50,14 @@
     for base in [0, 1, 63, 64, 200, 399] {
         for id in cluster.ids() {
             let reply = cluster.call_and_wait(id, change(&format!("order-{base}"), base));
-            assert_eq!((reply.status, reply.revision), (200, Some(base + 1)), "order {base} at {id}");
+            assert_eq!((reply.status, reply.revision), (200, Some(base + 1)), "change {base} at {id}");
         }
     }
     assert_eq!(cluster.call_and_wait(3, fetch()).revision, Some(400));
 }
 
-/// The order reaches the head's log and the next member's; then the head is lost before it is decided.
+/// The change reaches the logs of the head and of the next replica; then the head is cut off before the change is
+/// committed.
 #[test]
 fn an_order_that_outlives_the_head_that_took_it_is_applied_once() {
     for place in 0..3 {
@@ -69,7 +70,7 @@
         cluster.heal();
         cut_off(&mut cluster, chain[0]);
         let reply = cluster.call_and_wait(chain[1], change("order", 0));
-        assert_eq!((reply.status, reply.revision), (200, Some(1)), "asked at {place} first");
+        assert_eq!((reply.status, reply.revision), (200, Some(1)), "first sent to the registry at {place}");
         cluster.heal();
         cluster.run(Duration::from_secs(12));
         let status = cluster.reply(first).map(|reply| reply.status);
@@ -80,7 +81,8 @@
     }
 }
 
-/// Cut off for 20 s, restarted meanwhile, back for a moment and cut off again, with orders at it all along.
+/// A registry is cut off for 20 s, restarted meanwhile, connected briefly and cut off again, with changes sent to it
+/// throughout.
 #[test]
 fn a_registry_cut_off_again_as_it_comes_back_refuses_nothing_and_confirms_nothing_alone() {
     for place in 0..3 {
@@ -98,17 +100,17 @@
                 }
                 alone.push(cluster.call(lone, change(&format!("alone-{turn}-{second}"), revision)));
                 let reply = cluster.call_and_wait(other, change(&format!("order-{turn}-{second}"), revision));
-                assert!(reply.status == 200 || reply.status >= 500, "a proper order got {}", reply.status);
+                assert!(reply.status == 200 || reply.status >= 500, "a valid change got {}", reply.status);
                 revision = reply.revision.unwrap_or(revision);
                 cluster.run(Duration::from_millis(700));
             }
             for request_id in alone.drain(..) {
                 let status = cluster.reply(request_id).map(|reply| reply.status);
-                assert!(status.is_none_or(|status| status >= 500), "alone it answered {status:?}");
+                assert!(status.is_none_or(|status| status >= 500), "the isolated registry answered {status:?}");
             }
             cluster.heal();
             cluster.run(Duration::from_millis(300 + 900 * place as u64));
         }
-        assert!(revision >= 30, "{revision} of 40 orders were acknowledged");
+        assert!(revision >= 30, "{revision} of 40 changes were acknowledged");
     }
 }
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! Restarts of many machines at once, with a change under way.
+//! Simultaneous restarts of many machines while a change is in progress.
 
 mod fleet_net;
 
@@ -8,7 +8,7 @@
 
 const NOBODY: [NodeId; 0] = [];
 const FIRST_NEW_ROUTER: NodeId = 1100;
-/// What `FollowerTiming` and `CoreTiming` allow by default, with the margin for clocks that run apart.
+/// Default peer hold of `FollowerTiming`, and the same in `CoreTiming` with its margin for clock rate differences.
 const PEER_HOLD_SECONDS: u64 = 300;
 const PEERS_OVER_SECONDS: u64 = 320;
 
@@ -21,7 +21,8 @@
     (0..count).for_each(|n| fleet.start_router(FIRST_NEW_ROUTER + n));
 }
 
-/// Seconds until what is staged is in force, with no router that serves by an older step meanwhile.
+/// Waits until the staged epoch is in force, and returns the seconds it took. Meanwhile no router may serve by an older
+/// epoch than the active one.
 fn seconds_until_in_force(fleet: &mut Fleet) -> u64 {
     for seconds in 0..PEERS_OVER_SECONDS + 10 {
         let (active, latest) = steps(fleet);
@@ -45,10 +46,10 @@
     start_new_routers(&mut fleet, 6);
     fleet.pass(5000);
     let (active, latest) = steps(&fleet);
-    assert!(active < latest, "routers that are silent may only be cut off");
+    assert!(active < latest, "silent routers may be cut off and still serve");
     let seconds = seconds_until_in_force(&mut fleet);
     assert!((PEER_HOLD_SECONDS..PEERS_OVER_SECONDS).contains(&seconds), "{seconds} s");
-    assert!(fleet.acknowledged_after(1, 3) < Duration::from_secs(1), "the quorum is of routers that are there");
+    assert!(fleet.acknowledged_after(1, 3) < Duration::from_secs(1), "the quorum has only running routers");
 }
 
 #[test]
@@ -64,12 +65,15 @@
         let now = fleet.now;
         old.iter().filter(|id| fleet.routers.get_mut(id).unwrap().serves_until() > now).count()
     };
-    assert_eq!(serves(&mut fleet), old.len(), "a minute without the core is bridged by their peers' word");
+    assert_eq!(serves(&mut fleet), old.len(), "routers bridge a minute without the core by their peers' proofs");
     seconds_until_in_force(&mut fleet);
     assert_eq!(serves(&mut fleet), 0);
     fleet.isolate_together(&[]);
     fleet.pass(5000);
-    assert!(fleet.routers.values().all(|router| router.step_number() == steps(&fleet).0), "they are back");
+    assert!(
+        fleet.routers.values().all(|router| router.step_number() == steps(&fleet).0),
+        "all routers have the active epoch"
+    );
 }
 
 #[test]
--- a/crates/control/tests/settings_names.rs
+++ b/crates/control/tests/settings_names.rs
@@ -1,5 +1,5 @@
-//! The names and defaults of the settings, which operators' files rely on, as they were listed before any
-//! type or field of the code was renamed.
+//! Names and defaults of the settings, which operators' files rely on. The expected list was written before any type
+//! or field of the code was renamed.
 
 use config::Settings;
 use control::RegistrySettings;
