--- a/crates/control/src/activation.rs
+++ b/crates/control/src/activation.rs
@@ -73,8 +73,8 @@
 impl Core {
     /// Activates the epochs that all routers have staged, once no lease of an earlier tail can be valid.
     pub(crate) fn maybe_activate(&mut self) {
-        let active = keys::number(self.state(), keys::ACTIVE);
-        let latest = keys::number(self.state(), keys::LATEST);
+        let active = keys::read_number(self.state(), keys::ACTIVE);
+        let latest = keys::read_number(self.state(), keys::LATEST);
         let Some(bounds) = self.lease_bounds() else {
             return self.record_pending(active, latest, Some(ActivationWait::EarlierLeases));
         };
@@ -102,7 +102,7 @@
             return None;
         }
         let unknown_until = self.tail.tenure.as_ref()?.earlier_leases_until;
-        Some(LeaseBounds { by_core: self.timing.lapse, by_peers: self.timing.peers_over, unknown_until })
+        Some(LeaseBounds { by_core: self.timing.lease_lapse, by_peers: self.timing.peer_proof_expiry, unknown_until })
     }
 
     fn record_pending(&mut self, ready: u64, latest: u64, wait: Option<ActivationWait>) {
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -3,7 +3,7 @@
 
 use crate::api_calls::{ApiCall, ApiReply};
 use crate::api_views::{metrics, ready, status, watch_view};
-use crate::operator_dialect::Operators;
+use crate::operator_dialect::RegistryHandle;
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{DefaultBodyLimit, Path, State};
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub struct Api {
     /// Handle of the registry.
-    pub operators: Operators,
+    pub operators: RegistryHandle,
     /// Bearer tokens and their tenants.
     pub tokens: Tokens,
 }
--- a/crates/control/src/api_tests.rs
+++ b/crates/control/src/api_tests.rs
@@ -37,7 +37,7 @@
                 let _ = reply.send(ApiReply::new(status, json!({"faults": [{"path": "k/t/n", "fault": "odd"}]})));
             }
         });
-        let operators = Operators::new(post, watch::channel(String::new()).1);
+        let operators = RegistryHandle::new(post, watch::channel(String::new()).1);
         let api = Api { operators, tokens: Tokens::new(&["*=long-secret".to_owned()]) };
         let service = TowerToHyperService::new(router(api, 1000));
         *told.borrow_mut() = service.call(request).await.expect("an answer").status().as_u16();
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -33,7 +33,7 @@
     }
     /// Returns the number under a key, or 0 without one.
     pub fn number(&self, key: &str) -> u64 {
-        keys::number(self.state, key)
+        keys::read_number(self.state, key)
     }
     /// Schedules the removal of a record after a number of ticks.
     pub fn expire(&mut self, key: &str, ticks: u64) {
--- a/crates/control/src/configuration_reads.rs
+++ b/crates/control/src/configuration_reads.rs
@@ -32,7 +32,7 @@
 
     /// Requests the page of a read that starts at a key; an empty key restarts the read.
     pub(crate) fn read_on(&mut self, request_id: u64, from: String) {
-        let Some(tail) = self.member.view().chain.as_slice().last().copied() else { return };
+        let Some(tail) = self.replica.view().chain.as_slice().last().copied() else { return };
         let page_request_id = self.proposals.next_number();
         if let Some(read) = self.calls.reads.get_mut(&request_id) {
             read.requested_at = self.now;
@@ -82,7 +82,7 @@
     let pairs = keys::with_prefix(state, keys::ACTIVE_PAIRS)
         .map(|(key, value)| (key[keys::ACTIVE_PAIRS.len()..].to_owned(), value.to_vec()))
         .collect();
-    document(keys::number(state, keys::ACTIVE_REVISION), "", &pairs)
+    document(keys::read_number(state, keys::ACTIVE_REVISION), "", &pairs)
 }
 
 /// Renders the configuration of a tenant, or of all if `scope` is empty, as JSON by kind and name.
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -52,7 +52,7 @@
     /// Runs the loop until a planned stop is over.
     pub async fn run(mut self, post: InboxSender<ControlMessage>, mut inbox: Inbox<ControlMessage>) {
         let begun = Instant::now();
-        let view = self.core.member().view().clone();
+        let view = self.core.replica().view().clone();
         self.dial(&view);
         let _ = self.optimizer.send(OptimizerMessage::ViewAdopted { view });
         tokio::task::spawn_local(async move {
@@ -79,7 +79,7 @@
             if let Some(input) = input {
                 let outputs = self.core.step(begun.elapsed(), input);
                 self.execute(outputs);
-                self.membership.tell(self.core.state());
+                self.membership.log_changes(self.core.state());
             }
             self.show();
         }
@@ -89,7 +89,7 @@
     /// is in effect, or the deadline has passed.
     fn has_left(&self, departure: &mut Option<Departure>) -> bool {
         let Some(departure) = departure else { return false };
-        let Some(wait) = self.core.member().departure_wait() else { return true };
+        let Some(wait) = self.core.replica().departure_wait() else { return true };
         if departure.reported.replace(wait) != Some(wait) {
             event!(departure_waits, "for {}", wait.name());
         }
@@ -120,7 +120,7 @@
             ControlMessage::Seeds(Ok(seeds)) => {
                 event!(settings_applied, "seeds {}", seeds.join(","));
                 self.seeds = seeds;
-                let view = self.core.member().view().clone();
+                let view = self.core.replica().view().clone();
                 self.dial(&view);
                 None
             }
@@ -209,7 +209,7 @@
     /// is not sent.
     fn tell_active(&mut self, step: u64) {
         let (state, prefix) = (self.core.state(), keys::ACTIVE_PAIRS);
-        let revision = keys::number(state, keys::ACTIVE_REVISION);
+        let revision = keys::read_number(state, keys::ACTIVE_REVISION);
         if self.revision == Some(revision) {
             return;
         }
--- a/crates/control/src/control_loop_tests.rs
+++ b/crates/control/src/control_loop_tests.rs
@@ -25,10 +25,10 @@
     let (store, _) = Store::open(&file, "test", node(1)).unwrap();
     let reopen = move || Store::reopen(&file, "test", &node(1));
     let disk = Disk::start(store, reopen, |_| {}).unwrap();
-    let member = ChainReplica::new(node(1), stored, Timing::default(), apply, Duration::ZERO);
+    let replica = ChainReplica::new(node(1), stored, Timing::default(), apply, Duration::ZERO);
     let (optimizer, _) = inbox(INBOX);
     Control {
-        core: Core::new(member, CoreTiming::default(), 1),
+        core: Core::new(replica, CoreTiming::default(), 1),
         disk,
         links,
         optimizer,
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -20,17 +20,17 @@
 #[derive(Clone, Debug)]
 pub struct CoreTiming {
     /// Time after which a router's lease from the core counts as lapsed.
-    pub lapse: Duration,
+    pub lease_lapse: Duration,
     /// Time after the request for a lease proof by which the proof has expired on every clock.
-    pub proof_over: Duration,
+    pub proof_expiry: Duration,
     /// Time after the core's last proof by which no router can hold a lease proved by its peers.
-    pub peers_over: Duration,
+    pub peer_proof_expiry: Duration,
     /// Time after which an operator's call is answered with an unknown outcome.
-    pub call: Duration,
+    pub call_timeout: Duration,
     /// Interval of the chain's logical clock, which expires records.
-    pub tick: Duration,
+    pub tick_interval: Duration,
     /// Time for which the members must stay the same before the quorum is renewed.
-    pub calm: Duration,
+    pub quorum_stability: Duration,
 }
 
 impl Default for CoreTiming {
@@ -45,18 +45,18 @@
     /// clocks whose rates differ by that much.
     pub fn for_hold(hold: Duration) -> Self {
         CoreTiming {
-            lapse: hold + hold / 6,
-            proof_over: hold + hold / 15,
-            peers_over: DEFAULT_PEER_HOLD + DEFAULT_PEER_HOLD / 15,
-            call: Duration::from_secs(10),
-            tick: Duration::from_secs(1),
-            calm: Duration::from_secs(2),
+            lease_lapse: hold + hold / 6,
+            proof_expiry: hold + hold / 15,
+            peer_proof_expiry: DEFAULT_PEER_HOLD + DEFAULT_PEER_HOLD / 15,
+            call_timeout: Duration::from_secs(10),
+            tick_interval: Duration::from_secs(1),
+            quorum_stability: Duration::from_secs(2),
         }
     }
 
     /// Adapts the timing to routers that accept their peers' proofs for `peer_hold` after the core's last proof.
     pub fn with_peer_hold(self, peer_hold: Duration) -> Self {
-        CoreTiming { peers_over: peer_hold + peer_hold / 15, ..self }
+        CoreTiming { peer_proof_expiry: peer_hold + peer_hold / 15, ..self }
     }
 }
 
@@ -110,7 +110,7 @@
 
 /// The control plane's state machine: a chain replica and the duties of the chain's tail.
 pub struct Core {
-    pub(crate) member: ChainReplica,
+    pub(crate) replica: ChainReplica,
     pub(crate) timing: CoreTiming,
     pub(crate) format: u16,
     pub(crate) now: Duration,
@@ -129,9 +129,9 @@
 impl Core {
     /// Creates a core over a replica. Proposals and confirmation rounds are numbered from `first_number`, which must
     /// differ between incarnations.
-    pub fn new(member: ChainReplica, timing: CoreTiming, first_number: u64) -> Self {
+    pub fn new(replica: ChainReplica, timing: CoreTiming, first_number: u64) -> Self {
         Core {
-            member: member.numbering_rounds_from(first_number),
+            replica: replica.numbering_rounds_from(first_number),
             timing,
             format: wire::FORMAT,
             now: Duration::ZERO,
@@ -149,19 +149,19 @@
     }
 
     /// Limits proposals to commands that programs of this format can read.
-    pub fn speaking(mut self, format: u16) -> Self {
+    pub fn with_format(mut self, format: u16) -> Self {
         self.format = format;
         self
     }
 
     /// Returns the chain replica.
-    pub fn member(&self) -> &ChainReplica {
-        &self.member
+    pub fn replica(&self) -> &ChainReplica {
+        &self.replica
     }
 
     /// Returns the committed state.
     pub fn state(&self) -> &State {
-        self.member.committed_state()
+        self.replica.committed_state()
     }
 
     /// Whether a router is a member.
@@ -170,8 +170,8 @@
     }
 
     /// Returns this registry's id.
-    pub fn me(&self) -> NodeId {
-        self.member.node().id
+    pub fn id(&self) -> NodeId {
+        self.replica.node().id
     }
 
     /// Handles one input and returns the resulting outputs.
@@ -202,7 +202,7 @@
             }
             for out in batch {
                 match out {
-                    CoreOutput::Router { to, message } if to == self.me() => {
+                    CoreOutput::Router { to, message } if to == self.id() => {
                         self.router(to, 0, message);
                         self.after();
                     }
@@ -214,7 +214,7 @@
 
     pub(crate) fn chain(&mut self, input: Input) {
         let mut reviewed = false;
-        for output in self.member.step(self.now, input) {
+        for output in self.replica.step(self.now, input) {
             match output {
                 Output::Send { to, message } => self.outs.push(CoreOutput::Registry { to, message }),
                 Output::SendSeeds { message } => self.outs.push(CoreOutput::Seeds { message }),
--- a/crates/control/src/deferred_calls.rs
+++ b/crates/control/src/deferred_calls.rs
@@ -21,7 +21,7 @@
         if self.calls.deferred.is_empty() {
             return;
         }
-        let revision = keys::number(self.state(), keys::LATEST_REVISION);
+        let revision = keys::read_number(self.state(), keys::LATEST_REVISION);
         for waiting in std::mem::take(&mut self.calls.deferred) {
             let is_new_enough = waiting.call.builds_on().is_none_or(|needed| needed <= revision);
             match waiting.call {
@@ -50,7 +50,7 @@
             Some((key.clone(), serde_json::from_slice::<Value>(raw).ok()?))
         };
         let items: Map<String, Value> = keys.iter().filter_map(read).collect();
-        let revision = keys::number(state, keys::LATEST_REVISION);
+        let revision = keys::read_number(state, keys::LATEST_REVISION);
         let mut reply = ApiReply::new(200, json!({"revision": revision, "items": items}));
         reply.revision = Some(revision);
         reply
--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -35,7 +35,7 @@
 pub const REFUSED: &str = "q/";
 
 /// Returns the number under a key, or 0 if there is none.
-pub fn number(state: &State, key: &str) -> u64 {
+pub fn read_number(state: &State, key: &str) -> u64 {
     state.get(key).and_then(|value| value[..].try_into().ok()).map_or(0, u64::from_le_bytes)
 }
 
@@ -81,7 +81,7 @@
 
 /// Returns the membership.
 pub fn membership(state: &State) -> Membership {
-    Membership { number: number(state, MEMBERSHIP), members: members(state).into() }
+    Membership { number: read_number(state, MEMBERSHIP), members: members(state).into() }
 }
 
 /// Returns the pairs under a prefix as configuration items, without the prefix in their keys.
--- a/crates/control/src/membership_log.rs
+++ b/crates/control/src/membership_log.rs
@@ -27,8 +27,8 @@
 
 impl MembershipLog {
     /// Returns the changes since the previous call.
-    pub fn changes(&mut self, state: &State) -> Vec<(MemberChange, Member)> {
-        let number = keys::number(state, keys::MEMBERSHIP);
+    pub fn take_changes(&mut self, state: &State) -> Vec<(MemberChange, Member)> {
+        let number = keys::read_number(state, keys::MEMBERSHIP);
         if self.seen.as_ref().is_some_and(|seen| seen.number == number) {
             return Vec::new();
         }
@@ -41,8 +41,8 @@
     }
 
     /// Logs the changes since the previous call.
-    pub fn tell(&mut self, state: &State) {
-        for (change, line) in self.changes(state) {
+    pub fn log_changes(&mut self, state: &State) {
+        for (change, line) in self.take_changes(state) {
             let (id, zone, address) = (line.id, line.zone.as_str(), line.address.as_str());
             let (membership, count) =
                 self.seen.as_ref().map_or((0, 0), |seen| (seen.number, seen.members.iter().count()));
--- a/crates/control/src/membership_updates.rs
+++ b/crates/control/src/membership_updates.rs
@@ -25,7 +25,7 @@
 impl MembershipUpdates {
     /// Returns the number of the membership to send now, which may briefly lag behind the state's.
     pub fn newest(&mut self, now: Duration, state: &State) -> u64 {
-        let number = keys::number(state, keys::MEMBERSHIP);
+        let number = keys::read_number(state, keys::MEMBERSHIP);
         let newest = self.sent.back().map_or(0, |membership| membership.number);
         if number <= newest || (newest != 0 && now < self.sent_at + UPDATE_INTERVAL) {
             return newest;
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -58,7 +58,7 @@
         if self.proposals.len() + self.calls.len() >= MAX_OPEN_CALLS {
             return self.busy(request_id, "too many open calls");
         }
-        if !self.member.is_in_chain() {
+        if !self.replica.is_in_chain() {
             return self.busy(request_id, "this registry is not in the chain at present; try another one");
         }
         if call.builds_on().is_some() {
@@ -102,7 +102,7 @@
     }
 
     fn start_read(&mut self, request_id: u64, scope: String) {
-        let due = self.now + self.timing.call;
+        let due = self.now + self.timing.call_timeout;
         let (step, pairs) = (None, BTreeMap::new());
         let read = ConfigurationRead { page_request_id: 0, scope, step, pairs, requested_at: self.now, due };
         self.calls.reads.insert(request_id, read);
@@ -138,7 +138,7 @@
         }
         match wire::from_bytes::<CommandReply>(reply) {
             Some(CommandReply::Changed { step, revision }) => {
-                let due = self.now + self.timing.call;
+                let due = self.now + self.timing.call_timeout;
                 self.calls.activations.push(AwaitedActivation { request_id, op, step, revision, due });
                 self.activated(self.calls.active_step);
             }
--- a/crates/control/src/operator_dialect.rs
+++ b/crates/control/src/operator_dialect.rs
@@ -14,7 +14,7 @@
 const INVALID: [u16; 4] = [400, 403, 409, 422];
 
 /// Constructor of the additional pages.
-pub type MakePages = Box<dyn FnOnce(Operators) -> Router + Send>;
+pub type MakePages = Box<dyn FnOnce(RegistryHandle) -> Router + Send>;
 
 /// Additional pages for operators, none by default, and how to reread the settings.
 #[derive(Default)]
@@ -29,15 +29,15 @@
 
 /// Handle through which operators' pages call a registry.
 #[derive(Clone)]
-pub struct Operators {
+pub struct RegistryHandle {
     pub(crate) control: InboxSender<ControlMessage>,
     pub(crate) view: watch::Receiver<String>,
 }
 
-impl Operators {
+impl RegistryHandle {
     /// Creates a handle from the control thread's inbox and the registry's published status.
-    pub fn new(control: InboxSender<ControlMessage>, view: watch::Receiver<String>) -> Operators {
-        Operators { control, view }
+    pub fn new(control: InboxSender<ControlMessage>, view: watch::Receiver<String>) -> RegistryHandle {
+        RegistryHandle { control, view }
     }
 
     /// Sends a call to the core and waits for the reply.
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -54,9 +54,9 @@
     let mut active = (0, BTreeMap::new());
     while let Some(message) = inbox.next_blocking() {
         match message {
-            OptimizerMessage::ViewAdopted { view } => planner.viewed(view),
+            OptimizerMessage::ViewAdopted { view } => planner.set_view(view),
             OptimizerMessage::Active { step, revision, pairs } => {
-                planner.routes(&RouteTable::build(
+                planner.set_routes(&RouteTable::build(
                     step,
                     revision,
                     pairs.iter().map(|(key, raw)| (key.as_str(), &raw[..])),
--- a/crates/control/src/packed_steps.rs
+++ b/crates/control/src/packed_steps.rs
@@ -34,11 +34,11 @@
 
     /// Returns the active configuration as one epoch that sets all resources.
     fn full(&mut self, state: &State) -> (u64, &Packed) {
-        let number = keys::number(state, keys::ACTIVE);
+        let number = keys::read_number(state, keys::ACTIVE);
         if self.full.as_ref().is_none_or(|(packed, _)| *packed != number) {
             let step = ConfigurationEpoch {
                 number,
-                revision: keys::number(state, keys::ACTIVE_REVISION),
+                revision: keys::read_number(state, keys::ACTIVE_REVISION),
                 quorum: keys::quorum(state, number).into(),
                 items: keys::items(state, keys::ACTIVE_PAIRS).into(),
             };
--- a/crates/control/src/periodic.rs
+++ b/crates/control/src/periodic.rs
@@ -15,24 +15,24 @@
         let now = self.now;
         self.expire_proposals();
         self.tick_calls();
-        let pending = keys::number(self.state(), keys::LATEST) > keys::number(self.state(), keys::ACTIVE);
+        let pending = keys::read_number(self.state(), keys::LATEST) > keys::read_number(self.state(), keys::ACTIVE);
         let since = self.tail.since.unwrap_or(now);
-        self.member.defer_joins(pending && now < since + JOIN_DEFERRAL);
+        self.replica.defer_joins(pending && now < since + JOIN_DEFERRAL);
         self.maybe_start_duties();
         self.confirm_renewals();
     }
 
     /// Reacts to newly synced and committed entries: activated epochs, the tail's role, pushes.
     pub(crate) fn after(&mut self) {
-        let Positions { synced, committed, .. } = self.member.positions();
-        let active = keys::number(self.state(), keys::ACTIVE);
+        let Positions { synced, committed, .. } = self.replica.positions();
+        let active = keys::read_number(self.state(), keys::ACTIVE);
         if active > self.calls.active_step {
             self.calls.active_step = active;
             self.outs.push(CoreOutput::Activated { step: active });
             self.activated(active);
         }
         self.answer_deferred_calls();
-        let tail = self.member.is_current_tail();
+        let tail = self.replica.is_current_tail();
         self.follow_tenure();
         if tail && committed >= synced && self.pushes.take_due(committed, self.now) {
             self.push();
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -24,7 +24,7 @@
 }
 
 /// A message that the planner sends.
-pub struct Planned {
+pub struct PlannerOutput {
     /// The recipient.
     pub to: NodeId,
     /// The message.
@@ -48,12 +48,12 @@
     }
 
     /// Sets the view, which names the optimizer's host.
-    pub fn viewed(&mut self, view: View) {
+    pub fn set_view(&mut self, view: View) {
         self.view = view;
     }
 
     /// Sets the functions to those of a route table, and drops the samples of all others.
-    pub fn routes(&mut self, routes: &RouteTable) {
+    pub fn set_routes(&mut self, routes: &RouteTable) {
         self.functions = routes.functions().map(|function| (function.name.clone(), function.clone())).collect();
         let known = &self.functions;
         self.optimizer.keep_only(|name| known.contains_key(name));
@@ -72,7 +72,7 @@
         from: NodeId,
         message: PlanMessage,
         limit: Duration,
-    ) -> Vec<Planned> {
+    ) -> Vec<PlannerOutput> {
         match message {
             PlanMessage::Samples { lines } => {
                 for line in lines.iter().filter(|line| self.functions.contains_key(line.function.as_str())) {
@@ -98,7 +98,7 @@
                     desired: planned.desired.into(),
                 };
                 let fault = planned.fault.map(|fault| format!("{}: {fault}", function.name));
-                vec![Planned { to: from, message, fault }]
+                vec![PlannerOutput { to: from, message, fault }]
             }
             PlanMessage::Measures { lines } if self.view.optimizer == me => {
                 self.measured(now, me, from, lines.as_slice())
@@ -111,7 +111,7 @@
         }
     }
 
-    fn measured(&mut self, now: Duration, me: NodeId, from: NodeId, lines: &[Measurement]) -> Vec<Planned> {
+    fn measured(&mut self, now: Duration, me: NodeId, from: NodeId, lines: &[Measurement]) -> Vec<PlannerOutput> {
         for line in lines.iter().filter(|_| self.tunes) {
             let Some(function) = self.functions.get(line.function.as_str()) else { continue };
             let measure = Measure {
@@ -136,7 +136,7 @@
         due.into_iter()
             .map(|to| {
                 self.plans_sent_at.insert(to, now);
-                Planned { to, message: message.clone(), fault: None }
+                PlannerOutput { to, message: message.clone(), fault: None }
             })
             .collect()
     }
--- a/crates/control/src/proposals.rs
+++ b/crates/control/src/proposals.rs
@@ -31,13 +31,13 @@
 
     /// Proposes an encoded command.
     pub(crate) fn propose_raw(&mut self, origin: Origin, body: Vec<u8>) {
-        let timeout = if matches!(origin, Origin::Duty(_)) { DUTY_TIMEOUT } else { self.timing.call };
+        let timeout = if matches!(origin, Origin::Duty(_)) { DUTY_TIMEOUT } else { self.timing.call_timeout };
         self.propose_pending(PendingProposal { origin, due: self.now + timeout }, body);
     }
 
     fn propose_pending(&mut self, proposal: PendingProposal, body: Vec<u8>) {
         let number = self.proposals.add(proposal);
-        self.chain(Input::Propose { op: ProposalId { origin: self.me(), number }, body });
+        self.chain(Input::Propose { op: ProposalId { origin: self.id(), number }, body });
     }
 
     /// Passes the outcome of a proposal on to its originator.
--- a/crates/control/src/push_state.rs
+++ b/crates/control/src/push_state.rs
@@ -60,7 +60,7 @@
 
     /// Returns the members' incarnations by id.
     pub fn members(&mut self, state: &State) -> Rc<BTreeMap<NodeId, u64>> {
-        let membership = keys::number(state, keys::MEMBERSHIP);
+        let membership = keys::read_number(state, keys::MEMBERSHIP);
         if self.members.membership != membership {
             self.members = KnownMembers { membership, incarnations: Rc::new(keys::incarnations(state)) };
         }
@@ -69,7 +69,7 @@
 
     /// Whether the sessions must be aligned with the members; if so, records it as done.
     pub fn take_alignment(&mut self, state: &State, now: Duration) -> bool {
-        let membership = keys::number(state, keys::MEMBERSHIP);
+        let membership = keys::read_number(state, keys::MEMBERSHIP);
         let is_aligned = |known: &Alignment| known.membership == membership && now < known.at + ALIGN_INTERVAL;
         let is_due = !self.aligned.as_ref().is_some_and(is_aligned);
         if is_due {
--- a/crates/control/src/router_messages.rs
+++ b/crates/control/src/router_messages.rs
@@ -76,7 +76,7 @@
 
     /// Answers a request that only the tail can serve with the registries' addresses.
     pub(crate) fn not_tail(&mut self, to: NodeId) {
-        let view = self.member.view();
+        let view = self.replica.view();
         let addresses: List<wire::Text> =
             view.voters.iter().map(|node| node.address.clone()).collect::<Vec<_>>().into();
         let message = LeaseMessage::RegistryAddresses { addresses };
@@ -117,8 +117,8 @@
         let member = self.align().get(&from) == Some(&incarnation);
         let message = LeaseMessage::Proof {
             request_id,
-            active: keys::number(self.state(), keys::ACTIVE),
-            latest: keys::number(self.state(), keys::LATEST),
+            active: keys::read_number(self.state(), keys::ACTIVE),
+            latest: keys::read_number(self.state(), keys::LATEST),
             member: member as u8,
         };
         if member {
@@ -133,12 +133,12 @@
     }
 
     fn send_configuration_page(&mut self, to: NodeId, request_id: u64, start: &str) {
-        let active = keys::number(self.state(), keys::ACTIVE);
+        let active = keys::read_number(self.state(), keys::ACTIVE);
         let (items, next) = keys::page(self.state(), keys::ACTIVE_PAIRS, start, true);
         let message = LeaseMessage::ConfigurationPage {
             request_id,
             step: active,
-            revision: keys::number(self.state(), keys::ACTIVE_REVISION),
+            revision: keys::read_number(self.state(), keys::ACTIVE_REVISION),
             quorum: keys::quorum(self.state(), active).into(),
             items: items.into(),
             next: next.into(),
--- a/crates/control/src/router_pushes.rs
+++ b/crates/control/src/router_pushes.rs
@@ -23,7 +23,7 @@
         let state = self.state().clone();
         let members = self.pushes.members(&state);
         if self.pushes.take_alignment(&state, self.now) {
-            self.sessions.align(self.now, &members, self.timing.lapse.max(self.timing.peers_over));
+            self.sessions.align(self.now, &members, self.timing.lease_lapse.max(self.timing.peer_proof_expiry));
         }
         members
     }
@@ -32,8 +32,8 @@
     pub(crate) fn push(&mut self) {
         let now = self.now;
         let state = self.state().clone();
-        let active = keys::number(&state, keys::ACTIVE);
-        let latest = keys::number(&state, keys::LATEST);
+        let active = keys::read_number(&state, keys::ACTIVE);
+        let latest = keys::read_number(&state, keys::LATEST);
         self.align();
         let number = self.pushes.membership_updates.newest(now, &state);
         let mut outs = Vec::new();
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -10,7 +10,7 @@
 use crate::errors::RunError;
 use crate::link_routing::run_links;
 use crate::membership_log::MembershipLog;
-use crate::operator_dialect::{ControlDialect, MakePages, Operators};
+use crate::operator_dialect::{ControlDialect, MakePages, RegistryHandle};
 use crate::optimizer::{self, Host, OptimizerMessage};
 use crate::settings::RegistrySettings;
 use axum::Router;
@@ -92,7 +92,7 @@
     let (stop, stopping) = watch::channel(false);
     let (index, indexed) = watch::channel(ResourceIndex::new(incarnation));
 
-    let operators = Operators::new(control.clone(), shown);
+    let operators = RegistryHandle::new(control.clone(), shown);
     let (pages_listener, operators_listener) = (listeners.pages, listeners.operators);
     let dialect_pages = pages.zip(pages_listener);
     let servers = start_servers(&settings, operators, operators_listener, dialect_pages, indexed, &stopping)?;
@@ -152,7 +152,7 @@
 
 fn start_servers(
     settings: &RegistrySettings,
-    operators: Operators,
+    operators: RegistryHandle,
     listener: TcpListener,
     dialect: Option<(MakePages, TcpListener)>,
     index: watch::Receiver<ResourceIndex>,
@@ -208,12 +208,14 @@
 fn new_core(settings: &RegistrySettings, node: NodeAddress, stored: Stored, incarnation: u64) -> Core {
     let founds = settings.found && settings.seeds.contains(&settings.address);
     let founders = if founds { settings.seeds.len() } else { 0 };
-    let member = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO)
+    let replica = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO)
         .with_founders(founders)
         .tolerating_losses(settings.losses);
-    let timing =
-        CoreTiming { call: settings.call, ..CoreTiming::for_hold(settings.hold).with_peer_hold(settings.peer_hold) };
-    Core::new(member, timing, incarnation << NUMBERS_SHIFT).speaking(settings.format)
+    let timing = CoreTiming {
+        call_timeout: settings.call,
+        ..CoreTiming::for_hold(settings.hold).with_peer_hold(settings.peer_hold)
+    };
+    Core::new(replica, timing, incarnation << NUMBERS_SHIFT).with_format(settings.format)
 }
 
 /// Opens the data file. On a full disk it retries until there is space.
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -8,16 +8,16 @@
 impl Core {
     /// Returns what a planned stop of this registry waits for, and for how much longer.
     fn leaving_page(&self) -> Option<Value> {
-        let deadline = self.member.departure_deadline()?;
+        let deadline = self.replica.departure_deadline()?;
         let remaining_ms = deadline.saturating_sub(self.now).as_millis() as u64;
-        let wait = self.member.departure_wait().map(chain::DepartureWait::name);
+        let wait = self.replica.departure_wait().map(chain::DepartureWait::name);
         Some(json!({"waits_for": wait, "remaining_ms": remaining_ms}))
     }
 
     /// Returns the status.
     pub fn status(&self) -> Value {
-        let view = self.member.view();
-        let Positions { last, synced, committed } = self.member.positions();
+        let view = self.replica.view();
+        let Positions { last, synced, committed } = self.replica.positions();
         let state = self.state();
         let hex = |id: u64| format!("{id:016x}");
         let members: Vec<Value> = keys::members(state)
@@ -33,30 +33,30 @@
             .collect();
         json!({
             "program": "registry",
-            "id": hex(self.me()),
+            "id": hex(self.id()),
             "view": {
                 "number": view.number,
                 "chain": view.chain.iter().map(|id| hex(*id)).collect::<Vec<_>>(),
                 "voters": view.voters.iter().map(|s| json!({"id": hex(s.id), "address": s.address.as_str()})).collect::<Vec<_>>(),
                 "fresh": (view.learner != 0).then(|| hex(view.learner)),
                 "optimizer": hex(view.optimizer),
-                "suspects": self.member.suspects().into_iter().map(hex).collect::<Vec<_>>(),
+                "suspects": self.replica.suspects().into_iter().map(hex).collect::<Vec<_>>(),
             },
-            "role": if self.member.is_head() { "head" } else if self.member.is_tail() { "tail" }
-                else if self.member.is_in_chain() { "middle" } else { "out" },
+            "role": if self.replica.is_head() { "head" } else if self.replica.is_tail() { "tail" }
+                else if self.replica.is_in_chain() { "middle" } else { "out" },
             "current_tail": self.tail.is_held(),
             "positions": {"last": last, "synced": synced, "committed": committed},
             "revision": {
-                "active": keys::number(state, keys::ACTIVE_REVISION), "latest": keys::number(state, keys::LATEST_REVISION),
-                "active_step": keys::number(state, keys::ACTIVE), "latest_step": keys::number(state, keys::LATEST),
+                "active": keys::read_number(state, keys::ACTIVE_REVISION), "latest": keys::read_number(state, keys::LATEST_REVISION),
+                "active_step": keys::read_number(state, keys::ACTIVE), "latest_step": keys::read_number(state, keys::LATEST),
             },
             "leaving": self.leaving_page(),
             "pending": self.pending_activation.as_ref().map(|pending| pending.page(self.now)),
-            "roster": keys::number(state, keys::MEMBERSHIP),
-            "ticks": keys::number(state, keys::TICKS),
+            "roster": keys::read_number(state, keys::MEMBERSHIP),
+            "ticks": keys::read_number(state, keys::TICKS),
             "invalid_changes": self.invalid_changes,
-            "claims": keys::number(state, keys::CLAIMS),
-            "deferred": keys::number(state, keys::STORED),
+            "claims": keys::read_number(state, keys::CLAIMS),
+            "deferred": keys::read_number(state, keys::STORED),
             "members": members,
             "waits": self.proposals.len(), "jobs": self.requests.len(),
         })
--- a/crates/control/src/tail_duties.rs
+++ b/crates/control/src/tail_duties.rs
@@ -22,7 +22,7 @@
 
     /// Requests a confirmation round, which the waiting renewals share, and returns its number.
     pub(crate) fn request_round(&mut self) -> u64 {
-        let round = self.member.request_confirmation();
+        let round = self.replica.request_confirmation();
         self.requests.record_round(round, self.now);
         self.chain(chain::Input::Confirm);
         round
@@ -34,11 +34,11 @@
             return;
         }
         let members = self.align();
-        if self.duties.take_tick(self.now, self.timing.tick) {
-            let number = keys::number(self.state(), keys::TICKS) + 1;
+        if self.duties.take_tick(self.now, self.timing.tick_interval) {
+            let number = keys::read_number(self.state(), keys::TICKS) + 1;
             self.propose_duty(Duty::Tick, &Command::Tick { number });
         }
-        for (id, incarnation) in self.sessions.lapsed(self.now, self.timing.proof_over) {
+        for (id, incarnation) in self.sessions.lapsed(self.now, self.timing.proof_expiry) {
             self.propose_duty(Duty::Lapse { id, incarnation }, &Command::Lapse { id, incarnation });
         }
         self.maybe_activate();
@@ -50,8 +50,8 @@
     /// Proposes the members as the quorum once they have been the same for long enough.
     fn renew_quorum(&mut self, members: Vec<NodeId>) {
         let Some(since) = self.duties.members_since(&members, self.now) else { return };
-        let active = keys::number(self.state(), keys::ACTIVE);
-        let latest = keys::number(self.state(), keys::LATEST);
+        let active = keys::read_number(self.state(), keys::ACTIVE);
+        let latest = keys::read_number(self.state(), keys::LATEST);
         let quorum = keys::quorum(self.state(), active);
         if active != latest || members.is_empty() || quorum == members {
             return;
@@ -59,7 +59,7 @@
         // After each renewal, every router requests proofs five times as often for a while.
         let known = members.iter().filter(|id| quorum.contains(id)).count();
         let few = known * 4 >= members.len().max(quorum.len()) * 3 && members.len() > SMALL_FLEET;
-        let calm = if few { self.timing.calm * 5 } else { self.timing.calm };
+        let calm = if few { self.timing.quorum_stability * 5 } else { self.timing.quorum_stability };
         if self.now >= since + calm {
             self.propose_duty(Duty::Quorum, &Command::Quorum { after: latest, members: members.into() });
         }
--- a/crates/control/src/tail_tenure.rs
+++ b/crates/control/src/tail_tenure.rs
@@ -12,12 +12,12 @@
 impl Core {
     /// Keeps the sessions while the run of views continues, and resets them when another run begins.
     pub(crate) fn follow_tenure(&mut self) {
-        if !self.member.is_current_tail() {
+        if !self.replica.is_current_tail() {
             self.pending_activation = None;
             return self.tail.lose();
         }
-        let first_view = self.member.tenure().unwrap_or_default();
-        if self.tail.hold(first_view, self.member.view().number, self.now) {
+        let first_view = self.replica.tenure().unwrap_or_default();
+        if self.tail.hold(first_view, self.replica.view().number, self.now) {
             self.sessions = Sessions::default();
             self.pushes.forget_alignment();
         }
@@ -26,8 +26,8 @@
     /// If this registry was the tail of the previous view, reports to the tail of the newly adopted view which leases
     /// may still be valid. After that it grants no lease, since no confirmation round of its own succeeds any more.
     pub(crate) fn hand_over_leases(&mut self) {
-        let (now, view) = (self.now, self.member.view().number);
-        let Some(to) = self.member.view().tail().filter(|to| *to != self.me()) else { return };
+        let (now, view) = (self.now, self.replica.view().number);
+        let Some(to) = self.replica.view().tail().filter(|to| *to != self.id()) else { return };
         self.earlier_leases_are_over();
         let Some(tenure) = self.tail.tenure_before(view) else { return };
         let age_of = |(id, session): (&NodeId, &Session)| ProofAge {
@@ -52,12 +52,12 @@
     /// Whether every lease granted by earlier tails has expired.
     pub(crate) fn earlier_leases_are_over(&mut self) -> bool {
         self.take_over_leases();
-        let reported = self.member.earlier_tails_answered_until();
+        let reported = self.replica.earlier_tails_answered_until();
         let Some(tenure) = &mut self.tail.tenure else { return false };
         if let Some(until) = reported.filter(|until| *until < tenure.earlier_leases_until) {
             tenure.earlier_leases_until = until;
             self.sessions.bound_earlier_proofs(tenure.started_at, until);
         }
-        self.now >= tenure.earlier_leases_until + self.timing.proof_over
+        self.now >= tenure.earlier_leases_until + self.timing.proof_expiry
     }
 }
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -1,7 +1,7 @@
 //! Effects of change entries on the state: declared revisions, and remembered outcomes of operations.
 
 use chain::State;
-use control::{apply, number};
+use control::{apply, read_number};
 use wire::{Command, CommandReply, ConfigurationItem, from_bytes, to_bytes};
 
 fn propose(state: &mut State, command: &Command) -> CommandReply {
@@ -40,9 +40,9 @@
         assert_eq!(refused(propose(&mut state, &declare("low", None, declared, 2))), 422);
     }
     assert_eq!(refused(propose(&mut state, &declare("stale", Some(6), 2_000_000, 2))), 412);
-    assert_eq!(number(&state, "c/latest-revision"), 1_000_001);
+    assert_eq!(read_number(&state, "c/latest-revision"), 1_000_001);
     propose(&mut state, &Command::Activate { step: 4 });
-    assert_eq!(number(&state, "c/revision"), 1_000_001);
+    assert_eq!(read_number(&state, "c/revision"), 1_000_001);
 }
 
 #[test]
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -59,8 +59,8 @@
     fn start_founding(&mut self, id: NodeId, addresses: usize) {
         self.starts += 1;
         let stored = self.disks.entry(id).or_default().clone();
-        let member = ChainReplica::new(node(id), stored, Timing::default(), control::apply, self.now);
-        let core = Core::new(member.with_founders(addresses), CoreTiming::default(), self.starts << 20);
+        let replica = ChainReplica::new(node(id), stored, Timing::default(), control::apply, self.now);
+        let core = Core::new(replica.with_founders(addresses), CoreTiming::default(), self.starts << 20);
         self.cores.insert(id, core);
     }
 
@@ -84,7 +84,7 @@
 
     /// The chain of the newest view.
     pub fn chain(&self) -> Vec<NodeId> {
-        let views = self.cores.values().map(|core| core.member().view());
+        let views = self.cores.values().map(|core| core.replica().view());
         views.max_by_key(|view| view.number).map(|view| view.chain.as_slice().to_vec()).unwrap_or_default()
     }
 
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -115,7 +115,7 @@
             println!("{number} changes: {} KB", file_bytes(&path) / 1024);
         }
     }
-    assert_eq!(control::number(registry.member.state(), "c/revision"), CHANGES, "all changes were accepted");
+    assert_eq!(control::read_number(registry.member.state(), "c/revision"), CHANGES, "all changes were accepted");
     assert!(most < DISK_BYTES / 2, "the file grew to {most} bytes");
     let state = registry.member.state().clone();
     drop(registry);
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -66,9 +66,9 @@
         let stored = self.disks.entry(id).or_default().clone();
         let node = NodeAddress { id, address: format!("10.0.0.{id}:1").into() };
         let founds = if id <= 3 { 3 } else { 0 };
-        let member = ChainReplica::new(node, stored, Timing::default(), control::apply, self.now);
-        let member = member.with_founders(founds).tolerating_losses(self.losses);
-        self.registries.insert(id, Core::new(member, CoreTiming::for_hold(self.hold), (id << 40) + self.events));
+        let replica = ChainReplica::new(node, stored, Timing::default(), control::apply, self.now);
+        let replica = replica.with_founders(founds).tolerating_losses(self.losses);
+        self.registries.insert(id, Core::new(replica, CoreTiming::for_hold(self.hold), (id << 40) + self.events));
         self.at(Duration::ZERO, Event::RegistryTick(id));
     }
 
@@ -96,7 +96,7 @@
 
     /// Returns the chain of the newest view that any running registry has adopted.
     pub fn chain(&self) -> Vec<NodeId> {
-        let views = self.registries.values().map(|core| core.member().view());
+        let views = self.registries.values().map(|core| core.replica().view());
         views.max_by_key(|view| view.number).map(|view| view.chain.as_slice().to_vec()).unwrap_or_default()
     }
 
@@ -131,7 +131,7 @@
     /// Returns the routers that may now serve by an older epoch than the one active at the registries.
     pub fn serving_by_older(&mut self) -> Vec<NodeId> {
         let now = self.now;
-        let active = self.registries.values().map(|core| control::number(core.state(), "c/active"));
+        let active = self.registries.values().map(|core| control::read_number(core.state(), "c/active"));
         let newest = active.max().unwrap_or_default();
         let serves = |follower: &mut Follower| follower.serving_status_at(now) != ServingStatus::Waiting;
         let older = self.routers.iter_mut().filter(|(_, router)| router.step_number() < newest);
--- a/crates/control/tests/fuzz.rs
+++ b/crates/control/tests/fuzz.rs
@@ -2,7 +2,7 @@
 //! has the same effect, and no invalid configuration ever becomes the latest.
 
 use chain::State;
-use control::{apply, number};
+use control::{apply, read_number};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use wire::{Command, CommandReply, ConfigurationItem, from_bytes, to_bytes};
@@ -85,7 +85,7 @@
             let latest = state.iter().filter_map(|(key, value)| Some((key.strip_prefix("l/")?, &value[..])));
             let faults = bindings::check(latest);
             assert!(faults.is_empty(), "seed {seed} round {round}: {faults:?}");
-            assert!(number(&state, "c/active") <= number(&state, "c/latest"));
+            assert!(read_number(&state, "c/active") <= read_number(&state, "c/latest"));
         }
         assert!(changed > 100, "seed {seed}: only {changed} changes were accepted");
     }
--- a/crates/control/tests/key_table.rs
+++ b/crates/control/tests/key_table.rs
@@ -118,7 +118,7 @@
     fn check(&self) {
         let kept = self.state.keys().filter(|key| key.starts_with("k/")).count();
         assert_eq!(kept, self.held.len(), "the keys in the state are those of the model");
-        assert_eq!(control::number(&self.state, "n/claims"), kept as u64, "the number of keys is correct");
+        assert_eq!(control::read_number(&self.state, "n/claims"), kept as u64, "the number of keys is correct");
     }
 }
 
@@ -172,8 +172,8 @@
     let (scope, digest) = (scope(0), vec![1].into());
     model.execute(&Command::Claim { scope, digest, member: 1, incarnation: 1, request_id: 1 });
     (0..1799).for_each(|_| model.tick());
-    assert_eq!(control::number(&model.state, "n/claims"), 1);
+    assert_eq!(control::read_number(&model.state, "n/claims"), 1);
     model.tick();
-    assert_eq!(control::number(&model.state, "n/claims"), 0);
+    assert_eq!(control::read_number(&model.state, "n/claims"), 0);
     assert!(model.state.keys().all(|key| !key.starts_with("x/")));
 }
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -21,8 +21,8 @@
 fn registry(chain: &[NodeId]) -> Core {
     let mut stored = Stored::default();
     stored.meta.view = view(1, chain);
-    let member = ChainReplica::new(node(3), stored, Timing::default(), control::apply, Duration::ZERO);
-    Core::new(member, CoreTiming::default(), 100)
+    let replica = ChainReplica::new(node(3), stored, Timing::default(), control::apply, Duration::ZERO);
+    Core::new(replica, CoreTiming::default(), 100)
 }
 
 fn appended(outputs: &[CoreOutput]) -> Option<(NodeId, ProposalId)> {
--- a/crates/control/tests/membership_log.rs
+++ b/crates/control/tests/membership_log.rs
@@ -15,7 +15,7 @@
 }
 
 fn activation_sent(membership: &mut MembershipLog, state: &State) -> Vec<(MemberChange, u64)> {
-    membership.changes(state).into_iter().map(|(change, line)| (change, line.id)).collect()
+    membership.take_changes(state).into_iter().map(|(change, line)| (change, line.id)).collect()
 }
 
 #[test]
--- a/crates/control/tests/recovery_timeline.rs
+++ b/crates/control/tests/recovery_timeline.rs
@@ -70,21 +70,21 @@
     let lost = lose(fleet, place, loss);
     let started = fleet.now;
     let survivor = *fleet.registries.keys().find(|id| **id != lost).unwrap();
-    let step_before = control::number(fleet.registries[&survivor].state(), "c/latest");
+    let step_before = control::read_number(fleet.registries[&survivor].state(), "c/latest");
     let request_id = fleet.change(survivor, 2);
     let mut timeline = Timeline::default();
     for _ in 0..PATIENCE_MILLIS {
         fleet.pass(1);
         let elapsed = fleet.now - started;
         let core = &fleet.registries[&survivor];
-        let step = control::number(core.state(), "c/latest");
+        let step = control::read_number(core.state(), "c/latest");
         let reached = |at: &mut Duration, is_reached: bool| {
             if is_reached && at.is_zero() {
                 *at = elapsed;
             }
         };
-        let is_out = !core.member().is_in_chain() || !core.member().view().is_in_chain(lost);
-        reached(&mut timeline.suspected, is_out || core.member().suspects().contains(&lost));
+        let is_out = !core.replica().is_in_chain() || !core.replica().view().is_in_chain(lost);
+        reached(&mut timeline.suspected, is_out || core.replica().suspects().contains(&lost));
         reached(&mut timeline.view_decided, is_out);
         reached(&mut timeline.taken, step > step_before);
         let has_staged = fleet.routers.values().all(|router| router.staged_number() > step_before);
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -14,7 +14,7 @@
 
 fn steps(fleet: &Fleet) -> (u64, u64) {
     let state = fleet.head().state();
-    (control::number(state, "c/active"), control::number(state, "c/latest"))
+    (control::read_number(state, "c/active"), control::read_number(state, "c/latest"))
 }
 
 fn start_new_routers(fleet: &mut Fleet, count: u64) {
--- a/crates/sim/src/catch_up.rs
+++ b/crates/sim/src/catch_up.rs
@@ -4,7 +4,7 @@
 use crate::faults::Mending;
 use crate::world::{Event, Place, World};
 use chain::ChainReplica;
-use control::{CoreInput, number};
+use control::{CoreInput, read_number};
 use rand::RngExt;
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
 
     fn members_up(&self) -> impl Iterator<Item = (usize, &ChainReplica)> {
         let cores = self.registries.iter().enumerate().filter(|(_, node)| !node.retired);
-        cores.filter_map(|(n, node)| node.core.as_ref().map(|core| (n, core.member())))
+        cores.filter_map(|(n, node)| node.core.as_ref().map(|core| (n, core.replica())))
     }
 
     pub fn check_caught_up(&mut self) {
@@ -102,7 +102,7 @@
         let behind = self.members_up().find_map(|(n, member)| {
             let view = member.view();
             let has_role = view.number == newest && member.is_in_chain() && view.learner != member.node().id;
-            let holds = number(member.state(), "c/latest-revision");
+            let holds = read_number(member.state(), "c/latest-revision");
             (has_role && holds < acknowledged).then_some((n, holds, member.is_head(), member.is_current_tail()))
         });
         if let Some((n, holds, head, tail)) = behind {
--- a/crates/sim/src/control_faults.rs
+++ b/crates/sim/src/control_faults.rs
@@ -197,7 +197,7 @@
         let live = self.live_registries();
         let on_duty = |world: &World, is: fn(&chain::ChainReplica) -> bool| {
             let core = |n: usize| world.registries[n].core.as_ref();
-            live.iter().copied().find(|n| core(*n).is_some_and(|core| is(core.member())))
+            live.iter().copied().find(|n| core(*n).is_some_and(|core| is(core.replica())))
         };
         let drawn = match self.dice.random_range(0..4) {
             0 => on_duty(self, chain::ChainReplica::is_current_tail),
--- a/crates/sim/src/core_rules.rs
+++ b/crates/sim/src/core_rules.rs
@@ -143,7 +143,7 @@
         }
         let cores = self.registries.iter().filter_map(|node| node.core.as_ref());
         let newest = |(committed, view): (u64, u64), core: &control::Core| {
-            let member = core.member();
+            let member = core.replica();
             (committed.max(member.positions().committed), view.max(member.view().number))
         };
         let (committed, view) = cores.fold((0, 0), newest);
@@ -179,7 +179,7 @@
 
     fn newest_view(&self) -> Option<View> {
         let known = self.registries.iter().map(|node| match &node.core {
-            Some(core) => core.member().view(),
+            Some(core) => core.replica().view(),
             None => &node.disk.meta.view,
         });
         known.max_by_key(|view| view.number).filter(|view| view.number > 0).cloned()
--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/ending.rs
@@ -36,7 +36,7 @@
             .registries
             .iter()
             .filter_map(|node| node.core.as_ref())
-            .max_by_key(|core| core.member().positions().committed);
+            .max_by_key(|core| core.replica().positions().committed);
         let kept = |key: &str, service: &str| {
             let scope = self.callers.scopes.get(key).cloned().unwrap_or_else(|| format!("{service}/k-{key}"));
             let id = traffic::stored_id(&scope);
--- a/crates/sim/src/failing.rs
+++ b/crates/sim/src/failing.rs
@@ -28,7 +28,7 @@
         let calm = |n: &usize| {
             let core = self.registries[*n].core.as_ref();
             let is_whole = |member: &chain::ChainReplica| member.view().chain.as_slice().len() == live.len();
-            core.is_some_and(|core| is_whole(core.member()) && core.member().departure_deadline().is_none())
+            core.is_some_and(|core| is_whole(core.replica()) && core.replica().departure_deadline().is_none())
         };
         if !live.iter().all(calm) {
             return;
@@ -80,7 +80,7 @@
         let live = self.live_registries();
         let full = |n: &usize| {
             let Some(core) = &self.registries[*n].core else { return false };
-            let view = core.member().view();
+            let view = core.replica().view();
             view.chain.as_slice().len() == live.len() && view.learner == 0
         };
         if !live.iter().all(full) {
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -93,7 +93,7 @@
         node.refused_write = false;
         node.frozen_until = Duration::ZERO;
         node.planner = Planner::default();
-        node.planner.viewed(node.disk.meta.view.clone());
+        node.planner.set_view(node.disk.meta.view.clone());
         node.told.clear();
         node.last_trouble = now;
         let founds = !node.started_before && self.seeds.contains(&node.address);
@@ -214,7 +214,7 @@
                     let chain: Vec<String> = view.chain.iter().map(|id| format!("{:04x}", id >> 48)).collect();
                     format!("registry {n} adopts view {} chain {}", view.number, chain.join(" "))
                 });
-                self.registries[n].planner.viewed(view);
+                self.registries[n].planner.set_view(view);
             }
             CoreOutput::CaughtUp { missed_entries: missed } => {
                 self.brought_back[usize::from(missed.is_none())] += 1;
@@ -229,7 +229,7 @@
                 let Some(core) = &node.core else { return };
                 let pairs = core.state().iter().filter_map(|(key, value)| Some((key.strip_prefix("a/")?, &value[..])));
                 let routes = RouteTable::build(step, 0, pairs);
-                node.planner.routes(&routes);
+                node.planner.set_routes(&routes);
             }
         }
     }
--- a/crates/sim/src/replacement.rs
+++ b/crates/sim/src/replacement.rs
@@ -88,13 +88,13 @@
 
     /// What keeps a registry that was asked to stop from ending.
     fn departure_wait(&self, registry: usize) -> Option<chain::DepartureWait> {
-        self.registries[registry].core.as_ref().and_then(|core| core.member().departure_wait())
+        self.registries[registry].core.as_ref().and_then(|core| core.replica().departure_wait())
     }
 
     /// One that is to be started again ends.
     pub(crate) fn await_stop(&mut self, registry: usize, until: Duration) {
         let core = self.registries[registry].core.as_ref();
-        if core.is_none_or(|core| core.member().departure_deadline().is_none()) {
+        if core.is_none_or(|core| core.replica().departure_deadline().is_none()) {
             return; // It was killed meanwhile.
         }
         if self.departure_wait(registry).is_some() && self.now < until {
--- a/crates/sim/src/resending.rs
+++ b/crates/sim/src/resending.rs
@@ -118,7 +118,7 @@
             .registries
             .iter()
             .filter_map(|node| node.core.as_ref())
-            .max_by_key(|core| core.member().positions().committed);
+            .max_by_key(|core| core.replica().positions().committed);
         let Some(core) = newest else { return };
         let taken = |mark: &&String| core.state().contains_key(&format!("o/{mark}"));
         if let Some(mark) = self.operators.refused.iter().find(taken) {
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -188,13 +188,13 @@
                 self.rules.chain_seen.remove(&n);
                 continue;
             };
-            let committed = core.member().positions().committed;
+            let committed = core.replica().positions().committed;
             let seen = self.rules.chain_seen.get(&n).copied().unwrap_or(0);
             if committed == seen {
                 continue;
             }
             self.rules.chain_seen.insert(n, committed);
-            for entry in core.member().entries().filter(|entry| entry.seq > seen && entry.seq <= committed) {
+            for entry in core.replica().entries().filter(|entry| entry.seq > seen && entry.seq <= committed) {
                 let op = (entry.op.origin, entry.op.number);
                 let known = *self.rules.chain.entry(entry.seq).or_insert(op);
                 if known != op {
--- a/crates/sim/src/standing.rs
+++ b/crates/sim/src/standing.rs
@@ -25,7 +25,7 @@
             self.stood = (now, up);
             return;
         }
-        let tail = self.registries.iter().find_map(|node| node.core.as_ref().filter(|c| c.member().is_current_tail()));
+        let tail = self.registries.iter().find_map(|node| node.core.as_ref().filter(|c| c.replica().is_current_tail()));
         let (Some(tail), true) = (tail, now > self.stood.0 + STOOD) else { return };
         let down = |n: &usize| !self.routers[*n].alive() && now > self.routers[*n].down_since + DOWN;
         let late = (0..self.routers.len()).filter(down).find(|n| tail.has_member(self.identity(Place::Router(*n)).0));
