--- a/crates/control/src/activation.rs
+++ b/crates/control/src/activation.rs
@@ -55,7 +55,7 @@
 
 impl PendingActivation {
     /// Returns the pending epoch as shown in a status page.
-    pub fn page(&self, now: Duration) -> Value {
+    pub fn status(&self, now: Duration) -> Value {
         let routers: Vec<String> = self.wait.routers().iter().map(|id| format!("{id:016x}")).collect();
         let waited_ms = now.saturating_sub(self.since).as_millis() as u64;
         json!({"step": self.step, "waits_for": self.wait.name(), "routers": routers, "waited_ms": waited_ms})
@@ -98,7 +98,7 @@
 
     /// Returns the bounds on lease durations, once the leases that earlier tails granted by core proofs have expired.
     fn lease_bounds(&mut self) -> Option<LeaseBounds> {
-        if !self.earlier_leases_are_over() {
+        if !self.earlier_leases_expired() {
             return None;
         }
         let unknown_until = self.tail.tenure.as_ref()?.earlier_leases_until;
@@ -117,7 +117,7 @@
         let pending = self.pending_activation.insert(PendingActivation { step, since, wait, reported_at });
         if pending.take_report(now) {
             let (wait, waited) = (pending.wait.clone(), now - pending.since);
-            self.outs.push(CoreOutput::ActivationDelayed { step, wait, waited });
+            self.outputs.push(CoreOutput::ActivationDelayed { step, wait, waited });
         }
     }
 }
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -2,8 +2,8 @@
 //! one registry's status. All pages but /health, /ready and /metrics need a bearer token.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::api_views::{metrics, ready, status, watch_view};
-use crate::operator_dialect::RegistryHandle;
+use crate::api_views::{metrics, ready, status, watch_status};
+use crate::operator_pages::RegistryHandle;
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{DefaultBodyLimit, Path, State};
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub struct Api {
     /// Handle of the registry.
-    pub operators: RegistryHandle,
+    pub handle: RegistryHandle,
     /// Bearer tokens and their tenants.
     pub tokens: Tokens,
 }
@@ -31,7 +31,7 @@
         .route("/ready", get(ready))
         .route("/metrics", get(metrics))
         .route("/v1/status", get(status))
-        .route("/v1/watch", get(watch_view))
+        .route("/v1/watch", get(watch_status))
         .route("/v1/operations/{op}", get(operation))
         .route("/v1/configuration", get(read).put(replace).patch(patch))
         .route("/v1/{kind}", get(read_kind))
@@ -70,7 +70,7 @@
         if self.scope(headers).is_none() {
             return refuse(401, "a bearer token is needed");
         }
-        self.operators.note_invalid(detail).await;
+        self.handle.note_invalid(detail).await;
         refuse(status, detail)
     }
 
@@ -82,8 +82,8 @@
     async fn change(&self, headers: &HeaderMap, uri: &Uri, full: bool, items: Vec<ConfigurationItem>) -> Response {
         let dry = uri.query().is_some_and(|query| query.split('&').any(|part| part == "dry-run=true"));
         let Some(scope) = self.scope(headers) else { return refuse(401, "a bearer token is needed") };
-        let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
-        let base = match text("if-match").as_deref().map(|tag| tag.trim().trim_matches('"').to_owned()) {
+        let header_text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
+        let base = match header_text("if-match").as_deref().map(|tag| tag.trim().trim_matches('"').to_owned()) {
             None => return refuse(428, "If-Match must name the revision that the change is based on, or *"),
             Some(tag) if tag == "*" => None,
             Some(tag) => match tag.parse() {
@@ -91,17 +91,17 @@
                 Err(_) => return refuse(400, "If-Match must be a revision number in quotes, or *"),
             },
         };
-        let op = text("operation-id").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
+        let op = header_text("operation-id").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
         if config::word(&op).is_err() {
             return refuse(400, "Operation-Id must have 1 to 64 letters, digits, '-', '_' or '.'");
         }
-        let revision = match text("revision").map(|number| number.trim().parse::<u64>()) {
+        let revision = match header_text("revision").map(|number| number.trim().parse::<u64>()) {
             None => None,
             Some(Ok(revision)) if revision > 0 => Some(revision),
             Some(_) => return refuse(400, "Revision must be a number, 1 or more"),
         };
         let call = ApiCall::Change { op: op.clone(), base, revision, full, scope, items, dry };
-        let reply = if dry { self.operators.call(call).await } else { self.operators.change(call).await };
+        let reply = if dry { self.handle.call(call).await } else { self.handle.change(call).await };
         if reply.status != 200 {
             events::event!(change_rejected, "operation {op}: {}", reply.status);
         }
@@ -118,17 +118,17 @@
     if api.scope(&headers).is_none() {
         return refuse(401, "a bearer token is needed");
     }
-    answer(api.operators.call(ApiCall::Operation { op }).await, None)
+    answer(api.handle.call(ApiCall::Operation { op }).await, None)
 }
 
 async fn read(State(api): State<Api>, headers: HeaderMap) -> Response {
     let Some(scope) = api.scope(&headers) else { return refuse(401, "a bearer token is needed") };
-    answer(api.operators.call(ApiCall::Configuration { scope }).await, None)
+    answer(api.handle.call(ApiCall::Configuration { scope }).await, None)
 }
 
 async fn read_part(api: &Api, headers: &HeaderMap, pointer: &str) -> Response {
     let Some(scope) = api.scope(headers) else { return refuse(401, "a bearer token is needed") };
-    let mut reply = api.operators.call(ApiCall::Configuration { scope }).await;
+    let mut reply = api.handle.call(ApiCall::Configuration { scope }).await;
     if reply.status == 200 {
         let full: Value = serde_json::from_str(&reply.body).unwrap_or_default();
         match full.pointer(pointer) {
@@ -196,9 +196,9 @@
     let Ok(patch) = serde_json::from_slice::<Map<String, Value>>(&body) else {
         return api.refuse_change(&headers, 400, "the body is not a JSON object").await;
     };
-    if let Some(odd) = patch.keys().find(|key| !["name", "set", "remove"].contains(&key.as_str())) {
+    if let Some(unknown) = patch.keys().find(|key| !["name", "set", "remove"].contains(&key.as_str())) {
         return api
-            .refuse_change(&headers, 422, &format!("{odd}: unknown field; a patch has name, set and remove"))
+            .refuse_change(&headers, 422, &format!("{unknown}: unknown field; a patch has name, set and remove"))
             .await;
     }
     let mut items = Vec::new();
--- a/crates/control/src/api_calls.rs
+++ b/crates/control/src/api_calls.rs
@@ -37,7 +37,7 @@
 
 impl ApiCall {
     /// Returns the revision that must be committed here before the call can be answered from this registry's state.
-    pub(crate) fn builds_on(&self) -> Option<u64> {
+    pub(crate) fn required_revision(&self) -> Option<u64> {
         match self {
             ApiCall::Latest { revision, .. } => Some(*revision),
             ApiCall::Change { dry: true, base, .. } => Some(base.unwrap_or_default()),
--- a/crates/control/src/api_tests.rs
+++ b/crates/control/src/api_tests.rs
@@ -16,7 +16,7 @@
 
 /// Sends one request to the API over a core that answers every change with the given status. Returns the response's
 /// status and the recorded faults.
-fn send(core_says: u16, method: &str, path: &str, token: &str, body: &str) -> (u16, Vec<String>) {
+fn send(core_status: u16, method: &str, path: &str, token: &str, body: &str) -> (u16, Vec<String>) {
     let request = Request::builder().method(method).uri(path).header("authorization", token).header("if-match", "*");
     let request = request.body(Body::from(body.to_owned())).expect("a request");
     let noted: Rc<RefCell<Vec<String>>> = Rc::default();
@@ -32,13 +32,13 @@
                         faults.borrow_mut().push(fault);
                         200
                     }
-                    _ => core_says,
+                    _ => core_status,
                 };
                 let _ = reply.send(ApiReply::new(status, json!({"faults": [{"path": "k/t/n", "fault": "odd"}]})));
             }
         });
-        let operators = RegistryHandle::new(post, watch::channel(String::new()).1);
-        let api = Api { operators, tokens: Tokens::new(&["*=long-secret".to_owned()]) };
+        let handle = RegistryHandle::new(post, watch::channel(String::new()).1);
+        let api = Api { handle, tokens: Tokens::new(&["*=long-secret".to_owned()]) };
         let service = TowerToHyperService::new(router(api, 1000));
         *told.borrow_mut() = service.call(request).await.expect("an answer").status().as_u16();
     });
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -1,9 +1,9 @@
 //! The effect of a log entry on the replicated state. The same entry on the same state gives the same
 //! changes and the same reply on every replica; nothing here reads a clock, a file or a random number.
 
-use crate::apply_change::{activate, change, declare, quorum};
-use crate::apply_member::{join, lapse, leaving, tick};
-use crate::apply_task::{DEFAULT_KEY_TICKS, claim, finish, record_answer, release, store};
+use crate::apply_change::{activate, apply_change, apply_declared_change, set_quorum};
+use crate::apply_member::{advance_clock, join, mark_leaving, remove_lapsed};
+use crate::apply_request::{DEFAULT_KEY_TICKS, claim_key, finish_deferred, record_answer, release_key, store_deferred};
 use crate::change_validation::Change;
 use crate::keys;
 use chain::{Effect, State, Value};
@@ -25,10 +25,10 @@
     }
     /// Sets a key to a number.
     pub fn put_number(&mut self, key: &str, number: u64) {
-        self.put(key, keys::value(number));
+        self.put(key, keys::encode_number(number));
     }
     /// Removes a key.
-    pub fn drop(&mut self, key: impl Into<String>) {
+    pub fn remove(&mut self, key: impl Into<String>) {
         self.changes.push(chain::Change::remove(key));
     }
     /// Returns the number under a key, or 0 without one.
@@ -36,7 +36,7 @@
         keys::read_number(self.state, key)
     }
     /// Schedules the removal of a record after a number of ticks.
-    pub fn expire(&mut self, key: &str, ticks: u64) {
+    pub fn schedule_removal(&mut self, key: &str, ticks: u64) {
         let due = self.number(keys::TICKS) + ticks;
         self.put(format!("x/{due:012}/{key}"), Vec::new());
     }
@@ -56,13 +56,13 @@
     match command {
         Command::Change { op, base, any, full, scope, items } => {
             let (base, full, items) = ((any == 0).then_some(base), full != 0, items.as_slice());
-            change(draft, op.as_str(), &Change { base, revision: 0, full, scope: scope.as_str(), items })
+            apply_change(draft, op.as_str(), &Change { base, revision: 0, full, scope: scope.as_str(), items })
         }
         Command::Declare { op, base, any, full, revision, scope, items } => {
             let (base, full, items) = ((any == 0).then_some(base), full != 0, items.as_slice());
-            declare(draft, op.as_str(), &Change { base, revision, full, scope: scope.as_str(), items })
+            apply_declared_change(draft, op.as_str(), &Change { base, revision, full, scope: scope.as_str(), items })
         }
-        Command::Quorum { after, members } => quorum(draft, after, members.into_vec()),
+        Command::Quorum { after, members } => set_quorum(draft, after, members.into_vec()),
         Command::Activate { step } => activate(draft, step),
         Command::Join { id, incarnation, address, zone, ops } => {
             let capacity = Capacity::default();
@@ -71,22 +71,22 @@
         Command::JoinWithCapacity { id, incarnation, address, zone, ops, hashing, capacity } => {
             join(draft, Member { id, incarnation, address, zone, ops, leaving: 0, hashing, capacity })
         }
-        Command::Lapse { id, incarnation } => lapse(draft, id, incarnation),
-        Command::Leaving { id, incarnation } => leaving(draft, id, incarnation),
+        Command::Lapse { id, incarnation } => remove_lapsed(draft, id, incarnation),
+        Command::Leaving { id, incarnation } => mark_leaving(draft, id, incarnation),
         Command::Claim { scope, digest, member, incarnation, request_id } => {
-            claim(draft, scope.as_str(), digest, (member, incarnation, request_id), DEFAULT_KEY_TICKS)
+            claim_key(draft, scope.as_str(), digest, (member, incarnation, request_id), DEFAULT_KEY_TICKS)
         }
         Command::ClaimForTicks { scope, digest, member, incarnation, request_id, ticks } => {
-            claim(draft, scope.as_str(), digest, (member, incarnation, request_id), ticks)
+            claim_key(draft, scope.as_str(), digest, (member, incarnation, request_id), ticks)
         }
         Command::RecordAnswer { scope, member, incarnation, request_id, answer } => {
             record_answer(draft, scope.as_str(), (member, incarnation, request_id), answer)
         }
         Command::Release { scope, member, incarnation, request_id } => {
-            release(draft, scope.as_str(), (member, incarnation, request_id))
+            release_key(draft, scope.as_str(), (member, incarnation, request_id))
         }
-        Command::Store { id, function, digest, task } => store(draft, id.as_str(), function, digest, task),
-        Command::Finish { id, function, answer } => finish(draft, id.as_str(), function.as_str(), answer),
-        Command::Tick { number } => tick(draft, number),
+        Command::Store { id, function, digest, task } => store_deferred(draft, id.as_str(), function, digest, task),
+        Command::Finish { id, function, answer } => finish_deferred(draft, id.as_str(), function.as_str(), answer),
+        Command::Tick { number } => advance_clock(draft, number),
     }
 }
--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -11,36 +11,36 @@
 use wire::{ConfigurationEpoch, ConfigurationItem, NodeId};
 
 /// Ticks for which the outcome of an operation is kept.
-const OP_TICKS: u64 = 86_400;
+const OPERATION_TICKS: u64 = 86_400;
 /// Maximum number of activated epochs that are kept for routers that lag behind. The active epoch is kept
 /// whatever its size, since it names the quorum.
 const MAX_RETAINED_EPOCHS: u64 = 64;
 /// Maximum size of the activated epochs that are kept.
 const MAX_RETAINED_BYTES: usize = 512 * 1024;
 
-fn known(draft: &Draft, key: &str) -> Option<CommandReply> {
+fn remembered_reply(draft: &Draft, key: &str) -> Option<CommandReply> {
     draft.state.get(key).and_then(|raw| wire::from_bytes::<OpRecord>(raw)).map(|record| record.reply)
 }
 
-fn execute(draft: &mut Draft, change: &Change) -> CommandReply {
+fn validate_and_stage(draft: &mut Draft, change: &Change) -> CommandReply {
     match validate(draft, change) {
-        Ok(changed) => stage(draft, change.revision, changed),
+        Ok(changed) => stage_change(draft, change.revision, changed),
         Err(ChangeRefused { status, body }) => CommandReply::Refused { status, body: body.into_bytes().into() },
     }
 }
 
 fn remember(draft: &mut Draft, key: &str, reply: CommandReply) {
     draft.put(key, wire::to_bytes(&OpRecord { reply }));
-    draft.expire(key, OP_TICKS);
+    draft.schedule_removal(key, OPERATION_TICKS);
 }
 
 /// Executes an entry of format 2, whose refusal is remembered like an accepted change.
-pub fn change(draft: &mut Draft, op: &str, change: &Change) -> CommandReply {
-    let key = format!("{}{op}", keys::TAKEN);
-    if let Some(reply) = known(draft, &key) {
+pub fn apply_change(draft: &mut Draft, op: &str, change: &Change) -> CommandReply {
+    let key = format!("{}{op}", keys::ACCEPTED_OPERATIONS);
+    if let Some(reply) = remembered_reply(draft, &key) {
         return reply;
     }
-    let reply = execute(draft, change);
+    let reply = validate_and_stage(draft, change);
     remember(draft, &key, reply.clone());
     reply
 }
@@ -48,16 +48,16 @@
 /// Executes a change that may declare its revision. A repeated operation gets its first reply only if the change
 /// was accepted; a refused change is validated again, since it may be valid by then. The refusal is kept for
 /// lookups of the operation.
-pub fn declare(draft: &mut Draft, op: &str, change: &Change) -> CommandReply {
-    let key = format!("{}{op}", keys::TAKEN);
-    if let Some(reply @ CommandReply::Changed { .. }) = known(draft, &key) {
+pub fn apply_declared_change(draft: &mut Draft, op: &str, change: &Change) -> CommandReply {
+    let key = format!("{}{op}", keys::ACCEPTED_OPERATIONS);
+    if let Some(reply @ CommandReply::Changed { .. }) = remembered_reply(draft, &key) {
         return reply;
     }
-    let reply = execute(draft, change);
+    let reply = validate_and_stage(draft, change);
     match &reply {
         CommandReply::Refused { status, .. } => {
-            let bare = CommandReply::Refused { status: *status, body: Vec::new().into() };
-            remember(draft, &format!("{}{op}", keys::REFUSED), bare);
+            let without_body = CommandReply::Refused { status: *status, body: Vec::new().into() };
+            remember(draft, &format!("{}{op}", keys::REFUSED_OPERATIONS), without_body);
         }
         _ => remember(draft, &key, reply.clone()),
     }
@@ -67,7 +67,8 @@
 /// Returns the outcome of an operation, if this registry knows it.
 pub fn outcome(state: &State, op: &str) -> Option<CommandReply> {
     let draft = Draft { state, changes: Vec::new() };
-    known(&draft, &format!("{}{op}", keys::TAKEN)).or_else(|| known(&draft, &format!("{}{op}", keys::REFUSED)))
+    remembered_reply(&draft, &format!("{}{op}", keys::ACCEPTED_OPERATIONS))
+        .or_else(|| remembered_reply(&draft, &format!("{}{op}", keys::REFUSED_OPERATIONS)))
 }
 
 /// Validates a change against a state and reports its effect without changing anything.
@@ -77,8 +78,8 @@
     let mut reply = match validate(&draft, change) {
         Ok(changed) => {
             let keys = |gone: u8| {
-                let of_it = changed.iter().filter(move |item| (item.gone != 0) == (gone != 0));
-                of_it.map(|item| item.key.as_str().to_owned()).collect::<Vec<String>>()
+                let selected = changed.iter().filter(move |item| (item.gone != 0) == (gone != 0));
+                selected.map(|item| item.key.as_str().to_owned()).collect::<Vec<String>>()
             };
             ApiReply::new(200, json!({"outcome": "would-change", "set": keys(0), "remove": keys(1)}))
         }
@@ -91,12 +92,12 @@
     reply
 }
 
-fn stage(draft: &mut Draft, declared: u64, items: Vec<ConfigurationItem>) -> CommandReply {
+fn stage_change(draft: &mut Draft, declared: u64, items: Vec<ConfigurationItem>) -> CommandReply {
     let revision = if declared != 0 { declared } else { draft.number(keys::LATEST_REVISION).saturating_add(1) };
     for item in &items {
         let key = format!("{}{}", keys::LATEST_PAIRS, item.key.as_str());
         if item.gone != 0 {
-            draft.drop(key);
+            draft.remove(key);
         } else {
             draft.put(key, item.value.as_slice().to_vec());
         }
@@ -104,24 +105,24 @@
     draft.put_number(keys::LATEST_REVISION, revision);
     let latest = draft.number(keys::LATEST);
     let quorum = keys::quorum(draft.state, latest);
-    let step = add_step(draft, revision, quorum, items);
+    let step = add_epoch(draft, revision, quorum, items);
     CommandReply::Changed { step, revision }
 }
 
-fn add_step(draft: &mut Draft, revision: u64, quorum: Vec<NodeId>, items: Vec<ConfigurationItem>) -> u64 {
+fn add_epoch(draft: &mut Draft, revision: u64, quorum: Vec<NodeId>, items: Vec<ConfigurationItem>) -> u64 {
     let number = draft.number(keys::LATEST) + 1;
-    let step = ConfigurationEpoch { number, revision, quorum: quorum.into(), items: items.into() };
-    draft.put(keys::step_key(number), wire::to_bytes(&step));
+    let epoch = ConfigurationEpoch { number, revision, quorum: quorum.into(), items: items.into() };
+    draft.put(keys::epoch_key(number), wire::to_bytes(&epoch));
     draft.put_number(keys::LATEST, number);
     number
 }
 
 /// Adds an epoch with another quorum, if the epoch `after` is the latest and is active.
-pub fn quorum(draft: &mut Draft, after: u64, members: Vec<NodeId>) -> CommandReply {
+pub fn set_quorum(draft: &mut Draft, after: u64, members: Vec<NodeId>) -> CommandReply {
     let latest = draft.number(keys::LATEST);
     if latest == after && latest == draft.number(keys::ACTIVE) {
         let revision = draft.number(keys::LATEST_REVISION);
-        add_step(draft, revision, members, Vec::new());
+        add_epoch(draft, revision, members, Vec::new());
     }
     CommandReply::Plain
 }
@@ -133,34 +134,34 @@
         return CommandReply::Plain;
     }
     for number in active + 1..=to {
-        let Some(step) = keys::step(draft.state, number) else { continue };
-        for item in step.items.iter() {
+        let Some(epoch) = keys::epoch(draft.state, number) else { continue };
+        for item in epoch.items.iter() {
             let key = format!("{}{}", keys::ACTIVE_PAIRS, item.key.as_str());
             if item.gone != 0 {
-                draft.drop(key);
+                draft.remove(key);
             } else {
                 draft.put(key, item.value.as_slice().to_vec());
             }
         }
-        draft.put_number(keys::ACTIVE_REVISION, step.revision);
+        draft.put_number(keys::ACTIVE_REVISION, epoch.revision);
     }
     draft.put_number(keys::ACTIVE, to);
-    forget_steps(draft, to);
+    remove_old_epochs(draft, to);
     CommandReply::Plain
 }
 
 /// Removes activated epochs beyond the retention limits: each may be as large as a whole configuration, and a
 /// router that is further behind fetches the whole configuration instead.
-fn forget_steps(draft: &mut Draft, active: u64) {
-    let oldest = keys::step_key(active.saturating_sub(MAX_RETAINED_EPOCHS));
-    let newest = keys::step_key(active);
+fn remove_old_epochs(draft: &mut Draft, active: u64) {
+    let oldest = keys::epoch_key(active.saturating_sub(MAX_RETAINED_EPOCHS));
+    let newest = keys::epoch_key(active);
     let mut bytes = 0;
     let mut old = Vec::new();
-    for (key, step) in draft.state.range(keys::STEPS.to_owned()..newest).rev() {
-        bytes += step.len();
+    for (key, epoch) in draft.state.range(keys::STEPS.to_owned()..newest).rev() {
+        bytes += epoch.len();
         if bytes > MAX_RETAINED_BYTES || *key < oldest {
             old.push(key.clone());
         }
     }
-    old.into_iter().for_each(|key| draft.drop(key));
+    old.into_iter().for_each(|key| draft.remove(key));
 }
--- a/crates/control/src/apply_member.rs
+++ b/crates/control/src/apply_member.rs
@@ -8,51 +8,51 @@
 use wire::{ClaimRecord, CommandReply};
 
 /// Maximum number of expiry marks that one tick processes.
-const FORGOTTEN_PER_TICK: usize = 2000;
+const MAX_EXPIRED_PER_TICK: usize = 2000;
 
-fn next_membership(draft: &mut Draft) {
+fn increment_membership(draft: &mut Draft) {
     let number = draft.number(keys::MEMBERSHIP) + 1;
     draft.put_number(keys::MEMBERSHIP, number);
 }
 
 /// Adds a member, or replaces its record if that differs.
-pub fn join(draft: &mut Draft, line: Member) -> CommandReply {
-    let (key, raw) = (keys::member_key(line.id), line.written());
+pub fn join(draft: &mut Draft, member: Member) -> CommandReply {
+    let (key, raw) = (keys::member_key(member.id), member.written());
     if draft.state.get(&key).is_none_or(|known| known[..] != raw[..]) {
         draft.put(key, raw);
-        next_membership(draft);
+        increment_membership(draft);
     }
     CommandReply::Plain
 }
 
-fn known(draft: &Draft, id: NodeId, incarnation: u64) -> Option<Member> {
+fn member_of_incarnation(draft: &Draft, id: NodeId, incarnation: u64) -> Option<Member> {
     let raw = draft.state.get(&keys::member_key(id))?;
-    Member::read(raw).filter(|line| line.incarnation == incarnation)
+    Member::read(raw).filter(|member| member.incarnation == incarnation)
 }
 
 /// Removes a member whose lease ran out, if its incarnation matches.
-pub fn lapse(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
-    if known(draft, id, incarnation).is_some() {
-        draft.drop(keys::member_key(id));
-        next_membership(draft);
+pub fn remove_lapsed(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
+    if member_of_incarnation(draft, id, incarnation).is_some() {
+        draft.remove(keys::member_key(id));
+        increment_membership(draft);
     }
     CommandReply::Plain
 }
 
 /// Marks a member as leaving, if its incarnation matches.
-pub fn leaving(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
-    if let Some(mut line) = known(draft, id, incarnation)
-        && line.leaving == 0
+pub fn mark_leaving(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
+    if let Some(mut member) = member_of_incarnation(draft, id, incarnation)
+        && member.leaving == 0
     {
-        line.leaving = 1;
-        draft.put(keys::member_key(id), line.written());
-        next_membership(draft);
+        member.leaving = 1;
+        draft.put(keys::member_key(id), member.written());
+        increment_membership(draft);
     }
     CommandReply::Plain
 }
 
 /// Advances the chain's clock by one and removes the records that expire with this tick.
-pub fn tick(draft: &mut Draft, number: u64) -> CommandReply {
+pub fn advance_clock(draft: &mut Draft, number: u64) -> CommandReply {
     let ticks = draft.number(keys::TICKS);
     if number != ticks + 1 {
         return CommandReply::Plain;
@@ -62,28 +62,28 @@
     let due: Vec<String> = keys::with_prefix(draft.state, "x/")
         .map(|(key, _)| key.clone())
         .take_while(|key| *key <= end)
-        .take(FORGOTTEN_PER_TICK)
+        .take(MAX_EXPIRED_PER_TICK)
         .collect();
-    let (mut claims, mut stored) = (0, 0);
+    let (mut claims, mut deferred) = (0, 0);
     for key in due {
         let record = key.splitn(3, '/').nth(2).unwrap_or_default().to_owned();
-        if is_due(draft, &record, number) {
+        if has_expired(draft, &record, number) {
             claims += u64::from(record.starts_with("k/"));
-            stored += u64::from(record.starts_with("d/"));
-            draft.drop(record);
+            deferred += u64::from(record.starts_with("d/"));
+            draft.remove(record);
         }
-        draft.drop(key);
+        draft.remove(key);
     }
-    if claims + stored > 0 {
-        draft.put_number(keys::CLAIMS, draft.number(keys::CLAIMS).saturating_sub(claims));
-        draft.put_number(keys::STORED, draft.number(keys::STORED).saturating_sub(stored));
+    if claims + deferred > 0 {
+        draft.put_number(keys::CLAIM_COUNT, draft.number(keys::CLAIM_COUNT).saturating_sub(claims));
+        draft.put_number(keys::DEFERRED_COUNT, draft.number(keys::DEFERRED_COUNT).saturating_sub(deferred));
     }
     CommandReply::Plain
 }
 
 /// Whether a record has expired. A run-once key that was released and claimed again outlives the expiry mark of
 /// its first claim.
-fn is_due(draft: &Draft, key: &str, number: u64) -> bool {
+fn has_expired(draft: &Draft, key: &str, number: u64) -> bool {
     match draft.state.get(key) {
         Some(raw) if key.starts_with("k/") => {
             wire::from_bytes::<ClaimRecord>(raw).is_none_or(|record| record.due <= number)
--- a/crates/control/src/apply_task.rs
+++ b/crates/control/src/apply_request.rs
@@ -13,16 +13,16 @@
 /// Maximum number of ticks for which a key is kept: the longest window, a day, and the margin that the router adds.
 const MAX_KEY_TICKS: u32 = 2 * 86_400;
 /// Ticks for which a finished deferred request is kept.
-const DONE_TICKS: u64 = 3600;
+const FINISHED_TICKS: u64 = 3600;
 /// Maximum number of run-once keys.
-const CLAIMS: u64 = 300_000;
+const MAX_KEYS: u64 = 300_000;
 /// Maximum number of deferred requests.
-const DEFERRED: u64 = 50_000;
+const MAX_DEFERRED_REQUESTS: u64 = 50_000;
 
 /// A claimant: member, incarnation and request id.
-type Asker = (NodeId, u64, u64);
+type Claimant = (NodeId, u64, u64);
 
-fn owner(record: &ClaimRecord) -> Asker {
+fn claimant_of(record: &ClaimRecord) -> Claimant {
     (record.member, record.incarnation, record.request_id)
 }
 
@@ -31,21 +31,21 @@
 }
 
 /// Claims a key for a request. The key expires after the given number of ticks.
-pub fn claim(draft: &mut Draft, scope: &str, digest: Blob, asker: Asker, ticks: u32) -> CommandReply {
+pub fn claim_key(draft: &mut Draft, scope: &str, digest: Blob, claimant: Claimant, ticks: u32) -> CommandReply {
     let key = format!("k/{scope}");
     let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw)) else {
-        let count = draft.number(keys::CLAIMS);
-        if count >= CLAIMS {
+        let count = draft.number(keys::CLAIM_COUNT);
+        if count >= MAX_KEYS {
             return reply(ClaimState::Full, Blob::default());
         }
-        let (member, incarnation, request_id) = asker;
+        let (member, incarnation, request_id) = claimant;
         let ticks = u64::from(ticks.clamp(1, MAX_KEY_TICKS));
         let due = draft.number(keys::TICKS) + ticks;
         let record =
             ClaimRecord { digest, member, incarnation, request_id, due, is_answered: 0, answer: Blob::default() };
         draft.put(key.clone(), wire::to_bytes(&record));
-        draft.put_number(keys::CLAIMS, count + 1);
-        draft.expire(&key, ticks);
+        draft.put_number(keys::CLAIM_COUNT, count + 1);
+        draft.schedule_removal(&key, ticks);
         return reply(ClaimState::Granted, Blob::default());
     };
     if record.digest != digest {
@@ -54,20 +54,21 @@
     if record.is_answered != 0 {
         return reply(ClaimState::Answered, record.answer);
     }
-    if owner(&record) == asker {
+    if claimant_of(&record) == claimant {
         return reply(ClaimState::Granted, Blob::default());
     }
     let holder = draft.state.get(&keys::member_key(record.member));
-    let lives = holder.and_then(|raw| Member::read(raw)).is_some_and(|line| line.incarnation == record.incarnation);
-    let state = if lives { ClaimState::Running } else { ClaimState::Unknown };
+    let is_member =
+        holder.and_then(|raw| Member::read(raw)).is_some_and(|member| member.incarnation == record.incarnation);
+    let state = if is_member { ClaimState::Running } else { ClaimState::Unknown };
     reply(state, Blob::default())
 }
 
 /// Records the answer to the request that holds a key.
-pub fn record_answer(draft: &mut Draft, scope: &str, asker: Asker, answer: Blob) -> CommandReply {
+pub fn record_answer(draft: &mut Draft, scope: &str, claimant: Claimant, answer: Blob) -> CommandReply {
     let key = format!("k/{scope}");
     if let Some(mut record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw))
-        && owner(&record) == asker
+        && claimant_of(&record) == claimant
         && record.is_answered == 0
     {
         record.is_answered = 1;
@@ -78,21 +79,21 @@
 }
 
 /// Releases a key that its holder did not use.
-pub fn release(draft: &mut Draft, scope: &str, asker: Asker) -> CommandReply {
+pub fn release_key(draft: &mut Draft, scope: &str, claimant: Claimant) -> CommandReply {
     let key = format!("k/{scope}");
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<ClaimRecord>(raw))
-        && owner(&record) == asker
+        && claimant_of(&record) == claimant
         && record.is_answered == 0
     {
-        draft.drop(key);
-        let count = draft.number(keys::CLAIMS);
-        draft.put_number(keys::CLAIMS, count.saturating_sub(1));
+        draft.remove(key);
+        let count = draft.number(keys::CLAIM_COUNT);
+        draft.put_number(keys::CLAIM_COUNT, count.saturating_sub(1));
     }
     CommandReply::Plain
 }
 
 /// Stores a deferred request.
-pub fn store(draft: &mut Draft, id: &str, function: Text, digest: Blob, task: Blob) -> CommandReply {
+pub fn store_deferred(draft: &mut Draft, id: &str, function: Text, digest: Blob, task: Blob) -> CommandReply {
     let key = format!("d/{id}");
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw)) {
         let state = match () {
@@ -102,28 +103,28 @@
         };
         return CommandReply::Stored { state, answer: record.answer };
     }
-    let count = draft.number(keys::STORED);
-    if count >= DEFERRED {
+    let count = draft.number(keys::DEFERRED_COUNT);
+    if count >= MAX_DEFERRED_REQUESTS {
         return CommandReply::Stored { state: ClaimState::Full, answer: Blob::default() };
     }
     draft.put(format!("p/{}/{id}", function.as_str()), task.into_vec());
     let record = DeferredRecord { function, digest, done: 0, answer: Blob::default() };
     draft.put(key, wire::to_bytes(&record));
-    draft.put_number(keys::STORED, count + 1);
+    draft.put_number(keys::DEFERRED_COUNT, count + 1);
     CommandReply::Stored { state: ClaimState::Granted, answer: Blob::default() }
 }
 
 /// Records the answer of a deferred request and removes the request from its function's queue.
-pub fn finish(draft: &mut Draft, id: &str, function: &str, answer: Blob) -> CommandReply {
+pub fn finish_deferred(draft: &mut Draft, id: &str, function: &str, answer: Blob) -> CommandReply {
     let key = format!("d/{id}");
     if let Some(mut record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw))
         && record.done == 0
     {
         record.done = 1;
         record.answer = answer;
-        draft.drop(format!("p/{function}/{id}"));
+        draft.remove(format!("p/{function}/{id}"));
         draft.put(key.clone(), wire::to_bytes(&record));
-        draft.expire(&key, DONE_TICKS);
+        draft.schedule_removal(&key, FINISHED_TICKS);
     }
     CommandReply::Plain
 }
--- a/crates/control/src/configuration_reads.rs
+++ b/crates/control/src/configuration_reads.rs
@@ -16,22 +16,22 @@
 
 impl Core {
     /// Restarts slow reads, and gives up those that are past their deadline.
-    pub(crate) fn tick_reads(&mut self) {
+    pub(crate) fn process_reads(&mut self) {
         let now = self.now;
         let open: Vec<u64> = self.calls.reads.keys().copied().collect();
         for request_id in open {
             let Some(read) = self.calls.reads.get(&request_id) else { continue };
             if now > read.due {
                 self.calls.reads.remove(&request_id);
-                self.busy(request_id, "the tail could not be reached in time");
+                self.reply_busy(request_id, "the tail could not be reached in time");
             } else if now > read.requested_at + PAGE_RETRY_INTERVAL {
-                self.read_on(request_id, String::new());
+                self.request_page(request_id, String::new());
             }
         }
     }
 
     /// Requests the page of a read that starts at a key; an empty key restarts the read.
-    pub(crate) fn read_on(&mut self, request_id: u64, from: String) {
+    pub(crate) fn request_page(&mut self, request_id: u64, from: String) {
         let Some(tail) = self.replica.view().chain.as_slice().last().copied() else { return };
         let page_request_id = self.proposals.next_number();
         if let Some(read) = self.calls.reads.get_mut(&request_id) {
@@ -42,12 +42,12 @@
                 read.pairs.clear();
             }
             let message = LeaseMessage::ConfigurationRequest { request_id: read.page_request_id, from: from.into() };
-            self.outs.push(CoreOutput::Router { to: tail, message });
+            self.outputs.push(CoreOutput::Router { to: tail, message });
         }
     }
 
     /// Adds a page to the read that requested it, and answers the read after its last page.
-    pub(crate) fn on_configuration_page(
+    pub(crate) fn handle_configuration_page(
         &mut self,
         page_request_id: u64,
         step: u64,
@@ -62,12 +62,12 @@
         };
         let request_id = *request_id;
         if read.step.is_some_and(|first| first != step) {
-            return self.read_on(request_id, String::new());
+            return self.request_page(request_id, String::new());
         }
         read.step = Some(step);
         read.pairs.extend(items.into_iter().map(|item| (item.key.as_str().to_owned(), item.value.into_vec())));
         if !next.is_empty() {
-            return self.read_on(request_id, next.to_owned());
+            return self.request_page(request_id, next.to_owned());
         }
         if let Some(read) = self.calls.reads.remove(&request_id) {
             let mut reply = ApiReply::new(200, document(revision, &read.scope, &read.pairs));
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -25,11 +25,11 @@
     pub links: InboxSender<LinkOrder>,
     pub optimizer: InboxSender<OptimizerMessage>,
     pub calls: BTreeMap<u64, oneshot::Sender<ApiReply>>,
-    pub next_call: u64,
-    pub view: watch::Sender<String>,
+    pub last_call_id: u64,
+    pub status: watch::Sender<String>,
     /// The revision that was last sent to the optimizer.
-    pub revision: Option<u64>,
-    pub shown: Instant,
+    pub sent_revision: Option<u64>,
+    pub status_published_at: Instant,
     pub membership: MembershipLog,
     pub seeds: Vec<String>,
     /// Maximum time that a planned stop waits until the other registries no longer need this one.
@@ -50,14 +50,14 @@
 
 impl Control {
     /// Runs the loop until a planned stop is over.
-    pub async fn run(mut self, post: InboxSender<ControlMessage>, mut inbox: Inbox<ControlMessage>) {
+    pub async fn run(mut self, sender: InboxSender<ControlMessage>, mut inbox: Inbox<ControlMessage>) {
         let begun = Instant::now();
         let view = self.core.replica().view().clone();
         self.dial(&view);
         let _ = self.optimizer.send(OptimizerMessage::ViewAdopted { view });
         tokio::task::spawn_local(async move {
             wait_for_signal().await;
-            post.send_waiting(ControlMessage::Stop).await;
+            sender.send_waiting(ControlMessage::Stop).await;
         });
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -73,7 +73,7 @@
                         departure.get_or_insert(Departure { deadline: Instant::now() + self.grace, reported: None });
                         Some(CoreInput::Leave { within: self.grace })
                     }
-                    Some(message) => self.input(message),
+                    Some(message) => self.handle_message(message),
                 },
             };
             if let Some(input) = input {
@@ -81,7 +81,7 @@
                 self.execute(outputs);
                 self.membership.log_changes(self.core.state());
             }
-            self.show();
+            self.publish_status();
         }
     }
 
@@ -100,7 +100,7 @@
         is_over
     }
 
-    fn input(&mut self, message: ControlMessage) -> Option<CoreInput> {
+    fn handle_message(&mut self, message: ControlMessage) -> Option<CoreInput> {
         match message {
             ControlMessage::Link(LinkEvent::Frame { from, incarnation, message }) => match message {
                 Message::Chain(message) => Some(CoreInput::Chain { from, message }),
@@ -129,14 +129,14 @@
                 None
             }
             ControlMessage::Call { call, reply } => {
-                self.next_call += 1;
-                self.calls.insert(self.next_call, reply);
-                Some(CoreInput::Call { request_id: self.next_call, call })
+                self.last_call_id += 1;
+                self.calls.insert(self.last_call_id, reply);
+                Some(CoreInput::Call { request_id: self.last_call_id, call })
             }
         }
     }
 
-    fn order(&self, order: LinkOrder) {
+    fn send_order(&self, order: LinkOrder) {
         if self.links.send(order).is_err() {
             event!(inbox_full, "links");
         }
@@ -144,23 +144,23 @@
 
     fn dial(&self, view: &View) {
         let addresses = addresses(view).into_iter().chain(self.reported_registries.iter().cloned());
-        self.order(LinkOrder::Dial { addresses: self.seeds.iter().cloned().chain(addresses).collect() });
+        self.send_order(LinkOrder::Dial { addresses: self.seeds.iter().cloned().chain(addresses).collect() });
     }
 
     fn execute(&mut self, outputs: Vec<CoreOutput>) {
         for output in outputs {
             match output {
                 CoreOutput::Registry { to, message } => {
-                    self.order(LinkOrder::Send { to, message: Message::Chain(message) })
+                    self.send_order(LinkOrder::Send { to, message: Message::Chain(message) })
                 }
                 CoreOutput::Router { to, message } => {
-                    self.order(LinkOrder::Send { to, message: Message::Lease(message) })
+                    self.send_order(LinkOrder::Send { to, message: Message::Lease(message) })
                 }
                 CoreOutput::Seeds { message } => {
                     let reported_registries =
                         self.reported_registries.iter().filter(|address| !self.seeds.contains(address));
                     for address in self.seeds.iter().chain(reported_registries).cloned().collect::<Vec<_>>() {
-                        self.order(LinkOrder::SendAddress { address, message: Message::Chain(message.clone()) });
+                        self.send_order(LinkOrder::SendAddress { address, message: Message::Chain(message.clone()) });
                     }
                 }
                 CoreOutput::Write { ticket, batch } => {
@@ -199,7 +199,7 @@
                 CoreOutput::ChangeInvalid { fault } => event!(change_invalid, "{fault}"),
                 CoreOutput::Activated { step } => {
                     event!(epoch_activated, "step {step}");
-                    self.tell_active(step);
+                    self.send_active_configuration(step);
                 }
             }
         }
@@ -207,26 +207,26 @@
 
     /// Sends the active configuration to the optimizer. An epoch that changes only the quorum has the same revision and
     /// is not sent.
-    fn tell_active(&mut self, step: u64) {
+    fn send_active_configuration(&mut self, step: u64) {
         let (state, prefix) = (self.core.state(), keys::ACTIVE_PAIRS);
         let revision = keys::read_number(state, keys::ACTIVE_REVISION);
-        if self.revision == Some(revision) {
+        if self.sent_revision == Some(revision) {
             return;
         }
         let pairs =
             keys::with_prefix(state, prefix).map(|(key, value)| (key[prefix.len()..].to_owned(), value.clone()));
         let active = OptimizerMessage::Active { step, revision, pairs: pairs.collect() };
         match self.optimizer.send(active) {
-            Ok(()) => self.revision = Some(revision),
+            Ok(()) => self.sent_revision = Some(revision),
             Err(_) => event!(inbox_full, "optimizer"),
         }
     }
 
-    fn show(&mut self) {
-        if self.shown.elapsed() >= STATUS_INTERVAL {
-            self.shown = Instant::now();
+    fn publish_status(&mut self) {
+        if self.status_published_at.elapsed() >= STATUS_INTERVAL {
+            self.status_published_at = Instant::now();
             let status = self.core.status().to_string();
-            self.view.send_if_modified(|old| {
+            self.status.send_if_modified(|old| {
                 let differs = *old != status;
                 *old = status;
                 differs
--- a/crates/control/src/control_loop_tests.rs
+++ b/crates/control/src/control_loop_tests.rs
@@ -33,10 +33,10 @@
         links,
         optimizer,
         calls: BTreeMap::new(),
-        next_call: 0,
-        view: watch::channel(String::new()).0,
-        revision: None,
-        shown: Instant::now(),
+        last_call_id: 0,
+        status: watch::channel(String::new()).0,
+        sent_revision: None,
+        status_published_at: Instant::now(),
         membership: MembershipLog::default(),
         seeds: Vec::new(),
         grace: Duration::from_secs(4),
@@ -47,9 +47,9 @@
 #[test]
 fn a_registry_that_waits_to_leave_goes_on_with_its_heartbeats() {
     let (links, mut orders) = inbox(INBOX);
-    let (post, messages) = inbox(INBOX);
-    assert!(post.send(ControlMessage::Stop).is_ok());
-    let running = thread::spawn(move || kernel::local(control(links).run(post, messages)));
+    let (sender, messages) = inbox(INBOX);
+    assert!(sender.send(ControlMessage::Stop).is_ok());
+    let running = thread::spawn(move || kernel::local(control(links).run(sender, messages)));
     let mut proposals = 0;
     let mut heartbeats = 0;
     // The inbox closes when the control loop ends.
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -114,7 +114,7 @@
     pub(crate) timing: CoreTiming,
     pub(crate) format: u16,
     pub(crate) now: Duration,
-    pub(crate) outs: Vec<CoreOutput>,
+    pub(crate) outputs: Vec<CoreOutput>,
     pub(crate) sessions: Sessions,
     pub(crate) tail: TailRole,
     pub(crate) requests: RouterRequests,
@@ -135,7 +135,7 @@
             timing,
             format: wire::FORMAT,
             now: Duration::ZERO,
-            outs: Vec::new(),
+            outputs: Vec::new(),
             sessions: Sessions::default(),
             tail: TailRole::default(),
             requests: RouterRequests::default(),
@@ -179,60 +179,60 @@
         self.now = now;
         match input {
             CoreInput::Tick => {
-                self.chain(Input::Tick);
+                self.step_replica(Input::Tick);
                 self.tick();
             }
-            CoreInput::Chain { from, message } => self.chain(Input::Message { from, message }),
-            CoreInput::Written { ticket } => self.chain(Input::Written { ticket }),
-            CoreInput::DiskError => self.chain(Input::DiskError),
+            CoreInput::Chain { from, message } => self.step_replica(Input::Message { from, message }),
+            CoreInput::Written { ticket } => self.step_replica(Input::Written { ticket }),
+            CoreInput::DiskError => self.step_replica(Input::DiskError),
             CoreInput::DiskRecovered { stored } => {
-                self.tail.lose();
-                self.chain(Input::DiskRecovered { stored: *stored });
+                self.tail.end();
+                self.step_replica(Input::DiskRecovered { stored: *stored });
             }
-            CoreInput::Router { from, incarnation, message } => self.router(from, incarnation, message),
-            CoreInput::Call { request_id, call } => self.call(request_id, call),
-            CoreInput::Leave { within } => self.chain(Input::Leave { within }),
+            CoreInput::Router { from, incarnation, message } => self.handle_lease_message(from, incarnation, message),
+            CoreInput::Call { request_id, call } => self.handle_call(request_id, call),
+            CoreInput::Leave { within } => self.step_replica(Input::Leave { within }),
         }
-        self.after();
-        let mut outs = Vec::new();
+        self.handle_progress();
+        let mut outputs = Vec::new();
         loop {
-            let batch = std::mem::take(&mut self.outs);
+            let batch = std::mem::take(&mut self.outputs);
             if batch.is_empty() {
-                return outs;
+                return outputs;
             }
-            for out in batch {
-                match out {
+            for output in batch {
+                match output {
                     CoreOutput::Router { to, message } if to == self.id() => {
-                        self.router(to, 0, message);
-                        self.after();
+                        self.handle_lease_message(to, 0, message);
+                        self.handle_progress();
                     }
-                    other => outs.push(other),
+                    other => outputs.push(other),
                 }
             }
         }
     }
 
-    pub(crate) fn chain(&mut self, input: Input) {
-        let mut reviewed = false;
+    pub(crate) fn step_replica(&mut self, input: Input) {
+        let mut view_changed = false;
         for output in self.replica.step(self.now, input) {
             match output {
-                Output::Send { to, message } => self.outs.push(CoreOutput::Registry { to, message }),
-                Output::SendSeeds { message } => self.outs.push(CoreOutput::Seeds { message }),
-                Output::Write { ticket, batch } => self.outs.push(CoreOutput::Write { ticket, batch }),
+                Output::Send { to, message } => self.outputs.push(CoreOutput::Registry { to, message }),
+                Output::SendSeeds { message } => self.outputs.push(CoreOutput::Seeds { message }),
+                Output::Write { ticket, batch } => self.outputs.push(CoreOutput::Write { ticket, batch }),
                 Output::ViewAdopted { view } => {
-                    self.outs.push(CoreOutput::ViewAdopted { view });
-                    reviewed = true;
+                    self.outputs.push(CoreOutput::ViewAdopted { view });
+                    view_changed = true;
                 }
-                Output::ViewLearned { view } => self.outs.push(CoreOutput::ViewLearned { view }),
+                Output::ViewLearned { view } => self.outputs.push(CoreOutput::ViewLearned { view }),
                 Output::ProposalDone { op, appended, reply } => self.handle_proposal_done(op, appended, reply),
-                Output::Confirmed { round } => self.confirmed(round),
-                Output::CaughtUp { missed_entries } => self.outs.push(CoreOutput::CaughtUp { missed_entries }),
+                Output::Confirmed { round } => self.handle_confirmed_round(round),
+                Output::CaughtUp { missed_entries } => self.outputs.push(CoreOutput::CaughtUp { missed_entries }),
                 Output::Committed { .. } => {}
             }
         }
-        if reviewed {
+        if view_changed {
             self.hand_over_leases();
-            self.propose_again();
+            self.repeat_proposals();
         }
     }
 }
--- a/crates/control/src/deferred_calls.rs
+++ b/crates/control/src/deferred_calls.rs
@@ -23,27 +23,27 @@
         }
         let revision = keys::read_number(self.state(), keys::LATEST_REVISION);
         for waiting in std::mem::take(&mut self.calls.deferred) {
-            let is_new_enough = waiting.call.builds_on().is_none_or(|needed| needed <= revision);
+            let is_committed = waiting.call.required_revision().is_none_or(|needed| needed <= revision);
             match waiting.call {
-                ApiCall::Latest { keys, .. } if is_new_enough || self.now > waiting.due => {
-                    let reply = self.latest(&keys);
+                ApiCall::Latest { keys, .. } if is_committed || self.now > waiting.due => {
+                    let reply = self.latest_reply(&keys);
                     self.reply(waiting.request_id, reply);
                 }
-                ApiCall::Change { base, revision, full, scope, items, .. } if is_new_enough => {
+                ApiCall::Change { base, revision, full, scope, items, .. } if is_committed => {
                     let (revision, scope, items) = (revision.unwrap_or_default(), scope.as_str(), items.as_slice());
                     let change = Change { base, revision, full, scope, items };
                     let reply = apply_change::dry_run(self.state(), &change);
                     self.reply(waiting.request_id, reply);
                 }
                 _ if self.now > waiting.due => {
-                    self.busy(waiting.request_id, "this registry has not committed that revision yet")
+                    self.reply_busy(waiting.request_id, "this registry has not committed that revision yet")
                 }
                 call => self.calls.deferred.push(DeferredCall { call, ..waiting }),
             }
         }
     }
 
-    fn latest(&self, keys: &[String]) -> ApiReply {
+    fn latest_reply(&self, keys: &[String]) -> ApiReply {
         let state = self.state();
         let read = |key: &String| {
             let raw = state.get(&format!("{}{key}", keys::LATEST_PAIRS))?;
--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -18,9 +18,9 @@
 /// Number of the membership.
 pub const MEMBERSHIP: &str = "m/number";
 /// Number of run-once keys.
-pub const CLAIMS: &str = "n/claims";
+pub const CLAIM_COUNT: &str = "n/claims";
 /// Number of deferred requests.
-pub const STORED: &str = "n/stored";
+pub const DEFERRED_COUNT: &str = "n/stored";
 /// Prefix of the resources of the active configuration.
 pub const ACTIVE_PAIRS: &str = "a/";
 /// Prefix of the resources of the latest configuration.
@@ -30,9 +30,9 @@
 /// Prefix of the member routers.
 pub const MEMBERS: &str = "r/";
 /// Prefix of the outcomes of accepted operations.
-pub const TAKEN: &str = "o/";
+pub const ACCEPTED_OPERATIONS: &str = "o/";
 /// Prefix of the outcomes of refused operations.
-pub const REFUSED: &str = "q/";
+pub const REFUSED_OPERATIONS: &str = "q/";
 
 /// Returns the number under a key, or 0 if there is none.
 pub fn read_number(state: &State, key: &str) -> u64 {
@@ -40,12 +40,12 @@
 }
 
 /// Encodes a number as a value.
-pub fn value(number: u64) -> Value {
+pub fn encode_number(number: u64) -> Value {
     number.to_le_bytes().to_vec().into()
 }
 
 /// Returns the key of an epoch.
-pub fn step_key(step: u64) -> String {
+pub fn epoch_key(step: u64) -> String {
     format!("{STEPS}{step:020}")
 }
 
@@ -60,13 +60,13 @@
 }
 
 /// Reads an epoch.
-pub fn step(state: &State, step: u64) -> Option<ConfigurationEpoch> {
-    state.get(&step_key(step)).and_then(|raw| wire::from_bytes(raw))
+pub fn epoch(state: &State, step: u64) -> Option<ConfigurationEpoch> {
+    state.get(&epoch_key(step)).and_then(|raw| wire::from_bytes(raw))
 }
 
 /// Returns the quorum of an epoch.
 pub fn quorum(state: &State, number: u64) -> Vec<NodeId> {
-    step(state, number).map(|step| step.quorum.into_vec()).unwrap_or_default()
+    epoch(state, number).map(|epoch| epoch.quorum.into_vec()).unwrap_or_default()
 }
 
 /// Returns the member routers.
--- a/crates/control/src/membership_log.rs
+++ b/crates/control/src/membership_log.rs
@@ -37,13 +37,13 @@
         }
         let membership = keys::membership(state);
         let seen = self.seen.replace(membership.clone());
-        seen.map(|seen| between(&seen, &membership)).unwrap_or_default()
+        seen.map(|seen| changes_between(&seen, &membership)).unwrap_or_default()
     }
 
     /// Logs the changes since the previous call.
     pub fn log_changes(&mut self, state: &State) {
-        for (change, line) in self.take_changes(state) {
-            let (id, zone, address) = (line.id, line.zone.as_str(), line.address.as_str());
+        for (change, member) in self.take_changes(state) {
+            let (id, zone, address) = (member.id, member.zone.as_str(), member.address.as_str());
             let (membership, count) =
                 self.seen.as_ref().map_or((0, 0), |seen| (seen.number, seen.members.iter().count()));
             match change {
@@ -61,23 +61,24 @@
     }
 }
 
-fn find(membership: &Membership, id: NodeId) -> Option<&Member> {
-    membership.members.iter().find(|line| line.id == id)
+fn find_member(membership: &Membership, id: NodeId) -> Option<&Member> {
+    membership.members.iter().find(|member| member.id == id)
 }
 
 /// Returns the changes between two memberships. The removal of a router that was leaving is not a lapse: its
 /// departure was reported when it announced it.
-fn between(seen: &Membership, membership: &Membership) -> Vec<(MemberChange, Member)> {
-    let gone = seen.members.iter().filter(|line| line.leaving == 0 && find(membership, line.id).is_none());
-    let gone = gone.map(|line| (MemberChange::Lapsed, line.clone()));
-    let here = membership.members.iter().filter_map(|line| {
-        let known = find(seen, line.id).filter(|known| known.incarnation == line.incarnation);
+fn changes_between(seen: &Membership, membership: &Membership) -> Vec<(MemberChange, Member)> {
+    let removed =
+        seen.members.iter().filter(|member| member.leaving == 0 && find_member(membership, member.id).is_none());
+    let lapsed = removed.map(|member| (MemberChange::Lapsed, member.clone()));
+    let present = membership.members.iter().filter_map(|member| {
+        let known = find_member(seen, member.id).filter(|known| known.incarnation == member.incarnation);
         let change = match known {
             None => MemberChange::Joined,
-            Some(known) if known.leaving == 0 && line.leaving != 0 => MemberChange::Leaving,
+            Some(known) if known.leaving == 0 && member.leaving != 0 => MemberChange::Leaving,
             Some(_) => return None,
         };
-        Some((change, line.clone()))
+        Some((change, member.clone()))
     });
-    gone.chain(here).collect()
+    lapsed.chain(present).collect()
 }
--- a/crates/control/src/membership_updates.rs
+++ b/crates/control/src/membership_updates.rs
@@ -24,7 +24,7 @@
 
 impl MembershipUpdates {
     /// Returns the number of the membership to send now, which may briefly lag behind the state's.
-    pub fn newest(&mut self, now: Duration, state: &State) -> u64 {
+    pub fn newest_due(&mut self, now: Duration, state: &State) -> u64 {
         let number = keys::read_number(state, keys::MEMBERSHIP);
         let newest = self.sent.back().map_or(0, |membership| membership.number);
         if number <= newest || (newest != 0 && now < self.sent_at + UPDATE_INTERVAL) {
@@ -49,7 +49,7 @@
     }
 
     /// Returns the difference between the newest membership and the one that a router has.
-    pub fn change(&mut self, known: u64) -> Option<LeaseMessage> {
+    pub fn change_since(&mut self, known: u64) -> Option<LeaseMessage> {
         let newest = self.sent.back()?;
         let earlier = self.sent.iter().find(|membership| membership.number == known);
         let since = earlier.map_or(0, |membership| membership.number);
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -13,7 +13,7 @@
 use wire::{Command, CommandReply};
 
 /// First format with declared revisions.
-const DECLARES: u16 = 3;
+const DECLARED_REVISIONS_FORMAT: u16 = 3;
 /// Maximum number of open calls and proposals.
 const MAX_OPEN_CALLS: usize = 4096;
 /// Maximum length of the logged faults of a change.
@@ -21,11 +21,11 @@
 
 impl Core {
     pub(crate) fn reply(&mut self, request_id: u64, reply: ApiReply) {
-        self.outs.push(CoreOutput::Reply { request_id, reply });
+        self.outputs.push(CoreOutput::Reply { request_id, reply });
     }
 
     /// Answers that the outcome of an operation is unknown.
-    pub(crate) fn unknown(&mut self, request_id: u64, op: &str) {
+    pub(crate) fn reply_unknown(&mut self, request_id: u64, op: &str) {
         let detail = format!(
             "the outcome is not known yet; look it up at /v1/operations/{op}, or repeat the change with the same Operation-Id"
         );
@@ -33,13 +33,13 @@
     }
 
     /// Answers that a call was not run and may be repeated.
-    pub(crate) fn busy(&mut self, request_id: u64, detail: &str) {
+    pub(crate) fn reply_busy(&mut self, request_id: u64, detail: &str) {
         let mut reply = ApiReply::new(503, json!({"outcome": "not-run", "fault": detail}));
         reply.retry_after = Some(1);
         self.reply(request_id, reply);
     }
 
-    pub(crate) fn call(&mut self, request_id: u64, call: ApiCall) {
+    pub(crate) fn handle_call(&mut self, request_id: u64, call: ApiCall) {
         match call {
             ApiCall::Status => {
                 let body = self.status();
@@ -49,19 +49,19 @@
                 self.note_invalid_change(fault);
                 self.reply(request_id, ApiReply::new(200, json!({"outcome": "noted"})));
             }
-            call => self.chain_call(request_id, call),
+            call => self.handle_chain_call(request_id, call),
         }
     }
 
     /// Handles a call that reads or changes the chain's state.
-    fn chain_call(&mut self, request_id: u64, call: ApiCall) {
+    fn handle_chain_call(&mut self, request_id: u64, call: ApiCall) {
         if self.proposals.len() + self.calls.len() >= MAX_OPEN_CALLS {
-            return self.busy(request_id, "too many open calls");
+            return self.reply_busy(request_id, "too many open calls");
         }
         if !self.replica.is_in_chain() {
-            return self.busy(request_id, "this registry is not in the chain at present; try another one");
+            return self.reply_busy(request_id, "this registry is not in the chain at present; try another one");
         }
-        if call.builds_on().is_some() {
+        if call.required_revision().is_some() {
             self.calls.deferred.push(DeferredCall { request_id, call, due: self.now + MAX_DEFERRAL });
             return self.answer_deferred_calls();
         }
@@ -70,10 +70,10 @@
                 let (name, scope, items) = (op.as_str().into(), scope.into(), items.into());
                 let (base, any, full) = (base.unwrap_or_default(), base.is_none() as u8, full as u8);
                 let command = match (self.format, revision) {
-                    (..DECLARES, None) => Command::Change { op: name, base, any, full, scope, items },
-                    (..DECLARES, Some(_)) => {
+                    (..DECLARED_REVISIONS_FORMAT, None) => Command::Change { op: name, base, any, full, scope, items },
+                    (..DECLARED_REVISIONS_FORMAT, Some(_)) => {
                         let detail = "revisions can be declared once the registries write format 3 or newer";
-                        return self.busy(request_id, detail);
+                        return self.reply_busy(request_id, detail);
                     }
                     _ => {
                         let revision = revision.unwrap_or_default();
@@ -98,7 +98,7 @@
             Some((end, _)) => format!("{}...", &fault[..end]),
             None => fault,
         };
-        self.outs.push(CoreOutput::ChangeInvalid { fault });
+        self.outputs.push(CoreOutput::ChangeInvalid { fault });
     }
 
     fn start_read(&mut self, request_id: u64, scope: String) {
@@ -106,7 +106,7 @@
         let (step, pairs) = (None, BTreeMap::new());
         let read = ConfigurationRead { page_request_id: 0, scope, step, pairs, requested_at: self.now, due };
         self.calls.reads.insert(request_id, read);
-        self.read_on(request_id, String::new());
+        self.request_page(request_id, String::new());
     }
 
     fn operation_outcome(&self, op: &str) -> ApiReply {
@@ -122,7 +122,7 @@
         }
     }
 
-    pub(crate) fn change_done(
+    pub(crate) fn handle_change_done(
         &mut self,
         request_id: u64,
         op: String,
@@ -131,16 +131,16 @@
         reply: &[u8],
     ) {
         if !appended && may_be_appended {
-            return self.unknown(request_id, &op);
+            return self.reply_unknown(request_id, &op);
         }
         if !appended {
-            return self.busy(request_id, "the chain takes no changes at the moment; nothing was changed");
+            return self.reply_busy(request_id, "the chain takes no changes at the moment; nothing was changed");
         }
         match wire::from_bytes::<CommandReply>(reply) {
             Some(CommandReply::Changed { step, revision }) => {
                 let due = self.now + self.timing.call_timeout;
                 self.calls.activations.push(AwaitedActivation { request_id, op, step, revision, due });
-                self.activated(self.calls.active_step);
+                self.answer_activated_changes(self.calls.active_step);
             }
             Some(CommandReply::Refused { status, body }) => {
                 let detail: Value = serde_json::from_slice(body.as_slice()).unwrap_or_default();
@@ -149,11 +149,11 @@
                     ApiReply::new(status, json!({"outcome": "refused", "operation": op, "faults": detail})),
                 );
             }
-            _ => self.unknown(request_id, &op),
+            _ => self.reply_unknown(request_id, &op),
         }
     }
 
-    pub(crate) fn activated(&mut self, step: u64) {
+    pub(crate) fn answer_activated_changes(&mut self, step: u64) {
         for done in self.calls.take_activated(step) {
             let body = json!({"outcome": "in-force", "operation": done.op, "revision": done.revision});
             let mut reply = ApiReply::new(200, body);
@@ -162,10 +162,10 @@
         }
     }
 
-    pub(crate) fn tick_calls(&mut self) {
+    pub(crate) fn process_open_calls(&mut self) {
         let overdue = self.calls.take_overdue_activations(self.now);
-        overdue.into_iter().for_each(|waiting| self.unknown(waiting.request_id, &waiting.op));
+        overdue.into_iter().for_each(|waiting| self.reply_unknown(waiting.request_id, &waiting.op));
         self.answer_deferred_calls();
-        self.tick_reads();
+        self.process_reads();
     }
 }
--- a/crates/control/src/operator_dialect.rs
+++ b/crates/control/src/operator_pages.rs
@@ -31,13 +31,13 @@
 #[derive(Clone)]
 pub struct RegistryHandle {
     pub(crate) control: InboxSender<ControlMessage>,
-    pub(crate) view: watch::Receiver<String>,
+    pub(crate) status: watch::Receiver<String>,
 }
 
 impl RegistryHandle {
     /// Creates a handle from the control thread's inbox and the registry's published status.
-    pub fn new(control: InboxSender<ControlMessage>, view: watch::Receiver<String>) -> RegistryHandle {
-        RegistryHandle { control, view }
+    pub fn new(control: InboxSender<ControlMessage>, status: watch::Receiver<String>) -> RegistryHandle {
+        RegistryHandle { control, status }
     }
 
     /// Sends a call to the core and waits for the reply.
@@ -56,8 +56,8 @@
     pub async fn change(&self, change: ApiCall) -> ApiReply {
         let reply = self.call(change).await;
         if INVALID.contains(&reply.status) {
-            let told: Value = serde_json::from_str(&reply.body).unwrap_or_default();
-            self.note_invalid(&told["faults"].to_string()).await;
+            let body: Value = serde_json::from_str(&reply.body).unwrap_or_default();
+            self.note_invalid(&body["faults"].to_string()).await;
         }
         reply
     }
@@ -68,13 +68,13 @@
     }
 
     /// Returns this registry's status as JSON, updated as it changes.
-    pub fn view(&self) -> watch::Receiver<String> {
-        self.view.clone()
+    pub fn status(&self) -> watch::Receiver<String> {
+        self.status.clone()
     }
 
     /// Whether this registry is in the chain and so can accept changes.
     pub fn is_ready(&self) -> bool {
-        let view: Value = serde_json::from_str(&self.view.borrow()).unwrap_or_default();
-        view["role"].as_str().is_some_and(|role| role != "out")
+        let status: Value = serde_json::from_str(&self.status.borrow()).unwrap_or_default();
+        status["role"].as_str().is_some_and(|role| role != "out")
     }
 }
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -27,7 +27,7 @@
 }
 
 /// Settings and connections of the optimizer's thread.
-pub struct Host {
+pub struct OptimizerContext {
     /// This registry.
     pub me: NodeId,
     /// Maximum time for solving one headcount plan.
@@ -47,10 +47,10 @@
 }
 
 /// Runs the optimizer until its inbox is closed.
-pub fn run(host: Host, mut inbox: Inbox<OptimizerMessage>) {
+pub fn run(context: OptimizerContext, mut inbox: Inbox<OptimizerMessage>) {
     let begun = Instant::now();
-    let mut planner = Planner::new(host.tuning, Optimizer::new(host.step, host.fits));
-    let mut last_sent = (0, 0);
+    let mut planner = Planner::new(context.tuning, Optimizer::new(context.step, context.fits));
+    let mut last_published = (0, 0);
     let mut active = (0, BTreeMap::new());
     while let Some(message) = inbox.next_blocking() {
         match message {
@@ -61,25 +61,25 @@
                     revision,
                     pairs.iter().map(|(key, raw)| (key.as_str(), &raw[..])),
                 ));
-                let before = std::mem::replace(&mut active, (revision, pairs)).1;
-                show(&host.index, &active, &before, &planner);
+                let previous = std::mem::replace(&mut active, (revision, pairs)).1;
+                publish_resources(&context.index, &active, &previous, &planner);
             }
-            OptimizerMessage::Frame { message: PlanMessage::Request { .. }, .. } if !host.plans => {}
+            OptimizerMessage::Frame { message: PlanMessage::Request { .. }, .. } if !context.plans => {}
             OptimizerMessage::Frame { from, message } => {
-                let tunes = matches!(message, PlanMessage::Measures { .. } | PlanMessage::Tuned { .. });
-                for planned in planner.step(begun.elapsed(), host.me, from, message, host.solve) {
-                    if let Some(fault) = planned.fault {
+                let is_tuning_message = matches!(message, PlanMessage::Measures { .. } | PlanMessage::Tuned { .. });
+                for output in planner.step(begun.elapsed(), context.me, from, message, context.solve) {
+                    if let Some(fault) = output.fault {
                         event!(plan_failed, "{fault}");
                     }
-                    let order = LinkOrder::Send { to: planned.to, message: Message::Plan(planned.message) };
-                    if host.links.send(order).is_err() {
+                    let order = LinkOrder::Send { to: output.to, message: Message::Plan(output.message) };
+                    if context.links.send(order).is_err() {
                         event!(inbox_full, "links");
                     }
                 }
-                let (fence, lines) = planner.in_force();
-                if tunes && (!lines.is_empty() || last_sent != (fence, lines.len())) {
-                    last_sent = (fence, lines.len());
-                    show(&host.index, &active, &active.1, &planner);
+                let (fence, tuned) = planner.tuned_values();
+                if is_tuning_message && (!tuned.is_empty() || last_published != (fence, tuned.len())) {
+                    last_published = (fence, tuned.len());
+                    publish_resources(&context.index, &active, &active.1, &planner);
                 }
             }
         }
@@ -87,19 +87,20 @@
 }
 
 /// Publishes the resources that differ from before, and those that are tuned, in the index.
-fn show(
+fn publish_resources(
     index: &watch::Sender<ResourceIndex>,
     (revision, pairs): &(u64, BTreeMap<String, Value>),
-    before: &BTreeMap<String, Value>,
+    previous: &BTreeMap<String, Value>,
     planner: &Planner,
 ) {
-    let (fence, tuned) = planner.in_force();
-    let sheets: Vec<String> = tuned.iter().map(|line| format!("weight-sheets/{}", line.function.as_str())).collect();
-    let learner = |(key, raw): &(&String, &Value)| before.get(*key) != Some(*raw) || sheets.contains(*key);
-    let changed = pairs.iter().filter(learner).map(|(key, raw)| (key.as_str(), &raw[..]));
+    let (fence, tuned) = planner.tuned_values();
+    let tuned_keys: Vec<String> =
+        tuned.iter().map(|parameters| format!("weight-sheets/{}", parameters.function.as_str())).collect();
+    let is_affected = |(key, raw): &(&String, &Value)| previous.get(*key) != Some(*raw) || tuned_keys.contains(*key);
+    let changed = pairs.iter().filter(is_affected).map(|(key, raw)| (key.as_str(), &raw[..]));
     let items = http_server::kinds(changed, fence, tuned);
     index.send_if_modified(|index| {
-        let put = items.iter().fold(false, |any, (key, value)| index.put(key, *revision, value) || any);
-        index.keep_only(*revision, |key| pairs.contains_key(key) || items.contains_key(key)) || put
+        let has_put = items.iter().fold(false, |any, (key, value)| index.put(key, *revision, value) || any);
+        index.keep_only(*revision, |key| pairs.contains_key(key) || items.contains_key(key)) || has_put
     });
 }
--- a/crates/control/src/packed_steps.rs
+++ b/crates/control/src/packed_epochs.rs
@@ -11,40 +11,40 @@
 /// Maximum size of a part. A slow link of 2 Mbit/s takes 64 ms to send one, and can delay a lease proof by as much.
 const MAX_PART_BYTES: usize = 16 * 1024;
 /// Maximum number of cached epochs.
-const MAX_PACKED_STEPS: usize = 8;
+const MAX_PACKED_EPOCHS: usize = 8;
 
 /// Cache of compressed epochs, and of the active configuration as one epoch.
 #[derive(Default)]
-pub struct PackedSteps {
-    steps: BTreeMap<u64, Packed>,
+pub struct PackedEpochs {
+    epochs: BTreeMap<u64, Packed>,
     full: Option<(u64, Packed)>,
 }
 
-impl PackedSteps {
-    fn step(&mut self, state: &State, number: u64) -> Option<&Packed> {
-        if !self.steps.contains_key(&number) {
-            let raw = state.get(&keys::step_key(number))?;
-            if self.steps.len() >= MAX_PACKED_STEPS {
-                self.steps.pop_first();
+impl PackedEpochs {
+    fn epoch(&mut self, state: &State, number: u64) -> Option<&Packed> {
+        if !self.epochs.contains_key(&number) {
+            let raw = state.get(&keys::epoch_key(number))?;
+            if self.epochs.len() >= MAX_PACKED_EPOCHS {
+                self.epochs.pop_first();
             }
-            self.steps.insert(number, wire::pack(raw));
+            self.epochs.insert(number, wire::pack(raw));
         }
-        self.steps.get(&number)
+        self.epochs.get(&number)
     }
 
     /// Returns the active configuration as one epoch that sets all resources.
     fn full(&mut self, state: &State) -> (u64, &Packed) {
         let number = keys::read_number(state, keys::ACTIVE);
         if self.full.as_ref().is_none_or(|(packed, _)| *packed != number) {
-            let step = ConfigurationEpoch {
+            let epoch = ConfigurationEpoch {
                 number,
                 revision: keys::read_number(state, keys::ACTIVE_REVISION),
                 quorum: keys::quorum(state, number).into(),
                 items: keys::items(state, keys::ACTIVE_PAIRS).into(),
             };
             self.full = None;
-            self.steps.retain(|step, _| *step + MAX_PACKED_STEPS as u64 > number);
-            let packed = wire::pack(&wire::to_bytes(&step));
+            self.epochs.retain(|epoch, _| *epoch + MAX_PACKED_EPOCHS as u64 > number);
+            let packed = wire::pack(&wire::to_bytes(&epoch));
             return (number, &self.full.insert((number, packed)).1);
         }
         let (number, packed) = self.full.as_ref().expect("the active configuration is packed");
@@ -52,7 +52,7 @@
     }
 
     /// Returns the part at an offset of an epoch or, with `full`, of the active configuration.
-    pub fn part(
+    pub fn part_message(
         &mut self,
         state: &State,
         request_id: u64,
@@ -62,7 +62,7 @@
     ) -> Option<LeaseMessage> {
         let (found, packed) = match full {
             true => self.full(state),
-            false => (number, self.step(state, number)?),
+            false => (number, self.epoch(state, number)?),
         };
         // The transfer began with an epoch that is no longer active: restart with the active one.
         let offset = if full && number != found { 0 } else { offset };
@@ -75,17 +75,17 @@
 
 impl Core {
     /// Answers a router's request for a part.
-    pub(crate) fn on_part_request(&mut self, from: NodeId, request_id: u64, full: bool, number: u64, offset: u32) {
+    pub(crate) fn handle_part_request(&mut self, from: NodeId, request_id: u64, full: bool, number: u64, offset: u32) {
         if !self.tail.is_held() {
-            return self.not_tail(from);
+            return self.send_registry_addresses(from);
         }
         let now = self.now;
         if let Some(session) = self.sessions.table.get_mut(&from) {
             session.pushed_at = now;
         }
         let state = self.state().clone();
-        if let Some(message) = self.pushes.packed_steps.part(&state, request_id, full, number, offset) {
-            self.outs.push(CoreOutput::Router { to: from, message });
+        if let Some(message) = self.pushes.packed_epochs.part_message(&state, request_id, full, number, offset) {
+            self.outputs.push(CoreOutput::Router { to: from, message });
         }
     }
 }
--- a/crates/control/src/periodic.rs
+++ b/crates/control/src/periodic.rs
@@ -14,7 +14,7 @@
     pub(crate) fn tick(&mut self) {
         let now = self.now;
         self.expire_proposals();
-        self.tick_calls();
+        self.process_open_calls();
         let pending = keys::read_number(self.state(), keys::LATEST) > keys::read_number(self.state(), keys::ACTIVE);
         let since = self.tail.since.unwrap_or(now);
         self.replica.defer_joins(pending && now < since + JOIN_DEFERRAL);
@@ -23,19 +23,19 @@
     }
 
     /// Reacts to newly synced and committed entries: activated epochs, the tail's role, pushes.
-    pub(crate) fn after(&mut self) {
+    pub(crate) fn handle_progress(&mut self) {
         let Positions { synced, committed, .. } = self.replica.positions();
         let active = keys::read_number(self.state(), keys::ACTIVE);
         if active > self.calls.active_step {
             self.calls.active_step = active;
-            self.outs.push(CoreOutput::Activated { step: active });
-            self.activated(active);
+            self.outputs.push(CoreOutput::Activated { step: active });
+            self.answer_activated_changes(active);
         }
         self.answer_deferred_calls();
         let tail = self.replica.is_current_tail();
-        self.follow_tenure();
+        self.update_tenure();
         if tail && committed >= synced && self.pushes.take_due(committed, self.now) {
-            self.push();
+            self.push_updates();
         }
     }
 }
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -17,10 +17,10 @@
     optimizer: Optimizer,
     functions: BTreeMap<String, Function>,
     view: View,
-    tunes: bool,
-    plans_sent_at: BTreeMap<NodeId, Duration>,
+    is_tuning: bool,
+    tuned_sent_at: BTreeMap<NodeId, Duration>,
     fence: u64,
-    in_force: Vec<TunedParameters>,
+    tuned: Vec<TunedParameters>,
 }
 
 /// A message that the planner sends.
@@ -40,11 +40,11 @@
 }
 
 impl Planner {
-    /// Creates a planner over an optimizer. `tunes` is whether weight sheets are tuned.
-    pub fn new(tunes: bool, optimizer: Optimizer) -> Planner {
+    /// Creates a planner over an optimizer. `is_tuning` is whether weight sheets are tuned.
+    pub fn new(is_tuning: bool, optimizer: Optimizer) -> Planner {
         let functions = BTreeMap::new();
-        let (plans_sent_at, in_force) = (BTreeMap::new(), Vec::new());
-        Planner { optimizer, functions, view: View::default(), tunes, plans_sent_at, fence: 0, in_force }
+        let (tuned_sent_at, tuned) = (BTreeMap::new(), Vec::new());
+        Planner { optimizer, functions, view: View::default(), is_tuning, tuned_sent_at, fence: 0, tuned }
     }
 
     /// Sets the view, which names the optimizer's host.
@@ -60,8 +60,8 @@
     }
 
     /// Returns the newest tuned values known to this registry, and their fencing number.
-    pub fn in_force(&self) -> (u64, &[TunedParameters]) {
-        (self.fence, &self.in_force)
+    pub fn tuned_values(&self) -> (u64, &[TunedParameters]) {
+        (self.fence, &self.tuned)
     }
 
     /// Handles a message and returns the messages to send.
@@ -101,7 +101,7 @@
                 vec![PlannerOutput { to: from, message, fault }]
             }
             PlanMessage::Measures { lines } if self.view.optimizer == me => {
-                self.measured(now, me, from, lines.as_slice())
+                self.handle_measurements(now, me, from, lines.as_slice())
             }
             PlanMessage::Tuned { fence, lines } => {
                 self.adopt(fence, lines.into_vec());
@@ -111,8 +111,14 @@
         }
     }
 
-    fn measured(&mut self, now: Duration, me: NodeId, from: NodeId, lines: &[Measurement]) -> Vec<PlannerOutput> {
-        for line in lines.iter().filter(|_| self.tunes) {
+    fn handle_measurements(
+        &mut self,
+        now: Duration,
+        me: NodeId,
+        from: NodeId,
+        lines: &[Measurement],
+    ) -> Vec<PlannerOutput> {
+        for line in lines.iter().filter(|_| self.is_tuning) {
             let Some(function) = self.functions.get(line.function.as_str()) else { continue };
             let measure = Measure {
                 boot: Duration::from_micros(line.boot_micro),
@@ -125,17 +131,17 @@
             self.optimizer.tuner.take(function, measure);
         }
         self.fence = self.view.number;
-        self.in_force = self.optimizer.tuner.tuned().map(|(name, tuned)| line_of(name, tuned)).collect();
+        self.tuned = self.optimizer.tuner.tuned().map(|(name, tuned)| encode_tuned(name, tuned)).collect();
         let others = self.view.chain.iter().copied().filter(|id| *id != me);
         let due: Vec<NodeId> = others
             .chain([from])
-            .filter(|to| self.plans_sent_at.get(to).is_none_or(|at| now >= *at + ANNOUNCE_INTERVAL))
+            .filter(|to| self.tuned_sent_at.get(to).is_none_or(|at| now >= *at + ANNOUNCE_INTERVAL))
             .collect();
-        self.plans_sent_at.retain(|_, at| now < *at + ANNOUNCE_INTERVAL * 20);
-        let message = PlanMessage::Tuned { fence: self.fence, lines: self.in_force.clone().into() };
+        self.tuned_sent_at.retain(|_, at| now < *at + ANNOUNCE_INTERVAL * 20);
+        let message = PlanMessage::Tuned { fence: self.fence, lines: self.tuned.clone().into() };
         due.into_iter()
             .map(|to| {
-                self.plans_sent_at.insert(to, now);
+                self.tuned_sent_at.insert(to, now);
                 PlannerOutput { to, message: message.clone(), fault: None }
             })
             .collect()
@@ -149,14 +155,14 @@
         self.fence = fence;
         for line in &lines {
             if let Some(function) = self.functions.get(line.function.as_str()) {
-                self.optimizer.tuner.adopt(function, tuned_of(line));
+                self.optimizer.tuner.adopt(function, decode_tuned(line));
             }
         }
-        self.in_force = lines;
+        self.tuned = lines;
     }
 }
 
-fn line_of(name: &str, tuned: &Tuned) -> TunedParameters {
+fn encode_tuned(name: &str, tuned: &Tuned) -> TunedParameters {
     TunedParameters {
         function: name.into(),
         startup_delay_steps: tuned.startup_delay_steps,
@@ -166,7 +172,7 @@
     }
 }
 
-fn tuned_of(line: &TunedParameters) -> Tuned {
+fn decode_tuned(line: &TunedParameters) -> Tuned {
     Tuned {
         startup_delay_steps: line.startup_delay_steps,
         target_usage: line.usage_micro as f64 / 1e6,
--- a/crates/control/src/proposals.rs
+++ b/crates/control/src/proposals.rs
@@ -13,7 +13,7 @@
 impl Core {
     /// Repeats the proposals that may have been lost with the previous view's head. Duties are dropped, to be started
     /// again when due; changes are proposed again, which is safe because an operation id takes effect only once.
-    pub(crate) fn propose_again(&mut self) {
+    pub(crate) fn repeat_proposals(&mut self) {
         for mut proposal in self.proposals.take_after_view_change() {
             let Origin::Change { body, may_be_appended, .. } = &mut proposal.origin else { continue };
             *may_be_appended = true;
@@ -37,7 +37,7 @@
 
     fn propose_pending(&mut self, proposal: PendingProposal, body: Vec<u8>) {
         let number = self.proposals.add(proposal);
-        self.chain(Input::Propose { op: ProposalId { origin: self.id(), number }, body });
+        self.step_replica(Input::Propose { op: ProposalId { origin: self.id(), number }, body });
     }
 
     /// Passes the outcome of a proposal on to its originator.
@@ -45,10 +45,10 @@
         match self.proposals.remove(op.number) {
             Some(Origin::Router { to, request_id }) => {
                 let message = LeaseMessage::ProposalAck { request_id, state: appended as u8, body: reply.into() };
-                self.outs.push(CoreOutput::Router { to, message });
+                self.outputs.push(CoreOutput::Router { to, message });
             }
             Some(Origin::Change { request_id, op, may_be_appended, .. }) => {
-                self.change_done(request_id, op, may_be_appended, appended, &reply)
+                self.handle_change_done(request_id, op, may_be_appended, appended, &reply)
             }
             Some(Origin::Duty(_)) | None => {}
         }
@@ -60,9 +60,9 @@
             match self.proposals.remove(number) {
                 Some(Origin::Router { to, request_id }) => {
                     let message = LeaseMessage::ProposalAck { request_id, state: 2, body: Vec::new().into() };
-                    self.outs.push(CoreOutput::Router { to, message });
+                    self.outputs.push(CoreOutput::Router { to, message });
                 }
-                Some(Origin::Change { request_id, op, .. }) => self.unknown(request_id, &op),
+                Some(Origin::Change { request_id, op, .. }) => self.reply_unknown(request_id, &op),
                 Some(Origin::Duty(_)) | None => {}
             }
         }
--- a/crates/control/src/push_state.rs
+++ b/crates/control/src/push_state.rs
@@ -2,7 +2,7 @@
 
 use crate::keys;
 use crate::membership_updates::MembershipUpdates;
-use crate::packed_steps::PackedSteps;
+use crate::packed_epochs::PackedEpochs;
 use chain::State;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -33,7 +33,7 @@
     /// Memberships recently sent to routers.
     pub membership_updates: MembershipUpdates,
     /// Compressed epochs for transfer to routers.
-    pub packed_steps: PackedSteps,
+    pub packed_epochs: PackedEpochs,
     members: KnownMembers,
     aligned: Option<Alignment>,
     pushed_at: Duration,
@@ -79,7 +79,7 @@
     }
 
     /// Forces an alignment, since the sessions were reset.
-    pub fn forget_alignment(&mut self) {
+    pub fn reset_alignment(&mut self) {
         self.aligned = None;
     }
 }
--- a/crates/control/src/router_messages.rs
+++ b/crates/control/src/router_messages.rs
@@ -14,18 +14,18 @@
 
 impl Core {
     /// Handles a lease message.
-    pub(crate) fn router(&mut self, from: NodeId, incarnation: u64, message: LeaseMessage) {
+    pub(crate) fn handle_lease_message(&mut self, from: NodeId, incarnation: u64, message: LeaseMessage) {
         match message {
             LeaseMessage::Renew { .. } if self.tail.is_held() && self.requests.has_renewal_capacity() => {
                 self.requests.add_renewal(RouterRequest { from, incarnation, message });
                 self.confirm_renewals();
             }
             LeaseMessage::PartRequest { request_id, full, number, offset } => {
-                self.on_part_request(from, request_id, full != 0, number, offset)
+                self.handle_part_request(from, request_id, full != 0, number, offset)
             }
             LeaseMessage::Renew { .. } | LeaseMessage::ConfigurationRequest { .. } | LeaseMessage::Read { .. } => {
                 if !self.tail.is_held() {
-                    self.not_tail(from);
+                    self.send_registry_addresses(from);
                 } else if self.requests.has_capacity() {
                     let round = self.request_round();
                     self.requests.add(round, RouterRequest { from, incarnation, message });
@@ -59,12 +59,12 @@
             LeaseMessage::Propose { request_id, body } => {
                 if self.proposals.len() >= MAX_PENDING_PROPOSALS {
                     let message = LeaseMessage::ProposalAck { request_id, state: 0, body: Vec::new().into() };
-                    return self.outs.push(CoreOutput::Router { to: from, message });
+                    return self.outputs.push(CoreOutput::Router { to: from, message });
                 }
                 self.propose_raw(Origin::Router { to: from, request_id }, body.into_vec());
             }
             LeaseMessage::ConfigurationPage { request_id, step, revision, items, next, .. } => {
-                self.on_configuration_page(request_id, step, revision, items.into_vec(), next.as_str())
+                self.handle_configuration_page(request_id, step, revision, items.into_vec(), next.as_str())
             }
             LeaseMessage::Proofs { view, earlier_millis, proofs } => {
                 let earlier = Duration::from_millis(earlier_millis);
@@ -75,20 +75,20 @@
     }
 
     /// Answers a request that only the tail can serve with the registries' addresses.
-    pub(crate) fn not_tail(&mut self, to: NodeId) {
+    pub(crate) fn send_registry_addresses(&mut self, to: NodeId) {
         let view = self.replica.view();
         let addresses: List<wire::Text> =
             view.voters.iter().map(|node| node.address.clone()).collect::<Vec<_>>().into();
         let message = LeaseMessage::RegistryAddresses { addresses };
-        self.outs.push(CoreOutput::Router { to, message });
+        self.outputs.push(CoreOutput::Router { to, message });
     }
 
     /// Answers the requests that waited for a confirmation round, and does the tail's duties.
-    pub(crate) fn confirmed(&mut self, round: u64) {
+    pub(crate) fn handle_confirmed_round(&mut self, round: u64) {
         while let Some(RouterRequest { from, incarnation, message }) = self.requests.next_confirmed(round) {
             match message {
                 LeaseMessage::Renew { request_id, staged, active, membership } => {
-                    self.prove(from, incarnation, request_id, staged, active, membership)
+                    self.send_proof(from, incarnation, request_id, staged, active, membership)
                 }
                 LeaseMessage::ConfigurationRequest { request_id, from: start } => {
                     self.send_configuration_page(from, request_id, start.as_str())
@@ -96,12 +96,12 @@
                 LeaseMessage::Read { request_id, prefix, from: start } => {
                     let (items, _) = keys::page(self.state(), prefix.as_str(), start.as_str(), false);
                     let message = LeaseMessage::ReadReply { request_id, state: 1, items: items.into() };
-                    self.outs.push(CoreOutput::Router { to: from, message });
+                    self.outputs.push(CoreOutput::Router { to: from, message });
                 }
                 _ => {}
             }
         }
-        self.duties_confirmed();
+        self.run_duties();
     }
 
     /// Requests a confirmation round for the waiting renewals, if one is due.
@@ -112,9 +112,17 @@
     }
 
     /// Sends a lease proof, and records it in the router's session.
-    fn prove(&mut self, from: NodeId, incarnation: u64, request_id: u64, staged: u64, active: u64, membership: u64) {
+    fn send_proof(
+        &mut self,
+        from: NodeId,
+        incarnation: u64,
+        request_id: u64,
+        staged: u64,
+        active: u64,
+        membership: u64,
+    ) {
         let now = self.now;
-        let member = self.align().get(&from) == Some(&incarnation);
+        let member = self.align_sessions().get(&from) == Some(&incarnation);
         let message = LeaseMessage::Proof {
             request_id,
             active: keys::read_number(self.state(), keys::ACTIVE),
@@ -129,7 +137,7 @@
             session.active = active;
             session.membership = membership;
         }
-        self.outs.push(CoreOutput::Router { to: from, message });
+        self.outputs.push(CoreOutput::Router { to: from, message });
     }
 
     fn send_configuration_page(&mut self, to: NodeId, request_id: u64, start: &str) {
@@ -143,6 +151,6 @@
             items: items.into(),
             next: next.into(),
         };
-        self.outs.push(CoreOutput::Router { to, message });
+        self.outputs.push(CoreOutput::Router { to, message });
     }
 }
--- a/crates/control/src/router_pushes.rs
+++ b/crates/control/src/router_pushes.rs
@@ -15,11 +15,11 @@
 /// Time after which an activation is sent again.
 const ACTIVATION_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 /// First format with compressed parts and membership differences.
-const PARTS: u16 = 4;
+const PARTS_FORMAT: u16 = 4;
 
 impl Core {
     /// Aligns the sessions with the members, and returns the members' incarnations by id.
-    pub(crate) fn align(&mut self) -> Rc<BTreeMap<NodeId, u64>> {
+    pub(crate) fn align_sessions(&mut self) -> Rc<BTreeMap<NodeId, u64>> {
         let state = self.state().clone();
         let members = self.pushes.members(&state);
         if self.pushes.take_alignment(&state, self.now) {
@@ -29,51 +29,52 @@
     }
 
     /// Sends each member router what it lacks.
-    pub(crate) fn push(&mut self) {
+    pub(crate) fn push_updates(&mut self) {
         let now = self.now;
         let state = self.state().clone();
         let active = keys::read_number(&state, keys::ACTIVE);
         let latest = keys::read_number(&state, keys::LATEST);
-        self.align();
-        let number = self.pushes.membership_updates.newest(now, &state);
-        let mut outs = Vec::new();
+        self.align_sessions();
+        let newest_membership = self.pushes.membership_updates.newest_due(now, &state);
+        let mut messages = Vec::new();
         for (id, session) in self.sessions.table.iter_mut().filter(|(_, session)| !session.departed) {
-            if let Some(next) = next_step(now, session, active, latest) {
-                let step = match self.format {
-                    ..PARTS => keys::step(&state, next).map(|step| LeaseMessage::Stage { step }),
-                    _ => self.pushes.packed_steps.part(&state, 0, false, next, 0),
+            if let Some(next) = next_epoch(now, session, active, latest) {
+                let message = match self.format {
+                    ..PARTS_FORMAT => keys::epoch(&state, next).map(|step| LeaseMessage::Stage { step }),
+                    _ => self.pushes.packed_epochs.part_message(&state, 0, false, next, 0),
                 };
                 session.pushed = next;
                 session.pushed_at = now;
-                outs.extend(step.map(|message| (*id, message)));
+                messages.extend(message.map(|message| (*id, message)));
             }
-            let untold =
+            let is_activation_due =
                 session.activation_sent < active || now >= session.activation_sent_at + ACTIVATION_RETRY_INTERVAL;
-            if active > session.active && active <= session.staged && untold {
+            if active > session.active && active <= session.staged && is_activation_due {
                 session.activation_sent = active;
                 session.activation_sent_at = now;
-                outs.push((*id, LeaseMessage::Activate { number: active }));
+                messages.push((*id, LeaseMessage::Activate { number: active }));
             }
-            if number > session.membership
-                && (session.membership_sent < number || now >= session.membership_sent_at + PUSH_RETRY_INTERVAL)
+            if newest_membership > session.membership
+                && (session.membership_sent < newest_membership
+                    || now >= session.membership_sent_at + PUSH_RETRY_INTERVAL)
             {
-                session.membership_sent = number;
+                session.membership_sent = newest_membership;
                 session.membership_sent_at = now;
-                let membership = match self.format {
-                    ..PARTS => self.pushes.membership_updates.newest_complete(),
-                    _ => self.pushes.membership_updates.change(session.membership),
+                let message = match self.format {
+                    ..PARTS_FORMAT => self.pushes.membership_updates.newest_complete(),
+                    _ => self.pushes.membership_updates.change_since(session.membership),
                 };
-                outs.extend(membership.map(|message| (*id, message)));
+                messages.extend(message.map(|message| (*id, message)));
             }
         }
-        self.outs.extend(outs.into_iter().map(|(to, message)| CoreOutput::Router { to, message }));
+        self.outputs.extend(messages.into_iter().map(|(to, message)| CoreOutput::Router { to, message }));
     }
 }
 
 /// Returns the epoch to send to a router, if any. A router that is behind the active epoch fetches the whole
 /// configuration by itself.
-fn next_step(now: Duration, session: &Session, active: u64, latest: u64) -> Option<u64> {
+fn next_epoch(now: Duration, session: &Session, active: u64, latest: u64) -> Option<u64> {
     let next = session.staged + 1;
-    let due = session.pushed < next || now >= session.pushed_at + PUSH_RETRY_INTERVAL;
-    (session.staged >= active && next <= latest && due).then_some(next)
+    let is_due = session.pushed < next || now >= session.pushed_at + PUSH_RETRY_INTERVAL;
+    (session.staged >= active && next <= latest && is_due).then_some(next)
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -10,8 +10,8 @@
 use crate::errors::RunError;
 use crate::link_routing::run_links;
 use crate::membership_log::MembershipLog;
-use crate::operator_dialect::{ControlDialect, MakePages, RegistryHandle};
-use crate::optimizer::{self, Host, OptimizerMessage};
+use crate::operator_pages::{ControlDialect, MakePages, RegistryHandle};
+use crate::optimizer::{self, OptimizerContext, OptimizerMessage};
 use crate::settings::RegistrySettings;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
@@ -48,7 +48,7 @@
 };
 
 /// The data file and identity of a registry, opened before anything else starts.
-struct Opened {
+struct OpenedRegistry {
     file: PathBuf,
     store: Store,
     stored: Stored,
@@ -69,7 +69,7 @@
 /// Returns the reason why the registry cannot start. A running registry ends only on request.
 pub fn run(settings: RegistrySettings, dialect: ControlDialect) -> Result<(), RunError> {
     let incarnation = rand::random::<u64>() >> INCARNATION_SHIFT;
-    let Opened { file, store, stored, node } = open(&settings)?;
+    let OpenedRegistry { file, store, stored, node } = open(&settings)?;
     if settings.show {
         let page = format!("{:#}\n", stored_document(&stored.state));
         return std::io::stdout().write_all(page.as_bytes()).map_err(RunError::Print);
@@ -88,26 +88,26 @@
     let optimizer_inbox = directory.announce::<OptimizerMessage>("optimizer", OPTIMIZER_INBOX);
     let links_inbox = directory.announce::<LinkOrder>("links", LINKS_INBOX);
     let control = find::<ControlMessage>(&directory, "control");
-    let (view, shown) = watch::channel(String::from("{}"));
+    let (status, status_updates) = watch::channel(String::from("{}"));
     let (stop, stopping) = watch::channel(false);
-    let (index, indexed) = watch::channel(ResourceIndex::new(incarnation));
+    let (index, index_updates) = watch::channel(ResourceIndex::new(incarnation));
 
-    let operators = RegistryHandle::new(control.clone(), shown);
+    let handle = RegistryHandle::new(control.clone(), status_updates);
     let (pages_listener, operators_listener) = (listeners.pages, listeners.operators);
     let dialect_pages = pages.zip(pages_listener);
-    let servers = start_servers(&settings, operators, operators_listener, dialect_pages, indexed, &stopping)?;
+    let servers = start_servers(&settings, handle, operators_listener, dialect_pages, index_updates, &stopping)?;
     start_optimizer(&settings, me, index, &directory, optimizer_inbox)?;
     let disk = start_disk(&settings, file, store, node.clone(), control.clone())?;
-    let work = Control {
+    let control_loop = Control {
         core: new_core(&settings, node, stored, incarnation),
         disk,
         links: find(&directory, "links"),
         optimizer: find(&directory, "optimizer"),
         calls: BTreeMap::new(),
-        next_call: 0,
-        view,
-        revision: None,
-        shown: Instant::now(),
+        last_call_id: 0,
+        status,
+        sent_revision: None,
+        status_published_at: Instant::now(),
         membership: MembershipLog::default(),
         seeds: settings.seeds.clone(),
         grace: settings.grace,
@@ -129,7 +129,7 @@
         }
         // On the control thread, since passing frames between threads costs a wake-up each way.
         tokio::task::spawn_local(run_links(directory, local_node, listeners.peers, links_inbox));
-        work.run(control, control_inbox).await
+        control_loop.run(control, control_inbox).await
     });
     let _ = stop.send(true);
     servers.into_iter().for_each(|server| _ = server.join());
@@ -137,33 +137,33 @@
     Ok(())
 }
 
-fn open(settings: &RegistrySettings) -> Result<Opened, RunError> {
+fn open(settings: &RegistrySettings) -> Result<OpenedRegistry, RunError> {
     let file = settings.data.join("registry.redb");
     if settings.show && !file.exists() {
         return Err(RunError::NoFile { path: file });
     }
     std::fs::create_dir_all(&settings.data).map_err(|fault| RunError::Folder { path: settings.data.clone(), fault })?;
-    let newcomer = NodeAddress { id: rand::random::<u64>() | 1, address: settings.address.as_str().into() };
-    let (store, stored) = open_when_possible(&file, &settings.cluster, newcomer)
+    let new_node = NodeAddress { id: rand::random::<u64>() | 1, address: settings.address.as_str().into() };
+    let (store, stored) = open_when_possible(&file, &settings.cluster, new_node)
         .map_err(|fault| RunError::Store { path: file.clone(), fault })?;
     let node = NodeAddress { id: stored.meta.node.id, address: settings.address.as_str().into() };
-    Ok(Opened { file, store, stored, node })
+    Ok(OpenedRegistry { file, store, stored, node })
 }
 
 fn start_servers(
     settings: &RegistrySettings,
-    operators: RegistryHandle,
+    handle: RegistryHandle,
     listener: TcpListener,
     dialect: Option<(MakePages, TcpListener)>,
     index: watch::Receiver<ResourceIndex>,
     stopping: &watch::Receiver<bool>,
 ) -> Result<Vec<JoinHandle<()>>, RunError> {
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
-    let kinds = http_server::views(Views { index, tokens: tokens.clone() });
-    let own = api::router(Api { operators: operators.clone(), tokens }, settings.body).merge(kinds);
-    let mut servers = vec![serve("api", listener, own, SERVER_LIMITS, stopping.clone())?];
+    let resource_views = http_server::views(Views { index, tokens: tokens.clone() });
+    let builtin_pages = api::router(Api { handle: handle.clone(), tokens }, settings.body).merge(resource_views);
+    let mut servers = vec![serve("api", listener, builtin_pages, SERVER_LIMITS, stopping.clone())?];
     if let Some((make, listener)) = dialect {
-        let pages = make(operators).layer(DefaultBodyLimit::max(settings.body));
+        let pages = make(handle).layer(DefaultBodyLimit::max(settings.body));
         servers.push(serve("pages", listener, pages, SERVER_LIMITS, stopping.clone())?);
     }
     Ok(servers)
@@ -176,7 +176,7 @@
     directory: &Directory,
     inbox: Inbox<OptimizerMessage>,
 ) -> Result<(), RunError> {
-    let host = Host {
+    let context = OptimizerContext {
         me,
         solve: settings.solve,
         step: settings.step,
@@ -186,7 +186,7 @@
         index,
         links: find(directory, "links"),
     };
-    thread("optimizer", move || optimizer::run(host, inbox))?;
+    thread("optimizer", move || optimizer::run(context, inbox))?;
     Ok(())
 }
 
@@ -206,8 +206,8 @@
 }
 
 fn new_core(settings: &RegistrySettings, node: NodeAddress, stored: Stored, incarnation: u64) -> Core {
-    let founds = settings.found && settings.seeds.contains(&settings.address);
-    let founders = if founds { settings.seeds.len() } else { 0 };
+    let may_found = settings.found && settings.seeds.contains(&settings.address);
+    let founders = if may_found { settings.seeds.len() } else { 0 };
     let replica = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO)
         .with_founders(founders)
         .tolerating_losses(settings.losses);
@@ -219,9 +219,9 @@
 }
 
 /// Opens the data file. On a full disk it retries until there is space.
-fn open_when_possible(file: &Path, cluster: &str, newcomer: NodeAddress) -> Result<(Store, Stored), StoreError> {
+fn open_when_possible(file: &Path, cluster: &str, new_node: NodeAddress) -> Result<(Store, Stored), StoreError> {
     loop {
-        match Store::open(file, cluster, newcomer.clone()) {
+        match Store::open(file, cluster, new_node.clone()) {
             Err(fault) if fault.is_disk_full() => {
                 event!(disk_full_at_start, "{fault}");
                 std::thread::sleep(REOPEN_INTERVAL);
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -7,7 +7,7 @@
 
 impl Core {
     /// Returns what a planned stop of this registry waits for, and for how much longer.
-    fn leaving_page(&self) -> Option<Value> {
+    fn departure_status(&self) -> Option<Value> {
         let deadline = self.replica.departure_deadline()?;
         let remaining_ms = deadline.saturating_sub(self.now).as_millis() as u64;
         let wait = self.replica.departure_wait().map(chain::DepartureWait::name);
@@ -22,12 +22,12 @@
         let hex = |id: u64| format!("{id:016x}");
         let members: Vec<Value> = keys::members(state)
             .iter()
-            .map(|line| {
-                let session = self.sessions.table.get(&line.id);
+            .map(|member| {
+                let session = self.sessions.table.get(&member.id);
                 json!({
-                    "id": hex(line.id), "address": line.address.as_str(), "zone": line.zone.as_str(),
-                    "ops": line.ops.as_str(), "leaving": line.leaving != 0,
-                    "staged": session.map(|s| s.staged), "active": session.map(|s| s.active),
+                    "id": hex(member.id), "address": member.address.as_str(), "zone": member.zone.as_str(),
+                    "ops": member.ops.as_str(), "leaving": member.leaving != 0,
+                    "staged": session.map(|session| session.staged), "active": session.map(|session| session.active),
                 })
             })
             .collect();
@@ -50,13 +50,13 @@
                 "active": keys::read_number(state, keys::ACTIVE_REVISION), "latest": keys::read_number(state, keys::LATEST_REVISION),
                 "active_step": keys::read_number(state, keys::ACTIVE), "latest_step": keys::read_number(state, keys::LATEST),
             },
-            "leaving": self.leaving_page(),
-            "pending": self.pending_activation.as_ref().map(|pending| pending.page(self.now)),
+            "leaving": self.departure_status(),
+            "pending": self.pending_activation.as_ref().map(|pending| pending.status(self.now)),
             "roster": keys::read_number(state, keys::MEMBERSHIP),
             "ticks": keys::read_number(state, keys::TICKS),
             "invalid_changes": self.invalid_changes,
-            "claims": keys::read_number(state, keys::CLAIMS),
-            "deferred": keys::read_number(state, keys::STORED),
+            "claims": keys::read_number(state, keys::CLAIM_COUNT),
+            "deferred": keys::read_number(state, keys::DEFERRED_COUNT),
             "members": members,
             "waits": self.proposals.len(), "jobs": self.requests.len(),
         })
--- a/crates/control/src/tail_duties.rs
+++ b/crates/control/src/tail_duties.rs
@@ -24,16 +24,16 @@
     pub(crate) fn request_round(&mut self) -> u64 {
         let round = self.replica.request_confirmation();
         self.requests.record_round(round, self.now);
-        self.chain(chain::Input::Confirm);
+        self.step_replica(chain::Input::Confirm);
         round
     }
 
     /// Does the duties, since a majority has just confirmed this tail.
-    pub(crate) fn duties_confirmed(&mut self) {
+    pub(crate) fn run_duties(&mut self) {
         if !self.tail.is_held() {
             return;
         }
-        let members = self.align();
+        let members = self.align_sessions();
         if self.duties.take_tick(self.now, self.timing.tick_interval) {
             let number = keys::read_number(self.state(), keys::TICKS) + 1;
             self.propose_duty(Duty::Tick, &Command::Tick { number });
@@ -42,7 +42,7 @@
             self.propose_duty(Duty::Lapse { id, incarnation }, &Command::Lapse { id, incarnation });
         }
         self.maybe_activate();
-        if self.earlier_leases_are_over() {
+        if self.earlier_leases_expired() {
             self.renew_quorum(members.keys().copied().collect());
         }
     }
@@ -57,10 +57,10 @@
             return;
         }
         // After each renewal, every router requests proofs five times as often for a while.
-        let known = members.iter().filter(|id| quorum.contains(id)).count();
-        let few = known * 4 >= members.len().max(quorum.len()) * 3 && members.len() > SMALL_FLEET;
-        let calm = if few { self.timing.quorum_stability * 5 } else { self.timing.quorum_stability };
-        if self.now >= since + calm {
+        let kept = members.iter().filter(|id| quorum.contains(id)).count();
+        let is_minor_change = kept * 4 >= members.len().max(quorum.len()) * 3 && members.len() > SMALL_FLEET;
+        let stability = if is_minor_change { self.timing.quorum_stability * 5 } else { self.timing.quorum_stability };
+        if self.now >= since + stability {
             self.propose_duty(Duty::Quorum, &Command::Quorum { after: latest, members: members.into() });
         }
     }
--- a/crates/control/src/tail_role.rs
+++ b/crates/control/src/tail_role.rs
@@ -45,12 +45,12 @@
     }
 
     /// Ends the role, which this registry may get again later.
-    pub fn lose(&mut self) {
+    pub fn end(&mut self) {
         self.since = None;
     }
 
     /// Records that this registry is the tail of a view and has caught up. Returns true if the sessions must be reset.
-    pub fn hold(&mut self, first_view: u64, view: u64, now: Duration) -> bool {
+    pub fn record_tail(&mut self, first_view: u64, view: u64, now: Duration) -> bool {
         let mut is_new_run = false;
         if self.since.is_none() {
             self.since = Some(now);
--- a/crates/control/src/tail_tenure.rs
+++ b/crates/control/src/tail_tenure.rs
@@ -11,15 +11,15 @@
 
 impl Core {
     /// Keeps the sessions while the run of views continues, and resets them when another run begins.
-    pub(crate) fn follow_tenure(&mut self) {
+    pub(crate) fn update_tenure(&mut self) {
         if !self.replica.is_current_tail() {
             self.pending_activation = None;
-            return self.tail.lose();
+            return self.tail.end();
         }
         let first_view = self.replica.tenure().unwrap_or_default();
-        if self.tail.hold(first_view, self.replica.view().number, self.now) {
+        if self.tail.record_tail(first_view, self.replica.view().number, self.now) {
             self.sessions = Sessions::default();
-            self.pushes.forget_alignment();
+            self.pushes.reset_alignment();
         }
     }
 
@@ -28,7 +28,7 @@
     pub(crate) fn hand_over_leases(&mut self) {
         let (now, view) = (self.now, self.replica.view().number);
         let Some(to) = self.replica.view().tail().filter(|to| *to != self.id()) else { return };
-        self.earlier_leases_are_over();
+        self.earlier_leases_expired();
         let Some(tenure) = self.tail.tenure_before(view) else { return };
         let age_of = |(id, session): (&NodeId, &Session)| ProofAge {
             id: *id,
@@ -38,7 +38,7 @@
         let proofs: Vec<ProofAge> = self.sessions.table.iter().map(age_of).collect();
         let earlier_millis = as_millis(now.saturating_sub(tenure.earlier_leases_until));
         let message = LeaseMessage::Proofs { view, earlier_millis, proofs: proofs.into() };
-        self.outs.push(CoreOutput::Router { to, message });
+        self.outputs.push(CoreOutput::Router { to, message });
     }
 
     /// Applies the report of the previous tail, if it has arrived.
@@ -50,7 +50,7 @@
     }
 
     /// Whether every lease granted by earlier tails has expired.
-    pub(crate) fn earlier_leases_are_over(&mut self) -> bool {
+    pub(crate) fn earlier_leases_expired(&mut self) -> bool {
         self.take_over_leases();
         let reported = self.replica.earlier_tails_answered_until();
         let Some(tenure) = &mut self.tail.tenure else { return false };
