--- a/crates/control/examples/change_cost.rs
+++ b/crates/control/examples/change_cost.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 use wire::{Command, CommandReply, ConfigurationItem, from_bytes, to_bytes};
 
-fn line(key: String, value: String) -> ConfigurationItem {
+fn item(key: String, value: String) -> ConfigurationItem {
     ConfigurationItem { key: key.into(), gone: 0, value: value.into_bytes().into() }
 }
 
@@ -17,32 +17,32 @@
         number % 7,
         number % 158
     );
-    line(format!("function-bindings/main/r-{number}"), binding)
+    item(format!("function-bindings/main/r-{number}"), binding)
 }
 
-fn service(number: usize) -> ConfigurationItem {
+fn function(number: usize) -> ConfigurationItem {
     let notes = r#"{"fields":{"health_path":null,"protocol":"h1","tls":false},"place":[7,1]}"#;
     let declaration =
         format!(r#"{{"memory_mb":768,"boot_ms":1400,"instance_limit":6,"connections":106,"notes":{notes}}}"#);
-    line(format!("functions/main/s{number}"), declaration)
+    item(format!("functions/main/s{number}"), declaration)
 }
 
-fn timed<T>(what: &str, work: impl FnOnce() -> T) -> T {
-    let begun = Instant::now();
-    let done = work();
-    println!("{what:<40} {:>8.2} ms", begun.elapsed().as_secs_f64() * 1e3);
-    done
+fn timed<T>(label: &str, work: impl FnOnce() -> T) -> T {
+    let started = Instant::now();
+    let result = work();
+    println!("{label:<40} {:>8.2} ms", started.elapsed().as_secs_f64() * 1e3);
+    result
 }
 
-fn take(state: &mut State, what: &str, command: Command) {
-    let body = timed(&format!("{what}: encoded as an entry"), || to_bytes(&command));
-    println!("{what}: {} bytes", body.len());
-    let effect = timed(&format!("{what}: applied"), || control::apply(state, 1, &body));
+fn apply_entry(state: &mut State, label: &str, command: Command) {
+    let body = timed(&format!("{label}: encoded as an entry"), || to_bytes(&command));
+    println!("{label}: {} bytes", body.len());
+    let effect = timed(&format!("{label}: applied"), || control::apply(state, 1, &body));
     match from_bytes::<CommandReply>(&effect.reply) {
         Some(CommandReply::Refused { body, .. }) => panic!("{}", String::from_utf8_lossy(body.as_slice())),
-        reply => println!("{what}: {reply:?}"),
+        reply => println!("{label}: {reply:?}"),
     }
-    timed(&format!("{what}: written to the state"), || {
+    timed(&format!("{label}: written to the state"), || {
         effect.changes.iter().for_each(|change| change.apply_to(state));
     });
 }
@@ -55,17 +55,17 @@
 fn main() {
     let count = std::env::args().nth(1).and_then(|count| count.parse().ok()).unwrap_or(2000);
     let mut state = State::new();
-    let items: Vec<ConfigurationItem> = (0..158).map(service).chain((0..count).map(|n| route(n, 4000))).collect();
-    take(&mut state, "complete", change("one", 0, true, items.clone()));
-    take(&mut state, "activation", Command::Activate { step: 1 });
-    take(&mut state, "patch", change("two", 3, false, vec![route(5, 900)]));
-    take(&mut state, "activation of the patch", Command::Activate { step: 2 });
-    take(&mut state, "complete again", change("three", 6, true, items));
+    let items: Vec<ConfigurationItem> = (0..158).map(function).chain((0..count).map(|n| route(n, 4000))).collect();
+    apply_entry(&mut state, "complete", change("one", 0, true, items.clone()));
+    apply_entry(&mut state, "activation", Command::Activate { step: 1 });
+    apply_entry(&mut state, "patch", change("two", 3, false, vec![route(5, 900)]));
+    apply_entry(&mut state, "activation of the patch", Command::Activate { step: 2 });
+    apply_entry(&mut state, "complete again", change("three", 6, true, items));
     let pairs = || state.iter().filter_map(|(key, value)| Some((key.strip_prefix("a/")?, &value[..])));
     let routes = timed("a router's route table", || RouteTable::build(1, 1, pairs()));
-    let begun = Instant::now();
+    let started = Instant::now();
     let paths: Vec<String> = (0..count).map(|number| format!("/gowu{number}/fi14/2f/some/more")).collect();
     let hosts = ["h0.example", "H1.example:8080", "h2.example", "h3.example", "h4.example", "h5.example", "h6.example"];
     let found = (0..100_000).filter(|n| routes.find_route(hosts[n % count % 7], &paths[n % count]).is_some()).count();
-    println!("{found} of 100000 routes found, {:.0} ns each", begun.elapsed().as_secs_f64() * 1e4);
+    println!("{found} of 100000 routes found, {:.0} ns each", started.elapsed().as_secs_f64() * 1e4);
 }
--- a/crates/control/examples/keyed_cost.rs
+++ b/crates/control/examples/keyed_cost.rs
@@ -12,7 +12,7 @@
 const LINK_DELAY: Duration = Duration::from_micros(500);
 const SYNC_TIME: Duration = Duration::from_millis(2);
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-const SETTLING: Duration = Duration::from_secs(8);
+const SETTLING_TIME: Duration = Duration::from_secs(8);
 /// Time from the proposal of a claim until its answer is recorded.
 const RUN_TIME: Duration = Duration::from_millis(60);
 
@@ -34,7 +34,7 @@
 struct Chain {
     replicas: BTreeMap<NodeId, (ChainReplica, Store)>,
     events: BTreeMap<(Duration, u64), Event>,
-    number: u64,
+    last_number: u64,
     now: Duration,
     costs: Costs,
     proposed_at: BTreeMap<u64, Duration>,
@@ -46,7 +46,7 @@
 }
 
 impl Chain {
-    fn founded(folder: &std::path::Path, count: u64) -> Chain {
+    fn found(folder: &std::path::Path, count: u64) -> Chain {
         let open = |id: NodeId| {
             let (store, stored) = Store::open(&folder.join(format!("{id}")), "cost", node(id)).expect("a data file");
             let replica = ChainReplica::new(node(id), stored, Timing::default(), control::apply, Duration::ZERO);
@@ -55,7 +55,7 @@
         Chain {
             replicas: (1..=count).map(open).collect(),
             events: BTreeMap::new(),
-            number: 0,
+            last_number: 0,
             now: Duration::ZERO,
             costs: Costs::default(),
             proposed_at: BTreeMap::new(),
@@ -63,34 +63,34 @@
         }
     }
 
-    fn later(&mut self, delay: Duration, event: Event) {
-        self.number += 1;
-        self.events.insert((self.now + delay, self.number), event);
+    fn schedule(&mut self, delay: Duration, event: Event) {
+        self.last_number += 1;
+        self.events.insert((self.now + delay, self.last_number), event);
     }
 
     fn send(&mut self, from: NodeId, to: NodeId, message: &ChainMessage) {
         let bytes = to_bytes(message);
         self.costs.frames += 1;
         self.costs.frame_bytes += bytes.len() as u64;
-        self.later(LINK_DELAY, Event::Message { to, from, bytes });
+        self.schedule(LINK_DELAY, Event::Message { to, from, bytes });
     }
 
     fn step(&mut self, id: NodeId, input: Input) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let Some((replica, store)) = self.replicas.get_mut(&id) else { return };
         let outputs = replica.step(self.now, input);
-        self.costs.steps += begun.elapsed();
+        self.costs.steps += started.elapsed();
         let mut tickets = Vec::new();
         for output in &outputs {
             if let Output::Write { ticket, batch } = output {
-                let begun = Instant::now();
+                let started = Instant::now();
                 store.write(batch).expect("a write");
-                self.costs.writes += begun.elapsed();
+                self.costs.writes += started.elapsed();
                 self.costs.write_count += 1;
                 tickets.push(*ticket);
             }
         }
-        tickets.into_iter().for_each(|ticket| self.later(SYNC_TIME, Event::Written { at: id, ticket }));
+        tickets.into_iter().for_each(|ticket| self.schedule(SYNC_TIME, Event::Written { at: id, ticket }));
         let ids: Vec<NodeId> = self.replicas.keys().copied().filter(|other| *other != id).collect();
         for output in outputs {
             match output {
@@ -130,8 +130,8 @@
     /// Proposes a command at the tail, as routers do.
     fn propose(&mut self, command: &Command) {
         let Some(tail) = self.replicas[&1].0.view().chain.as_slice().last().copied() else { return };
-        self.number += 1;
-        let op = ProposalId { origin: tail, number: self.number };
+        self.last_number += 1;
+        let op = ProposalId { origin: tail, number: self.last_number };
         self.proposed_at.insert(op.number, self.now);
         self.step(tail, Input::Propose { op, body: to_bytes(command) });
     }
@@ -150,7 +150,7 @@
     Command::RecordAnswer { scope: scope.into(), member: 7, incarnation: 1, request_id: number, answer }
 }
 
-fn processor_time() -> Duration {
+fn process_cpu_time() -> Duration {
     let text = std::fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     Duration::from_nanos(text.split(' ').next().and_then(|nanos| nanos.parse().ok()).unwrap_or_default())
 }
@@ -162,20 +162,21 @@
 }
 
 fn main() {
-    let given: Vec<u64> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
-    let or = |at: usize, default: u64| given.get(at).copied().unwrap_or(default);
-    let (rate, seconds, bytes, count, window) = (or(0, 276), or(1, 220), or(2, 1200), or(3, 6), or(4, 65));
+    let arguments: Vec<u64> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
+    let argument = |at: usize, default: u64| arguments.get(at).copied().unwrap_or(default);
+    let (rate, seconds, bytes, count, window) =
+        (argument(0, 276), argument(1, 220), argument(2, 1200), argument(3, 6), argument(4, 65));
     let folder: PathBuf = std::env::temp_dir().join(format!("heronlink-keyed-cost-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let mut chain = Chain::founded(&folder, count);
-    chain.run(SETTLING, |_| {});
+    let mut chain = Chain::found(&folder, count);
+    chain.run(SETTLING_TIME, |_| {});
     assert_eq!(chain.replicas[&1].0.view().chain.as_slice().len() as u64, count, "all replicas are in the chain");
     chain.costs = Costs::default();
-    let (begun, used) = (chain.now, processor_time());
-    let (mut claimed, mut answered, mut ticked, mut largest) = (0, 0, 0, 0);
+    let (started, cpu_time) = (chain.now, process_cpu_time());
+    let (mut claimed, mut answered, mut ticks, mut largest_file) = (0, 0, 0, 0);
     let file = folder.join("1");
-    chain.run(SETTLING + Duration::from_secs(seconds), |chain| {
-        let passed = chain.now - begun;
+    chain.run(SETTLING_TIME + Duration::from_secs(seconds), |chain| {
+        let passed = chain.now - started;
         let due = |passed: Duration| (passed.as_secs_f64() * rate as f64) as u64;
         while claimed < due(passed) {
             claimed += 1;
@@ -187,25 +188,26 @@
                 chain.propose(&answer(answered, bytes as usize));
             }
         }
-        if passed.as_secs() > ticked {
-            ticked = passed.as_secs();
-            chain.propose(&Command::Tick { number: ticked });
-            largest = largest.max(std::fs::metadata(&file).map_or(0, |metadata| metadata.len()));
+        if passed.as_secs() > ticks {
+            ticks = passed.as_secs();
+            chain.propose(&Command::Tick { number: ticks });
+            largest_file = largest_file.max(std::fs::metadata(&file).map_or(0, |metadata| metadata.len()));
         }
     });
-    let used = processor_time() - used;
-    let share = |time: Duration| time.as_secs_f64() / seconds as f64 / count as f64;
+    let cpu_time = process_cpu_time() - cpu_time;
+    let cores_per_replica = |time: Duration| time.as_secs_f64() / seconds as f64 / count as f64;
     let Costs { steps, writes, write_count, frames, frame_bytes, committed } = chain.costs;
     chain.latencies.sort();
-    let latency = |part: usize| chain.latencies.get(chain.latencies.len() * part / 100).copied().unwrap_or_default();
+    let latency =
+        |percent: usize| chain.latencies.get(chain.latencies.len() * percent / 100).copied().unwrap_or_default();
     let pairs = chain.replicas[&1].0.committed_state().len();
     println!("{rate} operations per second for {seconds} s, answers of {bytes} B, window {window} s, {count} replicas");
     println!("entries committed: {committed}; pairs in the state: {pairs}");
     println!(
         "CPU cores per replica: {:.4} in total; elapsed: steps {:.4}, writes {:.4}",
-        share(used),
-        share(steps),
-        share(writes)
+        cores_per_replica(cpu_time),
+        cores_per_replica(steps),
+        cores_per_replica(writes)
     );
     println!(
         "per second and replica: {:.0} writes, {:.0} frames, {:.0} bytes sent",
@@ -214,6 +216,6 @@
         frame_bytes as f64 / seconds as f64 / count as f64
     );
     println!("from proposal to reply: median {:?}, 99th percentile {:?}", latency(50), latency(99));
-    println!("largest data file: {} KB; memory of all replicas: {} KB", largest / 1024, resident_kilobytes());
+    println!("largest data file: {} KB; memory of all replicas: {} KB", largest_file / 1024, resident_kilobytes());
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/control/src/control_loop_tests.rs
+++ b/crates/control/src/control_loop_tests.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_registry_that_waits_to_leave_goes_on_with_its_heartbeats() {
+fn a_registry_that_waits_to_leave_keeps_sending_heartbeats() {
     let (links, mut orders) = inbox(INBOX);
     let (sender, messages) = inbox(INBOX);
     assert!(sender.send(ControlMessage::Stop).is_ok());
--- a/crates/control/src/registry_metrics_tests.rs
+++ b/crates/control/src/registry_metrics_tests.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn every_figure_stands_under_its_name() {
+fn every_metric_has_its_documented_name() {
     let status = json!({
         "view": {"number": 4}, "positions": {"synced": 9, "committed": 8},
         "revision": {"active": 2, "latest": 3, "active_step": 5}, "roster": 6, "claims": 1, "deferred": 2, "invalid_changes": 12,
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_a_page_lacks_counts_as_zero() {
+fn missing_status_values_count_as_zero() {
     let page = metrics_text(&Value::Null, InboxLoad { depth: 0, refused: 0 });
     assert!(page.contains("heronlink_registry_members 0\n"), "{page}");
 }
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -20,7 +20,7 @@
     Command::Declare { op: op.into(), base, any, full: 0, revision, scope: "".into(), items: plan(fixed).into() }
 }
 
-fn refused(reply: CommandReply) -> u16 {
+fn refusal_status(reply: CommandReply) -> u16 {
     match reply {
         CommandReply::Refused { status, .. } => status,
         other => panic!("not refused: {other:?}"),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn revisions_are_declared_in_uneven_steps_and_only_upwards() {
+fn declared_revisions_may_skip_numbers_but_must_increase() {
     let mut state = State::new();
     for (step, (base, declared, revision)) in
         [(0, 5, 5), (5, 0, 6), (6, 1_000_000, 1_000_000), (1_000_000, 1_000_001, 1_000_001)].into_iter().enumerate()
@@ -37,51 +37,51 @@
         assert_eq!(reply, CommandReply::Changed { step: step as u64 + 1, revision });
     }
     for declared in [1, 1_000_000, 1_000_001] {
-        assert_eq!(refused(propose(&mut state, &declare("low", None, declared, 2))), 422);
+        assert_eq!(refusal_status(propose(&mut state, &declare("low", None, declared, 2))), 422);
     }
-    assert_eq!(refused(propose(&mut state, &declare("stale", Some(6), 2_000_000, 2))), 412);
+    assert_eq!(refusal_status(propose(&mut state, &declare("stale", Some(6), 2_000_000, 2))), 412);
     assert_eq!(read_number(&state, "c/latest-revision"), 1_000_001);
     propose(&mut state, &Command::Activate { step: 4 });
     assert_eq!(read_number(&state, "c/revision"), 1_000_001);
 }
 
 #[test]
-fn a_taken_change_is_remembered_and_a_refused_one_is_looked_at_anew() {
+fn an_accepted_change_is_remembered_and_a_refused_one_is_validated_again() {
     let mut state = State::new();
     let early = declare("early", Some(3), 9, 1);
-    assert_eq!(refused(propose(&mut state, &early)), 412);
+    assert_eq!(refusal_status(propose(&mut state, &early)), 412);
     assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), CommandReply::Changed { step: 1, revision: 3 });
-    let taken = propose(&mut state, &early);
-    assert_eq!(taken, CommandReply::Changed { step: 2, revision: 9 });
+    let accepted = propose(&mut state, &early);
+    assert_eq!(accepted, CommandReply::Changed { step: 2, revision: 9 });
     propose(&mut state, &declare("later", Some(9), 10, 3));
     let before = state.clone();
-    assert_eq!(propose(&mut state, &early), taken);
+    assert_eq!(propose(&mut state, &early), accepted);
     assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), CommandReply::Changed { step: 1, revision: 3 });
     assert!(state == before, "a repeated change has no effect");
 }
 
 #[test]
-fn a_taken_change_is_remembered_for_its_full_time_however_often_it_was_refused() {
+fn an_accepted_change_is_remembered_for_its_full_time_after_earlier_refusals() {
     let mut state = State::new();
     let early = declare("early", Some(3), 9, 1);
     (1..=100).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
-    assert_eq!(refused(propose(&mut state, &early)), 412);
+    assert_eq!(refusal_status(propose(&mut state, &early)), 412);
     (101..=200).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
     propose(&mut state, &declare("first", Some(0), 3, 2));
-    let taken = propose(&mut state, &early);
+    let accepted = propose(&mut state, &early);
     (201..=86_500).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
     assert!(!state.contains_key("q/early"), "the refusal has expired");
-    assert_eq!(propose(&mut state, &early), taken);
+    assert_eq!(propose(&mut state, &early), accepted);
     (86_501..=86_600).for_each(|number| _ = propose(&mut state, &Command::Tick { number }));
     assert_eq!(
-        refused(propose(&mut state, &early)),
+        refusal_status(propose(&mut state, &early)),
         412,
         "the accepted change has expired a day after it was accepted"
     );
 }
 
 #[test]
-fn an_entry_of_the_format_before_keeps_its_meaning() {
+fn an_entry_of_format_2_keeps_its_meaning() {
     let mut state = State::new();
     let entry = |op: &str, base| Command::Change {
         op: op.into(),
@@ -91,12 +91,12 @@
         scope: "".into(),
         items: plan(1).into(),
     };
-    assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412);
+    assert_eq!(refusal_status(propose(&mut state, &entry("early", 1))), 412);
     assert_eq!(propose(&mut state, &entry("first", 0)), CommandReply::Changed { step: 1, revision: 1 });
-    assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412, "the refusal is remembered");
-    let again = declare("early", Some(1), 0, 1);
+    assert_eq!(refusal_status(propose(&mut state, &entry("early", 1))), 412, "the refusal is remembered");
+    let repeated = declare("early", Some(1), 0, 1);
     assert_eq!(
-        propose(&mut state, &again),
+        propose(&mut state, &repeated),
         CommandReply::Changed { step: 2, revision: 2 },
         "an entry of the newer format is validated again"
     );
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -24,7 +24,7 @@
 
 /// A registry's reply to a call.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct CallReply {
     pub at: NodeId,
     pub request_id: u64,
     pub reply: ApiReply,
@@ -37,9 +37,9 @@
     frames: VecDeque<Envelope>,
     cuts: BTreeSet<(NodeId, NodeId)>,
     now: Duration,
-    asks: u64,
-    starts: u64,
-    pub answered: Vec<Answered>,
+    last_request_id: u64,
+    start_count: u64,
+    pub replies: Vec<CallReply>,
 }
 
 fn node(id: NodeId) -> NodeAddress {
@@ -56,11 +56,11 @@
         cluster
     }
 
-    fn start_founding(&mut self, id: NodeId, addresses: usize) {
-        self.starts += 1;
+    fn start_founding(&mut self, id: NodeId, founders: usize) {
+        self.start_count += 1;
         let stored = self.disks.entry(id).or_default().clone();
         let replica = ChainReplica::new(node(id), stored, Timing::default(), control::apply, self.now);
-        let core = Core::new(replica.with_founders(addresses), CoreTiming::default(), self.starts << 20);
+        let core = Core::new(replica.with_founders(founders), CoreTiming::default(), self.start_count << 20);
         self.cores.insert(id, core);
     }
 
@@ -98,15 +98,15 @@
     }
 
     pub fn call(&mut self, at: NodeId, call: ApiCall) -> u64 {
-        self.asks += 1;
-        let request_id = self.asks;
+        self.last_request_id += 1;
+        let request_id = self.last_request_id;
         self.step(at, CoreInput::Call { request_id, call });
         self.deliver();
         request_id
     }
 
     pub fn reply(&self, request_id: u64) -> Option<&ApiReply> {
-        self.answered.iter().find(|answered| answered.request_id == request_id).map(|answered| &answered.reply)
+        self.replies.iter().find(|reply| reply.request_id == request_id).map(|reply| &reply.reply)
     }
 
     /// Sends a call and runs the cluster until the reply arrives.
@@ -166,7 +166,7 @@
                         inputs.push_back(CoreInput::Written { ticket });
                     }
                     CoreOutput::Reply { request_id, reply } => {
-                        self.answered.push(Answered { at: id, request_id, reply })
+                        self.replies.push(CallReply { at: id, request_id, reply })
                     }
                     _ => {}
                 }
@@ -196,6 +196,6 @@
 }
 
 /// Returns a read of the whole configuration.
-pub fn fetch() -> ApiCall {
+pub fn read_configuration() -> ApiCall {
     ApiCall::Configuration { scope: String::new() }
 }
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -25,26 +25,26 @@
 
 /// A single registry with the real state machine and the real data file.
 struct Registry {
-    member: ChainReplica,
+    replica: ChainReplica,
     store: Store,
     now: Duration,
-    appended: u64,
+    proposal_count: u64,
 }
 
 impl Registry {
     fn open(path: &Path) -> Registry {
         let node = NodeAddress { id: 5, address: "127.0.0.1:1".into() };
         let (store, stored) = Store::open(path, "posta", node.clone()).unwrap();
-        let member = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO).with_founders(1);
-        let mut registry = Registry { member, store, now: Duration::ZERO, appended: 0 };
-        (0..20).for_each(|_| registry.pass());
+        let replica = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO).with_founders(1);
+        let mut registry = Registry { replica, store, now: Duration::ZERO, proposal_count: 0 };
+        (0..20).for_each(|_| registry.tick());
         registry
     }
 
-    fn feed(&mut self, input: Input) {
+    fn step(&mut self, input: Input) {
         let mut inputs = vec![input];
         while let Some(input) = inputs.pop() {
-            for output in self.member.step(self.now, input) {
+            for output in self.replica.step(self.now, input) {
                 match output {
                     Output::Write { ticket, batch } => {
                         self.store.write(&batch).unwrap();
@@ -57,16 +57,16 @@
         }
     }
 
-    fn pass(&mut self) {
+    fn tick(&mut self) {
         self.now += Duration::from_millis(100);
-        self.feed(Input::Tick);
+        self.step(Input::Tick);
     }
 
     fn propose(&mut self, command: &Command) {
-        self.appended += 1;
-        let op = ProposalId { origin: 5, number: self.appended };
-        self.feed(Input::Propose { op, body: to_bytes(command) });
-        self.pass();
+        self.proposal_count += 1;
+        let op = ProposalId { origin: 5, number: self.proposal_count };
+        self.step(Input::Propose { op, body: to_bytes(command) });
+        self.tick();
     }
 
     fn change(&mut self, number: u64) {
@@ -103,25 +103,25 @@
 }
 
 #[test]
-fn the_file_stays_far_below_the_disk_under_hundreds_of_complete_configurations() {
+fn the_data_file_stays_far_below_the_disk_size_after_many_complete_configurations() {
     let folder = folder("disk-bound");
     let path = folder.join("registry.redb");
     let mut registry = Registry::open(&path);
-    let mut most = 0;
+    let mut largest_bytes = 0;
     for number in 1..=CHANGES {
         registry.change(number);
-        most = most.max(file_bytes(&path));
+        largest_bytes = largest_bytes.max(file_bytes(&path));
         if number % 10 == 0 {
             println!("{number} changes: {} KB", file_bytes(&path) / 1024);
         }
     }
-    assert_eq!(control::read_number(registry.member.state(), "c/revision"), CHANGES, "all changes were accepted");
-    assert!(most < DISK_BYTES / 2, "the file grew to {most} bytes");
-    let state = registry.member.state().clone();
+    assert_eq!(control::read_number(registry.replica.state(), "c/revision"), CHANGES, "all changes were accepted");
+    assert!(largest_bytes < DISK_BYTES / 2, "the file grew to {largest_bytes} bytes");
+    let state = registry.replica.state().clone();
     drop(registry);
-    let again = Registry::open(&path);
+    let reopened = Registry::open(&path);
     assert!(
-        again.member.state().ptr_eq(&state) || *again.member.state() == state,
+        reopened.replica.state().ptr_eq(&state) || *reopened.replica.state() == state,
         "the reopened state equals the last one"
     );
     let _ = std::fs::remove_dir_all(folder);
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -29,33 +29,33 @@
     pub registries: BTreeMap<NodeId, Core>,
     pub routers: BTreeMap<NodeId, Follower>,
     /// Machines that run, but exchange no frames with any other.
-    pub cut: BTreeSet<NodeId>,
+    pub cut_off: BTreeSet<NodeId>,
     /// Machines that exchange frames only with each other.
-    pub island: BTreeSet<NodeId>,
+    pub isolated_group: BTreeSet<NodeId>,
     pub replies: BTreeMap<u64, (Duration, ApiReply)>,
     /// Voters that were reported to an empty registry.
     reported_registries: BTreeMap<NodeId, Vec<NodeId>>,
     disks: BTreeMap<NodeId, Stored>,
     queue: BTreeMap<(Duration, u64), Event>,
-    events: u64,
-    asks: u64,
+    event_count: u64,
+    last_request_id: u64,
     losses: usize,
     /// Duration of a lease.
     hold: Duration,
 }
 
 impl Fleet {
-    pub fn started(registries: NodeId, routers: usize) -> Fleet {
-        Fleet::started_with_hold(registries, routers, FollowerTiming::default().hold)
+    pub fn start(registries: NodeId, routers: usize) -> Fleet {
+        Fleet::start_with_hold(registries, routers, FollowerTiming::default().hold)
     }
 
-    pub fn started_with_hold(registries: NodeId, routers: usize, hold: Duration) -> Fleet {
+    pub fn start_with_hold(registries: NodeId, routers: usize, hold: Duration) -> Fleet {
         let losses = if registries > 3 { 2 } else { 1 };
         let mut fleet = Fleet { now: Duration::from_secs(1), losses, hold, ..Fleet::default() };
         (1..=registries).for_each(|id| fleet.start_registry(id));
-        fleet.pass(if registries > 3 { 12_000 } else { 3000 });
+        fleet.advance(if registries > 3 { 12_000 } else { 3000 });
         (0..routers).for_each(|n| fleet.start_router(FIRST_ROUTER + n as NodeId));
-        fleet.pass(8000);
+        fleet.advance(8000);
         assert_eq!(fleet.chain().len(), registries as usize, "all registries are in the chain");
         let members = fleet.routers.keys().filter(|id| fleet.head().has_member(**id)).count();
         assert_eq!(members, routers, "every router is a member");
@@ -65,18 +65,18 @@
     pub fn start_registry(&mut self, id: NodeId) {
         let stored = self.disks.entry(id).or_default().clone();
         let node = NodeAddress { id, address: format!("10.0.0.{id}:1").into() };
-        let founds = if id <= 3 { 3 } else { 0 };
+        let founders = if id <= 3 { 3 } else { 0 };
         let replica = ChainReplica::new(node, stored, Timing::default(), control::apply, self.now);
-        let replica = replica.with_founders(founds).tolerating_losses(self.losses);
-        self.registries.insert(id, Core::new(replica, CoreTiming::for_hold(self.hold), (id << 40) + self.events));
-        self.at(Duration::ZERO, Event::RegistryTick(id));
+        let replica = replica.with_founders(founders).tolerating_losses(self.losses);
+        self.registries.insert(id, Core::new(replica, CoreTiming::for_hold(self.hold), (id << 40) + self.event_count));
+        self.schedule(Duration::ZERO, Event::RegistryTick(id));
     }
 
     pub fn start_router(&mut self, id: NodeId) {
         let (address, timing) =
             (format!("10.0.1.{id}:1"), FollowerTiming { hold: self.hold, ..FollowerTiming::default() });
         self.routers.insert(id, Follower::new(id, id, &address, "a", "", timing));
-        self.at(Duration::from_micros(id % 20 * 1000), Event::RouterTick(id));
+        self.schedule(Duration::from_micros(id % 20 * 1000), Event::RouterTick(id));
     }
 
     /// Kills a registry or a router; a registry's disk is kept.
@@ -86,7 +86,7 @@
     }
 
     pub fn isolate_together(&mut self, ids: &[NodeId]) {
-        self.island = ids.iter().copied().collect();
+        self.isolated_group = ids.iter().copied().collect();
     }
 
     pub fn kill_and_wipe(&mut self, id: NodeId) {
@@ -106,8 +106,8 @@
 
     /// Sends a change to a registry and returns the request id of its reply.
     pub fn change(&mut self, registry: NodeId, value: u64) -> u64 {
-        self.asks += 1;
-        let request_id = self.asks;
+        self.last_request_id += 1;
+        let request_id = self.last_request_id;
         let value = format!(r#"{{"fixed":{value}}}"#).into_bytes();
         let items = vec![ConfigurationItem { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }];
         let (op, scope) = (format!("op-{request_id}"), String::new());
@@ -117,51 +117,51 @@
     }
 
     /// Sends a change and returns the time until its acknowledgement.
-    pub fn acknowledged_after(&mut self, registry: NodeId, value: u64) -> Duration {
-        let asked = self.now;
+    pub fn time_to_acknowledgement(&mut self, registry: NodeId, value: u64) -> Duration {
+        let sent_at = self.now;
         let request_id = self.change(registry, value);
-        while !self.replies.contains_key(&request_id) && self.now < asked + Duration::from_secs(9) {
-            self.pass(5);
+        while !self.replies.contains_key(&request_id) && self.now < sent_at + Duration::from_secs(9) {
+            self.advance(5);
         }
         let (at, reply) = self.replies.get(&request_id).expect("the change was answered");
         assert_eq!(reply.status, 200, "the change is in force");
-        *at - asked
+        *at - sent_at
     }
 
     /// Returns the routers that may now serve by an older epoch than the one active at the registries.
-    pub fn serving_by_older(&mut self) -> Vec<NodeId> {
+    pub fn routers_serving_older_epoch(&mut self) -> Vec<NodeId> {
         let now = self.now;
         let active = self.registries.values().map(|core| control::read_number(core.state(), "c/active"));
         let newest = active.max().unwrap_or_default();
-        let serves = |follower: &mut Follower| follower.serving_status_at(now) != ServingStatus::Waiting;
-        let older = self.routers.iter_mut().filter(|(_, router)| router.step_number() < newest);
-        older.filter_map(|(id, router)| serves(router).then_some(*id)).collect()
+        let may_serve = |follower: &mut Follower| follower.serving_status_at(now) != ServingStatus::Waiting;
+        let behind = self.routers.iter_mut().filter(|(_, router)| router.step_number() < newest);
+        behind.filter_map(|(id, router)| may_serve(router).then_some(*id)).collect()
     }
 
-    pub fn pass(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) {
             let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            self.take(event);
+            self.handle_event(event);
         }
         self.now = until;
     }
 
-    fn at(&mut self, delay: Duration, event: Event) {
-        self.events += 1;
-        self.queue.insert((self.now + delay, self.events), event);
+    fn schedule(&mut self, delay: Duration, event: Event) {
+        self.event_count += 1;
+        self.queue.insert((self.now + delay, self.event_count), event);
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::RegistryTick(id) if self.registries.contains_key(&id) => {
                 self.feed_registry(id, CoreInput::Tick);
-                self.at(REGISTRY_TICK, Event::RegistryTick(id));
+                self.schedule(REGISTRY_TICK, Event::RegistryTick(id));
             }
             Event::RouterTick(id) if self.routers.contains_key(&id) => {
                 self.feed_router(id, FollowerInput::Tick);
-                self.at(ROUTER_TICK, Event::RouterTick(id));
+                self.schedule(ROUTER_TICK, Event::RouterTick(id));
             }
             Event::Frame { from, to, message } => self.deliver(from, to, message),
             Event::Written { id, ticket, batch } if self.registries.contains_key(&id) => {
@@ -173,8 +173,8 @@
     }
 
     fn deliver(&mut self, from: NodeId, to: NodeId, message: Message) {
-        let apart = self.island.contains(&from) != self.island.contains(&to);
-        if apart || self.cut.contains(&from) || self.cut.contains(&to) {
+        let is_separated = self.isolated_group.contains(&from) != self.isolated_group.contains(&to);
+        if is_separated || self.cut_off.contains(&from) || self.cut_off.contains(&to) {
             return;
         }
         match message {
@@ -191,7 +191,7 @@
     }
 
     fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
-        self.at(FRAME_DELAY, Event::Frame { from, to, message });
+        self.schedule(FRAME_DELAY, Event::Frame { from, to, message });
     }
 
     fn feed_registry(&mut self, id: NodeId, input: CoreInput) {
@@ -207,7 +207,7 @@
                         (1..=3).chain(reported_registries).filter(|other| *other != id).collect();
                     others.into_iter().for_each(|to| self.send(id, to, Message::Chain(message.clone())));
                 }
-                CoreOutput::Write { ticket, batch } => self.at(WRITE_DELAY, Event::Written { id, ticket, batch }),
+                CoreOutput::Write { ticket, batch } => self.schedule(WRITE_DELAY, Event::Written { id, ticket, batch }),
                 CoreOutput::ViewLearned { view } => {
                     self.reported_registries.insert(id, view.voters.iter().map(|node| node.id).collect());
                 }
--- a/crates/control/tests/key_table.rs
+++ b/crates/control/tests/key_table.rs
@@ -15,8 +15,8 @@
 const ROUNDS: u64 = 4000;
 
 /// Holder of a key in the model, and the recorded answer.
-struct Held {
-    asker: (u64, u64),
+struct HeldKey {
+    claimant: (u64, u64),
     until: u64,
     answer: Option<Vec<u8>>,
 }
@@ -24,7 +24,7 @@
 struct Model {
     state: State,
     ticks: u64,
-    held: BTreeMap<u64, Held>,
+    held: BTreeMap<u64, HeldKey>,
     grants: u64,
 }
 
@@ -60,17 +60,17 @@
             ticks,
         });
         let CommandReply::Claim { state, answer } = reply else { panic!("a claim's reply") };
-        let asker = (member, request_id);
+        let claimant = (member, request_id);
         let held = self.held.get(&key);
         match state {
             ClaimState::Granted => {
                 assert!(
-                    held.is_none_or(|held| held.asker == asker),
+                    held.is_none_or(|held| held.claimant == claimant),
                     "a key was granted to two claimants within its window"
                 );
                 self.grants += 1;
                 let until = self.ticks + u64::from(WINDOW);
-                self.held.entry(key).or_insert(Held { asker, until, answer: None });
+                self.held.entry(key).or_insert(HeldKey { claimant, until, answer: None });
             }
             ClaimState::Answered => {
                 assert_eq!(
@@ -80,7 +80,7 @@
                 );
             }
             ClaimState::Running | ClaimState::Unknown => {
-                assert!(held.is_some_and(|held| held.answer.is_none() && held.asker != asker));
+                assert!(held.is_some_and(|held| held.answer.is_none() && held.claimant != claimant));
             }
             ClaimState::OtherBody | ClaimState::Full => panic!("{state:?}"),
         }
@@ -96,14 +96,14 @@
             request_id,
             answer: recorded,
         });
-        if let Some(held) = self.held.get_mut(&key).filter(|held| held.asker == (member, request_id)) {
+        if let Some(held) = self.held.get_mut(&key).filter(|held| held.claimant == (member, request_id)) {
             held.answer.get_or_insert(answer);
         }
     }
 
     fn release(&mut self, key: u64, member: u64, request_id: u64) {
         self.execute(&Command::Release { scope: scope(key), member, incarnation: 1, request_id });
-        if self.held.get(&key).is_some_and(|held| held.asker == (member, request_id) && held.answer.is_none()) {
+        if self.held.get(&key).is_some_and(|held| held.claimant == (member, request_id) && held.answer.is_none()) {
             self.held.remove(&key);
         }
     }
@@ -130,23 +130,23 @@
 }
 
 #[test]
-fn a_key_is_granted_to_one_asker_within_its_window() {
+fn a_key_is_granted_to_one_claimant_within_its_window() {
     for seed in 0..8 {
-        let mut dice = ChaCha8Rng::seed_from_u64(seed);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut model = Model::new();
-        let mut waiting: Vec<(Step, u64, u64, u64)> = Vec::new();
+        let mut pending_steps: Vec<(Step, u64, u64, u64)> = Vec::new();
         for round in 0..ROUNDS {
-            let (key, member) = (dice.random_range(0..KEYS), dice.random_range(0..MEMBERS));
-            waiting.push((Step::Claim, key, member, round));
-            let second = if dice.random_ratio(1, 3) { Step::Release } else { Step::Record };
-            waiting.push((second, key, member, round));
-            if dice.random_ratio(1, 4) {
-                let again = *waiting.last().expect("the list is not empty");
-                waiting.push(again);
+            let (key, member) = (rng.random_range(0..KEYS), rng.random_range(0..MEMBERS));
+            pending_steps.push((Step::Claim, key, member, round));
+            let follow_up = if rng.random_ratio(1, 3) { Step::Release } else { Step::Record };
+            pending_steps.push((follow_up, key, member, round));
+            if rng.random_ratio(1, 4) {
+                let duplicate = *pending_steps.last().expect("the list is not empty");
+                pending_steps.push(duplicate);
             }
-            waiting.shuffle(&mut dice);
-            while waiting.len() > 6 {
-                let (step, key, member, request_id) = waiting.remove(0);
+            pending_steps.shuffle(&mut rng);
+            while pending_steps.len() > 6 {
+                let (step, key, member, request_id) = pending_steps.remove(0);
                 match step {
                     Step::Claim => model.claim(key, member, request_id),
                     Step::Record => model.record(key, member, request_id),
@@ -154,7 +154,7 @@
                 }
                 model.check();
             }
-            match dice.random_range(0..12) {
+            match rng.random_range(0..12) {
                 0..=2 => model.tick(),
                 3 => drop(model.execute(&Command::Lapse { id: member, incarnation: 1 })),
                 4 => drop(model.execute(&join(member))),
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_claim_without_a_window_is_kept_as_before_and_none_is_kept_for_ever() {
+fn a_claim_without_a_window_is_kept_for_the_default_time() {
     let mut model = Model::new();
     let (scope, digest) = (scope(0), vec![1].into());
     model.execute(&Command::Claim { scope, digest, member: 1, incarnation: 1, request_id: 1 });
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -3,7 +3,7 @@
 mod cluster;
 
 use chain::{ChainReplica, Stored, Timing};
-use cluster::{change, fetch};
+use cluster::{change, read_configuration};
 use control::{ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::time::Duration;
 use wire::{ChainMessage, ConfigurationItem, LeaseMessage, NodeAddress, NodeId, ProposalId, View};
@@ -25,7 +25,7 @@
     Core::new(replica, CoreTiming::default(), 100)
 }
 
-fn appended(outputs: &[CoreOutput]) -> Option<(NodeId, ProposalId)> {
+fn proposed(outputs: &[CoreOutput]) -> Option<(NodeId, ProposalId)> {
     outputs.iter().find_map(|output| match output {
         CoreOutput::Registry { to, message: ChainMessage::Propose { op, .. } } => Some((*to, *op)),
         _ => None,
@@ -46,34 +46,34 @@
     })
 }
 
-fn not_entered(from: NodeId, op: ProposalId) -> CoreInput {
+fn not_appended(from: NodeId, op: ProposalId) -> CoreInput {
     CoreInput::Chain { from, message: ChainMessage::Done { op, appended: 0, reply: Vec::new().into() } }
 }
 
 #[test]
-fn a_change_that_was_entered_before_a_view_change_is_never_called_not_run() {
+fn a_change_proposed_before_a_view_change_is_never_reported_as_not_run() {
     let now = Duration::from_millis(10);
     let mut core = registry(&[1, 2, 3]);
-    let (head, first) = appended(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) }))
+    let (head, first) = proposed(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) }))
         .expect("the change is proposed");
     assert_eq!(head, 1);
     let decided = ChainMessage::Decided { view: view(2, &[2, 3]) };
-    let (head, second) = appended(&core.step(now, CoreInput::Chain { from: 2, message: decided }))
+    let (head, second) = proposed(&core.step(now, CoreInput::Chain { from: 2, message: decided }))
         .expect("the change is proposed again");
     assert_eq!(head, 2);
-    assert!(replied(&core.step(now, not_entered(1, first))).is_none(), "the outcome of the first proposal is ignored");
-    let outputs = core.step(now, not_entered(2, second));
+    assert!(replied(&core.step(now, not_appended(1, first))).is_none(), "the outcome of the first proposal is ignored");
+    let outputs = core.step(now, not_appended(2, second));
     let reply = replied(&outputs).expect("the change is answered");
     assert_eq!(reply.status, 504, "the first proposal may be in the log: {}", reply.body);
 }
 
 #[test]
-fn a_change_that_was_entered_once_and_turned_down_is_not_run() {
+fn a_change_proposed_once_and_not_appended_is_reported_as_not_run() {
     let now = Duration::from_millis(10);
     let mut core = registry(&[1, 2, 3]);
-    let (_, op) = appended(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) }))
+    let (_, op) = proposed(&core.step(now, CoreInput::Call { request_id: 1, call: change("a", 0) }))
         .expect("the change is proposed");
-    let outputs = core.step(now, not_entered(1, op));
+    let outputs = core.step(now, not_appended(1, op));
     assert_eq!(replied(&outputs).map(|reply| (reply.status, reply.retry_after)), Some((503, Some(1))));
 }
 
@@ -92,10 +92,10 @@
 }
 
 #[test]
-fn a_read_that_was_started_anew_takes_no_late_page_of_its_first_try() {
+fn a_restarted_read_ignores_late_pages_of_its_first_attempt() {
     let mut now = Duration::from_millis(10);
     let mut core = registry(&[3, 2, 1]);
-    let first = page_request_id(&core.step(now, CoreInput::Call { request_id: 1, call: fetch() }))
+    let first = page_request_id(&core.step(now, CoreInput::Call { request_id: 1, call: read_configuration() }))
         .expect("the first page is requested");
     let second = page_request_id(&core.step(now, page(first, "function-bindings/t/a", "function-bindings/t/b")));
     let second = second.expect("the next page is requested");
--- a/crates/control/tests/recovery_timeline.rs
+++ b/crates/control/tests/recovery_timeline.rs
@@ -18,8 +18,8 @@
 /// Default duration of a lease.
 const DEFAULT_HOLD: Duration = Duration::from_millis(1500);
 /// Duration of a lease in users' deployments.
-const PLATFORM_HOLD: Duration = Duration::from_secs(1);
-const PATIENCE_MILLIS: u64 = 9000;
+const DEPLOYED_HOLD: Duration = Duration::from_secs(1);
+const TIMEOUT_MILLIS: u64 = 9000;
 /// Id of the first router.
 const FIRST_ROUTER: NodeId = 1000;
 
@@ -39,14 +39,14 @@
 struct Timeline {
     suspected: Duration,
     view_decided: Duration,
-    taken: Duration,
+    accepted: Duration,
     staged: Duration,
     acknowledged: Duration,
 }
 
 impl Timeline {
     fn phases(&self) -> [Duration; 5] {
-        [self.suspected, self.view_decided, self.taken, self.staged, self.acknowledged]
+        [self.suspected, self.view_decided, self.accepted, self.staged, self.acknowledged]
     }
 }
 
@@ -54,10 +54,10 @@
     std::env::var("HERONLINK_KILLS").ok().and_then(|kills| kills.parse().ok()).unwrap_or(DEFAULT_KILLS)
 }
 
-fn lose(fleet: &mut Fleet, place: usize, loss: Loss) -> NodeId {
-    let lost = fleet.chain()[place];
+fn lose_registry(fleet: &mut Fleet, position: usize, loss: Loss) -> NodeId {
+    let lost = fleet.chain()[position];
     match loss {
-        Loss::CutOff => _ = fleet.cut.insert(lost),
+        Loss::CutOff => _ = fleet.cut_off.insert(lost),
         Loss::Killed | Loss::KilledWithRouter => fleet.kill(lost),
     }
     if loss == Loss::KilledWithRouter {
@@ -66,15 +66,15 @@
     lost
 }
 
-fn timeline(fleet: &mut Fleet, place: usize, loss: Loss) -> Timeline {
-    let lost = lose(fleet, place, loss);
+fn measure_timeline(fleet: &mut Fleet, position: usize, loss: Loss) -> Timeline {
+    let lost = lose_registry(fleet, position, loss);
     let started = fleet.now;
     let survivor = *fleet.registries.keys().find(|id| **id != lost).unwrap();
     let step_before = control::read_number(fleet.registries[&survivor].state(), "c/latest");
     let request_id = fleet.change(survivor, 2);
     let mut timeline = Timeline::default();
-    for _ in 0..PATIENCE_MILLIS {
-        fleet.pass(1);
+    for _ in 0..TIMEOUT_MILLIS {
+        fleet.advance(1);
         let elapsed = fleet.now - started;
         let core = &fleet.registries[&survivor];
         let step = control::read_number(core.state(), "c/latest");
@@ -86,7 +86,7 @@
         let is_out = !core.replica().is_in_chain() || !core.replica().view().is_in_chain(lost);
         reached(&mut timeline.suspected, is_out || core.replica().suspects().contains(&lost));
         reached(&mut timeline.view_decided, is_out);
-        reached(&mut timeline.taken, step > step_before);
+        reached(&mut timeline.accepted, step > step_before);
         let has_staged = fleet.routers.values().all(|router| router.staged_number() > step_before);
         reached(&mut timeline.staged, has_staged);
         if let Some((at, reply)) = fleet.replies.get(&request_id) {
@@ -109,19 +109,19 @@
 #[test_case(6, 24, Loss::KilledWithRouter; "thirty machines, the machine is killed")]
 #[test_case(8, 92, Loss::KilledWithRouter; "a hundred machines, the machine is killed")]
 fn the_next_acknowledgement_comes_within_two_seconds(registries: NodeId, routers: usize, loss: Loss) {
-    for hold in [DEFAULT_HOLD, PLATFORM_HOLD] {
-        losses_of_each_place(registries, routers, loss, hold);
+    for hold in [DEFAULT_HOLD, DEPLOYED_HOLD] {
+        check_losses_at_each_position(registries, routers, loss, hold);
     }
 }
 
-fn losses_of_each_place(registries: NodeId, routers: usize, loss: Loss, hold: Duration) {
-    for (name, place) in [("head", 0), ("middle", 1), ("tail", registries as usize - 1)] {
+fn check_losses_at_each_position(registries: NodeId, routers: usize, loss: Loss, hold: Duration) {
+    for (name, position) in [("head", 0), ("middle", 1), ("tail", registries as usize - 1)] {
         let mut runs = Vec::new();
         for kill in 0..kills() {
-            let mut fleet = Fleet::started_with_hold(registries, routers, hold);
-            fleet.acknowledged_after(1, 1);
-            fleet.pass(2500 + kill * OFFSET_MILLIS);
-            runs.push(timeline(&mut fleet, place, loss));
+            let mut fleet = Fleet::start_with_hold(registries, routers, hold);
+            fleet.time_to_acknowledgement(1, 1);
+            fleet.advance(2500 + kill * OFFSET_MILLIS);
+            runs.push(measure_timeline(&mut fleet, position, loss));
         }
         let medians: Vec<String> = (0..5)
             .map(|phase| median(runs.iter().map(|run| run.phases()[phase]).collect()).as_millis().to_string())
