--- a/crates/control/examples/keyed_cost.rs
+++ b/crates/control/examples/keyed_cost.rs
@@ -46,7 +46,7 @@
 }
 
 impl Chain {
-    fn found(folder: &std::path::Path, count: u64) -> Chain {
+    fn bootstrap(folder: &std::path::Path, count: u64) -> Chain {
         let open = |id: NodeId| {
             let (store, stored) = Store::open(&folder.join(format!("{id}")), "cost", node(id)).expect("a data file");
             let replica = ChainReplica::new(node(id), stored, Timing::default(), control::apply, Duration::ZERO);
@@ -168,7 +168,7 @@
         (argument(0, 276), argument(1, 220), argument(2, 1200), argument(3, 6), argument(4, 65));
     let folder: PathBuf = std::env::temp_dir().join(format!("heronlink-keyed-cost-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let mut chain = Chain::found(&folder, count);
+    let mut chain = Chain::bootstrap(&folder, count);
     chain.run(SETTLING_TIME, |_| {});
     assert_eq!(chain.replicas[&1].0.view().chain.as_slice().len() as u64, count, "all replicas are in the chain");
     chain.costs = Costs::default();
--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -51,7 +51,7 @@
 impl Control {
     /// Runs the loop until a planned stop is over.
     pub async fn run(mut self, sender: InboxSender<ControlMessage>, mut inbox: Inbox<ControlMessage>) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let view = self.core.replica().view().clone();
         self.dial(&view);
         let _ = self.optimizer.send(OptimizerMessage::ViewAdopted { view });
@@ -77,7 +77,7 @@
                 },
             };
             if let Some(input) = input {
-                let outputs = self.core.step(begun.elapsed(), input);
+                let outputs = self.core.step(started_at.elapsed(), input);
                 self.execute(outputs);
                 self.membership.log_changes(self.core.state());
             }
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -48,7 +48,7 @@
 
 /// Runs the optimizer until its inbox is closed.
 pub fn run(context: OptimizerContext, mut inbox: Inbox<OptimizerMessage>) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut planner = Planner::new(context.tuning, Optimizer::new(context.step, context.fits));
     let mut last_published = (0, 0);
     let mut active = (0, BTreeMap::new());
@@ -67,7 +67,7 @@
             OptimizerMessage::Frame { message: PlanMessage::Request { .. }, .. } if !context.plans => {}
             OptimizerMessage::Frame { from, message } => {
                 let is_tuning_message = matches!(message, PlanMessage::Measures { .. } | PlanMessage::Tuned { .. });
-                for output in planner.step(begun.elapsed(), context.me, from, message, context.solve) {
+                for output in planner.step(started_at.elapsed(), context.me, from, message, context.solve) {
                     if let Some(fault) = output.fault {
                         event!(plan_failed, "{fault}");
                     }
--- a/crates/control/src/periodic.rs
+++ b/crates/control/src/periodic.rs
@@ -15,9 +15,9 @@
         let now = self.now;
         self.expire_proposals();
         self.process_open_calls();
-        let pending = keys::read_number(self.state(), keys::LATEST) > keys::read_number(self.state(), keys::ACTIVE);
+        let is_pending = keys::read_number(self.state(), keys::LATEST) > keys::read_number(self.state(), keys::ACTIVE);
         let since = self.tail.since.unwrap_or(now);
-        self.replica.defer_joins(pending && now < since + JOIN_DEFERRAL);
+        self.replica.defer_joins(is_pending && now < since + JOIN_DEFERRAL);
         self.maybe_start_duties();
         self.confirm_renewals();
     }
@@ -32,9 +32,9 @@
             self.answer_activated_changes(active);
         }
         self.answer_deferred_calls();
-        let tail = self.replica.is_current_tail();
+        let is_tail = self.replica.is_current_tail();
         self.update_tenure();
-        if tail && committed >= synced && self.pushes.take_due(committed, self.now) {
+        if is_tail && committed >= synced && self.pushes.take_due(committed, self.now) {
             self.push_updates();
         }
     }
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -116,17 +116,17 @@
         now: Duration,
         me: NodeId,
         from: NodeId,
-        lines: &[Measurement],
+        measurements: &[Measurement],
     ) -> Vec<PlannerOutput> {
-        for line in lines.iter().filter(|_| self.is_tuning) {
-            let Some(function) = self.functions.get(line.function.as_str()) else { continue };
+        for measurement in measurements.iter().filter(|_| self.is_tuning) {
+            let Some(function) = self.functions.get(measurement.function.as_str()) else { continue };
             let measure = Measure {
-                boot: Duration::from_micros(line.boot_micro),
-                boots: line.boots,
-                refused: line.refused,
-                rejections: line.rejections,
-                waiting: line.waiting_milli as f64 / 1000.0,
-                usage: line.usage_milli as f64 / 1000.0,
+                boot: Duration::from_micros(measurement.boot_micro),
+                boots: measurement.boots,
+                refused: measurement.refused,
+                rejections: measurement.rejections,
+                waiting: measurement.waiting_milli as f64 / 1000.0,
+                usage: measurement.usage_milli as f64 / 1000.0,
             };
             self.optimizer.tuner.take(function, measure);
         }
@@ -148,17 +148,17 @@
     }
 
     /// Adopts tuned values of another host, unless values with a higher fencing number are known.
-    fn adopt(&mut self, fence: u64, lines: Vec<TunedParameters>) {
+    fn adopt(&mut self, fence: u64, tuned: Vec<TunedParameters>) {
         if fence < self.fence {
             return;
         }
         self.fence = fence;
-        for line in &lines {
-            if let Some(function) = self.functions.get(line.function.as_str()) {
-                self.optimizer.tuner.adopt(function, decode_tuned(line));
+        for parameters in &tuned {
+            if let Some(function) = self.functions.get(parameters.function.as_str()) {
+                self.optimizer.tuner.adopt(function, decode_tuned(parameters));
             }
         }
-        self.tuned = lines;
+        self.tuned = tuned;
     }
 }
 
@@ -172,11 +172,11 @@
     }
 }
 
-fn decode_tuned(line: &TunedParameters) -> Tuned {
+fn decode_tuned(parameters: &TunedParameters) -> Tuned {
     Tuned {
-        startup_delay_steps: line.startup_delay_steps,
-        target_usage: line.usage_micro as f64 / 1e6,
-        sla_hard: line.hard_milli as f64 / 1e3,
-        why: line.why.as_str().to_owned(),
+        startup_delay_steps: parameters.startup_delay_steps,
+        target_usage: parameters.usage_micro as f64 / 1e6,
+        sla_hard: parameters.hard_milli as f64 / 1e3,
+        why: parameters.why.as_str().to_owned(),
     }
 }
--- a/crates/control/tests/failover.rs
+++ b/crates/control/tests/failover.rs
@@ -1,9 +1,9 @@
 //! Time until the next acknowledgement after a registry's machine is lost, by the simulated clock; and no router may
 //! serve by an older epoch once a newer one is acknowledged.
 
-mod fleet_net;
+mod simulated_fleet;
 
-use fleet_net::Fleet;
+use simulated_fleet::Fleet;
 use std::time::Duration;
 use test_case::test_case;
 use wire::NodeId;
@@ -112,7 +112,10 @@
     let recipient = registry_at(&fleet, "head");
     let acknowledged_after = fleet.time_to_acknowledgement(recipient, 2);
     println!("cut off with its tail: {acknowledged_after:?}");
-    assert!(!fleet.routers_serving_older_epoch().contains(&(FIRST_ROUTER + 3)), "at the acknowledgement");
+    assert!(
+        !fleet.routers_serving_older_epoch().contains(&(FIRST_ROUTER + 3)),
+        "the router serves by an older epoch at the acknowledgement"
+    );
     fleet.advance(GUARD_MILLIS);
     assert_eq!(fleet.routers_serving_older_epoch(), NO_ROUTERS);
     assert!(acknowledged_after < BOUND, "{acknowledged_after:?}");
@@ -159,7 +162,10 @@
         }
         let acknowledged_after = fleet.time_to_acknowledgement(recipient, 2);
         println!("router cut off {wait} ms before the replacement started: {acknowledged_after:?}");
-        assert!(!fleet.routers_serving_older_epoch().contains(&(FIRST_ROUTER + 3)), "at the acknowledgement");
+        assert!(
+            !fleet.routers_serving_older_epoch().contains(&(FIRST_ROUTER + 3)),
+            "the router serves by an older epoch at the acknowledgement"
+        );
         assert!(acknowledged_after < BOUND, "{acknowledged_after:?}");
     }
 }
--- a/crates/control/tests/recovery_timeline.rs
+++ b/crates/control/tests/recovery_timeline.rs
@@ -3,9 +3,9 @@
 //! `HERONLINK_KILLS=10 cargo test --release -p control --test recovery_timeline -- --nocapture` prints the table in
 //! docs/measurements.md.
 
-mod fleet_net;
+mod simulated_fleet;
 
-use fleet_net::Fleet;
+use simulated_fleet::Fleet;
 use std::time::Duration;
 use test_case::test_case;
 use wire::NodeId;
--- a/crates/control/tests/restarts.rs
+++ b/crates/control/tests/restarts.rs
@@ -1,8 +1,8 @@
 //! Simultaneous restarts of many machines while a change is in progress.
 
-mod fleet_net;
+mod simulated_fleet;
 
-use fleet_net::Fleet;
+use simulated_fleet::Fleet;
 use std::time::Duration;
 use wire::NodeId;
 
