--- a/crates/control/examples/change_cost.rs
+++ b/crates/control/examples/change_cost.rs
@@ -56,11 +56,11 @@
     let count = std::env::args().nth(1).and_then(|count| count.parse().ok()).unwrap_or(2000);
     let mut state = State::new();
     let items: Vec<ConfigurationItem> = (0..158).map(function).chain((0..count).map(|n| route(n, 4000))).collect();
-    apply_entry(&mut state, "complete", change("one", 0, true, items.clone()));
+    apply_entry(&mut state, "whole", change("one", 0, true, items.clone()));
     apply_entry(&mut state, "activation", Command::Activate { step: 1 });
     apply_entry(&mut state, "patch", change("two", 3, false, vec![route(5, 900)]));
     apply_entry(&mut state, "activation of the patch", Command::Activate { step: 2 });
-    apply_entry(&mut state, "complete again", change("three", 6, true, items));
+    apply_entry(&mut state, "whole again", change("three", 6, true, items));
     let pairs = || state.iter().filter_map(|(key, value)| Some((key.strip_prefix("a/")?, &value[..])));
     let routes = timed("a router's route table", || RouteTable::build(1, 1, pairs()));
     let started = Instant::now();
