--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -84,21 +84,21 @@
         let Some(scope) = self.scope(headers) else { return refuse(401, "a bearer token is needed") };
         let header_text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
         let base = match header_text("if-match").as_deref().map(|tag| tag.trim().trim_matches('"').to_owned()) {
-            None => return refuse(428, "If-Match must name the revision that the change is based on, or *"),
+            None => return refuse(428, "If-Match with the revision the change is based on, or *, is needed"),
             Some(tag) if tag == "*" => None,
             Some(tag) => match tag.parse() {
                 Ok(revision) => Some(revision),
-                Err(_) => return refuse(400, "If-Match must be a revision number in quotes, or *"),
+                Err(_) => return refuse(400, "If-Match is a revision number in quotes, or *"),
             },
         };
         let op = header_text("operation-id").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
         if config::word(&op).is_err() {
-            return refuse(400, "Operation-Id must have 1 to 64 letters, digits, '-', '_' or '.'");
+            return refuse(400, "Operation-Id is 1 to 64 letters, digits, '-', '_' or '.'");
         }
         let revision = match header_text("revision").map(|number| number.trim().parse::<u64>()) {
             None => None,
             Some(Ok(revision)) if revision > 0 => Some(revision),
-            Some(_) => return refuse(400, "Revision must be a number, 1 or more"),
+            Some(_) => return refuse(400, "Revision is the number the change declares, 1 or more"),
         };
         let call = ApiCall::Change { op: op.clone(), base, revision, full, scope, items, dry };
         let reply = if dry { self.handle.call(call).await } else { self.handle.change(call).await };
@@ -197,24 +197,18 @@
         return api.refuse_change(&headers, 400, "the body is not a JSON object").await;
     };
     if let Some(unknown) = patch.keys().find(|key| !["name", "set", "remove"].contains(&key.as_str())) {
-        return api
-            .refuse_change(&headers, 422, &format!("{unknown}: unknown field; a patch has name, set and remove"))
-            .await;
+        return api.refuse_change(&headers, 422, &format!("{unknown}: a patch has name, set and remove")).await;
     }
     let mut items = Vec::new();
     match patch.get("set") {
         None => {}
         Some(Value::Object(list)) => items.extend(list.iter().map(|(key, value)| item(key, Some(value)))),
-        Some(_) => {
-            return api
-                .refuse_change(&headers, 422, "set: must be an object that maps kind/tenant/name to resources")
-                .await;
-        }
+        Some(_) => return api.refuse_change(&headers, 422, "set: an object of kind/tenant/name to resource").await,
     }
     match patch.get("remove") {
         None => {}
         Some(Value::Array(list)) => items.extend(list.iter().filter_map(Value::as_str).map(|key| item(key, None))),
-        Some(_) => return api.refuse_change(&headers, 422, "remove: must be a list of kind/tenant/name").await,
+        Some(_) => return api.refuse_change(&headers, 422, "remove: a list of kind/tenant/name").await,
     }
     api.change(&headers, &uri, false, items).await
 }
--- a/crates/control/src/deferred_calls.rs
+++ b/crates/control/src/deferred_calls.rs
@@ -36,7 +36,7 @@
                     self.reply(waiting.request_id, reply);
                 }
                 _ if self.now > waiting.due => {
-                    self.reply_busy(waiting.request_id, "this registry has not committed that revision yet")
+                    self.reply_busy(waiting.request_id, "this registry does not know that revision")
                 }
                 call => self.calls.deferred.push(DeferredCall { call, ..waiting }),
             }
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -27,7 +27,7 @@
     /// Answers that the outcome of an operation is unknown.
     pub(crate) fn reply_unknown(&mut self, request_id: u64, op: &str) {
         let detail = format!(
-            "the outcome is not known yet; look it up at /v1/operations/{op}, or repeat the change with the same Operation-Id"
+            "the outcome is not known yet; ask for it at /v1/operations/{op}, or repeat the change under the same Operation-Id"
         );
         self.reply(request_id, ApiReply::new(504, json!({"outcome": "unknown", "operation": op, "fault": detail})));
     }
@@ -56,10 +56,10 @@
     /// Handles a call that reads or changes the chain's state.
     fn handle_chain_call(&mut self, request_id: u64, call: ApiCall) {
         if self.proposals.len() + self.calls.len() >= MAX_OPEN_CALLS {
-            return self.reply_busy(request_id, "too many open calls");
+            return self.reply_busy(request_id, "too many calls at once");
         }
         if !self.replica.is_in_chain() {
-            return self.reply_busy(request_id, "this registry is not in the chain at present; try another one");
+            return self.reply_busy(request_id, "this registry is not in the chain at present; ask another");
         }
         if call.required_revision().is_some() {
             self.calls.deferred.push(DeferredCall { request_id, call, due: self.now + MAX_DEFERRAL });
@@ -72,7 +72,7 @@
                 let command = match (self.format, revision) {
                     (..DECLARED_REVISIONS_FORMAT, None) => Command::Change { op: name, base, any, full, scope, items },
                     (..DECLARED_REVISIONS_FORMAT, Some(_)) => {
-                        let detail = "revisions can be declared once the registries write format 3 or newer";
+                        let detail = "revisions are declared once every registry speaks the newest format";
                         return self.reply_busy(request_id, detail);
                     }
                     _ => {
