--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -1,4 +1,4 @@
-//! The control thread's loop: feeds the core from its inbox and carries out what it returns.
+//! The control thread's loop: feeds the core from the inbox and executes the core's outputs.
 
 use crate::api_calls::ApiReply;
 use crate::control_message::ControlMessage;
@@ -18,26 +18,27 @@
 const TICK: Duration = Duration::from_millis(10);
 const STATUS_INTERVAL: Duration = Duration::from_millis(200);
 
+/// The control thread's state.
 pub struct Control {
     pub core: Core,
     pub disk: DiskWriter,
     pub links: InboxSender<LinkOrder>,
     pub optimizer: InboxSender<OptimizerMessage>,
     pub calls: BTreeMap<u64, oneshot::Sender<ApiReply>>,
-    pub next_call: u64,
-    pub view: watch::Sender<String>,
-    /// The revision the optimizer was last told of.
-    pub revision: Option<u64>,
-    pub shown: Instant,
+    pub last_call_id: u64,
+    pub status: watch::Sender<String>,
+    /// The revision that was last sent to the optimizer.
+    pub sent_revision: Option<u64>,
+    pub status_published_at: Instant,
     pub membership: MembershipLog,
     pub seeds: Vec<String>,
-    /// How long a planned stop may wait until the others can do without this registry.
+    /// Maximum time that a planned stop waits until the other registries no longer need this one.
     pub grace: Duration,
-    /// Registries that a seed told of while this one is empty.
+    /// Registries that a seed reported while this registry is empty.
     pub reported_registries: Vec<String>,
 }
 
-/// A planned stop that is under way.
+/// A planned stop in progress.
 struct Departure {
     deadline: Instant,
     reported: Option<DepartureWait>,
@@ -48,14 +49,15 @@
 }
 
 impl Control {
-    pub async fn run(mut self, post: InboxSender<ControlMessage>, mut inbox: Inbox<ControlMessage>) {
-        let begun = Instant::now();
-        let view = self.core.member().view().clone();
+    /// Runs the loop until a planned stop is over.
+    pub async fn run(mut self, sender: InboxSender<ControlMessage>, mut inbox: Inbox<ControlMessage>) {
+        let started_at = Instant::now();
+        let view = self.core.replica().view().clone();
         self.dial(&view);
         let _ = self.optimizer.send(OptimizerMessage::ViewAdopted { view });
         tokio::task::spawn_local(async move {
             wait_for_signal().await;
-            post.send_waiting(ControlMessage::Stop).await;
+            sender.send_waiting(ControlMessage::Stop).await;
         });
         let mut ticks = tokio::time::interval(TICK);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -71,34 +73,34 @@
                         departure.get_or_insert(Departure { deadline: Instant::now() + self.grace, reported: None });
                         Some(CoreInput::Leave { within: self.grace })
                     }
-                    Some(message) => self.input(message),
+                    Some(message) => self.handle_message(message),
                 },
             };
             if let Some(input) = input {
-                let outputs = self.core.step(begun.elapsed(), input);
+                let outputs = self.core.step(started_at.elapsed(), input);
                 self.execute(outputs);
-                self.membership.tell(self.core.state());
+                self.membership.log_changes(self.core.state());
             }
-            self.show();
+            self.publish_status();
         }
     }
 
-    /// Whether a planned stop is over: the chain goes on without this replica, by a view that also names the
-    /// optimizer's next host, or there is no more time to wait for that.
+    /// Whether a planned stop is over: either a view without this replica, which also names the optimizer's next host,
+    /// is in effect, or the deadline has passed.
     fn has_left(&self, departure: &mut Option<Departure>) -> bool {
         let Some(departure) = departure else { return false };
-        let Some(wait) = self.core.member().departure_wait() else { return true };
+        let Some(wait) = self.core.replica().departure_wait() else { return true };
         if departure.reported.replace(wait) != Some(wait) {
             event!(departure_waits, "for {}", wait.name());
         }
         let is_over = Instant::now() >= departure.deadline;
         if is_over {
-            event!(departure_overdue, "stops as by a crash, without {}", wait.name());
+            event!(departure_overdue, "stops like a crash, without waiting for {}", wait.name());
         }
         is_over
     }
 
-    fn input(&mut self, message: ControlMessage) -> Option<CoreInput> {
+    fn handle_message(&mut self, message: ControlMessage) -> Option<CoreInput> {
         match message {
             ControlMessage::Link(LinkEvent::Frame { from, incarnation, message }) => match message {
                 Message::Chain(message) => Some(CoreInput::Chain { from, message }),
@@ -118,7 +120,7 @@
             ControlMessage::Seeds(Ok(seeds)) => {
                 event!(settings_applied, "seeds {}", seeds.join(","));
                 self.seeds = seeds;
-                let view = self.core.member().view().clone();
+                let view = self.core.replica().view().clone();
                 self.dial(&view);
                 None
             }
@@ -127,14 +129,14 @@
                 None
             }
             ControlMessage::Call { call, reply } => {
-                self.next_call += 1;
-                self.calls.insert(self.next_call, reply);
-                Some(CoreInput::Call { request_id: self.next_call, call })
+                self.last_call_id += 1;
+                self.calls.insert(self.last_call_id, reply);
+                Some(CoreInput::Call { request_id: self.last_call_id, call })
             }
         }
     }
 
-    fn order(&self, order: LinkOrder) {
+    fn send_order(&self, order: LinkOrder) {
         if self.links.send(order).is_err() {
             event!(inbox_full, "links");
         }
@@ -142,28 +144,28 @@
 
     fn dial(&self, view: &View) {
         let addresses = addresses(view).into_iter().chain(self.reported_registries.iter().cloned());
-        self.order(LinkOrder::Dial { addresses: self.seeds.iter().cloned().chain(addresses).collect() });
+        self.send_order(LinkOrder::Dial { addresses: self.seeds.iter().cloned().chain(addresses).collect() });
     }
 
     fn execute(&mut self, outputs: Vec<CoreOutput>) {
         for output in outputs {
             match output {
                 CoreOutput::Registry { to, message } => {
-                    self.order(LinkOrder::Send { to, message: Message::Chain(message) })
+                    self.send_order(LinkOrder::Send { to, message: Message::Chain(message) })
                 }
                 CoreOutput::Router { to, message } => {
-                    self.order(LinkOrder::Send { to, message: Message::Lease(message) })
+                    self.send_order(LinkOrder::Send { to, message: Message::Lease(message) })
                 }
                 CoreOutput::Seeds { message } => {
                     let reported_registries =
                         self.reported_registries.iter().filter(|address| !self.seeds.contains(address));
                     for address in self.seeds.iter().chain(reported_registries).cloned().collect::<Vec<_>>() {
-                        self.order(LinkOrder::SendAddress { address, message: Message::Chain(message.clone()) });
+                        self.send_order(LinkOrder::SendAddress { address, message: Message::Chain(message.clone()) });
                     }
                 }
                 CoreOutput::Write { ticket, batch } => {
                     if !self.disk.write(ticket, batch) {
-                        event!(disk_failed, "the disk's thread takes no more writes");
+                        event!(disk_failed, "the disk thread accepts no more writes");
                     }
                 }
                 CoreOutput::Reply { request_id, reply } => {
@@ -197,33 +199,34 @@
                 CoreOutput::ChangeInvalid { fault } => event!(change_invalid, "{fault}"),
                 CoreOutput::Activated { step } => {
                     event!(epoch_activated, "step {step}");
-                    self.tell_active(step);
+                    self.send_active_configuration(step);
                 }
             }
         }
     }
 
-    /// A step of the quorum alone changes nothing that is read from the configuration.
-    fn tell_active(&mut self, step: u64) {
+    /// Sends the active configuration to the optimizer. An epoch that changes only the quorum has the same revision and
+    /// is not sent.
+    fn send_active_configuration(&mut self, step: u64) {
         let (state, prefix) = (self.core.state(), keys::ACTIVE_PAIRS);
-        let revision = keys::number(state, keys::ACTIVE_REVISION);
-        if self.revision == Some(revision) {
+        let revision = keys::read_number(state, keys::ACTIVE_REVISION);
+        if self.sent_revision == Some(revision) {
             return;
         }
         let pairs =
             keys::with_prefix(state, prefix).map(|(key, value)| (key[prefix.len()..].to_owned(), value.clone()));
         let active = OptimizerMessage::Active { step, revision, pairs: pairs.collect() };
         match self.optimizer.send(active) {
-            Ok(()) => self.revision = Some(revision),
+            Ok(()) => self.sent_revision = Some(revision),
             Err(_) => event!(inbox_full, "optimizer"),
         }
     }
 
-    fn show(&mut self) {
-        if self.shown.elapsed() >= STATUS_INTERVAL {
-            self.shown = Instant::now();
+    fn publish_status(&mut self) {
+        if self.status_published_at.elapsed() >= STATUS_INTERVAL {
+            self.status_published_at = Instant::now();
             let status = self.core.status().to_string();
-            self.view.send_if_modified(|old| {
+            self.status.send_if_modified(|old| {
                 let differs = *old != status;
                 *old = status;
                 differs
