--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,10 +1,10 @@
 //! One granter's part of a consumer's limit, as a token bucket.
 
-use crate::limits::Dealing;
+use crate::limits::GrantPolicy;
 use std::time::Duration;
 
-/// The soonest and the latest that a router is to ask again for what was not granted.
-const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
+/// The shortest and the latest that a router is to ask again for what was not granted.
+const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 
 #[derive(Debug)]
 pub(crate) struct GrantBucket {
@@ -18,36 +18,37 @@
 
 impl GrantBucket {
     /// One that begins at a moment: what was granted before by others, or by an earlier incarnation, is not known.
-    pub(crate) fn new(since: Duration, dealing: &Dealing, share: f64) -> GrantBucket {
-        let (rate_per_s, capacity) = (dealing.rate_per_s * share, dealing.capacity * share);
-        GrantBucket { rate_per_s, capacity, level: dealing.initial * share, unmet: 0.0, refilled_at: since }
+    pub(crate) fn new(start: Duration, policy: &GrantPolicy, share: f64) -> GrantBucket {
+        let (rate_per_s, capacity) = (policy.rate_per_s * share, policy.capacity * share);
+        GrantBucket { rate_per_s, capacity, level: policy.initial * share, unmet: 0.0, refilled_at: start }
     }
 
     /// Refilled by its share until now, and by another from now on.
-    pub(crate) fn with_share(mut self, now: Duration, dealing: &Dealing, share: f64) -> GrantBucket {
+    pub(crate) fn with_share(mut self, now: Duration, policy: &GrantPolicy, share: f64) -> GrantBucket {
         self.refill(now);
-        let level = self.level.min(dealing.capacity * share);
-        GrantBucket { level, unmet: self.unmet, ..GrantBucket::new(now, dealing, share) }
+        let level = self.level.min(policy.capacity * share);
+        GrantBucket { level, unmet: self.unmet, ..GrantBucket::new(now, policy, share) }
     }
 
     pub(crate) fn rate_per_s(&self) -> f64 {
         self.rate_per_s
     }
 
-    /// Grants as much of what is wanted as there is.
-    pub(crate) fn take(&mut self, now: Duration, wanted: u32) -> u32 {
+    /// Grants as much of what is requested as there is.
+    pub(crate) fn grant(&mut self, now: Duration, requested: u32) -> u32 {
         self.refill(now);
-        let granted = wanted.min(self.level as u32);
+        let granted = requested.min(self.level as u32);
         self.level -= f64::from(granted);
-        self.unmet = (self.unmet + f64::from(wanted - granted)).min(self.rate_per_s * RETRY_AFTER.1.as_secs_f64());
+        self.unmet =
+            (self.unmet + f64::from(requested - granted)).min(self.rate_per_s * RETRY_AFTER_RANGE.1.as_secs_f64());
         granted
     }
 
     /// When to ask for more: once what others were refused too has been refilled.
     pub(crate) fn retry_after(&self) -> Duration {
-        let (soonest, latest) = RETRY_AFTER;
+        let (shortest, longest) = RETRY_AFTER_RANGE;
         let wait_s = self.unmet.max(1.0 - self.level) / self.rate_per_s;
-        Duration::try_from_secs_f64(wait_s).unwrap_or(latest).clamp(soonest, latest)
+        Duration::try_from_secs_f64(wait_s).unwrap_or(longest).clamp(shortest, longest)
     }
 
     fn refill(&mut self, now: Duration) {
--- a/crates/quota/src/granter.rs
+++ b/crates/quota/src/granter.rs
@@ -1,9 +1,9 @@
 //! Grants credits to routers, each granter from its own part of the limits.
 
-use crate::agreement::{GranterMembership, GrantersAgreement};
+use crate::agreement::{GranterMembership, MembershipAgreement};
 use crate::bucket::GrantBucket;
 use crate::first_number;
-use crate::limits::{ConsumerId, ConsumerLimit, Dealing, QuotaBounds, QuotaLimits};
+use crate::limits::{ConsumerId, ConsumerLimit, GrantPolicy, QuotaBounds, QuotaLimits};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
     pub not_granting: u64,
     /// Consumers of whose limits this router deals out a part.
     pub consumers: usize,
-    /// Whether all granters are known to divide by the same membership.
+    /// Whether all granters are known to update_buckets by the same membership.
     pub is_settled: bool,
 }
 
@@ -35,7 +35,7 @@
     me: NodeId,
     bounds: QuotaBounds,
     limits: Rc<QuotaLimits>,
-    agreement: GrantersAgreement,
+    agreement: MembershipAgreement,
     buckets: BTreeMap<ConsumerId, GrantBucket>,
     statistics: GranterStatistics,
 }
@@ -47,7 +47,7 @@
             me,
             bounds,
             limits: Rc::default(),
-            agreement: GrantersAgreement::new(me, first_number(incarnation)),
+            agreement: MembershipAgreement::new(me, first_number(incarnation)),
             buckets: BTreeMap::new(),
             statistics: GranterStatistics::default(),
         }
@@ -56,20 +56,20 @@
     /// The limits from now on.
     pub fn set_limits(&mut self, now: Duration, limits: Rc<QuotaLimits>) {
         self.limits = limits;
-        self.divide(now, now);
+        self.update_buckets(now, now);
     }
 
     /// The membership from now on.
     pub fn set_membership(&mut self, now: Duration, membership: GranterMembership) {
         if self.agreement.set_membership(now, membership) {
-            self.divide(now, self.agreement.refilled_since());
+            self.update_buckets(now, self.agreement.refill_start());
         }
     }
 
     /// This router was dropped from the membership and joins anew.
-    pub fn handle_lapse(&mut self, now: Duration) {
-        self.agreement.handle_lapse(now);
-        self.divide(now, now);
+    pub fn handle_membership_loss(&mut self, now: Duration) {
+        self.agreement.handle_membership_loss(now);
+        self.update_buckets(now, now);
     }
 
     /// Answers a request for credits. Without a serving lease nothing is granted.
@@ -78,13 +78,13 @@
         let bucket = self.buckets.get_mut(&ConsumerId(request.consumer)).filter(|_| has_lease);
         let Some(bucket) = bucket else {
             self.statistics.not_granting += 1;
-            return grant(request, 0, NOT_GRANTING_RETRY);
+            return grant_message(request, 0, NOT_GRANTING_RETRY);
         };
-        let granted = bucket.take(now, request.wanted);
+        let granted = bucket.grant(now, request.wanted);
         self.statistics.granted += u64::from(granted);
         self.statistics.refused += u64::from(request.wanted - granted);
         let retry_after = if granted < request.wanted { bucket.retry_after() } else { Duration::ZERO };
-        grant(request, granted, retry_after)
+        grant_message(request, granted, retry_after)
     }
 
     /// What is to be asked of other granters now, if anything.
@@ -100,12 +100,12 @@
     /// Another granter answered.
     pub fn handle_reply(&mut self, now: Duration, from: NodeId, reply: &QuotaGrantersReply) {
         if self.agreement.handle_reply(now, from, reply) {
-            self.divide(now, self.agreement.refilled_since());
+            self.update_buckets(now, self.agreement.refill_start());
         }
     }
 
     /// Requests a second of a consumer that this router deals out.
-    pub fn dealt_per_s(&self, consumer: ConsumerId) -> f64 {
+    pub fn refill_rate_per_s(&self, consumer: ConsumerId) -> f64 {
         self.buckets.get(&consumer).map_or(0.0, GrantBucket::rate_per_s)
     }
 
@@ -115,22 +115,22 @@
         GranterStatistics { consumers, is_settled, ..self.statistics }
     }
 
-    /// Gives each bucket its share from now on. One that is new began at `refilled_since`.
-    fn divide(&mut self, now: Duration, refilled_since: Duration) {
+    /// Gives each bucket its share from now on. One that is new began at `refill_start`.
+    fn update_buckets(&mut self, now: Duration, refill_start: Duration) {
         let (me, agreement) = (self.me, &self.agreement);
-        let mut before = std::mem::take(&mut self.buckets);
+        let mut previous = std::mem::take(&mut self.buckets);
         for (consumer, limit) in self.limits.iter().filter(|(_, limit)| ConsumerLimit::is_limited(limit)) {
-            let dealing = Dealing::new(&self.bounds, *limit);
-            let share = agreement.least_share(|granters| granters.share(me, *consumer, dealing.shards));
+            let policy = GrantPolicy::new(&self.bounds, *limit);
+            let share = agreement.min_share(|granters| granters.share(me, *consumer, policy.shards));
             if share > 0.0 {
-                let bucket = before.remove(consumer).map(|bucket| bucket.with_share(now, &dealing, share));
-                let bucket = bucket.unwrap_or_else(|| GrantBucket::new(refilled_since, &dealing, share));
+                let bucket = previous.remove(consumer).map(|bucket| bucket.with_share(now, &policy, share));
+                let bucket = bucket.unwrap_or_else(|| GrantBucket::new(refill_start, &policy, share));
                 self.buckets.insert(*consumer, bucket);
             }
         }
     }
 }
 
-fn grant(request: &QuotaRequest, granted: u32, retry_after: Duration) -> QuotaGrant {
+fn grant_message(request: &QuotaRequest, granted: u32, retry_after: Duration) -> QuotaGrant {
     QuotaGrant { number: request.number, granted, retry_after_ms: retry_after.as_millis() as u32 }
 }
--- a/crates/quota/src/granters.rs
+++ b/crates/quota/src/granters.rs
@@ -35,8 +35,9 @@
 
     /// The granters of one consumer, best first: by rendezvous hashing, so that a change of one router changes those
     /// of few consumers.
-    pub(crate) fn of(&self, consumer: ConsumerId, shards: usize) -> Vec<NodeId> {
-        let mut ranked: Vec<(u64, NodeId)> = self.nodes.iter().map(|node| (score(consumer, *node), *node)).collect();
+    pub(crate) fn for_consumer(&self, consumer: ConsumerId, shards: usize) -> Vec<NodeId> {
+        let mut ranked: Vec<(u64, NodeId)> =
+            self.nodes.iter().map(|node| (rendezvous_score(consumer, *node), *node)).collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         ranked.into_iter().take(shards).map(|(_, node)| node).collect()
     }
@@ -46,14 +47,15 @@
         if !self.contains(node) {
             return 0.0;
         }
-        let own = (score(consumer, node), node);
-        let better = self.nodes.iter().filter(|other| (score(consumer, **other), **other) > own).count();
+        let own_score = (rendezvous_score(consumer, node), node);
+        let higher_ranked =
+            self.nodes.iter().filter(|other| (rendezvous_score(consumer, **other), **other) > own_score).count();
         let shards = shards.min(self.nodes.len());
-        if better < shards { 1.0 / shards as f64 } else { 0.0 }
+        if higher_ranked < shards { 1.0 / shards as f64 } else { 0.0 }
     }
 }
 
-fn score(consumer: ConsumerId, node: NodeId) -> u64 {
+fn rendezvous_score(consumer: ConsumerId, node: NodeId) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&consumer.0.to_le_bytes());
     bytes[8..].copy_from_slice(&node.to_le_bytes());
@@ -65,24 +67,24 @@
     use super::*;
 
     #[test]
-    fn the_shares_of_a_consumer_add_up_to_one_and_lie_with_its_granters() {
+    fn shares_of_a_consumer_add_up_to_one_and_belong_to_its_granters() {
         for (size, shards) in [(1, 8), (3, 8), (8, 8), (8, 2), (40, 8)] {
             let granters = Granters::new(100..100 + size);
             for consumer in (0..50).map(ConsumerId) {
                 let sum: f64 = granters.nodes().iter().map(|node| granters.share(*node, consumer, shards)).sum();
                 assert!((sum - 1.0).abs() < 1e-9, "{size} {shards}: {sum}");
-                let of = granters.of(consumer, shards);
-                assert!(of.iter().all(|node| granters.share(*node, consumer, shards) > 0.0));
+                let of_consumer = granters.for_consumer(consumer, shards);
+                assert!(of_consumer.iter().all(|node| granters.share(*node, consumer, shards) > 0.0));
             }
         }
     }
 
     #[test]
-    fn a_lost_router_changes_no_other_granter_of_a_consumer() {
+    fn removing_a_router_keeps_the_other_granters_of_a_consumer() {
         let (all, fewer) = (Granters::new(1..=20), Granters::new((1..=20).filter(|node| *node != 7)));
         for consumer in (0..50).map(ConsumerId) {
-            let kept = all.of(consumer, 4).into_iter().filter(|node| *node != 7);
-            let now = fewer.of(consumer, 4);
+            let kept = all.for_consumer(consumer, 4).into_iter().filter(|node| *node != 7);
+            let now = fewer.for_consumer(consumer, 4);
             assert!(kept.into_iter().all(|node| now.contains(&node)));
         }
     }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -24,7 +24,7 @@
 
 pub use admission::{Admission, Charge};
 pub use agreement::GranterMembership;
-pub use consumer_meter::ConsumerUse;
+pub use consumer_meter::ConsumerUsage;
 pub use granter::{GranterStatistics, QuotaGranter};
 pub use granters::Granters;
 pub use limits::{ConsumerId, ConsumerLimit, QuotaBounds, QuotaLimits};
--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 
 /// The part of the allowed error that credits may take by being used late.
-const LATE_USE_PART: f64 = 0.4;
+const LATE_USE_FRACTION: f64 = 0.4;
 /// The part of the allowed error that new buckets hold together: a consumer with few requests a second would else
 /// wait for long after its granters restarted.
-const INITIAL_PART: f64 = 0.1;
+const INITIAL_FRACTION: f64 = 0.1;
 /// The part of the allowed error that is kept for new buckets, of two restarts of each granter in a window, or of one
 /// and of what a lease by peers that outlasts a membership and limits that reach routers one after the other add.
-const RESERVED_PART: f64 = 0.2;
+const RESERVED_FRACTION: f64 = 0.2;
 /// The shortest and the longest time for which a credit is valid.
-const CREDIT_LIFETIME: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
+const CREDIT_LIFETIME_RANGE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
 /// A granter deals at least so many requests a second, where there are more than `MIN_SHARDS`.
-const RATE_PER_SHARD: f64 = 8.0;
+const MIN_RATE_PER_SHARD: f64 = 8.0;
 /// A granter's bucket holds at least so many requests.
-const CAPACITY_PER_SHARD: f64 = 1.5;
+const MIN_CAPACITY_PER_SHARD: f64 = 1.5;
 /// With one granter of two lost, a consumer keeps half of its rate.
 const MIN_SHARDS: f64 = 3.0;
 /// With one granter of eight lost, a consumer keeps more than its usual if that is two thirds of its rate.
@@ -74,7 +74,7 @@
     }
 
     /// The most requests in any window.
-    pub fn most_in_window(&self, limit: ConsumerLimit) -> f64 {
+    pub fn max_in_window(&self, limit: ConsumerLimit) -> f64 {
         self.limit_in_window(limit) + self.allowance(limit)
     }
 }
@@ -82,7 +82,7 @@
 /// How one consumer's limit is dealt out over all granters together, so that in any window of length `w`
 /// `rate_per_s * (w + credit_lifetime) + capacity` is within what is allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Dealing {
+pub(crate) struct GrantPolicy {
     /// Requests a second by which the buckets are refilled.
     pub(crate) rate_per_s: f64,
     /// What the buckets hold at most.
@@ -95,20 +95,20 @@
     pub(crate) shards: usize,
 }
 
-impl Dealing {
-    pub(crate) fn new(bounds: &QuotaBounds, limit: ConsumerLimit) -> Dealing {
-        let (shortest, longest) = CREDIT_LIFETIME;
-        let lifetime_s = bounds.allowance(limit) * LATE_USE_PART / limit.rate_per_s;
+impl GrantPolicy {
+    pub(crate) fn new(bounds: &QuotaBounds, limit: ConsumerLimit) -> GrantPolicy {
+        let (shortest, longest) = CREDIT_LIFETIME_RANGE;
+        let lifetime_s = bounds.allowance(limit) * LATE_USE_FRACTION / limit.rate_per_s;
         let credit_lifetime = Duration::try_from_secs_f64(lifetime_s).unwrap_or(longest).clamp(shortest, longest);
-        let dealt_in_window = bounds.limit_in_window(limit) + bounds.allowance(limit) * (1.0 - RESERVED_PART);
+        let granted_in_window = bounds.limit_in_window(limit) + bounds.allowance(limit) * (1.0 - RESERVED_FRACTION);
         let span_s = (bounds.window + credit_lifetime).as_secs_f64();
         // Less than one request could never be granted: where so little is allowed, the rate gives way.
-        let capacity = (dealt_in_window - limit.rate_per_s * span_s).max(1.0);
-        let rate_per_s = limit.rate_per_s.min((dealt_in_window - capacity).max(0.0) / span_s);
-        let shards = (rate_per_s / RATE_PER_SHARD).ceil().clamp(MIN_SHARDS, MAX_SHARDS);
-        let shards = shards.min((capacity / CAPACITY_PER_SHARD).floor()).max(1.0) as usize;
-        let initial = (bounds.allowance(limit) * INITIAL_PART).min(capacity);
-        Dealing { rate_per_s, capacity, initial, credit_lifetime, shards }
+        let capacity = (granted_in_window - limit.rate_per_s * span_s).max(1.0);
+        let rate_per_s = limit.rate_per_s.min((granted_in_window - capacity).max(0.0) / span_s);
+        let shards = (rate_per_s / MIN_RATE_PER_SHARD).ceil().clamp(MIN_SHARDS, MAX_SHARDS);
+        let shards = shards.min((capacity / MIN_CAPACITY_PER_SHARD).floor()).max(1.0) as usize;
+        let initial = (bounds.allowance(limit) * INITIAL_FRACTION).min(capacity);
+        GrantPolicy { rate_per_s, capacity, initial, credit_lifetime, shards }
     }
 }
 
@@ -123,12 +123,17 @@
     #[test_case(0.01, 0.0, 0.1, 20.0; "a tiny one")]
     #[test_case(50.0, 10.0, 0.0, 0.0; "no error allowed")]
     #[test_case(50.0, 0.0, 0.0, 2.0; "hardly any error allowed")]
-    fn what_is_dealt_in_a_window_is_allowed(rate_per_s: f64, burst: f64, overrun: f64, slack: f64) {
+    fn credits_granted_in_a_window_stay_within_the_allowed_maximum(
+        rate_per_s: f64,
+        burst: f64,
+        overrun: f64,
+        slack: f64,
+    ) {
         let bounds = QuotaBounds { overrun, slack, ..QuotaBounds::default() };
         let limit = ConsumerLimit { rate_per_s, burst };
-        let dealing = Dealing::new(&bounds, limit);
-        let dealt = dealing.rate_per_s * (bounds.window + dealing.credit_lifetime).as_secs_f64() + dealing.capacity;
-        assert!(dealt <= bounds.most_in_window(limit) + 1e-6, "{dealing:?}: {dealt}");
-        assert!(dealing.capacity >= 1.0 && dealing.rate_per_s > 0.0, "{dealing:?}");
+        let policy = GrantPolicy::new(&bounds, limit);
+        let granted = policy.rate_per_s * (bounds.window + policy.credit_lifetime).as_secs_f64() + policy.capacity;
+        assert!(granted <= bounds.max_in_window(limit) + 1e-6, "{policy:?}: {granted}");
+        assert!(policy.capacity >= 1.0 && policy.rate_per_s > 0.0, "{policy:?}");
     }
 }
--- a/crates/quota/src/meter.rs
+++ b/crates/quota/src/meter.rs
@@ -1,11 +1,11 @@
 //! A router's side: admits requests by the credits that it has, and asks granters for more.
 
 use crate::admission::{Admission, Charge};
-use crate::consumer_meter::{ConsumerMeter, ConsumerUse, Supply};
+use crate::consumer_meter::{ConsumerMeter, ConsumerUsage, CreditSource};
 use crate::first_number;
 use crate::granter_health::GranterHealth;
 use crate::granters::Granters;
-use crate::limits::{ConsumerId, ConsumerLimit, Dealing, QuotaBounds, QuotaLimits};
+use crate::limits::{ConsumerId, ConsumerLimit, GrantPolicy, QuotaBounds, QuotaLimits};
 use crate::open_requests::{OpenRequest, OpenRequests};
 use crate::round_trips::RoundTrips;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,9 +14,9 @@
 use wire::{NodeId, QuotaGrant, QuotaRequest};
 
 /// A request waits for a granter that has something so soon.
-const BRIEF_WAIT: Duration = Duration::from_millis(40);
+const MAX_WAIT_FOR_REFILL: Duration = Duration::from_millis(40);
 /// The soonest that one refused is told to come back, and the latest.
-const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
+const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
 
 /// Numbers for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -44,8 +44,8 @@
     granters: Granters,
     consumers: BTreeMap<ConsumerId, ConsumerMeter>,
     /// Those with requests that wait.
-    wanting: BTreeSet<ConsumerId>,
-    open: OpenRequests,
+    consumers_needing_credits: BTreeSet<ConsumerId>,
+    open_requests: OpenRequests,
     health: GranterHealth,
     last_number: u64,
     statistics: MeterStatistics,
@@ -60,8 +60,8 @@
             limits: Rc::default(),
             granters: Granters::default(),
             consumers: BTreeMap::new(),
-            wanting: BTreeSet::new(),
-            open: OpenRequests::default(),
+            consumers_needing_credits: BTreeSet::new(),
+            open_requests: OpenRequests::default(),
             health: GranterHealth::default(),
             last_number: first_number(incarnation),
             statistics: MeterStatistics::default(),
@@ -72,7 +72,7 @@
     pub fn set_limits(&mut self, limits: Rc<QuotaLimits>) {
         self.limits = limits;
         self.consumers.retain(|consumer, _| self.limits.get(consumer).is_some_and(ConsumerLimit::is_limited));
-        self.choose_granters();
+        self.assign_granters();
     }
 
     /// The routers that grant from now on.
@@ -80,7 +80,7 @@
         if granters != self.granters {
             self.health.retain(granters.nodes());
             self.granters = granters;
-            self.choose_granters();
+            self.assign_granters();
         }
     }
 
@@ -89,9 +89,9 @@
         let Some(limit) = self.limit(consumer) else { return Admission::Unlimited };
         let (bounds, granters, me) = (&self.bounds, &self.granters, self.me);
         let meter = self.consumers.entry(consumer).or_insert_with(|| {
-            let dealing = Dealing::new(bounds, limit);
-            let turn = (me ^ consumer.0) as usize;
-            ConsumerMeter::new(now, dealing, granters.of(consumer, dealing.shards), turn)
+            let policy = GrantPolicy::new(bounds, limit);
+            let first_granter = (me ^ consumer.0) as usize;
+            ConsumerMeter::new(now, policy, granters.for_consumer(consumer, policy.shards), first_granter)
         });
         if is_first {
             meter.record_arrival(now);
@@ -101,15 +101,15 @@
             return Admission::Admit(Charge { consumer, expires_at });
         }
         if meter.in_flight.is_empty()
-            && let Supply::NoneUntil(until) = meter.supply(now, &self.health)
-            && until > now + BRIEF_WAIT
+            && let CreditSource::EmptyUntil(until) = meter.credit_source(now, &self.health)
+            && until > now + MAX_WAIT_FOR_REFILL
         {
             meter.usage.refused += 1;
             self.statistics.refused_over_limit += 1;
-            let (soonest, latest) = RETRY_AFTER;
-            return Admission::Refuse { retry_after: until.saturating_sub(now).clamp(soonest, latest) };
+            let (shortest, longest) = RETRY_AFTER_RANGE;
+            return Admission::Refuse { retry_after: until.saturating_sub(now).clamp(shortest, longest) };
         }
-        self.wanting.insert(consumer);
+        self.consumers_needing_credits.insert(consumer);
         Admission::Wait
     }
 
@@ -122,11 +122,11 @@
     }
 
     /// An admitted request is sent to further instances: each counts like a request, and is paid by the next credits.
-    pub fn charge_again(&mut self, now: Duration, consumer: ConsumerId, attempts: u32) {
+    pub fn charge_extra_attempts(&mut self, now: Duration, consumer: ConsumerId, attempts: u32) {
         let window = self.bounds.window;
         if let Some(meter) = self.consumers.get_mut(&consumer) {
-            meter.owe(now, attempts, window);
-            self.wanting.insert(consumer);
+            meter.add_debt(now, attempts, window);
+            self.consumers_needing_credits.insert(consumer);
         }
     }
 
@@ -137,28 +137,28 @@
         waiting: impl Fn(ConsumerId) -> usize,
     ) -> Vec<(NodeId, QuotaRequest)> {
         let mut requests = Vec::new();
-        for consumer in std::mem::take(&mut self.wanting) {
+        for consumer in std::mem::take(&mut self.consumers_needing_credits) {
             let waiting = waiting(consumer);
             let Some(meter) = self.consumers.get_mut(&consumer) else { continue };
-            let waiting = waiting + meter.owed(now) as usize;
-            let Supply::Granter(granter) = meter.supply(now, &self.health) else { continue };
-            let wanted = meter.wanted(now, waiting);
-            if wanted == 0 {
+            let waiting = waiting + meter.debt(now) as usize;
+            let CreditSource::Granter(granter) = meter.credit_source(now, &self.health) else { continue };
+            let credits = meter.credits_to_request(now, waiting);
+            if credits == 0 {
                 continue;
             }
             self.last_number += 1;
-            let expires_at = now + meter.dealing.credit_lifetime;
-            self.open.insert(self.last_number, OpenRequest::new(consumer, granter, now, expires_at));
-            meter.record_request(self.last_number, wanted);
+            let expires_at = now + meter.policy.credit_lifetime;
+            self.open_requests.insert(self.last_number, OpenRequest::new(consumer, granter, now, expires_at));
+            meter.record_request(self.last_number, credits);
             self.statistics.requests += 1;
-            requests.push((granter, QuotaRequest { number: self.last_number, consumer: consumer.0, wanted }));
+            requests.push((granter, QuotaRequest { number: self.last_number, consumer: consumer.0, wanted: credits }));
         }
         requests
     }
 
     /// A granter answered. Returns the consumer whose waiting requests are to be looked at.
     pub fn handle_grant(&mut self, now: Duration, from: NodeId, grant: &QuotaGrant) -> Option<ConsumerId> {
-        let request = self.open.take(grant.number, from)?;
+        let request = self.open_requests.take(grant.number, from)?;
         self.health.record_answer(from);
         self.statistics.round_trips.record(now.saturating_sub(request.sent_at));
         if grant.granted > 0 && now >= request.expires_at {
@@ -175,24 +175,24 @@
     /// The link to a router is down. Returns the consumers that waited for its answer.
     pub fn handle_link_down(&mut self, now: Duration, node: NodeId) -> Vec<ConsumerId> {
         if self.granters.contains(node) {
-            self.health.record_silence(now, node);
+            self.health.record_failure(now, node);
         }
-        let given_up = self.open.give_up_granter(node);
-        self.stop_awaiting(given_up)
+        let given_up = self.open_requests.give_up_granter(node);
+        self.remove_in_flight(given_up)
     }
 
     /// Turns to other granters where answers are late. Returns the consumers that waited for them.
     pub fn handle_tick(&mut self, now: Duration) -> Vec<ConsumerId> {
-        let given_up = self.open.give_up_late(now, self.statistics.round_trips.timeout());
-        for granter in self.open.take_silent_granters(now) {
+        let given_up = self.open_requests.give_up_late(now, self.statistics.round_trips.timeout());
+        for granter in self.open_requests.take_unresponsive_granters(now) {
             self.statistics.timeouts += 1;
-            self.health.record_silence(now, granter);
+            self.health.record_failure(now, granter);
         }
-        self.stop_awaiting(given_up)
+        self.remove_in_flight(given_up)
     }
 
     /// What this router counted of a consumer.
-    pub fn usage(&self, consumer: ConsumerId) -> Option<ConsumerUse> {
+    pub fn usage(&self, consumer: ConsumerId) -> Option<ConsumerUsage> {
         self.consumers.get(&consumer).map(|meter| meter.usage)
     }
 
@@ -203,7 +203,7 @@
 
     /// Numbers for operators.
     pub fn statistics(&self, now: Duration) -> MeterStatistics {
-        MeterStatistics { silent_granters: self.health.silent(now), ..self.statistics.clone() }
+        MeterStatistics { silent_granters: self.health.backing_off_count(now), ..self.statistics.clone() }
     }
 
     fn limit(&self, consumer: ConsumerId) -> Option<ConsumerLimit> {
@@ -211,7 +211,7 @@
     }
 
     /// Others are asked in the place of these requests.
-    fn stop_awaiting(&mut self, given_up: Vec<(u64, ConsumerId)>) -> Vec<ConsumerId> {
+    fn remove_in_flight(&mut self, given_up: Vec<(u64, ConsumerId)>) -> Vec<ConsumerId> {
         let mut consumers = Vec::new();
         for (number, consumer) in given_up {
             if let Some(meter) = self.consumers.get_mut(&consumer) {
@@ -222,11 +222,11 @@
         consumers
     }
 
-    fn choose_granters(&mut self) {
+    fn assign_granters(&mut self) {
         for (consumer, meter) in &mut self.consumers {
             let Some(limit) = self.limits.get(consumer) else { continue };
-            let dealing = Dealing::new(&self.bounds, *limit);
-            meter.set_granters(dealing, self.granters.of(*consumer, dealing.shards));
+            let policy = GrantPolicy::new(&self.bounds, *limit);
+            meter.set_granters(policy, self.granters.for_consumer(*consumer, policy.shards));
         }
     }
 }
--- a/crates/quota/src/open_requests.rs
+++ b/crates/quota/src/open_requests.rs
@@ -6,7 +6,7 @@
 use wire::NodeId;
 
 /// A granter that has not answered for so long is passed over.
-const SILENT_AFTER: Duration = Duration::from_millis(200);
+const UNANSWERED_AFTER: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
@@ -33,7 +33,7 @@
     }
 
     fn is_unanswered(&self, now: Duration) -> bool {
-        now >= self.sent_at + SILENT_AFTER
+        now >= self.sent_at + UNANSWERED_AFTER
     }
 }
 
@@ -65,21 +65,21 @@
     }
 
     /// The granters of requests that have just become unanswered. Those whose credits have expired too are forgotten.
-    pub(crate) fn take_silent_granters(&mut self, now: Duration) -> Vec<NodeId> {
-        let mut silent = Vec::new();
+    pub(crate) fn take_unresponsive_granters(&mut self, now: Duration) -> Vec<NodeId> {
+        let mut unresponsive = Vec::new();
         for request in self.requests.values_mut().filter(|request| request.is_unanswered(now)) {
             if std::mem::replace(&mut request.progress, Progress::Unanswered) != Progress::Unanswered {
-                silent.push(request.granter);
+                unresponsive.push(request.granter);
             }
         }
         self.requests.retain(|_, request| now < request.expires_at || !request.is_unanswered(now));
-        silent
+        unresponsive
     }
 
-    fn give_up(&mut self, is_concerned: impl Fn(&OpenRequest) -> bool) -> Vec<(u64, ConsumerId)> {
+    fn give_up(&mut self, should_give_up: impl Fn(&OpenRequest) -> bool) -> Vec<(u64, ConsumerId)> {
         let mut given_up = Vec::new();
         let awaited = self.requests.iter_mut().filter(|(_, request)| request.progress == Progress::Awaited);
-        for (number, request) in awaited.filter(|(_, request)| is_concerned(request)) {
+        for (number, request) in awaited.filter(|(_, request)| should_give_up(request)) {
             request.progress = Progress::Late;
             given_up.push((*number, request.consumer));
         }
--- a/crates/quota/src/rate.rs
+++ b/crates/quota/src/rate.rs
@@ -6,22 +6,22 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateEstimate {
     per_s: f64,
-    at: Duration,
+    updated_at: Duration,
     time_constant_s: f64,
 }
 
 impl RateEstimate {
     pub(crate) fn new(now: Duration, time_constant: Duration) -> RateEstimate {
-        RateEstimate { per_s: 0.0, at: now, time_constant_s: time_constant.as_secs_f64() }
+        RateEstimate { per_s: 0.0, updated_at: now, time_constant_s: time_constant.as_secs_f64() }
     }
 
     pub(crate) fn add(&mut self, now: Duration, count: f64) {
         self.per_s = self.per_s(now) + count / self.time_constant_s;
-        self.at = self.at.max(now);
+        self.updated_at = self.updated_at.max(now);
     }
 
     pub(crate) fn per_s(&self, now: Duration) -> f64 {
-        let elapsed = now.saturating_sub(self.at).as_secs_f64();
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.per_s * (-elapsed / self.time_constant_s).exp()
     }
 }
--- a/crates/quota/src/round_trips.rs
+++ b/crates/quota/src/round_trips.rs
@@ -15,11 +15,11 @@
     Duration::from_millis(1000),
 ];
 /// The shortest and the longest time to wait for an answer.
-const TIMEOUT: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(65));
+const TIMEOUT_RANGE: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(65));
 /// Of each measurement, the part by which the mean and the mean deviation follow, as TCP's do.
 const MEAN_GAIN: f64 = 0.125;
 const DEVIATION_GAIN: f64 = 0.25;
-const DEVIATIONS: f64 = 4.0;
+const DEVIATION_FACTOR: f64 = 4.0;
 
 /// Answers by how long they took.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -45,9 +45,11 @@
 
     /// After so long another granter is asked.
     pub(crate) fn timeout(&self) -> Duration {
-        let (shortest, longest) = TIMEOUT;
+        let (shortest, longest) = TIMEOUT_RANGE;
         let Some(mean_s) = self.mean_s else { return longest };
-        Duration::try_from_secs_f64(mean_s + self.deviation_s * DEVIATIONS).unwrap_or(longest).clamp(shortest, longest)
+        Duration::try_from_secs_f64(mean_s + self.deviation_s * DEVIATION_FACTOR)
+            .unwrap_or(longest)
+            .clamp(shortest, longest)
     }
 }
 
@@ -56,11 +58,11 @@
     use super::*;
 
     #[test]
-    fn the_timeout_follows_what_answers_take() {
+    fn the_timeout_follows_the_measured_round_trips() {
         let mut round_trips = RoundTrips::default();
-        assert_eq!(round_trips.timeout(), TIMEOUT.1);
+        assert_eq!(round_trips.timeout(), TIMEOUT_RANGE.1);
         (0..100).for_each(|_| round_trips.record(Duration::from_millis(3)));
-        assert_eq!(round_trips.timeout(), TIMEOUT.0);
+        assert_eq!(round_trips.timeout(), TIMEOUT_RANGE.0);
         (0..20).for_each(|n| round_trips.record(Duration::from_millis(20 + 4 * (n % 5))));
         assert!(round_trips.timeout() > Duration::from_millis(30), "{:?}", round_trips.timeout());
         assert_eq!(round_trips.counts.iter().sum::<u64>(), 120);
--- a/crates/quota/tests/fleet/common/troubles.rs
+++ b/crates/quota/tests/fleet/common/faults.rs
@@ -1,17 +1,17 @@
 //! What happens to the simulated fleet.
 
-use super::fleet::{Event, Fleet, STRONG, id, place};
+use super::fleet::{Event, Fleet, GRANTER_COUNT, node_id, node_index};
 use quota::{ConsumerLimit, Granters};
 use rand::RngExt;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 /// From a router's death or return until the others are told.
-const NOTICED_AFTER: Duration = Duration::from_secs(2);
+const MEMBERSHIP_CHANGE_DELAY: Duration = Duration::from_secs(2);
 
 /// What happens to the fleet.
 #[derive(Clone, Debug)]
-pub enum Trouble {
+pub enum Fault {
     Kill(usize),
     Start(usize),
     /// Loses its lease and is dropped from the membership, while it runs on.
@@ -20,25 +20,25 @@
     Freeze(usize),
     Thaw(usize),
     /// These routers and the others don't hear each other.
-    Cut(BTreeSet<usize>),
+    Partition(BTreeSet<usize>),
     Heal,
     SetLimit(usize, ConsumerLimit),
 }
 
 impl Fleet {
-    pub(super) fn trouble(&mut self, trouble: Trouble) {
-        match trouble {
-            Trouble::Kill(n) => self.kill(n),
-            Trouble::Start(n) => self.start(n),
-            Trouble::Drop(n) => self.drop_from_membership(n),
-            Trouble::Freeze(n) => self.nodes[n].iter_mut().for_each(|node| node.is_frozen = true),
-            Trouble::Thaw(n) => self.thaw(n),
-            Trouble::Cut(nodes) => self.network.cut = nodes,
-            Trouble::Heal => self.network.cut.clear(),
-            Trouble::SetLimit(consumer, limit) => self.set_limit(consumer, limit),
+    pub(super) fn apply_fault(&mut self, fault: Fault) {
+        match fault {
+            Fault::Kill(n) => self.kill(n),
+            Fault::Start(n) => self.start(n),
+            Fault::Drop(n) => self.drop_from_membership(n),
+            Fault::Freeze(n) => self.nodes[n].iter_mut().for_each(|node| node.is_frozen = true),
+            Fault::Thaw(n) => self.thaw(n),
+            Fault::Partition(nodes) => self.network.partition = nodes,
+            Fault::Heal => self.network.partition.clear(),
+            Fault::SetLimit(consumer, limit) => self.set_limit(consumer, limit),
         }
-        let at = self.now + NOTICED_AFTER;
-        self.plan(at, Event::Noticed);
+        let at = self.now + MEMBERSHIP_CHANGE_DELAY;
+        self.schedule(at, Event::MembershipChanged);
     }
 
     /// The connections to it end, as they do with a process.
@@ -46,7 +46,7 @@
         self.nodes[n] = None;
         for at in 0..self.nodes.len() {
             let noticed_at = self.now + self.network.longest_delay.mul_f64(self.random.random());
-            self.plan(noticed_at, Event::LinkDown { at, to: n });
+            self.schedule(noticed_at, Event::LinkDown { at, to: n });
         }
     }
 
@@ -55,17 +55,17 @@
         let Some(node) = &mut self.nodes[n] else { return };
         node.has_lease = false;
         node.is_serving = false;
-        node.granter.handle_lapse(self.now - node.started_at);
-        self.membership.members.remove(&id(n));
+        node.granter.handle_membership_loss(self.now - node.started_at);
+        self.membership.members.remove(&node_id(n));
         self.membership.granters =
-            Granters::new(self.membership.members.iter().copied().filter(|m| place(*m) < STRONG));
-        (0..self.nodes.len()).filter(|other| *other != n).for_each(|other| self.tell_membership(other));
+            Granters::new(self.membership.members.iter().copied().filter(|m| node_index(*m) < GRANTER_COUNT));
+        (0..self.nodes.len()).filter(|other| *other != n).for_each(|other| self.deliver_membership(other));
     }
 
     fn thaw(&mut self, n: usize) {
         let Some(node) = &mut self.nodes[n] else { return };
         node.is_frozen = false;
-        for (from, message) in std::mem::take(&mut node.held) {
+        for (from, message) in std::mem::take(&mut node.held_messages) {
             self.receive(from, n, &message);
         }
     }
@@ -79,7 +79,7 @@
             node.granter.set_limits(now - node.started_at, limits.clone());
         }
         if limit.rate_per_s < before.rate_per_s {
-            self.judgement.lowered(now, self.consumers[consumer].id, before);
+            self.limit_checker.record_lowered_limit(now, self.consumers[consumer].id, before);
         }
     }
 }
--- a/crates/quota/tests/fleet/common/fleet.rs
+++ b/crates/quota/tests/fleet/common/fleet.rs
@@ -1,10 +1,10 @@
 //! The simulated routers and what happens to them.
 
-use super::judgement::Judgement;
+use super::faults::Fault;
+use super::limit_checker::LimitChecker;
 use super::load::Consumer;
 use super::network::{Network, QuotaMessage};
 use super::node::{Node, Waiting};
-use super::troubles::Trouble;
 use quota::{Admission, GranterMembership, QuotaBounds, QuotaLimits};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,11 +16,11 @@
 
 const TICK: Duration = Duration::from_millis(20);
 /// A request waits for a credit so long.
-const PATIENCE: Duration = Duration::from_millis(180);
+const MAX_CREDIT_WAIT: Duration = Duration::from_millis(180);
 /// Callers come once the fleet has formed.
-const CALLERS_FROM: Duration = Duration::from_secs(1);
+const FIRST_ARRIVAL: Duration = Duration::from_secs(1);
 /// The strong machines, which grant.
-pub(super) const STRONG: usize = 8;
+pub(super) const GRANTER_COUNT: usize = 8;
 
 #[derive(Clone)]
 pub(super) enum Event {
@@ -31,11 +31,11 @@
         to: usize,
         message: QuotaMessage,
     },
-    Trouble(Trouble),
+    Fault(Fault),
     /// The membership changes.
-    Noticed,
+    MembershipChanged,
     /// A router hears the newest membership.
-    Told(usize, u64),
+    Membership(usize, u64),
     /// A router notices that its connection to another has ended.
     LinkDown {
         at: usize,
@@ -46,56 +46,56 @@
 pub struct Fleet {
     pub now: Duration,
     pub consumers: Vec<Consumer>,
-    pub judgement: Judgement,
+    pub limit_checker: LimitChecker,
     pub network: Network,
     /// Routers hear of a membership within so long of each other.
-    pub told_within: Duration,
+    pub membership_spread: Duration,
     pub(super) bounds: QuotaBounds,
     pub(super) nodes: Vec<Option<Node>>,
     pub(super) membership: GranterMembership,
     pub(super) random: ChaCha8Rng,
     events: BTreeMap<u64, Event>,
-    order: BinaryHeap<Reverse<(Duration, u64)>>,
-    next: u64,
+    queue: BinaryHeap<Reverse<(Duration, u64)>>,
+    last_event: u64,
 }
 
 impl Fleet {
     pub fn new(seed: u64, size: usize, bounds: QuotaBounds, consumers: Vec<Consumer>) -> Fleet {
         let mut fleet = Fleet {
             now: Duration::ZERO,
-            judgement: Judgement::new(bounds),
+            limit_checker: LimitChecker::new(bounds),
             network: Network::default(),
-            told_within: Duration::from_millis(300),
+            membership_spread: Duration::from_millis(300),
             bounds,
             nodes: (0..size).map(|_| None).collect(),
             membership: GranterMembership::default(),
             random: ChaCha8Rng::seed_from_u64(seed),
             events: BTreeMap::new(),
-            order: BinaryHeap::new(),
-            next: 0,
+            queue: BinaryHeap::new(),
+            last_event: 0,
             consumers,
         };
         (0..size).for_each(|n| fleet.start(n));
         fleet.change_membership();
-        (0..size).for_each(|n| fleet.tell_membership(n));
-        (0..fleet.consumers.len()).for_each(|consumer| fleet.plan_arrival(consumer));
+        (0..size).for_each(|n| fleet.deliver_membership(n));
+        (0..fleet.consumers.len()).for_each(|consumer| fleet.schedule_arrival(consumer));
         fleet
     }
 
-    pub fn at(&mut self, at: Duration, trouble: Trouble) {
-        self.plan(at, Event::Trouble(trouble));
+    pub fn inject(&mut self, at: Duration, fault: Fault) {
+        self.schedule(at, Event::Fault(fault));
     }
 
     pub fn run(&mut self, until: Duration) {
-        while let Some(Reverse((at, number))) = self.order.pop() {
+        while let Some(Reverse((at, number))) = self.queue.pop() {
             if at > until {
                 return;
             }
             self.now = at;
-            let event = self.events.remove(&number).expect("a planned event");
+            let event = self.events.remove(&number).expect("a scheduled event");
             let may_change_shares = matches!(
                 event,
-                Event::Told(..) | Event::Trouble(_) | Event::Message { message: QuotaMessage::Reply(_), .. }
+                Event::Membership(..) | Event::Fault(_) | Event::Message { message: QuotaMessage::Reply(_), .. }
             );
             self.handle(event);
             if may_change_shares {
@@ -104,17 +104,17 @@
         }
     }
 
-    pub(super) fn plan(&mut self, at: Duration, event: Event) {
-        self.next += 1;
-        self.events.insert(self.next, event);
-        self.order.push(Reverse((at, self.next)));
+    pub(super) fn schedule(&mut self, at: Duration, event: Event) {
+        self.last_event += 1;
+        self.events.insert(self.last_event, event);
+        self.queue.push(Reverse((at, self.last_event)));
     }
 
-    fn plan_arrival(&mut self, consumer: usize) {
+    fn schedule_arrival(&mut self, consumer: usize) {
         let per_s = self.consumers[consumer].rate_per_s(self.now);
         let wait = -self.random.random::<f64>().max(1e-12).ln() / per_s;
-        let at = self.now.max(CALLERS_FROM) + Duration::from_secs_f64(wait);
-        self.plan(at, Event::Arrival(consumer));
+        let at = self.now.max(FIRST_ARRIVAL) + Duration::from_secs_f64(wait);
+        self.schedule(at, Event::Arrival(consumer));
     }
 
     pub(super) fn limits(&self) -> Rc<QuotaLimits> {
@@ -125,53 +125,54 @@
         if n >= self.nodes.len() {
             self.nodes.resize_with(n + 1, || None);
         }
-        let mut node = Node::new(id(n), self.now, self.bounds);
+        let mut node = Node::new(node_id(n), self.now, self.bounds);
         node.meter.set_limits(self.limits());
         node.granter.set_limits(Duration::ZERO, self.limits());
         let incarnation = node.incarnation;
         self.nodes[n] = Some(node);
         let first = self.now + TICK.mul_f64(self.random.random());
-        self.plan(first, Event::Tick(n, incarnation));
+        self.schedule(first, Event::Tick(n, incarnation));
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrival(consumer) => self.arrive(consumer),
+            Event::Arrival(consumer) => self.handle_arrival(consumer),
             Event::Tick(n, incarnation) => self.tick(n, incarnation),
             Event::Message { from, to, message } => self.receive(from, to, &message),
-            Event::Trouble(trouble) => self.trouble(trouble),
-            Event::Noticed => {
+            Event::Fault(fault) => self.apply_fault(fault),
+            Event::MembershipChanged => {
                 self.change_membership();
                 for n in 0..self.nodes.len() {
                     let incarnation = self.nodes[n].as_ref().map_or(0, |node| node.incarnation);
-                    let at = self.now + self.told_within.mul_f64(self.random.random());
-                    self.plan(at, Event::Told(n, incarnation));
+                    let at = self.now + self.membership_spread.mul_f64(self.random.random());
+                    self.schedule(at, Event::Membership(n, incarnation));
                 }
             }
             Event::LinkDown { at, to } => {
                 if let Some(node) = self.nodes[at].as_mut().filter(|node| !node.is_frozen) {
-                    node.meter.handle_link_down(self.now - node.started_at, id(to));
+                    node.meter.handle_link_down(self.now - node.started_at, node_id(to));
                     self.decide_waiting(at);
                 }
             }
-            Event::Told(n, incarnation) => {
+            Event::Membership(n, incarnation) => {
                 if self.nodes[n].as_ref().is_some_and(|node| node.incarnation == incarnation) {
-                    self.tell_membership(n);
+                    self.deliver_membership(n);
                 }
             }
         }
     }
 
-    fn arrive(&mut self, consumer: usize) {
-        self.plan_arrival(consumer);
+    fn handle_arrival(&mut self, consumer: usize) {
+        self.schedule_arrival(consumer);
         let takes_requests = |n: &usize| self.nodes[*n].as_ref().is_some_and(Node::takes_requests);
-        let alive: Vec<usize> = (0..self.nodes.len()).filter(takes_requests).collect();
-        if alive.is_empty() {
+        let available: Vec<usize> = (0..self.nodes.len()).filter(takes_requests).collect();
+        if available.is_empty() {
             return;
         }
-        let n = alive[self.random.random_range(0..alive.len())];
-        let is_within_limit = self.judgement.arrived(self.now, &self.consumers[consumer]) && self.reaches_owner(n);
-        let expires_at = self.now + PATIENCE;
+        let n = available[self.random.random_range(0..available.len())];
+        let is_within_limit =
+            self.limit_checker.record_arrival(self.now, &self.consumers[consumer]) && self.can_reach_owner(n);
+        let expires_at = self.now + MAX_CREDIT_WAIT;
         self.decide(n, Waiting { consumer, is_within_limit, expires_at }, true);
         self.send_requests(n);
     }
@@ -182,8 +183,8 @@
         let admission = node.meter.admit(self.now - node.started_at, consumer.id, is_first);
         match admission {
             Admission::Wait if self.now < request.expires_at => node.waiting.push_back(request),
-            Admission::Admit(_) => self.judgement.admitted(self.now, consumer),
-            _ => self.judgement.refused(consumer, request.is_within_limit),
+            Admission::Admit(_) => self.limit_checker.record_admission(self.now, consumer),
+            _ => self.limit_checker.record_refusal(consumer, request.is_within_limit),
         }
     }
 
@@ -202,7 +203,7 @@
         let count = |who| waiting.iter().filter(|request| consumers[request.consumer].id == who).count();
         let requests = node.meter.take_requests(self.now - node.started_at, count);
         for (to, request) in requests {
-            self.send(n, place(to), QuotaMessage::Request(request));
+            self.send(n, node_index(to), QuotaMessage::Request(request));
         }
     }
 
@@ -213,37 +214,37 @@
             node.meter.handle_tick(now);
             let queries = node.granter.take_queries(now);
             for (to, query) in queries {
-                self.send(n, place(to), QuotaMessage::Query(query));
+                self.send(n, node_index(to), QuotaMessage::Query(query));
             }
             self.decide_waiting(n);
         }
-        self.plan(self.now + TICK, Event::Tick(n, incarnation));
+        self.schedule(self.now + TICK, Event::Tick(n, incarnation));
     }
 
     pub(super) fn receive(&mut self, from: usize, to: usize, message: &QuotaMessage) {
         let Some(node) = &mut self.nodes[to] else { return };
         if node.is_frozen {
-            node.held.push((from, message.clone()));
+            node.held_messages.push((from, message.clone()));
             return;
         }
-        let answer = node.receive(self.now, id(from), message);
-        if let Some(answer) = answer {
-            self.send(to, from, answer);
+        let reply = node.receive(self.now, node_id(from), message);
+        if let Some(reply) = reply {
+            self.send(to, from, reply);
         }
         self.decide_waiting(to);
     }
 
     fn send(&mut self, from: usize, to: usize, message: QuotaMessage) {
         if let Some(delay) = self.network.delay(&mut self.random, from, to, &message) {
-            self.plan(self.now + delay, Event::Message { from, to, message });
+            self.schedule(self.now + delay, Event::Message { from, to, message });
         }
     }
 }
 
-pub(super) fn id(n: usize) -> NodeId {
+pub(super) fn node_id(n: usize) -> NodeId {
     n as u64 + 1000
 }
 
-pub(super) fn place(id: NodeId) -> usize {
+pub(super) fn node_index(id: NodeId) -> usize {
     (id - 1000) as usize
 }
--- a/crates/quota/tests/fleet/common/judgement.rs
+++ b/crates/quota/tests/fleet/common/limit_checker.rs
@@ -13,13 +13,13 @@
     admissions: u64,
     refused_within_limit: u64,
     /// The largest part of the error allowed that a window used; below zero if it kept within the limit.
-    worst_part: f64,
+    max_allowance_used: f64,
     /// The same in requests beyond the limit.
-    worst_over: f64,
+    max_over_limit: f64,
     /// What one bucket with all knowledge would have admitted.
-    ideal: f64,
-    level: f64,
-    at: Duration,
+    ideal_admissions: f64,
+    ideal_level: f64,
+    ideal_updated_at: Duration,
 }
 
 /// Both errors of one run.
@@ -36,24 +36,24 @@
     /// Of all requests of consumers that go beyond their limits, the part refused while they were within.
     pub hot_refused: f64,
     /// What those were admitted of what one bucket with all knowledge would have admitted.
-    pub hot_served: f64,
+    pub hot_admitted: f64,
 }
 
-pub struct Judgement {
+pub struct LimitChecker {
     /// The largest part of a limit's rate that was dealt out at one moment; over 1 is more than the limit.
-    pub most_dealt: f64,
+    pub max_granted_share: f64,
     bounds: QuotaBounds,
     records: BTreeMap<ConsumerId, Record>,
     /// Windows that reach back over lowered limits are judged by the highest of those before.
     lowered: BTreeMap<ConsumerId, Vec<(Duration, ConsumerLimit)>>,
 }
 
-impl Judgement {
-    pub fn new(bounds: QuotaBounds) -> Judgement {
-        Judgement { most_dealt: 0.0, bounds, records: BTreeMap::new(), lowered: BTreeMap::new() }
+impl LimitChecker {
+    pub fn new(bounds: QuotaBounds) -> LimitChecker {
+        LimitChecker { max_granted_share: 0.0, bounds, records: BTreeMap::new(), lowered: BTreeMap::new() }
     }
 
-    pub fn lowered(&mut self, at: Duration, consumer: ConsumerId, before: ConsumerLimit) {
+    pub fn record_lowered_limit(&mut self, at: Duration, consumer: ConsumerId, before: ConsumerLimit) {
         self.lowered.entry(consumer).or_default().push((at, before));
     }
 
@@ -64,13 +64,13 @@
     }
 
     /// Says whether the consumer has asked for no more than its limit in the window that ends now.
-    pub fn arrived(&mut self, now: Duration, consumer: &Consumer) -> bool {
+    pub fn record_arrival(&mut self, now: Duration, consumer: &Consumer) -> bool {
         let window = self.bounds.window;
-        let most = self.bounds.limit_in_window(self.limit_in_force(now, consumer));
+        let limit = self.bounds.limit_in_window(self.limit_in_force(now, consumer));
         let record = self.records.entry(consumer.id).or_insert_with(|| Record {
-            worst_part: f64::MIN,
-            worst_over: f64::MIN,
-            level: consumer.limit.burst,
+            max_allowance_used: f64::MIN,
+            max_over_limit: f64::MIN,
+            ideal_level: consumer.limit.burst,
             ..Record::default()
         });
         while record.arrived.front().is_some_and(|time| *time + window < now) {
@@ -78,23 +78,24 @@
         }
         record.arrived.push_back(now);
         record.arrivals += 1;
-        let elapsed = (now - record.at).as_secs_f64();
-        record.level = (record.level + elapsed * consumer.limit.rate_per_s).min(consumer.limit.burst.max(1.0));
-        record.at = now;
-        if record.level >= 1.0 {
-            record.level -= 1.0;
-            record.ideal += 1.0;
+        let elapsed = (now - record.ideal_updated_at).as_secs_f64();
+        record.ideal_level =
+            (record.ideal_level + elapsed * consumer.limit.rate_per_s).min(consumer.limit.burst.max(1.0));
+        record.ideal_updated_at = now;
+        if record.ideal_level >= 1.0 {
+            record.ideal_level -= 1.0;
+            record.ideal_admissions += 1.0;
         }
-        record.arrived.len() as f64 <= most
+        record.arrived.len() as f64 <= limit
     }
 
-    pub fn refused(&mut self, consumer: &Consumer, was_within_limit: bool) {
+    pub fn record_refusal(&mut self, consumer: &Consumer, was_within_limit: bool) {
         if let Some(record) = self.records.get_mut(&consumer.id) {
             record.refused_within_limit += u64::from(was_within_limit);
         }
     }
 
-    pub fn admitted(&mut self, now: Duration, consumer: &Consumer) {
+    pub fn record_admission(&mut self, now: Duration, consumer: &Consumer) {
         let window = self.bounds.window;
         let limit = self.limit_in_force(now, consumer);
         let Some(record) = self.records.get_mut(&consumer.id) else { return };
@@ -104,9 +105,9 @@
         record.admissions += 1;
         record.admitted.push_back(now);
         let over = record.admitted.len() as f64 - self.bounds.limit_in_window(limit);
-        let part = over / self.bounds.allowance(limit);
-        if part > record.worst_part {
-            (record.worst_part, record.worst_over) = (part, over);
+        let used = over / self.bounds.allowance(limit);
+        if used > record.max_allowance_used {
+            (record.max_allowance_used, record.max_over_limit) = (used, over);
         }
     }
 
@@ -117,21 +118,22 @@
             of.iter().filter_map(|consumer| self.records.get(&consumer.id)).collect()
         };
         let (hot, within) = (records(&hot), records(&within));
-        let worst = self.records.values().max_by(|a, b| a.worst_part.total_cmp(&b.worst_part));
-        let part = |record: &Record| record.refused_within_limit as f64 / record.arrivals as f64;
-        let sum = |of: &[&Record], what: fn(&Record) -> f64| {
-            of.iter().map(|record| what(record)).fold(0.0, |sum, count| sum + count)
+        let worst = self.records.values().max_by(|a, b| a.max_allowance_used.total_cmp(&b.max_allowance_used));
+        let refused_fraction = |record: &Record| record.refused_within_limit as f64 / record.arrivals as f64;
+        let sum = |of: &[&Record], value: fn(&Record) -> f64| {
+            of.iter().map(|record| value(record)).fold(0.0, |sum, count| sum + count)
         };
         let refused = |of: &[&Record]| {
             sum(of, |record| record.refused_within_limit as f64) / sum(of, |record| record.arrivals as f64).max(1.0)
         };
         Errors {
-            allowance_used: worst.map_or(0.0, |record| record.worst_part),
-            over: worst.map_or(0.0, |record| record.worst_over),
+            allowance_used: worst.map_or(0.0, |record| record.max_allowance_used),
+            over: worst.map_or(0.0, |record| record.max_over_limit),
             refused: refused(&within),
-            refused_worst: within.iter().map(|record| part(record)).fold(0.0, f64::max),
+            refused_worst: within.iter().map(|record| refused_fraction(record)).fold(0.0, f64::max),
             hot_refused: refused(&hot),
-            hot_served: sum(&hot, |record| record.admissions as f64) / sum(&hot, |record| record.ideal).max(1.0),
+            hot_admitted: sum(&hot, |record| record.admissions as f64)
+                / sum(&hot, |record| record.ideal_admissions).max(1.0),
         }
     }
 }
--- a/crates/quota/tests/fleet/common/load.rs
+++ b/crates/quota/tests/fleet/common/load.rs
@@ -9,8 +9,8 @@
     pub from: Duration,
     pub to: Duration,
     pub factor: f64,
-    /// If not zero, the surge is on for so long, then off for so long, in turn.
-    pub on_and_off: Duration,
+    /// If not zero, the surge is on for so long, then off for so long, in phase.
+    pub half_period: Duration,
 }
 
 #[derive(Clone)]
@@ -25,8 +25,8 @@
     pub fn rate_per_s(&self, now: Duration) -> f64 {
         let is_on = |surge: &&Surge| {
             let inside = (surge.from..surge.to).contains(&now);
-            let turn = now.saturating_sub(surge.from).as_nanos().checked_div(surge.on_and_off.as_nanos());
-            inside && turn.is_none_or(|turn| turn.is_multiple_of(2))
+            let phase = now.saturating_sub(surge.from).as_nanos().checked_div(surge.half_period.as_nanos());
+            inside && phase.is_none_or(|phase| phase.is_multiple_of(2))
         };
         self.usual_per_s * self.surges.iter().find(is_on).map_or(1.0, |surge| surge.factor)
     }
--- a/crates/quota/tests/fleet/common/members.rs
+++ b/crates/quota/tests/fleet/common/members.rs
@@ -1,6 +1,6 @@
 //! The membership of the simulated fleet, and who hears of it.
 
-use super::fleet::{Fleet, STRONG, id, place};
+use super::fleet::{Fleet, GRANTER_COUNT, node_id, node_index};
 use super::node::Node;
 use quota::{GranterMembership, Granters};
 use rand::RngExt;
@@ -11,22 +11,22 @@
     /// All granters with a lease deal out no more than each consumer's limit, whatever memberships they know.
     pub(super) fn check_shares(&mut self) {
         for consumer in &self.consumers {
-            let leased = self.nodes.iter().take(STRONG).flatten().filter(|node| node.has_lease);
-            let dealt: f64 = leased.map(|node| node.granter.dealt_per_s(consumer.id)).sum();
-            let part = dealt / consumer.limit.rate_per_s;
-            self.judgement.most_dealt = self.judgement.most_dealt.max(part);
+            let leased = self.nodes.iter().take(GRANTER_COUNT).flatten().filter(|node| node.has_lease);
+            let refill_rate: f64 = leased.map(|node| node.granter.refill_rate_per_s(consumer.id)).sum();
+            let share = refill_rate / consumer.limit.rate_per_s;
+            self.limit_checker.max_granted_share = self.limit_checker.max_granted_share.max(share);
         }
     }
 
     pub(super) fn change_membership(&mut self) {
         let members: BTreeSet<NodeId> =
-            self.nodes.iter().enumerate().filter(|(_, node)| node.is_some()).map(|(n, _)| id(n)).collect();
-        let granters = Granters::new(members.iter().copied().filter(|node| place(*node) < STRONG));
+            self.nodes.iter().enumerate().filter(|(_, node)| node.is_some()).map(|(n, _)| node_id(n)).collect();
+        let granters = Granters::new(members.iter().copied().filter(|node| node_index(*node) < GRANTER_COUNT));
         self.membership = GranterMembership { granters, members, leaving: BTreeSet::new() };
     }
 
     /// A router hears the newest membership, and with it has its lease.
-    pub(super) fn tell_membership(&mut self, n: usize) {
+    pub(super) fn deliver_membership(&mut self, n: usize) {
         let Some(node) = self.nodes[n].as_mut().filter(|node| !node.is_frozen) else { return };
         let now = self.now - node.started_at;
         node.is_serving = true;
@@ -37,9 +37,9 @@
 
     /// Whether the owner of the request's function, one of the strong machines, can be reached: if not, the request
     /// is not served whatever the limit says.
-    pub(super) fn reaches_owner(&mut self, n: usize) -> bool {
-        let owner = self.random.random_range(0..STRONG.min(self.nodes.len()));
-        let is_there = self.nodes[owner].as_ref().is_some_and(Node::takes_requests);
-        is_there && self.network.connects(n, owner)
+    pub(super) fn can_reach_owner(&mut self, n: usize) -> bool {
+        let owner = self.random.random_range(0..GRANTER_COUNT.min(self.nodes.len()));
+        let is_available = self.nodes[owner].as_ref().is_some_and(Node::takes_requests);
+        is_available && self.network.connects(n, owner)
     }
 }
--- a/crates/quota/tests/fleet/common/network.rs
+++ b/crates/quota/tests/fleet/common/network.rs
@@ -41,20 +41,20 @@
     /// The longest way of a message.
     pub longest_delay: Duration,
     pub traffic: BTreeMap<usize, Traffic>,
-    pub cut: BTreeSet<usize>,
+    pub partition: BTreeSet<usize>,
 }
 
 impl Default for Network {
     fn default() -> Network {
         let longest_delay = Duration::from_millis(50);
-        Network { loss: 0.0, longest_delay, traffic: BTreeMap::new(), cut: BTreeSet::new() }
+        Network { loss: 0.0, longest_delay, traffic: BTreeMap::new(), partition: BTreeSet::new() }
     }
 }
 
 impl Network {
     /// Whether two routers hear each other.
     pub fn connects(&self, from: usize, to: usize) -> bool {
-        self.cut.contains(&from) == self.cut.contains(&to)
+        self.partition.contains(&from) == self.partition.contains(&to)
     }
 
     /// How long a message takes, unless it is lost.
--- a/crates/quota/tests/fleet/common/node.rs
+++ b/crates/quota/tests/fleet/common/node.rs
@@ -26,7 +26,7 @@
     pub granter: QuotaGranter,
     pub waiting: VecDeque<Waiting>,
     /// What came while it stood still.
-    pub held: Vec<(usize, QuotaMessage)>,
+    pub held_messages: Vec<(usize, QuotaMessage)>,
 }
 
 impl Node {
@@ -42,7 +42,7 @@
             meter: QuotaMeter::new(id, incarnation, bounds),
             granter: QuotaGranter::new(id, incarnation, bounds),
             waiting: VecDeque::new(),
-            held: Vec::new(),
+            held_messages: Vec::new(),
         }
     }
 
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -102,7 +102,7 @@
                 self.watched.retain(|owner, _| members.contains(owner));
                 self.pass();
             }
-            FrontInput::Lapsed => self.quota.granter.handle_lapse(now),
+            FrontInput::Lapsed => self.quota.granter.handle_membership_loss(now),
             FrontInput::Gone { request_id } => {
                 if let Some(task) = self.by_request_id.get(&request_id).copied()
                     && self.table.get(&task).is_some_and(|record| record.stage == Stage::Waiting && !record.doubt)
--- a/crates/traffic/src/front_quota.rs
+++ b/crates/traffic/src/front_quota.rs
@@ -169,7 +169,7 @@
         let Some(record) = self.table.get_mut(&task) else { return };
         let attempts = record.attempts.take_uncharged();
         if let Some(charge) = record.charge.filter(|_| attempts > 0) {
-            self.quota.meter.charge_again(self.now, charge.consumer, attempts);
+            self.quota.meter.charge_extra_attempts(self.now, charge.consumer, attempts);
         }
     }
 
--- a/crates/traffic/src/quota_status.rs
+++ b/crates/traffic/src/quota_status.rs
@@ -37,7 +37,7 @@
         let limit = quota.limits.get(id).map_or(0.0, |limit| limit.rate_per_s);
         let shown = json!({
             "limit_per_s": limit, "used": usage.admitted - usage.refunded, "arrived": usage.arrived,
-            "repeated": usage.repeated, "refused": usage.refused,
+            "repeated": usage.extra_attempts, "refused": usage.refused,
         });
         (name.clone(), shown)
     });
