--- a/crates/dispatch/src/connection.rs
+++ b/crates/dispatch/src/connection.rs
@@ -1,8 +1,8 @@
 //! One connection to an instance, with one request at a time on it.
 
-use crate::Words;
-use crate::answer::{Chunks, HEAD_BYTES, Length, Start, read_start};
+use crate::HttpDialect;
 use crate::instance_request::InstanceRequest;
+use crate::response::{BodyLength, ChunkedBody, MAX_HEAD_BYTES, ResponseHead, parse_response_head};
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
@@ -13,25 +13,25 @@
 
 /// How long bytes after an answer are waited for, where no id tells whose they are.
 /// An instance whose machine is gone or cut off says nothing, and was not heard to have taken the task.
-const PATIENCE: Duration = Duration::from_millis(2000);
-const AFTER: Duration = Duration::from_millis(40);
-const READ: usize = 8 * 1024;
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(2000);
+const SURPLUS_WAIT: Duration = Duration::from_millis(40);
+const READ_BYTES: usize = 8 * 1024;
 
 /// Counts a connection as open for as long as it lives.
-pub(crate) struct Open(Rc<Cell<u32>>);
+pub(crate) struct OpenCount(Rc<Cell<u32>>);
 
-impl Open {
-    pub fn new(count: &Rc<Cell<u32>>) -> Open {
+impl OpenCount {
+    pub fn new(count: &Rc<Cell<u32>>) -> OpenCount {
         count.set(count.get() + 1);
-        Open(count.clone())
+        OpenCount(count.clone())
     }
 
-    pub fn is_of(&self, count: &Rc<Cell<u32>>) -> bool {
+    pub fn counts_in(&self, count: &Rc<Cell<u32>>) -> bool {
         Rc::ptr_eq(&self.0, count)
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenCount {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -39,113 +39,124 @@
 
 pub(crate) struct Connection {
     stream: TcpStream,
-    pub open: Open,
-    pub used: Instant,
+    pub open_count: OpenCount,
+    pub last_used: Instant,
 }
 
-pub(crate) struct Answer {
-    pub start: Start,
+pub(crate) struct Response {
+    pub head: ResponseHead,
     pub body: Vec<u8>,
     /// Whether the connection may carry another request.
     pub reusable: bool,
 }
 
-pub(crate) enum Broken {
-    /// Not a byte left.
-    Unsent,
-    Doubt(String),
+pub(crate) enum ExchangeError {
+    /// Not a byte unsent.
+    NotSent,
+    InDoubt(String),
 }
 
-fn doubt<T>(detail: impl Into<String>) -> Result<T, Broken> {
-    Err(Broken::Doubt(detail.into()))
+fn in_doubt<T>(detail: impl Into<String>) -> Result<T, ExchangeError> {
+    Err(ExchangeError::InDoubt(detail.into()))
 }
 
 impl Connection {
-    pub async fn open(address: &str, open: Open) -> io::Result<Connection> {
+    pub async fn open(address: &str, open_count: OpenCount) -> io::Result<Connection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        kernel::give_up_after(&stream, PATIENCE)?;
-        Ok(Connection { stream, open, used: Instant::now() })
+        kernel::give_up_after(&stream, ACKNOWLEDGEMENT_TIMEOUT)?;
+        Ok(Connection { stream, open_count, last_used: Instant::now() })
     }
 
     /// Neither closed nor with bytes on it that nobody asked for.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let mut byte = [0u8; 1];
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    pub async fn exchange(&mut self, request: &InstanceRequest, words: &Words) -> Result<Answer, Broken> {
-        let mut left = request.bytes.as_slice();
-        while !left.is_empty() {
-            match self.stream.write(left).await {
-                Ok(written) if written > 0 => left = &left[written..],
-                _ if left.len() == request.bytes.len() => return Err(Broken::Unsent),
+    pub async fn exchange(
+        &mut self,
+        request: &InstanceRequest,
+        dialect: &HttpDialect,
+    ) -> Result<Response, ExchangeError> {
+        let mut unsent = request.bytes.as_slice();
+        while !unsent.is_empty() {
+            match self.stream.write(unsent).await {
+                Ok(written) if written > 0 => unsent = &unsent[written..],
+                _ if unsent.len() == request.bytes.len() => return Err(ExchangeError::NotSent),
                 // It may have answered before it closed.
                 _ => break,
             }
         }
-        let mut bytes = Vec::with_capacity(READ);
-        let start = self.start(&mut bytes, request, words).await?;
-        if let Some(coding) = start.coding.as_ref().filter(|coding| !request.takes(coding)) {
-            return doubt(format!("encoded as {coding}, which nobody asked for"));
+        let mut bytes = Vec::with_capacity(READ_BYTES);
+        let head = self.read_head(&mut bytes, request, dialect).await?;
+        if let Some(encoding) = head.content_encoding.as_ref().filter(|encoding| !request.accepts_encoding(encoding)) {
+            return in_doubt(format!("encoded as {encoding}, which nobody asked for"));
         }
-        let (body, end) = self.body(&mut bytes, &start).await?;
+        let (body, end) = self.read_body(&mut bytes, &head).await?;
         let surplus = bytes.len() > end;
-        if request.id.is_none() && (surplus || self.more_comes().await) {
-            return doubt("bytes after the answer's declared end");
+        if request.request_id.is_none() && (surplus || self.receives_more().await) {
+            return in_doubt("bytes after the answer's declared end");
         }
-        let reusable = !surplus && !start.close && left.is_empty() && request.id.is_some();
-        Ok(Answer { start, body, reusable })
+        let reusable = !surplus && !head.closes_connection && unsent.is_empty() && request.request_id.is_some();
+        Ok(Response { head, body, reusable })
     }
 
     /// The head of the answer to this request and to no other.
-    async fn start(&mut self, bytes: &mut Vec<u8>, request: &InstanceRequest, words: &Words) -> Result<Start, Broken> {
+    async fn read_head(
+        &mut self,
+        bytes: &mut Vec<u8>,
+        request: &InstanceRequest,
+        dialect: &HttpDialect,
+    ) -> Result<ResponseHead, ExchangeError> {
         loop {
-            match read_start(bytes, words, request.bare) {
-                Err(detail) => return doubt(detail),
-                Ok(None) => self.read(bytes).await?,
-                Ok(Some(Start { length: Length::Interim, size, .. })) => drop(bytes.drain(..size)),
-                Ok(Some(start)) if request.id.is_some() && start.id != request.id => {
-                    return doubt("an answer to another request");
+            match parse_response_head(bytes, dialect, request.response_has_no_body) {
+                Err(detail) => return in_doubt(detail),
+                Ok(None) => self.read_more(bytes).await?,
+                Ok(Some(ResponseHead { body_length: BodyLength::InterimResponse, head_bytes, .. })) => {
+                    drop(bytes.drain(..head_bytes))
                 }
-                Ok(Some(start)) => return Ok(start),
+                Ok(Some(head)) if request.request_id.is_some() && head.request_id != request.request_id => {
+                    return in_doubt("an answer to another request");
+                }
+                Ok(Some(head)) => return Ok(head),
             }
         }
     }
 
     /// The body and the place where it ends.
-    async fn body(&mut self, bytes: &mut Vec<u8>, start: &Start) -> Result<(Vec<u8>, usize), Broken> {
-        if let Length::Exactly(length) = start.length {
-            let end = start.size + length;
+    async fn read_body(&mut self, bytes: &mut Vec<u8>, head: &ResponseHead) -> Result<(Vec<u8>, usize), ExchangeError> {
+        if let BodyLength::Exactly(length) = head.body_length {
+            let end = head.head_bytes + length;
             bytes.reserve(end.saturating_sub(bytes.len()));
             while bytes.len() < end {
-                self.read(bytes).await?;
+                self.read_more(bytes).await?;
             }
-            return Ok((bytes[start.size..end].to_vec(), end));
+            return Ok((bytes[head.head_bytes..end].to_vec(), end));
         }
-        let mut chunks = Chunks::new(start.size);
+        let mut chunks = ChunkedBody::new(head.head_bytes);
         loop {
-            match chunks.take(bytes) {
-                Err(detail) => return doubt(detail),
+            match chunks.decode(bytes) {
+                Err(detail) => return in_doubt(detail),
                 Ok(Some(end)) => return Ok((chunks.body, end)),
-                Ok(None) => self.read(bytes).await?,
+                Ok(None) => self.read_more(bytes).await?,
             }
         }
     }
 
-    async fn read(&mut self, bytes: &mut Vec<u8>) -> Result<(), Broken> {
+    async fn read_more(&mut self, bytes: &mut Vec<u8>) -> Result<(), ExchangeError> {
         if bytes.capacity() == bytes.len() {
-            bytes.reserve(READ.max(bytes.len()).min(HEAD_BYTES));
+            bytes.reserve(READ_BYTES.max(bytes.len()).min(MAX_HEAD_BYTES));
         }
         match self.stream.read_buf(bytes).await {
-            Ok(0) => doubt("closed before the answer's end"),
+            Ok(0) => in_doubt("closed before the answer's end"),
             Ok(_) => Ok(()),
-            Err(error) => doubt(format!("no whole answer: {error}")),
+            Err(error) => in_doubt(format!("no whole answer: {error}")),
         }
     }
 
-    async fn more_comes(&mut self) -> bool {
+    async fn receives_more(&mut self) -> bool {
         let mut more = [0u8; 1];
-        matches!(timeout(AFTER, self.stream.read(&mut more)).await, Ok(Ok(1)))
+        matches!(timeout(SURPLUS_WAIT, self.stream.read(&mut more)).await, Ok(Ok(1)))
     }
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,11 +1,11 @@
 //! The dispatcher's thread: it sends each order over a kept connection or a new one, and tells what
-//! came of it. It chooses no instance and tries nothing twice that may have left.
+//! came of it. It chooses no instance and tries nothing twice that may have time_left.
 
-use crate::answer::Start;
-use crate::connection::{Answer, Broken, Connection, Open};
+use crate::connection::{Connection, ExchangeError, OpenCount, Response};
 use crate::instance_request::InstanceRequest;
-use crate::pool::{Pool, Taken};
-use crate::{DispatchOrder, DispatchOutcome, DispatchReport, DispatcherMessage, Words};
+use crate::pool::{Checkout, Pool};
+use crate::response::ResponseHead;
+use crate::{DispatchOrder, DispatchOutcome, DispatchReport, DispatcherMessage, HttpDialect};
 use kernel::Inbox;
 use std::io;
 use std::rc::Rc;
@@ -14,41 +14,41 @@
 use tokio::time::{sleep, timeout};
 
 /// How long a connection to an instance may take.
-const CONNECT: Duration = Duration::from_millis(600);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// An instance that stops at the deadline it was handed may say so itself.
-const LAST_WORD: Duration = Duration::from_millis(20);
+const DEADLINE_GRACE: Duration = Duration::from_millis(20);
 /// The time between two looks for connections that have been idle too long.
-const SWEEP: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// The first pause between two tries of a probe.
-const PROBE_AGAIN: Duration = Duration::from_millis(25);
+const MIN_PROBE_PAUSE: Duration = Duration::from_millis(25);
 /// The longest pause between two tries of a probe.
-const PROBE_AGAIN_MOST: Duration = Duration::from_millis(120);
+const MAX_PROBE_PAUSE: Duration = Duration::from_millis(120);
 
 /// Takes what came of a message to the dispatcher.
-pub type Report = Rc<dyn Fn(DispatchReport)>;
+pub type ReportHandler = Rc<dyn Fn(DispatchReport)>;
 
 /// Sends requests to instances. Clones share the pool of kept connections.
 #[derive(Clone)]
 pub struct Dispatcher {
-    words: Rc<Words>,
+    dialect: Rc<HttpDialect>,
     pool: Rc<Pool>,
 }
 
 /// Runs a dispatcher on the current thread until its inbox is closed.
-pub async fn run(words: Words, mut orders: Inbox<DispatcherMessage>, report: Report) {
-    let dispatcher = Dispatcher::new(words);
-    let (mut swept, mut any_kept) = (Instant::now(), false);
+pub async fn run(dialect: HttpDialect, mut messages: Inbox<DispatcherMessage>, report: ReportHandler) {
+    let dispatcher = Dispatcher::new(dialect);
+    let (mut last_sweep, mut keeps_connections) = (Instant::now(), false);
     loop {
-        let next = match any_kept {
-            true => timeout(SWEEP, orders.next()).await.ok(),
-            false => Some(orders.next().await),
+        let next = match keeps_connections {
+            true => timeout(SWEEP_INTERVAL, messages.next()).await.ok(),
+            false => Some(messages.next().await),
         };
-        if swept.elapsed() >= SWEEP {
-            swept = Instant::now();
-            any_kept = dispatcher.pool.sweep(swept);
+        if last_sweep.elapsed() >= SWEEP_INTERVAL {
+            last_sweep = Instant::now();
+            keeps_connections = dispatcher.pool.sweep(last_sweep);
         }
         match next {
-            Some(Some(message)) => any_kept |= dispatcher.take(message, &report),
+            Some(Some(message)) => keeps_connections |= dispatcher.handle(message, &report),
             Some(None) => return,
             None => {}
         }
@@ -57,17 +57,17 @@
 
 /// One order on a connection of its own, in the product's own dialect.
 pub async fn send_to_instance(order: DispatchOrder) -> DispatchOutcome {
-    Dispatcher::new(Words::default()).send(order).await
+    Dispatcher::new(HttpDialect::default()).send(order).await
 }
 
 impl Dispatcher {
     /// A dispatcher for a dialect, with an empty pool.
-    pub fn new(words: Words) -> Dispatcher {
-        Dispatcher { words: Rc::new(words), pool: Rc::default() }
+    pub fn new(dialect: HttpDialect) -> Dispatcher {
+        Dispatcher { dialect: Rc::new(dialect), pool: Rc::default() }
     }
 
     /// Takes a message; whether it may lead to connections that are kept.
-    fn take(&self, message: DispatcherMessage, report: &Report) -> bool {
+    fn handle(&self, message: DispatcherMessage, report: &ReportHandler) -> bool {
         let (dispatcher, report) = (self.clone(), report.clone());
         match message {
             DispatcherMessage::Send(order) => drop(spawn_local(async move {
@@ -75,8 +75,8 @@
                 let outcome = dispatcher.send(order).await;
                 report(DispatchReport::Dispatched { number, outcome });
             })),
-            DispatcherMessage::Probe { id, address, after, limit } => drop(spawn_local(async move {
-                let ready = dispatcher.probe(&id, &address, after, limit).await;
+            DispatcherMessage::Probe { id, address, delay, timeout } => drop(spawn_local(async move {
+                let ready = dispatcher.probe(&id, &address, delay, timeout).await;
                 report(DispatchReport::Probed { id, ready });
             })),
             DispatcherMessage::Forget { id } => {
@@ -90,91 +90,93 @@
     /// Sends one request and tells what its answer may be believed to say, soon after the order's limit at the
     /// latest.
     pub async fn send(&self, order: DispatchOrder) -> DispatchOutcome {
-        let Some(request) = InstanceRequest::new(&order, &self.words) else {
+        let Some(request) = InstanceRequest::new(&order, &self.dialect) else {
             return DispatchOutcome::Complete { status: 400, head: Vec::new(), body: Vec::new(), turned_away: false };
         };
-        match timeout(order.limit + LAST_WORD, self.exchange(&order, &request)).await {
+        match timeout(order.time_left + DEADLINE_GRACE, self.exchange(&order, &request)).await {
             Ok(outcome) => outcome,
-            Err(_) => DispatchOutcome::InDoubt { detail: "no whole answer in time".into(), late: true },
+            Err(_) => DispatchOutcome::InDoubt { detail: "no whole answer in time".into(), timed_out: true },
         }
     }
 
     async fn exchange(&self, order: &DispatchOrder, request: &InstanceRequest) -> DispatchOutcome {
         loop {
-            let taken = match request.id {
-                Some(_) => self.pool.take(Instant::now(), &order.instance, &order.address, order.connections),
-                None => Taken::ToOpen(self.pool.open_apart()),
+            let checkout = match request.request_id {
+                Some(_) => {
+                    self.pool.check_out(Instant::now(), &order.instance_id, &order.address, order.max_connections)
+                }
+                None => Checkout::MayOpen(self.pool.open_unpooled()),
             };
-            let (mut connection, kept) = match taken {
-                Taken::Full => return DispatchOutcome::Crowded,
-                Taken::Kept(connection) => (connection, true),
-                Taken::ToOpen(open) => match connect(&order.address, open, order.limit).await {
+            let (mut connection, was_pooled) = match checkout {
+                Checkout::Full => return DispatchOutcome::NoConnection,
+                Checkout::Idle(connection) => (connection, true),
+                Checkout::MayOpen(open_count) => match connect(&order.address, open_count, order.time_left).await {
                     Ok(connection) => (connection, false),
-                    Err(error) if is_absent(&error) => return DispatchOutcome::NotSent,
-                    Err(_) => return DispatchOutcome::Crowded,
+                    Err(error) if is_unreachable(&error) => return DispatchOutcome::Unreachable,
+                    Err(_) => return DispatchOutcome::NoConnection,
                 },
             };
-            match connection.exchange(request, &self.words).await {
-                Err(Broken::Unsent) if kept => {}
-                Err(Broken::Unsent) => return DispatchOutcome::Crowded,
-                Err(Broken::Doubt(detail)) => return DispatchOutcome::InDoubt { detail, late: false },
-                Ok(Answer { start, body, reusable }) => {
+            match connection.exchange(request, &self.dialect).await {
+                Err(ExchangeError::NotSent) if was_pooled => {}
+                Err(ExchangeError::NotSent) => return DispatchOutcome::NoConnection,
+                Err(ExchangeError::InDoubt(detail)) => return DispatchOutcome::InDoubt { detail, timed_out: false },
+                Ok(Response { head, body, reusable }) => {
                     if reusable {
-                        self.pool.put(Instant::now(), &order.instance, connection, Some(start.keep));
+                        self.pool.check_in(Instant::now(), &order.instance_id, connection, Some(head.keep_alive));
                     }
-                    return self.judge(start, body);
+                    return self.classify(head, body);
                 }
             }
         }
     }
 
-    fn judge(&self, start: Start, body: Vec<u8>) -> DispatchOutcome {
-        let words = &self.words;
-        let refuses = matches!(start.status, 408 | 429 | 503);
-        match start.status {
-            421 if words.pinned.is_some() => return DispatchOutcome::NotRun { wrong_instance: true },
-            408 | 429 | 500..600 if start.not_run => return DispatchOutcome::NotRun { wrong_instance: false },
-            100..400 if start.not_run => {
-                return DispatchOutcome::InDoubt { detail: "not run and yet answered".into(), late: false };
+    fn classify(&self, response: ResponseHead, body: Vec<u8>) -> DispatchOutcome {
+        let dialect = &self.dialect;
+        let is_rejection = matches!(response.status, 408 | 429 | 503);
+        match response.status {
+            421 if dialect.pinned_instance.is_some() => return DispatchOutcome::NotRun { wrong_instance: true },
+            408 | 429 | 500..600 if response.not_run => return DispatchOutcome::NotRun { wrong_instance: false },
+            100..400 if response.not_run => {
+                return DispatchOutcome::InDoubt { detail: "not run and yet answered".into(), timed_out: false };
             }
             // Passed on, it would be a promise that the instance did not give.
-            status if words.not_run.is_some() && !start.not_run && refuses => {
+            status if dialect.not_run.is_some() && !response.not_run && is_rejection => {
                 return DispatchOutcome::InDoubt {
                     detail: format!("{status} without a word that it was not run"),
-                    late: false,
+                    timed_out: false,
                 };
             }
             _ => {}
         }
-        let turned_away = words.not_run.is_none() && matches!(start.status, 429 | 503);
-        DispatchOutcome::Complete { status: start.status, head: start.head, body, turned_away }
+        let turned_away = dialect.not_run.is_none() && matches!(response.status, 429 | 503);
+        DispatchOutcome::Complete { status: response.status, head: response.encoded_headers, body, turned_away }
     }
 
     /// Whether the instance took a connection within the limit; one that it took is kept.
-    pub async fn probe(&self, id: &str, address: &str, after: Duration, limit: Duration) -> bool {
-        sleep(after).await;
-        let begun = Instant::now();
-        let mut pause = PROBE_AGAIN;
+    pub async fn probe(&self, id: &str, address: &str, delay: Duration, timeout: Duration) -> bool {
+        sleep(delay).await;
+        let started = Instant::now();
+        let mut pause = MIN_PROBE_PAUSE;
         loop {
-            let left = limit.saturating_sub(begun.elapsed());
-            if left.is_zero() {
+            let time_left = timeout.saturating_sub(started.elapsed());
+            if time_left.is_zero() {
                 return false;
             }
-            match self.pool.take(Instant::now(), id, address, u32::MAX) {
-                Taken::Full => return false,
-                Taken::Kept(connection) => {
-                    self.pool.put(Instant::now(), id, connection, None);
+            match self.pool.check_out(Instant::now(), id, address, u32::MAX) {
+                Checkout::Full => return false,
+                Checkout::Idle(connection) => {
+                    self.pool.check_in(Instant::now(), id, connection, None);
                     return true;
                 }
-                Taken::ToOpen(open) => {
-                    if let Ok(connection) = connect(address, open, left).await {
-                        self.pool.put(Instant::now(), id, connection, None);
+                Checkout::MayOpen(open_count) => {
+                    if let Ok(connection) = connect(address, open_count, time_left).await {
+                        self.pool.check_in(Instant::now(), id, connection, None);
                         return true;
                     }
                 }
             }
-            sleep(pause.min(left)).await;
-            pause = pause.mul_f64(1.3).min(PROBE_AGAIN_MOST);
+            sleep(pause.min(time_left)).await;
+            pause = pause.mul_f64(1.3).min(MAX_PROBE_PAUSE);
         }
     }
 
@@ -184,11 +186,13 @@
     }
 }
 
-async fn connect(address: &str, open: Open, left: Duration) -> io::Result<Connection> {
-    timeout(CONNECT.min(left), Connection::open(address, open)).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
+async fn connect(address: &str, open_count: OpenCount, time_left: Duration) -> io::Result<Connection> {
+    timeout(CONNECT_TIMEOUT.min(time_left), Connection::open(address, open_count))
+        .await
+        .unwrap_or(Err(io::ErrorKind::TimedOut.into()))
 }
 
-fn is_absent(error: &io::Error) -> bool {
+fn is_unreachable(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, HostUnreachable, InvalidInput, NetworkUnreachable};
     matches!(error.kind(), ConnectionRefused | HostUnreachable | NetworkUnreachable | InvalidInput)
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -5,16 +5,16 @@
 
 #![warn(missing_docs)]
 
-mod answer;
 mod connection;
 mod dispatcher;
-mod head;
+mod forwarded_headers;
+mod http_dialect;
 mod instance_request;
 mod order;
 mod pool;
-mod words;
+mod response;
 
-pub use dispatcher::{Dispatcher, Report, run, send_to_instance};
-pub use head::{answer_lines, fill, lines};
+pub use dispatcher::{Dispatcher, ReportHandler, run, send_to_instance};
+pub use forwarded_headers::{append_headers, forwarded_request_headers, forwarded_response_headers};
+pub use http_dialect::HttpDialect;
 pub use order::{DispatchOrder, DispatchOutcome, DispatchReport, DispatcherMessage};
-pub use words::Words;
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -8,7 +8,7 @@
     /// The order's number, unique in this process.
     pub number: u64,
     /// The provider's id of the instance, to which the request is pinned.
-    pub instance: String,
+    pub instance_id: String,
     /// Where the instance takes requests, as `IP:port`.
     pub address: String,
     /// The request's head, as an encoded `wire::RequestHead`.
@@ -16,9 +16,9 @@
     /// The request's body.
     pub body: Vec<u8>,
     /// What is left of the task's time.
-    pub limit: Duration,
+    pub time_left: Duration,
     /// The most connections the instance takes.
-    pub connections: u32,
+    pub max_connections: u32,
 }
 
 /// What the dispatcher can be asked for.
@@ -33,9 +33,9 @@
         /// Where it takes requests.
         address: String,
         /// How long to wait before the first try.
-        after: Duration,
+        delay: Duration,
         /// How long to try.
-        limit: Duration,
+        timeout: Duration,
     },
     /// Close the kept connections to an instance.
     Forget {
@@ -64,15 +64,15 @@
         wrong_instance: bool,
     },
     /// Nobody takes connections there.
-    NotSent,
+    Unreachable,
     /// Nothing was sent, since no connection could be had in time.
-    Crowded,
+    NoConnection,
     /// The request may have run.
     InDoubt {
         /// What happened, for the log.
         detail: String,
         /// Whether the time ran out, rather than the connection failing.
-        late: bool,
+        timed_out: bool,
     },
 }
 
--- a/crates/dispatch/tests/stand_in/mod.rs
+++ b/crates/dispatch/tests/fake_instance/mod.rs
@@ -1,9 +1,9 @@
 //! An instance that stands in: for each connection it takes, in turn, a script of what to do with
-//! each request that comes on it. What it was asked, and on which connection, is kept.
+//! each request that comes on it. What it was received, and on which connection, is kept.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
-use dispatch::{DispatchOrder, DispatchOutcome, Dispatcher, Words};
+use dispatch::{DispatchOrder, DispatchOutcome, Dispatcher, HttpDialect};
 use hyper::header::HeaderName;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,67 +16,67 @@
 
 /// What to do with a request; `{id}` stands for the id it came with.
 #[derive(Clone)]
-pub enum Act {
+pub enum Action {
     Answer(String),
     /// Answers, and then closes.
-    Last(String),
+    AnswerAndClose(String),
     Close,
-    Silence,
+    NoAnswer,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct ReceivedRequest {
     pub connection: usize,
     pub text: String,
 }
 
-pub struct StandIn {
+pub struct FakeInstance {
     pub address: String,
-    pub asked: Rc<RefCell<Vec<Asked>>>,
+    pub received: Rc<RefCell<Vec<ReceivedRequest>>>,
     /// Told each time a connection has ended.
-    pub ended: Rc<Notify>,
+    pub connection_ended: Rc<Notify>,
 }
 
-pub fn answer(words: &str) -> Act {
-    Act::Answer(http(words))
+pub fn answer(text: &str) -> Action {
+    Action::Answer(with_crlf(text))
 }
 
-pub fn last(words: &str) -> Act {
-    Act::Last(http(words))
+pub fn answer_and_close(text: &str) -> Action {
+    Action::AnswerAndClose(with_crlf(text))
 }
 
-pub fn http(words: &str) -> String {
-    words.replace('\n', "\r\n")
+pub fn with_crlf(text: &str) -> String {
+    text.replace('\n', "\r\n")
 }
 
-pub fn words() -> Words {
-    let name = |word: &'static str| Some(HeaderName::from_static(word));
-    Words {
+pub fn dialect() -> HttpDialect {
+    let name = |name: &'static str| Some(HeaderName::from_static(name));
+    HttpDialect {
         request_id: name("x-id"),
         deadline: name("x-left"),
-        pinned: name("x-for"),
+        pinned_instance: name("x-for"),
         not_run: name("x-not-run"),
-        ..Words::default()
+        ..HttpDialect::default()
     }
 }
 
-impl StandIn {
-    pub async fn start(scripts: Vec<Vec<Act>>) -> StandIn {
+impl FakeInstance {
+    pub async fn start(scripts: Vec<Vec<Action>>) -> FakeInstance {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound").to_string();
-        let stand_in = StandIn { address, asked: Rc::default(), ended: Rc::default() };
-        let (asked, ended) = (stand_in.asked.clone(), stand_in.ended.clone());
+        let instance = FakeInstance { address, received: Rc::default(), connection_ended: Rc::default() };
+        let (received, ended) = (instance.received.clone(), instance.connection_ended.clone());
         spawn_local(async move {
             for (number, script) in scripts.into_iter().enumerate() {
                 let Ok((stream, _)) = listener.accept().await else { return };
-                let (asked, ended) = (asked.clone(), ended.clone());
+                let (received, ended) = (received.clone(), ended.clone());
                 spawn_local(async move {
-                    play(stream, number, script, &asked).await;
+                    run_script(stream, number, script, &received).await;
                     ended.notify_one();
                 });
             }
         });
-        stand_in
+        instance
     }
 
     pub fn order(&self, id: &str) -> DispatchOrder {
@@ -86,22 +86,27 @@
         let head = RequestHead { method: "POST".into(), target: "/f?a=b".into(), headers: headers.into() };
         DispatchOrder {
             number: 1,
-            instance: "i-1".into(),
+            instance_id: "i-1".into(),
             address: self.address.clone(),
             head: wire::to_bytes(&head),
             body: b"work".to_vec(),
-            limit: Duration::from_secs(20),
-            connections: 4,
+            time_left: Duration::from_secs(20),
+            max_connections: 4,
         }
     }
 
-    pub fn asked_on(&self) -> Vec<usize> {
-        self.asked.borrow().iter().map(|asked| asked.connection).collect()
+    pub fn request_connections(&self) -> Vec<usize> {
+        self.received.borrow().iter().map(|request| request.connection).collect()
     }
 }
 
-async fn play(mut stream: TcpStream, connection: usize, script: Vec<Act>, asked: &RefCell<Vec<Asked>>) {
-    for act in script {
+async fn run_script(
+    mut stream: TcpStream,
+    connection: usize,
+    script: Vec<Action>,
+    received: &RefCell<Vec<ReceivedRequest>>,
+) {
+    for action in script {
         let mut bytes = Vec::new();
         while !bytes.ends_with(b"work") {
             if !matches!(stream.read_buf(&mut bytes).await, Ok(count) if count > 0) {
@@ -110,12 +115,12 @@
         }
         let text = String::from_utf8_lossy(&bytes).into_owned();
         let id = text.lines().find_map(|line| line.strip_prefix("x-id: ")).unwrap_or_default().to_owned();
-        asked.borrow_mut().push(Asked { connection, text });
-        match act {
-            Act::Answer(words) => drop(stream.write_all(words.replace("{id}", &id).as_bytes()).await),
-            Act::Last(words) => return drop(stream.write_all(words.replace("{id}", &id).as_bytes()).await),
-            Act::Close => return,
-            Act::Silence => break,
+        received.borrow_mut().push(ReceivedRequest { connection, text });
+        match action {
+            Action::Answer(text) => drop(stream.write_all(text.replace("{id}", &id).as_bytes()).await),
+            Action::AnswerAndClose(text) => return drop(stream.write_all(text.replace("{id}", &id).as_bytes()).await),
+            Action::Close => return,
+            Action::NoAnswer => break,
         }
     }
     // Until the other side closes.
@@ -135,5 +140,5 @@
 }
 
 pub fn dispatcher() -> Dispatcher {
-    Dispatcher::new(words())
+    Dispatcher::new(dialect())
 }
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -36,8 +36,8 @@
         let declared = self.plan.limit;
         let limit = |service: &String| limits.get(service).copied().unwrap_or(declared);
         let outcome = match self.yard.instances.get_mut(&order.address) {
-            None => DispatchOutcome::NotSent,
-            Some(instance) if instance.ready_at > now => DispatchOutcome::NotSent,
+            None => DispatchOutcome::Unreachable,
+            Some(instance) if instance.ready_at > now => DispatchOutcome::Unreachable,
             Some(instance) if instance.busy >= limit(&instance.service) || rejections => {
                 let service = instance.service.clone();
                 let (busy, over) = (instance.busy, instance.busy >= declared);
@@ -57,7 +57,7 @@
                 self.rules.ran_for_consumer(now, &label, &seen);
                 if lost || garbled {
                     let told = if lost { "lost" } else { "bytes after the answer's declared end" };
-                    DispatchOutcome::InDoubt { detail: told.into(), late: false }
+                    DispatchOutcome::InDoubt { detail: told.into(), timed_out: false }
                 } else {
                     DispatchOutcome::Complete {
                         status: 200,
@@ -103,7 +103,7 @@
             None => work.instance.is_empty(),
         };
         let outcome =
-            if alive { work.outcome } else { DispatchOutcome::InDoubt { detail: "crashed".into(), late: false } };
+            if alive { work.outcome } else { DispatchOutcome::InDoubt { detail: "crashed".into(), timed_out: false } };
         if self.routers[work.router].life != work.life {
             return;
         }
--- a/crates/sim/src/link_faults.rs
+++ b/crates/sim/src/link_faults.rs
@@ -80,7 +80,7 @@
             self.break_connection(other, me);
         }
         for work in self.yard.work.values_mut().filter(|work| work.router == router && !work.instance.is_empty()) {
-            work.outcome = DispatchOutcome::InDoubt { detail: "the connection was reset".into(), late: false };
+            work.outcome = DispatchOutcome::InDoubt { detail: "the connection was reset".into(), timed_out: false };
         }
         self.reset_callers_of(router);
     }
--- a/crates/traffic/src/caller_server.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -11,7 +11,7 @@
 use axum::http::{HeaderMap, HeaderValue, StatusCode, header};
 use axum::response::Response;
 use axum::routing::any;
-use dispatch::Words;
+use dispatch::HttpDialect;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use kernel::InboxSender;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 #[derive(Clone)]
 pub struct CallerServer {
     pub traffic: InboxSender<TrafficMessage>,
-    pub words: Arc<Words>,
+    pub words: Arc<HttpDialect>,
     pub limits: watch::Receiver<CallerLimits>,
 }
 
@@ -85,7 +85,7 @@
     fn call(&self, parts: Parts, path: String, body: Vec<u8>, started_at: Instant) -> Result<Call, ()> {
         let words = &self.words;
         let text = |name: &header::HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
-        let keyed = words.key.as_ref().filter(|name| parts.headers.contains_key(*name));
+        let keyed = words.idempotency_key.as_ref().filter(|name| parts.headers.contains_key(*name));
         let key = keyed.and_then(text).map(str::to_owned);
         if keyed.is_some() && key.as_ref().is_none_or(|key| key.is_empty() || key.len() > 128) {
             return Err(());
@@ -101,7 +101,7 @@
             head: RequestHead {
                 method: parts.method.as_str().into(),
                 target: target.into(),
-                headers: dispatch::lines(&parts.headers, words),
+                headers: dispatch::forwarded_request_headers(&parts.headers, words),
             },
             path,
             body,
@@ -142,7 +142,7 @@
         *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let headers = response.headers_mut();
         if let Some(list) = wire::from_bytes::<AnswerHead>(&reply.head) {
-            dispatch::fill(headers, &list.headers);
+            dispatch::append_headers(headers, &list.headers);
         } else {
             headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         }
@@ -151,7 +151,7 @@
         }
         let refused = reply.outcome == Some(Outcome::NotRun) && reply.status == 503;
         if refused || !reply.retry_after.is_zero() {
-            headers.insert(header::RETRY_AFTER, retry_after(reply.retry_after, self.words.fractions));
+            headers.insert(header::RETRY_AFTER, retry_after(reply.retry_after, self.words.fractional_retry_after));
         }
         if let Some(detail) = &self.limits.borrow().keep_alive {
             headers.insert(KEEP_ALIVE, detail.clone());
--- a/crates/traffic/src/caller_server_tests.rs
+++ b/crates/traffic/src/caller_server_tests.rs
@@ -15,31 +15,31 @@
     CallerLimits { server, body_bytes: 64, body_time: time, keep_alive: None }
 }
 
-fn another_dialect() -> Words {
+fn another_dialect() -> HttpDialect {
     let name = |word: &'static str| Some(HeaderName::from_static(word));
-    Words {
+    HttpDialect {
         request_id: name("x-id"),
         deadline: name("x-left"),
-        pinned: name("x-for"),
+        pinned_instance: name("x-for"),
         not_run: name("x-not-run"),
         outcome: None,
-        key: None,
+        idempotency_key: None,
         api_key: name("x-api-key"),
         consumer: name("x-consumer"),
-        consumer_name: str::to_owned,
+        format_consumer_name: str::to_owned,
         task_path: None,
-        fractions: true,
+        fractional_retry_after: true,
     }
 }
 
-fn server(words: Words) -> (CallerServer, Inbox<TrafficMessage>, watch::Sender<CallerLimits>) {
+fn server(words: HttpDialect) -> (CallerServer, Inbox<TrafficMessage>, watch::Sender<CallerLimits>) {
     let (traffic, taken) = inbox(8);
     let (bounds, limits) = watch::channel(limits());
     (CallerServer { traffic, words: Arc::new(words), limits }, taken, bounds)
 }
 
 /// Asks, with the reply that the traffic thread would give; what it was asked, and the answer.
-fn exchange(words: Words, request: Request, reply: Reply) -> (Option<Call>, Response) {
+fn exchange(words: HttpDialect, request: Request, reply: Reply) -> (Option<Call>, Response) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         let (server, mut taken, _bounds) = server(words);
@@ -103,7 +103,7 @@
 
 #[test]
 fn in_its_own_dialect_a_key_is_read_and_the_outcome_reported() {
-    let (call, response) = exchange(Words::default(), request(&[("idempotency-key", "k")], ""), done());
+    let (call, response) = exchange(HttpDialect::default(), request(&[("idempotency-key", "k")], ""), done());
     assert_eq!(call.and_then(|call| call.key).as_deref(), Some("k"));
     assert_eq!(response.headers()["heronlink-outcome"], "answered");
 }
@@ -117,9 +117,9 @@
     assert_eq!(text(response.headers(), "x-id"), "second");
 }
 
-#[test_case(Words::default() => true; "where the state of a task can be asked")]
+#[test_case(HttpDialect::default() => true; "where the state of a task can be asked")]
 #[test_case(another_dialect() => false; "where it cannot")]
-fn an_answer_is_put_off_as_preferred(words: Words) -> bool {
+fn an_answer_is_put_off_as_preferred(words: HttpDialect) -> bool {
     let (call, _) = exchange(words, request(&[("prefer", "respond-async")], ""), done());
     call.expect("it is let in").respond_async
 }
@@ -140,7 +140,8 @@
 #[test_case(true, 0 => "0.050"; "never at once")]
 fn a_refusal_tells_when_to_come_back(fractions: bool, ms: u64) -> String {
     let reply = Reply::own(503, Some(Outcome::NotRun), "full").again(Duration::from_millis(ms));
-    let (_, response) = exchange(Words { fractions, ..another_dialect() }, request(&[], ""), reply);
+    let (_, response) =
+        exchange(HttpDialect { fractional_retry_after: fractions, ..another_dialect() }, request(&[], ""), reply);
     text(response.headers(), "retry-after")
 }
 
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -70,12 +70,12 @@
                 if !self.to_dispatcher(DispatcherMessage::Send(order)) {
                     return Some(Work::FunctionOwner(OwnerInput::Dispatched {
                         number,
-                        outcome: DispatchOutcome::Crowded,
+                        outcome: DispatchOutcome::NoConnection,
                     }));
                 }
             }
             OwnerOutput::Probe { id, address, after, limit } => {
-                let probe = DispatcherMessage::Probe { id: id.clone(), address, after, limit };
+                let probe = DispatcherMessage::Probe { id: id.clone(), address, delay: after, timeout: limit };
                 if !self.to_dispatcher(probe) {
                     return Some(Work::FunctionOwner(OwnerInput::Probed { id, ready: false }));
                 }
--- a/crates/traffic/src/dialect.rs
+++ b/crates/traffic/src/dialect.rs
@@ -3,7 +3,7 @@
 use crate::ops::Views;
 use crate::settings::RouterSettings;
 use axum::Router;
-use dispatch::Words;
+use dispatch::HttpDialect;
 use instance_provider::Start;
 
 pub type MakePages = Box<dyn FnOnce(Views) -> Router + Send>;
@@ -11,7 +11,7 @@
 /// The product's own dialect by default.
 #[derive(Default)]
 pub struct Dialect {
-    pub words: Words,
+    pub words: HttpDialect,
     /// Makes whoever runs the instances; by default that of the settings, in the product's own dialect.
     pub provider: Option<Start>,
     /// Further pages, and the address they are served at.
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -26,7 +26,7 @@
         let class = task.class;
         task.avoid = instance_id;
         match (outcome, class) {
-            (DispatchOutcome::NotSent | DispatchOutcome::Crowded, _) => {
+            (DispatchOutcome::Unreachable | DispatchOutcome::NoConnection, _) => {
                 task.dispatches -= 1;
                 task.not_before = now;
                 if task.is_first()
@@ -65,8 +65,8 @@
                     self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
                 }
             }
-            (DispatchOutcome::InDoubt { late, .. }, Class::Ordinary | Class::Single) => {
-                let status = if late { 504 } else { 502 };
+            (DispatchOutcome::InDoubt { timed_out, .. }, Class::Ordinary | Class::Single) => {
+                let status = if timed_out { 504 } else { 502 };
                 match class {
                     Class::Single => self.answer_own(number, Outcome::Unknown, status, Duration::ZERO),
                     _ => self.retry(number, true, Failure::unknown(status)),
@@ -122,11 +122,11 @@
             instance.used = now;
             match outcome {
                 DispatchOutcome::Complete { .. } if !turned_away => instance.proven = instance.proven.max(level),
-                DispatchOutcome::NotSent | DispatchOutcome::Crowded => instance.paused_until = now + PAUSE,
-                DispatchOutcome::InDoubt { late, .. } => {
+                DispatchOutcome::Unreachable | DispatchOutcome::NoConnection => instance.paused_until = now + PAUSE,
+                DispatchOutcome::InDoubt { timed_out, .. } => {
                     // It may still be at work on it: what it bore before proves nothing now.
                     instance.proven = 0;
-                    if *late {
+                    if *timed_out {
                         instance.foreign = if now < instance.foreign_until { instance.foreign + 1 } else { 1 };
                         instance.foreign_until = now + Duration::from_secs(2);
                     }
@@ -146,10 +146,10 @@
                 event!(instance_answer_in_doubt, "{instance_id}: another answers at its address")
             }
             DispatchOutcome::InDoubt { detail, .. } => event!(instance_answer_in_doubt, "{instance_id}: {detail}"),
-            DispatchOutcome::NotSent | DispatchOutcome::Crowded => {}
+            DispatchOutcome::Unreachable | DispatchOutcome::NoConnection => {}
         }
         let replaced = *outcome == DispatchOutcome::NotRun { wrong_instance: true };
-        if replaced || *outcome == DispatchOutcome::NotSent {
+        if replaced || *outcome == DispatchOutcome::Unreachable {
             self.outs.push(OwnerOutput::Forget { id: instance_id.to_owned() });
             if replaced { self.replaced(name, instance_id) } else { self.lose(name, instance_id) }
         }
--- a/crates/traffic/src/dispatch_pass.rs
+++ b/crates/traffic/src/dispatch_pass.rs
@@ -133,12 +133,12 @@
         self.running.insert(order, (number, name.to_owned(), instance_id.clone(), now, level));
         self.outs.push(OwnerOutput::Dispatch(DispatchOrder {
             number: order,
-            instance: instance_id,
+            instance_id,
             address: instance.address.clone(),
             head: task.head.clone(),
             body: task.body.clone(),
-            limit,
-            connections: scheduler.function.connections,
+            time_left: limit,
+            max_connections: scheduler.function.connections,
         }));
     }
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -68,7 +68,7 @@
 pub use allowances::{Allowances, Max};
 pub use budget::{Budget, Spent, Window};
 pub use dialect::{Dialect, MakePages};
-pub use dispatch::{DispatchOrder, DispatchOutcome, Words, send_to_instance};
+pub use dispatch::{DispatchOrder, DispatchOutcome, HttpDialect, send_to_instance};
 pub use earlier_owners::{EarlierOwners, MembershipHistory};
 pub use errors::RunError;
 pub use front::Front;
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -74,7 +74,7 @@
         .words
         .consumer
         .as_ref()
-        .map(|name| ConsumerHeader { name: name.as_str().to_owned(), value: dialect.words.consumer_name });
+        .map(|name| ConsumerHeader { name: name.as_str().to_owned(), value: dialect.words.format_consumer_name });
     let (words, door_words) = (dialect.words.clone(), Arc::new(dialect.words));
     let provider = dialect.provider;
     let (names, address) = (directory.clone(), settings.platform.clone());
@@ -120,7 +120,7 @@
             counts: BTreeMap::new(),
         };
         let traffic = find::<TrafficMessage>(&names, "traffic");
-        let report: dispatch::Report = Rc::new(move |report| tell(&traffic, report));
+        let report: dispatch::ReportHandler = Rc::new(move |report| tell(&traffic, report));
         let limits = move || bounded.borrow().server;
         local(async move {
             spawn_local(links::start(myself, adopt(peers), links_inbox, deliver(link_names)));
--- a/crates/traffic/tests/answers.rs
+++ b/crates/traffic/tests/answers.rs
@@ -13,7 +13,15 @@
     let head = RequestHead { method: "POST".into(), target: "/f".into(), headers: Vec::new().into() };
     let limit = Duration::from_secs(5);
     let (head, body) = (wire::to_bytes(&head), b"work".to_vec());
-    DispatchOrder { number: 1, instance: "i-1".into(), address, head, body, limit, connections: u32::MAX }
+    DispatchOrder {
+        number: 1,
+        instance_id: "i-1".into(),
+        address,
+        head,
+        body,
+        time_left: limit,
+        max_connections: u32::MAX,
+    }
 }
 
 fn outcome(answer: Vec<u8>) -> DispatchOutcome {
@@ -79,5 +87,5 @@
         drop(listener);
         send_to_instance(order(address)).await
     });
-    assert_eq!(reported, DispatchOutcome::NotSent);
+    assert_eq!(reported, DispatchOutcome::Unreachable);
 }
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -59,7 +59,7 @@
 }
 
 fn garbled() -> DispatchOutcome {
-    DispatchOutcome::InDoubt { detail: "garbled".into(), late: false }
+    DispatchOutcome::InDoubt { detail: "garbled".into(), timed_out: false }
 }
 
 fn failed() -> DispatchOutcome {
--- a/crates/traffic/tests/keyed.rs
+++ b/crates/traffic/tests/keyed.rs
@@ -80,7 +80,7 @@
     let mut owner = owner(true);
     let dispatch = first_is_sent(&mut owner);
     ask(&mut owner, 20, 8, b"x");
-    let outcome = DispatchOutcome::InDoubt { detail: "closed".into(), late: false };
+    let outcome = DispatchOutcome::InDoubt { detail: "closed".into(), timed_out: false };
     let outputs = owner.step(ms(50), true, OwnerInput::Dispatched { number: dispatch, outcome });
     let mut statuses: Vec<_> = told(&outputs).into_iter().map(|told| (told.0, told.1, told.2)).collect();
     statuses.sort_by_key(|told| told.0);
@@ -155,7 +155,7 @@
 }
 
 fn in_doubt(owner: &mut FunctionOwner, at: u64, may_serve: bool, number: u64) -> Vec<OwnerOutput> {
-    let outcome = DispatchOutcome::InDoubt { detail: "closed".into(), late: false };
+    let outcome = DispatchOutcome::InDoubt { detail: "closed".into(), timed_out: false };
     owner.step(ms(at), may_serve, OwnerInput::Dispatched { number, outcome })
 }
 
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -48,7 +48,7 @@
 
 fn sent(outputs: &[OwnerOutput]) -> Option<(u64, String)> {
     outputs.iter().find_map(|output| match output {
-        OwnerOutput::Dispatch(order) => Some((order.number, order.instance.clone())),
+        OwnerOutput::Dispatch(order) => Some((order.number, order.instance_id.clone())),
         _ => None,
     })
 }
@@ -68,7 +68,7 @@
 }
 
 fn doubt(late: bool) -> DispatchOutcome {
-    DispatchOutcome::InDoubt { detail: "closed".into(), late }
+    DispatchOutcome::InDoubt { detail: "closed".into(), timed_out: late }
 }
 
 #[test_case(doubt(false), 502; "no whole answer")]
@@ -88,8 +88,8 @@
     assert_eq!((reported(&outputs), sent(&outputs)), (Some((Outcome::Answered, 500, 0)), None));
 }
 
-#[test_case(DispatchOutcome::NotSent; "nobody listens")]
-#[test_case(DispatchOutcome::Crowded; "no connection")]
+#[test_case(DispatchOutcome::Unreachable; "nobody listens")]
+#[test_case(DispatchOutcome::NoConnection; "no connection")]
 fn an_instance_that_never_got_it_does_not_count(came: DispatchOutcome) {
     let (mut owner, first) = owner(1);
     let outputs = outcome(&mut owner, &first, came);
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -123,7 +123,7 @@
     owner.probed("i1", true);
     owner.feed(OwnerInput::Forward { from: OTHER, message: task(1) });
     let number = last_dispatch(&owner).expect("a dispatch").number;
-    owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
+    owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::Unreachable });
     owner.list(vec![line("i1", "w0", InstanceState::Running)]);
     owner.pass(100);
     assert_eq!((owner.count("ready"), owner.count("starting"), owner.starts.len()), (0, 1, 2));
@@ -140,7 +140,7 @@
         owner.list(vec![line("i1", "w0", InstanceState::Running)]);
         owner.feed(OwnerInput::Forward { from: OTHER, message: task(1) });
         let number = last_dispatch(&owner).expect("a dispatch").number;
-        owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
+        owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::Unreachable });
         for _ in 0..6 {
             owner.pass(1000);
             owner.list(if listed { vec![line("i1", "w0", InstanceState::Running)] } else { Vec::new() });
