--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -1,29 +1,29 @@
-//! What a router decides about a request of a limited consumer.
+//! Admission decision of a router on a request.
 
 use crate::limits::ConsumerId;
 use std::time::Duration;
 
-/// What an admitted request counts against.
+/// Credit that an admitted request has used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Charge {
-    /// Whose limit.
+    /// Consumer whose limit the request counts against.
     pub consumer: ConsumerId,
-    /// Until when its credit admits another request if this one does not run.
+    /// Time until which the credit can admit another request if this one does not run.
     pub(crate) expires_at: Duration,
 }
 
-/// Whether a request may go on.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Its consumer has no limit.
+    /// The consumer has no limit.
     Unlimited,
-    /// It may.
+    /// The request is admitted.
     Admit(Charge),
-    /// Credits are asked for.
+    /// The request waits for credits, which will be requested from a granter.
     Wait,
-    /// Its consumer is at its limit.
+    /// The consumer is at its limit.
     Refuse {
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
--- a/crates/quota/src/agreement.rs
+++ b/crates/quota/src/agreement.rs
@@ -1,9 +1,10 @@
-//! Agreement of the granters on the membership by which they divide limits. A granter deals out the least of its
-//! shares by all memberships that some other may still deal by: the one that it has now, and the earlier_granters ones until
-//! every other granter has answered that it has the same one.
+//! Agreement of the granters on the membership by which they divide limits. A granter uses the smallest of its shares
+//! over all memberships that another granter may still use: its current one and, until every other granter has
+//! confirmed that it has the same membership, the earlier ones.
 //!
-//! Invariant: at any moment there is one membership by which no granter's share is larger than its share here. So all
-//! granters together deal out no more than the limit, in whatever order they learn of memberships.
+//! Invariant: at any time there is one membership under which every granter's share is at least as large as the share
+//! that it uses. All granters together therefore never grant more than the limit, in whatever order they learn of
+//! memberships.
 
 use crate::granters::Granters;
 use std::collections::BTreeSet;
@@ -11,34 +12,36 @@
 use std::time::Duration;
 use wire::{NodeId, QuotaGrantersQuery, QuotaGrantersReply};
 
-/// Routers that have not answered are asked again after so long.
+/// Interval at which routers that have not replied are queried again.
 const QUERY_INTERVAL: Duration = Duration::from_millis(50);
-/// With more earlier_granters memberships than this in question, nothing is dealt out until they are settled.
+/// Maximum number of earlier memberships that may still be in use. Beyond it, nothing is granted until the granters
+/// agree.
 const MAX_EARLIER_GRANTERS: usize = 8;
 
-/// The routers of a membership, as far as granters need them.
+/// Routers of a membership, as far as granters need them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GranterMembership {
-    /// Those that grant.
+    /// Routers that grant credits.
     pub granters: Granters,
-    /// All members; one that is dropped holds no lease any more.
+    /// All members. A router that is dropped from the membership no longer has a lease.
     pub members: BTreeSet<NodeId>,
-    /// Members that are about to stop, and may have granted until now.
+    /// Members that are about to stop and may have granted credits until now.
     pub leaving: BTreeSet<NodeId>,
 }
 
+/// Tracks which memberships other granters may still use.
 #[derive(Debug)]
 pub(crate) struct MembershipAgreement {
     me: NodeId,
     membership: GranterMembership,
     current: Rc<Granters>,
-    /// By these some other router may still deal.
+    /// Granters of the earlier memberships that another router may still use.
     earlier_granters: Vec<Rc<Granters>>,
-    /// The routers of the earlier_granters ones.
+    /// All granters of the earlier memberships.
     earlier_granter_nodes: BTreeSet<NodeId>,
-    /// Since then this router has dealt out nothing by another membership than its present one.
+    /// Time since which this router has granted only by its current membership.
     granting_by_current_since: Duration,
-    /// Since then no router has, as far as those that agree say.
+    /// Time since which all routers have granted only by this membership, according to the confirmations so far.
     all_granting_by_current_since: Duration,
     round: u64,
     confirmed_nodes: BTreeSet<NodeId>,
@@ -46,7 +49,7 @@
 }
 
 impl MembershipAgreement {
-    /// `first_round` differs between incarnations, so that no answer to an earlier_granters one counts.
+    /// `first_round` differs between incarnations, so that replies to an earlier incarnation are ignored.
     pub(crate) fn new(me: NodeId, first_round: u64) -> MembershipAgreement {
         MembershipAgreement {
             me,
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Takes over a membership. Says whether shares may have changed.
+    /// Sets the current membership. Returns whether shares may have changed.
     pub(crate) fn set_membership(&mut self, now: Duration, membership: GranterMembership) -> bool {
         let has_changed = membership.granters != *self.current;
         self.membership = membership;
@@ -77,28 +80,30 @@
         self.try_settle() || has_changed
     }
 
-    /// This router was dropped from the membership: others may have taken its share over.
+    /// Handles that this router was dropped from the membership: other routers may have taken over its share.
     pub(crate) fn handle_membership_loss(&mut self, now: Duration) {
         self.granting_by_current_since = now;
         self.record_earlier(Rc::default());
         self.begin_round();
     }
 
-    /// The smallest share of this router over all memberships that count.
+    /// Returns the smallest share of this router over all memberships that may still be in use.
     pub(crate) fn min_share(&self, share: impl Fn(&Granters) -> f64) -> f64 {
         self.earlier_granters.iter().map(|granters| share(granters)).fold(share(&self.current), f64::min)
     }
 
-    /// Since when the shares of the settled membership are nobody else's: what they were refilled by is to be granted.
+    /// Returns the time from which new buckets are refilled. Since then no other router has granted from the shares of
+    /// the agreed membership, so their refill may be granted.
     pub(crate) fn refill_start(&self) -> Duration {
         self.all_granting_by_current_since
     }
 
+    /// Whether all granters are known to use the current membership.
     pub(crate) fn is_settled(&self) -> bool {
         self.earlier_granters.is_empty()
     }
 
-    /// Whom to ask now which membership it has.
+    /// Returns the queries to send now, which ask other routers for their membership.
     pub(crate) fn take_queries(&mut self, now: Duration) -> Vec<(NodeId, QuotaGrantersQuery)> {
         let is_due = self.last_query_at.is_none_or(|at| now >= at + QUERY_INTERVAL);
         if self.is_settled() || !self.current.contains(self.me) || !is_due {
@@ -118,7 +123,7 @@
         }
     }
 
-    /// Says whether shares may have changed.
+    /// Handles a reply to a query. Returns whether shares may have changed.
     pub(crate) fn handle_reply(&mut self, now: Duration, from: NodeId, reply: &QuotaGrantersReply) -> bool {
         if reply.round != self.round || reply.granters != self.current.fingerprint() {
             return false;
@@ -147,7 +152,7 @@
         self.earlier_granters.push(granters);
     }
 
-    /// Members that may deal by an earlier_granters membership, as far as is known here.
+    /// Returns the members that have not confirmed the current membership and may still use an earlier one.
     fn unconfirmed_nodes(&self) -> Vec<NodeId> {
         let GranterMembership { members, leaving, .. } = &self.membership;
         let relevant = self.current.nodes().iter().chain(&self.earlier_granter_nodes).chain(leaving);
@@ -155,6 +160,7 @@
         relevant.into_iter().filter(|node| *node != self.me && !self.confirmed_nodes.contains(node)).collect()
     }
 
+    /// Drops the earlier memberships once all routers have confirmed the current one. Returns whether it did.
     fn try_settle(&mut self) -> bool {
         if self.is_settled() || !self.current.contains(self.me) || !self.unconfirmed_nodes().is_empty() {
             return false;
--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,29 +1,31 @@
-//! One granter's part of a consumer's limit, as a token bucket.
+//! Token bucket for a granter's share of a consumer's limit.
 
 use crate::limits::GrantPolicy;
 use std::time::Duration;
 
-/// The shortest and the latest that a router is to ask again for what was not granted.
+/// Shortest and longest time after which a router may request credits again that were not granted.
 const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 
+/// Token bucket whose tokens are credits.
 #[derive(Debug)]
 pub(crate) struct GrantBucket {
     rate_per_s: f64,
     capacity: f64,
     level: f64,
-    /// Credits asked for and not granted, less what has been refilled since.
+    /// Credits that were requested and not granted, minus the refill since then.
     unmet: f64,
     refilled_at: Duration,
 }
 
 impl GrantBucket {
-    /// One that begins at a moment: what was granted before by others, or by an earlier incarnation, is not known.
+    /// Creates a bucket that is refilled from `start` on. It does not start full, since the credits granted before by
+    /// other routers or by an earlier incarnation are unknown.
     pub(crate) fn new(start: Duration, policy: &GrantPolicy, share: f64) -> GrantBucket {
         let (rate_per_s, capacity) = (policy.rate_per_s * share, policy.capacity * share);
         GrantBucket { rate_per_s, capacity, level: policy.initial * share, unmet: 0.0, refilled_at: start }
     }
 
-    /// Refilled by its share until now, and by another from now on.
+    /// Refills the bucket by its old share up to `now`, and uses the new share from then on.
     pub(crate) fn with_share(mut self, now: Duration, policy: &GrantPolicy, share: f64) -> GrantBucket {
         self.refill(now);
         let level = self.level.min(policy.capacity * share);
@@ -34,7 +36,7 @@
         self.rate_per_s
     }
 
-    /// Grants as much of what is requested as there is.
+    /// Grants as many of the requested credits as are available.
     pub(crate) fn grant(&mut self, now: Duration, requested: u32) -> u32 {
         self.refill(now);
         let granted = requested.min(self.level as u32);
@@ -44,7 +46,8 @@
         granted
     }
 
-    /// When to ask for more: once what others were refused too has been refilled.
+    /// Returns the time after which a router may request more: when the refill also covers what other routers were
+    /// refused.
     pub(crate) fn retry_after(&self) -> Duration {
         let (shortest, longest) = RETRY_AFTER_RANGE;
         let wait_s = self.unmet.max(1.0 - self.level) / self.rate_per_s;
--- a/crates/quota/src/consumer_meter.rs
+++ b/crates/quota/src/consumer_meter.rs
@@ -1,4 +1,4 @@
-//! One consumer as one router sees it: its credits, and which granter to ask for more.
+//! State of one consumer at one router: its credits, and the granters to request more from.
 
 use crate::credits::Credits;
 use crate::granter_health::GranterHealth;
@@ -8,50 +8,53 @@
 use std::time::Duration;
 use wire::NodeId;
 
-/// Over so long a router counts its own requests to know how many will come.
+/// Time constant of the arrival rate by which a router predicts the requests to come.
 const ARRIVAL_RATE_TIME_CONSTANT: Duration = Duration::from_secs(1);
-/// Credits are requested for prefetch_time for the requests of so long, or of half of a credit's lifetime.
+/// Maximum time for whose expected requests credits are requested in advance; at most half of the credit lifetime is
+/// used.
 const MAX_PREFETCH_TIME: Duration = Duration::from_millis(300);
 
-/// What this router counted of a consumer.
+/// Counts of the requests of one consumer at this router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConsumerUsage {
     /// Requests that arrived.
     pub arrived: u64,
     /// Requests admitted.
     pub admitted: u64,
-    /// Of those, the ones given back since they did not run.
+    /// Admitted requests whose credits were refunded because they did not run.
     pub refunded: u64,
-    /// Further attempts at admitted requests.
+    /// Extra attempts at admitted requests.
     pub extra_attempts: u64,
-    /// Requests refused beyond the limit.
+    /// Requests refused because the consumer was at its limit.
     pub refused: u64,
 }
 
-/// Whom to ask for credits.
+/// Where to request credits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CreditSource {
-    /// This granter may have some.
+    /// This granter may have credits.
     Granter(NodeId),
-    /// Those that answer have none before this moment.
+    /// No responsive granter has credits before this time.
     EmptyUntil(Duration),
-    /// No granter answers.
+    /// No granter is responsive.
     Unreachable,
 }
 
+/// Credits and request state of one consumer.
 #[derive(Debug)]
 pub(crate) struct ConsumerMeter {
     pub(crate) usage: ConsumerUsage,
     pub(crate) policy: GrantPolicy,
     pub(crate) credits: Credits,
-    /// The requests for credits that are under way, with what each asks for.
+    /// Unanswered credit requests by number, with the credits that each requests.
     pub(crate) in_flight: BTreeMap<u64, u32>,
     arrival_rate: RateEstimate,
     granters: Vec<NodeId>,
+    /// Granters that announced that they have no credits before a certain time.
     empty_until: BTreeMap<NodeId, Duration>,
-    /// Where in `granters` the next request begins.
+    /// Index in `granters` at which the search for the next granter starts, modulo their number.
     next_granter: usize,
-    /// Credits for further attempts at requests, and when they no longer count.
+    /// Credits owed for extra attempts; they no longer count from `debt_expires_at` on.
     debt: u32,
     debt_expires_at: Duration,
 }
@@ -82,7 +85,7 @@
         self.arrival_rate.add(now, 1.0);
     }
 
-    /// What further attempts cost counts for a window.
+    /// Adds the cost of extra attempts. It expires after one window.
     pub(crate) fn add_debt(&mut self, now: Duration, attempts: u32, window: Duration) {
         self.usage.extra_attempts += u64::from(attempts);
         self.debt = self.debt(now) + attempts;
@@ -94,7 +97,7 @@
         if now < self.debt_expires_at { self.debt } else { 0 }
     }
 
-    /// Takes a credit for a request, once what is debt is paid. Returns when it expires.
+    /// Takes a credit for a request after paying the debt. Returns the expiry time of the credit.
     pub(crate) fn take_credit(&mut self, now: Duration) -> Option<Duration> {
         self.pay_debt(now);
         if self.debt > 0 { None } else { self.credits.take(now) }
@@ -107,7 +110,7 @@
         }
     }
 
-    /// The next granter in next_granter that answers and may have something.
+    /// Returns the next responsive granter in rotation that may have credits.
     pub(crate) fn credit_source(&self, now: Duration, health: &GranterHealth) -> CreditSource {
         let count = self.granters.len();
         let rotation = (0..count).map(|step| self.granters[(self.next_granter + step) % count]);
@@ -123,7 +126,8 @@
         earliest.map_or(CreditSource::Unreachable, CreditSource::EmptyUntil)
     }
 
-    /// Credits to ask for where so many requests wait, besides those requested for already.
+    /// Returns the number of credits to request for the waiting and the expected requests, beyond those already
+    /// requested.
     pub(crate) fn credits_to_request(&self, now: Duration, waiting: usize) -> u32 {
         let requested: u32 = self.in_flight.values().sum();
         let missing = waiting.saturating_sub(requested as usize);
@@ -136,7 +140,7 @@
         (missing as f64 + expected).min(per_granter) as u32
     }
 
-    /// A request is sent; the next one goes to another granter.
+    /// Records a credit request that is sent. The next one goes to another granter.
     pub(crate) fn record_request(&mut self, number: u64, requested: u32) {
         self.in_flight.insert(number, requested);
         self.next_granter = self.next_granter.wrapping_add(1);
--- a/crates/quota/src/credits.rs
+++ b/crates/quota/src/credits.rs
@@ -1,9 +1,9 @@
-//! Credits of one consumer at one router: each admits one request, until it expires.
+//! Credits of one consumer at one router. Each admits one request before it expires.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Credits by when they expire.
+/// Credits by expiry time.
 #[derive(Debug, Default)]
 pub(crate) struct Credits {
     by_expiry: BTreeMap<Duration, u32>,
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Takes the one that expires first. Returns when that is.
+    /// Takes the credit that expires first. Returns its expiry time.
     pub(crate) fn take(&mut self, now: Duration) -> Option<Duration> {
         self.by_expiry.retain(|expires_at, _| now < *expires_at);
         let mut first = self.by_expiry.first_entry()?;
@@ -44,7 +44,7 @@
         credits.add(ms(0), ms(400), 1);
         credits.add(ms(0), ms(300), 2);
         assert_eq!(credits.take(ms(299)), Some(ms(300)));
-        assert_eq!(credits.take(ms(300)), Some(ms(400)), "the other one of 300 ms has expired");
+        assert_eq!(credits.take(ms(300)), Some(ms(400)), "the second credit valid until 300 ms has expired");
         assert!(credits.is_empty(ms(300)) && credits.take(ms(300)).is_none());
         credits.add(ms(500), ms(500), 1);
         assert!(credits.is_empty(ms(500)));
--- a/crates/quota/src/granter.rs
+++ b/crates/quota/src/granter.rs
@@ -1,4 +1,4 @@
-//! Grants credits to routers, each granter from its own part of the limits.
+//! Granter: grants credits to routers from its own share of the limits.
 
 use crate::agreement::{GranterMembership, MembershipAgreement};
 use crate::bucket::GrantBucket;
@@ -9,27 +9,28 @@
 use std::time::Duration;
 use wire::{NodeId, QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaRequest};
 
-/// When to ask one that grants nothing at present.
+/// Time after which to retry a router that currently grants nothing.
 const NOT_GRANTING_RETRY: Duration = Duration::from_millis(100);
 
-/// Numbers for operators.
+/// Statistics of a granter, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GranterStatistics {
-    /// Requests for credits that were answered.
+    /// Credit requests that were answered.
     pub requests: u64,
     /// Credits granted.
     pub granted: u64,
-    /// Credits asked for and not granted.
+    /// Credits that were requested and not granted.
     pub refused: u64,
-    /// Requests answered with nothing since this router did not grant.
+    /// Credit requests refused because this router was not a granter of the consumer, or had no lease.
     pub not_granting: u64,
-    /// Consumers of whose limits this router deals out a part.
+    /// Number of consumers of whose limits this router has a share.
     pub consumers: usize,
-    /// Whether all granters are known to update_buckets by the same membership.
+    /// Whether all granters are known to divide limits by the same membership.
     pub is_settled: bool,
 }
 
-/// One router's part of all limits. It has a part only by a membership that names it as a granter.
+/// Grants credits from one router's shares of all limits. A router has shares only under a membership that names it
+/// as a granter.
 #[derive(Debug)]
 pub struct QuotaGranter {
     me: NodeId,
@@ -41,7 +42,7 @@
 }
 
 impl QuotaGranter {
-    /// One that knows no membership yet.
+    /// Creates a granter without a membership.
     pub fn new(me: NodeId, incarnation: u64, bounds: QuotaBounds) -> QuotaGranter {
         QuotaGranter {
             me,
@@ -53,26 +54,26 @@
         }
     }
 
-    /// The limits from now on.
+    /// Replaces the limits.
     pub fn set_limits(&mut self, now: Duration, limits: Rc<QuotaLimits>) {
         self.limits = limits;
         self.update_buckets(now, now);
     }
 
-    /// The membership from now on.
+    /// Replaces the membership.
     pub fn set_membership(&mut self, now: Duration, membership: GranterMembership) {
         if self.agreement.set_membership(now, membership) {
             self.update_buckets(now, self.agreement.refill_start());
         }
     }
 
-    /// This router was dropped from the membership and joins anew.
+    /// Handles that this router was dropped from the membership and has to join again.
     pub fn handle_membership_loss(&mut self, now: Duration) {
         self.agreement.handle_membership_loss(now);
         self.update_buckets(now, now);
     }
 
-    /// Answers a request for credits. Without a serving lease nothing is granted.
+    /// Answers a credit request. Nothing is granted without a serving lease.
     pub fn handle_request(&mut self, now: Duration, has_lease: bool, request: &QuotaRequest) -> QuotaGrant {
         self.statistics.requests += 1;
         let bucket = self.buckets.get_mut(&ConsumerId(request.consumer)).filter(|_| has_lease);
@@ -87,35 +88,35 @@
         grant_message(request, granted, retry_after)
     }
 
-    /// What is to be asked of other granters now, if anything.
+    /// Returns the queries to send to other granters now.
     pub fn take_queries(&mut self, now: Duration) -> Vec<(NodeId, QuotaGrantersQuery)> {
         self.agreement.take_queries(now)
     }
 
-    /// Answers another granter.
+    /// Answers a query of another granter.
     pub fn handle_query(&self, now: Duration, query: &QuotaGrantersQuery) -> QuotaGrantersReply {
         self.agreement.handle_query(now, query)
     }
 
-    /// Another granter answered.
+    /// Handles the reply of another granter to a query.
     pub fn handle_reply(&mut self, now: Duration, from: NodeId, reply: &QuotaGrantersReply) {
         if self.agreement.handle_reply(now, from, reply) {
             self.update_buckets(now, self.agreement.refill_start());
         }
     }
 
-    /// Requests a second of a consumer that this router deals out.
+    /// Returns this router's share of a consumer's rate, in requests per second.
     pub fn refill_rate_per_s(&self, consumer: ConsumerId) -> f64 {
         self.buckets.get(&consumer).map_or(0.0, GrantBucket::rate_per_s)
     }
 
-    /// Numbers for operators.
+    /// Returns the statistics for operators.
     pub fn statistics(&self) -> GranterStatistics {
         let (consumers, is_settled) = (self.buckets.len(), self.agreement.is_settled());
         GranterStatistics { consumers, is_settled, ..self.statistics }
     }
 
-    /// Gives each bucket its share from now on. One that is new began at `refill_start`.
+    /// Gives each bucket its current share. New buckets are refilled from `refill_start` on.
     fn update_buckets(&mut self, now: Duration, refill_start: Duration) {
         let (me, agreement) = (self.me, &self.agreement);
         let mut previous = std::mem::take(&mut self.buckets);
--- a/crates/quota/src/granter_health.rs
+++ b/crates/quota/src/granter_health.rs
@@ -1,10 +1,10 @@
-//! Which granters do not answer at present.
+//! Tracks the granters that are currently unresponsive.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::NodeId;
 
-/// For how long one that did not answer is passed over, at first and at the most.
+/// First and longest time for which an unresponsive granter is skipped.
 const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
 
 #[derive(Clone, Copy, Debug)]
@@ -13,7 +13,7 @@
     duration: Duration,
 }
 
-/// Granters that left a request unanswered, with a backoff that doubles until they answer again.
+/// Granters that did not answer a request or whose link is down, with a backoff that doubles until they answer again.
 #[derive(Debug, Default)]
 pub(crate) struct GranterHealth {
     backoffs: BTreeMap<NodeId, Backoff>,
--- a/crates/quota/src/granters.rs
+++ b/crates/quota/src/granters.rs
@@ -1,17 +1,17 @@
-//! Which routers grant credits of a consumer, as a pure reading of the membership's owners.
+//! Selects the routers that grant credits of a consumer, as a pure function of the owners in the membership.
 
 use crate::limits::ConsumerId;
 use wire::NodeId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The routers that may grant credits by one membership.
+/// Routers that may grant credits under one membership.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Granters {
     nodes: Vec<NodeId>,
 }
 
 impl Granters {
-    /// These routers, in any order.
+    /// Creates the set from routers in any order.
     pub fn new(nodes: impl IntoIterator<Item = NodeId>) -> Granters {
         let mut nodes: Vec<NodeId> = nodes.into_iter().collect();
         nodes.sort_unstable();
@@ -27,14 +27,14 @@
         self.nodes.binary_search(&node).is_ok()
     }
 
-    /// The same for the same routers, on every machine.
+    /// Returns a hash of the set that is the same on every machine.
     pub(crate) fn fingerprint(&self) -> u64 {
         let bytes: Vec<u8> = self.nodes.iter().flat_map(|node| node.to_le_bytes()).collect();
         xxh3_64(&bytes)
     }
 
-    /// The granters of one consumer, best first: by rendezvous hashing, so that a change of one router changes those
-    /// of few consumers.
+    /// Returns the granters of one consumer, highest rank first. They are chosen by rendezvous hashing, so that adding
+    /// or removing a router changes the granters of few consumers.
     pub(crate) fn for_consumer(&self, consumer: ConsumerId, shards: usize) -> Vec<NodeId> {
         let mut ranked: Vec<(u64, NodeId)> =
             self.nodes.iter().map(|node| (rendezvous_score(consumer, *node), *node)).collect();
@@ -42,7 +42,7 @@
         ranked.into_iter().take(shards).map(|(_, node)| node).collect()
     }
 
-    /// The part of a consumer's limit that a router deals out.
+    /// Returns the fraction of a consumer's limit that a router grants.
     pub(crate) fn share(&self, node: NodeId, consumer: ConsumerId, shards: usize) -> f64 {
         if !self.contains(node) {
             return 0.0;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,10 +1,10 @@
-//! Limits on the requests of a consumer that hold over all routers together, whatever the demand, the delays and the
+//! Rate limits per consumer that hold over all routers together, regardless of demand, message delays and message
 //! losses.
 //!
-//! A request of a limited consumer is admitted by a credit. Credits are granted by a few routers, each of which deals
-//! out its own part of the limit ([`QuotaGranter`]), and expire soon after the router that uses them asked for them
-//! ([`QuotaMeter`]). Both are state machines without I/O and without a clock: times are durations since the process
-//! started. `docs/notes/quotas.md` has the argument why no window exceeds the bound.
+//! Each request of a limited consumer needs a credit. Credits are granted by a few routers, each from its own share of
+//! the limit ([`QuotaGranter`]), and expire soon after the router that uses them requested them ([`QuotaMeter`]). Both
+//! types are state machines without I/O and without a clock: times are durations since the process started.
+//! `docs/notes/quotas.md` explains why no window exceeds the bound.
 
 #![warn(missing_docs)]
 
@@ -31,7 +31,8 @@
 pub use meter::{MeterStatistics, QuotaMeter};
 pub use round_trips::{ROUND_TRIP_BOUNDS, RoundTrips};
 
-/// Numbers of one incarnation are not those of another, so that an answer to an earlier one finds nothing open.
+/// Returns a start for the request numbers of an incarnation. Each incarnation has a range of its own, so that a late
+/// reply to an earlier incarnation matches no open request.
 fn first_number(incarnation: u64) -> u64 {
     (incarnation & 0x3fff_ffff) << 32
 }
--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -1,58 +1,62 @@
-//! What consumers may use, by how much the fleet may err, and how both are dealt out.
+//! Limits of consumers, the tolerated excess over them, and how granters divide both.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The part of the allowed error that credits may take by being used late.
+/// Fraction of the allowance for credits that are used late in their lifetime.
 const LATE_USE_FRACTION: f64 = 0.4;
-/// The part of the allowed error that new buckets hold together: a consumer with few requests a second would else
-/// wait for long after its granters restarted.
+/// Fraction of the allowance that new buckets hold together. Without it, a consumer with few requests per second would
+/// wait long after a restart of its granters.
 const INITIAL_FRACTION: f64 = 0.1;
-/// The part of the allowed error that is kept for new buckets, of two restarts of each granter in a window, or of one
-/// and of what a lease by peers that outlasts a membership and limits that reach routers one after the other add.
+/// Fraction of the allowance that is reserved for new buckets. It covers two restarts of each granter in a window, or
+/// one restart and what is added by a lease by peers that outlasts a membership and by limits that reach routers one
+/// after the other.
 const RESERVED_FRACTION: f64 = 0.2;
-/// The shortest and the longest time for which a credit is valid.
+/// Shortest and longest lifetime of a credit.
 const CREDIT_LIFETIME_RANGE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(500));
-/// A granter deals at least so many requests a second, where there are more than `MIN_SHARDS`.
+/// Minimum rate of a granter in requests per second, if there are more than `MIN_SHARDS` granters.
 const MIN_RATE_PER_SHARD: f64 = 8.0;
-/// A granter's bucket holds at least so many requests.
+/// Minimum capacity of a granter's bucket in requests.
 const MIN_CAPACITY_PER_SHARD: f64 = 1.5;
-/// With one granter of two lost, a consumer keeps half of its rate.
+/// Minimum number of granters of a consumer, as far as the capacity suffices. With two, the loss of one granter would
+/// halve a consumer's rate until another takes its place.
 const MIN_SHARDS: f64 = 3.0;
-/// With one granter of eight lost, a consumer keeps more than its usual if that is two thirds of its rate.
+/// Maximum number of granters of a consumer. More granters make each granter's part of a limit too small to serve the
+/// usual load, which is about two thirds of the limit: eight refused 3% of it, although the loss of one of eight would
+/// leave a consumer more than its usual load.
 const MAX_SHARDS: f64 = 4.0;
 
-/// Names a consumer: the hash of its name, the same on every router.
+/// Identifies a consumer by the hash of its name, which is the same on every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConsumerId(pub u64);
 
-/// What one consumer may use over all routers together.
+/// Limit of one consumer over all routers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConsumerLimit {
-    /// Requests a second; 0 or less for no limit.
+    /// Requests per second; 0 or less means no limit.
     pub rate_per_s: f64,
-    /// Requests besides, in any window.
+    /// Additional requests in any window.
     pub burst: f64,
 }
 
 impl ConsumerLimit {
-    /// Whether there is a limit at all.
+    /// Whether the consumer is limited.
     pub fn is_limited(&self) -> bool {
         self.rate_per_s > 0.0
     }
 }
 
-/// The limits in force. Consumers that are not listed have none.
+/// Limits in force by consumer. Consumers that are not listed have no limit.
 pub type QuotaLimits = BTreeMap<ConsumerId, ConsumerLimit>;
 
-/// By how much all routers together may go beyond a limit.
+/// Bounds on the excess over a limit, for all routers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
-    /// The window in which requests are counted.
+    /// Window in which requests are counted.
     pub window: Duration,
-    /// The part of the limit by which a window's count may be over it.
+    /// Fraction of the limit by which the count in a window may exceed it.
     pub overrun: f64,
-    /// Requests by which it may be over it besides.
+    /// Number of requests by which the count may exceed the limit in addition.
     pub slack: f64,
 }
 
@@ -63,35 +67,35 @@
 }
 
 impl QuotaBounds {
-    /// What a consumer may use in a window by its limit alone.
+    /// Returns the requests in a window that the limit itself permits.
     pub fn limit_in_window(&self, limit: ConsumerLimit) -> f64 {
         limit.rate_per_s * self.window.as_secs_f64() + limit.burst
     }
 
-    /// The requests in a window by which the fleet may err.
+    /// Returns the requests in a window by which all routers together may exceed the limit.
     pub fn allowance(&self, limit: ConsumerLimit) -> f64 {
         self.limit_in_window(limit) * self.overrun + self.slack
     }
 
-    /// The most requests in any window.
+    /// Returns the maximum number of requests in any window.
     pub fn max_in_window(&self, limit: ConsumerLimit) -> f64 {
         self.limit_in_window(limit) + self.allowance(limit)
     }
 }
 
-/// How one consumer's limit is dealt out over all granters together, so that in any window of length `w`
-/// `rate_per_s * (w + credit_lifetime) + capacity` is within what is allowed.
+/// Parameters by which all granters together grant one consumer's limit. In any window of length `w`,
+/// `rate_per_s * (w + credit_lifetime) + capacity` stays within the allowed maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct GrantPolicy {
-    /// Requests a second by which the buckets are refilled.
+    /// Refill rate of all buckets together, in requests per second.
     pub(crate) rate_per_s: f64,
-    /// What the buckets hold at most.
+    /// Capacity of all buckets together.
     pub(crate) capacity: f64,
-    /// What new buckets hold.
+    /// Initial level of new buckets, together.
     pub(crate) initial: f64,
-    /// For how long a credit is valid, from when it was requested.
+    /// Lifetime of a credit, counted from the request for it.
     pub(crate) credit_lifetime: Duration,
-    /// Among how many granters the limit is divided.
+    /// Number of granters that the limit is divided among.
     pub(crate) shards: usize,
 }
 
@@ -102,7 +106,8 @@
         let credit_lifetime = Duration::try_from_secs_f64(lifetime_s).unwrap_or(longest).clamp(shortest, longest);
         let granted_in_window = bounds.limit_in_window(limit) + bounds.allowance(limit) * (1.0 - RESERVED_FRACTION);
         let span_s = (bounds.window + credit_lifetime).as_secs_f64();
-        // Less than one request could never be granted: where so little is allowed, the rate gives way.
+        // A capacity below one request would never grant anything, so the rate is reduced instead if so little is
+        // allowed.
         let capacity = (granted_in_window - limit.rate_per_s * span_s).max(1.0);
         let rate_per_s = limit.rate_per_s.min((granted_in_window - capacity).max(0.0) / span_s);
         let shards = (rate_per_s / MIN_RATE_PER_SHARD).ceil().clamp(MIN_SHARDS, MAX_SHARDS);
--- a/crates/quota/src/meter.rs
+++ b/crates/quota/src/meter.rs
@@ -1,4 +1,4 @@
-//! A router's side: admits requests by the credits that it has, and asks granters for more.
+//! Meter of a router: admits requests while it has credits, and requests more from granters.
 
 use crate::admission::{Admission, Charge};
 use crate::consumer_meter::{ConsumerMeter, ConsumerUsage, CreditSource};
@@ -13,29 +13,29 @@
 use std::time::Duration;
 use wire::{NodeId, QuotaGrant, QuotaRequest};
 
-/// A request waits for a granter that has something so soon.
+/// Longest time that a request waits for a granter that will have credits again.
 const MAX_WAIT_FOR_REFILL: Duration = Duration::from_millis(40);
-/// The soonest that one refused is told to come back, and the latest.
+/// Shortest and longest time after which a refused caller is told to retry.
 const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(5));
 
-/// Numbers for operators.
+/// Statistics of a meter, for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MeterStatistics {
-    /// Requests refused since their consumers were at their limits.
+    /// Requests refused because their consumers were at their limits.
     pub refused_over_limit: u64,
-    /// Requests for credits sent.
+    /// Credit requests sent.
     pub requests: u64,
-    /// Of those, the ones not answered in time.
+    /// Credit requests not answered in time.
     pub timeouts: u64,
-    /// Answers that came too late for their credits to admit anything.
+    /// Grants that arrived after their credits had expired.
     pub expired_grants: u64,
-    /// Granters that do not answer at present.
+    /// Granters that are currently unresponsive.
     pub silent_granters: usize,
-    /// How long answers took.
+    /// Round-trip times of credit requests.
     pub round_trips: RoundTrips,
 }
 
-/// Decides for one router.
+/// Admits the requests of limited consumers at one router.
 #[derive(Debug)]
 pub struct QuotaMeter {
     me: NodeId,
@@ -43,7 +43,7 @@
     limits: Rc<QuotaLimits>,
     granters: Granters,
     consumers: BTreeMap<ConsumerId, ConsumerMeter>,
-    /// Those with requests that wait.
+    /// Consumers with waiting requests or unpaid extra attempts.
     consumers_needing_credits: BTreeSet<ConsumerId>,
     open_requests: OpenRequests,
     health: GranterHealth,
@@ -52,7 +52,7 @@
 }
 
 impl QuotaMeter {
-    /// A meter of a router that starts now.
+    /// Creates the meter of a router that is starting.
     pub fn new(me: NodeId, incarnation: u64, bounds: QuotaBounds) -> QuotaMeter {
         QuotaMeter {
             me,
@@ -68,14 +68,14 @@
         }
     }
 
-    /// The limits from now on.
+    /// Replaces the limits.
     pub fn set_limits(&mut self, limits: Rc<QuotaLimits>) {
         self.limits = limits;
         self.consumers.retain(|consumer, _| self.limits.get(consumer).is_some_and(ConsumerLimit::is_limited));
         self.assign_granters();
     }
 
-    /// The routers that grant from now on.
+    /// Replaces the routers that grant credits.
     pub fn set_granters(&mut self, granters: Granters) {
         if granters != self.granters {
             self.health.retain(granters.nodes());
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether a request may go on; `is_first` where it was not asked about before.
+    /// Decides on a request. `is_first` is true for the first call for this request.
     pub fn admit(&mut self, now: Duration, consumer: ConsumerId, is_first: bool) -> Admission {
         let Some(limit) = self.limit(consumer) else { return Admission::Unlimited };
         let (bounds, granters, me) = (&self.bounds, &self.granters, self.me);
@@ -113,7 +113,8 @@
         Admission::Wait
     }
 
-    /// A request that was admitted did not run: its credit may admit another one while it is valid.
+    /// Refunds the credit of an admitted request that did not run. The credit can admit another request until it
+    /// expires.
     pub fn refund(&mut self, now: Duration, charge: Charge) {
         if let Some(meter) = self.consumers.get_mut(&charge.consumer) {
             meter.usage.refunded += 1;
@@ -121,7 +122,8 @@
         }
     }
 
-    /// An admitted request is sent to further instances: each counts like a request, and is paid by the next credits.
+    /// Charges extra attempts of an admitted request at other instances. Each counts as a request and is paid by the
+    /// next credits.
     pub fn charge_extra_attempts(&mut self, now: Duration, consumer: ConsumerId, attempts: u32) {
         let window = self.bounds.window;
         if let Some(meter) = self.consumers.get_mut(&consumer) {
@@ -130,7 +132,7 @@
         }
     }
 
-    /// The requests for credits to be sent now, where `waiting` tells how many requests of a consumer wait.
+    /// Returns the credit requests to send now. `waiting` returns the number of waiting requests of a consumer.
     pub fn take_requests(
         &mut self,
         now: Duration,
@@ -156,7 +158,7 @@
         requests
     }
 
-    /// A granter answered. Returns the consumer whose waiting requests are to be looked at.
+    /// Handles a grant. Returns the consumer whose waiting requests should be decided again.
     pub fn handle_grant(&mut self, now: Duration, from: NodeId, grant: &QuotaGrant) -> Option<ConsumerId> {
         let request = self.open_requests.take(grant.number, from)?;
         self.health.record_answer(from);
@@ -172,7 +174,7 @@
         Some(request.consumer)
     }
 
-    /// The link to a router is down. Returns the consumers that waited for its answer.
+    /// Handles a lost link to a router. Returns the consumers that were waiting for its grants.
     pub fn handle_link_down(&mut self, now: Duration, node: NodeId) -> Vec<ConsumerId> {
         if self.granters.contains(node) {
             self.health.record_failure(now, node);
@@ -181,7 +183,7 @@
         self.remove_in_flight(given_up)
     }
 
-    /// Turns to other granters where answers are late. Returns the consumers that waited for them.
+    /// Gives up on late grants, so that other granters are asked. Returns the consumers that were waiting for them.
     pub fn handle_tick(&mut self, now: Duration) -> Vec<ConsumerId> {
         let given_up = self.open_requests.give_up_late(now, self.statistics.round_trips.timeout());
         for granter in self.open_requests.take_unresponsive_granters(now) {
@@ -191,17 +193,17 @@
         self.remove_in_flight(given_up)
     }
 
-    /// What this router counted of a consumer.
+    /// Returns this router's counts of a consumer.
     pub fn usage(&self, consumer: ConsumerId) -> Option<ConsumerUsage> {
         self.consumers.get(&consumer).map(|meter| meter.usage)
     }
 
-    /// Whether a consumer has credits here.
+    /// Returns whether a consumer has credits at this router.
     pub fn has_credits(&self, now: Duration, consumer: ConsumerId) -> bool {
         self.consumers.get(&consumer).is_some_and(|meter| !meter.credits.is_empty(now))
     }
 
-    /// Numbers for operators.
+    /// Returns the statistics for operators.
     pub fn statistics(&self, now: Duration) -> MeterStatistics {
         MeterStatistics { silent_granters: self.health.backing_off_count(now), ..self.statistics.clone() }
     }
@@ -210,7 +212,7 @@
         self.limits.get(&consumer).copied().filter(ConsumerLimit::is_limited)
     }
 
-    /// Others are asked in the place of these requests.
+    /// Stops counting these requests as in flight, so that others are sent in their place. Returns their consumers.
     fn remove_in_flight(&mut self, given_up: Vec<(u64, ConsumerId)>) -> Vec<ConsumerId> {
         let mut consumers = Vec::new();
         for (number, consumer) in given_up {
--- a/crates/quota/src/open_requests.rs
+++ b/crates/quota/src/open_requests.rs
@@ -1,28 +1,30 @@
-//! The requests for credits that are not answered yet.
+//! Credit requests that are not answered yet.
 
 use crate::limits::ConsumerId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::NodeId;
 
-/// A granter that has not answered for so long is passed over.
+/// Time without an answer after which the granter is skipped.
 const UNANSWERED_AFTER: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
+    /// The answer is awaited.
     Awaited,
-    /// Another granter is asked in its place; an answer is still taken.
+    /// Another granter is asked instead; an answer is still accepted.
     Late,
-    /// Its granter is passed over for a while.
+    /// The granter is skipped for a while.
     Unanswered,
 }
 
+/// Credit request that is not answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OpenRequest {
     pub(crate) consumer: ConsumerId,
     pub(crate) granter: NodeId,
     pub(crate) sent_at: Duration,
-    /// When the credits that it asks for expire.
+    /// Expiry time of the requested credits.
     pub(crate) expires_at: Duration,
     progress: Progress,
 }
@@ -37,7 +39,7 @@
     }
 }
 
-/// Requests by number.
+/// Open requests by number.
 #[derive(Debug, Default)]
 pub(crate) struct OpenRequests {
     requests: BTreeMap<u64, OpenRequest>,
@@ -48,23 +50,24 @@
         self.requests.insert(number, request);
     }
 
-    /// Takes out the one that this granter answers.
+    /// Removes the request with this number if it was sent to this granter.
     pub(crate) fn take(&mut self, number: u64, granter: NodeId) -> Option<OpenRequest> {
         self.requests.get(&number).filter(|request| request.granter == granter)?;
         self.requests.remove(&number)
     }
 
-    /// Those of a granter that are awaited count as late from now on. Returns their numbers and consumers.
+    /// Marks the awaited requests to a granter as late. Returns their numbers and consumers.
     pub(crate) fn give_up_granter(&mut self, granter: NodeId) -> Vec<(u64, ConsumerId)> {
         self.give_up(|request| request.granter == granter)
     }
 
-    /// The same for those that were sent so long ago.
+    /// Marks the awaited requests that are older than the timeout as late. Returns their numbers and consumers.
     pub(crate) fn give_up_late(&mut self, now: Duration, timeout: Duration) -> Vec<(u64, ConsumerId)> {
         self.give_up(|request| now >= request.sent_at + timeout)
     }
 
-    /// The granters of requests that have just become unanswered. Those whose credits have expired too are forgotten.
+    /// Returns the granters of requests that have newly become unanswered. Unanswered requests whose credits have
+    /// expired are dropped.
     pub(crate) fn take_unresponsive_granters(&mut self, now: Duration) -> Vec<NodeId> {
         let mut unresponsive = Vec::new();
         for request in self.requests.values_mut().filter(|request| request.is_unanswered(now)) {
--- a/crates/quota/src/rate.rs
+++ b/crates/quota/src/rate.rs
@@ -1,8 +1,8 @@
-//! An estimate of how many requests come a second, in which older ones fade.
+//! Estimate of a request rate in which older requests have less weight.
 
 use std::time::Duration;
 
-/// An exponentially fading mean rate.
+/// Exponentially decaying mean rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateEstimate {
     per_s: f64,
--- a/crates/quota/src/round_trips.rs
+++ b/crates/quota/src/round_trips.rs
@@ -1,8 +1,8 @@
-//! How long granters take to answer: a histogram for operators, and how long to wait for an answer.
+//! Round-trip times of credit requests: a histogram for operators, and the timeout derived from them.
 
 use std::time::Duration;
 
-/// The upper ends of the histogram's buckets; what took longer is in the last one.
+/// Upper bounds of the histogram buckets. A last bucket counts longer round trips.
 pub const ROUND_TRIP_BOUNDS: [Duration; 9] = [
     Duration::from_millis(2),
     Duration::from_millis(5),
@@ -14,19 +14,22 @@
     Duration::from_millis(500),
     Duration::from_millis(1000),
 ];
-/// The shortest and the longest time to wait for an answer.
+/// Shortest and longest time to wait for an answer.
 const TIMEOUT_RANGE: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(65));
-/// Of each measurement, the part by which the mean and the mean deviation follow, as TCP's do.
+/// Weight of each measurement in the mean, as for the smoothed round-trip time of TCP.
 const MEAN_GAIN: f64 = 0.125;
+/// Weight of each measurement in the mean deviation, as for TCP.
 const DEVIATION_GAIN: f64 = 0.25;
+/// Number of mean deviations above the mean at which a request times out.
 const DEVIATION_FACTOR: f64 = 4.0;
 
-/// Answers by how long they took.
+/// Distribution of round-trip times.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoundTrips {
-    /// Answers within each of `ROUND_TRIP_BOUNDS` and above the bound before it, then those above the last.
+    /// Number of round trips in each bucket: up to each of `ROUND_TRIP_BOUNDS` and above the previous bound, then above
+    /// the last bound.
     pub counts: [u64; ROUND_TRIP_BOUNDS.len() + 1],
-    /// The sum of all.
+    /// Sum of all round-trip times.
     pub sum: Duration,
     mean_s: Option<f64>,
     deviation_s: f64,
@@ -43,7 +46,7 @@
         self.mean_s = Some(mean_s + (took_s - mean_s) * MEAN_GAIN);
     }
 
-    /// After so long another granter is asked.
+    /// Returns the time after which another granter is asked.
     pub(crate) fn timeout(&self) -> Duration {
         let (shortest, longest) = TIMEOUT_RANGE;
         let Some(mean_s) = self.mean_s else { return longest };
--- a/crates/quota/tests/credits.rs
+++ b/crates/quota/tests/credits.rs
@@ -1,4 +1,4 @@
-//! One router's meter and its granters, message by message.
+//! Message-level tests of a meter and of granters.
 
 use quota::{
     Admission, ConsumerId, ConsumerLimit, GranterMembership, Granters, QuotaBounds, QuotaGranter, QuotaLimits,
@@ -11,7 +11,7 @@
 
 const ME: NodeId = 7;
 const CONSUMER: ConsumerId = ConsumerId(99);
-/// Long enough for a bucket to be full.
+/// Time at which all buckets are full.
 const BUCKETS_FULL_AT: Duration = Duration::from_secs(60);
 
 fn ms(ms: u64) -> Duration {
@@ -52,12 +52,12 @@
     meter.handle_grant(now, from, &QuotaGrant { number, granted, retry_after_ms: 0 });
 }
 
-/// All that a granter grants at a moment.
+/// Takes all the credits that a granter has at a given time.
 fn take_all_credits(granter: &mut QuotaGranter, now: Duration) -> u32 {
     granter.handle_request(now, true, &QuotaRequest { number: 1, consumer: CONSUMER.0, wanted: 10_000 }).granted
 }
 
-/// Carries what granters ask each other, and the answers.
+/// Delivers the queries of the granters to each other, and the replies.
 fn exchange_queries(granters: &mut [(NodeId, QuotaGranter)], now: Duration) {
     for sender in 0..granters.len() {
         for (to, query) in granters[sender].1.take_queries(now) {
@@ -122,11 +122,11 @@
     meter.admit(ms(0), CONSUMER, true);
     let (to, request) = next_request(&mut meter, ms(0)).expect("a request for credits");
     deliver_grant(&mut meter, ms(1), to, request.number, 1);
-    let Admission::Admit(charge) = meter.admit(ms(2), CONSUMER, true) else { panic!("a credit is there") };
+    let Admission::Admit(charge) = meter.admit(ms(2), CONSUMER, true) else { panic!("a credit is available") };
     meter.refund(ms(3), charge);
-    let Admission::Admit(charge) = meter.admit(ms(4), CONSUMER, true) else { panic!("it was given back") };
+    let Admission::Admit(charge) = meter.admit(ms(4), CONSUMER, true) else { panic!("the credit was refunded") };
     meter.refund(ms(1000), charge);
-    assert!(!meter.has_credits(ms(1000), CONSUMER), "it has expired meanwhile");
+    assert!(!meter.has_credits(ms(1000), CONSUMER), "the credit has expired");
 }
 
 #[test]
@@ -137,7 +137,7 @@
     deliver_grant(&mut meter, ms(1), to, request.number, 1);
     assert!(matches!(meter.admit(ms(2), CONSUMER, true), Admission::Admit(_)));
     meter.charge_extra_attempts(ms(3), CONSUMER, 2);
-    let (to, request) = next_request(&mut meter, ms(3)).expect("what is owed is asked for");
+    let (to, request) = next_request(&mut meter, ms(3)).expect("credits for the extra attempts are requested");
     assert!(request.wanted >= 2, "{request:?}");
     deliver_grant(&mut meter, ms(4), to, request.number, 3);
     let admitted = (0..10).filter(|_| matches!(meter.admit(ms(5), CONSUMER, true), Admission::Admit(_))).count();
@@ -181,7 +181,7 @@
     assert_eq!(granter.handle_request(BUCKETS_FULL_AT, true, &request).granted, 0);
     let a_second_later = granter.handle_request(BUCKETS_FULL_AT + ms(1000), true, &request);
     assert!((19..=20).contains(&a_second_later.granted), "{a_second_later:?}");
-    assert_eq!(granter.handle_request(BUCKETS_FULL_AT + ms(9000), false, &request).granted, 0, "it has no lease");
+    assert_eq!(granter.handle_request(BUCKETS_FULL_AT + ms(9000), false, &request).granted, 0, "no lease");
 }
 
 #[test]
@@ -201,7 +201,7 @@
     assert_eq!(
         take_all_credits(&mut granters[1].1, BUCKETS_FULL_AT + ms(5000)),
         0,
-        "the other one has the limit for itself"
+        "the other granter still has the whole limit"
     );
     granters[0].1.set_membership(BUCKETS_FULL_AT + ms(5000), membership(both));
     exchange_queries(&mut granters, BUCKETS_FULL_AT + ms(5000));
@@ -217,7 +217,7 @@
     let mut granters: Vec<(NodeId, QuotaGranter)> = [1, 2, 3].map(|id| (id, granter(id, 1, ms(0), three))).into();
     exchange_queries(&mut granters, ms(0));
     granters.iter_mut().for_each(|(_, granter)| _ = take_all_credits(granter, BUCKETS_FULL_AT));
-    // The first one hears that the third is gone, and the third that it is there.
+    // The first granter learns that the third has left; the third still knows the old membership.
     granters[0].1.set_membership(BUCKETS_FULL_AT, membership(two));
     exchange_queries(&mut granters, BUCKETS_FULL_AT);
     let sum: u32 =
@@ -242,7 +242,7 @@
     let both = &[1, 2];
     let mut before = granter(1, 1, ms(0), both);
     let other = granter(2, 1, ms(0), both);
-    let (_, query) = before.take_queries(ms(0)).pop().expect("it asks the other one");
+    let (_, query) = before.take_queries(ms(0)).pop().expect("a query to the other granter");
     let reply = other.handle_query(ms(1), &query);
     let mut restarted = granter(1, 2, ms(0), both);
     restarted.handle_reply(ms(2), 2, &reply);
--- a/crates/quota/tests/fleet/common/faults.rs
+++ b/crates/quota/tests/fleet/common/faults.rs
@@ -1,4 +1,4 @@
-//! What happens to the simulated fleet.
+//! Faults and changes injected into the simulated fleet.
 
 use super::fleet::{Event, Fleet, GRANTER_COUNT, node_id, node_index};
 use quota::{ConsumerLimit, Granters};
@@ -6,20 +6,20 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// From a router's death or return until the others are told.
+/// Time from a crash or return of a router until the membership changes.
 const MEMBERSHIP_CHANGE_DELAY: Duration = Duration::from_secs(2);
 
-/// What happens to the fleet.
+/// Fault or change that is injected into the fleet.
 #[derive(Clone, Debug)]
 pub enum Fault {
     Kill(usize),
     Start(usize),
-    /// Loses its lease and is dropped from the membership, while it runs on.
+    /// The router loses its lease and is dropped from the membership, but keeps running.
     Drop(usize),
-    /// Stands still, with its clock going on.
+    /// The router stops processing while its clock continues.
     Freeze(usize),
     Thaw(usize),
-    /// These routers and the others don't hear each other.
+    /// These routers are partitioned from the others.
     Partition(BTreeSet<usize>),
     Heal,
     SetLimit(usize, ConsumerLimit),
@@ -41,7 +41,7 @@
         self.schedule(at, Event::MembershipChanged);
     }
 
-    /// The connections to it end, as they do with a process.
+    /// Kills a router. The connections to it end, as those of a killed process do.
     fn kill(&mut self, n: usize) {
         self.nodes[n] = None;
         for at in 0..self.nodes.len() {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Others hear of it before it joins again.
+    /// Drops a router from the membership. The others learn of it before the router joins again.
     fn drop_from_membership(&mut self, n: usize) {
         let Some(node) = &mut self.nodes[n] else { return };
         node.has_lease = false;
--- a/crates/quota/tests/fleet/common/fleet.rs
+++ b/crates/quota/tests/fleet/common/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated routers and what happens to them.
+//! Event loop of the simulated routers.
 
 use super::faults::Fault;
 use super::limit_checker::LimitChecker;
@@ -15,11 +15,11 @@
 use wire::NodeId;
 
 const TICK: Duration = Duration::from_millis(20);
-/// A request waits for a credit so long.
+/// Longest time that a request waits for a credit.
 const MAX_CREDIT_WAIT: Duration = Duration::from_millis(180);
-/// Callers come once the fleet has formed.
+/// Time of the first requests, when the fleet has formed.
 const FIRST_ARRIVAL: Duration = Duration::from_secs(1);
-/// The strong machines, which grant.
+/// Number of routers that may be granters and owners, which have the lowest indices.
 pub(super) const GRANTER_COUNT: usize = 8;
 
 #[derive(Clone)]
@@ -34,7 +34,7 @@
     Fault(Fault),
     /// The membership changes.
     MembershipChanged,
-    /// A router hears the newest membership.
+    /// A router receives the newest membership.
     Membership(usize, u64),
     /// A router notices that its connection to another has ended.
     LinkDown {
@@ -48,7 +48,7 @@
     pub consumers: Vec<Consumer>,
     pub limit_checker: LimitChecker,
     pub network: Network,
-    /// Routers hear of a membership within so long of each other.
+    /// Maximum delay until a router receives a changed membership.
     pub membership_spread: Duration,
     pub(super) bounds: QuotaBounds,
     pub(super) nodes: Vec<Option<Node>>,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Looks again at all that waits at a router.
+    /// Decides again on all waiting requests of a router.
     pub(super) fn decide_waiting(&mut self, n: usize) {
         let Some(node) = &mut self.nodes[n] else { return };
         for request in std::mem::take(&mut node.waiting) {
--- a/crates/quota/tests/fleet/common/limit_checker.rs
+++ b/crates/quota/tests/fleet/common/limit_checker.rs
@@ -1,10 +1,11 @@
-//! What the fleet admitted and refused, held against the limits.
+//! Compares what the fleet admitted and refused with the limits.
 
 use super::load::Consumer;
 use quota::{ConsumerId, ConsumerLimit, QuotaBounds};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+/// Counts of one consumer.
 #[derive(Default)]
 struct Record {
     arrived: VecDeque<Duration>,
@@ -12,39 +13,41 @@
     arrivals: u64,
     admissions: u64,
     refused_within_limit: u64,
-    /// The largest part of the error allowed that a window used; below zero if it kept within the limit.
+    /// Largest fraction of the allowance that a window used; below zero if all windows stayed within the limit.
     max_allowance_used: f64,
-    /// The same in requests beyond the limit.
+    /// Requests over the limit in that window.
     max_over_limit: f64,
-    /// What one bucket with all knowledge would have admitted.
+    /// Requests that a single global token bucket would have admitted.
     ideal_admissions: f64,
     ideal_level: f64,
     ideal_updated_at: Duration,
 }
 
-/// Both errors of one run.
+/// Both kinds of error in one run: requests admitted over a limit, and requests refused within one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Errors {
-    /// Of the error allowed in a window, the largest part used by any consumer; over 1 breaks the bound.
+    /// Largest fraction of the allowance in a window that any consumer used; over 1 violates the bound.
     pub allowance_used: f64,
     /// Requests over the limit in that window.
     pub over: f64,
-    /// Of the requests of consumers that stay within their limits, the part refused.
+    /// Fraction refused of the requests of consumers without a surge, counted while they are within their limits.
     pub refused: f64,
-    /// The same for the consumer with the largest part.
+    /// Largest such fraction of a single consumer.
     pub refused_worst: f64,
-    /// Of all requests of consumers that go beyond their limits, the part refused while they were within.
+    /// Fraction of all requests of consumers with a surge that were refused while these were within their limits.
     pub hot_refused: f64,
-    /// What those were admitted of what one bucket with all knowledge would have admitted.
+    /// Requests of consumers with a surge that were admitted, relative to what a single global token bucket would have
+    /// admitted.
     pub hot_admitted: f64,
 }
 
+/// Records arrivals, admissions and refusals, and computes the errors.
 pub struct LimitChecker {
-    /// The largest part of a limit's rate that was dealt out at one moment; over 1 is more than the limit.
+    /// Largest fraction of a limit's rate that all granters had at one time; over 1 is more than the limit.
     pub max_granted_share: f64,
     bounds: QuotaBounds,
     records: BTreeMap<ConsumerId, Record>,
-    /// Windows that reach back over lowered limits are judged by the highest of those before.
+    /// Earlier limits that were lowered. Windows that include a lowering are checked against the highest limit in them.
     lowered: BTreeMap<ConsumerId, Vec<(Duration, ConsumerLimit)>>,
 }
 
@@ -63,7 +66,7 @@
         in_window.chain([consumer.limit]).max_by(|a, b| a.rate_per_s.total_cmp(&b.rate_per_s)).unwrap_or(consumer.limit)
     }
 
-    /// Says whether the consumer has asked for no more than its limit in the window that ends now.
+    /// Records a request. Returns whether the consumer has stayed within its limit in the window that ends now.
     pub fn record_arrival(&mut self, now: Duration, consumer: &Consumer) -> bool {
         let window = self.bounds.window;
         let limit = self.bounds.limit_in_window(self.limit_in_force(now, consumer));
--- a/crates/quota/tests/fleet/common/load.rs
+++ b/crates/quota/tests/fleet/common/load.rs
@@ -1,15 +1,15 @@
-//! Who asks for how much, and when.
+//! Simulated consumers and their request rates.
 
 use quota::{ConsumerId, ConsumerLimit};
 use std::time::Duration;
 
-/// A time in which a consumer sends a multiple of its usual.
+/// Period in which a consumer sends a multiple of its usual rate.
 #[derive(Clone, Copy)]
 pub struct Surge {
     pub from: Duration,
     pub to: Duration,
     pub factor: f64,
-    /// If not zero, the surge is on for so long, then off for so long, in phase.
+    /// If not zero, the surge alternates between on and off, each for this long.
     pub half_period: Duration,
 }
 
@@ -32,8 +32,8 @@
     }
 }
 
-/// As many consumers, a few of them large, that ask for so much together; each may use 1.6 times its usual, with a
-/// burst of so many seconds of that.
+/// Creates `count` consumers, a few of them large, that send `total_per_s` requests together. The limit of each is 1.6
+/// times its usual rate, with a burst of `burst_s` seconds of that.
 pub fn consumers(count: usize, total_per_s: f64, burst_s: f64) -> Vec<Consumer> {
     let weight = |n: usize| 1.0 / (n as f64 + 1.0);
     let sum: f64 = (0..count).map(weight).sum();
--- a/crates/quota/tests/fleet/common/members.rs
+++ b/crates/quota/tests/fleet/common/members.rs
@@ -1,4 +1,4 @@
-//! The membership of the simulated fleet, and who hears of it.
+//! Membership of the simulated fleet, and its delivery to routers.
 
 use super::fleet::{Fleet, GRANTER_COUNT, node_id, node_index};
 use super::node::Node;
@@ -8,7 +8,8 @@
 use wire::NodeId;
 
 impl Fleet {
-    /// All granters with a lease deal out no more than each consumer's limit, whatever memberships they know.
+    /// Records the fraction of each limit that all granters with a lease have together. It must not exceed 1, whatever
+    /// memberships they know.
     pub(super) fn check_shares(&mut self) {
         for consumer in &self.consumers {
             let leased = self.nodes.iter().take(GRANTER_COUNT).flatten().filter(|node| node.has_lease);
@@ -25,7 +26,7 @@
         self.membership = GranterMembership { granters, members, leaving: BTreeSet::new() };
     }
 
-    /// A router hears the newest membership, and with it has its lease.
+    /// Delivers the newest membership to a router, which thereby has its lease.
     pub(super) fn deliver_membership(&mut self, n: usize) {
         let Some(node) = self.nodes[n].as_mut().filter(|node| !node.is_frozen) else { return };
         let now = self.now - node.started_at;
@@ -35,8 +36,8 @@
         node.granter.set_membership(now, self.membership.clone());
     }
 
-    /// Whether the owner of the request's function, one of the strong machines, can be reached: if not, the request
-    /// is not served whatever the limit says.
+    /// Whether a router can reach the owner of the request's function, one of the routers that may be granters. If not,
+    /// the request is not served regardless of the limit.
     pub(super) fn can_reach_owner(&mut self, n: usize) -> bool {
         let owner = self.random.random_range(0..GRANTER_COUNT.min(self.nodes.len()));
         let is_available = self.nodes[owner].as_ref().is_some_and(Node::takes_requests);
--- a/crates/quota/tests/fleet/common/mod.rs
+++ b/crates/quota/tests/fleet/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of meters and granters on a simulated network: delays, losses, deaths, cuts, and callers' requests.
+//! Simulated fleet of meters and granters, with callers' requests, message delays and losses, crashes and partitions.
 
 pub mod faults;
 pub mod fleet;
--- a/crates/quota/tests/fleet/common/network.rs
+++ b/crates/quota/tests/fleet/common/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: delays, losses and cuts, and what goes over it.
+//! Simulated network: delays, losses, partitions and traffic counts.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use wire::{QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaRequest, to_bytes};
 
-/// A frame besides its record, and what TCP and IP add.
+/// Overhead per message: the frame around the record, and the TCP and IP headers.
 const FRAME_BYTES: usize = 100;
 
 #[derive(Clone)]
@@ -36,11 +36,12 @@
 }
 
 pub struct Network {
-    /// Of the messages, the part that is lost.
+    /// Fraction of messages that are lost.
     pub loss: f64,
-    /// The longest way of a message.
+    /// Longest delay of a message.
     pub longest_delay: Duration,
     pub traffic: BTreeMap<usize, Traffic>,
+    /// Routers on one side of a partition.
     pub partition: BTreeSet<usize>,
 }
 
@@ -52,12 +53,12 @@
 }
 
 impl Network {
-    /// Whether two routers hear each other.
+    /// Whether messages between two routers arrive.
     pub fn connects(&self, from: usize, to: usize) -> bool {
         self.partition.contains(&from) == self.partition.contains(&to)
     }
 
-    /// How long a message takes, unless it is lost.
+    /// Returns the delay of a message, or `None` if it is lost.
     pub fn delay(
         &mut self,
         random: &mut ChaCha8Rng,
--- a/crates/quota/tests/fleet/common/node.rs
+++ b/crates/quota/tests/fleet/common/node.rs
@@ -1,4 +1,4 @@
-//! One simulated router.
+//! Simulated router.
 
 use super::network::QuotaMessage;
 use quota::{QuotaBounds, QuotaGranter, QuotaMeter};
@@ -6,17 +6,17 @@
 use std::time::Duration;
 use wire::NodeId;
 
-/// A request that waits for a credit.
+/// Request that waits for a credit.
 #[derive(Clone, Copy)]
 pub struct Waiting {
     pub consumer: usize,
-    /// Its consumer had asked for no more than its limit when it came, and it could have been served.
+    /// Whether the consumer was within its limit when the request arrived, and the request could have been served.
     pub is_within_limit: bool,
     pub expires_at: Duration,
 }
 
 pub struct Node {
-    /// It is a member, and callers come to it.
+    /// Whether the router is a member and receives callers' requests.
     pub is_serving: bool,
     pub has_lease: bool,
     pub is_frozen: bool,
@@ -25,13 +25,13 @@
     pub meter: QuotaMeter,
     pub granter: QuotaGranter,
     pub waiting: VecDeque<Waiting>,
-    /// What came while it stood still.
+    /// Messages received while the router was frozen.
     pub held_messages: Vec<(usize, QuotaMessage)>,
 }
 
 impl Node {
     pub fn new(id: NodeId, now: Duration, bounds: QuotaBounds) -> Node {
-        // As routers draw theirs: a later one may be the lower.
+        // Pseudo-random as in real routers: a later incarnation may have a lower number.
         let incarnation = (1 + now.as_millis() as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 8;
         Node {
             is_serving: false,
@@ -50,7 +50,7 @@
         self.is_serving && !self.is_frozen
     }
 
-    /// Returns the answer, if there is one.
+    /// Handles a message. Returns the reply, if there is one.
     pub fn receive(&mut self, now: Duration, from: NodeId, message: &QuotaMessage) -> Option<QuotaMessage> {
         let now = now - self.started_at;
         match message {
--- a/crates/quota/tests/fleet/main.rs
+++ b/crates/quota/tests/fleet/main.rs
@@ -1,8 +1,9 @@
-//! Both errors of the limits over whole fleets, under the faults of a day: what went beyond a limit in any window,
-//! and what was refused within one. The columns are: what happens, routers, the largest part used
-//! of the error allowed in a window, the requests over the limit in it, refused of those of consumers within their
-//! limits (all, the worst), refused of the hot ones while they were within, what these were admitted by one bucket
-//! with all knowledge, messages a second and kilobytes a second (the middle router, the busiest). `cargo test -p quota --test fleet -- --nocapture --test-threads 1` prints the table.
+//! Both errors of the limits in simulated fleets under faults: requests admitted over a limit in any window, and
+//! requests refused within one. The columns of the printed table are: scenario, routers, largest fraction used of the
+//! allowance in a window, requests over the limit in it, fraction refused of the requests of consumers within their
+//! limits (all, the worst consumer), fraction refused of hot consumers' requests while within their limits, their
+//! admitted requests relative to a single global token bucket, messages per second, and kilobytes per second (the
+//! median router, the busiest). `cargo test -p quota --test fleet -- --nocapture --test-threads 1` prints the table.
 
 mod common;
 mod random_faults;
@@ -25,7 +26,7 @@
 
 fn fleet(seed: u64, routers: usize, burst_s: f64) -> Fleet {
     let load = consumers(79, REQUESTS_PER_ROUTER * routers as f64, burst_s);
-    // QUOTA_SEED=1, 2, ... plays other days.
+    // QUOTA_SEED=1, 2, ... selects other random seeds.
     let extra_seed = std::env::var("QUOTA_SEED").ok().and_then(|seed| seed.parse().ok()).unwrap_or(0);
     Fleet::new(seed + 1000 * extra_seed, routers, QuotaBounds::default(), load)
 }
@@ -35,13 +36,13 @@
     fleet.consumers[consumer].surges.push(surge);
 }
 
-/// Kills a router, which is back after so long.
+/// Kills a router, and starts it again after `after` seconds.
 fn restart(fleet: &mut Fleet, router: usize, at: f64, after: f64) {
     fleet.inject(s(at), Fault::Kill(router));
     fleet.inject(s(at + after), Fault::Start(router));
 }
 
-/// Runs it to the end, prints its line and returns its errors.
+/// Runs a fleet to the end, prints its line of the table and returns its errors.
 fn measure(name: &str, routers: usize, mut fleet: Fleet) -> Errors {
     let end = s(28.0);
     fleet.run(end);
@@ -132,7 +133,7 @@
 fn router_restarts_exceed_no_limit(routers: usize) {
     let mut fleet = fleet(6, routers, 0.5);
     surge(&mut fleet, HOT, 7.5, 0.0);
-    // A sixth of the small machines, back under new incarnations.
+    // A sixth of the routers, none of them granters, restart under new incarnations.
     (10..10 + routers / 6).for_each(|n| restart(&mut fleet, n, 10.0, 3.0));
     let errors = measure("a sixth killed and back", routers, fleet);
     assert!(errors.allowance_used <= 1.0 && errors.refused < 0.005, "{errors:?}");
--- a/crates/quota/tests/fleet/random_faults.rs
+++ b/crates/quota/tests/fleet/random_faults.rs
@@ -1,5 +1,5 @@
-//! No window exceeds a limit, whatever happens: faults drawn at random, and shrunk to the least that break the bound.
-//! `PROPTEST_CASES=5000 cargo test --release -p quota --test fleet drawn` plays more of them.
+//! Property test that no window exceeds its bound under random faults. Failing cases are shrunk to the fewest faults.
+//! `PROPTEST_CASES=5000 cargo test --release -p quota --test fleet random_faults` runs more cases.
 
 use crate::common::faults::Fault;
 use crate::common::fleet::Fleet;
@@ -100,7 +100,8 @@
     }
 }
 
-/// The part of the allowed error that a window used at the most, and the part of a limit dealt out at the most.
+/// Returns the largest fraction of the allowance that a window used, and the largest fraction of a limit that the
+/// granters had at one time.
 fn run_scenario(scenario: &Scenario) -> (f64, f64) {
     let load = consumers(CONSUMERS, 12.0 * ROUTERS as f64, scenario.burst_s);
     let mut fleet = Fleet::new(scenario.seed, ROUTERS, QuotaBounds::default(), load);
@@ -120,7 +121,7 @@
     #[test]
     fn random_faults_exceed_no_limit(scenario in scenario()) {
         let (used, granted) = run_scenario(&scenario);
-        prop_assert!(used <= 1.0, "{:.0} % of the allowed error", used * 100.0);
-        prop_assert!(granted <= 1.0 + 1e-9, "{:.0} % of a limit dealt out at one moment", granted * 100.0);
+        prop_assert!(used <= 1.0, "{:.0} % of the allowance used", used * 100.0);
+        prop_assert!(granted <= 1.0 + 1e-9, "{:.0} % of a limit granted at one time", granted * 100.0);
     }
 }
