--- a/crates/dispatch/src/connection.rs
+++ b/crates/dispatch/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an instance, with one request at a time on it.
+//! Connection to an instance that carries one request at a time.
 
 use crate::HttpDialect;
 use crate::instance_request::InstanceRequest;
@@ -11,13 +11,15 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long bytes after an answer are waited for, where no id tells whose they are.
-/// An instance whose machine is gone or cut off says nothing, and was not heard to have taken the task.
+/// Time after which unacknowledged data ends the connection: an instance whose machine is gone or cut off sends
+/// nothing, not even an acknowledgement that it has received the task.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(2000);
+/// How long to wait for surplus bytes after a response, if no request id tells whose bytes they are.
 const SURPLUS_WAIT: Duration = Duration::from_millis(40);
+/// Initial size of the read buffer.
 const READ_BYTES: usize = 8 * 1024;
 
-/// Counts a connection as open for as long as it lives.
+/// Guard that counts a connection as open while it exists.
 pub(crate) struct OpenCount(Rc<Cell<u32>>);
 
 impl OpenCount {
@@ -26,6 +28,7 @@
         OpenCount(count.clone())
     }
 
+    /// Whether this guard belongs to the given counter.
     pub fn counts_in(&self, count: &Rc<Cell<u32>>) -> bool {
         Rc::ptr_eq(&self.0, count)
     }
@@ -50,9 +53,11 @@
     pub reusable: bool,
 }
 
+/// Reason why an exchange has no response.
 pub(crate) enum ExchangeError {
-    /// Not a byte unsent.
+    /// No byte of the request was sent.
     NotSent,
+    /// The instance may have run the request.
     InDoubt(String),
 }
 
@@ -68,12 +73,13 @@
         Ok(Connection { stream, open_count, last_used: Instant::now() })
     }
 
-    /// Neither closed nor with bytes on it that nobody asked for.
+    /// Whether the connection is still open and has no unexpected bytes to read.
     pub fn is_idle(&self) -> bool {
         let mut byte = [0u8; 1];
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
+    /// Sends a request and reads the complete response to it.
     pub async fn exchange(
         &mut self,
         request: &InstanceRequest,
@@ -84,25 +90,25 @@
             match self.stream.write(unsent).await {
                 Ok(written) if written > 0 => unsent = &unsent[written..],
                 _ if unsent.len() == request.bytes.len() => return Err(ExchangeError::NotSent),
-                // It may have answered before it closed.
+                // The instance may have answered before it closed the connection.
                 _ => break,
             }
         }
         let mut bytes = Vec::with_capacity(READ_BYTES);
         let head = self.read_head(&mut bytes, request, dialect).await?;
         if let Some(encoding) = head.content_encoding.as_ref().filter(|encoding| !request.accepts_encoding(encoding)) {
-            return in_doubt(format!("encoded as {encoding}, which nobody asked for"));
+            return in_doubt(format!("response encoded as {encoding}, which the request does not accept"));
         }
         let (body, end) = self.read_body(&mut bytes, &head).await?;
         let surplus = bytes.len() > end;
         if request.request_id.is_none() && (surplus || self.receives_more().await) {
-            return in_doubt("bytes after the answer's declared end");
+            return in_doubt("surplus bytes after the end of the response");
         }
         let reusable = !surplus && !head.closes_connection && unsent.is_empty() && request.request_id.is_some();
         Ok(Response { head, body, reusable })
     }
 
-    /// The head of the answer to this request and to no other.
+    /// Reads response heads until the final one, which must echo the id of this request.
     async fn read_head(
         &mut self,
         bytes: &mut Vec<u8>,
@@ -117,14 +123,14 @@
                     drop(bytes.drain(..head_bytes))
                 }
                 Ok(Some(head)) if request.request_id.is_some() && head.request_id != request.request_id => {
-                    return in_doubt("an answer to another request");
+                    return in_doubt("response with another request id");
                 }
                 Ok(Some(head)) => return Ok(head),
             }
         }
     }
 
-    /// The body and the place where it ends.
+    /// Reads the body. Returns it with the position of its end in the buffer.
     async fn read_body(&mut self, bytes: &mut Vec<u8>, head: &ResponseHead) -> Result<(Vec<u8>, usize), ExchangeError> {
         if let BodyLength::Exactly(length) = head.body_length {
             let end = head.head_bytes + length;
@@ -149,9 +155,9 @@
             bytes.reserve(READ_BYTES.max(bytes.len()).min(MAX_HEAD_BYTES));
         }
         match self.stream.read_buf(bytes).await {
-            Ok(0) => in_doubt("closed before the answer's end"),
+            Ok(0) => in_doubt("connection closed before the end of the response"),
             Ok(_) => Ok(()),
-            Err(error) => in_doubt(format!("no whole answer: {error}")),
+            Err(error) => in_doubt(format!("connection failed before the end of the response: {error}")),
         }
     }
 
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher's thread: it sends each order over a kept connection or a new one, and tells what
-//! came of it. It chooses no instance and tries nothing twice that may have time_left.
+//! Dispatcher loop: sends each order over a pooled or a new connection and reports its outcome. It does
+//! not choose instances, and never resends a request of which any byte may have been sent.
 
 use crate::connection::{Connection, ExchangeError, OpenCount, Response};
 use crate::instance_request::InstanceRequest;
@@ -13,21 +13,21 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// How long a connection to an instance may take.
+/// Maximum time to open a connection to an instance.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// An instance that stops at the deadline it was handed may say so itself.
+/// Extra time after the deadline, so that an instance that stops at its deadline can still report that itself.
 const DEADLINE_GRACE: Duration = Duration::from_millis(20);
-/// The time between two looks for connections that have been idle too long.
+/// Interval between checks for connections that have been idle for too long.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// The first pause between two tries of a probe.
+/// First pause between two attempts of a probe.
 const MIN_PROBE_PAUSE: Duration = Duration::from_millis(25);
-/// The longest pause between two tries of a probe.
+/// Longest pause between two attempts of a probe.
 const MAX_PROBE_PAUSE: Duration = Duration::from_millis(120);
 
-/// Takes what came of a message to the dispatcher.
+/// Callback that receives the reports of the dispatcher.
 pub type ReportHandler = Rc<dyn Fn(DispatchReport)>;
 
-/// Sends requests to instances. Clones share the pool of kept connections.
+/// Sends requests to instances. Clones share the connection pool.
 #[derive(Clone)]
 pub struct Dispatcher {
     dialect: Rc<HttpDialect>,
@@ -55,18 +55,18 @@
     }
 }
 
-/// One order on a connection of its own, in the product's own dialect.
+/// Sends one order over a connection of its own, in the product's own dialect.
 pub async fn send_to_instance(order: DispatchOrder) -> DispatchOutcome {
     Dispatcher::new(HttpDialect::default()).send(order).await
 }
 
 impl Dispatcher {
-    /// A dispatcher for a dialect, with an empty pool.
+    /// Creates a dispatcher for a dialect, with an empty pool.
     pub fn new(dialect: HttpDialect) -> Dispatcher {
         Dispatcher { dialect: Rc::new(dialect), pool: Rc::default() }
     }
 
-    /// Takes a message; whether it may lead to connections that are kept.
+    /// Handles a message. Returns whether this may add connections to the pool.
     fn handle(&self, message: DispatcherMessage, report: &ReportHandler) -> bool {
         let (dispatcher, report) = (self.clone(), report.clone());
         match message {
@@ -87,15 +87,14 @@
         true
     }
 
-    /// Sends one request and tells what its answer may be believed to say, soon after the order's limit at the
-    /// latest.
+    /// Sends one request and returns its outcome, at the latest shortly after the time left for the order.
     pub async fn send(&self, order: DispatchOrder) -> DispatchOutcome {
         let Some(request) = InstanceRequest::new(&order, &self.dialect) else {
             return DispatchOutcome::Complete { status: 400, head: Vec::new(), body: Vec::new(), turned_away: false };
         };
         match timeout(order.time_left + DEADLINE_GRACE, self.exchange(&order, &request)).await {
             Ok(outcome) => outcome,
-            Err(_) => DispatchOutcome::InDoubt { detail: "no whole answer in time".into(), timed_out: true },
+            Err(_) => DispatchOutcome::InDoubt { detail: "no complete response in time".into(), timed_out: true },
         }
     }
 
@@ -130,6 +129,7 @@
         }
     }
 
+    /// Derives the outcome of a request from its response.
     fn classify(&self, response: ResponseHead, body: Vec<u8>) -> DispatchOutcome {
         let dialect = &self.dialect;
         let is_rejection = matches!(response.status, 408 | 429 | 503);
@@ -137,12 +137,15 @@
             421 if dialect.pinned_instance.is_some() => return DispatchOutcome::NotRun { wrong_instance: true },
             408 | 429 | 500..600 if response.not_run => return DispatchOutcome::NotRun { wrong_instance: false },
             100..400 if response.not_run => {
-                return DispatchOutcome::InDoubt { detail: "not run and yet answered".into(), timed_out: false };
+                return DispatchOutcome::InDoubt {
+                    detail: "response status contradicts the header for requests that were not run".into(),
+                    timed_out: false,
+                };
             }
-            // Passed on, it would be a promise that the instance did not give.
+            // If passed on, the status would promise that the request did not run, which the instance did not state.
             status if dialect.not_run.is_some() && !response.not_run && is_rejection => {
                 return DispatchOutcome::InDoubt {
-                    detail: format!("{status} without a word that it was not run"),
+                    detail: format!("status {status} without the header for requests that were not run"),
                     timed_out: false,
                 };
             }
@@ -152,7 +155,7 @@
         DispatchOutcome::Complete { status: response.status, head: response.encoded_headers, body, turned_away }
     }
 
-    /// Whether the instance took a connection within the limit; one that it took is kept.
+    /// Returns whether the instance accepts a connection within the timeout, and pools that connection.
     pub async fn probe(&self, id: &str, address: &str, delay: Duration, timeout: Duration) -> bool {
         sleep(delay).await;
         let started = Instant::now();
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Closes the kept connections to an instance.
+    /// Closes the pooled connections to an instance.
     pub fn forget(&self, id: &str) {
         self.pool.forget(id);
     }
@@ -192,6 +195,7 @@
         .unwrap_or(Err(io::ErrorKind::TimedOut.into()))
 }
 
+/// Whether the error means that no instance can be reached at the address.
 fn is_unreachable(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionRefused, HostUnreachable, InvalidInput, NetworkUnreachable};
     matches!(error.kind(), ConnectionRefused | HostUnreachable | NetworkUnreachable | InvalidInput)
--- a/crates/dispatch/src/forwarded_headers.rs
+++ b/crates/dispatch/src/forwarded_headers.rs
@@ -1,10 +1,11 @@
-//! Which of a caller's headers go on to the instance, and which of an instance's come back: the
-//! hop's own stay behind, as does anything that speaks in the system's name.
+//! Selects the headers that are forwarded from a caller to an instance and back. Hop-by-hop headers
+//! and headers that only the system itself may set are dropped.
 
 use crate::HttpDialect;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use wire::{HeaderField, List};
 
+/// Headers that apply to a single connection, or that this client sets itself.
 const HOP_BY_HOP_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -19,6 +20,7 @@
     "expect",
 ];
 
+/// Drops hop-by-hop headers, those listed in `Connection` headers, and those in `dropped`.
 fn end_to_end_headers(headers: &[(&str, &[u8])], dropped: &[&Option<HeaderName>]) -> List<HeaderField> {
     let connection_headers = headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case("connection"));
     let lists = connection_headers.filter_map(|(_, value)| std::str::from_utf8(value).ok());
@@ -34,7 +36,7 @@
     kept.map(field).collect::<Vec<_>>().into()
 }
 
-/// A caller's headers that go on to an instance.
+/// Returns the headers of a caller's request that are forwarded to an instance.
 pub fn forwarded_request_headers(map: &HeaderMap, dialect: &HttpDialect) -> List<HeaderField> {
     let headers: Vec<(&str, &[u8])> = map.iter().map(|(name, value)| (name.as_str(), value.as_bytes())).collect();
     end_to_end_headers(
@@ -43,13 +45,13 @@
     )
 }
 
-/// An instance's headers that go back to the caller.
+/// Returns the headers of an instance's response that are forwarded to the caller.
 pub fn forwarded_response_headers(headers: &[httparse::Header<'_>], dialect: &HttpDialect) -> List<HeaderField> {
     let headers: Vec<(&str, &[u8])> = headers.iter().map(|header| (header.name, header.value)).collect();
     end_to_end_headers(&headers, &[&dialect.outcome])
 }
 
-/// Appends header lines to a map; what is no valid header is left out.
+/// Appends header fields to a map and skips those that are not valid headers.
 pub fn append_headers(map: &mut HeaderMap, fields: &List<HeaderField>) {
     for field in fields.iter() {
         let name = HeaderName::from_bytes(field.name.as_str().as_bytes());
--- a/crates/dispatch/src/http_dialect.rs
+++ b/crates/dispatch/src/http_dialect.rs
@@ -1,32 +1,32 @@
-//! The names of headers and paths that differ from one dialect to another. The default is the
-//! product's own dialect; a header that is not named is neither read nor written.
+//! Names of headers and paths that differ between the HTTP dialects that a router can speak. The
+//! default is the product's own dialect. A header without a name is neither read nor written.
 
 use hyper::header::HeaderName;
 
-/// The header names, the path and the number format of one dialect.
+/// Header names, task path and number format of one HTTP dialect.
 #[derive(Clone, Debug)]
 pub struct HttpDialect {
-    /// The caller's id of a request, which instances echo.
+    /// Request id set by the caller; instances echo it in the response.
     pub request_id: Option<HeaderName>,
-    /// Milliseconds: what a caller will wait, and what an instance is left.
+    /// Time limit in milliseconds: how long the caller waits, and how much of that is left for the instance.
     pub deadline: Option<HeaderName>,
-    /// The instance a request is meant for; every other one answers 421.
+    /// Id of the instance that a request is meant for; any other instance answers 421.
     pub pinned_instance: Option<HeaderName>,
-    /// With it an instance says that it did not run the request.
+    /// Set by an instance on a response to a request that it did not run.
     pub not_run: Option<HeaderName>,
-    /// With it a router tells what became of a task.
+    /// Set by a router to tell the caller the outcome of a task.
     pub outcome: Option<HeaderName>,
-    /// The caller's key of a run-once or deferred task.
+    /// Idempotency key of a run-once or deferred task, set by the caller.
     pub idempotency_key: Option<HeaderName>,
-    /// The caller's API key; instances never see it.
+    /// API key of the caller; never forwarded to instances.
     pub api_key: Option<HeaderName>,
-    /// With it an instance is told whose request it runs, whatever the caller sent.
+    /// Name of the consumer whose request an instance runs; replaces whatever the caller sent.
     pub consumer: Option<HeaderName>,
-    /// The name of a consumer as instances are told it.
+    /// Converts the name of a consumer to the form that is sent to instances.
     pub format_consumer_name: fn(&str) -> String,
-    /// The path below which the state of deferred tasks can be asked.
+    /// Path prefix under which the state of deferred tasks can be queried.
     pub task_path: Option<&'static str>,
-    /// Whether callers read `Retry-After` in fractional_retry_after of a second.
+    /// Whether `Retry-After` is sent with fractions of a second.
     pub fractional_retry_after: bool,
 }
 
--- a/crates/dispatch/src/instance_request.rs
+++ b/crates/dispatch/src/instance_request.rs
@@ -1,15 +1,17 @@
-//! A request as it is written to an instance: one run of bytes, so that it leaves in one call. Nothing
-//! that could be read as the end of a header goes into it.
+//! Serialization of a request to an instance, into one buffer so that one call can send it. A request with
+//! bytes that could be read as the end of a header is rejected.
 
 use crate::{DispatchOrder, HttpDialect};
 use hyper::header::HeaderName;
 use wire::RequestHead;
 
+/// Serialized request to an instance.
 pub(crate) struct InstanceRequest {
     pub bytes: Vec<u8>,
     pub request_id: Option<Vec<u8>>,
-    /// Whether the answer to it has no body, whatever its length says.
+    /// Whether the response has no body regardless of its declared length.
     pub response_has_no_body: bool,
+    /// Values of the `Accept-Encoding` headers in lower case, separated by commas.
     accepted_encodings: String,
 }
 
@@ -23,6 +25,7 @@
 }
 
 impl InstanceRequest {
+    /// Serializes an order. Returns `None` if its head is malformed or unsafe to write.
     pub fn new(order: &DispatchOrder, dialect: &HttpDialect) -> Option<InstanceRequest> {
         let head = wire::from_bytes::<RequestHead>(&order.head)?;
         let (method, target) = (head.method.as_str(), head.target.as_str());
@@ -74,7 +77,7 @@
         Some(InstanceRequest { bytes, request_id, response_has_no_body: method == "HEAD", accepted_encodings })
     }
 
-    /// Whether the caller asked for an answer so encoded.
+    /// Whether the caller accepts a response with this content encoding.
     pub fn accepts_encoding(&self, encoding: &str) -> bool {
         let encoding = encoding.trim().to_ascii_lowercase();
         encoding == "identity" || self.accepted_encodings.split([',', ';']).any(|accepted| accepted.trim() == encoding)
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,7 +1,8 @@
-//! Sending tasks to instances over connections that are kept. An answer is matched to its task by
-//! the id it echoes and is believed only whole; whatever falls short of that is told as it is: not
-//! run by the instance's own word, never sent, or in doubt. Where tasks carry no id, each has a
-//! connection of its own.
+//! HTTP client that sends tasks to instances over pooled connections.
+//!
+//! A response is matched to its task by the request id that it echoes, and is accepted only if it is
+//! complete. Any other result is reported as what it is: rejected by the instance without running,
+//! never sent, or in doubt. Tasks without an id each use a connection of their own.
 
 #![warn(missing_docs)]
 
--- a/crates/dispatch/src/order.rs
+++ b/crates/dispatch/src/order.rs
@@ -1,96 +1,97 @@
-//! What the dispatcher is told and what it tells.
+//! Messages to and from the dispatcher.
 
 use std::time::Duration;
 
-/// One request to be sent to one instance.
+/// Order to send one request to one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DispatchOrder {
-    /// The order's number, unique in this process.
+    /// Number of the order, unique in this process.
     pub number: u64,
-    /// The provider's id of the instance, to which the request is pinned.
+    /// Id of the instance at its provider; only this instance may run the request.
     pub instance_id: String,
-    /// Where the instance takes requests, as `IP:port`.
+    /// Address where the instance accepts requests, as `IP:port`.
     pub address: String,
-    /// The request's head, as an encoded `wire::RequestHead`.
+    /// Request head, as an encoded `wire::RequestHead`.
     pub head: Vec<u8>,
-    /// The request's body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// What is left of the task's time.
+    /// Time left until the deadline of the task.
     pub time_left: Duration,
-    /// The most connections the instance takes.
+    /// Maximum number of connections that the instance accepts.
     pub max_connections: u32,
 }
 
-/// What the dispatcher can be asked for.
+/// Message to the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatcherMessage {
     /// Send a request.
     Send(DispatchOrder),
-    /// Try whether an instance takes connections.
+    /// Check whether an instance accepts connections.
     Probe {
-        /// The platform's id of it.
+        /// Id of the instance at its provider.
         id: String,
-        /// Where it takes requests.
+        /// Address where the instance accepts requests.
         address: String,
-        /// How long to wait before the first try.
+        /// Time to wait before the first attempt.
         delay: Duration,
-        /// How long to try.
+        /// Time to keep trying after that.
         timeout: Duration,
     },
-    /// Close the kept connections to an instance.
+    /// Close the pooled connections to an instance.
     Forget {
-        /// The platform's id of it.
+        /// Id of the instance at its provider.
         id: String,
     },
 }
 
-/// What may be believed about a request that was ordered.
+/// Known outcome of an ordered request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatchOutcome {
-    /// `turned_away` is a guess by the status, where the dialect has no word for it.
+    /// A complete response arrived.
     Complete {
-        /// The status of the answer.
+        /// Status of the response.
         status: u16,
-        /// The answer's head, as an encoded `wire::AnswerHead`.
+        /// Response head, as an encoded `wire::AnswerHead`.
         head: Vec<u8>,
-        /// The answer's body.
+        /// Response body.
         body: Vec<u8>,
-        /// Whether the instance refused the request for want of room.
+        /// Whether the instance rejected the request for lack of capacity; guessed from the status, and only in
+        /// dialects without a header for requests that were not run.
         turned_away: bool,
     },
-    /// By the instance's own word it did not run the task, or it is another than it was taken for.
+    /// The instance states that it did not run the task, or that it is not the instance the task was meant for.
     NotRun {
         /// Whether another instance answers at the address.
         wrong_instance: bool,
     },
-    /// Nobody takes connections there.
+    /// The address does not accept connections.
     Unreachable,
-    /// Nothing was sent, since no connection could be had in time.
+    /// Nothing was sent, because no connection was available in time.
     NoConnection,
-    /// The request may have run.
+    /// The request may or may not have run.
     InDoubt {
-        /// What happened, for the log.
+        /// Description of the failure, for the log.
         detail: String,
-        /// Whether the time ran out, rather than the connection failing.
+        /// Whether the time ran out, as opposed to a failed connection.
         timed_out: bool,
     },
 }
 
-/// What the dispatcher tells.
+/// Message from the dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatchReport {
-    /// Of an order.
+    /// Outcome of an order.
     Dispatched {
-        /// The order's number.
+        /// Number of the order.
         number: u64,
-        /// What came of it.
+        /// Outcome of the request.
         outcome: DispatchOutcome,
     },
-    /// Of a probe.
+    /// Result of a probe.
     Probed {
-        /// The instance.
+        /// Id of the instance at its provider.
         id: String,
-        /// Whether it took a connection in time.
+        /// Whether the instance accepted a connection in time.
         ready: bool,
     },
 }
--- a/crates/dispatch/src/pool.rs
+++ b/crates/dispatch/src/pool.rs
@@ -1,5 +1,5 @@
-//! The connections kept to each instance: the one used last goes first, and none is kept longer
-//! than the instance keeps it.
+//! Pool of idle connections to each instance. The most recently used connection is reused first, and
+//! none is kept longer than the instance keeps it open.
 
 use crate::connection::{Connection, OpenCount};
 use std::cell::{Cell, RefCell};
@@ -7,11 +7,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An instance tells whole seconds, if there are any: when it tells none, less than one.
+/// Keep-alive time of an instance that announces none. Instances announce whole seconds, if there are any, so a time
+/// that is not announced may be shorter than one second.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(900);
-/// What a request may take on its way to an instance that is about to close.
+/// Safety margin before the instance closes an idle connection: the time a request may take to reach the instance.
 const CLOSE_MARGIN: Duration = Duration::from_millis(300);
 
+/// Connections to one instance.
 struct InstanceConnections {
     address: String,
     idle: Vec<Connection>,
@@ -19,9 +21,13 @@
     keep_alive: Duration,
 }
 
+/// Result of asking the pool for a connection.
 pub(crate) enum Checkout {
+    /// An idle connection to reuse.
     Idle(Connection),
+    /// Permission to open a new connection.
     MayOpen(OpenCount),
+    /// The instance accepts no further connections.
     Full,
 }
 
@@ -31,7 +37,7 @@
 }
 
 impl Pool {
-    /// A kept connection that is still good, or leave to open one.
+    /// Returns an idle connection that is still usable, or permission to open one.
     pub fn check_out(&self, now: Instant, id: &str, address: &str, max_connections: u32) -> Checkout {
         let mut instances = self.instances.borrow_mut();
         if instances.get(id).is_none_or(|instance| instance.address != address) {
@@ -56,12 +62,13 @@
         }
     }
 
-    /// Leave to open a connection apart from those that are kept.
+    /// Returns permission to open a connection outside the pool.
     pub fn open_unpooled(&self) -> OpenCount {
         OpenCount::new(&Rc::default())
     }
 
-    /// Keeps a connection, unless its instance was forgotten meanwhile.
+    /// Returns a connection to the pool, unless its instance was forgotten in the meantime. `keep_alive` is `None` if
+    /// there was no response, and `Some(None)` if the response announced no keep-alive time.
     pub fn check_in(&self, now: Instant, id: &str, mut connection: Connection, keep_alive: Option<Option<Duration>>) {
         let mut instances = self.instances.borrow_mut();
         let Some(instance) =
@@ -78,11 +85,12 @@
         instance.idle.push(connection);
     }
 
+    /// Closes the idle connections to an instance.
     pub fn forget(&self, id: &str) {
         self.instances.borrow_mut().remove(id);
     }
 
-    /// Closes what has been idle for too long; whether any is left.
+    /// Closes connections that have been idle for too long. Returns whether connections are left.
     pub fn sweep(&self, now: Instant) -> bool {
         let mut instances = self.instances.borrow_mut();
         instances.retain(|_, instance| {
--- a/crates/dispatch/src/response.rs
+++ b/crates/dispatch/src/response.rs
@@ -1,5 +1,5 @@
-//! Reading an answer out of a buffer that grows: its head, then a body of a declared length or of
-//! chunks to their end. A body that ends only where the connection does cannot be known whole.
+//! Incremental parser of an HTTP response: its head, then a body of declared length or in chunks. A
+//! body that ends only when the connection closes is rejected, since it cannot be known to be complete.
 
 use crate::{HttpDialect, forwarded_headers};
 use hyper::header::HeaderName;
@@ -10,23 +10,29 @@
 pub(crate) const MAX_HEAD_BYTES: usize = 64 * 1024;
 const MAX_HEADERS: usize = 64;
 
+/// Length of a response body, as declared by the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyLength {
-    /// Not the answer yet: another head follows.
+    /// An interim (1xx) response without a body; the head of another response follows.
     InterimResponse,
     Exactly(usize),
     Chunked,
 }
 
+/// Parsed head of a response.
 #[derive(Debug)]
 pub(crate) struct ResponseHead {
     pub status: u16,
     pub body_length: BodyLength,
+    /// Size of the head in the buffer; the body starts after it.
     pub head_bytes: usize,
+    /// Forwarded headers, as an encoded `wire::AnswerHead`.
     pub encoded_headers: Vec<u8>,
     pub request_id: Option<Vec<u8>>,
+    /// Whether the instance states that it did not run the request.
     pub not_run: bool,
     pub closes_connection: bool,
+    /// How long the instance keeps an idle connection open, if it tells.
     pub keep_alive: Option<Duration>,
     pub content_encoding: Option<String>,
 }
@@ -47,7 +53,7 @@
     }
 }
 
-/// The head, if it is there to its end.
+/// Parses the head of a response. Returns `None` until the buffer has all of it.
 pub(crate) fn parse_response_head(
     bytes: &[u8],
     dialect: &HttpDialect,
@@ -57,9 +63,9 @@
     let mut parsed = httparse::Response::new(&mut headers);
     let size = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(size)) => size,
-        Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => return Err("a head beyond bounds"),
+        Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => return Err("response head too large"),
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err("bytes that are no answer"),
+        Err(_) => return Err("malformed response head"),
     };
     let status = parsed.code.unwrap_or_default();
     let fields = Fields(parsed.headers);
@@ -92,7 +98,7 @@
     let mut lengths = fields.all("content-length");
     let mut codings = fields.all("transfer-encoding");
     match (status, lengths.next(), codings.next()) {
-        (101, ..) => Err("a change of protocol nobody asked for"),
+        (101, ..) => Err("unrequested protocol switch"),
         (100..200, ..) => Ok(BodyLength::InterimResponse),
         (204 | 304, ..) => Ok(BodyLength::Exactly(0)),
         _ if has_no_body => Ok(BodyLength::Exactly(0)),
@@ -103,14 +109,14 @@
             let digits = std::str::from_utf8(value).ok().filter(|value| value.bytes().all(|b| b.is_ascii_digit()));
             match digits.and_then(|digits| digits.parse().ok()) {
                 Some(length) if length <= MAX_BODY_BYTES => Ok(BodyLength::Exactly(length)),
-                _ => Err("a length beyond bounds"),
+                _ => Err("invalid or too large Content-Length"),
             }
         }
-        _ => Err("an answer without a length cannot be known whole"),
+        _ => Err("response without a usable body length"),
     }
 }
 
-/// ChunkedBody taken in so far, and where the next one begins.
+/// Decoder of a chunked body: the data decoded so far, and the position of the next chunk.
 #[derive(Default)]
 pub(crate) struct ChunkedBody {
     pub body: Vec<u8>,
@@ -122,30 +128,31 @@
         ChunkedBody { body: Vec::new(), position }
     }
 
-    /// Takes in what has come; the place after the last chunk and its trailer, once that is there.
+    /// Decodes the chunks that are complete in `bytes`. Returns the position after the last chunk and its trailer
+    /// once both have arrived.
     pub fn decode(&mut self, bytes: &[u8]) -> Result<Option<usize>, &'static str> {
         loop {
             let rest = &bytes[self.position.min(bytes.len())..];
             let (line_bytes, size) = match httparse::parse_chunk_size(rest) {
                 Ok(httparse::Status::Complete((line_bytes, size))) => (line_bytes, size as usize),
-                Ok(httparse::Status::Partial) if rest.len() > MAX_HEAD_BYTES => return Err("a chunk beyond bounds"),
+                Ok(httparse::Status::Partial) if rest.len() > MAX_HEAD_BYTES => return Err("chunk header too large"),
                 Ok(httparse::Status::Partial) => return Ok(None),
-                Err(_) => return Err("a chunk of no size"),
+                Err(_) => return Err("invalid chunk size"),
             };
             if size == 0 {
                 let mut trailer = [httparse::EMPTY_HEADER; MAX_HEADERS];
                 return match httparse::parse_headers(&rest[line_bytes..], &mut trailer) {
                     Ok(httparse::Status::Complete((end, _))) => Ok(Some(self.position + line_bytes + end)),
                     Ok(httparse::Status::Partial) => Ok(None),
-                    Err(_) => Err("a trailer that cannot be read"),
+                    Err(_) => Err("malformed trailer"),
                 };
             }
             if size > MAX_BODY_BYTES || self.body.len() + size > MAX_BODY_BYTES {
-                return Err("a body beyond bounds");
+                return Err("response body too large");
             }
             let Some(chunk) = rest.get(line_bytes..line_bytes + size + 2) else { return Ok(None) };
             if !chunk.ends_with(b"\r\n") {
-                return Err("a chunk without its end");
+                return Err("chunk without a terminating CRLF");
             }
             self.body.extend_from_slice(&chunk[..size]);
             self.position += line_bytes + size + 2;
--- a/crates/dispatch/tests/connection_reuse.rs
+++ b/crates/dispatch/tests/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Connections that are kept: which are used again, which are dropped, and whose an answer is.
+//! Connection reuse: which connections are reused, which are dropped, and which request a response belongs to.
 
 mod fake_instance;
 
@@ -25,14 +25,14 @@
         let received = instance.received.borrow()[1].text.clone();
         assert!(received.starts_with("POST /f?a=b HTTP/1.1\r\nhost: callers.example\r\nx-id: b\r\n"), "{received}");
         assert!(received.contains("x-left: 20000\r\n") && received.contains("x-for: i-1\r\n"), "{received}");
-        assert_eq!(received.matches("x-left").count(), 1, "the caller's own is not passed on");
+        assert_eq!(received.matches("x-left").count(), 1, "the caller's own header is not forwarded");
     });
 }
 
-#[test_case("HTTP/1.1 200 OK\nx-id: {id}\nconnection: close\ncontent-length: 4\n\ndone"; "it says that it closes")]
+#[test_case("HTTP/1.1 200 OK\nx-id: {id}\nconnection: close\ncontent-length: 4\n\ndone"; "it announces the close")]
 #[test_case("HTTP/1.1 200 OK\nx-id: {id}\ncontent-length: 4\n\ndone and more"; "bytes after the end")]
-#[test_case("HTTP/1.1 200 OK\nx-id: {id}\nkeep-alive: timeout=0\ncontent-length: 4\n\ndone"; "it is kept for no time")]
-#[test_case("HTTP/1.0 200 OK\nx-id: {id}\ncontent-length: 4\n\ndone"; "an old version")]
+#[test_case("HTTP/1.1 200 OK\nx-id: {id}\nkeep-alive: timeout=0\ncontent-length: 4\n\ndone"; "keep-alive time of zero")]
+#[test_case("HTTP/1.0 200 OK\nx-id: {id}\ncontent-length: 4\n\ndone"; "HTTP/1.0")]
 fn a_complete_answer_is_returned_though_its_connection_is_not_reused(first: &str) {
     run(async {
         let instance = FakeInstance::start(vec![vec![answer(first)], vec![answer(COMPLETE)]]).await;
--- a/crates/dispatch/tests/fake_instance/mod.rs
+++ b/crates/dispatch/tests/fake_instance/mod.rs
@@ -1,7 +1,7 @@
-//! An instance that stands in: for each connection it takes, in turn, a script of what to do with
-//! each request that comes on it. What it was received, and on which connection, is kept.
+//! Fake instance. The n-th connection that it accepts follows the n-th script, which has one action for each
+//! request on that connection. The received requests and their connections are recorded.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use dispatch::{DispatchOrder, DispatchOutcome, Dispatcher, HttpDialect};
 use hyper::header::HeaderName;
@@ -14,11 +14,11 @@
 use tokio::task::{LocalSet, spawn_local};
 use wire::{HeaderField, RequestHead};
 
-/// What to do with a request; `{id}` stands for the id it came with.
+/// Reaction to a request; `{id}` in a response is replaced by the request's id.
 #[derive(Clone)]
 pub enum Action {
     Answer(String),
-    /// Answers, and then closes.
+    /// Answers and then closes the connection.
     AnswerAndClose(String),
     Close,
     NoAnswer,
@@ -33,7 +33,7 @@
 pub struct FakeInstance {
     pub address: String,
     pub received: Rc<RefCell<Vec<ReceivedRequest>>>,
-    /// Told each time a connection has ended.
+    /// Notified each time a connection has ended.
     pub connection_ended: Rc<Notify>,
 }
 
@@ -123,7 +123,7 @@
             Action::NoAnswer => break,
         }
     }
-    // Until the other side closes.
+    // Waits until the other side closes the connection.
     let _ = stream.read(&mut [0u8; 1]).await;
 }
 
