--- a/crates/quota/src/consumer_meter.rs
+++ b/crates/quota/src/consumer_meter.rs
@@ -10,8 +10,8 @@
 
 /// Time constant of the arrival rate by which a router predicts the requests to come.
 const ARRIVAL_RATE_TIME_CONSTANT: Duration = Duration::from_secs(1);
-/// Maximum time for whose expected requests credits are requested in advance; at most half of the credit lifetime is
-/// used.
+/// Maximum span of expected requests for which credits are requested in advance. The span is also limited to half of the
+/// credit lifetime.
 const MAX_PREFETCH_TIME: Duration = Duration::from_millis(300);
 
 /// Counts of the requests of one consumer at this router.
