--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -23,7 +23,7 @@
 const MIN_SHARDS: f64 = 3.0;
 /// Maximum number of granters of a consumer. More granters make each granter's part of a limit too small to serve the
 /// usual load, which is about two thirds of the limit: eight refused 3% of it, although the loss of one of eight would
-/// leave a consumer more than its usual load.
+/// leave a consumer more than its usual load if that is at most two thirds of its rate.
 const MAX_SHARDS: f64 = 4.0;
 
 /// Identifies a consumer by the hash of its name, which is the same on every router.
