--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -64,7 +64,7 @@
 }
 
 fn garbled_answer() -> DispatchOutcome {
-    DispatchOutcome::InDoubt { detail: "garbled".into(), late: false }
+    DispatchOutcome::InDoubt { detail: "garbled".into(), timed_out: false }
 }
 
 fn server_error() -> DispatchOutcome {
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -48,7 +48,7 @@
 
 fn sent(outputs: &[OwnerOutput]) -> Option<(u64, String)> {
     outputs.iter().find_map(|output| match output {
-        OwnerOutput::Dispatch(order) => Some((order.number, order.instance.clone())),
+        OwnerOutput::Dispatch(order) => Some((order.number, order.instance_id.clone())),
         _ => None,
     })
 }
@@ -68,7 +68,7 @@
 }
 
 fn in_doubt(late: bool) -> DispatchOutcome {
-    DispatchOutcome::InDoubt { detail: "closed".into(), late }
+    DispatchOutcome::InDoubt { detail: "closed".into(), timed_out: late }
 }
 
 #[test_case(in_doubt(false), 502; "incomplete answer")]
@@ -88,8 +88,8 @@
     assert_eq!((reported(&outputs), sent(&outputs)), (Some((Outcome::Answered, 500, 0)), None));
 }
 
-#[test_case(DispatchOutcome::NotSent; "no listener")]
-#[test_case(DispatchOutcome::Crowded; "no connection")]
+#[test_case(DispatchOutcome::Unreachable; "no listener")]
+#[test_case(DispatchOutcome::NoConnection; "no connection")]
 fn attempt_that_never_reached_an_instance_does_not_count(ended: DispatchOutcome) {
     let (mut owner, first) = owner(1);
     let outputs = end_dispatch(&mut owner, &first, ended);
