--- a/crates/chain/src/replica/digest.rs
+++ b/crates/chain/src/replica/digest.rs
@@ -1,5 +1,5 @@
-//! A digest of everything a replica remembers, so that a model checker can tell which states it has already
-//! visited. Times enter as ages: two states that differ only in when they happen are one.
+//! Digest of the whole state of a replica, with which a model checker recognizes states that it already visited.
+//! Times are hashed as ages, so that states that differ only by a shift in time are equal.
 
 use super::ChainReplica;
 use crate::log::ReplicaLog;
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use wire::{LogEntry, to_bytes};
 
-/// Ages beyond this make no difference to any timer of a replica.
+/// Age beyond which a time makes no difference to any timer of a replica.
 const MAX_AGE: Duration = Duration::from_secs(40);
 
 impl ChainReplica {
-    /// Feeds everything the replica remembers into a hasher.
+    /// Feeds the whole state of the replica into a hasher.
     pub fn digest(&self, hasher: &mut impl Hasher) {
         digest_meta(&self.meta, hasher);
         digest_log(&self.log, hasher);
@@ -25,7 +25,7 @@
         self.digest_rules(hasher);
     }
 
-    /// How long ago a moment was, or how far ahead it lies.
+    /// Returns how long ago a time was and how far ahead it is, in milliseconds; one of them is 0.
     fn age(&self, moment: Duration) -> (u64, u64) {
         let past = self.clock.now.saturating_sub(moment).min(MAX_AGE);
         let ahead = moment.saturating_sub(self.clock.now).min(MAX_AGE);
@@ -36,7 +36,7 @@
         let (next, on_synced) = self.writes.next();
         digest_batch(next, hasher);
         digest_outputs(on_synced, hasher);
-        self.writes.flags().hash(hasher);
+        self.writes.digest_fields().hash(hasher);
         let write = self.writes.in_progress();
         write.is_some().hash(hasher);
         if let Some(write) = write {
@@ -50,7 +50,7 @@
         for (id, health) in self.detector.voters() {
             (id, self.age(health.last_heard), health.is_unhealthy).hash(hasher);
         }
-        self.detector.suspecting_since().map(|since| self.age(since)).hash(hasher);
+        self.detector.chain_suspected_since().map(|since| self.age(since)).hash(hasher);
         let proposal = self.agreement.proposal();
         proposal.is_some().hash(hasher);
         if let Some(proposal) = proposal {
@@ -61,14 +61,14 @@
                 (id, accepted.proposal_number, to_bytes(&accepted.view)).hash(hasher);
             }
         }
-        let (propose_after, accepted_at, highest_seen_number) = self.agreement.times();
+        let (propose_after, accepted_at, highest_seen_number) = self.agreement.digest_fields();
         (self.age(propose_after), self.age(accepted_at), highest_seen_number).hash(hasher);
         (self.age(self.clock.ticked_at), self.age(self.clock.heartbeat_sent_at)).hash(hasher);
     }
 
     fn digest_confirmation(&self, hasher: &mut impl Hasher) {
         let round = &self.confirmation;
-        (round.number, round.is_running, round.wanted, round.awaiting_commit, &round.acknowledged_by).hash(hasher);
+        (round.number, round.is_running, round.requested, round.awaiting_commit, &round.acknowledged_by).hash(hasher);
         self.age(round.started_at).hash(hasher);
     }
 
@@ -79,8 +79,8 @@
     }
 
     fn digest_tail_history(&self, hasher: &mut impl Hasher) {
-        let (tenure, reports, last_answer_at) = self.tail_history.parts();
-        (tenure, reports.view, self.age(last_answer_at)).hash(hasher);
+        let (period, reports, last_answer_at) = self.tail_history.digest_fields();
+        (period, reports.view, self.age(last_answer_at)).hash(hasher);
         for (id, answered_at) in &reports.answered_at {
             (id, self.age(*answered_at)).hash(hasher);
         }
@@ -96,7 +96,7 @@
             self.age(source.requested_at).hash(hasher);
             digest_state(&source.state, hasher);
         }
-        let seeking = self.catch_up.seeking_since.map(|since| self.age(since));
+        let seeking = self.catch_up.joining_since.map(|since| self.age(since));
         (self.age(self.catch_up.requested_at), seeking).hash(hasher);
         for founder in self.bootstrap.founders() {
             (founder.node.id, self.age(founder.heard_at), to_bytes(&founder.bound_to)).hash(hasher);
@@ -133,7 +133,7 @@
     }
 }
 
-/// Feeds what a disk holds of a replica's identity, view and votes into a hasher.
+/// Feeds a replica's identity, view and votes into a hasher.
 pub fn digest_meta(meta: &Meta, hasher: &mut impl Hasher) {
     to_bytes(&meta.node).hash(hasher);
     to_bytes(&meta.view).hash(hasher);
@@ -152,7 +152,7 @@
     entries.for_each(|entry| to_bytes(entry).hash(hasher));
 }
 
-/// Feeds a write that has not landed into a hasher.
+/// Feeds a write that is not synced yet into a hasher.
 pub fn digest_batch(batch: &Batch, hasher: &mut impl Hasher) {
     (batch.replace, &batch.changes, batch.trim_below, batch.last, batch.known_committed).hash(hasher);
     digest_entries(batch.entries.iter(), hasher);
--- a/crates/chain/src/replica/disk_writes.rs
+++ b/crates/chain/src/replica/disk_writes.rs
@@ -1,7 +1,7 @@
-//! Writes to the disk, and the replica's new start from the disk after a failure.
+//! Writes to the disk, and the restart of the replica from its disk after a failure.
 
 use super::ChainReplica;
-use crate::types::Stored;
+use crate::types::StoredReplica;
 
 impl ChainReplica {
     pub(super) fn maybe_start_write(&mut self) {
@@ -20,20 +20,21 @@
         self.after_progress();
     }
 
-    /// Whether this replica's disk fails or stalls.
+    /// Returns whether this replica's disk fails or stalls.
     pub(super) fn is_unhealthy(&self) -> bool {
         self.writes.has_failed() || self.writes.is_stalled(self.clock.now, self.timing.stall_after)
     }
 
-    /// Starts again from what the disk holds, as a new process would: nothing that was not synced is left. Only
-    /// the numbers of rounds, proposals and writes go on, since answers to earlier ones may still come.
-    pub(super) fn restart_from(&mut self, stored: Stored) {
+    /// Restarts from the contents of the disk as a new process would, which drops everything that was not synced.
+    /// The numbers of rounds, proposals and writes continue, since answers to earlier ones may still arrive;
+    /// settings, planned stops and readmission backoffs are kept too.
+    pub(super) fn restart_from(&mut self, stored: StoredReplica) {
         if !self.writes.has_failed() || stored.meta.node.id != self.me() {
             return;
         }
         let node = self.meta.node.clone();
         let mut replica = ChainReplica::new(node, stored, self.timing.clone(), self.apply, self.clock.now);
-        replica.agreement.continue_numbers(&self.agreement);
+        replica.agreement.continue_numbering(&self.agreement);
         replica.confirmation.number = self.confirmation.number;
         replica.writes.continue_tickets(&self.writes);
         replica.bootstrap = std::mem::take(&mut self.bootstrap);
--- a/crates/chain/src/store.rs
+++ b/crates/chain/src/store.rs
@@ -1,14 +1,14 @@
-//! The redb file: identity and view, the state as pairs, and the recent entries. A file that is damaged, of another
-//! format or of another cluster is an error; it is never written over.
+//! The redb data file: identity and view, the state as key-value pairs, and the recent log entries. Opening a file
+//! that is damaged, of another format or of another cluster is an error; such a file is never overwritten.
 
-use crate::types::{Batch, Meta, Stored};
+use crate::types::{Batch, Meta, StoredReplica};
 use deku::prelude::*;
 use derive_more::{Display, Error, From};
 use redb::{Database, ReadOnlyDatabase, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 use std::path::Path;
 use wire::{LogEntry, NodeAddress, Text, View};
 
-// Names of tables and keys are part of the record format.
+// The names of tables and keys are part of the record format.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const STATE: TableDefinition<&str, &[u8]> = TableDefinition::new("state");
 const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
@@ -16,10 +16,10 @@
 const LAST_KEY: &str = "last";
 const KNOWN_COMMITTED_KEY: &str = "settled";
 const RECORD_FORMAT: u16 = 1;
-/// Bytes of the file cached in memory; all that is read again is in the state.
+/// Size of redb's cache. It is small because reads are served from the state in memory.
 const CACHE_BYTES: usize = 2 * 1024 * 1024;
 
-/// Identity, view and votes as they are stored.
+/// Identity, view and votes in their stored form.
 #[derive(DekuRead, DekuWrite)]
 struct MetaRecord {
     format: u16,
@@ -52,10 +52,10 @@
     }
 }
 
-/// Why a data file cannot be used.
+/// Reason why a data file cannot be used.
 #[derive(Debug, Display, Error, From)]
 pub enum StoreError {
-    /// It cannot be opened, read or written.
+    /// The file cannot be opened, read or written.
     #[display("the data file cannot be used: {_0}")]
     #[from(
         redb::Error,
@@ -66,45 +66,44 @@
         redb::CommitError
     )]
     File(redb::Error),
-    /// It belongs to the cluster of this name.
+    /// The file belongs to another cluster, with this name.
     #[display("the data file belongs to cluster {_0}")]
-    Foreign(#[error(not(source))] String),
-    /// It has this record format.
+    OtherCluster(#[error(not(source))] String),
+    /// The file has a record format, this one, that the program does not support.
     #[display("the data file has record format {_0}, this program writes {RECORD_FORMAT}")]
-    Format(#[error(not(source))] u16),
-    /// It holds a record that cannot be read, or one that must be there is missing.
+    UnsupportedFormat(#[error(not(source))] u16),
+    /// A record cannot be decoded, or a required record is missing.
     #[display("the data file holds a record that cannot be read")]
     Damaged,
 }
 
 impl StoreError {
-    /// The disk has no room, and nothing else is wrong with it. After other faults what a read brings back
-    /// need not be what the disk holds, so only a full disk is ever written to again by the same process.
+    /// Returns whether the only fault is that the disk is full. After other faults a read may return data that
+    /// differs from what is on disk, so only a full disk is written to again by the same process.
     pub fn is_disk_full(&self) -> bool {
         use std::io::ErrorKind::{QuotaExceeded, StorageFull};
         matches!(self, StoreError::File(redb::Error::Io(error)) if matches!(error.kind(), StorageFull | QuotaExceeded))
     }
 }
 
-/// An open data file of one registry.
+/// Open data file of one registry.
 pub struct Store {
     database: Database,
     cluster: String,
 }
 
 impl Store {
-    /// Opens a file, or creates one for this registry; its identity is the one on disk where there is one.
-    pub fn open(path: &Path, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
-        // One that was closed cleanly is looked at without a byte of it being written.
+    /// Opens the data file, or creates it for this registry. The identity in an existing file takes precedence.
+    pub fn open(path: &Path, cluster: &str, node: NodeAddress) -> Result<(Store, StoredReplica), StoreError> {
+        // A file that was closed cleanly is first checked read-only, so that a foreign file stays unmodified.
         if let Some(database) = path.exists().then(|| ReadOnlyDatabase::open(path).ok()).flatten() {
-            stored_meta(&database, cluster)?;
+            read_meta(&database, cluster)?;
         }
-        Store::start(Database::builder().set_cache_size(CACHE_BYTES).create(path)?, cluster, node)
+        Store::load_or_initialize(Database::builder().set_cache_size(CACHE_BYTES).create(path)?, cluster, node)
     }
 
-    /// Opens a file that is there already and is this member's own, and proves by a write that the disk takes
-    /// one.
-    pub fn reopen(path: &Path, cluster: &str, node: &NodeAddress) -> Result<(Store, Stored), StoreError> {
+    /// Opens the existing data file of this replica, and tests with a write that the disk accepts writes.
+    pub fn reopen(path: &Path, cluster: &str, node: &NodeAddress) -> Result<(Store, StoredReplica), StoreError> {
         let database = Database::builder().set_cache_size(CACHE_BYTES).open(path)?;
         let mut store = Store { database, cluster: cluster.to_owned() };
         let stored = store.load()?.ok_or(StoreError::Damaged)?;
@@ -115,45 +114,53 @@
         Ok((store, stored))
     }
 
-    /// On a disk of another kind, such as one that loses its power.
-    pub fn open_on(disk: impl StorageBackend, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
-        Store::start(Database::builder().create_with_backend(disk)?, cluster, node)
+    /// Opens a store on another storage backend, such as a simulated disk that loses power.
+    pub fn open_on(
+        disk: impl StorageBackend,
+        cluster: &str,
+        node: NodeAddress,
+    ) -> Result<(Store, StoredReplica), StoreError> {
+        Store::load_or_initialize(Database::builder().create_with_backend(disk)?, cluster, node)
     }
 
-    fn start(database: Database, cluster: &str, node: NodeAddress) -> Result<(Store, Stored), StoreError> {
+    fn load_or_initialize(
+        database: Database,
+        cluster: &str,
+        node: NodeAddress,
+    ) -> Result<(Store, StoredReplica), StoreError> {
         let mut store = Store { database, cluster: cluster.to_owned() };
         let stored = match store.load()? {
             Some(stored) => stored,
             None => {
                 let meta = Meta { node, ..Meta::default() };
                 store.write(&Batch { meta: Some(meta.clone()), ..Batch::default() })?;
-                Stored { meta, ..Stored::default() }
+                StoredReplica { meta, ..StoredReplica::default() }
             }
         };
         Ok((store, stored))
     }
 
-    fn load(&self) -> Result<Option<Stored>, StoreError> {
-        let Some(record) = stored_meta(&self.database, &self.cluster)? else { return Ok(None) };
+    fn load(&self) -> Result<Option<StoredReplica>, StoreError> {
+        let Some(record) = read_meta(&self.database, &self.cluster)? else { return Ok(None) };
         let read = self.database.begin_read()?;
         let meta = read.open_table(META)?;
-        let mut stored = Stored { meta: record.into(), ..Stored::default() };
+        let mut stored = StoredReplica { meta: record.into(), ..StoredReplica::default() };
         let last = meta.get(LAST_KEY)?.ok_or(StoreError::Damaged)?;
-        let number = |raw: &[u8]| raw.try_into().map(u64::from_le_bytes).map_err(|_| StoreError::Damaged);
-        stored.last = number(last.value())?;
-        stored.known_committed = meta.get(KNOWN_COMMITTED_KEY)?.map_or(Ok(0), |raw| number(raw.value()))?;
+        let parse_number = |raw: &[u8]| raw.try_into().map(u64::from_le_bytes).map_err(|_| StoreError::Damaged);
+        stored.last = parse_number(last.value())?;
+        stored.known_committed = meta.get(KNOWN_COMMITTED_KEY)?.map_or(Ok(0), |raw| parse_number(raw.value()))?;
         for pair in read.open_table(STATE)?.iter()? {
             let (key, value) = pair?;
             stored.state.insert(key.value().to_owned(), value.value().into());
         }
-        for line in read.open_table(LOG)?.iter()? {
-            let entry: LogEntry = wire::from_bytes(line?.1.value()).ok_or(StoreError::Damaged)?;
+        for row in read.open_table(LOG)?.iter()? {
+            let entry: LogEntry = wire::from_bytes(row?.1.value()).ok_or(StoreError::Damaged)?;
             stored.entries.push(entry);
         }
         Ok(Some(stored))
     }
 
-    /// Writes a batch in one transaction, which is synced when this returns.
+    /// Writes a batch in one transaction, which is synced to disk when this function returns.
     pub fn write(&mut self, batch: &Batch) -> Result<(), StoreError> {
         let write = self.database.begin_write()?;
         {
@@ -186,8 +193,8 @@
     }
 }
 
-/// The record that says whose file this is, if anything was ever written to it.
-fn stored_meta(database: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
+/// Reads and checks the identity record, or returns `None` if nothing was ever written to the file.
+fn read_meta(database: &impl ReadableDatabase, cluster: &str) -> Result<Option<MetaRecord>, StoreError> {
     let read = database.begin_read()?;
     let meta = match read.open_table(META) {
         Ok(table) => table,
@@ -197,11 +204,11 @@
     let raw = meta.get(META_KEY)?.ok_or(StoreError::Damaged)?.value().to_vec();
     let format = raw.get(..2).map(|b| u16::from_le_bytes([b[0], b[1]])).ok_or(StoreError::Damaged)?;
     if format != RECORD_FORMAT {
-        return Err(StoreError::Format(format));
+        return Err(StoreError::UnsupportedFormat(format));
     }
     let record: MetaRecord = wire::from_bytes(&raw).ok_or(StoreError::Damaged)?;
     if record.cluster.as_str() != cluster {
-        return Err(StoreError::Foreign(record.cluster.as_str().to_owned()));
+        return Err(StoreError::OtherCluster(record.cluster.as_str().to_owned()));
     }
     Ok(Some(record))
 }
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -1,9 +1,9 @@
-//! The operators' HTTP/1.1 API: read, replace and patch the configuration, look up an operation,
-//! look at one node's view and watch it change. Everything but health needs a bearer token.
+//! The operators' HTTP/1.1 API: read, replace and patch the configuration, look up an operation, and read or watch
+//! one registry's status. All pages but /health, /ready and /metrics need a bearer token.
 
 use crate::api_calls::{ApiCall, ApiReply};
-use crate::api_views::{metrics, ready, status, watch_view};
-use crate::operator_dialect::Operators;
+use crate::api_views::{metrics, ready, status, watch_status};
+use crate::operator_pages::RegistryHandle;
 use axum::Router;
 use axum::body::Bytes;
 use axum::extract::{DefaultBodyLimit, Path, State};
@@ -15,19 +15,23 @@
 use serde_json::{Map, Value, json};
 use wire::ConfigurationItem;
 
+/// State shared by the API's handlers.
 #[derive(Clone)]
 pub struct Api {
-    pub operators: Operators,
+    /// Handle of the registry.
+    pub handle: RegistryHandle,
+    /// Bearer tokens and their tenants.
     pub tokens: Tokens,
 }
 
+/// Returns the API's routes, for request bodies of at most `body` bytes.
 pub fn router(api: Api, body: usize) -> Router {
     Router::new()
         .route("/health", get(|| async { "ok\n" }))
         .route("/ready", get(ready))
         .route("/metrics", get(metrics))
         .route("/v1/status", get(status))
-        .route("/v1/watch", get(watch_view))
+        .route("/v1/watch", get(watch_status))
         .route("/v1/operations/{op}", get(operation))
         .route("/v1/configuration", get(read).put(replace).patch(patch))
         .route("/v1/{kind}", get(read_kind))
@@ -61,15 +65,16 @@
 }
 
 impl Api {
-    /// Refuses a change that can't be read, and notes it if it is an operator's.
+    /// Refuses a change that can't be parsed, and records it as invalid if the caller is authenticated.
     async fn refuse_change(&self, headers: &HeaderMap, status: u16, detail: &str) -> Response {
         if self.scope(headers).is_none() {
             return refuse(401, "a bearer token is needed");
         }
-        self.operators.note_invalid(detail).await;
+        self.handle.note_invalid(detail).await;
         refuse(status, detail)
     }
 
+    /// Returns the tenant of the caller's bearer token (empty for all tenants), or none without a valid token.
     pub(crate) fn scope(&self, headers: &HeaderMap) -> Option<String> {
         self.tokens.scope(headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok()))
     }
@@ -77,8 +82,8 @@
     async fn change(&self, headers: &HeaderMap, uri: &Uri, full: bool, items: Vec<ConfigurationItem>) -> Response {
         let dry = uri.query().is_some_and(|query| query.split('&').any(|part| part == "dry-run=true"));
         let Some(scope) = self.scope(headers) else { return refuse(401, "a bearer token is needed") };
-        let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
-        let base = match text("if-match").as_deref().map(|tag| tag.trim().trim_matches('"').to_owned()) {
+        let header_text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
+        let base = match header_text("if-match").as_deref().map(|tag| tag.trim().trim_matches('"').to_owned()) {
             None => return refuse(428, "If-Match with the revision the change is based on, or *, is needed"),
             Some(tag) if tag == "*" => None,
             Some(tag) => match tag.parse() {
@@ -86,17 +91,17 @@
                 Err(_) => return refuse(400, "If-Match is a revision number in quotes, or *"),
             },
         };
-        let op = text("operation-id").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
+        let op = header_text("operation-id").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
         if config::word(&op).is_err() {
             return refuse(400, "Operation-Id is 1 to 64 letters, digits, '-', '_' or '.'");
         }
-        let revision = match text("revision").map(|number| number.trim().parse::<u64>()) {
+        let revision = match header_text("revision").map(|number| number.trim().parse::<u64>()) {
             None => None,
             Some(Ok(revision)) if revision > 0 => Some(revision),
             Some(_) => return refuse(400, "Revision is the number the change declares, 1 or more"),
         };
         let call = ApiCall::Change { op: op.clone(), base, revision, full, scope, items, dry };
-        let reply = if dry { self.operators.call(call).await } else { self.operators.change(call).await };
+        let reply = if dry { self.handle.call(call).await } else { self.handle.change(call).await };
         if reply.status != 200 {
             events::event!(change_rejected, "operation {op}: {}", reply.status);
         }
@@ -113,17 +118,17 @@
     if api.scope(&headers).is_none() {
         return refuse(401, "a bearer token is needed");
     }
-    answer(api.operators.call(ApiCall::Operation { op }).await, None)
+    answer(api.handle.call(ApiCall::Operation { op }).await, None)
 }
 
 async fn read(State(api): State<Api>, headers: HeaderMap) -> Response {
     let Some(scope) = api.scope(&headers) else { return refuse(401, "a bearer token is needed") };
-    answer(api.operators.call(ApiCall::Configuration { scope }).await, None)
+    answer(api.handle.call(ApiCall::Configuration { scope }).await, None)
 }
 
 async fn read_part(api: &Api, headers: &HeaderMap, pointer: &str) -> Response {
     let Some(scope) = api.scope(headers) else { return refuse(401, "a bearer token is needed") };
-    let mut reply = api.operators.call(ApiCall::Configuration { scope }).await;
+    let mut reply = api.handle.call(ApiCall::Configuration { scope }).await;
     if reply.status == 200 {
         let full: Value = serde_json::from_str(&reply.body).unwrap_or_default();
         match full.pointer(pointer) {
@@ -191,8 +196,8 @@
     let Ok(patch) = serde_json::from_slice::<Map<String, Value>>(&body) else {
         return api.refuse_change(&headers, 400, "the body is not a JSON object").await;
     };
-    if let Some(odd) = patch.keys().find(|key| !["name", "set", "remove"].contains(&key.as_str())) {
-        return api.refuse_change(&headers, 422, &format!("{odd}: a patch has name, set and remove")).await;
+    if let Some(unknown) = patch.keys().find(|key| !["name", "set", "remove"].contains(&key.as_str())) {
+        return api.refuse_change(&headers, 422, &format!("{unknown}: a patch has name, set and remove")).await;
     }
     let mut items = Vec::new();
     match patch.get("set") {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,6 @@
-//! The control plane as a library: what the chain's entries mean (`apply`), the tail's duties and
-//! the answers to routers and operators (`Core`, a state machine), and the service around it:
-//! HTTP for operators, the optimizer on its own thread, links, disk.
+//! The control plane as a library: the effect of log entries on the replicated state (`apply`), the
+//! state machine that runs the tail's duties and answers routers and operators (`Core`), and the service
+//! around it: the operators' HTTP API, the optimizer on its own thread, links and disk.
 
 mod activation;
 mod api;
@@ -9,7 +9,7 @@
 mod apply;
 mod apply_change;
 mod apply_member;
-mod apply_task;
+mod apply_request;
 mod change_validation;
 mod configuration_reads;
 mod control_loop;
@@ -24,9 +24,9 @@
 mod membership_updates;
 mod open_calls;
 mod operator_calls;
-mod operator_dialect;
+mod operator_pages;
 mod optimizer;
-mod packed_steps;
+mod packed_epochs;
 mod pending_proposals;
 mod periodic;
 mod planner;
@@ -48,9 +48,9 @@
 pub use control_message::ControlMessage;
 pub use core::{Core, CoreInput, CoreOutput, CoreTiming};
 pub use errors::RunError;
-pub use keys::{member_key, number};
+pub use keys::{member_key, read_number};
 pub use membership_log::{MemberChange, MembershipLog};
-pub use operator_dialect::{ControlDialect, MakePages, Operators};
-pub use planner::{Planned, Planner};
+pub use operator_pages::{ControlDialect, MakePages, RegistryHandle};
+pub use planner::{Planner, PlannerOutput};
 pub use service::run;
 pub use settings::RegistrySettings;
--- a/crates/control/src/membership_log.rs
+++ b/crates/control/src/membership_log.rs
@@ -1,6 +1,6 @@
-//! Who among the routers joined, is leaving or lapsed between one membership and the next, so that every
-//! registry's log tells it, whichever of them was the tail. What a registry finds at its first look
-//! is no change; before it has caught up with a first membership it has not looked.
+//! Routers that joined, are leaving or lapsed between two memberships. Every registry logs them, whichever was the
+//! tail. The first membership that a registry sees is not logged as a change, and a registry that has not caught up
+//! with any membership (number 0) has seen none.
 
 use crate::keys;
 use chain::State;
@@ -8,21 +8,27 @@
 use leases::{Member, Membership};
 use wire::NodeId;
 
+/// Change of a member router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberChange {
+    /// The router joined, or restarted with a new incarnation.
     Joined,
+    /// The router announced that it will stop.
     Leaving,
+    /// The router's lease ran out.
     Lapsed,
 }
 
+/// The last membership whose changes were reported.
 #[derive(Default)]
 pub struct MembershipLog {
     seen: Option<Membership>,
 }
 
 impl MembershipLog {
-    pub fn changes(&mut self, state: &State) -> Vec<(MemberChange, Member)> {
-        let number = keys::number(state, keys::MEMBERSHIP);
+    /// Returns the changes since the previous call.
+    pub fn take_changes(&mut self, state: &State) -> Vec<(MemberChange, Member)> {
+        let number = keys::read_number(state, keys::MEMBERSHIP);
         if self.seen.as_ref().is_some_and(|seen| seen.number == number) {
             return Vec::new();
         }
@@ -31,12 +37,13 @@
         }
         let membership = keys::membership(state);
         let seen = self.seen.replace(membership.clone());
-        seen.map(|seen| between(&seen, &membership)).unwrap_or_default()
+        seen.map(|seen| changes_between(&seen, &membership)).unwrap_or_default()
     }
 
-    pub fn tell(&mut self, state: &State) {
-        for (change, line) in self.changes(state) {
-            let (id, zone, address) = (line.id, line.zone.as_str(), line.address.as_str());
+    /// Logs the changes since the previous call.
+    pub fn log_changes(&mut self, state: &State) {
+        for (change, member) in self.take_changes(state) {
+            let (id, zone, address) = (member.id, member.zone.as_str(), member.address.as_str());
             let (membership, count) =
                 self.seen.as_ref().map_or((0, 0), |seen| (seen.number, seen.members.iter().count()));
             match change {
@@ -54,22 +61,24 @@
     }
 }
 
-fn find(membership: &Membership, id: NodeId) -> Option<&Member> {
-    membership.members.iter().find(|line| line.id == id)
+fn find_member(membership: &Membership, id: NodeId) -> Option<&Member> {
+    membership.members.iter().find(|member| member.id == id)
 }
 
-/// A router that left after it had said so is no lapse: that it leaves was told before.
-fn between(seen: &Membership, membership: &Membership) -> Vec<(MemberChange, Member)> {
-    let gone = seen.members.iter().filter(|line| line.leaving == 0 && find(membership, line.id).is_none());
-    let gone = gone.map(|line| (MemberChange::Lapsed, line.clone()));
-    let here = membership.members.iter().filter_map(|line| {
-        let known = find(seen, line.id).filter(|known| known.incarnation == line.incarnation);
+/// Returns the changes between two memberships. The removal of a router that was leaving is not a lapse: its
+/// departure was reported when it announced it.
+fn changes_between(seen: &Membership, membership: &Membership) -> Vec<(MemberChange, Member)> {
+    let removed =
+        seen.members.iter().filter(|member| member.leaving == 0 && find_member(membership, member.id).is_none());
+    let lapsed = removed.map(|member| (MemberChange::Lapsed, member.clone()));
+    let present = membership.members.iter().filter_map(|member| {
+        let known = find_member(seen, member.id).filter(|known| known.incarnation == member.incarnation);
         let change = match known {
             None => MemberChange::Joined,
-            Some(known) if known.leaving == 0 && line.leaving != 0 => MemberChange::Leaving,
+            Some(known) if known.leaving == 0 && member.leaving != 0 => MemberChange::Leaving,
             Some(_) => return None,
         };
-        Some((change, line.clone()))
+        Some((change, member.clone()))
     });
-    gone.chain(here).collect()
+    lapsed.chain(present).collect()
 }
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -1,29 +1,35 @@
-//! The optimizer's host as a state machine: it keeps every sample, answers an ask only while the view
-//! names this registry, with that view's number as the fence, and tunes the weight sheets by what owners
-//! measured. What is tuned is sent to whoever measures and to the other registries, under the same
-//! fence; a host that was named later goes on from there.
+//! The optimizer as a state machine. It keeps every sample. While the view names this registry as the optimizer's
+//! host, it answers plan requests, with the view's number as a fencing number, and tunes weight sheets by the
+//! measurements of the functions' owners. Tuned values are sent to those owners and to the other registries under
+//! the same fencing number, and a later host continues from them.
 
 use bindings::{Function, RouteTable};
-use scaler::{Measure, Optimizer, Sample, Tuned};
+use scaler::{FunctionMeasurement, Optimizer, Sample, TunedWeights};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use wire::{Measurement, NodeId, PlanMessage, TunedParameters, View};
 
+/// Minimum time between two messages with tuned values to the same process.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(5);
 
+/// Plans headcounts and tunes weight sheets.
 pub struct Planner {
     optimizer: Optimizer,
     functions: BTreeMap<String, Function>,
     view: View,
-    tunes: bool,
-    plans_sent_at: BTreeMap<NodeId, Duration>,
+    is_tuning: bool,
+    tuned_sent_at: BTreeMap<NodeId, Duration>,
     fence: u64,
-    in_force: Vec<TunedParameters>,
+    tuned: Vec<TunedParameters>,
 }
 
-pub struct Planned {
+/// A message that the planner sends.
+pub struct PlannerOutput {
+    /// The recipient.
     pub to: NodeId,
+    /// The message.
     pub message: PlanMessage,
+    /// Reason why the plan is only a fallback.
     pub fault: Option<String>,
 }
 
@@ -34,27 +40,31 @@
 }
 
 impl Planner {
-    pub fn new(tunes: bool, optimizer: Optimizer) -> Planner {
+    /// Creates a planner over an optimizer. `is_tuning` is whether weight sheets are tuned.
+    pub fn new(is_tuning: bool, optimizer: Optimizer) -> Planner {
         let functions = BTreeMap::new();
-        let (plans_sent_at, in_force) = (BTreeMap::new(), Vec::new());
-        Planner { optimizer, functions, view: View::default(), tunes, plans_sent_at, fence: 0, in_force }
+        let (tuned_sent_at, tuned) = (BTreeMap::new(), Vec::new());
+        Planner { optimizer, functions, view: View::default(), is_tuning, tuned_sent_at, fence: 0, tuned }
     }
 
-    pub fn viewed(&mut self, view: View) {
+    /// Sets the view, which names the optimizer's host.
+    pub fn set_view(&mut self, view: View) {
         self.view = view;
     }
 
-    pub fn routes(&mut self, routes: &RouteTable) {
+    /// Sets the functions to those of a route table, and drops the samples of all others.
+    pub fn set_routes(&mut self, routes: &RouteTable) {
         self.functions = routes.functions().map(|function| (function.name.clone(), function.clone())).collect();
         let known = &self.functions;
-        self.optimizer.keep_only(|name| known.contains_key(name));
+        self.optimizer.retain_functions(|name| known.contains_key(name));
     }
 
-    /// What is tuned at present, as far as this registry knows, and by which host's fence.
-    pub fn in_force(&self) -> (u64, &[TunedParameters]) {
-        (self.fence, &self.in_force)
+    /// Returns the newest tuned values known to this registry, and their fencing number.
+    pub fn tuned_values(&self) -> (u64, &[TunedParameters]) {
+        (self.fence, &self.tuned)
     }
 
+    /// Handles a message and returns the messages to send.
     pub fn step(
         &mut self,
         now: Duration,
@@ -62,17 +72,17 @@
         from: NodeId,
         message: PlanMessage,
         limit: Duration,
-    ) -> Vec<Planned> {
+    ) -> Vec<PlannerOutput> {
         match message {
             PlanMessage::Samples { lines } => {
                 for line in lines.iter().filter(|line| self.functions.contains_key(line.function.as_str())) {
                     let sample = Sample {
                         rate: line.rate_milli as f64 / 1000.0,
-                        response: Duration::from_micros(line.response_micro),
+                        response_time: Duration::from_micros(line.response_micro),
                         waiting: line.waiting_milli as f64 / 1000.0,
                         queued: line.queued_milli as f64 / 1000.0,
                     };
-                    self.optimizer.sample(now, line.function.as_str(), sample);
+                    self.optimizer.record_sample(now, line.function.as_str(), sample);
                 }
                 Vec::new()
             }
@@ -83,15 +93,15 @@
                 let message = PlanMessage::Reply {
                     request_id,
                     fence: self.view.number,
-                    state: planned.fault.is_none() as u8,
+                    state: planned.error.is_none() as u8,
                     step_ms: planned.step.as_millis() as u32,
                     desired: planned.desired.into(),
                 };
-                let fault = planned.fault.map(|fault| format!("{}: {fault}", function.name));
-                vec![Planned { to: from, message, fault }]
+                let fault = planned.error.map(|fault| format!("{}: {fault}", function.name));
+                vec![PlannerOutput { to: from, message, fault }]
             }
             PlanMessage::Measures { lines } if self.view.optimizer == me => {
-                self.measured(now, me, from, lines.as_slice())
+                self.handle_measurements(now, me, from, lines.as_slice())
             }
             PlanMessage::Tuned { fence, lines } => {
                 self.adopt(fence, lines.into_vec());
@@ -101,66 +111,72 @@
         }
     }
 
-    fn measured(&mut self, now: Duration, me: NodeId, from: NodeId, lines: &[Measurement]) -> Vec<Planned> {
-        for line in lines.iter().filter(|_| self.tunes) {
-            let Some(function) = self.functions.get(line.function.as_str()) else { continue };
-            let measure = Measure {
-                boot: Duration::from_micros(line.boot_micro),
-                boots: line.boots,
-                refused: line.refused,
-                rejections: line.rejections,
-                waiting: line.waiting_milli as f64 / 1000.0,
-                usage: line.usage_milli as f64 / 1000.0,
+    fn handle_measurements(
+        &mut self,
+        now: Duration,
+        me: NodeId,
+        from: NodeId,
+        measurements: &[Measurement],
+    ) -> Vec<PlannerOutput> {
+        for measurement in measurements.iter().filter(|_| self.is_tuning) {
+            let Some(function) = self.functions.get(measurement.function.as_str()) else { continue };
+            let measure = FunctionMeasurement {
+                boot: Duration::from_micros(measurement.boot_micro),
+                boots: measurement.boots,
+                refused: measurement.refused,
+                rejections: measurement.rejections,
+                waiting: measurement.waiting_milli as f64 / 1000.0,
+                usage: measurement.usage_milli as f64 / 1000.0,
             };
-            self.optimizer.tuner.take(function, measure);
+            self.optimizer.tuner.record(function, measure);
         }
         self.fence = self.view.number;
-        self.in_force = self.optimizer.tuner.tuned().map(|(name, tuned)| line_of(name, tuned)).collect();
+        self.tuned = self.optimizer.tuner.tuned_weights().map(|(name, tuned)| encode_tuned(name, tuned)).collect();
         let others = self.view.chain.iter().copied().filter(|id| *id != me);
         let due: Vec<NodeId> = others
             .chain([from])
-            .filter(|to| self.plans_sent_at.get(to).is_none_or(|at| now >= *at + ANNOUNCE_INTERVAL))
+            .filter(|to| self.tuned_sent_at.get(to).is_none_or(|at| now >= *at + ANNOUNCE_INTERVAL))
             .collect();
-        self.plans_sent_at.retain(|_, at| now < *at + ANNOUNCE_INTERVAL * 20);
-        let message = PlanMessage::Tuned { fence: self.fence, lines: self.in_force.clone().into() };
+        self.tuned_sent_at.retain(|_, at| now < *at + ANNOUNCE_INTERVAL * 20);
+        let message = PlanMessage::Tuned { fence: self.fence, lines: self.tuned.clone().into() };
         due.into_iter()
             .map(|to| {
-                self.plans_sent_at.insert(to, now);
-                Planned { to, message: message.clone(), fault: None }
+                self.tuned_sent_at.insert(to, now);
+                PlannerOutput { to, message: message.clone(), fault: None }
             })
             .collect()
     }
 
-    /// Another host's word, unless a later one has been heard.
-    fn adopt(&mut self, fence: u64, lines: Vec<TunedParameters>) {
+    /// Adopts tuned values of another host, unless values with a higher fencing number are known.
+    fn adopt(&mut self, fence: u64, tuned: Vec<TunedParameters>) {
         if fence < self.fence {
             return;
         }
         self.fence = fence;
-        for line in &lines {
-            if let Some(function) = self.functions.get(line.function.as_str()) {
-                self.optimizer.tuner.adopt(function, tuned_of(line));
+        for parameters in &tuned {
+            if let Some(function) = self.functions.get(parameters.function.as_str()) {
+                self.optimizer.tuner.adopt(function, decode_tuned(parameters));
             }
         }
-        self.in_force = lines;
+        self.tuned = tuned;
     }
 }
 
-fn line_of(name: &str, tuned: &Tuned) -> TunedParameters {
+fn encode_tuned(name: &str, tuned: &TunedWeights) -> TunedParameters {
     TunedParameters {
         function: name.into(),
         startup_delay_steps: tuned.startup_delay_steps,
         usage_micro: (tuned.target_usage * 1e6).round() as u64,
         hard_milli: (tuned.sla_hard * 1e3).round() as u64,
-        why: tuned.why.as_str().into(),
+        why: tuned.reason.as_str().into(),
     }
 }
 
-fn tuned_of(line: &TunedParameters) -> Tuned {
-    Tuned {
-        startup_delay_steps: line.startup_delay_steps,
-        target_usage: line.usage_micro as f64 / 1e6,
-        sla_hard: line.hard_milli as f64 / 1e3,
-        why: line.why.as_str().to_owned(),
+fn decode_tuned(parameters: &TunedParameters) -> TunedWeights {
+    TunedWeights {
+        startup_delay_steps: parameters.startup_delay_steps,
+        target_usage: parameters.usage_micro as f64 / 1e6,
+        sla_hard: parameters.hard_milli as f64 / 1e3,
+        reason: parameters.why.as_str().to_owned(),
     }
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,5 +1,5 @@
-//! A registry put together: disk, API and optimizer on threads of their own, the core and its links on
-//! the control thread. Services find each other's inboxes by name.
+//! Assembly of a registry: disk, API and optimizer run on separate threads, the core and its links on the control
+//! thread. Services find each other's inboxes by name.
 
 use crate::api::{self, Api};
 use crate::apply::apply;
@@ -10,12 +10,12 @@
 use crate::errors::RunError;
 use crate::link_routing::run_links;
 use crate::membership_log::MembershipLog;
-use crate::operator_dialect::{ControlDialect, MakePages, Operators};
-use crate::optimizer::{self, Host, OptimizerMessage};
+use crate::operator_pages::{ControlDialect, MakePages, RegistryHandle};
+use crate::optimizer::{self, OptimizerContext, OptimizerMessage};
 use crate::settings::RegistrySettings;
 use axum::Router;
 use axum::extract::DefaultBodyLimit;
-use chain::{ChainReplica, Disk, Store, StoreError, Stored, Timing};
+use chain::{ChainReplica, DiskWriter, Store, StoreError, StoredReplica, Timing};
 use events::event;
 use http_server::{ResourceIndex, ServerLimits, Tokens, Views};
 use kernel::{Directory, Inbox, InboxSender, adopt, find, listen, listen_address, local, thread};
@@ -29,11 +29,11 @@
 use tokio::sync::watch;
 use wire::{NodeAddress, NodeId};
 
-/// A full disk is tried again this often.
+/// Interval between attempts to open the data file on a full disk.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
-/// Incarnations are drawn with so many high bits clear, so that numbers of one fit in 64 bits.
+/// Number of high bits that are zero in an incarnation, so that the numbers derived from it fit in 64 bits.
 const INCARNATION_SHIFT: u32 = 8;
-/// Proposals and rounds are numbered from the incarnation, shifted by so many bits.
+/// Proposals and rounds are numbered from the incarnation shifted left by this many bits.
 const NUMBERS_SHIFT: u32 = 20;
 const CONTROL_INBOX: usize = 16_384;
 const OPTIMIZER_INBOX: usize = 8192;
@@ -47,29 +47,29 @@
     grace: Duration::from_secs(1),
 };
 
-/// What the registry holds on to before anything of it runs.
-struct Opened {
+/// The data file and identity of a registry, opened before anything else starts.
+struct OpenedRegistry {
     file: PathBuf,
     store: Store,
-    stored: Stored,
+    stored: StoredReplica,
     node: NodeAddress,
 }
 
-/// The sockets it listens at.
+/// Listening sockets of a registry.
 struct Listeners {
     peers: TcpListener,
     operators: TcpListener,
     pages: Option<TcpListener>,
 }
 
-/// Runs a registry until it is told to stop.
+/// Runs a registry until it is asked to stop.
 ///
 /// # Errors
 ///
-/// What keeps it from starting; once it runs it ends only when it is told to.
+/// Returns the reason why the registry cannot start. A running registry ends only on request.
 pub fn run(settings: RegistrySettings, dialect: ControlDialect) -> Result<(), RunError> {
     let incarnation = rand::random::<u64>() >> INCARNATION_SHIFT;
-    let Opened { file, store, stored, node } = open(&settings)?;
+    let OpenedRegistry { file, store, stored, node } = open(&settings)?;
     if settings.show {
         let page = format!("{:#}\n", stored_document(&stored.state));
         return std::io::stdout().write_all(page.as_bytes()).map_err(RunError::Print);
@@ -88,26 +88,26 @@
     let optimizer_inbox = directory.announce::<OptimizerMessage>("optimizer", OPTIMIZER_INBOX);
     let links_inbox = directory.announce::<LinkOrder>("links", LINKS_INBOX);
     let control = find::<ControlMessage>(&directory, "control");
-    let (view, shown) = watch::channel(String::from("{}"));
+    let (status, status_updates) = watch::channel(String::from("{}"));
     let (stop, stopping) = watch::channel(false);
-    let (index, indexed) = watch::channel(ResourceIndex::new(incarnation));
+    let (index, index_updates) = watch::channel(ResourceIndex::new(incarnation));
 
-    let operators = Operators::new(control.clone(), shown);
+    let handle = RegistryHandle::new(control.clone(), status_updates);
     let (pages_listener, operators_listener) = (listeners.pages, listeners.operators);
     let dialect_pages = pages.zip(pages_listener);
-    let servers = start_servers(&settings, operators, operators_listener, dialect_pages, indexed, &stopping)?;
+    let servers = start_servers(&settings, handle, operators_listener, dialect_pages, index_updates, &stopping)?;
     start_optimizer(&settings, me, index, &directory, optimizer_inbox)?;
     let disk = start_disk(&settings, file, store, node.clone(), control.clone())?;
-    let work = Control {
+    let control_loop = Control {
         core: new_core(&settings, node, stored, incarnation),
         disk,
         links: find(&directory, "links"),
         optimizer: find(&directory, "optimizer"),
         calls: BTreeMap::new(),
-        next_call: 0,
-        view,
-        revision: None,
-        shown: Instant::now(),
+        last_call_id: 0,
+        status,
+        sent_revision: None,
+        status_published_at: Instant::now(),
         membership: MembershipLog::default(),
         seeds: settings.seeds.clone(),
         grace: settings.grace,
@@ -127,9 +127,9 @@
                 control.send_waiting(ControlMessage::Seeds(seeds)).await;
             }));
         }
-        // On the same thread: between threads each frame costs a wake-up each way.
+        // On the control thread, since passing frames between threads costs a wake-up each way.
         tokio::task::spawn_local(run_links(directory, local_node, listeners.peers, links_inbox));
-        work.run(control, control_inbox).await
+        control_loop.run(control, control_inbox).await
     });
     let _ = stop.send(true);
     servers.into_iter().for_each(|server| _ = server.join());
@@ -137,33 +137,33 @@
     Ok(())
 }
 
-fn open(settings: &RegistrySettings) -> Result<Opened, RunError> {
+fn open(settings: &RegistrySettings) -> Result<OpenedRegistry, RunError> {
     let file = settings.data.join("registry.redb");
     if settings.show && !file.exists() {
         return Err(RunError::NoFile { path: file });
     }
     std::fs::create_dir_all(&settings.data).map_err(|fault| RunError::Folder { path: settings.data.clone(), fault })?;
-    let newcomer = NodeAddress { id: rand::random::<u64>() | 1, address: settings.address.as_str().into() };
-    let (store, stored) = open_when_possible(&file, &settings.cluster, newcomer)
+    let new_node = NodeAddress { id: rand::random::<u64>() | 1, address: settings.address.as_str().into() };
+    let (store, stored) = open_when_possible(&file, &settings.cluster, new_node)
         .map_err(|fault| RunError::Store { path: file.clone(), fault })?;
     let node = NodeAddress { id: stored.meta.node.id, address: settings.address.as_str().into() };
-    Ok(Opened { file, store, stored, node })
+    Ok(OpenedRegistry { file, store, stored, node })
 }
 
 fn start_servers(
     settings: &RegistrySettings,
-    operators: Operators,
+    handle: RegistryHandle,
     listener: TcpListener,
     dialect: Option<(MakePages, TcpListener)>,
     index: watch::Receiver<ResourceIndex>,
     stopping: &watch::Receiver<bool>,
 ) -> Result<Vec<JoinHandle<()>>, RunError> {
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
-    let kinds = http_server::views(Views { index, tokens: tokens.clone() });
-    let own = api::router(Api { operators: operators.clone(), tokens }, settings.body).merge(kinds);
-    let mut servers = vec![serve("api", listener, own, SERVER_LIMITS, stopping.clone())?];
+    let resource_views = http_server::views(Views { index, tokens: tokens.clone() });
+    let builtin_pages = api::router(Api { handle: handle.clone(), tokens }, settings.body).merge(resource_views);
+    let mut servers = vec![serve("api", listener, builtin_pages, SERVER_LIMITS, stopping.clone())?];
     if let Some((make, listener)) = dialect {
-        let pages = make(operators).layer(DefaultBodyLimit::max(settings.body));
+        let pages = make(handle).layer(DefaultBodyLimit::max(settings.body));
         servers.push(serve("pages", listener, pages, SERVER_LIMITS, stopping.clone())?);
     }
     Ok(servers)
@@ -176,7 +176,7 @@
     directory: &Directory,
     inbox: Inbox<OptimizerMessage>,
 ) -> Result<(), RunError> {
-    let host = Host {
+    let context = OptimizerContext {
         me,
         solve: settings.solve,
         step: settings.step,
@@ -186,7 +186,7 @@
         index,
         links: find(directory, "links"),
     };
-    thread("optimizer", move || optimizer::run(host, inbox))?;
+    thread("optimizer", move || optimizer::run(context, inbox))?;
     Ok(())
 }
 
@@ -196,30 +196,32 @@
     store: Store,
     node: NodeAddress,
     control: InboxSender<ControlMessage>,
-) -> Result<Disk, RunError> {
+) -> Result<DiskWriter, RunError> {
     let cluster = settings.cluster.clone();
     let reopen = move || Store::reopen(&file, &cluster, &node);
     let report = move |report| {
         control.send_blocking(ControlMessage::Disk(report));
     };
-    Disk::start(store, reopen, report).map_err(RunError::Disk)
+    DiskWriter::start(store, reopen, report).map_err(RunError::Disk)
 }
 
-fn new_core(settings: &RegistrySettings, node: NodeAddress, stored: Stored, incarnation: u64) -> Core {
-    let founds = settings.found && settings.seeds.contains(&settings.address);
-    let founders = if founds { settings.seeds.len() } else { 0 };
-    let member = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO)
+fn new_core(settings: &RegistrySettings, node: NodeAddress, stored: StoredReplica, incarnation: u64) -> Core {
+    let may_found = settings.found && settings.seeds.contains(&settings.address);
+    let founders = if may_found { settings.seeds.len() } else { 0 };
+    let replica = ChainReplica::new(node, stored, Timing::default(), apply, Duration::ZERO)
         .with_founders(founders)
-        .tolerating_losses(settings.losses);
-    let timing =
-        CoreTiming { call: settings.call, ..CoreTiming::for_hold(settings.hold).with_peer_hold(settings.peer_hold) };
-    Core::new(member, timing, incarnation << NUMBERS_SHIFT).speaking(settings.format)
+        .with_tolerated_losses(settings.losses);
+    let timing = CoreTiming {
+        call_timeout: settings.call,
+        ..CoreTiming::for_hold(settings.hold).with_peer_hold(settings.peer_hold)
+    };
+    Core::new(replica, timing, incarnation << NUMBERS_SHIFT).with_format(settings.format)
 }
 
-/// A disk that is full at the start is waited for: it has room again sooner or later.
-fn open_when_possible(file: &Path, cluster: &str, newcomer: NodeAddress) -> Result<(Store, Stored), StoreError> {
+/// Opens the data file. On a full disk it retries until there is space.
+fn open_when_possible(file: &Path, cluster: &str, new_node: NodeAddress) -> Result<(Store, StoredReplica), StoreError> {
     loop {
-        match Store::open(file, cluster, newcomer.clone()) {
+        match Store::open(file, cluster, new_node.clone()) {
             Err(fault) if fault.is_disk_full() => {
                 event!(disk_full_at_start, "{fault}");
                 std::thread::sleep(REOPEN_INTERVAL);
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -1,9 +1,9 @@
-//! Registry cores wired to each other by hand, over disks that keep what was written and links that
-//! can be cut in either direction.
+//! Registry cores connected in memory, with disks that keep what was written and links that can be cut in either
+//! direction.
 
 #![allow(dead_code)]
 
-use chain::{ChainReplica, Stored, Timing};
+use chain::{ChainReplica, StoredReplica, Timing};
 use control::{ApiCall, ApiReply, Core, CoreInput, CoreOutput, CoreTiming};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -22,9 +22,9 @@
     frame: Frame,
 }
 
-/// A reply of one registry to one call.
+/// A registry's reply to a call.
 #[derive(Clone, Debug)]
-pub struct Answered {
+pub struct CallReply {
     pub at: NodeId,
     pub request_id: u64,
     pub reply: ApiReply,
@@ -33,13 +33,13 @@
 #[derive(Default)]
 pub struct Cluster {
     cores: BTreeMap<NodeId, Core>,
-    disks: BTreeMap<NodeId, Stored>,
+    disks: BTreeMap<NodeId, StoredReplica>,
     frames: VecDeque<Envelope>,
     cuts: BTreeSet<(NodeId, NodeId)>,
     now: Duration,
-    asks: u64,
-    starts: u64,
-    pub answered: Vec<Answered>,
+    last_request_id: u64,
+    start_count: u64,
+    pub replies: Vec<CallReply>,
 }
 
 fn node(id: NodeId) -> NodeAddress {
@@ -47,20 +47,20 @@
 }
 
 impl Cluster {
-    /// Founds a cluster of so many registries, with ids from 1, and lets it settle.
+    /// Founds a cluster of `count` registries, with ids from 1, and waits until it is complete.
     pub fn founded(count: u64) -> Cluster {
         let mut cluster = Cluster { now: Duration::from_secs(1), ..Cluster::default() };
         (1..=count).for_each(|id| cluster.start_founding(id, count as usize));
         cluster.run(Duration::from_secs(6));
-        assert_eq!(cluster.chain().len(), count as usize, "the cluster is whole");
+        assert_eq!(cluster.chain().len(), count as usize, "all registries are in the chain");
         cluster
     }
 
-    fn start_founding(&mut self, id: NodeId, addresses: usize) {
-        self.starts += 1;
+    fn start_founding(&mut self, id: NodeId, founders: usize) {
+        self.start_count += 1;
         let stored = self.disks.entry(id).or_default().clone();
-        let member = ChainReplica::new(node(id), stored, Timing::default(), control::apply, self.now);
-        let core = Core::new(member.with_founders(addresses), CoreTiming::default(), self.starts << 20);
+        let replica = ChainReplica::new(node(id), stored, Timing::default(), control::apply, self.now);
+        let core = Core::new(replica.with_founders(founders), CoreTiming::default(), self.start_count << 20);
         self.cores.insert(id, core);
     }
 
@@ -68,7 +68,7 @@
         self.start_founding(id, 0);
     }
 
-    /// Ends a process; what it had written stays.
+    /// Kills a registry; its disk is kept.
     pub fn kill(&mut self, id: NodeId) {
         self.cores.remove(&id);
         self.frames.retain(|envelope| envelope.to != id);
@@ -84,11 +84,11 @@
 
     /// The chain of the newest view.
     pub fn chain(&self) -> Vec<NodeId> {
-        let views = self.cores.values().map(|core| core.member().view());
+        let views = self.cores.values().map(|core| core.replica().view());
         views.max_by_key(|view| view.number).map(|view| view.chain.as_slice().to_vec()).unwrap_or_default()
     }
 
-    /// Loses whatever is sent from one to the other.
+    /// Drops all frames from one registry to another.
     pub fn cut_one_way(&mut self, from: NodeId, to: NodeId) {
         self.cuts.insert((from, to));
     }
@@ -98,18 +98,18 @@
     }
 
     pub fn call(&mut self, at: NodeId, call: ApiCall) -> u64 {
-        self.asks += 1;
-        let request_id = self.asks;
+        self.last_request_id += 1;
+        let request_id = self.last_request_id;
         self.step(at, CoreInput::Call { request_id, call });
         self.deliver();
         request_id
     }
 
     pub fn reply(&self, request_id: u64) -> Option<&ApiReply> {
-        self.answered.iter().find(|answered| answered.request_id == request_id).map(|answered| &answered.reply)
+        self.replies.iter().find(|reply| reply.request_id == request_id).map(|reply| &reply.reply)
     }
 
-    /// Asks and goes on until the reply is there.
+    /// Sends a call and runs the cluster until the reply arrives.
     pub fn call_and_wait(&mut self, at: NodeId, call: ApiCall) -> ApiReply {
         let request_id = self.call(at, call);
         for _ in 0..2000 {
@@ -118,7 +118,7 @@
             }
             self.tick();
         }
-        panic!("no reply of {at} within twenty seconds");
+        panic!("no reply from {at} within twenty seconds");
     }
 
     pub fn run(&mut self, time: Duration) {
@@ -166,7 +166,7 @@
                         inputs.push_back(CoreInput::Written { ticket });
                     }
                     CoreOutput::Reply { request_id, reply } => {
-                        self.answered.push(Answered { at: id, request_id, reply })
+                        self.replies.push(CallReply { at: id, request_id, reply })
                     }
                     _ => {}
                 }
@@ -179,7 +179,7 @@
     }
 }
 
-/// A change of one headcount plan, under an operation id, on a revision.
+/// Returns a change of one headcount plan, with an operation id and a base revision.
 pub fn change(op: &str, base: u64) -> ApiCall {
     let fixed = op.bytes().fold(7u64, |sum, byte| (sum * 31 + u64::from(byte)) % 997);
     let value = format!(r#"{{"fixed":{fixed}}}"#).into_bytes();
@@ -195,6 +195,7 @@
     }
 }
 
-pub fn fetch() -> ApiCall {
+/// Returns a read of the whole configuration.
+pub fn read_configuration() -> ApiCall {
     ApiCall::Configuration { scope: String::new() }
 }
--- a/crates/leases/src/serving_status.rs
+++ b/crates/leases/src/serving_status.rs
@@ -1,48 +1,49 @@
-//! Whether a router may serve, as a small hierarchical state machine: waiting without a proof,
-//! serving on the core's word, or serving on the word of its peers while the core is away.
+//! Hierarchical state machine for whether a router may serve: waiting without a lease, serving with a lease confirmed
+//! by the core, or serving with a lease confirmed by its peers while the core is unreachable.
 
 use statig::prelude::*;
 
-/// Whether a router may serve, and on whose word.
+/// Whether a router may serve, and who confirmed its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingStatus {
-    /// It may not.
+    /// The router may not serve.
     Waiting,
-    /// On the word of the core.
+    /// The router may serve: the core confirmed its lease.
     ByCore,
-    /// On the word of a majority of its peers.
+    /// The router may serve: a majority of its peers confirmed its lease.
     ByPeers,
 }
 
-/// What was found of the lease.
+/// Present state of the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingEvent {
-    /// The core confirmed it.
-    CoreProved,
-    /// Only peers confirmed it.
-    PeersProved,
-    /// It has run out.
-    Unproved,
+    /// The core has confirmed the lease.
+    CoreConfirmed,
+    /// Only peers have confirmed the lease.
+    PeersConfirmed,
+    /// The lease has expired.
+    LeaseExpired,
 }
 
+/// States and transitions of the serving status.
 #[derive(Default)]
-pub struct Machine;
+pub struct ServingMachine;
 
 #[state_machine(initial = "State::waiting()", state(derive(Debug)))]
-impl Machine {
+impl ServingMachine {
     #[state]
     fn waiting(event: &ServingEvent) -> Outcome<State> {
         match event {
-            ServingEvent::CoreProved => Transition(State::by_core()),
-            ServingEvent::PeersProved => Transition(State::by_peers()),
-            ServingEvent::Unproved => Handled,
+            ServingEvent::CoreConfirmed => Transition(State::by_core()),
+            ServingEvent::PeersConfirmed => Transition(State::by_peers()),
+            ServingEvent::LeaseExpired => Handled,
         }
     }
 
     #[state(superstate = "serving")]
     fn by_core(event: &ServingEvent) -> Outcome<State> {
         match event {
-            ServingEvent::PeersProved => Transition(State::by_peers()),
+            ServingEvent::PeersConfirmed => Transition(State::by_peers()),
             _ => Super,
         }
     }
@@ -50,7 +51,7 @@
     #[state(superstate = "serving")]
     fn by_peers(event: &ServingEvent) -> Outcome<State> {
         match event {
-            ServingEvent::CoreProved => Transition(State::by_core()),
+            ServingEvent::CoreConfirmed => Transition(State::by_core()),
             _ => Super,
         }
     }
@@ -58,26 +59,26 @@
     #[superstate]
     fn serving(event: &ServingEvent) -> Outcome<State> {
         match event {
-            ServingEvent::Unproved => Transition(State::waiting()),
+            ServingEvent::LeaseExpired => Transition(State::waiting()),
             _ => Handled,
         }
     }
 }
 
-/// Goes from one status to the next.
+/// State machine of the serving status.
 pub struct ServingStateMachine {
-    machine: StateMachine<Machine>,
+    machine: StateMachine<ServingMachine>,
 }
 
 impl Default for ServingStateMachine {
     fn default() -> Self {
-        ServingStateMachine { machine: Machine.state_machine() }
+        ServingStateMachine { machine: ServingMachine.state_machine() }
     }
 }
 
 impl ServingStateMachine {
-    /// The status after an event.
-    pub fn take(&mut self, event: ServingEvent) -> ServingStatus {
+    /// Handles an event and returns the resulting status.
+    pub fn handle(&mut self, event: ServingEvent) -> ServingStatus {
         self.machine.handle(&event);
         match self.machine.state() {
             State::Waiting {} => ServingStatus::Waiting,
--- a/crates/quota/src/granter.rs
+++ b/crates/quota/src/granter.rs
@@ -1,136 +1,137 @@
-//! Grants credits to routers, each granter from its own part of the limits.
+//! Granter: grants credits to routers from its own share of the limits.
 
-use crate::agreement::{GranterMembership, GrantersAgreement};
+use crate::agreement::{GranterMembership, MembershipAgreement};
 use crate::bucket::GrantBucket;
 use crate::first_number;
-use crate::limits::{ConsumerId, ConsumerLimit, Dealing, QuotaBounds, QuotaLimits};
+use crate::limits::{ConsumerId, ConsumerLimit, GrantPolicy, QuotaBounds, QuotaLimits};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use wire::{NodeId, QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaRequest};
 
-/// When to ask one that grants nothing at present.
+/// Time after which to retry a router that currently grants nothing.
 const NOT_GRANTING_RETRY: Duration = Duration::from_millis(100);
 
-/// Numbers for operators.
+/// Statistics of a granter, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GranterStatistics {
-    /// Requests for credits that were answered.
+    /// Credit requests that were answered.
     pub requests: u64,
     /// Credits granted.
     pub granted: u64,
-    /// Credits asked for and not granted.
+    /// Credits that were requested and not granted.
     pub refused: u64,
-    /// Requests answered with nothing since this router did not grant.
+    /// Credit requests refused because this router was not a granter of the consumer, or had no lease.
     pub not_granting: u64,
-    /// Consumers of whose limits this router deals out a part.
+    /// Number of consumers of whose limits this router has a share.
     pub consumers: usize,
-    /// Whether all granters are known to divide by the same membership.
+    /// Whether all granters are known to divide limits by the same membership.
     pub is_settled: bool,
 }
 
-/// One router's part of all limits. It has a part only by a membership that names it as a granter.
+/// Grants credits from one router's shares of all limits. A router has shares only under a membership that names it
+/// as a granter.
 #[derive(Debug)]
 pub struct QuotaGranter {
     me: NodeId,
     bounds: QuotaBounds,
     limits: Rc<QuotaLimits>,
-    agreement: GrantersAgreement,
+    agreement: MembershipAgreement,
     buckets: BTreeMap<ConsumerId, GrantBucket>,
     statistics: GranterStatistics,
 }
 
 impl QuotaGranter {
-    /// One that knows no membership yet.
+    /// Creates a granter without a membership.
     pub fn new(me: NodeId, incarnation: u64, bounds: QuotaBounds) -> QuotaGranter {
         QuotaGranter {
             me,
             bounds,
             limits: Rc::default(),
-            agreement: GrantersAgreement::new(me, first_number(incarnation)),
+            agreement: MembershipAgreement::new(me, first_number(incarnation)),
             buckets: BTreeMap::new(),
             statistics: GranterStatistics::default(),
         }
     }
 
-    /// The limits from now on.
+    /// Replaces the limits.
     pub fn set_limits(&mut self, now: Duration, limits: Rc<QuotaLimits>) {
         self.limits = limits;
-        self.divide(now, now);
+        self.update_buckets(now, now);
     }
 
-    /// The membership from now on.
+    /// Replaces the membership.
     pub fn set_membership(&mut self, now: Duration, membership: GranterMembership) {
         if self.agreement.set_membership(now, membership) {
-            self.divide(now, self.agreement.refilled_since());
+            self.update_buckets(now, self.agreement.refill_start());
         }
     }
 
-    /// This router was dropped from the membership and joins anew.
-    pub fn handle_lapse(&mut self, now: Duration) {
-        self.agreement.handle_lapse(now);
-        self.divide(now, now);
+    /// Handles that this router was dropped from the membership and has to join again.
+    pub fn handle_membership_loss(&mut self, now: Duration) {
+        self.agreement.handle_membership_loss(now);
+        self.update_buckets(now, now);
     }
 
-    /// Answers a request for credits. Without a serving lease nothing is granted.
+    /// Answers a credit request. Nothing is granted without a serving lease.
     pub fn handle_request(&mut self, now: Duration, has_lease: bool, request: &QuotaRequest) -> QuotaGrant {
         self.statistics.requests += 1;
         let bucket = self.buckets.get_mut(&ConsumerId(request.consumer)).filter(|_| has_lease);
         let Some(bucket) = bucket else {
             self.statistics.not_granting += 1;
-            return grant(request, 0, NOT_GRANTING_RETRY);
+            return grant_message(request, 0, NOT_GRANTING_RETRY);
         };
-        let granted = bucket.take(now, request.wanted);
+        let granted = bucket.grant(now, request.wanted);
         self.statistics.granted += u64::from(granted);
         self.statistics.refused += u64::from(request.wanted - granted);
         let retry_after = if granted < request.wanted { bucket.retry_after() } else { Duration::ZERO };
-        grant(request, granted, retry_after)
+        grant_message(request, granted, retry_after)
     }
 
-    /// What is to be asked of other granters now, if anything.
+    /// Returns the queries to send to other granters now.
     pub fn take_queries(&mut self, now: Duration) -> Vec<(NodeId, QuotaGrantersQuery)> {
         self.agreement.take_queries(now)
     }
 
-    /// Answers another granter.
+    /// Answers a query of another granter.
     pub fn handle_query(&self, now: Duration, query: &QuotaGrantersQuery) -> QuotaGrantersReply {
         self.agreement.handle_query(now, query)
     }
 
-    /// Another granter answered.
+    /// Handles the reply of another granter to a query.
     pub fn handle_reply(&mut self, now: Duration, from: NodeId, reply: &QuotaGrantersReply) {
         if self.agreement.handle_reply(now, from, reply) {
-            self.divide(now, self.agreement.refilled_since());
+            self.update_buckets(now, self.agreement.refill_start());
         }
     }
 
-    /// Requests a second of a consumer that this router deals out.
-    pub fn dealt_per_s(&self, consumer: ConsumerId) -> f64 {
+    /// Returns this router's share of a consumer's rate, in requests per second.
+    pub fn refill_rate_per_s(&self, consumer: ConsumerId) -> f64 {
         self.buckets.get(&consumer).map_or(0.0, GrantBucket::rate_per_s)
     }
 
-    /// Numbers for operators.
+    /// Returns the statistics for operators.
     pub fn statistics(&self) -> GranterStatistics {
         let (consumers, is_settled) = (self.buckets.len(), self.agreement.is_settled());
         GranterStatistics { consumers, is_settled, ..self.statistics }
     }
 
-    /// Gives each bucket its share from now on. One that is new began at `refilled_since`.
-    fn divide(&mut self, now: Duration, refilled_since: Duration) {
+    /// Gives each bucket its current share. New buckets are refilled from `refill_start` on.
+    fn update_buckets(&mut self, now: Duration, refill_start: Duration) {
         let (me, agreement) = (self.me, &self.agreement);
-        let mut before = std::mem::take(&mut self.buckets);
+        let mut previous = std::mem::take(&mut self.buckets);
         for (consumer, limit) in self.limits.iter().filter(|(_, limit)| ConsumerLimit::is_limited(limit)) {
-            let dealing = Dealing::new(&self.bounds, *limit);
-            let share = agreement.least_share(|granters| granters.share(me, *consumer, dealing.shards));
+            let policy = GrantPolicy::new(&self.bounds, *limit);
+            let share = agreement.min_share(|granters| granters.share(me, *consumer, policy.shards));
             if share > 0.0 {
-                let bucket = before.remove(consumer).map(|bucket| bucket.with_share(now, &dealing, share));
-                let bucket = bucket.unwrap_or_else(|| GrantBucket::new(refilled_since, &dealing, share));
+                let bucket = previous.remove(consumer).map(|bucket| bucket.with_share(now, &policy, share));
+                let bucket = bucket.unwrap_or_else(|| GrantBucket::new(refill_start, &policy, share));
                 self.buckets.insert(*consumer, bucket);
             }
         }
     }
 }
 
-fn grant(request: &QuotaRequest, granted: u32, retry_after: Duration) -> QuotaGrant {
+fn grant_message(request: &QuotaRequest, granted: u32, retry_after: Duration) -> QuotaGrant {
     QuotaGrant { number: request.number, granted, retry_after_ms: retry_after.as_millis() as u32 }
 }
--- a/crates/sim/src/core_rules.rs
+++ b/crates/sim/src/core_rules.rs
@@ -143,7 +143,7 @@
         }
         let cores = self.registries.iter().filter_map(|node| node.core.as_ref());
         let newest = |(committed, view): (u64, u64), core: &control::Core| {
-            let member = core.member();
+            let member = core.replica();
             (committed.max(member.positions().committed), view.max(member.view().number))
         };
         let (committed, view) = cores.fold((0, 0), newest);
@@ -159,7 +159,7 @@
 
     fn check_copies(&mut self, entry: u64) {
         let Some(op) = self.rules.committed_op(entry) else { return };
-        let holds = |disk: &chain::Stored| {
+        let holds = |disk: &chain::StoredReplica| {
             let same = |line: &wire::LogEntry| (line.op.origin, line.op.number) == op;
             let known = disk.entries.binary_search_by_key(&entry, |line| line.seq);
             // What was copied whole, or trimmed, has no entry to look at.
@@ -179,7 +179,7 @@
 
     fn newest_view(&self) -> Option<View> {
         let known = self.registries.iter().map(|node| match &node.core {
-            Some(core) => core.member().view(),
+            Some(core) => core.replica().view(),
             None => &node.disk.meta.view,
         });
         known.max_by_key(|view| view.number).filter(|view| view.number > 0).cloned()
--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/ending.rs
@@ -36,7 +36,7 @@
             .registries
             .iter()
             .filter_map(|node| node.core.as_ref())
-            .max_by_key(|core| core.member().positions().committed);
+            .max_by_key(|core| core.replica().positions().committed);
         let kept = |key: &str, service: &str| {
             let scope = self.callers.scopes.get(key).cloned().unwrap_or_else(|| format!("{service}/k-{key}"));
             let id = traffic::stored_id(&scope);
@@ -63,8 +63,8 @@
         let routers = self.routers.iter().enumerate().map(|(n, node)| match &node.machines {
             Some(machines) => format!(
                 "router {n}: step {} staged {} roster {} tail {:x?}, front {}, home {:?}",
-                machines.follower.step_number(),
-                machines.follower.staged_number(),
+                machines.follower.active_epoch(),
+                machines.follower.staged_epoch(),
                 machines.follower.membership().number,
                 machines.follower.tail(),
                 machines.front.depth(),
--- a/crates/sim/src/failing.rs
+++ b/crates/sim/src/failing.rs
@@ -6,7 +6,7 @@
 use crate::follow_ups::FollowUp;
 use crate::replacement::{GRACE, LOOK};
 use crate::world::{Event, Place, World};
-use chain::Stored;
+use chain::StoredReplica;
 use rand::RngExt;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         let calm = |n: &usize| {
             let core = self.registries[*n].core.as_ref();
             let is_whole = |member: &chain::ChainReplica| member.view().chain.as_slice().len() == live.len();
-            core.is_some_and(|core| is_whole(core.member()) && core.member().departure_deadline().is_none())
+            core.is_some_and(|core| is_whole(core.replica()) && core.replica().departure_deadline().is_none())
         };
         if !live.iter().all(calm) {
             return;
@@ -80,14 +80,14 @@
         let live = self.live_registries();
         let full = |n: &usize| {
             let Some(core) = &self.registries[*n].core else { return false };
-            let view = core.member().view();
+            let view = core.replica().view();
             view.chain.as_slice().len() == live.len() && view.learner == 0
         };
         if !live.iter().all(full) {
             return;
         }
         self.kill_registry(n);
-        self.registries[n].disk = Stored::default();
+        self.registries[n].disk = StoredReplica::default();
         self.registries[n].seeds = self.addresses_of_others(n);
         self.registries[n].pending = None;
         self.registries[n].disk_lost = true;
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -3,7 +3,7 @@
 use crate::slowness::SLOW_DISK;
 use crate::world::{Event, Place, TICK, World};
 use bindings::RouteTable;
-use chain::{Batch, ChainReplica, Stored, Timing};
+use chain::{Batch, ChainReplica, StoredReplica, Timing};
 use control::{Core, CoreInput, CoreOutput, CoreTiming, Planner};
 use rand::RngExt;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     pub address: String,
     pub life: u64,
     pub core: Option<Core>,
-    pub disk: Stored,
+    pub disk: StoredReplica,
     pub pending: Option<(u64, Batch)>,
     pub stalled_until: Duration,
     pub full: bool,
@@ -53,7 +53,7 @@
             address,
             life: 0,
             core: None,
-            disk: Stored::default(),
+            disk: StoredReplica::default(),
             pending: None,
             stalled_until: Duration::ZERO,
             full: false,
@@ -93,7 +93,7 @@
         node.refused_write = false;
         node.frozen_until = Duration::ZERO;
         node.planner = Planner::default();
-        node.planner.viewed(node.disk.meta.view.clone());
+        node.planner.set_view(node.disk.meta.view.clone());
         node.told.clear();
         node.last_trouble = now;
         let founds = !node.started_before && self.seeds.contains(&node.address);
@@ -102,7 +102,7 @@
             ChainReplica::new(address, node.disk.clone(), Timing::default(), control::apply, Duration::ZERO);
         if self.plan.sort.is_on_control() {
             member =
-                member.with_founders(if founds { self.seeds.len() } else { 0 }).tolerating_losses(self.plan.losses);
+                member.with_founders(if founds { self.seeds.len() } else { 0 }).with_tolerated_losses(self.plan.losses);
         }
         node.core = Some(Core::new(member, CoreTiming::default().with_peer_hold(self.plan.peer_hold), life << 20));
         self.net.names.insert(id, Place::Registry(n));
@@ -214,7 +214,7 @@
                     let chain: Vec<String> = view.chain.iter().map(|id| format!("{:04x}", id >> 48)).collect();
                     format!("registry {n} adopts view {} chain {}", view.number, chain.join(" "))
                 });
-                self.registries[n].planner.viewed(view);
+                self.registries[n].planner.set_view(view);
             }
             CoreOutput::CaughtUp { missed_entries: missed } => {
                 self.brought_back[usize::from(missed.is_none())] += 1;
@@ -229,7 +229,7 @@
                 let Some(core) = &node.core else { return };
                 let pairs = core.state().iter().filter_map(|(key, value)| Some((key.strip_prefix("a/")?, &value[..])));
                 let routes = RouteTable::build(step, 0, pairs);
-                node.planner.routes(&routes);
+                node.planner.set_routes(&routes);
             }
         }
     }
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -13,7 +13,7 @@
 use crate::placement::Workers;
 use crate::standby::StandbyCopy;
 use bindings::RouteTable;
-use leases::{Membership, first_number};
+use leases::{Membership, first_request_number};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -92,7 +92,7 @@
             stopped: BTreeMap::new(),
             unbound_since: BTreeMap::new(),
             finished: BTreeMap::new(),
-            last_number: first_number(incarnation),
+            last_number: first_request_number(incarnation),
             starts_left: 4.0,
             starts_refilled_at: Duration::ZERO,
             scaled_at: Duration::ZERO,
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -9,7 +9,7 @@
 use crate::rejection_limit::RejectionLimit;
 use crate::sent_tasks::SentTasks;
 use bindings::Function;
-use scaler::Player;
+use scaler::PlanExecutor;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 use wire::NodeId;
@@ -24,7 +24,7 @@
     pub function: Function,
     pub queued: VecDeque<u64>,
     pub instances: BTreeMap<String, Instance>,
-    pub player: Player,
+    pub player: PlanExecutor,
     pub budget: RetryBudget,
     pub rejection_limit: RejectionLimit,
     pub in_flight: u32,
@@ -88,7 +88,7 @@
             function,
             queued: VecDeque::new(),
             instances: BTreeMap::new(),
-            player: Player::default(),
+            player: PlanExecutor::default(),
             budget: RetryBudget::new(now, allowances),
             rejection_limit: RejectionLimit::new(now, allowances),
             in_flight: 0,
@@ -148,7 +148,10 @@
     pub fn capacity(&self) -> f64 {
         let sheet = &self.function.sheet;
         let usage = self.tuned_usage.unwrap_or(sheet.target_usage);
-        scaler::capacity(self.function.instance_limit, &bindings::WeightSheet { target_usage: usage, ..sheet.clone() })
+        scaler::instance_capacity(
+            self.function.instance_limit,
+            &bindings::WeightSheet { target_usage: usage, ..sheet.clone() },
+        )
     }
 
     /// Returns the minimum time in which a request can be expected to be answered once it is sent.
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -58,7 +58,7 @@
 impl FunctionOwner {
     /// Updates the order in which owners read the lists, after a change of the membership.
     pub(crate) fn update_reading_order(&mut self) {
-        let turn = self.membership.in_turn("inventory");
+        let turn = self.membership.in_order_of_preference("inventory");
         let (now, inventory) = (self.now, &mut self.inventory);
         if !inventory.reading_order.contains(&self.me) {
             inventory.heard_at = now;
--- a/crates/traffic/src/owner_settings.rs
+++ b/crates/traffic/src/owner_settings.rs
@@ -38,7 +38,7 @@
     pub start_gb_seconds: f64,
     /// Number of zones that may fail at the same time without taking all instances of a function.
     pub tolerated_zone_losses: u32,
-    pub player: scaler::PlayerTiming,
+    pub player: scaler::PlanRequestTiming,
     pub allowances: Allowances,
 }
 
@@ -61,7 +61,7 @@
             starts_per_second: 64.0,
             start_gb_seconds: 0.2,
             tolerated_zone_losses: 1,
-            player: scaler::PlayerTiming::default(),
+            player: scaler::PlanRequestTiming::default(),
             allowances: Allowances::default(),
         }
     }
--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -107,7 +107,7 @@
             };
             let instances_on_worker = others.iter().filter(|(worker, _)| *worker == line.name).count();
             let room_in_fours = self.free_memory_mb(line) / memory_mb.max(1) / 4;
-            let tie_breaker = leases::mix(&[function.as_bytes(), line.name.as_bytes()]);
+            let tie_breaker = leases::stable_hash(&[function.as_bytes(), line.name.as_bytes()]);
             (instances_in_zone, instances_on_worker, line.zone != zone, std::cmp::Reverse(room_in_fours), tie_breaker)
         };
         let best_fit =
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -87,7 +87,7 @@
 
 /// Returns the first owner in the reading order.
 fn first_reader() -> NodeId {
-    membership(7, &IDS).in_turn("inventory")[0]
+    membership(7, &IDS).in_order_of_preference("inventory")[0]
 }
 
 #[test]
@@ -110,7 +110,7 @@
     let mut all = Owners::new(vec![line("i1", "w0", InstanceState::Running)]);
     all.pass(3000);
     all.disconnected = Some(first_reader());
-    let next = membership(7, &IDS).in_turn("inventory")[1];
+    let next = membership(7, &IDS).in_order_of_preference("inventory")[1];
     all.pass(6000);
     let reads = all.reads.clone();
     assert!(reads.len() == 2 && (3..=6).contains(&reads[&next]), "{reads:?}");
--- a/crates/traffic/tests/keyed.rs
+++ b/crates/traffic/tests/keyed.rs
@@ -85,7 +85,7 @@
     let mut owner = owner(true);
     let dispatch = dispatch_first_request(&mut owner);
     send_request(&mut owner, 20, 8, b"x");
-    let outcome = DispatchOutcome::InDoubt { detail: "closed".into(), late: false };
+    let outcome = DispatchOutcome::InDoubt { detail: "closed".into(), timed_out: false };
     let outputs = owner.step(ms(50), true, OwnerInput::Dispatched { number: dispatch, outcome });
     let mut statuses: Vec<_> = answers(&outputs).into_iter().map(|told| (told.0, told.1, told.2)).collect();
     statuses.sort_by_key(|told| told.0);
@@ -165,7 +165,7 @@
 }
 
 fn in_doubt(owner: &mut FunctionOwner, at: u64, may_serve: bool, number: u64) -> Vec<OwnerOutput> {
-    let outcome = DispatchOutcome::InDoubt { detail: "closed".into(), late: false };
+    let outcome = DispatchOutcome::InDoubt { detail: "closed".into(), timed_out: false };
     owner.step(ms(at), may_serve, OwnerInput::Dispatched { number, outcome })
 }
 
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -123,7 +123,7 @@
     owner.probed("i1", true);
     owner.feed(OwnerInput::Forward { from: OTHER, message: forward_message(1) });
     let number = last_dispatch(&owner).expect("a dispatch").number;
-    owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
+    owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::Unreachable });
     owner.list(vec![line("i1", "w0", InstanceState::Running)]);
     owner.pass(100);
     assert_eq!((owner.count("ready"), owner.count("starting"), owner.starts.len()), (0, 1, 2));
@@ -140,7 +140,7 @@
         owner.list(vec![line("i1", "w0", InstanceState::Running)]);
         owner.feed(OwnerInput::Forward { from: OTHER, message: forward_message(1) });
         let number = last_dispatch(&owner).expect("a dispatch").number;
-        owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::NotSent });
+        owner.feed(OwnerInput::Dispatched { number, outcome: DispatchOutcome::Unreachable });
         for _ in 0..6 {
             owner.pass(1000);
             owner.list(if listed { vec![line("i1", "w0", InstanceState::Running)] } else { Vec::new() });
