--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -232,7 +232,7 @@
                 }
             }
             FollowerOutput::RemovedFromMembers => {
-                self.turn(n, Turn::FunctionOwner(OwnerInput::LeaseLapsed));
+                self.turn(n, Turn::FunctionOwner(OwnerInput::MembershipLost));
                 self.turn(n, Turn::Front(FrontInput::Lapsed));
             }
             FollowerOutput::ServingStatus { serving_status } => {
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -203,7 +203,7 @@
                 self.work(Work::FunctionOwner(OwnerInput::RegistriesReachable { reachable: near }));
             }
             TrafficMessage::Lapsed => {
-                self.work(Work::FunctionOwner(OwnerInput::LeaseLapsed));
+                self.work(Work::FunctionOwner(OwnerInput::MembershipLost));
                 self.work(Work::Front(FrontInput::Lapsed));
             }
             TrafficMessage::Leave { done } => self.done = Some(done),
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -172,7 +172,7 @@
                 self.align_schedulers();
                 self.return_standby_copies();
             }
-            OwnerInput::LeaseLapsed => self.handle_lease_lapse(),
+            OwnerInput::MembershipLost => self.handle_membership_loss(),
             OwnerInput::RegistriesReachable { reachable } => self.registries_reachable = reachable,
             OwnerInput::Tick => self.tick(),
         }
--- a/crates/traffic/src/owner_types.rs
+++ b/crates/traffic/src/owner_types.rs
@@ -55,8 +55,9 @@
     RegistriesReachable {
         reachable: bool,
     },
-    /// The router's serving lease ran out; other owners may have taken over since.
-    LeaseLapsed,
+    /// The registries have removed this router from the members, as its lease had run out; other owners have taken
+    /// over.
+    MembershipLost,
     /// Time has passed.
     Tick,
 }
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -208,11 +208,12 @@
         }
     }
 
-    /// Handles the lapse of this router's lease, after which other owners may have taken over. Requests that were never
-    /// dispatched return to their fronts, which may have forwarded them elsewhere, so that no old request is sent once
-    /// the router serves again. Stored requests may have been run by the owner in between and are read from the store
-    /// again. If this router becomes the owner again, it waits for the table of the owner in between, like a new owner.
-    pub(crate) fn handle_lease_lapse(&mut self) {
+    /// Handles the loss of this router's membership after its lease ran out; other owners have taken over. Requests
+    /// that were never dispatched return to their fronts, which may have forwarded them elsewhere, so that no old
+    /// request is sent once the router serves again. Stored requests may have been run by the owner in between and are
+    /// read from the store again. If this router becomes the owner again, it waits for the table of the owner in
+    /// between, like a new owner.
+    pub(crate) fn handle_membership_loss(&mut self) {
         let now = self.now;
         for scheduler in self.schedulers.values_mut() {
             scheduler.restart_adoption(now);
--- a/crates/traffic/tests/keyed.rs
+++ b/crates/traffic/tests/keyed.rs
@@ -114,7 +114,7 @@
         LeaseMessage::ProposalAck { request_id: claims[0].0, state: 1, body: wire::to_bytes(&granted).into() };
     let frozen = owner.step(ms(3000), false, OwnerInput::StoreReply { message });
     assert!(dispatch_numbers(&frozen).is_empty(), "nothing is sent without a valid lease");
-    let lapsed = owner.step(ms(3001), false, OwnerInput::LeaseLapsed);
+    let lapsed = owner.step(ms(3001), false, OwnerInput::MembershipLost);
     assert!(matches!(proposals(&lapsed)[..], [(_, Command::Release { .. })]));
     assert!(dispatch_numbers(&owner.step(ms(3002), true, OwnerInput::Tick)).is_empty());
 }
@@ -124,7 +124,7 @@
 fn a_claim_granted_after_its_release_is_released_again() {
     let mut owner = owner(true);
     let claims = proposals(&send_request(&mut owner, 2, 7, b"x"));
-    let lapsed = owner.step(ms(10), false, OwnerInput::LeaseLapsed);
+    let lapsed = owner.step(ms(10), false, OwnerInput::MembershipLost);
     assert!(proposals(&lapsed).iter().any(|(_, command)| matches!(command, Command::Release { .. })));
     let outputs = reply_to_claim(&mut owner, 20, claims[0].0, ClaimState::Granted, b"");
     assert!(matches!(proposals(&outputs)[..], [(_, Command::Release { .. })]));
@@ -189,7 +189,7 @@
         dispatch = dispatch_numbers(&outputs).first().copied().unwrap_or_default();
         all.extend(outputs);
     }
-    all.extend(owner.step(ms(260), false, OwnerInput::LeaseLapsed));
+    all.extend(owner.step(ms(260), false, OwnerInput::MembershipLost));
     assert_eq!(answers(&all).iter().map(|told| told.2).collect::<Vec<_>>(), [504]);
     assert!(
         matches!(proposals(&all)[..], [(_, Command::RecordAnswer { .. })]),
@@ -203,7 +203,7 @@
     let dispatch = dispatch_first_request(&mut owner);
     let held = in_doubt(&mut owner, 50, false, dispatch);
     assert!(dispatch_numbers(&held).is_empty() && answers(&held).is_empty());
-    let lapsed = owner.step(ms(60), false, OwnerInput::LeaseLapsed);
+    let lapsed = owner.step(ms(60), false, OwnerInput::MembershipLost);
     assert_eq!(answers(&lapsed).iter().map(|told| (told.1, told.2)).collect::<Vec<_>>(), [(Outcome::Unknown, 504)]);
     assert!(matches!(proposals(&lapsed)[..], [(_, Command::RecordAnswer { .. })]));
 }
--- a/crates/traffic/tests/lease_lapse.rs
+++ b/crates/traffic/tests/lease_lapse.rs
@@ -1,4 +1,5 @@
-//! State that an owner drops when its lease lapses: another owner may have sent its requests in the meantime.
+//! State that an owner drops when its lease has lapsed and it has lost its membership: another owner may have sent its
+//! requests in the meantime.
 
 mod common;
 
@@ -12,7 +13,7 @@
     let mut owner = owner();
     let outputs = owner.step(ms(1), true, forward(7));
     owner.step(ms(2), true, store_reply(&outputs));
-    owner.step(ms(3000), false, OwnerInput::LeaseLapsed);
+    owner.step(ms(3000), false, OwnerInput::MembershipLost);
     assert_eq!(dispatch_count(&owner.step(ms(3001), true, handover())), 0, "another owner may have run it since");
     assert_eq!(dispatch_count(&read_store(&mut owner, 3020, &[7])), 1, "still pending, so it is sent, as a retry");
 }
@@ -37,7 +38,7 @@
 #[test]
 fn the_adoption_timeout_starts_only_once_the_lease_is_back() {
     let mut owner = owner();
-    owner.step(ms(3000), false, OwnerInput::LeaseLapsed);
+    owner.step(ms(3000), false, OwnerInput::MembershipLost);
     for at in (3020..9000).step_by(20) {
         owner.step(ms(at), false, OwnerInput::Tick);
     }
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -159,6 +159,6 @@
 fn owner_that_loses_its_lease_returns_only_unsent_requests() {
     let (mut owner, first) = owner(3);
     assert!(sent(&first).is_some());
-    let outputs = owner.step(ms(30), false, OwnerInput::LeaseLapsed);
+    let outputs = owner.step(ms(30), false, OwnerInput::MembershipLost);
     assert!(reported(&outputs).is_none() && owner.depths().1 == 1, "the request is still running: {outputs:?}");
 }
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -104,7 +104,7 @@
 fn requests_that_were_not_dispatched_return_to_their_front_when_the_lease_lapses() {
     let mut owner = after_the_crash(None);
     owner.step(ms(2001), true, OwnerInput::Forward { from: OTHER, message: forward_message(7) });
-    let outputs = owner.step(ms(2002), false, OwnerInput::LeaseLapsed);
+    let outputs = owner.step(ms(2002), false, OwnerInput::MembershipLost);
     let back = |output: &OwnerOutput| {
         matches!(output, OwnerOutput::Forward { message: ForwardMessage::NotOwner { task: 7 }, .. })
     };
@@ -156,7 +156,7 @@
     let body = wire::to_bytes(&granted).into();
     let message = wire::LeaseMessage::ProposalAck { request_id: request_id.expect("a claim"), state: 1, body };
     owner.step(ms(2), true, OwnerInput::StoreReply { message });
-    owner.step(ms(3), false, OwnerInput::LeaseLapsed);
+    owner.step(ms(3), false, OwnerInput::MembershipLost);
     let outputs = owner.step(ms(4), true, OwnerInput::Forward { from: OTHER, message: table(1, 0, "i1") });
     assert!(!dispatched(&outputs), "its key is being released");
 }
@@ -164,7 +164,7 @@
 #[test]
 fn an_owner_whose_lease_lapsed_waits_for_the_table_of_the_owner_in_between() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
-    owner.step(ms(3000), false, OwnerInput::LeaseLapsed);
+    owner.step(ms(3000), false, OwnerInput::MembershipLost);
     assert!(!dispatched(&owner.step(ms(3001), true, OwnerInput::Forward { from: OTHER, message: forward_message(7) })));
     let ForwardMessage::Table { table: mut table_in_between } = table(2, 0, "i2") else { panic!("a table") };
     table_in_between.rejections = 9;
