--- a/crates/traffic/src/keyed_operations_tests.rs
+++ b/crates/traffic/src/keyed_operations_tests.rs
@@ -1,6 +1,6 @@
-//! Who leads, who waits, what is kept and for how long.
+//! Which request leads an operation, which requests wait, which answers are kept and for how long.
 
-use super::{KeyedOperations, Known, MAX_ANSWER_BYTES};
+use super::{JoinResult, KeyedOperations, MAX_ANSWER_BYTES};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,51 +15,56 @@
 }
 
 #[test]
-fn a_repeat_waits_for_the_first_and_later_ones_get_its_answer_until_the_window_is_over() {
+fn a_repeat_waits_for_the_leader_and_later_repeats_get_its_answer_until_it_expires() {
     let mut operations = KeyedOperations::default();
-    assert_eq!(operations.meet(at(0), "a", b"1", 1), Known::Leads);
-    assert_eq!(operations.meet(at(0), "a", b"1", 2), Known::Waits);
-    assert_eq!(operations.meet(at(0), "a", b"2", 3), Known::Contested);
+    assert_eq!(operations.join(at(0), "a", b"1", 1), JoinResult::Leads);
+    assert_eq!(operations.join(at(0), "a", b"1", 2), JoinResult::Waits);
+    assert_eq!(operations.join(at(0), "a", b"2", 3), JoinResult::Contested);
     assert_eq!(operations.running(), 1);
-    assert!(operations.end("a", 3, None).is_empty(), "it leads nothing");
+    assert!(operations.end("a", 3, None).is_empty(), "request 3 leads no operation");
     assert_eq!(operations.end("a", 1, Some((answer(b"x"), at(60)))), [2]);
     assert_eq!((operations.running(), operations.answers()), (0, 1));
-    assert_eq!(operations.meet(at(59), "a", b"1", 4), Known::Answered(answer(b"x")));
-    assert_eq!(operations.meet(at(59), "a", b"2", 5), Known::OtherRequest);
-    assert_eq!(operations.meet(at(60), "a", b"1", 6), Known::Leads);
+    assert_eq!(operations.join(at(59), "a", b"1", 4), JoinResult::Answered(answer(b"x")));
+    assert_eq!(operations.join(at(59), "a", b"2", 5), JoinResult::OtherRequest);
+    assert_eq!(operations.join(at(60), "a", b"1", 6), JoinResult::Leads);
     assert_eq!((operations.answers(), operations.answer_bytes()), (0, 0));
 }
 
 #[test]
-fn one_that_ends_without_an_answer_frees_its_key_here_and_names_who_waited() {
+fn ending_without_an_answer_frees_the_key_and_returns_the_waiting_requests() {
     let mut operations = KeyedOperations::default();
-    operations.meet(at(0), "a", b"1", 1);
-    operations.meet(at(0), "a", b"1", 2);
-    operations.meet(at(0), "a", b"1", 3);
-    assert!(operations.end("a", 2, None).is_empty(), "it waited no longer");
+    operations.join(at(0), "a", b"1", 1);
+    operations.join(at(0), "a", b"1", 2);
+    operations.join(at(0), "a", b"1", 3);
+    assert!(operations.end("a", 2, None).is_empty(), "only a leader returns waiting requests");
     assert_eq!(operations.end("a", 1, None), [3]);
-    assert_eq!(operations.meet(at(1), "a", b"1", 4), Known::Leads);
+    assert_eq!(operations.join(at(1), "a", b"1", 4), JoinResult::Leads);
 }
 
 #[test]
-fn the_newest_answers_are_kept_within_their_bound() {
+fn the_latest_answers_are_kept_within_the_size_limit() {
     let mut operations = KeyedOperations::default();
     let body = vec![7; 64 * 1024];
     for number in 0..300 {
         let scope = format!("k{number}");
-        operations.meet(at(0), &scope, b"1", number);
+        operations.join(at(0), &scope, b"1", number);
         operations.end(&scope, number, Some((answer(&body), at(60))));
         assert!(operations.answer_bytes() <= MAX_ANSWER_BYTES);
     }
     assert!(operations.answers() > 100);
-    assert_eq!(operations.meet(at(1), "k299", b"1", 999), Known::Answered(answer(&body)));
-    assert_eq!(operations.meet(at(1), "k0", b"1", 1000), Known::Leads, "the registries know it");
+    assert_eq!(operations.join(at(1), "k299", b"1", 999), JoinResult::Answered(answer(&body)));
+    assert_eq!(
+        operations.join(at(1), "k0", b"1", 1000),
+        JoinResult::Leads,
+        "its answer was dropped; the registries still know it"
+    );
 }
 
 proptest! {
-    /// At most one request leads a key at a time, whoever waits is named once, and all counts agree.
+    /// At most one request leads a key at a time, each waiting request is returned once, and the count of operations in
+    /// progress is right.
     #[test]
-    fn one_leads_at_a_time(steps in prop::collection::vec((0u8..4, 0usize..4, 0u64..40, 0u64..3), 1..200)) {
+    fn at_most_one_request_leads_a_key(steps in prop::collection::vec((0u8..4, 0usize..4, 0u64..40, 0u64..3), 1..200)) {
         let mut operations = KeyedOperations::default();
         let mut leads: BTreeMap<usize, u64> = BTreeMap::new();
         let mut waits: BTreeMap<usize, BTreeSet<u64>> = BTreeMap::new();
@@ -70,13 +75,13 @@
             match step {
                 0 | 1 => {
                     number += 1;
-                    match operations.meet(at(now), &scope, b"1", number) {
-                        Known::Leads => prop_assert!(leads.insert(key, number).is_none()),
-                        Known::Waits => {
+                    match operations.join(at(now), &scope, b"1", number) {
+                        JoinResult::Leads => prop_assert!(leads.insert(key, number).is_none()),
+                        JoinResult::Waits => {
                             prop_assert!(leads.contains_key(&key));
                             waits.entry(key).or_default().insert(number);
                         }
-                        known => prop_assert_eq!(known, Known::Answered(answer(scope.as_bytes()))),
+                        known => prop_assert_eq!(known, JoinResult::Answered(answer(scope.as_bytes()))),
                     }
                 }
                 _ => {
--- a/crates/traffic/src/owner_types.rs
+++ b/crates/traffic/src/owner_types.rs
@@ -1,6 +1,5 @@
-//! What an owner takes and returns, the record it keeps of each task, and what it asked of the chain.
+//! Inputs and outputs of a function owner, its record of each request, and its requests to the store.
 
-use crate::allowances::Allowances;
 use bindings::{Class, RouteTable};
 use dispatch::{DispatchOrder, DispatchOutcome};
 use instance_provider::{ProviderOrder, ProviderReport};
@@ -9,137 +8,111 @@
 use std::time::Duration;
 use wire::{DemandSample, ForwardMessage, LeaseMessage, Measurement, NodeId, Outcome, PlanMessage};
 
+/// Identifies a forwarded request: the front that sent it, and the number the front gave it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     pub from: NodeId,
     pub task: u64,
 }
 
+/// Event that a function owner handles.
 pub enum OwnerInput {
-    Forward { from: NodeId, message: ForwardMessage },
-    Dispatched { number: u64, outcome: DispatchOutcome },
-    StoreOperation { message: LeaseMessage },
-    Platform { report: ProviderReport, listed_at: Duration },
-    Probed { id: String, ready: bool },
-    Plan { message: PlanMessage },
-    RouteTable { routes: Rc<RouteTable> },
-    Membership { membership: Rc<Membership> },
-    Core { near: bool },
-    Lapsed,
-    Tick,
-}
-
-#[derive(Debug)]
-pub enum OwnerOutput {
+    /// Message from another router's front or owner.
     Forward {
-        to: NodeId,
+        from: NodeId,
         message: ForwardMessage,
     },
-    Propose {
-        request_id: u64,
-        body: Vec<u8>,
+    /// Result of a dispatch.
+    Dispatched {
+        number: u64,
+        outcome: DispatchOutcome,
     },
-    Read {
-        request_id: u64,
-        prefix: String,
+    /// Reply of the registries to a proposal or a read.
+    StoreReply {
+        message: LeaseMessage,
     },
-    Dispatch(DispatchOrder),
-    Supply(ProviderOrder),
-    /// Connect, from `after` on and for no longer than `limit`; `Probed` tells whether the instance took it.
-    Probe {
-        id: String,
-        address: String,
-        after: Duration,
-        limit: Duration,
+    /// Reply of the instance provider; `listed_at` is when a list was requested.
+    ProviderReport {
+        report: ProviderReport,
+        listed_at: Duration,
     },
-    /// Nothing more goes to this instance.
-    Forget {
+    /// Result of a probe: whether the instance accepted a connection.
+    Probed {
         id: String,
+        ready: bool,
     },
-    PlanRequest {
+    /// Scaling plan or tuned parameters.
+    Plan {
         message: PlanMessage,
     },
-    Samples {
-        lines: Vec<DemandSample>,
+    RouteTable {
+        routes: Rc<RouteTable>,
     },
-    Measures {
-        lines: Vec<Measurement>,
+    Membership {
+        membership: Rc<Membership>,
     },
+    /// Whether the registries can be reached.
+    RegistriesReachable {
+        reachable: bool,
+    },
+    /// The registries have removed this router from the members, as its lease had run out; other owners have taken
+    /// over.
+    MembershipLost,
+    /// Time has passed.
+    Tick,
 }
 
-#[derive(Clone, Debug)]
-pub struct OwnerTiming {
-    pub margin: Duration,
-    pub resend: Duration,
-    /// How long an operation under a key is kept, at least.
-    pub key_window: Duration,
-    /// The longest answer under a key that the registries record, in bytes of head and body.
-    pub recorded_answer_bytes: usize,
-    /// Whether the registries understand claims that say how long their key is kept.
-    pub claims_for_ticks: bool,
-    pub adopt: Duration,
-    pub sample: Duration,
-    /// How often the provider's list is read for all owners.
-    pub list_every: Duration,
-    pub overlay: Duration,
-    pub start_expiry: Duration,
-    pub deferred_read: Duration,
-    pub deferred_limit: Duration,
-    pub function_inbox: usize,
-    pub starts_per_second: f64,
-    /// What one start costs, in gigabytes of memory kept for a second.
-    pub start_gb_seconds: f64,
-    /// Zones whose loss is to be borne at once.
-    pub zone_losses: u32,
-    pub player: scaler::PlanRequestTiming,
-    pub allowances: Allowances,
-}
-
-impl Default for OwnerTiming {
-    fn default() -> Self {
-        OwnerTiming {
-            margin: Duration::from_millis(60),
-            resend: Duration::from_millis(700),
-            key_window: Duration::from_secs(1800),
-            recorded_answer_bytes: usize::MAX,
-            claims_for_ticks: true,
-            adopt: Duration::from_millis(1500),
-            sample: Duration::from_secs(15),
-            list_every: Duration::from_secs(1),
-            overlay: Duration::from_secs(30),
-            start_expiry: Duration::from_secs(10),
-            deferred_read: Duration::from_secs(10),
-            deferred_limit: Duration::from_secs(20),
-            function_inbox: 512,
-            starts_per_second: 64.0,
-            start_gb_seconds: 0.2,
-            zone_losses: 1,
-            player: scaler::PlanRequestTiming::default(),
-            allowances: Allowances::default(),
-        }
-    }
+/// Action that a function owner wants carried out.
+#[derive(Debug)]
+pub enum OwnerOutput {
+    /// Sends a message to another router.
+    Forward { to: NodeId, message: ForwardMessage },
+    /// Proposes a command to the registries.
+    Propose { request_id: u64, body: Vec<u8> },
+    /// Reads the stored keys with this prefix.
+    Read { request_id: u64, prefix: String },
+    /// Sends a request to an instance.
+    Dispatch(DispatchOrder),
+    /// Sends an order to the instance provider.
+    ProviderOrder(ProviderOrder),
+    /// Tries to connect to an instance, starting after `after` and for at most `limit`. `OwnerInput::Probed` reports
+    /// whether the instance accepted the connection.
+    Probe { id: String, address: String, after: Duration, limit: Duration },
+    /// Drops what is kept for this instance: nothing more is sent to it.
+    ForgetInstance { id: String },
+    /// Requests a scaling plan.
+    PlanRequest { message: PlanMessage },
+    /// Reports demand samples.
+    Samples { lines: Vec<DemandSample> },
+    /// Reports measurements for the tuning of weight sheets.
+    Measurements { lines: Vec<Measurement> },
 }
 
+/// Stage that a request has reached at its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum RequestState {
+    /// Its key is being claimed.
     Claiming,
+    /// It is being stored before it is accepted.
     Storing,
     Queued,
+    /// It was sent to an instance under the dispatch number `number`.
     Running {
         number: u64,
     },
-    /// Another request runs its operation, whose answer it waits for.
-    Following {
+    /// Another request with the same key runs the operation; this one waits for its answer.
+    AwaitingLeader {
         until: Duration,
     },
+    /// Its claim is being released.
     Releasing,
-    /// Its attempt failed, and its front is asked for another.
+    /// Its attempt failed, and the owner has asked the front to grant another.
     AwaitingGrant {
         until: Duration,
     },
 }
 
-/// What a request is answered with if no further attempt is made.
+/// Answer to a request if no further attempt is made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
     pub outcome: Outcome,
@@ -150,61 +123,74 @@
 }
 
 impl Failure {
+    /// Returns a failure that passes on the instance's answer.
     pub fn answered(status: u16, head: Vec<u8>, body: Vec<u8>) -> Failure {
         Failure { outcome: Outcome::Answered, status, retry_after: Duration::ZERO, head, body }
     }
 
+    /// Returns a failure whose outcome is unknown: the request may have run.
     pub fn unknown(status: u16) -> Failure {
         Failure { outcome: Outcome::Unknown, ..Failure::answered(status, Vec::new(), Vec::new()) }
     }
 
+    /// Returns a failure of a request that certainly did not run.
     pub fn not_run(retry_after: Duration) -> Failure {
         Failure { outcome: Outcome::NotRun, retry_after, ..Failure::unknown(503) }
     }
 }
 
+/// Owner's record of a request.
 pub struct OwnedRequest {
     pub id: TaskId,
     pub function: String,
     pub binding: String,
     pub class: Class,
     pub arrived: Duration,
-    pub due: Duration,
+    pub deadline: Duration,
+    /// Response time that the binding aims at.
     pub aim: Option<Duration>,
+    /// Earliest time of the next dispatch.
     pub not_before: Duration,
-    pub place: Place,
+    pub state: RequestState,
+    /// Binding and key, under which repeats of the operation are recognized.
     pub scope: String,
+    /// Digest of the request, which tells a repeat from another request under the same key.
     pub digest: Vec<u8>,
     pub head: Vec<u8>,
     pub body: Vec<u8>,
-    pub claim: u64,
-    pub stored: Option<String>,
+    /// Number under which its key was claimed; 0 without a claim.
+    pub claim_request_id: u64,
+    /// Name under which a deferred request is stored.
+    pub stored_id: Option<String>,
     pub respond_async: bool,
-    pub caller: bool,
+    /// Whether a front still waits for the answer.
+    pub is_caller_waiting: bool,
     pub dispatches: u32,
-    /// The most instances it may be sent to.
+    /// Maximum number of attempts, each at another instance if there is one.
     pub attempts: u32,
-    /// To how many of them its front lets it be sent so far.
+    /// Number of attempts that the front has granted so far.
     pub granted: u32,
-    /// Of the last attempt, while another is asked for.
+    /// Failure of the last attempt, while another attempt is requested.
     pub failure: Option<Failure>,
-    /// The instance it was last sent to, which others go before.
-    pub avoid: String,
-    /// It has run, or may have.
-    pub reached: bool,
-    /// Lower goes first.
+    /// Instance of the last attempt; other instances are preferred for the next one.
+    pub last_instance: String,
+    /// Whether the request has run or may have run.
+    pub may_have_run: bool,
+    /// Queue priority; the lowest number is sent first.
     pub rank: u32,
-    /// It came with less time than its binding gives: a call of a running task, or a caller's further try.
-    pub inherits: bool,
+    /// Whether it arrived with less time than its binding allows: a call made by a running request, or a caller's
+    /// retry.
+    pub has_shortened_deadline: bool,
 }
 
 impl OwnedRequest {
-    /// Neither sent from here nor counted among retries when it came.
-    pub fn is_first(&self) -> bool {
-        self.dispatches == 0 && !(self.class == Class::Ordinary && self.reached)
+    /// Returns whether the request was neither sent by this owner nor counted as a retry when it arrived.
+    pub fn is_first_attempt(&self) -> bool {
+        self.dispatches == 0 && !(self.class == Class::Ordinary && self.may_have_run)
     }
 }
 
+/// Kind of a request to the registries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOperation {
     Claim,
@@ -212,9 +198,10 @@
     Release,
     Store,
     Finish,
-    Deferred,
+    ReadDeferred,
 }
 
+/// Request to the registries that has not been answered yet.
 pub struct StoreRequest {
     pub kind: StoreOperation,
     pub task: u64,
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scaling.rs
@@ -1,6 +1,6 @@
-//! Matching instances to the plan: each scheduler's player says a count, starts go out under this
-//! router's share of the platform's allowance with waking functions first, and stops drain before
-//! they are ordered. Samples for the forecast are taken on the way.
+//! Scaling of instances to the plan. Each scheduler's plan player gives the desired count. Starts are ordered within
+//! this router's share of the provider's start rate, first for functions whose requests wait without any instance.
+//! Instances drain before their stop is ordered. Demand samples for the forecast are also taken here.
 
 use crate::function_owner::FunctionOwner;
 use crate::instance::{InstanceEvent, Phase};
@@ -11,15 +11,20 @@
 use std::time::Duration;
 use wire::{DemandSample, PlanMessage};
 
+/// Interval between scaling passes.
 const SCALE_INTERVAL: Duration = Duration::from_millis(100);
-const BURST: f64 = 8.0;
+/// Maximum number of starts that may be ordered at once.
+const MAX_STARTS_LEFT: f64 = 8.0;
 const MAX_PLAN_REQUESTS_PER_PASS: usize = 8;
+/// How long a request's id is remembered, to recognize duplicates.
 const OBSERVATION_TTL: Duration = Duration::from_secs(90);
+/// Delay before a stop is ordered again while the instance remains.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(4);
-/// One that refused a connection and is still listed so long after is stopped.
+/// How long after it refused a connection an instance that is still listed is stopped.
 const LOST_INSTANCE_TTL: Duration = Duration::from_secs(4);
 
 impl FunctionOwner {
+    /// Runs the periodic passes; scaling and sampling run at their own intervals.
     pub(crate) fn tick(&mut self) {
         self.handover_pass();
         self.standby_pass();
@@ -28,41 +33,42 @@
         self.store_pass();
         self.deferred_pass();
         self.inventory_pass();
-        if self.now < self.scaled + SCALE_INTERVAL {
+        if self.now < self.scaled_at + SCALE_INTERVAL {
             return;
         }
-        let lasted = self.now.saturating_sub(self.refilled).as_secs_f64();
-        self.refilled = self.now;
-        self.scaled = self.now;
+        let elapsed = self.now.saturating_sub(self.starts_refilled_at).as_secs_f64();
+        self.starts_refilled_at = self.now;
+        self.scaled_at = self.now;
         let owners = self.inventory.owners().max(1) as f64;
-        self.starts_left = (self.starts_left + lasted * self.timing.starts_per_second / owners).min(BURST);
-        let overlay = self.timing.overlay;
+        self.starts_left = (self.starts_left + elapsed * self.settings.starts_per_second / owners).min(MAX_STARTS_LEFT);
+        let ttl = self.settings.recent_order_ttl;
         let now = self.now;
-        self.stopped.retain(|_, at| now < *at + overlay);
-        self.leaving.retain(|_, at| now < *at + overlay);
-        self.seen.retain(|_, at| now < *at + OBSERVATION_TTL);
-        self.finished.retain(|_, at| now < *at + overlay * 2);
+        self.stopped.retain(|_, at| now < *at + ttl);
+        self.leaving_instances.retain(|_, at| now < *at + ttl);
+        self.seen_requests.retain(|_, at| now < *at + OBSERVATION_TTL);
+        self.finished.retain(|_, at| now < *at + ttl * 2);
         if self.may_serve {
             self.scale_pass();
         }
         self.sample_pass();
     }
 
+    /// Determines each function's desired count, and orders starts and stops.
     fn scale_pass(&mut self) {
         let now = self.now;
         self.pending_pass();
-        let mut wanting: Vec<(bool, f64, u32, String)> = Vec::new();
-        let mut asks_left = MAX_PLAN_REQUESTS_PER_PASS;
-        for name in self.by_need() {
-            let request_id = self.number();
+        let mut growing: Vec<(bool, f64, u32, String)> = Vec::new();
+        let mut plan_requests_left = MAX_PLAN_REQUESTS_PER_PASS;
+        for name in self.functions_by_urgency() {
+            let request_id = self.next_number();
             let bound = self.routes.as_ref().is_some_and(|routes| routes.function(&name).is_some());
             let Some(scheduler) = self.schedulers.get_mut(&name) else { continue };
             if scheduler.leaving.is_some() || scheduler.adopting.is_some() {
                 continue;
             }
-            scheduler.grow_back(now);
+            scheduler.restore_limits(now);
             scheduler.load.update(now, scheduler.arrivals);
-            scheduler.usual.update(scheduler.mean_time);
+            scheduler.typical_answer_time.update(scheduler.smoothed_answer_time);
             let (ready, starting) = (scheduler.count(Phase::Ready), scheduler.count(Phase::Starting));
             let queued =
                 scheduler.queued.iter().filter(|n| self.tasks.get(n).is_some_and(|t| now >= t.not_before)).count()
@@ -76,19 +82,19 @@
                 min: scheduler.function.min,
                 max: scheduler.function.max,
                 fixed: scheduler.function.fixed,
-                may_request_plan: asks_left > 0,
+                may_request_plan: plan_requests_left > 0,
                 live_demand: scheduler.instances_for_load(now),
             };
             let before = scheduler.player.fallbacks;
-            let decision = scheduler.player.step(now, request_id, situation, &self.timing.player);
+            let decision = scheduler.player.step(now, request_id, situation, &self.settings.player);
             if scheduler.player.fallbacks > before {
                 event!(plan_fallback, "{name}");
             }
             let is_idle = queued == 0 && scheduler.in_flight == 0 && scheduler.function.fixed.is_none();
-            let sleeps = is_idle && !scheduler.is_kept_idle(now, self.timing.start_gb_seconds);
-            let desired = if sleeps { decision.desired.min(scheduler.function.min) } else { decision.desired };
+            let is_removable = is_idle && !scheduler.is_kept_idle(now, self.settings.start_gb_seconds);
+            let desired = if is_removable { decision.desired.min(scheduler.function.min) } else { decision.desired };
             scheduler.desired = if bound { desired } else { 0 };
-            asks_left -= usize::from(decision.requests_plan);
+            plan_requests_left -= usize::from(decision.requests_plan);
             if decision.requests_plan && bound {
                 let message = PlanMessage::Request {
                     request_id,
@@ -101,20 +107,20 @@
                 self.outs.push(OwnerOutput::PlanRequest { message });
             }
             let count = ready + starting;
-            let kept = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot);
-            let willing = now >= scheduler.refused_until && (queued > 0 || now >= scheduler.backs_off);
-            let may_grow = count == 0 || now >= self.no_growth;
-            if scheduler.desired > count && willing && may_grow {
-                let waking = queued > 0 && count == 0;
-                let more = if now < self.no_growth { 1 } else { scheduler.desired - count };
-                wanting.push((waking, scheduler.function.player_weight, more, name));
-            } else if kept < count {
-                self.drain(&name, count - kept);
+            let kept_count = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot);
+            let may_start = now >= scheduler.no_starts_until && (queued > 0 || now >= scheduler.preempted_until);
+            let may_grow = count == 0 || now >= self.no_growth_until;
+            if scheduler.desired > count && may_start && may_grow {
+                let starts_from_zero = queued > 0 && count == 0;
+                let start_count = if now < self.no_growth_until { 1 } else { scheduler.desired - count };
+                growing.push((starts_from_zero, scheduler.function.player_weight, start_count, name));
+            } else if kept_count < count {
+                self.drain(&name, count - kept_count);
             }
         }
         self.stop_drained();
-        wanting.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)).then(a.2.cmp(&b.2)).then(a.3.cmp(&b.3)));
-        for (_, _, count, name) in wanting {
+        growing.sort_by(|a, b| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)).then(a.2.cmp(&b.2)).then(a.3.cmp(&b.3)));
+        for (_, _, count, name) in growing {
             for _ in 0..count {
                 if self.starts_left < 1.0 {
                     return;
@@ -125,18 +131,18 @@
                 self.starts_left -= 1.0;
             }
         }
-        let oldest = self.next.saturating_sub(100_000);
+        let oldest = self.last_number.saturating_sub(100_000);
         self.plan_requests.retain(|request_id, _| *request_id > oldest);
     }
 
-    /// Functions that are awake, those whose callers wait first.
-    fn by_need(&self) -> Vec<String> {
+    /// Returns the active functions, those with queued requests first.
+    fn functions_by_urgency(&self) -> Vec<String> {
         let awake = self.schedulers.iter().filter(|(_, scheduler)| scheduler.is_awake());
         let (waited, others): (Vec<_>, Vec<_>) = awake.partition(|(_, scheduler)| !scheduler.queued.is_empty());
         waited.into_iter().chain(others).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes the least busy out of use, those still starting first where nobody waits for them.
+    /// Drains the given number of instances: the least busy first, and among equals those still starting.
     fn drain(&mut self, name: &str, count: u32) {
         let Some(scheduler) = self.schedulers.get_mut(name) else { return };
         let mut list: Vec<(u32, bool, String)> = scheduler
@@ -153,48 +159,50 @@
         }
     }
 
-    /// Stops what has drained and what was lost and is still listed; one that ended needs no call.
+    /// Orders stops for instances that have drained, and for lost ones that are still listed. An instance that has
+    /// ended needs no stop.
     fn stop_drained(&mut self) {
         let now = self.now;
         let fence = self.membership.number;
         for scheduler in self.schedulers.values_mut() {
             for (id, instance) in scheduler.instances.iter_mut().filter(|(_, instance)| instance.pending.is_none()) {
-                let ended = match instance.phase() {
+                let is_ended = match instance.phase() {
                     Phase::Draining => true,
                     Phase::Gone => instance.lost_at.is_some_and(|at| now > at + LOST_INSTANCE_TTL),
                     Phase::Starting | Phase::Ready => false,
                 };
-                let quiet = instance.busy == 0 && (instance.foreign_requests == 0 || now >= instance.foreign_until);
-                if ended && quiet && (instance.stop_ordered_at.is_none() || now >= instance.retry_stop_at) {
+                let is_idle = instance.busy == 0 && (instance.foreign_requests == 0 || now >= instance.foreign_until);
+                if is_ended && is_idle && (instance.stop_ordered_at.is_none() || now >= instance.retry_stop_at) {
                     instance.stop_ordered_at = Some(now);
                     instance.retry_stop_at = now + STOP_RETRY_INTERVAL;
                     self.stopped.insert(id.clone(), now);
                     event!(stop_ordered, "{id}");
-                    self.outs.push(OwnerOutput::Supply(ProviderOrder::Stop { id: id.clone(), fence }));
+                    self.outs.push(OwnerOutput::ProviderOrder(ProviderOrder::Stop { id: id.clone(), fence }));
                 }
             }
         }
     }
 
+    /// Measures each function, and sends demand samples and measurements at the sample interval.
     fn sample_pass(&mut self) {
         let now = self.now;
         self.close_empty_queues();
         for scheduler in self.schedulers.values_mut().filter(|scheduler| scheduler.is_awake()) {
             let queued = scheduler.queued.len() as f64;
-            scheduler.looks += 1;
+            scheduler.observations += 1;
             let slots = f64::from(scheduler.count(Phase::Ready) * scheduler.function.instance_limit);
-            scheduler.seen.usage_sum += f64::from(scheduler.in_flight) / slots.max(1.0);
+            scheduler.measurement.usage_sum += f64::from(scheduler.in_flight) / slots.max(1.0);
             if scheduler.count(Phase::Ready) == 0 {
                 scheduler.queued_sum += queued;
             } else {
                 scheduler.waiting_sum += queued;
             }
         }
-        if now < self.sampled + self.timing.sample {
+        if now < self.sampled_at + self.settings.sample_interval {
             return;
         }
-        let lasted = now.saturating_sub(self.sampled).as_secs_f64();
-        self.sampled = now;
+        let elapsed = now.saturating_sub(self.sampled_at).as_secs_f64();
+        self.sampled_at = now;
         let mut lines = Vec::new();
         let mut measures = Vec::new();
         for (name, scheduler) in &mut self.schedulers {
@@ -202,26 +210,27 @@
                 continue;
             }
             scheduler.sampled_zero = !scheduler.is_awake();
-            let looks = f64::from(scheduler.looks.max(1));
+            let observations = f64::from(scheduler.observations.max(1));
             lines.push(DemandSample {
                 function: name.as_str().into(),
-                rate_milli: (f64::from(scheduler.arrivals) * 1000.0 / lasted) as u64,
+                rate_milli: (f64::from(scheduler.arrivals) * 1000.0 / elapsed) as u64,
                 response_micro: (scheduler.answer_time.as_micros() / u128::from(scheduler.answered.max(1))) as u64,
-                waiting_milli: (scheduler.waiting_sum * 1000.0 / looks) as u64,
-                queued_milli: (scheduler.queued_sum * 1000.0 / looks) as u64,
+                waiting_milli: (scheduler.waiting_sum * 1000.0 / observations) as u64,
+                queued_milli: (scheduler.queued_sum * 1000.0 / observations) as u64,
             });
-            measures.extend(scheduler.take_measurement(name, looks));
-            (scheduler.arrivals, scheduler.answered, scheduler.looks) = (0, 0, 0);
+            measures.extend(scheduler.take_measurement(name, observations));
+            (scheduler.arrivals, scheduler.answered, scheduler.observations) = (0, 0, 0);
             (scheduler.answer_time, scheduler.waiting_sum, scheduler.queued_sum) = (Duration::ZERO, 0.0, 0.0);
         }
         if !lines.is_empty() {
             self.outs.push(OwnerOutput::Samples { lines });
         }
         if !measures.is_empty() {
-            self.outs.push(OwnerOutput::Measures { lines: measures });
+            self.outs.push(OwnerOutput::Measurements { lines: measures });
         }
     }
 
+    /// Handles a plan or tuned parameters from the registries.
     pub(crate) fn handle_plan_reply(&mut self, message: PlanMessage) {
         if let PlanMessage::Tuned { fence, lines } = message {
             return self.receive_tuned_parameters(fence, lines.into_vec());
