--- a/crates/traffic/src/placement.rs
+++ b/crates/traffic/src/placement.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns the worker's free memory without what was ordered on it since the list.
-    fn free_memory_mb(&self, line: &WorkerLine) -> u32 {
+    fn unreserved_mb(&self, line: &WorkerLine) -> u32 {
         let own = self.ordered.iter().filter(|(name, ..)| *name == line.name).map(|(_, mb, _)| mb).sum::<u32>();
         line.free_mb.saturating_sub(own)
     }
@@ -106,13 +106,13 @@
                 false => usize::from(line.zone != zone),
             };
             let instances_on_worker = others.iter().filter(|(worker, _)| *worker == line.name).count();
-            let room_in_fours = self.free_memory_mb(line) / memory_mb.max(1) / 4;
+            let room_in_fours = self.unreserved_mb(line) / memory_mb.max(1) / 4;
             let tie_breaker = leases::stable_hash(&[function.as_bytes(), line.name.as_bytes()]);
             (instances_in_zone, instances_on_worker, line.zone != zone, std::cmp::Reverse(room_in_fours), tie_breaker)
         };
         let best_fit =
-            lines.iter().filter(is_open).filter(|line| self.free_memory_mb(line) >= memory_mb).min_by_key(rank);
-        let selected = best_fit.or_else(|| lines.iter().filter(is_open).max_by_key(|line| self.free_memory_mb(line)));
+            lines.iter().filter(is_open).filter(|line| self.unreserved_mb(line) >= memory_mb).min_by_key(rank);
+        let selected = best_fit.or_else(|| lines.iter().filter(is_open).max_by_key(|line| self.unreserved_mb(line)));
         selected.map_or(Placement::Full, |line| Placement::On(Some(line.name.clone())))
     }
 }
