--- a/crates/traffic/src/keyed_operations_tests.rs
+++ b/crates/traffic/src/keyed_operations_tests.rs
@@ -66,8 +66,8 @@
     #[test]
     fn at_most_one_request_leads_a_key(steps in prop::collection::vec((0u8..4, 0usize..4, 0u64..40, 0u64..3), 1..200)) {
         let mut operations = KeyedOperations::default();
-        let mut leads: BTreeMap<usize, u64> = BTreeMap::new();
-        let mut waits: BTreeMap<usize, BTreeSet<u64>> = BTreeMap::new();
+        let mut leaders: BTreeMap<usize, u64> = BTreeMap::new();
+        let mut waiting: BTreeMap<usize, BTreeSet<u64>> = BTreeMap::new();
         let (mut now, mut number) = (0, 0);
         for (step, key, who, later) in steps {
             now += later;
@@ -76,29 +76,29 @@
                 0 | 1 => {
                     number += 1;
                     match operations.join(at(now), &scope, b"1", number) {
-                        JoinResult::Leads => prop_assert!(leads.insert(key, number).is_none()),
+                        JoinResult::Leads => prop_assert!(leaders.insert(key, number).is_none()),
                         JoinResult::Waits => {
-                            prop_assert!(leads.contains_key(&key));
-                            waits.entry(key).or_default().insert(number);
+                            prop_assert!(leaders.contains_key(&key));
+                            waiting.entry(key).or_default().insert(number);
                         }
                         known => prop_assert_eq!(known, JoinResult::Answered(answer(scope.as_bytes()))),
                     }
                 }
                 _ => {
-                    let ends = if who % 2 == 0 { leads.get(&key).copied() } else { Some(who) };
-                    let Some(ends) = ends else { continue };
+                    let ended = if who % 2 == 0 { leaders.get(&key).copied() } else { Some(who) };
+                    let Some(ended) = ended else { continue };
                     let kept = (step == 2).then(|| (answer(scope.as_bytes()), at(now + 20)));
-                    let named: BTreeSet<u64> = operations.end(&scope, ends, kept).into_iter().collect();
-                    if leads.get(&key) == Some(&ends) {
-                        leads.remove(&key);
-                        prop_assert_eq!(named, waits.remove(&key).unwrap_or_default());
+                    let returned: BTreeSet<u64> = operations.end(&scope, ended, kept).into_iter().collect();
+                    if leaders.get(&key) == Some(&ended) {
+                        leaders.remove(&key);
+                        prop_assert_eq!(returned, waiting.remove(&key).unwrap_or_default());
                     } else {
-                        waits.entry(key).or_default().remove(&ends);
-                        prop_assert!(named.is_empty());
+                        waiting.entry(key).or_default().remove(&ended);
+                        prop_assert!(returned.is_empty());
                     }
                 }
             }
-            prop_assert_eq!(operations.running(), leads.len());
+            prop_assert_eq!(operations.running(), leaders.len());
         }
     }
 }
--- a/crates/traffic/src/scaling.rs
+++ b/crates/traffic/src/scaling.rs
@@ -17,7 +17,7 @@
 const MAX_STARTS_LEFT: f64 = 8.0;
 const MAX_PLAN_REQUESTS_PER_PASS: usize = 8;
 /// How long a request's id is remembered, to recognize duplicates.
-const OBSERVATION_TTL: Duration = Duration::from_secs(90);
+const SEEN_REQUEST_TTL: Duration = Duration::from_secs(90);
 /// Delay before a stop is ordered again while the instance remains.
 const STOP_RETRY_INTERVAL: Duration = Duration::from_secs(4);
 /// How long after it refused a connection an instance that is still listed is stopped.
@@ -45,7 +45,7 @@
         let now = self.now;
         self.stopped.retain(|_, at| now < *at + ttl);
         self.leaving_instances.retain(|_, at| now < *at + ttl);
-        self.seen_requests.retain(|_, at| now < *at + OBSERVATION_TTL);
+        self.seen_requests.retain(|_, at| now < *at + SEEN_REQUEST_TTL);
         self.finished.retain(|_, at| now < *at + ttl * 2);
         if self.may_serve {
             self.scale_pass();
--- a/crates/traffic/tests/common/keyed.rs
+++ b/crates/traffic/tests/common/keyed.rs
@@ -67,11 +67,11 @@
 
 /// Returns the proposed commands and their request ids.
 pub fn proposals(outputs: &[OwnerOutput]) -> Vec<(u64, Command)> {
-    let proposed = outputs.iter().filter_map(|output| match output {
+    let proposals = outputs.iter().filter_map(|output| match output {
         OwnerOutput::Propose { request_id, body } => Some((*request_id, wire::from_bytes(body)?)),
         _ => None,
     });
-    proposed.collect()
+    proposals.collect()
 }
 
 /// Replies to a claim.
@@ -89,23 +89,23 @@
 
 /// Returns the answers to callers: request, outcome, status, retry delay in milliseconds, body.
 pub fn answers(outputs: &[OwnerOutput]) -> Vec<(u64, Outcome, u16, u32, Vec<u8>)> {
-    let told = outputs.iter().filter_map(|output| match output {
+    let answers = outputs.iter().filter_map(|output| match output {
         OwnerOutput::Forward {
             message: ForwardMessage::Answer { task, outcome, status, retry_after_ms, body, .. },
             ..
         } => Some((*task, *outcome, *status, *retry_after_ms, body.as_slice().to_vec())),
         _ => None,
     });
-    told.collect()
+    answers.collect()
 }
 
 /// Returns the dispatch numbers.
 pub fn dispatch_numbers(outputs: &[OwnerOutput]) -> Vec<u64> {
-    let sent = outputs.iter().filter_map(|output| match output {
+    let numbers = outputs.iter().filter_map(|output| match output {
         OwnerOutput::Dispatch(order) => Some(order.number),
         _ => None,
     });
-    sent.collect()
+    numbers.collect()
 }
 
 /// Sends the first request under the key, grants its claim, and returns its dispatch number.
--- a/crates/traffic/tests/earlier_owners.rs
+++ b/crates/traffic/tests/earlier_owners.rs
@@ -47,12 +47,12 @@
         let at = 20_000 + id * 1000;
         owner.step(ms(at - 10), true, OwnerInput::Forward { from: before, message: empty_copy(id) });
         owner.step(ms(at), true, OwnerInput::Membership { membership: membership(id + 1, &[id]) });
-        let mut spent = dispatch_count(&read_store(&mut owner, at + 1, &backlog));
+        let mut retries_used = dispatch_count(&read_store(&mut owner, at + 1, &backlog));
         for later in (at + 40..at + 1000).step_by(40) {
-            spent += dispatch_count(&owner.step(ms(later), true, OwnerInput::Tick));
+            retries_used += dispatch_count(&owner.step(ms(later), true, OwnerInput::Tick));
         }
-        assert_eq!(owner.status()["functions"][FUNCTION]["second_tries_10s"].as_u64(), Some(spent as u64));
-        retries.push(spent);
+        assert_eq!(owner.status()["functions"][FUNCTION]["second_tries_10s"].as_u64(), Some(retries_used as u64));
+        retries.push(retries_used);
     }
     assert!(
         retries.iter().sum::<usize>() + SLACK / 2 <= SLACK,
@@ -69,8 +69,8 @@
 
 #[test]
 fn the_initial_retry_limit_halves_with_each_earlier_owner() {
-    let spent: Vec<usize> = (1..7).map(|owners| initial_retries(EarlierOwners::Bounded(owners))).collect();
-    assert_eq!(spent, [15, 7, 3, 1, 0, 0]);
+    let retries_used: Vec<usize> = (1..7).map(|owners| initial_retries(EarlierOwners::Bounded(owners))).collect();
+    assert_eq!(retries_used, [15, 7, 3, 1, 0, 0]);
     assert_eq!(initial_retries(EarlierOwners::Bounded(u32::MAX)), 0);
     assert_eq!(initial_retries(EarlierOwners::Unknown), 0);
 }
--- a/crates/traffic/tests/keyed.rs
+++ b/crates/traffic/tests/keyed.rs
@@ -19,9 +19,9 @@
     let waits = send_request(&mut owner, 20, 8, b"x");
     assert!(proposals(&waits).is_empty() && answers(&waits).is_empty() && dispatch_numbers(&waits).is_empty());
     let answered = report_answer(&mut owner, 50, dispatch);
-    let mut told_all = answers(&answered);
-    told_all.sort_by_key(|told| told.0);
-    assert_eq!(told_all, [7, 8].map(|task| (task, Outcome::Answered, 201, 0, b"sword".to_vec())));
+    let mut all_answers = answers(&answered);
+    all_answers.sort_by_key(|answer| answer.0);
+    assert_eq!(all_answers, [7, 8].map(|task| (task, Outcome::Answered, 201, 0, b"sword".to_vec())));
     assert!(matches!(proposals(&answered)[..], [(_, Command::RecordAnswer { .. })]), "recorded once");
     owner.step(ms(60), true, OwnerInput::RegistriesReachable { reachable: false });
     let repeat = send_request(&mut owner, 55_000, 9, b"x");
@@ -58,7 +58,7 @@
     let claims = proposals(&send_request(&mut owner, 2, 7, b"x"));
     send_request(&mut owner, 5, 8, b"x");
     let outputs = reply_to_claim(&mut owner, 10, claims[0].0, state, answer);
-    let statuses: Vec<u16> = answers(&outputs).iter().map(|told| told.2).collect();
+    let statuses: Vec<u16> = answers(&outputs).iter().map(|answer| answer.2).collect();
     assert_eq!(statuses, [status, status], "the waiting repeat gets the same status");
     assert!(proposals(&outputs).is_empty() && dispatch_numbers(&outputs).is_empty());
     let later = owner.step(ms(900), true, OwnerInput::Tick);
@@ -87,8 +87,8 @@
     send_request(&mut owner, 20, 8, b"x");
     let outcome = DispatchOutcome::InDoubt { detail: "closed".into(), timed_out: false };
     let outputs = owner.step(ms(50), true, OwnerInput::Dispatched { number: dispatch, outcome });
-    let mut statuses: Vec<_> = answers(&outputs).into_iter().map(|told| (told.0, told.1, told.2)).collect();
-    statuses.sort_by_key(|told| told.0);
+    let mut statuses: Vec<_> = answers(&outputs).into_iter().map(|answer| (answer.0, answer.1, answer.2)).collect();
+    statuses.sort_by_key(|answer| answer.0);
     assert_eq!(statuses, [(7, Outcome::Unknown, 504), (8, Outcome::Unknown, 504)]);
     assert!(matches!(proposals(&outputs)[..], [(_, Command::RecordAnswer { .. })]));
     assert!(
@@ -190,7 +190,7 @@
         all.extend(outputs);
     }
     all.extend(owner.step(ms(260), false, OwnerInput::MembershipLost));
-    assert_eq!(answers(&all).iter().map(|told| told.2).collect::<Vec<_>>(), [504]);
+    assert_eq!(answers(&all).iter().map(|answer| answer.2).collect::<Vec<_>>(), [504]);
     assert!(
         matches!(proposals(&all)[..], [(_, Command::RecordAnswer { .. })]),
         "recorded as ended, so that it is not run again"
@@ -204,6 +204,9 @@
     let held = in_doubt(&mut owner, 50, false, dispatch);
     assert!(dispatch_numbers(&held).is_empty() && answers(&held).is_empty());
     let lapsed = owner.step(ms(60), false, OwnerInput::MembershipLost);
-    assert_eq!(answers(&lapsed).iter().map(|told| (told.1, told.2)).collect::<Vec<_>>(), [(Outcome::Unknown, 504)]);
+    assert_eq!(
+        answers(&lapsed).iter().map(|answer| (answer.1, answer.2)).collect::<Vec<_>>(),
+        [(Outcome::Unknown, 504)]
+    );
     assert!(matches!(proposals(&lapsed)[..], [(_, Command::RecordAnswer { .. })]));
 }
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -31,10 +31,10 @@
     let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let first = owner.starts[0].clone();
-    for resends in 1..5 {
+    for orders in 1..5 {
         owner.started(&first.nonce, StartReply::Unanswered);
         owner.pass(1700);
-        assert_eq!(owner.starts.len(), resends + 1);
+        assert_eq!(owner.starts.len(), orders + 1);
     }
     assert!(owner.starts.iter().all(|order| *order == first), "{:?}", owner.starts);
     owner.accepted(&first.nonce, "i1");
