--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/ending.rs
@@ -67,7 +67,7 @@
                 machines.follower.staged_epoch(),
                 machines.follower.membership().number,
                 machines.follower.tail(),
-                machines.front.depth(),
+                machines.front.request_count(),
                 machines.owner.depths(),
             ),
             None => format!("router {n}: down"),
--- a/crates/sim/src/link_faults.rs
+++ b/crates/sim/src/link_faults.rs
@@ -101,7 +101,7 @@
                 self.callers.again.insert(number, task);
                 self.after(wait, Event::CallerRetry { task: number });
             }
-            self.turn(router, Turn::Front(FrontInput::Gone { request_id }));
+            self.turn(router, Turn::Front(FrontInput::CallerGone { request_id }));
         }
     }
 
--- a/crates/sim/src/rolling.rs
+++ b/crates/sim/src/rolling.rs
@@ -25,7 +25,7 @@
         let leaving = self.routers.iter().filter(|node| node.leaving_since.is_some()).count();
         let up = self.routers.iter().filter(|node| node.alive() && node.leaving_since.is_none()).count();
         let machines = self.routers[next].machines.as_ref();
-        let busy = machines.is_some_and(|machines| machines.front.depth() > 0);
+        let busy = machines.is_some_and(|machines| machines.front.request_count() > 0);
         if leaving >= at_a_time || up < 2 || (!busy && waited < IDLE) {
             let waited = waited + LOOK;
             return self.follow_up(LOOK, FollowUp::Roll { next, at_a_time, waited });
--- a/crates/sim/src/router_limits.rs
+++ b/crates/sim/src/router_limits.rs
@@ -11,6 +11,6 @@
 }
 
 pub(crate) fn front_limits() -> FrontLimits {
-    let consumer_header = Some(ConsumerHeader { name: CONSUMER_HEADER.into(), value: str::to_owned });
+    let consumer_header = Some(ConsumerHeader { name: CONSUMER_HEADER.into(), format_name: str::to_owned });
     FrontLimits { consumer_header, ..FrontLimits::default() }
 }
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -50,7 +50,7 @@
     pub fn forwarded(from: NodeId, message: ForwardMessage) -> Turn {
         match message.is_for_owner() {
             true => Turn::FunctionOwner(OwnerInput::Forward { from, message }),
-            false => Turn::Front(FrontInput::Forwarded { from, message }),
+            false => Turn::Front(FrontInput::Message { from, message }),
         }
     }
 }
@@ -158,9 +158,9 @@
         let waited = self.now - since;
         let me = self.routers[n].id;
         let handed = machines.follower.membership().member(me).is_none_or(|line| line.leaving != 0);
-        let idle = machines.front.depth() == 0 && machines.owner.is_idle();
+        let idle = machines.front.request_count() == 0 && machines.owner.is_idle();
         if (waited > LAST_CALLS && handed && idle) || waited > GRACE {
-            let depths = (machines.front.depth(), machines.owner.depths());
+            let depths = (machines.front.request_count(), machines.owner.depths());
             self.say(|| format!("router {n} goes, open: {depths:?}"));
             if !idle && self.plan.sort == Sort::Planned && self.now < self.plan.final_fault {
                 self.rules.tell(self.now, format!("router {n} left with work open"));
@@ -233,7 +233,7 @@
             }
             FollowerOutput::RemovedFromMembers => {
                 self.turn(n, Turn::FunctionOwner(OwnerInput::MembershipLost));
-                self.turn(n, Turn::Front(FrontInput::Lapsed));
+                self.turn(n, Turn::Front(FrontInput::MembershipLost));
             }
             FollowerOutput::ServingStatus { serving_status } => {
                 self.say(|| format!("router {n} stands {serving_status:?}"))
--- a/crates/traffic/src/caller_limits.rs
+++ b/crates/traffic/src/caller_limits.rs
@@ -20,17 +20,17 @@
     pub fn within(&self, bounds: Option<&CallerBounds>) -> CallerLimits {
         let Some(bounds) = bounds else { return self.clone() };
         let time = |ms: u32| Duration::from_millis(ms.into());
-        let idle = time(bounds.idle_ms.max(bounds.head_ms)).min(self.server.head_time);
-        let told = idle.as_secs().saturating_sub(1);
+        let idle_time = time(bounds.idle_ms.max(bounds.head_ms)).min(self.server.head_time);
+        let announced = idle_time.as_secs().saturating_sub(1);
         CallerLimits {
             server: ServerLimits {
                 head_bytes: self.server.head_bytes.min(bounds.head_bytes as usize),
-                head_time: idle,
+                head_time: idle_time,
                 ..self.server
             },
             body_bytes: self.body_bytes.min(bounds.body_bytes as usize),
             body_time: self.body_time,
-            keep_alive: (told > 0).then(|| HeaderValue::try_from(format!("timeout={told}")).ok()).flatten(),
+            keep_alive: (announced > 0).then(|| HeaderValue::try_from(format!("timeout={announced}")).ok()).flatten(),
         }
     }
 }
--- a/crates/traffic/src/caller_server.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -23,38 +23,38 @@
 #[derive(Clone)]
 pub struct CallerServer {
     pub traffic: InboxSender<TrafficMessage>,
-    pub words: Arc<HttpDialect>,
+    pub dialect: Arc<HttpDialect>,
     pub limits: watch::Receiver<CallerLimits>,
 }
 
 pub fn router(server: CallerServer) -> Router {
-    Router::new().fallback(any(meet)).with_state(server)
+    Router::new().fallback(any(handle_request)).with_state(server)
 }
 
-async fn meet(State(server): State<CallerServer>, request: Request) -> Response {
+async fn handle_request(State(server): State<CallerServer>, request: Request) -> Response {
     let started_at = Instant::now();
     let (parts, body) = request.into_parts();
-    let body = match server.read(body).await {
+    let body = match server.read_body(body).await {
         Ok(body) => body,
         Err(refused) => return refused,
     };
     let path = parts.uri.path().to_owned();
-    let request_id = server.words.request_id.as_ref().and_then(|name| parts.headers.get(name)).cloned();
-    if let Some(id) = server.words.task_path.and_then(|below| path.strip_prefix(below)) {
-        return server.status(id).await;
+    let request_id = server.dialect.request_id.as_ref().and_then(|name| parts.headers.get(name)).cloned();
+    if let Some(id) = server.dialect.task_path.and_then(|prefix| path.strip_prefix(prefix)) {
+        return server.task_status(id).await;
     }
-    let Ok(call) = server.call(parts, path, body, started_at) else {
-        return server.own(400, "Idempotency-Key is 1 to 128 plain characters", false);
+    let Ok(call) = server.parse_call(parts, path, body, started_at) else {
+        return server.error_response(400, "Idempotency-Key is 1 to 128 plain characters", false);
     };
-    let (reply, detail) = oneshot::channel();
+    let (reply, answer) = oneshot::channel();
     if server.traffic.send(TrafficMessage::Task { call, reply }).is_err() {
-        let busy = Reply::own(503, Some(Outcome::NotRun), "this router is busy");
-        return server.answer(busy.again(Duration::from_millis(500)));
+        let busy = Reply::from_router(503, Some(Outcome::NotRun), "this router is busy");
+        return server.answer(busy.with_retry_after(Duration::from_millis(500)));
     }
-    let unknown = || Reply::own(504, Some(Outcome::Unknown), "the outcome is not known");
-    let mut response = server.answer(detail.await.unwrap_or_else(|_| unknown()));
+    let unknown = || Reply::from_router(504, Some(Outcome::Unknown), "the outcome is not known");
+    let mut response = server.answer(answer.await.unwrap_or_else(|_| unknown()));
     // The answer of an operation under a key may be that to an earlier request, with another id.
-    if let (Some(name), Some(id)) = (&server.words.request_id, request_id)
+    if let (Some(name), Some(id)) = (&server.dialect.request_id, request_id)
         && response.headers().contains_key(name)
     {
         response.headers_mut().insert(name, id);
@@ -63,7 +63,7 @@
 }
 
 impl CallerServer {
-    async fn read(&self, body: Body) -> Result<Vec<u8>, Response> {
+    async fn read_body(&self, body: Body) -> Result<Vec<u8>, Response> {
         if body.is_end_stream() {
             return Ok(Vec::new());
         }
@@ -72,28 +72,29 @@
             (limits.body_bytes, limits.body_time)
         };
         match timeout(time, Limited::new(body, bytes).collect()).await {
-            Err(_) => Err(self.own(408, "the request's body came too slowly", true)),
+            Err(_) => Err(self.error_response(408, "the request's body came too slowly", true)),
             Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
-                Err(self.own(413, "the request's body is too long", true))
+                Err(self.error_response(413, "the request's body is too long", true))
             }
-            Ok(Err(_)) => Err(self.own(400, "the request's body was cut", true)),
+            Ok(Err(_)) => Err(self.error_response(400, "the request's body was cut", true)),
             Ok(Ok(body)) => Ok(body.to_bytes().into()),
         }
     }
 
     /// The call a request makes; a key that cannot be one is a fault.
-    fn call(&self, parts: Parts, path: String, body: Vec<u8>, started_at: Instant) -> Result<Call, ()> {
-        let words = &self.words;
+    fn parse_call(&self, parts: Parts, path: String, body: Vec<u8>, started_at: Instant) -> Result<Call, ()> {
+        let dialect = &self.dialect;
         let text = |name: &header::HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
-        let keyed = words.idempotency_key.as_ref().filter(|name| parts.headers.contains_key(*name));
-        let key = keyed.and_then(text).map(str::to_owned);
-        if keyed.is_some() && key.as_ref().is_none_or(|key| key.is_empty() || key.len() > 128) {
+        let key_header = dialect.idempotency_key.as_ref().filter(|name| parts.headers.contains_key(*name));
+        let key = key_header.and_then(text).map(str::to_owned);
+        if key_header.is_some() && key.as_ref().is_none_or(|key| key.is_empty() || key.len() > 128) {
             return Err(());
         }
-        let asked = words.task_path.is_some() && text(&PREFER).is_some_and(|value| value.contains("respond-async"));
-        let api_key = words.api_key.as_ref().and_then(|name| api_key(&parts.headers, name));
+        let respond_async =
+            dialect.task_path.is_some() && text(&PREFER).is_some_and(|value| value.contains("respond-async"));
+        let api_key = dialect.api_key.as_ref().and_then(|name| api_key(&parts.headers, name));
         let host = text(&header::HOST).or(parts.uri.authority().map(|authority| authority.as_str()));
-        let deadline = words.deadline.as_ref().and_then(text).and_then(|value| value.trim().parse().ok());
+        let deadline = dialect.deadline.as_ref().and_then(text).and_then(|value| value.trim().parse().ok());
         let target = parts.uri.path_and_query().map_or(path.as_str(), |target| target.as_str());
         Ok(Call {
             host: host.unwrap_or_default().to_owned(),
@@ -101,34 +102,35 @@
             head: RequestHead {
                 method: parts.method.as_str().into(),
                 target: target.into(),
-                headers: dispatch::forwarded_request_headers(&parts.headers, words),
+                headers: dispatch::forwarded_request_headers(&parts.headers, dialect),
             },
             path,
             body,
             key,
             api_key,
-            respond_async: asked,
+            respond_async,
         })
     }
 
-    async fn status(&self, id: &str) -> Response {
+    async fn task_status(&self, id: &str) -> Response {
         if id.len() != 32 || !id.bytes().all(|b| b.is_ascii_hexdigit()) {
-            return self.own(404, "no such task", false);
+            return self.error_response(404, "no such task", false);
         }
-        let (reply, detail) = oneshot::channel();
-        if self.traffic.send(TrafficMessage::Status { id: id.to_owned(), reply }).is_err() {
-            return self.own(503, "this router is busy", false);
+        let (reply, answer) = oneshot::channel();
+        if self.traffic.send(TrafficMessage::TaskStatus { id: id.to_owned(), reply }).is_err() {
+            return self.error_response(503, "this router is busy", false);
         }
-        match timeout(Duration::from_secs(4), detail).await {
+        match timeout(Duration::from_secs(4), answer).await {
             Ok(Ok(reply)) => self.answer(reply),
-            _ => {
-                self.answer(Reply::own(503, None, "the core could not be asked in time").again(Duration::from_secs(1)))
-            }
+            _ => self.answer(
+                Reply::from_router(503, None, "the core could not be asked in time")
+                    .with_retry_after(Duration::from_secs(1)),
+            ),
         }
     }
 
-    fn own(&self, status: u16, detail: &'static str, close: bool) -> Response {
-        let mut response = self.answer(Reply::own(status, None, detail));
+    fn error_response(&self, status: u16, detail: &'static str, close: bool) -> Response {
+        let mut response = self.answer(Reply::from_router(status, None, detail));
         if close {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -136,8 +138,9 @@
     }
 
     pub fn answer(&self, reply: Reply) -> Response {
-        let own = reply.body.is_empty() && !reply.detail.is_empty();
-        let body = if own { format!("{{\"fault\":\"{}\"}}", reply.detail).into_bytes() } else { reply.body };
+        let is_router_error = reply.body.is_empty() && !reply.detail.is_empty();
+        let body =
+            if is_router_error { format!("{{\"fault\":\"{}\"}}", reply.detail).into_bytes() } else { reply.body };
         let mut response = Response::new(Body::from(body));
         *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
         let headers = response.headers_mut();
@@ -146,15 +149,15 @@
         } else {
             headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
         }
-        if let (Some(name), Some(outcome)) = (&self.words.outcome, reply.outcome) {
+        if let (Some(name), Some(outcome)) = (&self.dialect.outcome, reply.outcome) {
             headers.insert(name, HeaderValue::from_static(outcome.as_str()));
         }
-        let refused = reply.outcome == Some(Outcome::NotRun) && reply.status == 503;
-        if refused || !reply.retry_after.is_zero() {
-            headers.insert(header::RETRY_AFTER, retry_after(reply.retry_after, self.words.fractional_retry_after));
+        let is_refused = reply.outcome == Some(Outcome::NotRun) && reply.status == 503;
+        if is_refused || !reply.retry_after.is_zero() {
+            headers.insert(header::RETRY_AFTER, retry_after(reply.retry_after, self.dialect.fractional_retry_after));
         }
-        if let Some(detail) = &self.limits.borrow().keep_alive {
-            headers.insert(KEEP_ALIVE, detail.clone());
+        if let Some(keep_alive) = &self.limits.borrow().keep_alive {
+            headers.insert(KEEP_ALIVE, keep_alive.clone());
         }
         response
     }
@@ -167,8 +170,8 @@
 fn api_key(headers: &HeaderMap, name: &header::HeaderName) -> Option<String> {
     let mut values = headers.get_all(name).iter();
     let first = values.next()?;
-    let alone = values.next().is_none();
-    Some(first.to_str().ok().filter(|_| alone).unwrap_or_default().to_owned())
+    let is_single = values.next().is_none();
+    Some(first.to_str().ok().filter(|_| is_single).unwrap_or_default().to_owned())
 }
 
 fn retry_after(after: Duration, fractions: bool) -> HeaderValue {
--- a/crates/traffic/src/caller_server_tests.rs
+++ b/crates/traffic/src/caller_server_tests.rs
@@ -32,22 +32,22 @@
     }
 }
 
-fn server(words: HttpDialect) -> (CallerServer, Inbox<TrafficMessage>, watch::Sender<CallerLimits>) {
-    let (traffic, taken) = inbox(8);
+fn server(dialect: HttpDialect) -> (CallerServer, Inbox<TrafficMessage>, watch::Sender<CallerLimits>) {
+    let (traffic, inbox) = inbox(8);
     let (bounds, limits) = watch::channel(limits());
-    (CallerServer { traffic, words: Arc::new(words), limits }, taken, bounds)
+    (CallerServer { traffic, dialect: Arc::new(dialect), limits }, inbox, bounds)
 }
 
 /// Asks, with the reply that the traffic thread would give; what it was asked, and the answer.
-fn exchange(words: HttpDialect, request: Request, reply: Reply) -> (Option<Call>, Response) {
+fn exchange(dialect: HttpDialect, request: Request, reply: Reply) -> (Option<Call>, Response) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
-        let (server, mut taken, _bounds) = server(words);
+        let (server, mut inbox, _bounds) = server(dialect);
         let service = TowerToHyperService::new(router(server));
         let serve = async {
-            match taken.next().await {
-                Some(TrafficMessage::Task { call, reply: tell }) => {
-                    let _ = tell.send(reply);
+            match inbox.next().await {
+                Some(TrafficMessage::Task { call, reply: reply_sender }) => {
+                    let _ = reply_sender.send(reply);
                     Some(call)
                 }
                 _ => None,
@@ -69,7 +69,7 @@
 }
 
 fn done() -> Reply {
-    Reply { body: b"done".to_vec(), ..Reply::own(200, Some(Outcome::Answered), "") }
+    Reply { body: b"done".to_vec(), ..Reply::from_router(200, Some(Outcome::Answered), "") }
 }
 
 fn names(call: &Call) -> Vec<&str> {
@@ -119,8 +119,8 @@
 
 #[test_case(HttpDialect::default() => true; "where the state of a task can be asked")]
 #[test_case(another_dialect() => false; "where it cannot")]
-fn an_answer_is_put_off_as_preferred(words: HttpDialect) -> bool {
-    let (call, _) = exchange(words, request(&[("prefer", "respond-async")], ""), done());
+fn an_answer_is_put_off_as_preferred(dialect: HttpDialect) -> bool {
+    let (call, _) = exchange(dialect, request(&[("prefer", "respond-async")], ""), done());
     call.expect("it is let in").respond_async
 }
 
@@ -139,7 +139,7 @@
 #[test_case(false, 1001 => "2"; "never too early")]
 #[test_case(true, 0 => "0.050"; "never at once")]
 fn a_refusal_tells_when_to_come_back(fractions: bool, ms: u64) -> String {
-    let reply = Reply::own(503, Some(Outcome::NotRun), "full").again(Duration::from_millis(ms));
+    let reply = Reply::from_router(503, Some(Outcome::NotRun), "full").with_retry_after(Duration::from_millis(ms));
     let (_, response) =
         exchange(HttpDialect { fractional_retry_after: fractions, ..another_dialect() }, request(&[], ""), reply);
     text(response.headers(), "retry-after")
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -15,11 +15,11 @@
 use wire::{LeaseMessage, Message, NodeId};
 
 /// Ticks come when something is due, no closer together than the first and no further apart than the other.
-const TICK: Duration = Duration::from_millis(10);
-const TICK_IDLE: Duration = Duration::from_millis(250);
-const LASTED: Duration = Duration::from_millis(400);
-const NEAR: Duration = Duration::from_millis(2500);
-const LAST_CALLS: Duration = Duration::from_millis(700);
+const MIN_TICK: Duration = Duration::from_millis(10);
+const MAX_TICK: Duration = Duration::from_millis(250);
+const STATUS_LOG_DELAY: Duration = Duration::from_millis(400);
+const REACHABLE_FOR: Duration = Duration::from_millis(2500);
+const MIN_LEAVE_TIME: Duration = Duration::from_millis(700);
 
 pub enum ControlMessage {
     Link(LinkEvent),
@@ -30,59 +30,59 @@
 pub struct Control {
     pub started_at: Instant,
     pub follower: Follower,
-    pub pass: ServingLease,
+    pub lease: ServingLease,
     pub links: InboxSender<LinkOrder>,
     pub traffic: InboxSender<TrafficMessage>,
     pub seeds: Vec<String>,
-    pub seats: Vec<String>,
+    pub registry_addresses: Vec<String>,
     pub registries: BTreeSet<NodeId>,
-    pub published: (bool, Option<NodeId>),
+    pub published_reachability: (bool, Option<NodeId>),
     pub published_at: Instant,
-    pub heard: Option<Instant>,
+    pub last_proof_at: Option<Instant>,
     pub serving_status: ServingStatus,
     pub logged_serving_status: ServingStatus,
-    pub stood_at: Instant,
+    pub serving_status_since: Instant,
     pub view: watch::Sender<String>,
     pub grace: Duration,
     /// The revision of the route table that traffic has.
-    pub booked: Option<u64>,
+    pub sent_revision: Option<u64>,
     /// Whether somebody may read views of what was declared.
-    pub viewed: bool,
+    pub has_declared_views: bool,
 }
 
 impl Control {
     /// Runs until a planned stop is over, and returns the moment at which the process must have ended.
     pub async fn run(mut self, mut inbox: Inbox<ControlMessage>, stop: watch::Sender<bool>) -> Option<Instant> {
-        self.dial();
-        let mut ticked = Instant::now();
+        self.update_link_addresses();
+        let mut last_tick = Instant::now();
         let mut leaving: Option<(Instant, oneshot::Receiver<()>)> = None;
         loop {
             tokio::select! {
                 biased;
-                _ = tokio::time::sleep_until(self.wake(ticked, leaving.is_some()).into()) => {
-                    ticked = Instant::now();
-                    self.feed(FollowerInput::Tick);
-                    self.tell_core();
+                _ = tokio::time::sleep_until(self.next_tick(last_tick, leaving.is_some()).into()) => {
+                    last_tick = Instant::now();
+                    self.step_follower(FollowerInput::Tick);
+                    self.publish_reachability();
                     self.maybe_log_serving_status();
                 }
                 message = inbox.next() => match message {
-                    Some(ControlMessage::Link(event)) => self.link_event(event),
+                    Some(ControlMessage::Link(event)) => self.handle_link_event(event),
                     Some(ControlMessage::Stop) if leaving.is_none() => {
                         event!(shutdown_started);
-                        self.feed(FollowerInput::Leave);
-                        let (done, finished) = oneshot::channel();
-                        let _ = self.traffic.send(TrafficMessage::Leave { done });
+                        self.step_follower(FollowerInput::Leave);
+                        let (drained, finished) = oneshot::channel();
+                        let _ = self.traffic.send(TrafficMessage::Drain { drained });
                         leaving = Some((Instant::now(), finished));
                     }
                     Some(ControlMessage::Stop) => {}
-                    Some(ControlMessage::Seeds(seeds)) => self.follow_seeds(seeds),
+                    Some(ControlMessage::Seeds(seeds)) => self.handle_seeds(seeds),
                     None => return None,
                 },
             }
             if let Some((since, finished)) = &mut leaving {
-                let handed =
-                    since.elapsed() > LAST_CALLS && (self.is_handed_over() || since.elapsed() > self.grace / 2);
-                if handed && !*stop.borrow() {
+                let may_stop =
+                    since.elapsed() > MIN_LEAVE_TIME && (self.is_handed_over() || since.elapsed() > self.grace / 2);
+                if may_stop && !*stop.borrow() {
                     let _ = stop.send(true);
                 }
                 let finished = *stop.borrow() && finished.try_recv().is_ok();
@@ -93,18 +93,18 @@
         }
     }
 
-    fn wake(&self, ticked: Instant, leaving: bool) -> Instant {
-        let soon = leaving || self.serving_status != self.logged_serving_status;
-        let due = if soon { ticked + TICK * 2 } else { self.started_at + self.follower.due() };
-        due.clamp(ticked + TICK, ticked + TICK_IDLE)
+    fn next_tick(&self, last_tick: Instant, leaving: bool) -> Instant {
+        let is_short = leaving || self.serving_status != self.logged_serving_status;
+        let due = if is_short { last_tick + MIN_TICK * 2 } else { self.started_at + self.follower.due() };
+        due.clamp(last_tick + MIN_TICK, last_tick + MAX_TICK)
     }
 
-    fn follow_seeds(&mut self, seeds: Result<Vec<String>, String>) {
+    fn handle_seeds(&mut self, seeds: Result<Vec<String>, String>) {
         match seeds {
             Ok(seeds) => {
                 event!(settings_applied, "seeds {}", seeds.join(","));
                 self.seeds = seeds;
-                self.dial();
+                self.update_link_addresses();
             }
             Err(error) => event!(settings_rejected, "{error}"),
         }
@@ -115,26 +115,26 @@
         self.follower.membership().member(me).is_none_or(|line| line.leaving != 0)
     }
 
-    fn link_event(&mut self, event: LinkEvent) {
+    fn handle_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Frame { from, message: Message::Lease(message), .. } => {
-                let peer = message.is_from_peer();
+                let is_from_peer = message.is_from_peer();
                 if let LeaseMessage::PeerMembership { number, .. } = &message
                     && *number > self.follower.membership().number
                 {
                     event!(membership_from_peer, "membership {number} from {from:016x}");
                 }
-                if peer {
-                    return self.feed(FollowerInput::Peer { from, message });
+                if is_from_peer {
+                    return self.step_follower(FollowerInput::Peer { from, message });
                 }
                 self.registries.insert(from);
                 if let LeaseMessage::Proof { .. } = &message {
-                    self.heard = Some(Instant::now());
+                    self.last_proof_at = Some(Instant::now());
                 }
-                self.feed(FollowerInput::Registry { from, message });
+                self.step_follower(FollowerInput::Registry { from, message });
             }
             LinkEvent::Up { id, address, .. } => {
-                if self.seeds.contains(&address) || self.seats.contains(&address) {
+                if self.seeds.contains(&address) || self.registry_addresses.contains(&address) {
                     self.registries.insert(id);
                 }
             }
@@ -143,47 +143,48 @@
         }
     }
 
-    fn feed(&mut self, input: FollowerInput) {
+    fn step_follower(&mut self, input: FollowerInput) {
         let now = self.started_at.elapsed();
         let outputs = self.follower.step(now, input);
-        self.pass.set(self.follower.active_epoch(), self.follower.serves_until());
+        self.lease.set(self.follower.active_epoch(), self.follower.serves_until());
         for output in outputs {
             match output {
-                FollowerOutput::ToRegistry { to: Some(to), message } => self.send(to, message),
+                FollowerOutput::ToRegistry { to: Some(to), message } => self.send_to_node(to, message),
                 FollowerOutput::ToRegistry { to: None, message } => {
                     for to in self.registries.clone() {
-                        self.send(to, message.clone());
+                        self.send_to_node(to, message.clone());
                     }
                 }
-                FollowerOutput::ToPeer { to, message } => self.send(to, message),
+                FollowerOutput::ToPeer { to, message } => self.send_to_node(to, message),
                 FollowerOutput::Activated { step, revision } => {
                     event!(epoch_activated, "step {step} revision {revision}");
-                    if self.booked == Some(revision) {
-                        self.tell(TrafficMessage::Step(step));
+                    if self.sent_revision == Some(revision) {
+                        self.send_to_traffic(TrafficMessage::Epoch(step));
                     } else {
-                        self.booked = Some(revision);
+                        self.sent_revision = Some(revision);
                         let routes = RouteTable::build(step, revision, self.follower.resources());
-                        let routes = if self.viewed { routes.showing(self.follower.resources()) } else { routes };
-                        self.tell(TrafficMessage::RouteTable(Box::new(routes)));
+                        let routes =
+                            if self.has_declared_views { routes.showing(self.follower.resources()) } else { routes };
+                        self.send_to_traffic(TrafficMessage::RouteTable(Box::new(routes)));
                     }
-                    self.show();
+                    self.publish_view();
                 }
                 FollowerOutput::MembershipUpdated { .. } => {
-                    self.tell(TrafficMessage::Membership(Box::new(self.follower.membership().clone())));
-                    self.dial();
-                    self.show();
+                    self.send_to_traffic(TrafficMessage::Membership(Box::new(self.follower.membership().clone())));
+                    self.update_link_addresses();
+                    self.publish_view();
                 }
                 FollowerOutput::RegistryAddresses { addresses } => {
-                    if addresses != self.seats {
-                        self.seats = addresses;
-                        self.dial();
+                    if addresses != self.registry_addresses {
+                        self.registry_addresses = addresses;
+                        self.update_link_addresses();
                     }
                 }
-                FollowerOutput::RemovedFromMembers => self.tell(TrafficMessage::Lapsed),
+                FollowerOutput::RemovedFromMembers => self.send_to_traffic(TrafficMessage::MembershipLost),
                 FollowerOutput::ServingStatus { serving_status } => {
                     self.serving_status = serving_status;
-                    self.stood_at = Instant::now();
-                    self.show();
+                    self.serving_status_since = Instant::now();
+                    self.publish_view();
                 }
             }
         }
@@ -191,7 +192,7 @@
 
     /// Tells of a standing once it has lasted; each step in force loses the proof for a moment.
     fn maybe_log_serving_status(&mut self) {
-        if self.serving_status == self.logged_serving_status || self.stood_at.elapsed() < LASTED {
+        if self.serving_status == self.logged_serving_status || self.serving_status_since.elapsed() < STATUS_LOG_DELAY {
             return;
         }
         self.logged_serving_status = self.serving_status;
@@ -202,33 +203,37 @@
         }
     }
 
-    fn send(&self, to: NodeId, message: LeaseMessage) {
+    fn send_to_node(&self, to: NodeId, message: LeaseMessage) {
         if self.links.send(LinkOrder::Send { to, message: Message::Lease(message) }).is_err() {
             event!(inbox_full, "links");
         }
     }
 
-    fn tell(&self, message: TrafficMessage) {
+    fn send_to_traffic(&self, message: TrafficMessage) {
         if self.traffic.send(message).is_err() {
             event!(inbox_full, "traffic");
         }
     }
 
-    fn tell_core(&mut self) {
-        let near = self.heard.is_some_and(|at| at.elapsed() < NEAR);
-        let known = (near, self.follower.tail());
-        if known != self.published || self.published_at.elapsed() > NEAR / 5 {
-            self.published = known;
+    fn publish_reachability(&mut self) {
+        let is_reachable = self.last_proof_at.is_some_and(|at| at.elapsed() < REACHABLE_FOR);
+        let reachability = (is_reachable, self.follower.tail());
+        if reachability != self.published_reachability || self.published_at.elapsed() > REACHABLE_FOR / 5 {
+            self.published_reachability = reachability;
             self.published_at = Instant::now();
             let registries = self.registries.iter().copied().collect();
-            self.tell(TrafficMessage::Core { tail: self.follower.tail(), near, registries });
-            self.show();
+            self.send_to_traffic(TrafficMessage::Registries {
+                tail: self.follower.tail(),
+                reachable: is_reachable,
+                registries,
+            });
+            self.publish_view();
         }
     }
 
     /// Registries are held, members are met when there is something for them.
-    fn dial(&self) {
-        let addresses = self.seeds.iter().chain(&self.seats).cloned().collect();
+    fn update_link_addresses(&self) {
+        let addresses = self.seeds.iter().chain(&self.registry_addresses).cloned().collect();
         let members = self.follower.membership().members.iter();
         let members = members.map(|line| (line.id, line.address.as_str().to_owned())).collect();
         for order in [LinkOrder::Dial { addresses }, LinkOrder::Know { members }] {
--- a/crates/traffic/src/control_view.rs
+++ b/crates/traffic/src/control_view.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 impl Control {
-    pub(crate) fn show(&self) {
+    pub(crate) fn publish_view(&self) {
         let membership = self.follower.membership();
         let members = membership.members.iter();
         let members: Vec<_> = members
@@ -18,9 +18,9 @@
         });
         self.view.send_if_modified(|old| {
             let text = page.to_string();
-            let differs = *old != text;
+            let has_changed = *old != text;
             *old = text;
-            differs
+            has_changed
         });
     }
 }
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -22,16 +22,16 @@
 
 const TICK: Duration = Duration::from_millis(20);
 /// Between two looks while nothing waits here; what comes in is worked at once all the same.
-const CALM_TICK: Duration = Duration::from_millis(100);
-const SHOW: Duration = Duration::from_millis(500);
-const STATUS_BIT: u64 = 1 << 62;
+const IDLE_TICK: Duration = Duration::from_millis(100);
+const STATUS_INTERVAL: Duration = Duration::from_millis(500);
+const STATUS_QUERY_BIT: u64 = 1 << 62;
 
 pub enum TrafficMessage {
     Task {
         call: Call,
         reply: oneshot::Sender<Reply>,
     },
-    Status {
+    TaskStatus {
         id: String,
         reply: oneshot::Sender<Reply>,
     },
@@ -40,52 +40,52 @@
     Platform(ProviderReport),
     RouteTable(Box<RouteTable>),
     /// A later step under which the route table stays as it is.
-    Step(u64),
+    Epoch(u64),
     Membership(Box<Membership>),
-    Core {
+    Registries {
         tail: Option<NodeId>,
-        near: bool,
+        reachable: bool,
         registries: Vec<NodeId>,
     },
-    Lapsed,
-    Leave {
-        done: oneshot::Sender<()>,
+    MembershipLost,
+    Drain {
+        drained: oneshot::Sender<()>,
     },
 }
 
 pub struct DataPlane {
     pub me: NodeId,
     pub started_at: Instant,
-    pub pass: ServingLease,
+    pub lease: ServingLease,
     pub front: Front,
     pub owner: FunctionOwner,
     pub links: InboxSender<LinkOrder>,
     pub dispatcher: InboxSender<DispatcherMessage>,
     pub platform: InboxSender<ProviderOrder>,
     pub view: watch::Sender<String>,
-    pub limits: (CallerLimits, watch::Sender<CallerLimits>),
+    pub caller_limits: (CallerLimits, watch::Sender<CallerLimits>),
     /// Kept where somebody may read it.
-    pub shelving: Option<DeclaredViews>,
-    pub step: u64,
+    pub declared_views: Option<DeclaredViews>,
+    pub epoch: u64,
     pub tail: Option<NodeId>,
     pub registries: Vec<NodeId>,
     pub replies: BTreeMap<u64, oneshot::Sender<Reply>>,
-    pub statuses: BTreeMap<u64, (oneshot::Sender<Reply>, Duration)>,
-    pub next: u64,
-    pub done: Option<oneshot::Sender<()>>,
-    pub counts: BTreeMap<&'static str, u64>,
+    pub status_queries: BTreeMap<u64, (oneshot::Sender<Reply>, Duration)>,
+    pub last_request_id: u64,
+    pub drained: Option<oneshot::Sender<()>>,
+    pub outcome_counts: BTreeMap<&'static str, u64>,
 }
 
-pub(crate) enum Work {
+pub(crate) enum Input {
     Front(FrontInput),
     FunctionOwner(OwnerInput),
 }
 
-impl Work {
-    pub(crate) fn forwarded(from: NodeId, message: ForwardMessage) -> Work {
+impl Input {
+    pub(crate) fn forwarded(from: NodeId, message: ForwardMessage) -> Input {
         match message.is_for_owner() {
-            true => Work::FunctionOwner(OwnerInput::Forward { from, message }),
-            false => Work::Front(FrontInput::Forwarded { from, message }),
+            true => Input::FunctionOwner(OwnerInput::Forward { from, message }),
+            false => Input::Front(FrontInput::Message { from, message }),
         }
     }
 }
@@ -94,82 +94,88 @@
     pub async fn run(mut self, mut inbox: Inbox<TrafficMessage>) {
         let tick = tokio::time::sleep(TICK);
         tokio::pin!(tick);
-        let mut calm = false;
-        let mut shown = Instant::now();
+        let mut is_idle = false;
+        let mut published_at = Instant::now();
         loop {
             tokio::select! {
                 biased;
                 () = &mut tick => {
-                    self.work(Work::Front(FrontInput::Tick));
-                    self.work(Work::FunctionOwner(OwnerInput::Tick));
+                    self.process(Input::Front(FrontInput::Tick));
+                    self.process(Input::FunctionOwner(OwnerInput::Tick));
                     let now = self.started_at.elapsed();
-                    self.statuses.retain(|_, (reply, due)| now < *due && !reply.is_closed());
-                    if self.done.is_some() && self.front.depth() == 0 && self.owner.is_idle()
-                        && let Some(done) = self.done.take() {
-                        let _ = done.send(());
+                    self.status_queries.retain(|_, (reply, due)| now < *due && !reply.is_closed());
+                    if self.drained.is_some() && self.front.request_count() == 0 && self.owner.is_idle()
+                        && let Some(drained) = self.drained.take() {
+                        let _ = drained.send(());
                     }
-                    calm = self.done.is_none() && !self.front.waits() && !self.owner.has_waiting_work();
-                    tick.as_mut().reset(tokio::time::Instant::now() + if calm { CALM_TICK } else { TICK });
+                    is_idle = self.drained.is_none() && !self.front.has_waiting_requests() && !self.owner.has_waiting_work();
+                    tick.as_mut().reset(tokio::time::Instant::now() + if is_idle { IDLE_TICK } else { TICK });
                 }
                 message = inbox.next() => match message {
                     Some(message) => {
-                        self.take(message);
-                        if calm && (self.front.waits() || self.owner.has_waiting_work()) {
-                            calm = false;
+                        self.handle_message(message);
+                        if is_idle && (self.front.has_waiting_requests() || self.owner.has_waiting_work()) {
+                            is_idle = false;
                             tick.as_mut().reset(tokio::time::Instant::now() + TICK);
                         }
                     }
                     None => return,
                 },
             }
-            if shown.elapsed() >= SHOW {
-                shown = Instant::now();
+            if published_at.elapsed() >= STATUS_INTERVAL {
+                published_at = Instant::now();
                 let mut status = self.owner.status();
-                status["front"] = self.front.depth().into();
+                status["front"] = self.front.request_count().into();
                 status["quota"] = self.front.quota_status(self.started_at.elapsed());
                 status["front_refusals"] = self.front.refusals.into();
-                status["outcomes"] = serde_json::json!(self.counts);
+                status["outcomes"] = serde_json::json!(self.outcome_counts);
                 status["inbox"] = inbox.depth().into();
                 self.view.send_replace(status.to_string());
-                if let Some(shelving) = &mut self.shelving {
-                    shelving.show(&self.owner);
+                if let Some(declared_views) = &mut self.declared_views {
+                    declared_views.update(&self.owner);
                 }
             }
         }
     }
 
-    fn take(&mut self, message: TrafficMessage) {
+    fn handle_message(&mut self, message: TrafficMessage) {
         match message {
             TrafficMessage::Task { call, reply } => {
-                self.next += 1;
-                self.replies.insert(self.next, reply);
-                self.work(Work::Front(FrontInput::Task { request_id: self.next, call }));
+                self.last_request_id += 1;
+                self.replies.insert(self.last_request_id, reply);
+                self.process(Input::Front(FrontInput::Task { request_id: self.last_request_id, call }));
             }
-            TrafficMessage::Status { id, reply } => {
-                self.next += 1;
+            TrafficMessage::TaskStatus { id, reply } => {
+                self.last_request_id += 1;
                 let due = self.started_at.elapsed() + Duration::from_secs(4);
-                self.statuses.insert(self.next, (reply, due));
-                let request_id = self.next | STATUS_BIT;
+                self.status_queries.insert(self.last_request_id, (reply, due));
+                let request_id = self.last_request_id | STATUS_QUERY_BIT;
                 let message = LeaseMessage::Read { request_id, prefix: format!("d/{id}").into(), from: "".into() };
-                self.to_core(message);
+                self.send_to_tail(message);
+            }
+            TrafficMessage::Link(LinkEvent::Up { id, .. }) => {
+                self.process(Input::Front(FrontInput::Link { id, up: true }))
+            }
+            TrafficMessage::Link(LinkEvent::Down { id }) => {
+                self.process(Input::Front(FrontInput::Link { id, up: false }))
             }
-            TrafficMessage::Link(LinkEvent::Up { id, .. }) => self.work(Work::Front(FrontInput::Link { id, up: true })),
-            TrafficMessage::Link(LinkEvent::Down { id }) => self.work(Work::Front(FrontInput::Link { id, up: false })),
             TrafficMessage::Link(LinkEvent::Frame { from, message, .. }) => match message {
-                Message::Forward(message) => self.work(Work::forwarded(from, message)),
-                Message::Plan(message) => self.work(Work::FunctionOwner(OwnerInput::Plan { message })),
-                Message::Lease(LeaseMessage::ReadReply { request_id, items, .. }) if request_id & STATUS_BIT != 0 => {
+                Message::Forward(message) => self.process(Input::forwarded(from, message)),
+                Message::Plan(message) => self.process(Input::FunctionOwner(OwnerInput::Plan { message })),
+                Message::Lease(LeaseMessage::ReadReply { request_id, items, .. })
+                    if request_id & STATUS_QUERY_BIT != 0 =>
+                {
                     let first = items.as_slice().first().map(|item| item.value.as_slice().to_vec());
-                    self.tell_status(request_id & !STATUS_BIT, first);
+                    self.answer_status_query(request_id & !STATUS_QUERY_BIT, first);
                 }
-                Message::Lease(message) => self.work(Work::FunctionOwner(OwnerInput::StoreReply { message })),
+                Message::Lease(message) => self.process(Input::FunctionOwner(OwnerInput::StoreReply { message })),
                 _ => {}
             },
             TrafficMessage::Dispatcher(DispatchReport::Dispatched { number, outcome }) => {
-                self.work(Work::FunctionOwner(OwnerInput::Dispatched { number, outcome }))
+                self.process(Input::FunctionOwner(OwnerInput::Dispatched { number, outcome }))
             }
             TrafficMessage::Dispatcher(DispatchReport::Probed { id, ready }) => {
-                self.work(Work::FunctionOwner(OwnerInput::Probed { id, ready }))
+                self.process(Input::FunctionOwner(OwnerInput::Probed { id, ready }))
             }
             TrafficMessage::Platform(report) => {
                 let listed_at = match &report {
@@ -178,55 +184,55 @@
                     }
                     _ => Duration::ZERO,
                 };
-                self.work(Work::FunctionOwner(OwnerInput::ProviderReport { report, listed_at }));
+                self.process(Input::FunctionOwner(OwnerInput::ProviderReport { report, listed_at }));
             }
             TrafficMessage::RouteTable(routes) => {
-                self.step = routes.step;
+                self.epoch = routes.step;
                 let routes = Rc::new(*routes);
-                if let Some(shelving) = &mut self.shelving {
-                    shelving.routes(routes.clone());
+                if let Some(declared_views) = &mut self.declared_views {
+                    declared_views.set_routes(routes.clone());
                 }
-                let (own, limits) = &self.limits;
+                let (own, limits) = &self.caller_limits;
                 limits.send_replace(own.within(routes.bounds()));
-                self.work(Work::FunctionOwner(OwnerInput::RouteTable { routes: routes.clone() }));
-                self.work(Work::Front(FrontInput::RouteTable { routes }));
+                self.process(Input::FunctionOwner(OwnerInput::RouteTable { routes: routes.clone() }));
+                self.process(Input::Front(FrontInput::RouteTable { routes }));
             }
-            TrafficMessage::Step(step) => self.step = step,
+            TrafficMessage::Epoch(epoch) => self.epoch = epoch,
             TrafficMessage::Membership(membership) => {
                 let membership = Rc::new(*membership);
-                self.work(Work::FunctionOwner(OwnerInput::Membership { membership: membership.clone() }));
-                self.work(Work::Front(FrontInput::Membership { membership }));
+                self.process(Input::FunctionOwner(OwnerInput::Membership { membership: membership.clone() }));
+                self.process(Input::Front(FrontInput::Membership { membership }));
             }
-            TrafficMessage::Core { tail, near, registries } => {
+            TrafficMessage::Registries { tail, reachable, registries } => {
                 self.tail = tail;
                 self.registries = registries;
-                self.work(Work::FunctionOwner(OwnerInput::RegistriesReachable { reachable: near }));
+                self.process(Input::FunctionOwner(OwnerInput::RegistriesReachable { reachable }));
             }
-            TrafficMessage::Lapsed => {
-                self.work(Work::FunctionOwner(OwnerInput::MembershipLost));
-                self.work(Work::Front(FrontInput::Lapsed));
+            TrafficMessage::MembershipLost => {
+                self.process(Input::FunctionOwner(OwnerInput::MembershipLost));
+                self.process(Input::Front(FrontInput::MembershipLost));
             }
-            TrafficMessage::Leave { done } => self.done = Some(done),
+            TrafficMessage::Drain { drained } => self.drained = Some(drained),
         }
     }
 
-    fn tell_status(&mut self, request_id: u64, record: Option<Vec<u8>>) {
-        let Some((reply, _)) = self.statuses.remove(&request_id) else { return };
-        let told = match record.and_then(|raw| wire::from_bytes::<DeferredRecord>(&raw)) {
-            None => Reply::own(404, None, "no such task"),
+    fn answer_status_query(&mut self, request_id: u64, record: Option<Vec<u8>>) {
+        let Some((reply, _)) = self.status_queries.remove(&request_id) else { return };
+        let answer = match record.and_then(|raw| wire::from_bytes::<DeferredRecord>(&raw)) {
+            None => Reply::from_router(404, None, "no such task"),
             Some(record) if record.done == 0 => Reply {
                 body: b"{\"state\":\"pending\"}".to_vec(),
-                ..Reply::own(200, Some(wire::Outcome::Accepted), "")
+                ..Reply::from_router(200, Some(wire::Outcome::Accepted), "")
             },
             Some(record) => match wire::from_bytes::<StoredAnswer>(record.answer.as_slice()) {
-                Some(answer) => Reply {
-                    head: answer.head.into_vec(),
-                    body: answer.body.into_vec(),
-                    ..Reply::own(answer.status, Some(answer.outcome), "")
+                Some(stored) => Reply {
+                    head: stored.head.into_vec(),
+                    body: stored.body.into_vec(),
+                    ..Reply::from_router(stored.status, Some(stored.outcome), "")
                 },
-                None => Reply::own(500, None, "the stored answer cannot be read"),
+                None => Reply::from_router(500, None, "the stored answer cannot be read"),
             },
         };
-        let _ = reply.send(told);
+        let _ = reply.send(answer);
     }
 }
--- a/crates/traffic/src/declared_views.rs
+++ b/crates/traffic/src/declared_views.rs
@@ -2,7 +2,7 @@
 //! the optimizer's host told; and, for the functions homed here, the plan as it is played.
 
 use crate::function_owner::FunctionOwner;
-use crate::status::Played;
+use crate::status::PlanStatus;
 use bindings::RouteTable;
 use http_server::ResourceIndex;
 use serde_json::{Value, json};
@@ -15,7 +15,7 @@
     routes: Option<Rc<RouteTable>>,
     items: BTreeMap<String, Value>,
     last_sent: (u64, u64, usize),
-    plans: BTreeMap<String, Played>,
+    plans: BTreeMap<String, PlanStatus>,
     has_changes: bool,
 }
 
@@ -25,56 +25,58 @@
         DeclaredViews { index, routes: None, items, last_sent: (0, 0, 0), plans, has_changes: false }
     }
 
-    pub fn routes(&mut self, routes: Rc<RouteTable>) {
+    pub fn set_routes(&mut self, routes: Rc<RouteTable>) {
         self.routes = Some(routes);
         self.has_changes = true;
     }
 
     /// Brings the index in line with the route table and the owner; what is as it was costs nothing.
-    pub fn show(&mut self, owner: &FunctionOwner) {
+    pub fn update(&mut self, owner: &FunctionOwner) {
         let Some(routes) = self.routes.clone() else { return };
         let (fence, lines) = owner.tuned();
-        let sum = lines.iter().map(|line| line.usage_micro ^ line.hard_milli).fold(0, u64::wrapping_add);
-        let last_sent = (*fence, sum, lines.len());
+        let checksum = lines.iter().map(|line| line.usage_micro ^ line.hard_milli).fold(0, u64::wrapping_add);
+        let last_sent = (*fence, checksum, lines.len());
         if self.has_changes || last_sent != self.last_sent {
             (self.has_changes, self.last_sent) = (false, last_sent);
             self.items = http_server::kinds(routes.declared(), *fence, lines);
             self.plans.clear();
         }
         let mut changed: Vec<(String, Value)> = Vec::new();
-        let whole = self.plans.is_empty();
-        let mut seen = BTreeMap::new();
-        for (name, played) in owner.plans() {
-            if self.plans.get(name) != Some(&played) {
+        let rebuilt = self.plans.is_empty();
+        let mut current_plans = BTreeMap::new();
+        for (name, status) in owner.plans() {
+            if self.plans.get(name) != Some(&status) {
                 let key = format!("headcount-plans/{name}");
                 let mut value = self.items.get(&key).cloned().unwrap_or_else(|| json!({"declared": null}));
-                value["plan"] = played.to_json();
+                value["plan"] = status.to_json();
                 changed.push((key, value));
             }
-            seen.insert(name.clone(), played);
+            current_plans.insert(name.clone(), status);
         }
-        let gone: Vec<String> = self.plans.keys().filter(|name| !seen.contains_key(*name)).cloned().collect();
-        if !whole && changed.is_empty() && gone.is_empty() {
+        let removed: Vec<String> =
+            self.plans.keys().filter(|name| !current_plans.contains_key(*name)).cloned().collect();
+        if !rebuilt && changed.is_empty() && removed.is_empty() {
             return;
         }
-        self.plans = seen;
+        self.plans = current_plans;
         let (items, plans) = (&self.items, &self.plans);
-        let kept = |key: &str| {
+        let is_kept = |key: &str| {
             items.contains_key(key) || key.strip_prefix("headcount-plans/").is_some_and(|name| plans.contains_key(name))
         };
         self.index.send_if_modified(|index| {
-            let mut any = index.keep_only(routes.revision, kept);
+            let mut has_changed = index.keep_only(routes.revision, is_kept);
             let declared = items.iter().filter(|(key, _)| {
-                whole && key.strip_prefix("headcount-plans/").is_none_or(|name| !plans.contains_key(name))
+                rebuilt && key.strip_prefix("headcount-plans/").is_none_or(|name| !plans.contains_key(name))
             });
-            let moved = gone.iter().filter_map(|name| items.get_key_value(&format!("headcount-plans/{name}")));
-            for (key, value) in declared.chain(moved).map(|(k, v)| (k.as_str(), v)) {
-                any |= index.put(key, routes.revision, value);
+            let without_plan =
+                removed.iter().filter_map(|name| items.get_key_value(&format!("headcount-plans/{name}")));
+            for (key, value) in declared.chain(without_plan).map(|(k, v)| (k.as_str(), v)) {
+                has_changed |= index.put(key, routes.revision, value);
             }
             for (key, value) in &changed {
-                any |= index.put(key, routes.revision, value);
+                has_changed |= index.put(key, routes.revision, value);
             }
-            any
+            has_changed
         });
     }
 }
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -82,7 +82,7 @@
         let finishing = self.unconfirmed_finishes(name).map(|id| id.as_str().to_owned());
         let live: BTreeSet<String> = sent.chain(finishing).collect();
         if let Some(scheduler) = self.schedulers.get_mut(name) {
-            scheduler.sent_tasks.learn(pending, live);
+            scheduler.sent_tasks.reconcile(pending, live);
         }
     }
 
--- a/crates/traffic/src/dialect.rs
+++ b/crates/traffic/src/dialect.rs
@@ -11,7 +11,7 @@
 /// The product's own dialect by default.
 #[derive(Default)]
 pub struct Dialect {
-    pub words: HttpDialect,
+    pub http: HttpDialect,
     /// Makes whoever runs the instances; by default that of the settings, in the product's own dialect.
     pub provider: Option<Start>,
     /// Further pages, and the address they are served at.
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -1,41 +1,41 @@
 //! Forwarding a request to its function's owner, with the attempts that its front grants.
 
-use crate::front::{Front, RETRY, SOON};
-use crate::front_passes::unknown;
+use crate::front::{BASE_RETRY_AFTER, Front, RETRY_INTERVAL};
+use crate::front_passes::unknown_outcome;
 use crate::front_types::{FrontOutput, Reply, Stage};
 use wire::{ForwardMessage, ForwardRequest, NodeId, Outcome};
 
 impl Front {
     pub(crate) fn attempt(&mut self, task: u64) {
-        if !self.may_serve || !self.resolve(task) {
+        if !self.may_serve || !self.resolve_route(task) {
             return;
         }
         if !self.is_within_quota(task) {
             return;
         }
-        let Some(record) = self.table.get_mut(&task) else { return };
+        let Some(record) = self.requests.get_mut(&task) else { return };
         if record.attempts.is_spent() {
-            return self.answer_spent(task);
+            return self.answer_without_attempts(task);
         }
         let Some(owner) = self.membership.owner(&record.function) else { return };
-        let due = record.due <= self.now;
-        record.again_at = self.now + RETRY;
-        if due || !self.may_forward_to(owner) {
+        let is_past_deadline = record.deadline <= self.now;
+        record.next_attempt_at = self.now + RETRY_INTERVAL;
+        if is_past_deadline || !self.may_forward_to(owner) {
             return;
         }
-        let Some(record) = self.table.get(&task) else { return };
+        let Some(record) = self.requests.get(&task) else { return };
         let head = self.head_for_instance(&record.call.head, &record.consumer);
-        let Some(record) = self.table.get_mut(&task) else { return };
-        self.next += 1;
-        self.by_forward.remove(&record.forward);
-        self.by_forward.insert(self.next, task);
-        record.forward = self.next;
+        let Some(record) = self.requests.get_mut(&task) else { return };
+        self.last_id += 1;
+        self.task_by_forward_id.remove(&record.forward_id);
+        self.task_by_forward_id.insert(self.last_id, task);
+        record.forward_id = self.last_id;
         record.stage = Stage::Forwarded { owner };
         let request = ForwardRequest {
-            task: record.forward,
+            task: record.forward_id,
             function: record.function.as_str().into(),
             binding: record.binding.as_str().into(),
-            left_ms: (record.due - self.now).as_millis() as u32,
+            left_ms: (record.deadline - self.now).as_millis() as u32,
             resends: record.resends,
             attempts: record.attempts.grant_first(),
             respond_async: record.call.respond_async as u8,
@@ -48,33 +48,33 @@
             "" => ForwardMessage::Forward { request },
             consumer => ForwardMessage::ForwardForConsumer { request, consumer: consumer.into() },
         };
-        self.outs.push(FrontOutput::Forward { to: owner, message });
+        self.outputs.push(FrontOutput::Forward { to: owner, message });
         self.charge_attempts(task);
     }
 
     /// Tells an owner how many attempts it has in all, with one more where one is left; none where the request is no
     /// longer with it.
-    pub(crate) fn attempt_requested(&mut self, from: NodeId, forward: u64, wanted: u32) {
-        let task = self.by_forward.get(&forward).copied();
-        let record = task.and_then(|task| self.table.get_mut(&task));
-        let present =
-            record.filter(|record| record.forward == forward && record.stage == Stage::Forwarded { owner: from });
-        let attempts = present.map_or(0, |record| record.attempts.grant(wanted));
+    pub(crate) fn handle_attempt_request(&mut self, from: NodeId, forward: u64, wanted: u32) {
+        let task = self.task_by_forward_id.get(&forward).copied();
+        let record = task.and_then(|task| self.requests.get_mut(&task));
+        let forwarded =
+            record.filter(|record| record.forward_id == forward && record.stage == Stage::Forwarded { owner: from });
+        let attempts = forwarded.map_or(0, |record| record.attempts.grant(wanted));
         if let Some(task) = task {
             self.charge_attempts(task);
         }
-        self.outs
+        self.outputs
             .push(FrontOutput::Forward { to: from, message: ForwardMessage::AttemptGrant { task: forward, attempts } });
     }
 
     /// No attempt is left, and none that was made has told an answer.
-    pub(crate) fn answer_spent(&mut self, task: u64) {
-        let doubt = self.table.get(&task).is_some_and(|record| record.doubt);
-        let reply = match doubt {
-            true => unknown(),
+    pub(crate) fn answer_without_attempts(&mut self, task: u64) {
+        let may_have_run = self.requests.get(&task).is_some_and(|record| record.may_have_run);
+        let reply = match may_have_run {
+            true => unknown_outcome(),
             false => {
-                let reply = Reply::own(503, Some(Outcome::NotRun), "no instance took it");
-                reply.again(self.spread(task, SOON))
+                let reply = Reply::from_router(503, Some(Outcome::NotRun), "no instance took it");
+                reply.with_retry_after(self.add_jitter(task, BASE_RETRY_AFTER))
             }
         };
         self.answer(task, reply);
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -3,10 +3,10 @@
 //! truth: what the owner said, `not-run` only if it was never forwarded, `unknown` when in doubt.
 
 use crate::attempt_count::AttemptCount;
-use crate::front_consumers::identify;
-use crate::front_passes::unknown;
+use crate::front_consumers::identify_caller;
+use crate::front_passes::unknown_outcome;
 use crate::front_quota::FrontQuota;
-use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Record, Reply, Stage};
+use crate::front_types::{Call, FrontInput, FrontLimits, FrontOutput, Reply, RequestRecord, Stage};
 use crate::owner_liveness::OwnerWatch;
 use bindings::{Class, RouteTable};
 use leases::{Membership, first_request_number};
@@ -16,27 +16,27 @@
 use wire::{ForwardMessage, NodeId, Outcome};
 
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(4);
-pub(crate) const RETRY: Duration = Duration::from_millis(25);
+pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 /// When to come back to a router that is full, or that waits for a proof or an owner.
-pub(crate) const SOON: Duration = Duration::from_millis(300);
+pub(crate) const BASE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 pub struct Front {
     pub(crate) me: NodeId,
     pub(crate) incarnation: u64,
     pub(crate) limits: FrontLimits,
-    pub(crate) table: BTreeMap<u64, Record>,
-    pub(crate) by_request_id: BTreeMap<u64, u64>,
-    pub(crate) by_forward: BTreeMap<u64, u64>,
-    pub(crate) per_tenant: BTreeMap<String, usize>,
+    pub(crate) requests: BTreeMap<u64, RequestRecord>,
+    pub(crate) task_by_request_id: BTreeMap<u64, u64>,
+    pub(crate) task_by_forward_id: BTreeMap<u64, u64>,
+    pub(crate) requests_per_tenant: BTreeMap<String, usize>,
     pub(crate) linked: BTreeSet<NodeId>,
     pub(crate) watched: BTreeMap<NodeId, OwnerWatch>,
     pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) membership: Rc<Membership>,
-    pub(crate) next: u64,
+    pub(crate) last_id: u64,
     pub(crate) now: Duration,
     pub(crate) may_serve: bool,
     pub(crate) quota: FrontQuota,
-    pub(crate) outs: Vec<FrontOutput>,
+    pub(crate) outputs: Vec<FrontOutput>,
     pub refusals: u64,
 }
 
@@ -47,25 +47,25 @@
             me,
             incarnation,
             limits,
-            table: BTreeMap::new(),
-            by_request_id: BTreeMap::new(),
-            by_forward: BTreeMap::new(),
-            per_tenant: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            task_by_request_id: BTreeMap::new(),
+            task_by_forward_id: BTreeMap::new(),
+            requests_per_tenant: BTreeMap::new(),
             linked: BTreeSet::new(),
             watched: BTreeMap::new(),
             routes: None,
             membership: Rc::default(),
-            next: first_request_number(incarnation),
+            last_id: first_request_number(incarnation),
             now: Duration::ZERO,
             may_serve: false,
             quota,
-            outs: Vec::new(),
+            outputs: Vec::new(),
             refusals: 0,
         }
     }
 
-    pub fn depth(&self) -> usize {
-        self.table.len()
+    pub fn request_count(&self) -> usize {
+        self.requests.len()
     }
 
     pub fn step(&mut self, now: Duration, may_serve: bool, input: FrontInput) -> Vec<FrontOutput> {
@@ -73,10 +73,10 @@
         self.may_serve = may_serve;
         match input {
             FrontInput::Task { request_id, call } => self.admit(request_id, call),
-            FrontInput::Forwarded { from, message: ForwardMessage::Heartbeat } => self.heard(from),
-            FrontInput::Forwarded { from, message } => {
+            FrontInput::Message { from, message: ForwardMessage::Heartbeat } => self.heard(from),
+            FrontInput::Message { from, message } => {
                 self.heard(from);
-                self.forwarded(from, message)
+                self.handle_message(from, message)
             }
             FrontInput::Link { id, up: true } => {
                 self.linked.insert(id);
@@ -86,57 +86,60 @@
                 self.linked.remove(&id);
                 self.watched.remove(&id);
                 self.quota_link_down(id);
-                self.doubt_home(|owner| owner == id);
+                self.handle_owner_loss(|owner| owner == id);
             }
             FrontInput::RouteTable { routes } => {
                 self.quota.set_routes(now, &routes);
                 self.routes = Some(routes);
-                self.pass();
+                self.process_requests();
             }
             FrontInput::Membership { membership } => {
                 self.quota.set_membership(now, &membership);
                 self.send_granters_queries();
                 self.membership = membership;
                 let members: BTreeSet<NodeId> = self.membership.members.iter().map(|member| member.id).collect();
-                self.doubt_home(|owner| !members.contains(&owner));
+                self.handle_owner_loss(|owner| !members.contains(&owner));
                 self.watched.retain(|owner, _| members.contains(owner));
-                self.pass();
+                self.process_requests();
             }
-            FrontInput::Lapsed => self.quota.granter.handle_membership_loss(now),
-            FrontInput::Gone { request_id } => {
-                if let Some(task) = self.by_request_id.get(&request_id).copied()
-                    && self.table.get(&task).is_some_and(|record| record.stage == Stage::Waiting && !record.doubt)
+            FrontInput::MembershipLost => self.quota.granter.handle_membership_loss(now),
+            FrontInput::CallerGone { request_id } => {
+                if let Some(task) = self.task_by_request_id.get(&request_id).copied()
+                    && self
+                        .requests
+                        .get(&task)
+                        .is_some_and(|record| record.stage == Stage::Waiting && !record.may_have_run)
                 {
-                    self.give_back(task);
+                    self.refund_credit(task);
                     self.remove(task);
                 }
             }
             FrontInput::Tick => {
                 self.maintain_quota();
-                self.pass();
+                self.process_requests();
             }
         }
         self.send_quota_requests();
-        std::mem::take(&mut self.outs)
+        std::mem::take(&mut self.outputs)
     }
 
     fn admit(&mut self, request_id: u64, call: Call) {
-        if self.table.len() >= self.limits.table {
-            let reply =
-                Reply::own(503, Some(Outcome::NotRun), "this router is full").again(self.spread(request_id, SOON * 2));
+        if self.requests.len() >= self.limits.max_requests {
+            let reply = Reply::from_router(503, Some(Outcome::NotRun), "this router is full")
+                .with_retry_after(self.add_jitter(request_id, BASE_RETRY_AFTER * 2));
             self.refusals += 1;
-            return self.outs.push(FrontOutput::Reply { request_id, reply });
+            return self.outputs.push(FrontOutput::Reply { request_id, reply });
         }
-        self.next += 1;
-        let task = self.next;
+        self.last_id += 1;
+        let task = self.last_id;
         let key = match &call.key {
             Some(key) => format!("k-{key}"),
             None => format!("a-{:x}-{:x}-{task:x}", self.me, self.incarnation),
         };
-        let patience = self.wait_limits(&call);
-        let record = Record {
+        let wait_limits = self.wait_limits(&call);
+        let record = RequestRecord {
             request_id,
-            forward: 0,
+            forward_id: 0,
             call,
             key,
             binding: String::new(),
@@ -144,100 +147,102 @@
             tenant: String::new(),
             consumer: String::new(),
             charge: None,
-            waits_for: None,
+            awaits_credit_of: None,
             class: None,
             started_at: self.now,
-            due: self.now + DEFAULT_DEADLINE,
-            patience,
+            deadline: self.now + DEFAULT_DEADLINE,
+            wait_limits,
             stage: Stage::Waiting,
-            again_at: self.now,
+            next_attempt_at: self.now,
             resends: 0,
-            doubt: false,
+            may_have_run: false,
             attempts: AttemptCount::default(),
         };
-        self.table.insert(task, record);
-        self.by_request_id.insert(request_id, task);
+        self.requests.insert(task, record);
+        self.task_by_request_id.insert(request_id, task);
         self.attempt(task);
     }
 
     /// Up to twice as long, so that those told so together come back one by one.
-    pub(crate) fn spread(&self, seed: u64, least: Duration) -> Duration {
-        least + least * (dice(seed) >> 54) as u32 / 1024
+    pub(crate) fn add_jitter(&self, seed: u64, min: Duration) -> Duration {
+        min + min * (pseudo_random(seed) >> 54) as u32 / 1024
     }
 
     pub(crate) fn remove(&mut self, task: u64) {
-        if let Some(record) = self.table.remove(&task) {
-            self.by_request_id.remove(&record.request_id);
-            self.by_forward.remove(&record.forward);
-            if let Some(consumer) = record.waits_for {
+        if let Some(record) = self.requests.remove(&task) {
+            self.task_by_request_id.remove(&record.request_id);
+            self.task_by_forward_id.remove(&record.forward_id);
+            if let Some(consumer) = record.awaits_credit_of {
                 self.quota.stop_waiting(consumer, task);
             }
-            if let Some(count) = self.per_tenant.get_mut(&record.tenant) {
+            if let Some(count) = self.requests_per_tenant.get_mut(&record.tenant) {
                 *count = count.saturating_sub(1);
             }
         }
     }
 
     pub(crate) fn answer(&mut self, task: u64, reply: Reply) {
-        if let Some(record) = self.table.get(&task) {
+        if let Some(record) = self.requests.get(&task) {
             let request_id = record.request_id;
             if reply.outcome == Some(Outcome::NotRun) {
                 self.refusals += 1;
             }
             if matches!(reply.outcome, Some(Outcome::NotRun) | None) {
-                self.give_back(task);
+                self.refund_credit(task);
             }
-            self.outs.push(FrontOutput::Reply { request_id, reply });
+            self.outputs.push(FrontOutput::Reply { request_id, reply });
             self.remove(task);
         }
     }
 
     /// Looks the route up anew each time: a waiting task follows the newest revision.
-    pub(crate) fn resolve(&mut self, task: u64) -> bool {
-        let (Some(routes), Some(record)) = (self.routes.clone(), self.table.get_mut(&task)) else { return false };
+    pub(crate) fn resolve_route(&mut self, task: u64) -> bool {
+        let (Some(routes), Some(record)) = (self.routes.clone(), self.requests.get_mut(&task)) else { return false };
         let Some((name, binding)) = routes.find_route(&record.call.host, &record.call.path) else {
-            let reply = if record.doubt { unknown() } else { Reply::own(404, None, "no such route") };
+            let reply =
+                if record.may_have_run { unknown_outcome() } else { Reply::from_router(404, None, "no such route") };
             self.answer(task, reply);
             return false;
         };
-        let caller = identify(&routes, binding, &record.call);
+        let caller = identify_caller(&routes, binding, &record.call);
         if record.is_other_operation(name, binding.class, &caller) {
-            self.answer(task, unknown());
+            self.answer(task, unknown_outcome());
             return false;
         }
         if !self.authenticate(task, caller) {
             return false;
         }
-        let Some(record) = self.table.get_mut(&task) else { return false };
+        let Some(record) = self.requests.get_mut(&task) else { return false };
         let tenant = name.split('/').next().unwrap_or_default();
         if record.binding != name {
             if record.tenant != tenant {
-                let count = self.per_tenant.entry(tenant.to_owned()).or_default();
-                if *count >= self.limits.per_tenant {
-                    let again = self.spread(task, SOON * 2);
-                    let reply = Reply::own(503, Some(Outcome::NotRun), "this tenant's tasks fill their share");
-                    self.answer(task, reply.again(again));
+                let count = self.requests_per_tenant.entry(tenant.to_owned()).or_default();
+                if *count >= self.limits.max_requests_per_tenant {
+                    let retry_after = self.add_jitter(task, BASE_RETRY_AFTER * 2);
+                    let reply = Reply::from_router(503, Some(Outcome::NotRun), "this tenant's tasks fill their share");
+                    self.answer(task, reply.with_retry_after(retry_after));
                     return false;
                 }
                 *count += 1;
-                if let Some(count) = self.per_tenant.get_mut(&record.tenant) {
+                if let Some(count) = self.requests_per_tenant.get_mut(&record.tenant) {
                     *count = count.saturating_sub(1);
                 }
             }
             record.tenant = tenant.to_owned();
             record.binding = name.to_owned();
-            let most = Duration::from_millis(binding.deadline_ms.into());
-            record.due = record.started_at + record.call.deadline.map_or(most, |deadline| deadline.min(most));
+            let max_deadline = Duration::from_millis(binding.deadline_ms.into());
+            record.deadline =
+                record.started_at + record.call.deadline.map_or(max_deadline, |deadline| deadline.min(max_deadline));
         }
-        record.function = format!("{tenant}/{}", binding.function_for(dice(task)));
+        record.function = format!("{tenant}/{}", binding.function_for(pseudo_random(task)));
         record.class = Some(binding.class);
-        let counted = matches!(binding.class, Class::Ordinary | Class::Single);
-        record.attempts.set_limit(counted.then_some(binding.attempts.max(1)));
+        let is_counted = matches!(binding.class, Class::Ordinary | Class::Single);
+        record.attempts.set_limit(is_counted.then_some(binding.attempts.max(1)));
         true
     }
 }
 
 /// Evenly spread, and the same each time for the same task.
-fn dice(seed: u64) -> u64 {
+fn pseudo_random(seed: u64) -> u64 {
     leases::stable_hash(&[&seed.to_le_bytes()])
 }
--- a/crates/traffic/src/front_quota.rs
+++ b/crates/traffic/src/front_quota.rs
@@ -3,7 +3,7 @@
 //! between routers.
 
 use crate::front::Front;
-use crate::front_passes::unknown;
+use crate::front_passes::unknown_outcome;
 use crate::front_types::{FrontOutput, Reply};
 use bindings::RouteTable;
 use events::event;
@@ -18,7 +18,7 @@
 use wire::{ForwardMessage, NodeId, Outcome, QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaRequest};
 
 /// A consumer that is held at its limit is logged no more often.
-const LOGGED_AGAIN_AFTER: Duration = Duration::from_secs(10);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 pub(crate) struct FrontQuota {
     pub(crate) meter: QuotaMeter,
@@ -84,8 +84,8 @@
         self.waiting.values().map(BTreeSet::len).sum()
     }
 
-    fn is_logged(&mut self, now: Duration, consumer: ConsumerId) -> bool {
-        let is_due = self.logged_at.get(&consumer).is_none_or(|at| now >= *at + LOGGED_AGAIN_AFTER);
+    fn should_log(&mut self, now: Duration, consumer: ConsumerId) -> bool {
+        let is_due = self.logged_at.get(&consumer).is_none_or(|at| now >= *at + LOG_INTERVAL);
         if is_due {
             self.logged_at.insert(consumer, now);
         }
@@ -105,32 +105,32 @@
     /// Whether a request may be forwarded by its consumer's limit. One beyond the limit is answered; one that needs a
     /// credit that is not here waits for it.
     pub(crate) fn is_within_quota(&mut self, task: u64) -> bool {
-        let Some(record) = self.table.get_mut(&task) else { return false };
+        let Some(record) = self.requests.get_mut(&task) else { return false };
         let consumer = (!record.consumer.is_empty()).then(|| consumer_id(&record.consumer));
-        if let Some(other) = record.waits_for.take_if(|waits_for| Some(*waits_for) != consumer) {
+        if let Some(other) = record.awaits_credit_of.take_if(|awaited| Some(*awaited) != consumer) {
             self.quota.stop_waiting(other, task);
         }
         let Some(consumer) = consumer else { return true };
         match record.charge.map(|charge| charge.consumer == consumer) {
             Some(true) => return true,
             // Where it may have run for the other consumer, that one's credit is spent.
-            Some(false) if record.doubt => record.charge = None,
-            Some(false) => self.give_back(task),
+            Some(false) if record.may_have_run => record.charge = None,
+            Some(false) => self.refund_credit(task),
             None => {}
         }
-        let Some(record) = self.table.get_mut(&task) else { return false };
-        let is_first = record.waits_for.replace(consumer).is_none();
+        let Some(record) = self.requests.get_mut(&task) else { return false };
+        let is_first = record.awaits_credit_of.replace(consumer).is_none();
         let admission = self.quota.meter.admit(self.now, consumer, is_first);
         if admission == Admission::Wait {
             self.quota.waiting.entry(consumer).or_default().insert(task);
             return false;
         }
-        record.waits_for = None;
+        record.awaits_credit_of = None;
         self.quota.stop_waiting(consumer, task);
         match admission {
             Admission::Unlimited => true,
             Admission::Admit(charge) => {
-                let Some(record) = self.table.get_mut(&task) else { return false };
+                let Some(record) = self.requests.get_mut(&task) else { return false };
                 record.charge = Some(charge);
                 true
             }
@@ -143,30 +143,30 @@
     }
 
     fn refuse_over_limit(&mut self, task: u64, consumer: ConsumerId, retry_after: Duration) {
-        if self.quota.is_logged(self.now, consumer) {
+        if self.quota.should_log(self.now, consumer) {
             event!(consumer_over_limit, "{}", self.quota.names.get(&consumer).map_or("", String::as_str));
         }
-        let may_have_run = self.table.get(&task).is_some_and(|record| record.doubt);
+        let may_have_run = self.requests.get(&task).is_some_and(|record| record.may_have_run);
         let reply = match may_have_run {
-            true => unknown(),
+            true => unknown_outcome(),
             false => {
-                let reply = Reply::own(429, Some(Outcome::NotRun), "beyond the consumer's limit");
-                reply.again(self.spread(task, retry_after))
+                let reply = Reply::from_router(429, Some(Outcome::NotRun), "beyond the consumer's limit");
+                reply.with_retry_after(self.add_jitter(task, retry_after))
             }
         };
         self.answer(task, reply);
     }
 
     /// A request that ends so did not run: its credit may admit another.
-    pub(crate) fn give_back(&mut self, task: u64) {
-        if let Some(charge) = self.table.get_mut(&task).and_then(|record| record.charge.take()) {
+    pub(crate) fn refund_credit(&mut self, task: u64) {
+        if let Some(charge) = self.requests.get_mut(&task).and_then(|record| record.charge.take()) {
             self.quota.meter.refund(self.now, charge);
         }
     }
 
     /// Further attempts at an admitted request count like requests: whoever runs it again is paid by later credits.
     pub(crate) fn charge_attempts(&mut self, task: u64) {
-        let Some(record) = self.table.get_mut(&task) else { return };
+        let Some(record) = self.requests.get_mut(&task) else { return };
         let attempts = record.attempts.take_uncharged();
         if let Some(charge) = record.charge.filter(|_| attempts > 0) {
             self.quota.meter.charge_extra_attempts(self.now, charge.consumer, attempts);
@@ -192,7 +192,7 @@
     /// Asks other granters for the membership that they have, where this one needs to know.
     pub(crate) fn send_granters_queries(&mut self) {
         for (to, query) in self.quota.granter.take_queries(self.now) {
-            self.outs.push(FrontOutput::Forward { to, message: ForwardMessage::QuotaGrantersQuery { query } });
+            self.outputs.push(FrontOutput::Forward { to, message: ForwardMessage::QuotaGrantersQuery { query } });
         }
     }
 
@@ -207,13 +207,13 @@
         let FrontQuota { meter, waiting, .. } = &mut self.quota;
         let requests = meter.take_requests(self.now, |consumer| waiting.get(&consumer).map_or(0, BTreeSet::len));
         for (to, request) in requests {
-            self.outs.push(FrontOutput::Forward { to, message: ForwardMessage::QuotaRequest { request } });
+            self.outputs.push(FrontOutput::Forward { to, message: ForwardMessage::QuotaRequest { request } });
         }
     }
 
     pub(crate) fn handle_quota_request(&mut self, from: NodeId, request: &QuotaRequest) {
         let grant = self.quota.granter.handle_request(self.now, self.may_serve, request);
-        self.outs.push(FrontOutput::Forward { to: from, message: ForwardMessage::QuotaGrant { grant } });
+        self.outputs.push(FrontOutput::Forward { to: from, message: ForwardMessage::QuotaGrant { grant } });
     }
 
     pub(crate) fn handle_quota_grant(&mut self, from: NodeId, grant: &QuotaGrant) {
@@ -224,7 +224,7 @@
 
     pub(crate) fn handle_granters_query(&mut self, from: NodeId, query: &QuotaGrantersQuery) {
         let reply = self.quota.granter.handle_query(self.now, query);
-        self.outs.push(FrontOutput::Forward { to: from, message: ForwardMessage::QuotaGrantersReply { reply } });
+        self.outputs.push(FrontOutput::Forward { to: from, message: ForwardMessage::QuotaGrantersReply { reply } });
     }
 
     pub(crate) fn handle_granters_reply(&mut self, from: NodeId, reply: &QuotaGrantersReply) {
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -34,10 +34,10 @@
 }
 
 impl Reply {
-    pub fn own(status: u16, outcome: Option<Outcome>, detail: &'static str) -> Reply {
+    pub fn from_router(status: u16, outcome: Option<Outcome>, detail: &'static str) -> Reply {
         Reply { outcome, status, retry_after: Duration::ZERO, head: Vec::new(), body: Vec::new(), detail }
     }
-    pub fn again(mut self, after: Duration) -> Reply {
+    pub fn with_retry_after(mut self, after: Duration) -> Reply {
         self.retry_after = after;
         self
     }
@@ -48,7 +48,7 @@
         request_id: u64,
         call: Call,
     },
-    Forwarded {
+    Message {
         from: NodeId,
         message: ForwardMessage,
     },
@@ -63,8 +63,8 @@
         membership: Rc<Membership>,
     },
     /// This router was dropped from the membership.
-    Lapsed,
-    Gone {
+    MembershipLost,
+    CallerGone {
         request_id: u64,
     },
     Tick,
@@ -81,17 +81,17 @@
 pub struct ConsumerHeader {
     pub name: String,
     /// The name of a consumer as instances know it.
-    pub value: fn(&str) -> String,
+    pub format_name: fn(&str) -> String,
 }
 
 #[derive(Clone, Debug)]
 pub struct FrontLimits {
-    pub table: usize,
-    pub per_tenant: usize,
-    pub margin: Duration,
-    pub slack: Duration,
+    pub max_requests: usize,
+    pub max_requests_per_tenant: usize,
+    pub reply_margin: Duration,
+    pub answer_grace: Duration,
     /// From an owner's last heartbeat until it or another is the owner again, as a rule.
-    pub back: Duration,
+    pub owner_recovery_time: Duration,
     pub consumer_header: Option<ConsumerHeader>,
     /// By how much the limits of consumers may be missed.
     pub quota: QuotaBounds,
@@ -100,11 +100,11 @@
 impl Default for FrontLimits {
     fn default() -> Self {
         FrontLimits {
-            table: 8192,
-            per_tenant: 2048,
-            margin: Duration::from_millis(150),
-            slack: Duration::from_millis(400),
-            back: Duration::from_millis(2200),
+            max_requests: 8192,
+            max_requests_per_tenant: 2048,
+            reply_margin: Duration::from_millis(150),
+            answer_grace: Duration::from_millis(400),
+            owner_recovery_time: Duration::from_millis(2200),
             consumer_header: None,
             quota: QuotaBounds::default(),
         }
@@ -117,9 +117,9 @@
     Forwarded { owner: NodeId },
 }
 
-pub struct Record {
+pub struct RequestRecord {
     pub request_id: u64,
-    pub forward: u64,
+    pub forward_id: u64,
     pub call: Call,
     pub key: String,
     pub binding: String,
@@ -130,15 +130,15 @@
     /// The credit by which it was admitted.
     pub charge: Option<Charge>,
     /// The consumer of whose limit it waits for a credit.
-    pub waits_for: Option<ConsumerId>,
+    pub awaits_credit_of: Option<ConsumerId>,
     pub class: Option<Class>,
     pub started_at: Duration,
-    pub due: Duration,
+    pub deadline: Duration,
     /// Until when it may wait here.
-    pub patience: WaitLimits,
+    pub wait_limits: WaitLimits,
     pub stage: Stage,
-    pub again_at: Duration,
+    pub next_attempt_at: Duration,
     pub resends: u8,
-    pub doubt: bool,
+    pub may_have_run: bool,
     pub attempts: AttemptCount,
 }
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -28,7 +28,7 @@
         .route("/health", get(|| async { "ok\n" }))
         .route("/ready", get(ready))
         .route("/metrics", get(metrics))
-        .route("/v1/status", get(|State(views): State<Views>| async move { views.page().to_string() }))
+        .route("/v1/status", get(|State(views): State<Views>| async move { views.status_page().to_string() }))
         .route("/v1/watch", get(watch_view))
         .with_state(views)
 }
@@ -40,7 +40,7 @@
         matches!(view["standing"].as_str(), Some("ByCore" | "ByPeers"))
     }
 
-    fn page(&self) -> Value {
+    fn status_page(&self) -> Value {
         let mut page: Value = serde_json::from_str(&self.control.borrow()).unwrap_or_default();
         page["traffic"] = serde_json::from_str(&self.traffic.borrow()).unwrap_or_default();
         page
@@ -55,7 +55,7 @@
 }
 
 async fn metrics(State(views): State<Views>) -> Response {
-    let mut response = Response::new(Body::from(RouterMetrics::of(&views.page()).encode()));
+    let mut response = Response::new(Body::from(RouterMetrics::from_status(&views.status_page()).encode()));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(OPEN_METRICS));
     response
 }
@@ -66,7 +66,7 @@
     let lines = futures_lite::stream::unfold((views, control), |(views, mut control)| async move {
         control.changed().await.ok()?;
         control.borrow_and_update();
-        let line = Bytes::from(format!("{}\n", views.page()));
+        let line = Bytes::from(format!("{}\n", views.status_page()));
         Some((Ok::<_, Infallible>(Frame::data(line)), (views, control)))
     });
     Response::new(Body::new(StreamBody::new(lines)))
--- a/crates/traffic/src/owner_liveness.rs
+++ b/crates/traffic/src/owner_liveness.rs
@@ -44,7 +44,7 @@
         }
         if watched.requested_at.is_none_or(|at| now >= at + HEARTBEAT_REQUEST_INTERVAL) {
             watched.requested_at = Some(now);
-            self.outs.push(FrontOutput::Forward { to: owner, message: ForwardMessage::HeartbeatRequest });
+            self.outputs.push(FrontOutput::Forward { to: owner, message: ForwardMessage::HeartbeatRequest });
         }
         false
     }
@@ -60,7 +60,7 @@
             return;
         }
         let waits = |function: &str| self.membership.owner(function) == Some(owner);
-        let waiting = self.table.iter().filter(|(_, record)| record.stage == Stage::Waiting && !record.doubt);
+        let waiting = self.requests.iter().filter(|(_, record)| record.stage == Stage::Waiting && !record.may_have_run);
         let tasks: Vec<u64> = waiting.filter(|(_, record)| waits(&record.function)).map(|(task, _)| *task).collect();
         tasks.into_iter().for_each(|task| self.attempt(task));
     }
--- a/crates/traffic/src/quota_status.rs
+++ b/crates/traffic/src/quota_status.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Consumers shown in the status, those with the most requests here first.
-const SHOWN: usize = 40;
+const MAX_CONSUMERS_SHOWN: usize = 40;
 
 impl Front {
     /// For operators: limits, what is used of them, and how well credits are granted.
@@ -33,26 +33,26 @@
     let used = quota.names.iter().filter_map(|(id, name)| Some((id, name, quota.meter.usage(*id)?)));
     let mut used: Vec<_> = used.filter(|(.., usage)| usage.arrived > 0).collect();
     used.sort_by_key(|(.., usage)| Reverse(usage.arrived));
-    let shown = used.into_iter().take(SHOWN).map(|(id, name, usage)| {
+    let shown = used.into_iter().take(MAX_CONSUMERS_SHOWN).map(|(id, name, usage)| {
         let limit = quota.limits.get(id).map_or(0.0, |limit| limit.rate_per_s);
-        let shown = json!({
+        let status = json!({
             "limit_per_s": limit, "used": usage.admitted - usage.refunded, "arrived": usage.arrived,
             "repeated": usage.extra_attempts, "refused": usage.refused,
         });
-        (name.clone(), shown)
+        (name.clone(), status)
     });
     shown.collect()
 }
 
 /// Answers by the longest that they took, as cumulative counts.
 fn round_trips(measured: &RoundTrips) -> Value {
-    let mut up_to = 0;
+    let mut cumulative = 0;
     let buckets: Vec<Value> = ROUND_TRIP_BOUNDS
         .iter()
         .zip(measured.counts)
         .map(|(bound, count)| {
-            up_to += count;
-            json!({ "up_to_ms": bound.as_millis() as u64, "count": up_to })
+            cumulative += count;
+            json!({ "up_to_ms": bound.as_millis() as u64, "count": cumulative })
         })
         .collect();
     let count: u64 = measured.counts.iter().sum();
--- a/crates/traffic/src/router_metrics.rs
+++ b/crates/traffic/src/router_metrics.rs
@@ -104,16 +104,16 @@
 
 impl RouterMetrics {
     /// Reads them from a status page; what is missing there counts as zero.
-    pub fn of(page: &Value) -> RouterMetrics {
+    pub fn from_status(page: &Value) -> RouterMetrics {
         let mut registry = Registry::with_prefix("heronlink_router");
-        for (name, help, at) in GAUGES {
+        for (name, help, path) in GAUGES {
             let gauge = Gauge::<i64>::default();
-            gauge.set(page.pointer(at).and_then(Value::as_i64).unwrap_or_default());
+            gauge.set(page.pointer(path).and_then(Value::as_i64).unwrap_or_default());
             registry.register(name, help, gauge);
         }
-        for (name, help, at) in COUNTERS {
+        for (name, help, path) in COUNTERS {
             let counter = Counter::<u64>::default();
-            counter.inc_by(page.pointer(at).and_then(Value::as_u64).unwrap_or_default());
+            counter.inc_by(page.pointer(path).and_then(Value::as_u64).unwrap_or_default());
             registry.register(name, help, counter);
         }
         let mut metrics = RouterMetrics { registry };
@@ -129,11 +129,11 @@
         let (used, refused) =
             (Family::<ConsumerLabel, Counter>::default(), Family::<ConsumerLabel, Counter>::default());
         let limit = Family::<ConsumerLabel, Gauge<f64, AtomicU64>>::default();
-        for (consumer, shown) in consumers.as_object().into_iter().flatten() {
+        for (consumer, usage) in consumers.as_object().into_iter().flatten() {
             let label = ConsumerLabel { consumer: consumer.clone() };
-            used.get_or_create(&label).inc_by(shown["used"].as_u64().unwrap_or_default());
-            refused.get_or_create(&label).inc_by(shown["refused"].as_u64().unwrap_or_default());
-            limit.get_or_create(&label).set(shown["limit_per_s"].as_f64().unwrap_or_default());
+            used.get_or_create(&label).inc_by(usage["used"].as_u64().unwrap_or_default());
+            refused.get_or_create(&label).inc_by(usage["refused"].as_u64().unwrap_or_default());
+            limit.get_or_create(&label).set(usage["limit_per_s"].as_f64().unwrap_or_default());
         }
         let registry = &mut self.registry;
         registry.register("consumer_used", "Requests of a consumer admitted here and not given back", used);
@@ -143,16 +143,20 @@
 
     /// How long granters took to answer, as the cumulative counts of a histogram.
     fn quota_round_trips(&mut self, round_trips: &Value) {
-        let up_to = Family::<UpToLabel, Counter>::default();
+        let answers_up_to = Family::<UpToLabel, Counter>::default();
         for bucket in round_trips["buckets"].as_array().into_iter().flatten() {
             let label = UpToLabel { up_to_ms: bucket["up_to_ms"].as_u64().unwrap_or_default() };
-            up_to.get_or_create(&label).inc_by(bucket["count"].as_u64().unwrap_or_default());
+            answers_up_to.get_or_create(&label).inc_by(bucket["count"].as_u64().unwrap_or_default());
         }
         let (count, sum) = (Counter::<u64>::default(), Counter::<u64>::default());
         count.inc_by(round_trips["count"].as_u64().unwrap_or_default());
         sum.inc_by(round_trips["sum_ms"].as_u64().unwrap_or_default());
         let registry = &mut self.registry;
-        registry.register("quota_answers_up_to", "Answers of granters that took no longer than `up_to_ms`", up_to);
+        registry.register(
+            "quota_answers_up_to",
+            "Answers of granters that took no longer than `up_to_ms`",
+            answers_up_to,
+        );
         registry.register("quota_answers", "Answers of granters", count);
         registry.register("quota_answers_milliseconds", "What these answers took in all", sum);
     }
--- a/crates/traffic/src/router_metrics_tests.rs
+++ b/crates/traffic/src/router_metrics_tests.rs
@@ -15,7 +15,7 @@
             "functions": {"t/f": {"blocked_ms": {"rejection_risk": 250}}},
         },
     });
-    let text = RouterMetrics::of(&page).encode();
+    let text = RouterMetrics::from_status(&page).encode();
     for line in [
         "heronlink_router_revision 7",
         "heronlink_router_step 3",
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_status_without_figures_gives_zeros() {
-    let text = RouterMetrics::of(&json!({})).encode();
+    let text = RouterMetrics::from_status(&json!({})).encode();
     assert!(text.contains("heronlink_router_front_refusals_total 0\n"), "{text}");
 }
 
@@ -55,7 +55,7 @@
         },
         "consumers": {"t/ada": ada},
     });
-    let text = RouterMetrics::of(&json!({"traffic": {"quota": quota}})).encode();
+    let text = RouterMetrics::from_status(&json!({"traffic": {"quota": quota}})).encode();
     for line in [
         "heronlink_router_quota_refused_total 3",
         "heronlink_router_quota_waiting 1",
--- a/crates/traffic/src/sent_tasks.rs
+++ b/crates/traffic/src/sent_tasks.rs
@@ -15,16 +15,16 @@
 
 impl SentTasks {
     /// What an earlier owner told in its table; unless that was `complete`, any task may have been sent.
-    pub fn from_table<'a>(complete: bool, ids: impl Iterator<Item = &'a str>) -> SentTasks {
-        match complete {
+    pub fn from_table<'a>(is_complete: bool, ids: impl Iterator<Item = &'a str>) -> SentTasks {
+        match is_complete {
             true => SentTasks::Known(ids.map(str::to_owned).collect()),
             false => SentTasks::Unknown,
         }
     }
 
     /// A later table of the earlier owner, which went on after its copy was kept here.
-    pub fn learn_more<'a>(&mut self, complete: bool, ids: impl Iterator<Item = &'a str>) {
-        match complete {
+    pub fn add_from_table<'a>(&mut self, is_complete: bool, ids: impl Iterator<Item = &'a str>) {
+        match is_complete {
             true => ids.for_each(|id| self.insert(id)),
             false => *self = SentTasks::Unknown,
         }
@@ -52,7 +52,7 @@
 
     /// The store listed all tasks that are pending: whatever else is not `live` at this owner is finished,
     /// and without knowledge from an earlier owner whatever is pending may have been sent by it.
-    pub fn learn(&mut self, pending: BTreeSet<String>, live: BTreeSet<String>) {
+    pub fn reconcile(&mut self, pending: BTreeSet<String>, live: BTreeSet<String>) {
         match self {
             SentTasks::Unknown => *self = SentTasks::Known(pending.into_iter().chain(live).collect()),
             SentTasks::Known(ids) => ids.retain(|id| pending.contains(id) || live.contains(id)),
@@ -60,9 +60,9 @@
     }
 
     /// What the next owner is told, if it can be told all within `most` tasks.
-    pub fn reported(&self, most: usize) -> Option<Vec<&str>> {
+    pub fn ids_up_to(&self, max_count: usize) -> Option<Vec<&str>> {
         match self {
-            SentTasks::Known(ids) if ids.len() <= most => Some(ids.iter().map(String::as_str).collect()),
+            SentTasks::Known(ids) if ids.len() <= max_count => Some(ids.iter().map(String::as_str).collect()),
             _ => None,
         }
     }
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -32,7 +32,7 @@
 use wire::{LeaseMessage, Message, NodeId};
 
 /// From a lapse until the next owner has looked at what runs.
-const TAKING_OVER: Duration = Duration::from_millis(400);
+const OWNER_TAKEOVER_TIME: Duration = Duration::from_millis(400);
 
 pub fn run(settings: RouterSettings, dialect: Dialect) -> Result<(), RunError> {
     let started_at = Instant::now();
@@ -55,15 +55,15 @@
     let links_inbox = directory.announce::<LinkOrder>("links", 65_536);
     let dispatch_inbox = directory.announce::<DispatcherMessage>("dispatcher", 8192);
     let platform_inbox = directory.announce::<ProviderOrder>("platform", 4096);
-    let (view, shown) = watch::channel(String::from("{}"));
-    let (control_view, control_shown) = watch::channel(String::from("{}"));
+    let (view, view_updates) = watch::channel(String::from("{}"));
+    let (control_view, control_updates) = watch::channel(String::from("{}"));
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
-    let viewed = !tokens.is_empty();
-    let (index, shelved) = watch::channel(ResourceIndex::new(incarnation));
+    let has_declared_views = !tokens.is_empty();
+    let (index, index_updates) = watch::channel(ResourceIndex::new(incarnation));
     let (stop, stopping) = watch::channel(false);
-    let pass = ServingLease::default();
+    let lease = ServingLease::default();
 
-    let myself = LocalNode {
+    let local_node = LocalNode {
         id: me,
         incarnation,
         cluster: settings.cluster.clone(),
@@ -71,11 +71,11 @@
         format: settings.format,
     };
     let consumer_header = dialect
-        .words
+        .http
         .consumer
         .as_ref()
-        .map(|name| ConsumerHeader { name: name.as_str().to_owned(), value: dialect.words.format_consumer_name });
-    let (words, door_words) = (dialect.words.clone(), Arc::new(dialect.words));
+        .map(|name| ConsumerHeader { name: name.as_str().to_owned(), format_name: dialect.http.format_consumer_name });
+    let (http_dialect, server_dialect) = (dialect.http.clone(), Arc::new(dialect.http));
     let provider = dialect.provider;
     let (names, address) = (directory.clone(), settings.platform.clone());
     thread("platform", move || {
@@ -89,55 +89,57 @@
         local(async move { instance_provider::run(provider, platform_inbox, report).await });
     })?;
     let limits = caller_limits(&settings);
-    let (bounds, bounded) = watch::channel(limits.clone());
+    let (limits_sender, limits_updates) = watch::channel(limits.clone());
     let (own_limits, server_limits) = (limits.clone(), limits.server);
-    let (link_names, names, cell) = (directory.clone(), directory.clone(), pass.clone());
-    let back = settings.hold + settings.hold / 6 + TAKING_OVER;
-    let front_limits = FrontLimits { back, consumer_header, quota: settings.quota_bounds(), ..FrontLimits::default() };
+    let (link_names, names, traffic_lease) = (directory.clone(), directory.clone(), lease.clone());
+    let owner_recovery_time = settings.hold + settings.hold / 6 + OWNER_TAKEOVER_TIME;
+    let front_limits =
+        FrontLimits { owner_recovery_time, consumer_header, quota: settings.quota_bounds(), ..FrontLimits::default() };
     let timing = settings.owner_settings();
-    let server = CallerServer { traffic: find(&directory, "traffic"), words: door_words, limits: bounded.clone() };
-    let (callers_pages, servers_stop) = (caller_server::router(server), stopping.clone());
+    let server =
+        CallerServer { traffic: find(&directory, "traffic"), dialect: server_dialect, limits: limits_updates.clone() };
+    let (caller_routes, server_stop) = (caller_server::router(server), stopping.clone());
     let traffic_thread = thread("traffic", move || {
         let plane = DataPlane {
             me,
             started_at,
-            pass: cell,
+            lease: traffic_lease,
             front: Front::new(me, incarnation, front_limits),
             owner: FunctionOwner::new(me, incarnation, timing),
             links: find(&names, "links"),
             dispatcher: find(&names, "dispatcher"),
             platform: find(&names, "platform"),
             view,
-            limits: (own_limits, bounds),
-            shelving: viewed.then(|| DeclaredViews::new(index)),
-            step: 0,
+            caller_limits: (own_limits, limits_sender),
+            declared_views: has_declared_views.then(|| DeclaredViews::new(index)),
+            epoch: 0,
             tail: None,
             registries: Vec::new(),
             replies: BTreeMap::new(),
-            statuses: BTreeMap::new(),
-            next: 0,
-            done: None,
-            counts: BTreeMap::new(),
+            status_queries: BTreeMap::new(),
+            last_request_id: 0,
+            drained: None,
+            outcome_counts: BTreeMap::new(),
         };
         let traffic = find::<TrafficMessage>(&names, "traffic");
-        let report: dispatch::ReportHandler = Rc::new(move |report| tell(&traffic, report));
-        let limits = move || bounded.borrow().server;
+        let report: dispatch::ReportHandler = Rc::new(move |report| send_report(&traffic, report));
+        let limits = move || limits_updates.borrow().server;
         local(async move {
-            spawn_local(links::start(myself, adopt(peers), links_inbox, deliver(link_names)));
-            spawn_local(dispatch::run(words, dispatch_inbox, report));
+            spawn_local(links::start(local_node, adopt(peers), links_inbox, link_event_handler(link_names)));
+            spawn_local(dispatch::run(http_dialect, dispatch_inbox, report));
             spawn_local(plane.run(traffic_inbox));
-            http_server::serve_within(adopt(callers), callers_pages, limits, servers_stop).await;
+            http_server::serve_within(adopt(callers), caller_routes, limits, server_stop).await;
         });
     })?;
     let ops_limits = ServerLimits { connections: 64, life: Duration::from_secs(86_400), ..server_limits };
-    let kinds = http_server::views(http_server::Views { index: shelved, tokens });
-    let (views, ops_stop) = (Views { traffic: shown, control: control_shown }, stopping);
+    let resource_pages = http_server::views(http_server::Views { index: index_updates, tokens });
+    let (views, ops_stop) = (Views { traffic: view_updates, control: control_updates }, stopping);
     thread("operations", move || {
         local(async move {
             if let (Some(make), Some(listener)) = (dialect.pages, pages) {
                 spawn_local(http_server::serve(adopt(listener), make(views.clone()), ops_limits, ops_stop.clone()));
             }
-            http_server::serve(adopt(ops), ops_router(views).merge(kinds), ops_limits, ops_stop).await;
+            http_server::serve(adopt(ops), ops_router(views).merge(resource_pages), ops_limits, ops_stop).await;
         })
     })?;
 
@@ -146,36 +148,36 @@
     let control = Control {
         started_at,
         follower: Follower::new(me, incarnation, address, zone, ops, timing).with_capacity(settings.capacity()),
-        pass,
+        lease,
         links: find(&directory, "links"),
         traffic: find(&directory, "traffic"),
         seeds: settings.seeds.clone(),
-        seats: Vec::new(),
+        registry_addresses: Vec::new(),
         registries: BTreeSet::new(),
-        published: (false, None),
+        published_reachability: (false, None),
         published_at: started_at,
-        heard: None,
+        last_proof_at: None,
         serving_status: ServingStatus::Waiting,
         logged_serving_status: ServingStatus::Waiting,
-        stood_at: started_at,
+        serving_status_since: started_at,
         view: control_view,
         grace: settings.grace,
-        booked: None,
-        viewed,
+        sent_revision: None,
+        has_declared_views,
     };
-    let post = find::<ControlMessage>(&directory, "control");
+    let control_sender = find::<ControlMessage>(&directory, "control");
     let deadline = Rc::new(Cell::new(None));
     let ended = deadline.clone();
     local(async move {
         if let Some(reread) = dialect.reread {
-            let (post, read) = (post.clone(), move || reread().map(|settings| settings.seeds));
+            let (control_sender, read) = (control_sender.clone(), move || reread().map(|settings| settings.seeds));
             spawn_local(kernel::follow(settings.seeds, read, async move |seeds| {
-                post.send_waiting(ControlMessage::Seeds(seeds)).await;
+                control_sender.send_waiting(ControlMessage::Seeds(seeds)).await;
             }));
         }
         spawn_local(async move {
             wait_for_signal().await;
-            post.send_waiting(ControlMessage::Stop).await;
+            control_sender.send_waiting(ControlMessage::Stop).await;
         });
         ended.set(control.run(control_inbox, stop).await);
     });
@@ -197,14 +199,14 @@
     CallerLimits { server, body_bytes: settings.body, body_time: settings.body_time, keep_alive: None }
 }
 
-fn tell(traffic: &InboxSender<TrafficMessage>, report: DispatchReport) {
+fn send_report(traffic: &InboxSender<TrafficMessage>, report: DispatchReport) {
     if let Err(SendError::Full(message)) = traffic.send(TrafficMessage::Dispatcher(report)) {
         let traffic = traffic.clone();
         spawn_local(async move { traffic.send_waiting(message).await });
     }
 }
 
-fn deliver(names: Directory) -> links::Deliver {
+fn link_event_handler(names: Directory) -> links::Deliver {
     let control = find::<ControlMessage>(&names, "control");
     let traffic = find::<TrafficMessage>(&names, "traffic");
     Rc::new(move |event| {
@@ -221,14 +223,14 @@
                     control.send_waiting(ControlMessage::Link(LinkEvent::Down { id })).await;
                 }
                 LinkEvent::Frame { from, incarnation, message } => {
-                    let for_traffic = matches!(
+                    let is_for_traffic = matches!(
                         message,
                         Message::Forward(_)
                             | Message::Plan(_)
                             | Message::Lease(LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })
                     );
                     let event = LinkEvent::Frame { from, incarnation, message };
-                    if for_traffic {
+                    if is_for_traffic {
                         traffic.send_waiting(TrafficMessage::Link(event)).await;
                     } else {
                         control.send_waiting(ControlMessage::Link(event)).await;
--- a/crates/traffic/src/serving_lease.rs
+++ b/crates/traffic/src/serving_lease.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const TIME_BITS: u32 = 40;
-const STEP_MASK: u64 = (1 << (64 - TIME_BITS)) - 1;
+const EPOCH_MASK: u64 = (1 << (64 - TIME_BITS)) - 1;
 
 #[derive(Clone, Default)]
 pub struct ServingLease {
@@ -16,15 +16,15 @@
 }
 
 impl ServingLease {
-    pub fn set(&self, step: u64, until: Duration) {
+    pub fn set(&self, epoch: u64, until: Duration) {
         let millis = (until.as_millis() as u64).min((1 << TIME_BITS) - 1);
-        self.word.store(((step & STEP_MASK) << TIME_BITS) | millis, Ordering::SeqCst);
+        self.word.store(((epoch & EPOCH_MASK) << TIME_BITS) | millis, Ordering::SeqCst);
     }
 
-    pub fn holds(&self, now: Duration, step: u64) -> bool {
+    pub fn is_valid(&self, now: Duration, epoch: u64) -> bool {
         let word = self.word.load(Ordering::SeqCst);
         let until = word & ((1 << TIME_BITS) - 1);
-        word >> TIME_BITS == step & STEP_MASK && (now.as_millis() as u64) < until
+        word >> TIME_BITS == epoch & EPOCH_MASK && (now.as_millis() as u64) < until
     }
 }
 
@@ -33,11 +33,11 @@
     use super::*;
 
     #[test]
-    fn a_serving_lease_fits_one_step_and_ends_on_time() {
-        let cell = ServingLease::default();
+    fn a_serving_lease_is_valid_for_one_epoch_until_it_ends() {
+        let lease = ServingLease::default();
         let ms = Duration::from_millis;
-        assert!(!cell.holds(ms(0), 0));
-        cell.set(7, ms(1500));
-        assert!(cell.holds(ms(1499), 7) && !cell.holds(ms(1500), 7) && !cell.holds(ms(10), 6));
+        assert!(!lease.is_valid(ms(0), 0));
+        lease.set(7, ms(1500));
+        assert!(lease.is_valid(ms(1499), 7) && !lease.is_valid(ms(1500), 7) && !lease.is_valid(ms(10), 6));
     }
 }
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -51,7 +51,7 @@
                 busy: instance.busy,
             })
             .collect();
-        let sent_tasks = scheduler.sent_tasks.reported(MAX_REPORTED_SENT_TASKS);
+        let sent_tasks = scheduler.sent_tasks.ids_up_to(MAX_REPORTED_SENT_TASKS);
         let is_complete = sent_tasks.is_some();
         let started: Vec<Text> = sent_tasks.into_iter().flatten().map(Text::from).collect();
         Some(OwnershipTable {
@@ -178,7 +178,9 @@
         } else {
             scheduler.budget.add_reported(now, table.retries.saturating_sub(scheduler.reported_counts.0));
             scheduler.rejection_limit.add_reported(now, table.rejections.saturating_sub(scheduler.reported_counts.1));
-            scheduler.sent_tasks.learn_more(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
+            scheduler
+                .sent_tasks
+                .add_from_table(table.is_started_complete != 0, table.started.iter().map(|id| id.as_str()));
         }
         scheduler.reported_counts =
             (scheduler.reported_counts.0.max(table.retries), scheduler.reported_counts.1.max(table.rejections));
--- a/crates/traffic/src/status.rs
+++ b/crates/traffic/src/status.rs
@@ -6,19 +6,19 @@
 
 /// A headcount plan as its owner plays it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Played {
+pub struct PlanStatus {
     pub desired: Vec<u32>,
-    pub played: Option<u32>,
+    pub planned: Option<u32>,
     pub wanted: u32,
     pub ready: u32,
     pub starting: u32,
     pub fence: u64,
 }
 
-impl Played {
+impl PlanStatus {
     pub fn to_json(&self) -> Value {
         json!({
-            "desired": self.desired, "played": self.played, "wanted": self.wanted, "fence": self.fence,
+            "desired": self.desired, "played": self.planned, "wanted": self.wanted, "fence": self.fence,
             "actual": {"ready": self.ready, "starting": self.starting},
         })
     }
@@ -26,18 +26,18 @@
 
 impl FunctionOwner {
     /// The plans of the functions homed here.
-    pub fn plans(&self) -> impl Iterator<Item = (&String, Played)> {
+    pub fn plans(&self) -> impl Iterator<Item = (&String, PlanStatus)> {
         let now = self.now;
         self.schedulers.iter().filter(|(_, scheduler)| scheduler.leaving.is_none()).map(move |(name, scheduler)| {
-            let played = Played {
+            let status = PlanStatus {
                 desired: scheduler.player.plan().to_vec(),
-                played: scheduler.player.planned_count(now),
+                planned: scheduler.player.planned_count(now),
                 wanted: scheduler.desired,
                 ready: scheduler.count(Phase::Ready),
                 starting: scheduler.count(Phase::Starting),
                 fence: scheduler.player.fence(),
             };
-            (name, played)
+            (name, status)
         })
     }
 
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -72,7 +72,7 @@
 }
 
 fn send_to_front(front: &mut Front, from: NodeId, at: u64, message: ForwardMessage) -> Vec<FrontOutput> {
-    front.step(ms(at), true, FrontInput::Forwarded { from, message })
+    front.step(ms(at), true, FrontInput::Message { from, message })
 }
 
 fn grant(task: u64, attempts: u32) -> ForwardMessage {
--- a/crates/traffic/tests/consumers.rs
+++ b/crates/traffic/tests/consumers.rs
@@ -20,7 +20,7 @@
 }
 
 fn front_with_header() -> Front {
-    let consumer_header = Some(ConsumerHeader { name: "x-consumer".into(), value: str::to_uppercase });
+    let consumer_header = Some(ConsumerHeader { name: "x-consumer".into(), format_name: str::to_uppercase });
     let limits = FrontLimits { consumer_header, ..FrontLimits::default() };
     let mut front = Front::new(common::ME, 1, limits);
     front.step(ms(0), true, FrontInput::Membership { membership: common::membership(1, &[OTHER]) });
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -8,7 +8,7 @@
 
 fn answer(task: u64, outcome: Outcome, status: u16) -> FrontInput {
     let (head, body) = (Vec::new().into(), b"theirs".to_vec().into());
-    FrontInput::Forwarded {
+    FrontInput::Message {
         from: OTHER,
         message: ForwardMessage::AnswerInSeconds { task, outcome, status, retry_after: 1, head, body },
     }
@@ -105,7 +105,7 @@
         }
         for output in inputs.into_iter().flat_map(|input| owner.step(ms(at), true, input)).collect::<Vec<_>>() {
             if let OwnerOutput::Forward { message, .. } = &output {
-                front.step(ms(at), true, FrontInput::Forwarded { from: OTHER, message: message.clone() });
+                front.step(ms(at), true, FrontInput::Message { from: OTHER, message: message.clone() });
             }
             match output {
                 OwnerOutput::Dispatch(order) => running.push((order.number, at + 500)),
--- a/crates/traffic/tests/owner_liveness.rs
+++ b/crates/traffic/tests/owner_liveness.rs
@@ -95,8 +95,8 @@
             "nothing is forwarded to a silent owner"
         );
     }
-    front.step(ms(65_100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
+    front.step(ms(65_100), true, FrontInput::Message { from: OTHER, message: ForwardMessage::Heartbeat });
     forward(&send_request(&mut front, 65_200, true, "/t/f"));
-    front.step(ms(65_300), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
+    front.step(ms(65_300), true, FrontInput::Message { from: OTHER, message: ForwardMessage::Heartbeat });
     forward(&send_request(&mut front, 80_000, true, "/t/f"));
 }
--- a/crates/traffic/tests/quotas.rs
+++ b/crates/traffic/tests/quotas.rs
@@ -51,7 +51,7 @@
 }
 
 fn told(front: &mut Front, at: u64, message: ForwardMessage) -> Vec<FrontOutput> {
-    front.step(ms(at), true, FrontInput::Forwarded { from: OTHER, message })
+    front.step(ms(at), true, FrontInput::Message { from: OTHER, message })
 }
 
 /// The request for credits among what the front sends.
@@ -140,7 +140,7 @@
     ask(&mut front, 1, 2);
     let (number, at) = asked_again(&mut front);
     granted(&mut front, at + 1, number, 1, 0);
-    front.step(ms(at + 2), true, FrontInput::Gone { request_id: 1 });
+    front.step(ms(at + 2), true, FrontInput::CallerGone { request_id: 1 });
     front.step(ms(at + 3), true, FrontInput::Link { id: OTHER, up: true });
     forward_of(&ask(&mut front, 2, at + 4));
 }
@@ -212,7 +212,7 @@
     let request = quota_request(&ask(&mut asking, 1, 1)).expect("a credit is asked for");
     let grant = |granter: &mut Front, may_serve: bool| {
         let message = ForwardMessage::QuotaRequest { request: request.clone() };
-        let outputs = granter.step(ms(9000), may_serve, FrontInput::Forwarded { from: OTHER, message });
+        let outputs = granter.step(ms(9000), may_serve, FrontInput::Message { from: OTHER, message });
         outputs.into_iter().find_map(|output| match output {
             FrontOutput::Forward { to: OTHER, message: ForwardMessage::QuotaGrant { grant } } => Some(grant.granted),
             _ => None,
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -132,14 +132,14 @@
     let outputs = front.step(ms(20), true, lost);
     assert_eq!(reply(&outputs).map(|reply| (reply.outcome, reply.status)), Some((Some(Outcome::Unknown), 504)));
     let late = ForwardMessage::NotOwner { task };
-    assert!(front.step(ms(30), true, FrontInput::Forwarded { from: OTHER, message: late }).is_empty());
+    assert!(front.step(ms(30), true, FrontInput::Message { from: OTHER, message: late }).is_empty());
 }
 
 #[test]
 fn returned_request_is_forwarded_again() {
     let mut front = front();
     let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
-    front.step(ms(20), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::NotOwner { task } });
+    front.step(ms(20), true, FrontInput::Message { from: OTHER, message: ForwardMessage::NotOwner { task } });
     let outputs = front.step(ms(60), true, FrontInput::Tick);
     assert!(matches!(outputs[..], [FrontOutput::Forward { .. }]), "{outputs:?}");
 }
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -118,7 +118,7 @@
 #[test]
 fn a_silent_owner_is_forwarded_nothing_and_waiting_requests_are_answered_as_not_run() {
     let mut front = front(1, OTHER);
-    front.step(ms(100), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::Heartbeat });
+    front.step(ms(100), true, FrontInput::Message { from: OTHER, message: ForwardMessage::Heartbeat });
     forward(&send_request(&mut front, 200, true, "/t/f"));
     assert!(
         only_requests_heartbeat(&send_request(&mut front, 600, true, "/t/f"), OTHER),
