--- a/crates/traffic/src/caller_limits.rs
+++ b/crates/traffic/src/caller_limits.rs
@@ -1,22 +1,24 @@
-//! What a caller may send and how long it may take: the router's settings, made narrower by the
-//! bounds of the route table in force. The doors read them at each connection and each request.
+//! Limits on callers' requests in size and time: the router's settings, tightened by the bounds of the route table in
+//! force. The HTTP server reads them at each connection and each request.
 
 use axum::http::HeaderValue;
 use bindings::CallerBounds;
 use http_server::ServerLimits;
 use std::time::Duration;
 
+/// Limits for callers.
 #[derive(Clone, Debug)]
 pub struct CallerLimits {
     pub server: ServerLimits,
     pub body_bytes: usize,
     pub body_time: Duration,
-    /// How long a connection may be idle, as callers are told it.
+    /// Value of the `Keep-Alive` header: how long a connection may be idle.
     pub keep_alive: Option<HeaderValue>,
 }
 
 impl CallerLimits {
-    /// These limits within a route table's bounds. A head and the pause before it have one time together.
+    /// Returns these limits, tightened by a route table's bounds. One time limit covers both the request head and the
+    /// idle time before it.
     pub fn within(&self, bounds: Option<&CallerBounds>) -> CallerLimits {
         let Some(bounds) = bounds else { return self.clone() };
         let time = |ms: u32| Duration::from_millis(ms.into());
--- a/crates/traffic/src/caller_server.rs
+++ b/crates/traffic/src/caller_server.rs
@@ -1,5 +1,5 @@
-//! The callers' door: reads a request whole within its bounds, hands it to the traffic thread and
-//! writes the answer, with the outcome in a header of its own where the dialect has one.
+//! HTTP server for callers: reads a complete request within the limits, passes it to the traffic thread and writes the
+//! answer, with the outcome in a separate header if the dialect has one.
 
 use crate::caller_limits::CallerLimits;
 use crate::data_plane::TrafficMessage;
@@ -20,6 +20,7 @@
 use tokio::time::timeout;
 use wire::{AnswerHead, Outcome, RequestHead};
 
+/// State shared by the handlers of callers' requests.
 #[derive(Clone)]
 pub struct CallerServer {
     pub traffic: InboxSender<TrafficMessage>,
@@ -27,6 +28,7 @@
     pub limits: watch::Receiver<CallerLimits>,
 }
 
+/// Returns the HTTP routes for callers.
 pub fn router(server: CallerServer) -> Router {
     Router::new().fallback(any(handle_request)).with_state(server)
 }
@@ -53,7 +55,7 @@
     }
     let unknown = || Reply::from_router(504, Some(Outcome::Unknown), "the outcome is not known");
     let mut response = server.answer(answer.await.unwrap_or_else(|_| unknown()));
-    // The answer of an operation under a key may be that to an earlier request, with another id.
+    // With an idempotency key, the answer may be that of an earlier request, which had another id.
     if let (Some(name), Some(id)) = (&server.dialect.request_id, request_id)
         && response.headers().contains_key(name)
     {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// The call a request makes; a key that cannot be one is a fault.
+    /// Converts an HTTP request to a call. Fails if the idempotency key is malformed.
     fn parse_call(&self, parts: Parts, path: String, body: Vec<u8>, started_at: Instant) -> Result<Call, ()> {
         let dialect = &self.dialect;
         let text = |name: &header::HeaderName| parts.headers.get(name).and_then(|value| value.to_str().ok());
@@ -129,6 +131,7 @@
         }
     }
 
+    /// Returns an error response; `close` ends the connection.
     fn error_response(&self, status: u16, detail: &'static str, close: bool) -> Response {
         let mut response = self.answer(Reply::from_router(status, None, detail));
         if close {
@@ -137,6 +140,7 @@
         response
     }
 
+    /// Converts a reply to an HTTP response.
     pub fn answer(&self, reply: Reply) -> Response {
         let is_router_error = reply.body.is_empty() && !reply.detail.is_empty();
         let body =
@@ -166,7 +170,7 @@
 const PREFER: header::HeaderName = header::HeaderName::from_static("prefer");
 const KEEP_ALIVE: header::HeaderName = header::HeaderName::from_static("keep-alive");
 
-/// The API key of a request; empty, as no consumer's is, where it stands there twice or is no text.
+/// Returns the API key of a request. It is empty, which matches no consumer, if the header is repeated or not text.
 fn api_key(headers: &HeaderMap, name: &header::HeaderName) -> Option<String> {
     let mut values = headers.get_all(name).iter();
     let first = values.next()?;
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -1,6 +1,6 @@
-//! The router's control thread: the follower, fed from registries and peers. Each step's pass is
-//! written before anything it returns is sent, so a staged step is never acknowledged while the
-//! traffic thread still holds a longer pass.
+//! Main loop of the router's control thread, which feeds the follower with messages of registries and peers. After each
+//! step of the follower, its serving lease is written before any of its outputs is sent, so that a staged epoch is never
+//! acknowledged while the traffic thread still has a longer lease.
 
 use crate::data_plane::TrafficMessage;
 use crate::serving_lease::ServingLease;
@@ -14,19 +14,24 @@
 use tokio::sync::{oneshot, watch};
 use wire::{LeaseMessage, Message, NodeId};
 
-/// Ticks come when something is due, no closer together than the first and no further apart than the other.
+/// Minimum and maximum time between two ticks; in between, a tick comes when something is due.
 const MIN_TICK: Duration = Duration::from_millis(10);
 const MAX_TICK: Duration = Duration::from_millis(250);
+/// Time that a new serving status must last before it is logged.
 const STATUS_LOG_DELAY: Duration = Duration::from_millis(400);
+/// Time after a proof for which the registries count as reachable.
 const REACHABLE_FOR: Duration = Duration::from_millis(2500);
+/// Minimum time that a leaving router still accepts callers.
 const MIN_LEAVE_TIME: Duration = Duration::from_millis(700);
 
+/// Message to the control thread.
 pub enum ControlMessage {
     Link(LinkEvent),
     Seeds(Result<Vec<String>, String>),
     Stop,
 }
 
+/// State of the control thread.
 pub struct Control {
     pub started_at: Instant,
     pub follower: Follower,
@@ -44,14 +49,14 @@
     pub serving_status_since: Instant,
     pub view: watch::Sender<String>,
     pub grace: Duration,
-    /// The revision of the route table that traffic has.
+    /// Revision of the route table that the traffic thread has.
     pub sent_revision: Option<u64>,
-    /// Whether somebody may read views of what was declared.
+    /// Whether the route table includes the declared resources, for the views of them.
     pub has_declared_views: bool,
 }
 
 impl Control {
-    /// Runs until a planned stop is over, and returns the moment at which the process must have ended.
+    /// Runs until a planned stop is complete, and returns the time by which the process must have ended.
     pub async fn run(mut self, mut inbox: Inbox<ControlMessage>, stop: watch::Sender<bool>) -> Option<Instant> {
         self.update_link_addresses();
         let mut last_tick = Instant::now();
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Tells of a standing once it has lasted; each step in force loses the proof for a moment.
+    /// Logs a new serving status once it has lasted a while; each newly activated epoch loses the lease for a moment.
     fn maybe_log_serving_status(&mut self) {
         if self.serving_status == self.logged_serving_status || self.serving_status_since.elapsed() < STATUS_LOG_DELAY {
             return;
@@ -231,7 +236,7 @@
         }
     }
 
-    /// Registries are held, members are met when there is something for them.
+    /// Updates the addresses of the links. Registries stay connected; members are connected on demand.
     fn update_link_addresses(&self) {
         let addresses = self.seeds.iter().chain(&self.registry_addresses).cloned().collect();
         let members = self.follower.membership().members.iter();
--- a/crates/traffic/src/control_view.rs
+++ b/crates/traffic/src/control_view.rs
@@ -1,4 +1,4 @@
-//! The page on which a router shows what it holds of the configuration and the membership.
+//! Status page of the control thread: the configuration and the membership that a router has.
 
 use crate::control_loop::Control;
 use serde_json::json;
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -1,5 +1,5 @@
-//! The traffic thread: one loop that owns the front and the owner, feeds them from its inbox and
-//! carries out what they return. Tasks a router carries to itself go round here and nowhere else.
+//! Main loop of the traffic thread. It owns the front and the function owner, feeds them from its inbox and executes
+//! their outputs. A request whose owner is this router itself does not leave this loop.
 
 use crate::caller_limits::CallerLimits;
 use crate::declared_views::DeclaredViews;
@@ -21,11 +21,14 @@
 use wire::{DeferredRecord, ForwardMessage, LeaseMessage, Message, NodeId, StoredAnswer};
 
 const TICK: Duration = Duration::from_millis(20);
-/// Between two looks while nothing waits here; what comes in is worked at once all the same.
+/// Tick interval while nothing waits here; messages are still handled as they arrive.
 const IDLE_TICK: Duration = Duration::from_millis(100);
+/// Time between two updates of the status page.
 const STATUS_INTERVAL: Duration = Duration::from_millis(500);
+/// Set in the ids of the store reads for status queries, to tell them from the owner's reads.
 const STATUS_QUERY_BIT: u64 = 1 << 62;
 
+/// Message to the traffic thread.
 pub enum TrafficMessage {
     Task {
         call: Call,
@@ -39,7 +42,7 @@
     Dispatcher(DispatchReport),
     Platform(ProviderReport),
     RouteTable(Box<RouteTable>),
-    /// A later step under which the route table stays as it is.
+    /// A later epoch with an unchanged route table.
     Epoch(u64),
     Membership(Box<Membership>),
     Registries {
@@ -53,6 +56,7 @@
     },
 }
 
+/// State of the traffic thread.
 pub struct DataPlane {
     pub me: NodeId,
     pub started_at: Instant,
@@ -63,8 +67,9 @@
     pub dispatcher: InboxSender<DispatcherMessage>,
     pub platform: InboxSender<ProviderOrder>,
     pub view: watch::Sender<String>,
+    /// Limits from the settings, and the sender of the limits in force.
     pub caller_limits: (CallerLimits, watch::Sender<CallerLimits>),
-    /// Kept where somebody may read it.
+    /// `None` if no token is configured, so that nobody may read the views.
     pub declared_views: Option<DeclaredViews>,
     pub epoch: u64,
     pub tail: Option<NodeId>,
@@ -72,10 +77,12 @@
     pub replies: BTreeMap<u64, oneshot::Sender<Reply>>,
     pub status_queries: BTreeMap<u64, (oneshot::Sender<Reply>, Duration)>,
     pub last_request_id: u64,
+    /// Notified once a leaving router has no open request.
     pub drained: Option<oneshot::Sender<()>>,
     pub outcome_counts: BTreeMap<&'static str, u64>,
 }
 
+/// Input for one of the two state machines.
 pub(crate) enum Input {
     Front(FrontInput),
     FunctionOwner(OwnerInput),
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -1,5 +1,5 @@
-//! The plane's way out: turns of the two machines until neither has anything more to do, and
-//! their outputs forwarded to links, dispatcher, platform and waiting callers.
+//! Steps of the front and the function owner until neither has input left, and delivery of their outputs to links,
+//! dispatcher, platform and waiting callers.
 
 use crate::data_plane::{DataPlane, Input};
 use crate::front_types::{FrontOutput, Reply};
--- a/crates/traffic/src/declared_views.rs
+++ b/crates/traffic/src/declared_views.rs
@@ -1,5 +1,5 @@
-//! This router's view of the three kinds: what is declared, as its route table has it; the sheets in force, as
-//! the optimizer's host told; and, for the functions homed here, the plan as it is played.
+//! This router's views of declared resources: the resources themselves, as its route table has them; the parameters in
+//! force, as received from the host of the optimizer; and the state of the headcount plans of the functions owned here.
 
 use crate::function_owner::FunctionOwner;
 use crate::status::PlanStatus;
@@ -10,6 +10,7 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
+/// Keeps the index of the views up to date.
 pub struct DeclaredViews {
     pub index: watch::Sender<ResourceIndex>,
     routes: Option<Rc<RouteTable>>,
@@ -30,7 +31,7 @@
         self.has_changes = true;
     }
 
-    /// Brings the index in line with the route table and the owner; what is as it was costs nothing.
+    /// Updates the index from the route table and the owner. Only changed entries are written.
     pub fn update(&mut self, owner: &FunctionOwner) {
         let Some(routes) = self.routes.clone() else { return };
         let (fence, lines) = owner.tuned();
--- a/crates/traffic/src/dialect.rs
+++ b/crates/traffic/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How a router is made to speak words other than the product's own, and to serve further pages.
+//! Adaptation of a router to a platform: its HTTP headers, instance provider and additional pages.
 
 use crate::ops::Views;
 use crate::settings::RouterSettings;
@@ -6,17 +6,20 @@
 use dispatch::HttpDialect;
 use instance_provider::Start;
 
+/// Builds the routes of the additional pages.
 pub type MakePages = Box<dyn FnOnce(Views) -> Router + Send>;
 
-/// The product's own dialect by default.
+/// Parts of a router that a platform can replace; the default is heronlink's own protocol.
 #[derive(Default)]
 pub struct Dialect {
+    /// Names of the HTTP headers.
     pub http: HttpDialect,
-    /// Makes whoever runs the instances; by default that of the settings, in the product's own dialect.
+    /// Builds the instance provider; by default, heronlink's own at the address in the settings.
     pub provider: Option<Start>,
-    /// Further pages, and the address they are served at.
+    /// Additional pages.
     pub pages: Option<MakePages>,
+    /// Address at which the additional pages are served.
     pub pages_address: Option<String>,
-    /// Reads the settings again; without it they stay as they were at the start.
+    /// Reloads the settings; without it, they stay as they were at the start.
     pub reread: Option<config::Reread<RouterSettings>>,
 }
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding a request to its function's owner, with the attempts that its front grants.
+//! Forwarding of requests to the owners of their functions, and the attempts that the front grants to owners.
 
 use crate::front::{BASE_RETRY_AFTER, Front, RETRY_INTERVAL};
 use crate::front_passes::unknown_outcome;
@@ -6,6 +6,7 @@
 use wire::{ForwardMessage, ForwardRequest, NodeId, Outcome};
 
 impl Front {
+    /// Forwards a request to its owner if its route, consumer limit, attempts and owner allow it now.
     pub(crate) fn attempt(&mut self, task: u64) {
         if !self.may_serve || !self.resolve_route(task) {
             return;
@@ -52,8 +53,8 @@
         self.charge_attempts(task);
     }
 
-    /// Tells an owner how many attempts it has in all, with one more where one is left; none where the request is no
-    /// longer with it.
+    /// Answers an owner's request for attempts with the total that it now has: one more if one is left, and zero if the
+    /// request is no longer forwarded to this owner.
     pub(crate) fn handle_attempt_request(&mut self, from: NodeId, forward: u64, wanted: u32) {
         let task = self.task_by_forward_id.get(&forward).copied();
         let record = task.and_then(|task| self.requests.get_mut(&task));
@@ -67,7 +68,7 @@
             .push(FrontOutput::Forward { to: from, message: ForwardMessage::AttemptGrant { task: forward, attempts } });
     }
 
-    /// No attempt is left, and none that was made has told an answer.
+    /// Answers a request that has no attempt left and got no answer from any attempt.
     pub(crate) fn answer_without_attempts(&mut self, task: u64) {
         let may_have_run = self.requests.get(&task).is_some_and(|record| record.may_have_run);
         let reply = match may_have_run {
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -1,6 +1,6 @@
-//! Meeting callers: one record a task, worked by passes. A task waits while this router has no
-//! proof of its revision or no link to the owner, is forwarded once it has, and is answered with the
-//! truth: what the owner said, `not-run` only if it was never forwarded, `unknown` when in doubt.
+//! The front of a router: accepts callers' requests and keeps one record per request. A request waits while this router
+//! has no valid serving lease or no link to the owner of its function, and is then forwarded. Its caller gets the
+//! owner's answer, `not-run` only if the request certainly did not run, and `unknown` if it may have run.
 
 use crate::attempt_count::AttemptCount;
 use crate::front_consumers::identify_caller;
@@ -17,9 +17,10 @@
 
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(4);
 pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(25);
-/// When to come back to a router that is full, or that waits for a proof or an owner.
+/// Base of `Retry-After` from a router that is full, or that waits for a lease or an owner.
 pub(crate) const BASE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
+/// State machine that accepts callers' requests and forwards them to the owners of their functions.
 pub struct Front {
     pub(crate) me: NodeId,
     pub(crate) incarnation: u64,
@@ -37,10 +38,12 @@
     pub(crate) may_serve: bool,
     pub(crate) quota: FrontQuota,
     pub(crate) outputs: Vec<FrontOutput>,
+    /// Number of requests refused as not run.
     pub refusals: u64,
 }
 
 impl Front {
+    /// Returns a front without routes, members and links.
     pub fn new(me: NodeId, incarnation: u64, limits: FrontLimits) -> Self {
         let quota = FrontQuota::new(me, incarnation, limits.quota);
         Front {
@@ -64,10 +67,12 @@
         }
     }
 
+    /// Returns the number of open requests.
     pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
+    /// Handles an input and returns the replies and frames to send.
     pub fn step(&mut self, now: Duration, may_serve: bool, input: FrontInput) -> Vec<FrontOutput> {
         self.now = now;
         self.may_serve = may_serve;
@@ -163,7 +168,7 @@
         self.attempt(task);
     }
 
-    /// Up to twice as long, so that those told so together come back one by one.
+    /// Returns a time from `min` to twice `min`, so that callers refused together do not all retry at once.
     pub(crate) fn add_jitter(&self, seed: u64, min: Duration) -> Duration {
         min + min * (pseudo_random(seed) >> 54) as u32 / 1024
     }
@@ -181,21 +186,8 @@
         }
     }
 
-    pub(crate) fn answer(&mut self, task: u64, reply: Reply) {
-        if let Some(record) = self.requests.get(&task) {
-            let request_id = record.request_id;
-            if reply.outcome == Some(Outcome::NotRun) {
-                self.refusals += 1;
-            }
-            if matches!(reply.outcome, Some(Outcome::NotRun) | None) {
-                self.refund_credit(task);
-            }
-            self.outputs.push(FrontOutput::Reply { request_id, reply });
-            self.remove(task);
-        }
-    }
-
-    /// Looks the route up anew each time: a waiting task follows the newest revision.
+    /// Looks up the route before every attempt, so that a waiting request follows the newest revision. Returns whether
+    /// the request is still open.
     pub(crate) fn resolve_route(&mut self, task: u64) -> bool {
         let (Some(routes), Some(record)) = (self.routes.clone(), self.requests.get_mut(&task)) else { return false };
         let Some((name, binding)) = routes.find_route(&record.call.host, &record.call.path) else {
@@ -242,7 +234,7 @@
     }
 }
 
-/// Evenly spread, and the same each time for the same task.
+/// Returns a uniformly distributed number that is always the same for the same seed.
 fn pseudo_random(seed: u64) -> u64 {
     leases::stable_hash(&[&seed.to_le_bytes()])
 }
--- a/crates/traffic/src/front_consumers.rs
+++ b/crates/traffic/src/front_consumers.rs
@@ -1,5 +1,5 @@
-//! Whose request it is: a consumer is known by its API key alone, looked up anew whenever a waiting request is tried,
-//! so that a key that was taken away admits nothing more.
+//! Authentication of consumers. A consumer is identified by its API key alone. The key is looked up before every attempt
+//! of a waiting request, so that a revoked key admits no further request.
 
 use crate::front::Front;
 use crate::front_passes::unknown_outcome;
@@ -7,13 +7,13 @@
 use bindings::{Class, FunctionBinding, RouteTable};
 use wire::{HeaderField, RequestHead};
 
-/// What a request's API key says.
+/// Identity of a caller, as found by the API key of its request.
 pub(crate) enum Caller {
-    /// A consumer, by `tenant/name`.
+    /// A consumer, as `tenant/name`.
     Consumer(String),
-    /// Nobody in particular, on a route that asks for no key.
+    /// A caller without a valid key, on a route that requires none.
     Anonymous,
-    /// No consumer has the key, or there is none where one is needed.
+    /// A caller whose key is missing or unknown, on a route that requires one.
     Unauthorized,
 }
 
@@ -27,8 +27,8 @@
 }
 
 impl RequestRecord {
-    /// Whether a request under a key that may have run would be another operation by the newest configuration: the
-    /// key is remembered under its consumer, or else under its binding.
+    /// Returns whether a request with an idempotency key that may have run would count as a different operation under
+    /// the newest configuration. Keys are recorded per consumer, or per binding for anonymous callers.
     pub(crate) fn is_other_operation(&self, binding: &str, class: Class, caller: &Caller) -> bool {
         let consumer = if let Caller::Consumer(name) = caller { name.as_str() } else { "" };
         let is_moved = consumer != self.consumer || consumer.is_empty() && binding != self.binding;
@@ -37,7 +37,7 @@
 }
 
 impl Front {
-    /// Notes whose request it is. One that nobody may make is answered at once.
+    /// Stores the consumer in the record. A request of an unauthorized caller is answered at once; returns `false` then.
     pub(crate) fn authenticate(&mut self, task: u64, caller: Caller) -> bool {
         let Some(record) = self.requests.get_mut(&task) else { return false };
         match caller {
@@ -56,7 +56,7 @@
         true
     }
 
-    /// The head as an instance is to see it.
+    /// Returns the request head for an instance, with the name of the consumer in its header.
     pub(crate) fn head_for_instance(&self, head: &RequestHead, consumer: &str) -> RequestHead {
         let mut head = head.clone();
         if let Some(header) = self.limits.consumer_header.as_ref().filter(|_| !consumer.is_empty()) {
--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -1,5 +1,5 @@
-//! The front's passes: tasks whose owner was lost, tasks that may be tried now, tasks out of time; and
-//! what an owner told of a task, as the caller is told it.
+//! Periodic work of the front: requests whose owner was lost, requests that can be attempted now, and requests past
+//! their deadline. Also the conversion of an owner's answer to the reply for the caller.
 
 use crate::front::{BASE_RETRY_AFTER, Front, RETRY_INTERVAL};
 use crate::front_types::{Reply, Stage};
@@ -7,22 +7,24 @@
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome};
 
-/// The status of a repeat whose key is in work.
+/// Status of a repeated request whose idempotency key belongs to an operation in progress.
 const KEY_IN_PROGRESS: u16 = 409;
 
+/// Returns the reply for a request that may have run.
 pub(crate) fn unknown_outcome() -> Reply {
     Reply::from_router(504, Some(Outcome::Unknown), "the outcome is not known")
 }
 
 impl Front {
-    /// Whether some task waits to be forwarded.
+    /// Returns whether any request waits to be forwarded.
     pub fn has_waiting_requests(&self) -> bool {
         self.requests.values().any(|record| record.stage == Stage::Waiting)
     }
 
-    /// The owner was lost with tasks on it: what they came to is in doubt. They are tried on with the
-    /// next owner, which knows from the run-once store or the budget whether it may run them; what may run
-    /// only once, and stands in no run-once store, or has no attempt left, is not tried on: its caller is told at once.
+    /// Handles the loss of owners that requests were forwarded to; the outcome of these requests is unknown. They are
+    /// forwarded to the next owner, which knows from the run-once store or the retry budget whether it may run them.
+    /// A request that may run only once and is in no run-once store, or that has no attempt left, is not forwarded
+    /// again: its caller is answered at once.
     pub(crate) fn handle_owner_loss(&mut self, is_lost: impl Fn(NodeId) -> bool) {
         let mut to_answer = Vec::new();
         for (task, record) in &mut self.requests {
@@ -42,7 +44,7 @@
         to_answer.into_iter().for_each(|task| self.answer(task, unknown_outcome()));
     }
 
-    /// When an owner that fell silent can be expected to be there again, or another in its place.
+    /// Returns the expected time until a silent owner of the function is back or another has replaced it.
     fn time_until_owner(&self, function: &str) -> Duration {
         let silent = self.membership.owner(function).and_then(|owner| self.silent_since(owner));
         silent.map_or(BASE_RETRY_AFTER, |since| {
@@ -50,6 +52,7 @@
         })
     }
 
+    /// Answers the requests whose time is up, and attempts those that are due for another attempt.
     pub(crate) fn process_requests(&mut self) {
         let now = self.now;
         let tasks: Vec<u64> = self.requests.keys().copied().collect();
@@ -81,6 +84,7 @@
         }
     }
 
+    /// Handles a message from another router, or from the owner in this one.
     pub(crate) fn handle_message(&mut self, from: NodeId, message: ForwardMessage) {
         let forward = match &message {
             ForwardMessage::QuotaRequest { request } => return self.handle_quota_request(from, request),
@@ -122,7 +126,7 @@
         }
     }
 
-    /// An owner's word on a task, which counts for less once another owner may have run it.
+    /// Answers a request with its owner's answer. `NotRun` becomes `Unknown` if an earlier owner may have run it.
     fn handle_answer(
         &mut self,
         task: u64,
@@ -134,7 +138,7 @@
     ) {
         let may_have_run = self.requests.get(&task).is_some_and(|record| record.may_have_run);
         let outcome = if outcome == Outcome::NotRun && may_have_run { Outcome::Unknown } else { outcome };
-        // Whoever had the key in work may be the owner that was lost with this very request.
+        // The operation in progress may be this same request, still running for the owner that was lost.
         let is_misleading = status == 503 || may_have_run && status == KEY_IN_PROGRESS;
         let status = if outcome == Outcome::Unknown && is_misleading { 504 } else { status };
         let detail = match (outcome, status) {
@@ -144,4 +148,19 @@
         };
         self.answer(task, Reply { outcome: Some(outcome), status, retry_after, head, body, detail });
     }
+
+    /// Answers a caller and removes the record of its request. The credit of a request that did not run is refunded.
+    pub(crate) fn answer(&mut self, task: u64, reply: Reply) {
+        if let Some(record) = self.requests.get(&task) {
+            let request_id = record.request_id;
+            if reply.outcome == Some(Outcome::NotRun) {
+                self.refusals += 1;
+            }
+            if matches!(reply.outcome, Some(Outcome::NotRun) | None) {
+                self.refund_credit(task);
+            }
+            self.outputs.push(FrontOutput::Reply { request_id, reply });
+            self.remove(task);
+        }
+    }
 }
--- a/crates/traffic/src/front_quota.rs
+++ b/crates/traffic/src/front_quota.rs
@@ -1,6 +1,6 @@
-//! The limits of consumers at the front: a request is admitted by a credit before it is first forwarded, waits for one
-//! or is refused early; a credit of a request that did not run admits another. Requests for credits and grants go
-//! between routers.
+//! Consumers' rate limits at the front. A request needs a credit before it is first forwarded: it gets one, waits for
+//! one, or is refused early. The credit of a request that did not run admits another one. Routers send each other
+//! requests for credits and grants.
 
 use crate::front::Front;
 use crate::front_passes::unknown_outcome;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome, QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaRequest};
 
-/// A consumer that is held at its limit is logged no more often.
+/// Minimum time between two log lines for the same consumer at its limit.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 pub(crate) struct FrontQuota {
@@ -25,10 +25,10 @@
     pub(crate) granter: QuotaGranter,
     pub(crate) limits: Rc<QuotaLimits>,
     pub(crate) names: BTreeMap<ConsumerId, String>,
-    /// Requests that wait for a credit.
+    /// Requests that wait for a credit, by consumer.
     waiting: BTreeMap<ConsumerId, BTreeSet<u64>>,
     logged_at: BTreeMap<ConsumerId, Duration>,
-    /// Whether the granters agreed when that was last logged.
+    /// Whether the granters agreed when their agreement was last logged.
     was_settled: bool,
 }
 
@@ -70,7 +70,7 @@
         self.granter.set_membership(now, GranterMembership { granters, members, leaving });
     }
 
-    /// A request that waited for a credit no longer does.
+    /// Removes a request from those that wait for a credit.
     pub(crate) fn stop_waiting(&mut self, consumer: ConsumerId, task: u64) {
         if let Some(tasks) = self.waiting.get_mut(&consumer) {
             tasks.remove(&task);
@@ -84,6 +84,7 @@
         self.waiting.values().map(BTreeSet::len).sum()
     }
 
+    /// Returns whether a consumer at its limit is due for a log line; if so, counts it as logged.
     fn should_log(&mut self, now: Duration, consumer: ConsumerId) -> bool {
         let is_due = self.logged_at.get(&consumer).is_none_or(|at| now >= *at + LOG_INTERVAL);
         if is_due {
@@ -102,8 +103,8 @@
 }
 
 impl Front {
-    /// Whether a request may be forwarded by its consumer's limit. One beyond the limit is answered; one that needs a
-    /// credit that is not here waits for it.
+    /// Returns whether its consumer's limit lets a request be forwarded. A request over the limit is answered; a
+    /// request for which no credit is available waits for one.
     pub(crate) fn is_within_quota(&mut self, task: u64) -> bool {
         let Some(record) = self.requests.get_mut(&task) else { return false };
         let consumer = (!record.consumer.is_empty()).then(|| consumer_id(&record.consumer));
@@ -113,7 +114,7 @@
         let Some(consumer) = consumer else { return true };
         match record.charge.map(|charge| charge.consumer == consumer) {
             Some(true) => return true,
-            // Where it may have run for the other consumer, that one's credit is spent.
+            // The request may have run for the other consumer, so that consumer's credit stays spent.
             Some(false) if record.may_have_run => record.charge = None,
             Some(false) => self.refund_credit(task),
             None => {}
@@ -157,14 +158,14 @@
         self.answer(task, reply);
     }
 
-    /// A request that ends so did not run: its credit may admit another.
+    /// Refunds the credit of a request that did not run, so that it can admit another.
     pub(crate) fn refund_credit(&mut self, task: u64) {
         if let Some(charge) = self.requests.get_mut(&task).and_then(|record| record.charge.take()) {
             self.quota.meter.refund(self.now, charge);
         }
     }
 
-    /// Further attempts at an admitted request count like requests: whoever runs it again is paid by later credits.
+    /// Charges further attempts of an admitted request like requests: later credits pay for them.
     pub(crate) fn charge_attempts(&mut self, task: u64) {
         let Some(record) = self.requests.get_mut(&task) else { return };
         let attempts = record.attempts.take_uncharged();
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Attempts the requests of a consumer that waited for a credit.
+    /// Attempts the requests of a consumer that wait for a credit.
     fn attempt_waiting_for_credit(&mut self, consumer: ConsumerId) {
         let tasks = self.quota.waiting.get(&consumer).cloned().unwrap_or_default();
         for task in tasks {
@@ -189,7 +190,7 @@
         self.quota.log_agreement();
     }
 
-    /// Asks other granters for the membership that they have, where this one needs to know.
+    /// Queries other granters for the membership that they use, if this granter needs to know it.
     pub(crate) fn send_granters_queries(&mut self) {
         for (to, query) in self.quota.granter.take_queries(self.now) {
             self.outputs.push(FrontOutput::Forward { to, message: ForwardMessage::QuotaGrantersQuery { query } });
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Asks for the credits that requests wait for.
+    /// Requests the credits that requests wait for.
     pub(crate) fn send_quota_requests(&mut self) {
         let FrontQuota { meter, waiting, .. } = &mut self.quota;
         let requests = meter.take_requests(self.now, |consumer| waiting.get(&consumer).map_or(0, BTreeSet::len));
@@ -233,7 +234,7 @@
     }
 }
 
-/// The same on every router.
+/// Returns the id of a consumer, which is the same on every router.
 fn consumer_id(name: &str) -> ConsumerId {
     ConsumerId(stable_hash(&[b"consumer", name.as_bytes()]))
 }
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -1,4 +1,4 @@
-//! What the front takes and returns, and the record it keeps of each task.
+//! Inputs, outputs and limits of the front, and its record of each request.
 
 use crate::attempt_count::AttemptCount;
 use crate::wait_limits::WaitLimits;
@@ -9,20 +9,24 @@
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome, RequestHead};
 
+/// A caller's request.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub host: String,
     pub path: String,
-    /// How long the caller will wait, if it says so.
+    /// How long the caller waits, if it says so.
     pub deadline: Option<Duration>,
     pub head: RequestHead,
     pub body: Vec<u8>,
+    /// Idempotency key.
     pub key: Option<String>,
-    /// Empty for one that cannot be any consumer's.
+    /// Empty if the header is repeated or not text, so that it matches no consumer.
     pub api_key: Option<String>,
+    /// Whether the caller prefers an answer before the request has run.
     pub respond_async: bool,
 }
 
+/// Answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
     pub outcome: Option<Outcome>,
@@ -30,24 +34,31 @@
     pub retry_after: Duration,
     pub head: Vec<u8>,
     pub body: Vec<u8>,
+    /// Error text for a reply without a body.
     pub detail: &'static str,
 }
 
 impl Reply {
+    /// Returns a reply that the router makes itself, without an instance's answer.
     pub fn from_router(status: u16, outcome: Option<Outcome>, detail: &'static str) -> Reply {
         Reply { outcome, status, retry_after: Duration::ZERO, head: Vec::new(), body: Vec::new(), detail }
     }
+
+    /// Sets the time after which the caller may try again.
     pub fn with_retry_after(mut self, after: Duration) -> Reply {
         self.retry_after = after;
         self
     }
 }
 
+/// Input of the front's state machine.
 pub enum FrontInput {
+    /// A caller's request.
     Task {
         request_id: u64,
         call: Call,
     },
+    /// A message from another router, or from the owner in this one.
     Message {
         from: NodeId,
         message: ForwardMessage,
@@ -62,38 +73,44 @@
     Membership {
         membership: Rc<Membership>,
     },
-    /// This router was dropped from the membership.
+    /// This router was removed from the membership.
     MembershipLost,
+    /// The caller closed its connection before it was answered.
     CallerGone {
         request_id: u64,
     },
     Tick,
 }
 
+/// Output of the front's state machine.
 #[derive(Debug, PartialEq)]
 pub enum FrontOutput {
     Reply { request_id: u64, reply: Reply },
     Forward { to: NodeId, message: ForwardMessage },
 }
 
-/// How instances are told whose request they run.
+/// Header that tells instances the consumer whose request they run.
 #[derive(Clone, Debug)]
 pub struct ConsumerHeader {
     pub name: String,
-    /// The name of a consumer as instances know it.
+    /// Converts the name of a consumer to the form that instances get.
     pub format_name: fn(&str) -> String,
 }
 
+/// Limits and times of the front.
 #[derive(Clone, Debug)]
 pub struct FrontLimits {
+    /// Maximum number of open requests.
     pub max_requests: usize,
     pub max_requests_per_tenant: usize,
+    /// Time before its deadline at which a request that still waits is answered.
     pub reply_margin: Duration,
+    /// Time after its deadline for which the answer to a forwarded request is awaited.
     pub answer_grace: Duration,
-    /// From an owner's last heartbeat until it or another is the owner again, as a rule.
+    /// Usual time from an owner's last heartbeat until it is back or another router is the owner.
     pub owner_recovery_time: Duration,
     pub consumer_header: Option<ConsumerHeader>,
-    /// By how much the limits of consumers may be missed.
+    /// Bounds on the error with which consumers' limits are kept.
     pub quota: QuotaBounds,
 }
 
@@ -111,34 +128,40 @@
     }
 }
 
+/// Progress of a request at the front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     Waiting,
     Forwarded { owner: NodeId },
 }
 
+/// The front's record of an open request.
 pub struct RequestRecord {
     pub request_id: u64,
+    /// Number of the latest forward to an owner; 0 before the first.
     pub forward_id: u64,
     pub call: Call,
+    /// The caller's idempotency key, prefixed `k-`, or else a unique key, prefixed `a-`.
     pub key: String,
     pub binding: String,
     pub function: String,
     pub tenant: String,
-    /// Whose request it is, as `tenant/name`; empty for no consumer's.
+    /// Consumer as `tenant/name`; empty for an anonymous caller.
     pub consumer: String,
-    /// The credit by which it was admitted.
+    /// Credit that admitted the request.
     pub charge: Option<Charge>,
-    /// The consumer of whose limit it waits for a credit.
+    /// Consumer whose limit the request waits for a credit of.
     pub awaits_credit_of: Option<ConsumerId>,
     pub class: Option<Class>,
     pub started_at: Duration,
     pub deadline: Duration,
-    /// Until when it may wait here.
+    /// Times until which the request may wait at the front.
     pub wait_limits: WaitLimits,
     pub stage: Stage,
     pub next_attempt_at: Duration,
+    /// Number of times that an owner was lost with this request.
     pub resends: u8,
+    /// Whether an owner was lost with this request, so that its outcome is in doubt.
     pub may_have_run: bool,
     pub attempts: AttemptCount,
 }
--- a/crates/traffic/src/lib.rs
+++ b/crates/traffic/src/lib.rs
@@ -1,7 +1,7 @@
-//! The data plane as a library. `Front` meets callers and forwards requests; `FunctionOwner` places the tasks
-//! of the functions it owns, starts and stops their instances, and keeps the run-once and
-//! deferred promises. Both are state machines over tables of records; around them are the door,
-//! the dispatcher to instances, the platform's adapter and the follower on the control thread.
+//! Data plane of a router. `Front` accepts callers' requests and forwards them to owners. `FunctionOwner` schedules the
+//! requests of the functions that it owns, starts and stops their instances, and guarantees the semantics of run-once
+//! and deferred requests. Both are state machines without I/O. Around them are the HTTP server for callers, the
+//! dispatcher to instances, the instance provider and, on the control thread, the follower.
 
 mod admission;
 mod allowances;
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -1,4 +1,4 @@
-//! The operations port: health, readiness, metrics, this node's view and a live watch of it.
+//! HTTP server for operations: health, readiness, metrics, the status page and a live watch of it.
 
 use crate::router_metrics::RouterMetrics;
 use axum::Router;
@@ -17,12 +17,14 @@
 
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
+/// Latest status of the traffic thread and of the control thread, as JSON.
 #[derive(Clone)]
 pub struct Views {
     pub traffic: watch::Receiver<String>,
     pub control: watch::Receiver<String>,
 }
 
+/// Returns the HTTP routes for operations.
 pub fn ops_router(views: Views) -> Router {
     Router::new()
         .route("/health", get(|| async { "ok\n" }))
@@ -34,7 +36,7 @@
 }
 
 impl Views {
-    /// Whether this router may serve: it has a proof of its revision.
+    /// Returns whether this router may serve, that is, has a valid serving lease.
     pub fn is_ready(&self) -> bool {
         let view: Value = serde_json::from_str(&self.control.borrow()).unwrap_or_default();
         matches!(view["standing"].as_str(), Some("ByCore" | "ByPeers"))
--- a/crates/traffic/src/quota_status.rs
+++ b/crates/traffic/src/quota_status.rs
@@ -1,5 +1,5 @@
-//! What operators see of the limits of consumers at one router: what it admitted and refused, how soon its granters
-//! answer, and what it grants itself.
+//! Status of consumers' limits at one router: what it admitted and refused, how fast its granters answer, and what it
+//! grants itself.
 
 use crate::front::Front;
 use crate::front_quota::FrontQuota;
@@ -8,11 +8,11 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Consumers shown in the status, those with the most requests here first.
+/// Maximum number of consumers in the status: those with the most requests at this router.
 const MAX_CONSUMERS_SHOWN: usize = 40;
 
 impl Front {
-    /// For operators: limits, what is used of them, and how well credits are granted.
+    /// Returns the limits, their use and statistics of the granting of credits, for operators.
     pub fn quota_status(&self, now: Duration) -> Value {
         let (meter, granter) = (self.quota.meter.statistics(now), self.quota.granter.statistics());
         json!({
@@ -44,7 +44,7 @@
     shown.collect()
 }
 
-/// Answers by the longest that they took, as cumulative counts.
+/// Returns the round-trip times of granters' answers as the cumulative counts of a histogram.
 fn round_trips(measured: &RoundTrips) -> Value {
     let mut cumulative = 0;
     let buckets: Vec<Value> = ROUND_TRIP_BOUNDS
--- a/crates/traffic/src/router_metrics.rs
+++ b/crates/traffic/src/router_metrics.rs
@@ -1,4 +1,4 @@
-//! A router's metrics as OpenMetrics text, made from its status.
+//! A router's metrics in OpenMetrics format, built from its status page.
 
 use prometheus_client::encoding::{EncodeLabelSet, text};
 use prometheus_client::metrics::counter::Counter;
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::sync::atomic::AtomicU64;
 
-/// Gauges, by name, help and where their value stands in the status.
+/// Gauges: name, help text and JSON pointer to the value in the status page.
 const GAUGES: [(&str, &str, &str); 15] = [
     ("revision", "Revision of the configuration in force", "/revision"),
     ("step", "Configuration epoch in force", "/step"),
@@ -35,7 +35,7 @@
     ("inbox_depth", "Messages waiting for the traffic thread", "/traffic/inbox"),
 ];
 
-/// Counters, by name, help and where their value stands in the status.
+/// Counters: name, help text and JSON pointer to the value in the status page.
 const COUNTERS: [(&str, &str, &str); 16] = [
     ("front_refusals", "Requests that this front refused", "/traffic/front_refusals"),
     ("quota_refused", "Requests refused beyond their consumers' limits", "/traffic/quota/refused_over_limit"),
@@ -97,13 +97,13 @@
 
 type Seconds = Counter<f64, AtomicU64>;
 
-/// The metrics of one moment.
+/// Snapshot of a router's metrics.
 pub struct RouterMetrics {
     registry: Registry,
 }
 
 impl RouterMetrics {
-    /// Reads them from a status page; what is missing there counts as zero.
+    /// Reads the metrics from a status page. Missing values count as zero.
     pub fn from_status(page: &Value) -> RouterMetrics {
         let mut registry = Registry::with_prefix("heronlink_router");
         for (name, help, path) in GAUGES {
@@ -141,7 +141,7 @@
         registry.register("consumer_limit", "Requests a second that a consumer may make at all routers", limit);
     }
 
-    /// How long granters took to answer, as the cumulative counts of a histogram.
+    /// Registers the round-trip times of granters' answers, as the cumulative counts of a histogram.
     fn quota_round_trips(&mut self, round_trips: &Value) {
         let answers_up_to = Family::<UpToLabel, Counter>::default();
         for bucket in round_trips["buckets"].as_array().into_iter().flatten() {
@@ -201,7 +201,7 @@
         registry.register_with_unit("function_queue_blocked", help, Unit::Seconds, by_function);
     }
 
-    /// The text that a scraper reads.
+    /// Returns the text for a scraper.
     pub fn encode(&self) -> String {
         let mut lines = String::new();
         // Writing to a string cannot fail.
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -1,6 +1,7 @@
-//! A router put together: the follower on the control thread; doors, links, dispatcher and the plane on
-//! the traffic thread, since each task passes through all of them and a wake-up of another thread costs
-//! more than the work; platform and operations on threads of their own. All are found by name.
+//! Startup of a router and its threads. The control thread runs the follower. The traffic thread runs the HTTP server for
+//! callers, links, dispatcher and data plane together, because each request passes through all of them and waking
+//! another thread would cost more than the work itself. The instance provider and the operations port have their own
+//! threads. Threads find each other's inboxes by name.
 
 use crate::caller_limits::CallerLimits;
 use crate::caller_server::{self, CallerServer};
@@ -31,9 +32,10 @@
 use tokio::task::spawn_local;
 use wire::{LeaseMessage, Message, NodeId};
 
-/// From a lapse until the next owner has looked at what runs.
+/// Time from the end of an owner's lease until the next owner has listed the running instances.
 const OWNER_TAKEOVER_TIME: Duration = Duration::from_millis(400);
 
+/// Runs a router until it is stopped by a signal.
 pub fn run(settings: RouterSettings, dialect: Dialect) -> Result<(), RunError> {
     let started_at = Instant::now();
     let incarnation = rand::random::<u64>() >> 8;
@@ -181,7 +183,7 @@
         });
         ended.set(control.run(control_inbox, stop).await);
     });
-    // Its callers' connections have a grace of their own, which begins later than the program's.
+    // Callers' connections have a grace period of their own, which starts later than that of the process.
     kernel::join_until(traffic_thread, deadline.get());
     event!(stopped);
     Ok(())
--- a/crates/traffic/src/status.rs
+++ b/crates/traffic/src/status.rs
@@ -1,14 +1,17 @@
-//! A router's view of the system as JSON and as metrics, for its operations port.
+//! Status of a function owner as JSON, for the operations port.
 
 use crate::function_owner::FunctionOwner;
 use crate::instance::Phase;
 use serde_json::{Value, json};
 
-/// A headcount plan as its owner plays it.
+/// State of a headcount plan at the owner that executes it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanStatus {
+    /// Instance counts of the plan, one for each step.
     pub desired: Vec<u32>,
+    /// Instance count of the plan for the current step.
     pub planned: Option<u32>,
+    /// Instance count that the owner aims for.
     pub wanted: u32,
     pub ready: u32,
     pub starting: u32,
@@ -25,7 +28,7 @@
 }
 
 impl FunctionOwner {
-    /// The plans of the functions homed here.
+    /// Returns the state of the plans of the functions owned here.
     pub fn plans(&self) -> impl Iterator<Item = (&String, PlanStatus)> {
         let now = self.now;
         self.schedulers.iter().filter(|(_, scheduler)| scheduler.leaving.is_none()).map(move |(name, scheduler)| {
@@ -41,6 +44,7 @@
         })
     }
 
+    /// Returns the status of this owner and of its active functions.
     pub fn status(&mut self) -> Value {
         let now = self.now;
         let mut functions = serde_json::Map::new();
