--- a/crates/traffic/src/caller_server_tests.rs
+++ b/crates/traffic/src/caller_server_tests.rs
@@ -1,4 +1,4 @@
-//! What the door makes of requests, and of replies, in either dialect.
+//! Conversion of HTTP requests to calls and of replies to HTTP responses, with the default dialect and with another one.
 
 use super::*;
 use axum::http::{HeaderMap, HeaderName};
@@ -38,7 +38,8 @@
     (CallerServer { traffic, dialect: Arc::new(dialect), limits }, inbox, bounds)
 }
 
-/// Asks, with the reply that the traffic thread would give; what it was asked, and the answer.
+/// Sends a request, with `reply` as the answer of the traffic thread. Returns the call that the traffic thread got, and the
+/// response.
 fn exchange(dialect: HttpDialect, request: Request, reply: Reply) -> (Option<Call>, Response) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
@@ -56,7 +57,7 @@
         let asked = service.call(request);
         drop(service);
         let (call, response) = tokio::join!(serve, asked);
-        (call, response.expect("the door answers"))
+        (call, response.expect("the server responds"))
     })
 }
 
@@ -68,7 +69,7 @@
     request.body(Body::from(body.to_owned())).expect("a request")
 }
 
-fn done() -> Reply {
+fn completed_reply() -> Reply {
     Reply { body: b"done".to_vec(), ..Reply::from_router(200, Some(Outcome::Answered), "") }
 }
 
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_call_has_its_host_its_time_and_the_headers_that_are_not_the_hops() {
+fn a_call_has_the_host_the_deadline_and_the_end_to_end_headers() {
     let headers = [
         ("host", "A.example:80"),
         ("x-id", "9c"),
@@ -88,13 +89,13 @@
         ("x-hop", "1"),
         ("idempotency-key", "not a key here"),
     ];
-    let (call, response) = exchange(another_dialect(), request(&headers, "work"), done());
-    let call = call.expect("it is let in");
+    let (call, response) = exchange(another_dialect(), request(&headers, "work"), completed_reply());
+    let call = call.expect("the request is accepted");
     assert_eq!(
         (call.host.as_str(), call.path.as_str(), call.head.target.as_str()),
         ("A.example:80", "/a/b", "/a/b?c=d")
     );
-    let left = call.deadline.expect("told");
+    let left = call.deadline.expect("the call has a deadline");
     assert!(left <= Duration::from_millis(4000) && left > Duration::from_millis(1000), "{left:?}");
     assert_eq!(names(&call), ["host", "x-id", "x-own", "idempotency-key"]);
     assert_eq!((call.key, call.body), (None, b"work".to_vec()));
@@ -102,31 +103,32 @@
 }
 
 #[test]
-fn in_its_own_dialect_a_key_is_read_and_the_outcome_reported() {
-    let (call, response) = exchange(HttpDialect::default(), request(&[("idempotency-key", "k")], ""), done());
+fn the_default_dialect_reads_the_idempotency_key_and_reports_the_outcome() {
+    let (call, response) =
+        exchange(HttpDialect::default(), request(&[("idempotency-key", "k")], ""), completed_reply());
     assert_eq!(call.and_then(|call| call.key).as_deref(), Some("k"));
     assert_eq!(response.headers()["heronlink-outcome"], "answered");
 }
 
 #[test]
-fn an_answer_kept_from_an_earlier_request_bears_the_id_of_this_one() {
+fn an_answer_recorded_for_an_earlier_request_has_the_id_of_this_one() {
     let line = wire::HeaderField { name: "x-id".into(), value: b"first".to_vec().into() };
     let head = wire::to_bytes(&AnswerHead { headers: vec![line].into() });
-    let kept = Reply { head, ..done() };
+    let kept = Reply { head, ..completed_reply() };
     let (_, response) = exchange(another_dialect(), request(&[("x-id", "second")], ""), kept);
     assert_eq!(text(response.headers(), "x-id"), "second");
 }
 
-#[test_case(HttpDialect::default() => true; "where the state of a task can be asked")]
-#[test_case(another_dialect() => false; "where it cannot")]
-fn an_answer_is_put_off_as_preferred(dialect: HttpDialect) -> bool {
-    let (call, _) = exchange(dialect, request(&[("prefer", "respond-async")], ""), done());
-    call.expect("it is let in").respond_async
+#[test_case(HttpDialect::default() => true; "with a task path")]
+#[test_case(another_dialect() => false; "without a task path")]
+fn respond_async_is_honoured_if_the_dialect_has_a_task_path(dialect: HttpDialect) -> bool {
+    let (call, _) = exchange(dialect, request(&[("prefer", "respond-async")], ""), completed_reply());
+    call.expect("the request is accepted").respond_async
 }
 
 #[test]
-fn a_body_beyond_bounds_is_refused_and_ends_the_connection() {
-    let (call, response) = exchange(another_dialect(), request(&[], &"x".repeat(65)), done());
+fn a_body_over_the_limit_is_refused_and_closes_the_connection() {
+    let (call, response) = exchange(another_dialect(), request(&[], &"x".repeat(65)), completed_reply());
     assert!(call.is_none());
     assert_eq!(
         (response.status().as_u16(), &response.headers()["connection"]),
@@ -134,11 +136,11 @@
     );
 }
 
-#[test_case(true, 340 => "0.340"; "in fractions")]
+#[test_case(true, 340 => "0.340"; "in fractions of a second")]
 #[test_case(false, 340 => "1"; "in whole seconds")]
-#[test_case(false, 1001 => "2"; "never too early")]
-#[test_case(true, 0 => "0.050"; "never at once")]
-fn a_refusal_tells_when_to_come_back(fractions: bool, ms: u64) -> String {
+#[test_case(false, 1001 => "2"; "rounded up")]
+#[test_case(true, 0 => "0.050"; "at least 50 ms")]
+fn a_refusal_has_a_retry_after_header(fractions: bool, ms: u64) -> String {
     let reply = Reply::from_router(503, Some(Outcome::NotRun), "full").with_retry_after(Duration::from_millis(ms));
     let (_, response) =
         exchange(HttpDialect { fractional_retry_after: fractions, ..another_dialect() }, request(&[], ""), reply);
@@ -150,7 +152,7 @@
 }
 
 #[test]
-fn declared_bounds_narrow_the_settings_and_are_told_to_callers() {
+fn declared_bounds_tighten_the_settings_and_are_announced_to_callers() {
     let bounds = bindings::CallerBounds {
         head_bytes: 12_000,
         body_bytes: 1_000_000,
--- a/crates/traffic/src/router_metrics_tests.rs
+++ b/crates/traffic/src/router_metrics_tests.rs
@@ -1,10 +1,10 @@
-//! What a scraper reads of a router.
+//! Names, labels and values of a router's metrics.
 
 use super::RouterMetrics;
 use serde_json::json;
 
 #[test]
-fn names_that_dashboards_know_stay_and_refusals_and_blocked_time_have_labels() {
+fn metrics_keep_their_names_and_label_refusals_and_blocked_time() {
     let page = json!({
         "revision": 7, "step": 3, "staged": 4, "roster": 9,
         "traffic": {
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn a_status_without_figures_gives_zeros() {
+fn values_missing_in_the_status_are_zero() {
     let text = RouterMetrics::from_status(&json!({})).encode();
     assert!(text.contains("heronlink_router_front_refusals_total 0\n"), "{text}");
 }
 
 #[test]
-fn limits_of_consumers_are_shown_with_what_is_used_of_them() {
+fn limits_of_consumers_are_shown_with_their_use() {
     let ada = json!({"limit_per_s": 12.5, "used": 40, "arrived": 44, "refused": 3});
     let buckets = json!([{"up_to_ms": 2, "count": 8}, {"up_to_ms": 5, "count": 11}]);
     let quota = json!({
--- a/crates/traffic/tests/answers.rs
+++ b/crates/traffic/tests/answers.rs
@@ -1,5 +1,5 @@
-//! What instances may send back, byte for byte, and what the dispatcher makes of it: only a whole
-//! answer is one, and one that was never sent is told apart from one in doubt.
+//! Raw bytes that instances may send back, and the outcomes that the dispatcher reports for them: only a complete answer
+//! counts as one, and a request that was never sent is distinguished from one that may have run.
 
 use std::time::Duration;
 use test_case::test_case;
@@ -31,11 +31,11 @@
         let address = listener.local_addr().unwrap().to_string();
         tokio::task::spawn_local(async move {
             let (mut stream, _) = listener.accept().await.unwrap();
-            let mut asked = Vec::new();
-            while !asked.ends_with(b"work") {
+            let mut received = Vec::new();
+            while !received.ends_with(b"work") {
                 let mut buffer = [0u8; 1024];
                 let count = stream.read(&mut buffer).await.unwrap();
-                asked.extend_from_slice(&buffer[..count]);
+                received.extend_from_slice(&buffer[..count]);
             }
             let _ = stream.write_all(&answer).await;
         });
@@ -43,18 +43,21 @@
     })
 }
 
-fn http(words: &str) -> Vec<u8> {
-    words.replace('\n', "\r\n").into_bytes()
+fn http_bytes(text: &str) -> Vec<u8> {
+    text.replace('\n', "\r\n").into_bytes()
 }
 
 #[test_case("HTTP/1.1 200 OK\ncontent-length: 5\n\nwhole", 200, "whole"; "a declared length met")]
 #[test_case("HTTP/1.1 200 OK\ntransfer-encoding: chunked\n\n5\nwhole\n0\n\n", 200, "whole"; "chunks to their end")]
 #[test_case("HTTP/1.1 204 No Content\n\n", 204, ""; "no content")]
-#[test_case("HTTP/1.1 503 Busy\ncontent-length: 0\n\n", 503, ""; "its own refusal")]
-fn a_complete_answer_is_passed_on(words: &str, wanted: u16, text: &str) {
-    match outcome(http(words)) {
+#[test_case("HTTP/1.1 503 Busy\ncontent-length: 0\n\n", 503, ""; "a refusal by the instance")]
+fn a_complete_answer_is_passed_on(answer: &str, expected_status: u16, expected_body: &str) {
+    match outcome(http_bytes(answer)) {
         DispatchOutcome::Complete { status, body, turned_away, .. } => {
-            assert_eq!((status, body, turned_away), (wanted, text.as_bytes().to_vec(), wanted == 503));
+            assert_eq!(
+                (status, body, turned_away),
+                (expected_status, expected_body.as_bytes().to_vec(), expected_status == 503)
+            );
         }
         other => panic!("{other:?}"),
     }
@@ -63,21 +66,21 @@
 #[test_case("HTTP/1.1 200 OK\ncontent-length: 9\n\nshort"; "shorter than declared")]
 #[test_case("HTTP/1.1 200 OK\ncontent-length: 5\n\nwhole and more"; "longer than declared")]
 #[test_case("HTTP/1.1 200 OK\n\nuntil it closes"; "no length")]
-#[test_case("HTTP/1.1 200 OK\ntransfer-encoding: chunked\n\n5\nwhole\n"; "chunks cut")]
-#[test_case("HTTP/1.1 200 OK\ntransfer-encoding: chunked\n\nzz\nwhole\n0\n\n"; "chunks of no size")]
+#[test_case("HTTP/1.1 200 OK\ntransfer-encoding: chunked\n\n5\nwhole\n"; "chunks cut off")]
+#[test_case("HTTP/1.1 200 OK\ntransfer-encoding: chunked\n\nzz\nwhole\n0\n\n"; "invalid chunk size")]
 #[test_case("HTTP/1.1 200 OK\ncontent-length: 5\ncontent-length: 6\n\nwhole"; "two lengths")]
-#[test_case("HTTP/1.1 200 OK\ncontent-length: 99999999\n\nwhole"; "a length beyond bounds")]
-#[test_case("HTTP/1.1 200 OK\ncontent-le"; "a cut head")]
+#[test_case("HTTP/1.1 200 OK\ncontent-length: 99999999\n\nwhole"; "a length over the limit")]
+#[test_case("HTTP/1.1 200 OK\ncontent-le"; "a head cut off")]
 #[test_case("\u{1}\u{2}garbage\n\n"; "garbage")]
 #[test_case(""; "nothing")]
-fn anything_less_is_in_doubt(words: &str) {
-    let reported = outcome(http(words));
+fn an_incomplete_or_malformed_answer_leaves_the_outcome_in_doubt(answer: &str) {
+    let reported = outcome(http_bytes(answer));
     assert!(matches!(reported, DispatchOutcome::InDoubt { .. }), "{reported:?}");
 }
 
 #[test]
-fn an_oversized_answer_is_in_doubt_and_a_closed_listener_was_never_sent_to() {
-    let mut long = http("HTTP/1.1 200 OK\ncontent-length: 5000000\n\n");
+fn an_oversized_answer_is_in_doubt_and_a_closed_listener_is_unreachable() {
+    let mut long = http_bytes("HTTP/1.1 200 OK\ncontent-length: 5000000\n\n");
     long.extend(std::iter::repeat_n(b'x', 5_000_000));
     assert!(matches!(outcome(long), DispatchOutcome::InDoubt { .. }));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
--- a/crates/traffic/tests/consumers.rs
+++ b/crates/traffic/tests/consumers.rs
@@ -1,4 +1,4 @@
-//! Whose request it is: the API key alone says so, as it stands in the newest configuration.
+//! Identification of consumers by their API keys alone, under the newest configuration.
 
 mod common;
 
@@ -29,7 +29,13 @@
     front
 }
 
-fn ask(front: &mut Front, at: u64, may_serve: bool, path: &str, api_key: Option<&str>) -> Vec<FrontOutput> {
+fn send_request_with_key(
+    front: &mut Front,
+    at: u64,
+    may_serve: bool,
+    path: &str,
+    api_key: Option<&str>,
+) -> Vec<FrontOutput> {
     let head = RequestHead { method: "POST".into(), target: path.into(), headers: Vec::new().into() };
     let api_key = api_key.map(str::to_owned);
     let (host, path, key) = (String::new(), path.to_owned(), Some("order-7".to_owned()));
@@ -52,28 +58,30 @@
 }
 
 #[test]
-fn a_consumer_is_known_by_its_key_and_named_to_instances() {
+fn a_consumer_is_identified_by_its_key_and_named_to_instances() {
     let mut front = front_with_header();
-    let (request, consumer) = forwarded(&ask(&mut front, 1, true, "/t/closed", Some("k-1"))).expect("it is forwarded");
+    let (request, consumer) =
+        forwarded(&send_request_with_key(&mut front, 1, true, "/t/closed", Some("k-1"))).expect("it is forwarded");
     assert_eq!(consumer, "t/ada");
     assert_eq!(headers(&request), [("x-consumer".to_owned(), b"ADA".to_vec())]);
 }
 
 #[test_case(None; "without a key")]
-#[test_case(Some("k-2"); "with a key of nobody")]
-#[test_case(Some(""); "with two keys or none that can be read")]
-fn nobody_in_particular_gets_to_public_routes_only(api_key: Option<&str>) {
+#[test_case(Some("k-2"); "with an unknown key")]
+#[test_case(Some(""); "with a repeated or unreadable key")]
+fn a_caller_without_a_valid_key_reaches_public_routes_only(api_key: Option<&str>) {
     let mut front = front_with_header();
-    let refused = ask(&mut front, 1, true, "/t/closed", api_key);
+    let refused = send_request_with_key(&mut front, 1, true, "/t/closed", api_key);
     assert_eq!(reply(&refused).map(|reply| reply.status), Some(401));
-    let (request, consumer) = forwarded(&ask(&mut front, 2, true, "/t/open", api_key)).expect("it is forwarded");
+    let (request, consumer) =
+        forwarded(&send_request_with_key(&mut front, 2, true, "/t/open", api_key)).expect("it is forwarded");
     assert_eq!((consumer.as_str(), headers(&request).len()), ("", 0));
 }
 
 #[test]
-fn a_key_that_was_taken_away_admits_no_queued_request() {
+fn a_revoked_key_admits_no_queued_request() {
     let mut front = front_with_header();
-    let queued = ask(&mut front, 1, false, "/t/closed", Some("k-1"));
+    let queued = send_request_with_key(&mut front, 1, false, "/t/closed", Some("k-1"));
     assert!(queued.is_empty(), "without a lease it waits");
     front.step(ms(2), false, FrontInput::RouteTable { routes: routes(2, r#""k-2""#) });
     let outputs = front.step(ms(40), true, FrontInput::Tick);
@@ -81,12 +89,12 @@
     assert!(forwarded(&outputs).is_none());
 }
 
-/// Its key was taken away or given to another consumer, or its route is gone, after it may have run.
-#[test_case(r#""k-2""#, true; "the key is nobody's")]
-#[test_case(r#""k-1""#, false; "the route is gone")]
-fn a_request_in_doubt_is_answered_so_at_once(keys: &str, has_route: bool) {
+/// The request may have run before its key was revoked or its route removed.
+#[test_case(r#""k-2""#, true; "the key is revoked")]
+#[test_case(r#""k-1""#, false; "the route is removed")]
+fn a_request_in_doubt_is_answered_at_once_when_its_key_or_route_is_removed(keys: &str, has_route: bool) {
     let mut front = front_with_header();
-    forwarded(&ask(&mut front, 1, true, "/t/closed", Some("k-1"))).expect("it is forwarded");
+    forwarded(&send_request_with_key(&mut front, 1, true, "/t/closed", Some("k-1"))).expect("it is forwarded");
     front.step(ms(20), true, FrontInput::Link { id: OTHER, up: false });
     let table = if has_route { routes(2, keys) } else { Rc::new(RouteTable::build(2, 2, [].into_iter())) };
     let outputs = front.step(ms(60), true, FrontInput::RouteTable { routes: table });
@@ -96,9 +104,9 @@
 }
 
 #[test]
-fn a_key_that_went_to_another_consumer_is_no_second_operation() {
+fn a_key_moved_to_another_consumer_starts_no_second_operation() {
     let mut front = front_with_header();
-    forwarded(&ask(&mut front, 1, true, "/t/closed", Some("k-1"))).expect("it is forwarded");
+    forwarded(&send_request_with_key(&mut front, 1, true, "/t/closed", Some("k-1"))).expect("it is forwarded");
     front.step(ms(20), true, FrontInput::Link { id: OTHER, up: false });
     let pairs: [(&str, &[u8]); 2] = [
         ("function-bindings/t/closed", br#"{"route":"/t/closed","function":"f","class":"once"}"#),
@@ -112,14 +120,14 @@
 }
 
 #[test]
-fn without_consumers_no_key_is_asked_for() {
+fn without_consumers_no_key_is_required() {
     let mut front = front(1, OTHER);
     let outputs = common::send_request(&mut front, 1, true, "/t/f");
     assert!(matches!(&outputs[0], FrontOutput::Forward { message: ForwardMessage::Forward { .. }, .. }));
 }
 
 #[test]
-fn the_removal_of_the_last_consumer_opens_no_route() {
+fn removing_the_last_consumer_opens_no_route() {
     let mut front = front_with_header();
     let pairs: [(&str, &[u8]); 3] = [
         ("function-bindings/t/closed", br#"{"route":"/t/closed","function":"f","class":"once"}"#),
@@ -129,8 +137,8 @@
     let emptied = Rc::new(RouteTable::build(2, 2, pairs.into_iter()));
     front.step(ms(1), true, FrontInput::RouteTable { routes: emptied });
     for (at, key) in [(2, None), (3, Some("k-1"))] {
-        let refused = ask(&mut front, at, true, "/t/closed", key);
+        let refused = send_request_with_key(&mut front, at, true, "/t/closed", key);
         assert_eq!(reply(&refused).map(|reply| reply.status), Some(401), "{key:?}");
     }
-    assert!(forwarded(&ask(&mut front, 4, true, "/t/open", None)).is_some());
+    assert!(forwarded(&send_request_with_key(&mut front, 4, true, "/t/open", None)).is_some());
 }
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -1,4 +1,4 @@
-//! The front's and the owner's promises that a failure once broke.
+//! Guarantees of the front and the owner that earlier versions broke.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_answer_to_the_incarnation_before_finds_no_task() {
+fn an_answer_to_an_earlier_incarnation_is_ignored() {
     let (old, _) = forward(&send_request(&mut front(1, OTHER), 5, true, "/t/f"));
     let mut next = front(2, OTHER);
     let (new, _) = forward(&send_request(&mut next, 5, true, "/t/f"));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_task_whose_owner_was_lost_is_never_called_not_run() {
+fn a_request_whose_owner_was_lost_is_never_answered_as_not_run() {
     let mut front = front(1, OTHER);
     send_request(&mut front, 5, true, "/t/f");
     front.step(ms(20), true, FrontInput::Link { id: OTHER, up: false });
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn without_a_proof_tasks_wait_and_are_given_up_with_a_time_to_come_back() {
+fn without_a_lease_requests_wait_and_are_refused_before_their_deadline_with_retry_after() {
     let mut front = front(1, OTHER);
     assert!(send_request(&mut front, 0, false, "/t/f").is_empty());
     assert!(front.step(ms(3000), false, FrontInput::Tick).is_empty());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_owner_lets_a_forward_in_once_however_often_it_comes() {
+fn an_owner_accepts_a_repeated_forward_only_once() {
     let mut owner = FunctionOwner::new(OTHER, 1, OwnerSettings::default());
     owner.step(ms(0), true, OwnerInput::RouteTable { routes: routes() });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
@@ -71,11 +71,11 @@
     }
     assert_eq!((refused, owner.depths().0), (1, 0));
     owner.step(ms(5100), true, OwnerInput::Forward { from: ME, message });
-    assert_eq!(owner.depths().0, 0, "let in again after its answer");
+    assert_eq!(owner.depths().0, 0, "the request is accepted again after its answer");
 }
 
 #[test]
-fn a_task_that_cannot_be_served_in_time_is_refused_at_once_not_near_its_deadline() {
+fn a_request_that_cannot_be_served_in_time_is_refused_on_arrival() {
     use instance_provider::{ProviderReport, StartReply};
     use traffic::DispatchOutcome;
     let mut owner = FunctionOwner::new(OTHER, 1, OwnerSettings::default());
@@ -122,17 +122,18 @@
             }
         }
     }
-    // One instance, one task at a time, half a second each, fifty tasks a second: once an answer has
-    // taken its time, about seven are worth holding, the others are told so as they come.
-    assert!(owner.depths().0 < 16, "{} are held", owner.depths().0);
+    // One instance runs one request at a time for half a second, and fifty requests arrive each second. Once the first
+    // answer has shown how long a request takes, about seven are worth queueing; the others are refused on arrival.
+    assert!(owner.depths().0 < 16, "{} requests are queued", owner.depths().0);
     assert!(refused.len() > 200 && refused.iter().all(|(_, again)| *again >= 250));
     let early = refused.iter().filter(|(at, _)| *at < 5500).count();
-    assert!(early > 80, "only {early} were refused before the first deadline");
+    assert!(early > 80, "only {early} requests were refused before the first deadline");
 }
 
-/// A key in work is told so, unless it may be this very request that an owner was lost with.
+/// A conflict with an operation in progress is reported, unless that operation may be this same request, which an owner
+/// was lost with.
 #[test]
-fn a_key_in_work_is_told_as_it_is() {
+fn a_key_in_progress_is_reported_unless_the_operation_may_be_this_request() {
     for (lost, status) in [(false, 409), (true, 504)] {
         let mut front = front(1, OTHER);
         let (mut task, _) = forward(&send_request(&mut front, 5, true, "/t/f"));
--- a/crates/traffic/tests/quotas.rs
+++ b/crates/traffic/tests/quotas.rs
@@ -1,5 +1,5 @@
-//! Limits of consumers at the front: requests wait for credits, who is over is refused early, the credit of what did
-//! not run admits another, and routers grant each other credits.
+//! Consumers' limits at the front: requests wait for credits, requests over the limit are refused early, the credit of a
+//! request that did not run admits another one, and routers grant each other credits.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use traffic::{Call, Front, FrontInput, FrontLimits, FrontOutput};
 use wire::{Blob, ForwardMessage, Outcome, QuotaGrant, QuotaRequest, RequestHead};
 
-fn routes_of(version: u64, name: &str, consumer: &str) -> Rc<RouteTable> {
+fn routes_with_consumer(version: u64, name: &str, consumer: &str) -> Rc<RouteTable> {
     let pairs: [(&str, &[u8]); 2] = [
         ("function-bindings/t/f", br#"{"route":"/t/f","function":"f","class":"ordinary","attempts":3}"#),
         (name, consumer.as_bytes()),
@@ -18,15 +18,15 @@
 }
 
 fn routes(consumer: &str) -> Rc<RouteTable> {
-    routes_of(1, "consumers/t/ada", consumer)
+    routes_with_consumer(1, "consumers/t/ada", consumer)
 }
 
-/// The API key is another consumer's.
-fn key_moved() -> Rc<RouteTable> {
-    routes_of(2, "consumers/t/bea", LIMITED)
+/// Returns routes in which the API key belongs to another consumer.
+fn routes_with_moved_key() -> Rc<RouteTable> {
+    routes_with_consumer(2, "consumers/t/bea", LIMITED)
 }
 
-/// One whose requests are owned, and whose credits are granted, by another.
+/// Returns a front whose owner and granter is another router.
 fn front(consumer: &str) -> Front {
     let mut front = Front::new(ME, 1, FrontLimits::default());
     front.step(ms(0), true, FrontInput::Membership { membership: membership(1, &[OTHER]) });
@@ -35,7 +35,7 @@
     front
 }
 
-fn ask(front: &mut Front, request_id: u64, at: u64) -> Vec<FrontOutput> {
+fn send_limited_request(front: &mut Front, request_id: u64, at: u64) -> Vec<FrontOutput> {
     let head = RequestHead { method: "GET".into(), target: "/t/f".into(), headers: Vec::new().into() };
     let call = Call {
         host: String::new(),
@@ -50,11 +50,11 @@
     front.step(ms(at), true, FrontInput::Task { request_id, call })
 }
 
-fn told(front: &mut Front, at: u64, message: ForwardMessage) -> Vec<FrontOutput> {
+fn receive(front: &mut Front, at: u64, message: ForwardMessage) -> Vec<FrontOutput> {
     front.step(ms(at), true, FrontInput::Message { from: OTHER, message })
 }
 
-/// The request for credits among what the front sends.
+/// Returns the request for credits among the outputs.
 fn quota_request(outputs: &[FrontOutput]) -> Option<QuotaRequest> {
     outputs.iter().find_map(|output| match output {
         FrontOutput::Forward { to: OTHER, message: ForwardMessage::QuotaRequest { request } } => Some(request.clone()),
@@ -62,12 +62,13 @@
     })
 }
 
-fn granted(front: &mut Front, at: u64, number: u64, granted: u32, retry_after_ms: u32) -> Vec<FrontOutput> {
-    told(front, at, ForwardMessage::QuotaGrant { grant: QuotaGrant { number, granted, retry_after_ms } })
+fn receive_grant(front: &mut Front, at: u64, number: u64, granted: u32, retry_after_ms: u32) -> Vec<FrontOutput> {
+    receive(front, at, ForwardMessage::QuotaGrant { grant: QuotaGrant { number, granted, retry_after_ms } })
 }
 
-/// The number of a request for credits that is sent once the granter's link has been down for a while, and when.
-fn asked_again(front: &mut Front) -> (u64, u64) {
+/// Ticks until the front requests credits again after its granter's link went down. Returns the number of the request and
+/// its time.
+fn next_quota_request(front: &mut Front) -> (u64, u64) {
     let asked = (1..50).map(|step| step * 20).find_map(|at| {
         let request = quota_request(&front.step(ms(at), true, FrontInput::Tick));
         request.map(|request| (request.number, at))
@@ -75,13 +76,13 @@
     asked.expect("the granter is asked again after a while")
 }
 
-/// Asks, has the credit granted, and returns the number under which the request is forwarded.
-fn admitted(front: &mut Front, request_id: u64, at: u64) -> u64 {
-    let request = quota_request(&ask(front, request_id, at)).expect("a credit is asked for");
-    forward_of(&granted(front, at, request.number, 1, 0))
+/// Sends a request, grants its credit, and returns the number of its forward.
+fn send_admitted_request(front: &mut Front, request_id: u64, at: u64) -> u64 {
+    let request = quota_request(&send_limited_request(front, request_id, at)).expect("a credit is asked for");
+    forward_number(&receive_grant(front, at, request.number, 1, 0))
 }
 
-fn forward_of(outputs: &[FrontOutput]) -> u64 {
+fn forward_number(outputs: &[FrontOutput]) -> u64 {
     let forwarded = outputs.iter().find_map(|output| match output {
         FrontOutput::Forward { message, .. } => message.clone().into_forwarded(),
         FrontOutput::Reply { .. } => None,
@@ -94,22 +95,22 @@
 #[test]
 fn a_request_waits_for_a_credit_and_is_forwarded_with_it() {
     let mut front = front(LIMITED);
-    let outputs = ask(&mut front, 1, 1);
+    let outputs = send_limited_request(&mut front, 1, 1);
     assert_eq!(outputs.len(), 1, "nothing is forwarded: {outputs:?}");
     let request = quota_request(&outputs).expect("a credit is asked for");
     assert_eq!(front.quota_status(ms(2))["waiting"], 1);
-    forward_of(&granted(&mut front, 2, request.number, 1, 0));
+    forward_number(&receive_grant(&mut front, 2, request.number, 1, 0));
     assert_eq!(front.quota_status(ms(2))["waiting"], 0);
 }
 
 #[test]
-fn one_over_its_limit_is_refused_before_any_work() {
+fn a_request_over_its_limit_is_refused_before_it_is_forwarded() {
     let mut front = front(LIMITED);
-    let request = quota_request(&ask(&mut front, 1, 1)).expect("a credit is asked for");
-    let outputs = granted(&mut front, 2, request.number, 0, 700);
+    let request = quota_request(&send_limited_request(&mut front, 1, 1)).expect("a credit is asked for");
+    let outputs = receive_grant(&mut front, 2, request.number, 0, 700);
     let first = reply(&outputs).expect("an answer as soon as nothing is granted");
     assert_eq!((first.status, first.outcome), (429, Some(Outcome::NotRun)));
-    let outputs = ask(&mut front, 2, 3);
+    let outputs = send_limited_request(&mut front, 2, 3);
     assert_eq!(outputs.len(), 1, "nothing is forwarded or asked for: {outputs:?}");
     let second = reply(&outputs).expect("an answer at once");
     assert_eq!((second.status, second.outcome), (429, Some(Outcome::NotRun)));
@@ -118,77 +119,77 @@
 }
 
 #[test]
-fn the_credit_of_what_did_not_run_admits_another_until_it_expires() {
+fn the_credit_of_a_request_that_did_not_run_admits_another_until_it_expires() {
     let mut front = front(LIMITED);
-    let task = admitted(&mut front, 1, 1);
+    let task = send_admitted_request(&mut front, 1, 1);
     let (head, body) = (Blob::default(), Blob::default());
     let refused =
         ForwardMessage::Answer { task, outcome: Outcome::NotRun, status: 503, retry_after_ms: 100, head, body };
-    told(&mut front, 2, refused.clone());
-    let second = ask(&mut front, 2, 3);
-    assert_eq!(quota_request(&second), None, "the credit is there");
+    receive(&mut front, 2, refused.clone());
+    let second = send_limited_request(&mut front, 2, 3);
+    assert_eq!(quota_request(&second), None, "the refunded credit is used");
     let ForwardMessage::Answer { outcome, status, retry_after_ms, head, body, .. } = refused else { unreachable!() };
-    let again = ForwardMessage::Answer { task: forward_of(&second), outcome, status, retry_after_ms, head, body };
-    told(&mut front, 4, again);
-    assert!(quota_request(&ask(&mut front, 3, 2000)).is_some(), "it has expired");
+    let again = ForwardMessage::Answer { task: forward_number(&second), outcome, status, retry_after_ms, head, body };
+    receive(&mut front, 4, again);
+    assert!(quota_request(&send_limited_request(&mut front, 3, 2000)).is_some(), "the credit has expired");
 }
 
 #[test]
-fn a_request_whose_caller_left_before_it_was_forwarded_gives_its_credit_back() {
+fn the_credit_of_a_request_whose_caller_left_before_the_forward_is_refunded() {
     let mut front = front(LIMITED);
     front.step(ms(1), true, FrontInput::Link { id: OTHER, up: false });
-    ask(&mut front, 1, 2);
-    let (number, at) = asked_again(&mut front);
-    granted(&mut front, at + 1, number, 1, 0);
+    send_limited_request(&mut front, 1, 2);
+    let (number, at) = next_quota_request(&mut front);
+    receive_grant(&mut front, at + 1, number, 1, 0);
     front.step(ms(at + 2), true, FrontInput::CallerGone { request_id: 1 });
     front.step(ms(at + 3), true, FrontInput::Link { id: OTHER, up: true });
-    forward_of(&ask(&mut front, 2, at + 4));
+    forward_number(&send_limited_request(&mut front, 2, at + 4));
 }
 
 #[test]
-fn a_request_whose_key_moved_to_another_consumer_counts_for_that_one() {
+fn a_request_whose_key_moved_to_another_consumer_needs_a_credit_of_that_consumer() {
     let mut front = front(LIMITED);
     front.step(ms(1), true, FrontInput::Link { id: OTHER, up: false });
-    ask(&mut front, 1, 2);
-    let (number, at) = asked_again(&mut front);
-    // It is admitted, and waits for a link to the owner.
-    granted(&mut front, at + 1, number, 50, 0);
-    let mut outputs = front.step(ms(at + 2), true, FrontInput::RouteTable { routes: key_moved() });
+    send_limited_request(&mut front, 1, 2);
+    let (number, at) = next_quota_request(&mut front);
+    // The request is admitted, and waits for a link to the owner.
+    receive_grant(&mut front, at + 1, number, 50, 0);
+    let mut outputs = front.step(ms(at + 2), true, FrontInput::RouteTable { routes: routes_with_moved_key() });
     outputs.extend(front.step(ms(at + 3), true, FrontInput::Link { id: OTHER, up: true }));
     let forwards = outputs.iter().filter(|output| {
         matches!(output, FrontOutput::Forward { message: ForwardMessage::ForwardForConsumer { .. }, .. })
     });
-    assert_eq!(forwards.count(), 0, "no credit of the new consumer is there: {outputs:?}");
+    assert_eq!(forwards.count(), 0, "the new consumer has no credit: {outputs:?}");
 }
 
 #[test]
-fn a_request_in_doubt_is_not_told_that_it_never_ran_where_its_key_moved_to_one_at_its_limit() {
+fn a_request_in_doubt_is_not_answered_as_not_run_when_its_key_moved_to_a_consumer_at_its_limit() {
     let mut front = front(LIMITED);
-    admitted(&mut front, 1, 1);
+    send_admitted_request(&mut front, 1, 1);
     front.step(ms(2), true, FrontInput::Link { id: OTHER, up: false });
-    front.step(ms(3), true, FrontInput::RouteTable { routes: key_moved() });
+    front.step(ms(3), true, FrontInput::RouteTable { routes: routes_with_moved_key() });
     front.step(ms(4), true, FrontInput::Link { id: OTHER, up: true });
-    let (number, at) = asked_again(&mut front);
-    let outputs = granted(&mut front, at + 1, number, 0, 900);
+    let (number, at) = next_quota_request(&mut front);
+    let outputs = receive_grant(&mut front, at + 1, number, 0, 900);
     let reply = reply(&outputs).expect("it is answered");
     assert_eq!((reply.status, reply.outcome), (504, Some(Outcome::Unknown)));
 }
 
 #[test]
-fn a_further_attempt_at_a_request_costs_a_credit() {
+fn a_further_attempt_of_a_request_costs_a_credit() {
     let mut front = front(LIMITED);
-    let task = admitted(&mut front, 1, 1);
-    let outputs = told(&mut front, 2, ForwardMessage::AttemptRequest { task, attempts: 2 });
+    let task = send_admitted_request(&mut front, 1, 1);
+    let outputs = receive(&mut front, 2, ForwardMessage::AttemptRequest { task, attempts: 2 });
     let owed = quota_request(&outputs).expect("the credit for it is asked for");
-    granted(&mut front, 3, owed.number, 1, 0);
-    let outputs = ask(&mut front, 2, 4);
-    assert!(quota_request(&outputs).is_some(), "the one that came is spent: {outputs:?}");
+    receive_grant(&mut front, 3, owed.number, 1, 0);
+    let outputs = send_limited_request(&mut front, 2, 4);
+    assert!(quota_request(&outputs).is_some(), "the granted credit is spent: {outputs:?}");
 }
 
 #[test]
-fn a_granter_that_does_not_answer_delays_no_request_past_its_patience() {
+fn a_request_is_refused_in_time_when_its_granter_does_not_answer() {
     let mut front = front(LIMITED);
-    ask(&mut front, 1, 1);
+    send_limited_request(&mut front, 1, 1);
     let outputs: Vec<FrontOutput> =
         (1..400).flat_map(|step| front.step(ms(step * 20), true, FrontInput::Tick)).collect();
     assert!(quota_request(&outputs).is_some(), "it is asked again");
@@ -197,19 +198,19 @@
 }
 
 #[test]
-fn one_without_a_limit_needs_no_credit() {
+fn a_consumer_without_a_limit_needs_no_credit() {
     let mut front = front(r#"{"keys":["k-1"]}"#);
     for n in 1..200 {
-        let outputs = ask(&mut front, n, n);
-        forward_of(&outputs);
+        let outputs = send_limited_request(&mut front, n, n);
+        forward_number(&outputs);
         assert_eq!(quota_request(&outputs), None);
     }
 }
 
 #[test]
-fn only_a_router_with_a_lease_and_a_share_grants() {
+fn only_a_granter_with_a_lease_grants_credits() {
     let mut asking = front(LIMITED);
-    let request = quota_request(&ask(&mut asking, 1, 1)).expect("a credit is asked for");
+    let request = quota_request(&send_limited_request(&mut asking, 1, 1)).expect("a credit is asked for");
     let grant = |granter: &mut Front, may_serve: bool| {
         let message = ForwardMessage::QuotaRequest { request: request.clone() };
         let outputs = granter.step(ms(9000), may_serve, FrontInput::Message { from: OTHER, message });
--- a/crates/traffic/tests/settings_names.rs
+++ b/crates/traffic/tests/settings_names.rs
@@ -1,5 +1,5 @@
-//! The names and defaults of the settings, which operators' files rely on, as they were listed before any
-//! type or field of the code was renamed.
+//! Names and defaults of the settings. Operators' files rely on them, so they must not change when types or fields of the
+//! code are renamed. The list was recorded before any such renaming.
 
 use config::Settings;
 use std::fmt::Write;
