--- a/crates/traffic/src/front_passes.rs
+++ b/crates/traffic/src/front_passes.rs
@@ -2,7 +2,7 @@
 //! their deadline. Also the conversion of an owner's answer to the reply for the caller.
 
 use crate::front::{BASE_RETRY_AFTER, Front, RETRY_INTERVAL};
-use crate::front_types::{Reply, Stage};
+use crate::front_types::{FrontOutput, Reply, Stage};
 use bindings::Class;
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome};
