--- a/crates/traffic/src/caller_server_tests.rs
+++ b/crates/traffic/src/caller_server_tests.rs
@@ -54,9 +54,9 @@
                 _ => None,
             }
         };
-        let asked = service.call(request);
+        let response = service.call(request);
         drop(service);
-        let (call, response) = tokio::join!(serve, asked);
+        let (call, response) = tokio::join!(serve, response);
         (call, response.expect("the server responds"))
     })
 }
@@ -114,8 +114,8 @@
 fn an_answer_recorded_for_an_earlier_request_has_the_id_of_this_one() {
     let line = wire::HeaderField { name: "x-id".into(), value: b"first".to_vec().into() };
     let head = wire::to_bytes(&AnswerHead { headers: vec![line].into() });
-    let kept = Reply { head, ..completed_reply() };
-    let (_, response) = exchange(another_dialect(), request(&[("x-id", "second")], ""), kept);
+    let recorded = Reply { head, ..completed_reply() };
+    let (_, response) = exchange(another_dialect(), request(&[("x-id", "second")], ""), recorded);
     assert_eq!(text(response.headers(), "x-id"), "second");
 }
 
--- a/crates/traffic/src/declared_views.rs
+++ b/crates/traffic/src/declared_views.rs
@@ -43,7 +43,7 @@
             self.plans.clear();
         }
         let mut changed: Vec<(String, Value)> = Vec::new();
-        let rebuilt = self.plans.is_empty();
+        let is_rebuilt = self.plans.is_empty();
         let mut current_plans = BTreeMap::new();
         for (name, status) in owner.plans() {
             if self.plans.get(name) != Some(&status) {
@@ -56,7 +56,7 @@
         }
         let removed: Vec<String> =
             self.plans.keys().filter(|name| !current_plans.contains_key(*name)).cloned().collect();
-        if !rebuilt && changed.is_empty() && removed.is_empty() {
+        if !is_rebuilt && changed.is_empty() && removed.is_empty() {
             return;
         }
         self.plans = current_plans;
@@ -67,7 +67,7 @@
         self.index.send_if_modified(|index| {
             let mut has_changed = index.keep_only(routes.revision, is_kept);
             let declared = items.iter().filter(|(key, _)| {
-                rebuilt && key.strip_prefix("headcount-plans/").is_none_or(|name| !plans.contains_key(name))
+                is_rebuilt && key.strip_prefix("headcount-plans/").is_none_or(|name| !plans.contains_key(name))
             });
             let without_plan =
                 removed.iter().filter_map(|name| items.get_key_value(&format!("headcount-plans/{name}")));
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -29,8 +29,8 @@
     pub(crate) task_by_request_id: BTreeMap<u64, u64>,
     pub(crate) task_by_forward_id: BTreeMap<u64, u64>,
     pub(crate) requests_per_tenant: BTreeMap<String, usize>,
-    pub(crate) linked: BTreeSet<NodeId>,
-    pub(crate) watched: BTreeMap<NodeId, OwnerWatch>,
+    pub(crate) linked_nodes: BTreeSet<NodeId>,
+    pub(crate) owner_watches: BTreeMap<NodeId, OwnerWatch>,
     pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) membership: Rc<Membership>,
     pub(crate) last_id: u64,
@@ -54,8 +54,8 @@
             task_by_request_id: BTreeMap::new(),
             task_by_forward_id: BTreeMap::new(),
             requests_per_tenant: BTreeMap::new(),
-            linked: BTreeSet::new(),
-            watched: BTreeMap::new(),
+            linked_nodes: BTreeSet::new(),
+            owner_watches: BTreeMap::new(),
             routes: None,
             membership: Rc::default(),
             last_id: first_request_number(incarnation),
@@ -84,12 +84,12 @@
                 self.handle_message(from, message)
             }
             FrontInput::Link { id, up: true } => {
-                self.linked.insert(id);
+                self.linked_nodes.insert(id);
                 self.attempt_waiting(id);
             }
             FrontInput::Link { id, up: false } => {
-                self.linked.remove(&id);
-                self.watched.remove(&id);
+                self.linked_nodes.remove(&id);
+                self.owner_watches.remove(&id);
                 self.quota_link_down(id);
                 self.handle_owner_loss(|owner| owner == id);
             }
@@ -104,7 +104,7 @@
                 self.membership = membership;
                 let members: BTreeSet<NodeId> = self.membership.members.iter().map(|member| member.id).collect();
                 self.handle_owner_loss(|owner| !members.contains(&owner));
-                self.watched.retain(|owner, _| members.contains(owner));
+                self.owner_watches.retain(|owner, _| members.contains(owner));
                 self.process_requests();
             }
             FrontInput::MembershipLost => self.quota.granter.handle_membership_loss(now),
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -12,11 +12,15 @@
 /// A caller's request.
 #[derive(Clone, Debug)]
 pub struct Call {
+    /// Host that the request is sent to, for the choice of the route.
     pub host: String,
+    /// Path without the query, for the choice of the route.
     pub path: String,
     /// How long the caller waits, if it says so.
     pub deadline: Option<Duration>,
+    /// Method, target and forwarded headers.
     pub head: RequestHead,
+    /// Complete body.
     pub body: Vec<u8>,
     /// Idempotency key.
     pub key: Option<String>,
@@ -29,10 +33,15 @@
 /// Answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
+    /// What is known of the request's execution; `None` for errors of the request itself.
     pub outcome: Option<Outcome>,
+    /// HTTP status code.
     pub status: u16,
+    /// Time after which the caller may try again; zero for none.
     pub retry_after: Duration,
+    /// Encoded response headers; empty for a reply that the router makes itself.
     pub head: Vec<u8>,
+    /// Response body.
     pub body: Vec<u8>,
     /// Error text for a reply without a body.
     pub detail: &'static str,
@@ -54,44 +63,36 @@
 /// Input of the front's state machine.
 pub enum FrontInput {
     /// A caller's request.
-    Task {
-        request_id: u64,
-        call: Call,
-    },
+    Task { request_id: u64, call: Call },
     /// A message from another router, or from the owner in this one.
-    Message {
-        from: NodeId,
-        message: ForwardMessage,
-    },
-    Link {
-        id: NodeId,
-        up: bool,
-    },
-    RouteTable {
-        routes: Rc<RouteTable>,
-    },
-    Membership {
-        membership: Rc<Membership>,
-    },
+    Message { from: NodeId, message: ForwardMessage },
+    /// A link to another router came up or went down.
+    Link { id: NodeId, up: bool },
+    /// A new route table is in force.
+    RouteTable { routes: Rc<RouteTable> },
+    /// A new membership is in force.
+    Membership { membership: Rc<Membership> },
     /// This router was removed from the membership.
     MembershipLost,
     /// The caller closed its connection before it was answered.
-    CallerGone {
-        request_id: u64,
-    },
+    CallerGone { request_id: u64 },
+    /// Time has passed.
     Tick,
 }
 
 /// Output of the front's state machine.
 #[derive(Debug, PartialEq)]
 pub enum FrontOutput {
+    /// Answer a caller.
     Reply { request_id: u64, reply: Reply },
+    /// Send a message to a router, which may be this one.
     Forward { to: NodeId, message: ForwardMessage },
 }
 
 /// Header that tells instances the consumer whose request they run.
 #[derive(Clone, Debug)]
 pub struct ConsumerHeader {
+    /// Name of the header.
     pub name: String,
     /// Converts the name of a consumer to the form that instances get.
     pub format_name: fn(&str) -> String,
@@ -102,6 +103,7 @@
 pub struct FrontLimits {
     /// Maximum number of open requests.
     pub max_requests: usize,
+    /// Maximum number of open requests of one tenant.
     pub max_requests_per_tenant: usize,
     /// Time before its deadline at which a request that still waits is answered.
     pub reply_margin: Duration,
@@ -109,6 +111,7 @@
     pub answer_grace: Duration,
     /// Usual time from an owner's last heartbeat until it is back or another router is the owner.
     pub owner_recovery_time: Duration,
+    /// `None` if instances are not told the consumer.
     pub consumer_header: Option<ConsumerHeader>,
     /// Bounds on the error with which consumers' limits are kept.
     pub quota: QuotaBounds,
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -20,7 +20,9 @@
 /// Latest status of the traffic thread and of the control thread, as JSON.
 #[derive(Clone)]
 pub struct Views {
+    /// Status of the traffic thread.
     pub traffic: watch::Receiver<String>,
+    /// Status of the control thread.
     pub control: watch::Receiver<String>,
 }
 
--- a/crates/traffic/src/owner_liveness.rs
+++ b/crates/traffic/src/owner_liveness.rs
@@ -25,7 +25,7 @@
 impl Front {
     /// Records a frame from an owner.
     pub(crate) fn heard(&mut self, owner: NodeId) {
-        let known = self.watched.get_mut(&owner).map(std::mem::take);
+        let known = self.owner_watches.get_mut(&owner).map(std::mem::take);
         if known.is_some_and(|watched| watched.requested_at.is_some()) {
             self.attempt_waiting(owner);
         }
@@ -36,8 +36,8 @@
         if owner == self.me {
             return true;
         }
-        let (now, linked) = (self.now, self.linked.contains(&owner));
-        let watched = self.watched.entry(owner).or_default();
+        let (now, linked) = (self.now, self.linked_nodes.contains(&owner));
+        let watched = self.owner_watches.entry(owner).or_default();
         if linked && watched.unheard_since.is_none_or(|at| now <= at + MAX_SILENCE) {
             watched.unheard_since.get_or_insert(now);
             return true;
@@ -51,12 +51,12 @@
 
     /// Returns since when a silent owner has sent nothing; `None` if it is not silent.
     pub(crate) fn silent_since(&self, owner: NodeId) -> Option<Duration> {
-        self.watched.get(&owner)?.unheard_since.filter(|at| self.now > *at + MAX_SILENCE)
+        self.owner_watches.get(&owner)?.unheard_since.filter(|at| self.now > *at + MAX_SILENCE)
     }
 
     /// Forwards the requests that waited for an owner, now that it is linked or heard.
     pub(crate) fn attempt_waiting(&mut self, owner: NodeId) {
-        if !self.watched.contains_key(&owner) {
+        if !self.owner_watches.contains_key(&owner) {
             return;
         }
         let waits = |function: &str| self.membership.owner(function) == Some(owner);
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -40,9 +40,9 @@
     let started_at = Instant::now();
     let incarnation = rand::random::<u64>() >> 8;
     let me: NodeId = stable_hash(&[b"router", settings.cluster.as_bytes(), settings.address.as_bytes()]) | 1;
-    let (peers, callers, ops) =
+    let (peer_listener, caller_listener, ops_listener) =
         (listen(listen_address(&settings.bind, &settings.address))?, listen(&settings.listen)?, listen(&settings.ops)?);
-    let pages = dialect.pages_address.as_deref().map(listen).transpose()?;
+    let pages_listener = dialect.pages_address.as_deref().map(listen).transpose()?;
     event!(
         started,
         "router {me:016x} at {}, callers at {}, operations at {}",
@@ -62,7 +62,7 @@
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
     let has_declared_views = !tokens.is_empty();
     let (index, index_updates) = watch::channel(ResourceIndex::new(incarnation));
-    let (stop, stopping) = watch::channel(false);
+    let (stop, stop_signal) = watch::channel(false);
     let lease = ServingLease::default();
 
     let local_node = LocalNode {
@@ -79,9 +79,9 @@
         .map(|name| ConsumerHeader { name: name.as_str().to_owned(), format_name: dialect.http.format_consumer_name });
     let (http_dialect, server_dialect) = (dialect.http.clone(), Arc::new(dialect.http));
     let provider = dialect.provider;
-    let (names, address) = (directory.clone(), settings.platform.clone());
+    let (provider_directory, address) = (directory.clone(), settings.platform.clone());
     thread("platform", move || {
-        let traffic = find::<TrafficMessage>(&names, "traffic");
+        let traffic = find::<TrafficMessage>(&provider_directory, "traffic");
         let report: Rc<dyn Fn(instance_provider::ProviderReport)> = Rc::new(move |report| {
             let traffic = traffic.clone();
             spawn_local(async move { traffic.send_waiting(TrafficMessage::Platform(report)).await });
@@ -93,14 +93,14 @@
     let limits = caller_limits(&settings);
     let (limits_sender, limits_updates) = watch::channel(limits.clone());
     let (own_limits, server_limits) = (limits.clone(), limits.server);
-    let (link_names, names, traffic_lease) = (directory.clone(), directory.clone(), lease.clone());
+    let (link_directory, traffic_directory, traffic_lease) = (directory.clone(), directory.clone(), lease.clone());
     let owner_recovery_time = settings.hold + settings.hold / 6 + OWNER_TAKEOVER_TIME;
     let front_limits =
         FrontLimits { owner_recovery_time, consumer_header, quota: settings.quota_bounds(), ..FrontLimits::default() };
     let timing = settings.owner_settings();
     let server =
         CallerServer { traffic: find(&directory, "traffic"), dialect: server_dialect, limits: limits_updates.clone() };
-    let (caller_routes, server_stop) = (caller_server::router(server), stopping.clone());
+    let (caller_routes, server_stop) = (caller_server::router(server), stop_signal.clone());
     let traffic_thread = thread("traffic", move || {
         let plane = DataPlane {
             me,
@@ -108,9 +108,9 @@
             lease: traffic_lease,
             front: Front::new(me, incarnation, front_limits),
             owner: FunctionOwner::new(me, incarnation, timing),
-            links: find(&names, "links"),
-            dispatcher: find(&names, "dispatcher"),
-            platform: find(&names, "platform"),
+            links: find(&traffic_directory, "links"),
+            dispatcher: find(&traffic_directory, "dispatcher"),
+            platform: find(&traffic_directory, "platform"),
             view,
             caller_limits: (own_limits, limits_sender),
             declared_views: has_declared_views.then(|| DeclaredViews::new(index)),
@@ -123,25 +123,31 @@
             drained: None,
             outcome_counts: BTreeMap::new(),
         };
-        let traffic = find::<TrafficMessage>(&names, "traffic");
+        let traffic = find::<TrafficMessage>(&traffic_directory, "traffic");
         let report: dispatch::ReportHandler = Rc::new(move |report| send_report(&traffic, report));
         let limits = move || limits_updates.borrow().server;
         local(async move {
-            spawn_local(links::start(local_node, adopt(peers), links_inbox, link_event_handler(link_names)));
+            spawn_local(links::start(
+                local_node,
+                adopt(peer_listener),
+                links_inbox,
+                link_event_handler(link_directory),
+            ));
             spawn_local(dispatch::run(http_dialect, dispatch_inbox, report));
             spawn_local(plane.run(traffic_inbox));
-            http_server::serve_within(adopt(callers), caller_routes, limits, server_stop).await;
+            http_server::serve_within(adopt(caller_listener), caller_routes, limits, server_stop).await;
         });
     })?;
     let ops_limits = ServerLimits { connections: 64, life: Duration::from_secs(86_400), ..server_limits };
     let resource_pages = http_server::views(http_server::Views { index: index_updates, tokens });
-    let (views, ops_stop) = (Views { traffic: view_updates, control: control_updates }, stopping);
+    let (views, ops_stop) = (Views { traffic: view_updates, control: control_updates }, stop_signal);
     thread("operations", move || {
         local(async move {
-            if let (Some(make), Some(listener)) = (dialect.pages, pages) {
+            if let (Some(make), Some(listener)) = (dialect.pages, pages_listener) {
                 spawn_local(http_server::serve(adopt(listener), make(views.clone()), ops_limits, ops_stop.clone()));
             }
-            http_server::serve(adopt(ops), ops_router(views).merge(resource_pages), ops_limits, ops_stop).await;
+            http_server::serve(adopt(ops_listener), ops_router(views).merge(resource_pages), ops_limits, ops_stop)
+                .await;
         })
     })?;
 
@@ -208,9 +214,9 @@
     }
 }
 
-fn link_event_handler(names: Directory) -> links::Deliver {
-    let control = find::<ControlMessage>(&names, "control");
-    let traffic = find::<TrafficMessage>(&names, "traffic");
+fn link_event_handler(directory: Directory) -> links::Deliver {
+    let control = find::<ControlMessage>(&directory, "control");
+    let traffic = find::<TrafficMessage>(&directory, "traffic");
     Rc::new(move |event| {
         let (control, traffic) = (control.clone(), traffic.clone());
         Box::pin(async move {
--- a/crates/traffic/tests/answers.rs
+++ b/crates/traffic/tests/answers.rs
@@ -74,8 +74,8 @@
 #[test_case("\u{1}\u{2}garbage\n\n"; "garbage")]
 #[test_case(""; "nothing")]
 fn an_incomplete_or_malformed_answer_leaves_the_outcome_in_doubt(answer: &str) {
-    let reported = outcome(http_bytes(answer));
-    assert!(matches!(reported, DispatchOutcome::InDoubt { .. }), "{reported:?}");
+    let outcome = outcome(http_bytes(answer));
+    assert!(matches!(outcome, DispatchOutcome::InDoubt { .. }), "{outcome:?}");
 }
 
 #[test]
@@ -84,11 +84,11 @@
     long.extend(std::iter::repeat_n(b'x', 5_000_000));
     assert!(matches!(outcome(long), DispatchOutcome::InDoubt { .. }));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let reported = LocalSet::new().block_on(&runtime, async {
+    let unreachable = LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
         drop(listener);
         send_to_instance(order(address)).await
     });
-    assert_eq!(reported, DispatchOutcome::Unreachable);
+    assert_eq!(unreachable, DispatchOutcome::Unreachable);
 }
--- a/crates/traffic/tests/consumers.rs
+++ b/crates/traffic/tests/consumers.rs
@@ -11,12 +11,12 @@
 
 fn routes(revision: u64, keys: &str) -> Rc<RouteTable> {
     let consumer = format!(r#"{{"keys":[{keys}],"rank":1}}"#);
-    let pairs: [(&str, &[u8]); 3] = [
+    let resources: [(&str, &[u8]); 3] = [
         ("function-bindings/t/closed", br#"{"route":"/t/closed","function":"f","class":"once"}"#),
         ("function-bindings/t/open", br#"{"route":"/t/open","function":"f","class":"ordinary","public":true}"#),
         ("consumers/t/ada", consumer.as_bytes()),
     ];
-    Rc::new(RouteTable::build(revision, revision, pairs.into_iter()))
+    Rc::new(RouteTable::build(revision, revision, resources.into_iter()))
 }
 
 fn front_with_header() -> Front {
@@ -108,12 +108,12 @@
     let mut front = front_with_header();
     forwarded(&send_request_with_key(&mut front, 1, true, "/t/closed", Some("k-1"))).expect("it is forwarded");
     front.step(ms(20), true, FrontInput::Link { id: OTHER, up: false });
-    let pairs: [(&str, &[u8]); 2] = [
+    let resources: [(&str, &[u8]); 2] = [
         ("function-bindings/t/closed", br#"{"route":"/t/closed","function":"f","class":"once"}"#),
         ("consumers/t/bob", br#"{"keys":["k-1"]}"#),
     ];
-    let moved = Rc::new(RouteTable::build(2, 2, pairs.into_iter()));
-    let mut outputs = front.step(ms(60), true, FrontInput::RouteTable { routes: moved });
+    let moved_key = Rc::new(RouteTable::build(2, 2, resources.into_iter()));
+    let mut outputs = front.step(ms(60), true, FrontInput::RouteTable { routes: moved_key });
     outputs.extend(front.step(ms(90), true, FrontInput::Tick));
     assert_eq!(reply(&outputs).map(|reply| reply.status), Some(504));
     assert!(forwarded(&outputs).is_none());
@@ -129,13 +129,13 @@
 #[test]
 fn removing_the_last_consumer_opens_no_route() {
     let mut front = front_with_header();
-    let pairs: [(&str, &[u8]); 3] = [
+    let resources: [(&str, &[u8]); 3] = [
         ("function-bindings/t/closed", br#"{"route":"/t/closed","function":"f","class":"once"}"#),
         ("function-bindings/t/open", br#"{"route":"/t/open","function":"f","class":"ordinary","public":true}"#),
         ("bounds/t/limits", br#"{"keys_required":true}"#),
     ];
-    let emptied = Rc::new(RouteTable::build(2, 2, pairs.into_iter()));
-    front.step(ms(1), true, FrontInput::RouteTable { routes: emptied });
+    let without_consumers = Rc::new(RouteTable::build(2, 2, resources.into_iter()));
+    front.step(ms(1), true, FrontInput::RouteTable { routes: without_consumers });
     for (at, key) in [(2, None), (3, Some("k-1"))] {
         let refused = send_request_with_key(&mut front, at, true, "/t/closed", key);
         assert_eq!(reply(&refused).map(|reply| reply.status), Some(401), "{key:?}");
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -29,12 +29,12 @@
     let mut front = front(1, OTHER);
     send_request(&mut front, 5, true, "/t/f");
     front.step(ms(20), true, FrontInput::Link { id: OTHER, up: false });
-    let again = front.step(ms(40), true, FrontInput::Link { id: OTHER, up: true });
-    assert!(again.is_empty());
+    let outputs = front.step(ms(40), true, FrontInput::Link { id: OTHER, up: true });
+    assert!(outputs.is_empty());
     let (task, message) = forward(&front.step(ms(60), true, FrontInput::Tick));
     assert!(matches!(message, ForwardMessage::Forward { request } if request.resends == 1));
-    let reported = front.step(ms(70), true, answer(task, Outcome::NotRun, 503));
-    assert_eq!(reply(&reported).map(|r| (r.outcome, r.status)), Some((Some(Outcome::Unknown), 504)));
+    let outputs = front.step(ms(70), true, answer(task, Outcome::NotRun, 503));
+    assert_eq!(reply(&outputs).map(|r| (r.outcome, r.status)), Some((Some(Outcome::Unknown), 504)));
 }
 
 #[test]
@@ -42,8 +42,8 @@
     let mut front = front(1, OTHER);
     assert!(send_request(&mut front, 0, false, "/t/f").is_empty());
     assert!(front.step(ms(3000), false, FrontInput::Tick).is_empty());
-    let reported = front.step(ms(3900), false, FrontInput::Tick);
-    let reply = reply(&reported).expect("given up before the deadline");
+    let outputs = front.step(ms(3900), false, FrontInput::Tick);
+    let reply = reply(&outputs).expect("it is refused before the deadline");
     assert_eq!((reply.outcome, reply.status, reply.retry_after > ms(0)), (Some(Outcome::NotRun), 503, true));
     assert_eq!(reply_status(&send_request(&mut front, 4000, true, "/nowhere")), 404);
 }
@@ -80,8 +80,8 @@
     use traffic::DispatchOutcome;
     let mut owner = FunctionOwner::new(OTHER, 1, OwnerSettings::default());
     let binding: &[u8] = br#"{"route":"/t/f","function":"f","class":"ordinary","max":1}"#;
-    let one = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
-    owner.step(ms(0), true, OwnerInput::RouteTable { routes: std::rc::Rc::new(one) });
+    let routes = bindings::RouteTable::build(1, 1, [("function-bindings/t/f", binding)].into_iter());
+    owner.step(ms(0), true, OwnerInput::RouteTable { routes: std::rc::Rc::new(routes) });
     owner.step(ms(0), true, OwnerInput::Membership { membership: membership(1, &[OTHER]) });
     let mut front = front(1, OTHER);
     let (mut running, mut refused, mut instance) = (Vec::new(), Vec::new(), None);
@@ -97,7 +97,7 @@
             inputs.push(report(ProviderReport::Started { nonce, receipt }));
             inputs.push(OwnerInput::Probed { id: "i1".into(), ready: true });
         }
-        let done = running.iter().position(|(_, due)| at >= *due).map(|place| running.remove(place));
+        let done = running.iter().position(|(_, due)| at >= *due).map(|index| running.remove(index));
         if let Some((number, _)) = done {
             let outcome =
                 DispatchOutcome::Complete { status: 200, head: Vec::new(), body: Vec::new(), turned_away: false };
@@ -125,9 +125,9 @@
     // One instance runs one request at a time for half a second, and fifty requests arrive each second. Once the first
     // answer has shown how long a request takes, about seven are worth queueing; the others are refused on arrival.
     assert!(owner.depths().0 < 16, "{} requests are queued", owner.depths().0);
-    assert!(refused.len() > 200 && refused.iter().all(|(_, again)| *again >= 250));
-    let early = refused.iter().filter(|(at, _)| *at < 5500).count();
-    assert!(early > 80, "only {early} requests were refused before the first deadline");
+    assert!(refused.len() > 200 && refused.iter().all(|(_, retry_after_ms)| *retry_after_ms >= 250));
+    let early_refusals = refused.iter().filter(|(at, _)| *at < 5500).count();
+    assert!(early_refusals > 80, "only {early_refusals} requests were refused before the first deadline");
 }
 
 /// A conflict with an operation in progress is reported, unless that operation may be this same request, which an owner
@@ -142,8 +142,8 @@
             front.step(ms(40), true, FrontInput::Link { id: OTHER, up: true });
             task = forward(&front.step(ms(60), true, FrontInput::Tick)).0;
         }
-        let reported = front.step(ms(70), true, answer(task, Outcome::Unknown, 409));
-        let reply = reply(&reported).expect("told");
+        let outputs = front.step(ms(70), true, answer(task, Outcome::Unknown, 409));
+        let reply = reply(&outputs).expect("it is answered");
         assert_eq!((reply.outcome, reply.status), (Some(Outcome::Unknown), status));
         assert!(!reply.retry_after.is_zero());
     }
--- a/crates/traffic/tests/quotas.rs
+++ b/crates/traffic/tests/quotas.rs
@@ -10,11 +10,11 @@
 use wire::{Blob, ForwardMessage, Outcome, QuotaGrant, QuotaRequest, RequestHead};
 
 fn routes_with_consumer(version: u64, name: &str, consumer: &str) -> Rc<RouteTable> {
-    let pairs: [(&str, &[u8]); 2] = [
+    let resources: [(&str, &[u8]); 2] = [
         ("function-bindings/t/f", br#"{"route":"/t/f","function":"f","class":"ordinary","attempts":3}"#),
         (name, consumer.as_bytes()),
     ];
-    Rc::new(RouteTable::build(version, version, pairs.into_iter()))
+    Rc::new(RouteTable::build(version, version, resources.into_iter()))
 }
 
 fn routes(consumer: &str) -> Rc<RouteTable> {
@@ -69,11 +69,11 @@
 /// Ticks until the front requests credits again after its granter's link went down. Returns the number of the request and
 /// its time.
 fn next_quota_request(front: &mut Front) -> (u64, u64) {
-    let asked = (1..50).map(|step| step * 20).find_map(|at| {
+    let request = (1..50).map(|step| step * 20).find_map(|at| {
         let request = quota_request(&front.step(ms(at), true, FrontInput::Tick));
         request.map(|request| (request.number, at))
     });
-    asked.expect("the granter is asked again after a while")
+    request.expect("the granter is asked again after a while")
 }
 
 /// Sends a request, grants its credit, and returns the number of its forward.
@@ -129,8 +129,9 @@
     let second = send_limited_request(&mut front, 2, 3);
     assert_eq!(quota_request(&second), None, "the refunded credit is used");
     let ForwardMessage::Answer { outcome, status, retry_after_ms, head, body, .. } = refused else { unreachable!() };
-    let again = ForwardMessage::Answer { task: forward_number(&second), outcome, status, retry_after_ms, head, body };
-    receive(&mut front, 4, again);
+    let refused_again =
+        ForwardMessage::Answer { task: forward_number(&second), outcome, status, retry_after_ms, head, body };
+    receive(&mut front, 4, refused_again);
     assert!(quota_request(&send_limited_request(&mut front, 3, 2000)).is_some(), "the credit has expired");
 }
 
@@ -180,8 +181,8 @@
     let mut front = front(LIMITED);
     let task = send_admitted_request(&mut front, 1, 1);
     let outputs = receive(&mut front, 2, ForwardMessage::AttemptRequest { task, attempts: 2 });
-    let owed = quota_request(&outputs).expect("the credit for it is asked for");
-    receive_grant(&mut front, 3, owed.number, 1, 0);
+    let request = quota_request(&outputs).expect("the credit for it is asked for");
+    receive_grant(&mut front, 3, request.number, 1, 0);
     let outputs = send_limited_request(&mut front, 2, 4);
     assert!(quota_request(&outputs).is_some(), "the granted credit is spent: {outputs:?}");
 }
@@ -209,8 +210,8 @@
 
 #[test]
 fn only_a_granter_with_a_lease_grants_credits() {
-    let mut asking = front(LIMITED);
-    let request = quota_request(&send_limited_request(&mut asking, 1, 1)).expect("a credit is asked for");
+    let mut requester = front(LIMITED);
+    let request = quota_request(&send_limited_request(&mut requester, 1, 1)).expect("a credit is asked for");
     let grant = |granter: &mut Front, may_serve: bool| {
         let message = ForwardMessage::QuotaRequest { request: request.clone() };
         let outputs = granter.step(ms(9000), may_serve, FrontInput::Message { from: OTHER, message });
@@ -219,8 +220,8 @@
             _ => None,
         })
     };
-    let mut other = front(LIMITED);
-    assert_eq!(grant(&mut other, true), Some(0), "the membership names another as the only granter");
+    let mut not_granter = front(LIMITED);
+    assert_eq!(grant(&mut not_granter, true), Some(0), "the membership names another as the only granter");
     let mut granter = front(LIMITED);
     granter.step(ms(0), true, FrontInput::Membership { membership: membership(2, &[ME]) });
     assert_eq!(grant(&mut granter, false), Some(0), "it has no lease");
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -47,22 +47,22 @@
     let sent_at_once = dispatch_count(&read_store(&mut first, 20, &BACKLOG));
     assert!((1..BACKLOG.len()).contains(&sent_at_once), "some tasks are sent and the others wait: {sent_at_once}");
     let outputs = first.step(ms(100), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    let handed = table_in(&outputs).expect("hands over");
+    let handover = table_in(&outputs).expect("hands over");
     assert_eq!(
-        (handed.is_started_complete, started_ids(&handed)),
+        (handover.is_started_complete, started_ids(&handover)),
         (1, task_ids(&BACKLOG)),
         "tasks that were only queued are included"
     );
-    let handed_again = table_in(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
+    let repeated_handover = table_in(&first.step(ms(400), true, OwnerInput::Tick)).expect("repeats it");
     assert_eq!(
-        started_ids(&handed_again),
+        started_ids(&repeated_handover),
         task_ids(&BACKLOG),
         "the repeated table is complete too, in case the first is lost"
     );
 
     let mut second = owner_with_id(OTHER, 2);
-    let spent_before = u64::from(handed.retries);
-    second.step(ms(1), true, table_message(handed));
+    let spent_before = u64::from(handover.retries);
+    second.step(ms(1), true, table_message(handover));
     let sent_again = dispatch_count(&read_store(&mut second, 20, &BACKLOG)) as u64;
     assert_eq!(retries(&mut second), Some(spent_before + sent_again), "each of them is a retry");
 }
@@ -78,8 +78,8 @@
         table_message(OwnershipTable { started: sent_before.into(), is_started_complete: 1, ..table(1) }),
     );
     let outputs = owner.step(ms(10), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
-    let handed = table_in(&outputs).expect("hands over");
-    assert_eq!((handed.is_started_complete, started_ids(&handed)), (1, task_ids(&BACKLOG)));
+    let handover = table_in(&outputs).expect("hands over");
+    assert_eq!((handover.is_started_complete, started_ids(&handover)), (1, task_ids(&BACKLOG)));
 }
 
 /// The earlier owner reported two tasks; the store no longer lists the second one.
@@ -121,10 +121,10 @@
 fn a_task_stored_while_its_function_moved_runs_once_the_function_is_back() {
     let mut owner = owner();
     owner.step(ms(1), true, handover());
-    let asked_to_store = owner.step(ms(10), true, forward(7));
+    let store_outputs = owner.step(ms(10), true, forward(7));
     owner.step(ms(20), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     owner.step(ms(600), true, OwnerInput::Tick);
-    owner.step(ms(700), true, store_reply(&asked_to_store));
+    owner.step(ms(700), true, store_reply(&store_outputs));
     owner.step(ms(800), true, OwnerInput::Membership { membership: membership(3, &[ME]) });
     owner.step(ms(801), true, table_message(table(3)));
     assert_eq!(dispatch_count(&read_store(&mut owner, 900, &[7])), 1);
@@ -140,18 +140,18 @@
         true,
         table_message(OwnershipTable { is_standby_copy: 1, is_started_complete: 1, ..table(2) }),
     );
-    let mut again = (*membership(3, &[OTHER])).clone();
-    let mut members = again.members.into_vec();
+    let mut restarted = (*membership(3, &[OTHER])).clone();
+    let mut members = restarted.members.into_vec();
     members[0].incarnation = 2;
-    again.members = members.into();
-    let outputs = standby.step(ms(500), true, OwnerInput::Membership { membership: again.into() });
-    let handed = outputs.iter().find_map(|output| match output {
+    restarted.members = members.into();
+    let outputs = standby.step(ms(500), true, OwnerInput::Membership { membership: restarted.into() });
+    let handover = outputs.iter().find_map(|output| match output {
         OwnerOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } } if table.membership == 3 => {
             Some(table)
         }
         _ => None,
     });
-    assert_eq!(handed.expect("handed back").is_started_complete, 0);
+    assert_eq!(handover.expect("handed back").is_started_complete, 0);
 }
 
 /// The store is read; then another router is the owner for a while and may send tasks that were stored since; the answer
