--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -34,6 +34,7 @@
         call: Call,
         reply: oneshot::Sender<Reply>,
     },
+    /// A query for the state of a deferred task.
     TaskStatus {
         id: String,
         reply: oneshot::Sender<Reply>,
@@ -72,6 +73,7 @@
     /// `None` if no token is configured, so that nobody may read the views.
     pub declared_views: Option<DeclaredViews>,
     pub epoch: u64,
+    /// Registry at the tail of the chain, which answers reads and proposals.
     pub tail: Option<NodeId>,
     pub registries: Vec<NodeId>,
     pub replies: BTreeMap<u64, oneshot::Sender<Reply>>,
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -15,7 +15,9 @@
 use std::time::Duration;
 use wire::{ForwardMessage, NodeId, Outcome};
 
+/// Time limit of a request whose route is not known yet.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(4);
+/// Minimum time between two attempts to forward a request.
 pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 /// Base of `Retry-After` from a router that is full, or that waits for a lease or an owner.
 pub(crate) const BASE_RETRY_AFTER: Duration = Duration::from_millis(300);
@@ -25,6 +27,7 @@
     pub(crate) me: NodeId,
     pub(crate) incarnation: u64,
     pub(crate) limits: FrontLimits,
+    /// Open requests, by task number.
     pub(crate) requests: BTreeMap<u64, RequestRecord>,
     pub(crate) task_by_request_id: BTreeMap<u64, u64>,
     pub(crate) task_by_forward_id: BTreeMap<u64, u64>,
@@ -33,6 +36,7 @@
     pub(crate) owner_watches: BTreeMap<NodeId, OwnerWatch>,
     pub(crate) routes: Option<Rc<RouteTable>>,
     pub(crate) membership: Rc<Membership>,
+    /// Last number given to a task or to a forward.
     pub(crate) last_id: u64,
     pub(crate) now: Duration,
     pub(crate) may_serve: bool,
--- a/crates/traffic/src/front_consumers.rs
+++ b/crates/traffic/src/front_consumers.rs
@@ -18,8 +18,8 @@
 }
 
 pub(crate) fn identify_caller(routes: &RouteTable, binding: &FunctionBinding, call: &Call) -> Caller {
-    let known = call.api_key.as_ref().and_then(|key| routes.consumers().name_of_key(key));
-    match known {
+    let consumer = call.api_key.as_ref().and_then(|key| routes.consumers().name_of_key(key));
+    match consumer {
         Some(name) => Caller::Consumer(name.to_owned()),
         None if binding.public || !routes.keys_required() => Caller::Anonymous,
         None => Caller::Unauthorized,
--- a/crates/traffic/src/front_types.rs
+++ b/crates/traffic/src/front_types.rs
@@ -33,7 +33,7 @@
 /// Answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// What is known of the request's execution; `None` for errors of the request itself.
+    /// What is known of the request's execution; `None` for an error reply that says nothing about it.
     pub outcome: Option<Outcome>,
     /// HTTP status code.
     pub status: u16,
