--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -17,7 +17,7 @@
 
 /// Time limit of a request whose route is not known yet.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(4);
-/// Minimum time between two attempts to forward a request.
+/// Time after an attempt, or after the return of a request, until a waiting request is attempted again.
 pub(crate) const RETRY_INTERVAL: Duration = Duration::from_millis(25);
 /// Base of `Retry-After` from a router that is full, or that waits for a lease or an owner.
 pub(crate) const BASE_RETRY_AFTER: Duration = Duration::from_millis(300);
