--- a/crates/bindings/src/check.rs
+++ b/crates/bindings/src/check.rs
@@ -76,7 +76,7 @@
             self.faults.push(fault(key, format!("tenant and name are {NAME}")));
         }
         let faults = &mut self.faults;
-        match Kind::from_word(kind) {
+        match Kind::from_name(kind) {
             Some(Kind::FunctionBinding) => {
                 if let Some(binding) = read::<FunctionBinding>(key, value, faults) {
                     check_binding(key, &binding, faults);
@@ -115,7 +115,7 @@
                 check_consumer(key, &consumer, faults);
                 self.consumer(key, consumer);
             }
-            None => self.faults.push(fault(key, format!("kinds are {}", Kind::words()))),
+            None => self.faults.push(fault(key, format!("kinds are {}", Kind::names()))),
         }
     }
 
--- a/crates/bindings/src/check_fields.rs
+++ b/crates/bindings/src/check_fields.rs
@@ -72,7 +72,7 @@
     want("max_scale_up", (1..=1000).contains(&sheet.max_scale_up), "1 to 1000");
     want("max_scale_down", (1..=1000).contains(&sheet.max_scale_down), "1 to 1000");
     want("startup_delay_steps", (1..=8).contains(&sheet.startup_delay_steps), "1 to 8");
-    tuning::faults(&sheet.tuning).iter().for_each(|(field, allowed)| want(field, false, allowed));
+    tuning::check_tuning(&sheet.tuning).iter().for_each(|(field, allowed)| want(field, false, allowed));
 }
 
 pub fn check_plan(key: &str, plan: &HeadcountPlan, faults: &mut Vec<ConfigurationError>) {
--- a/crates/bindings/src/declarations.rs
+++ b/crates/bindings/src/declarations.rs
@@ -76,7 +76,7 @@
 
 impl CallerBounds {
     /// The strictest of each bound, where several tenants declare their own.
-    pub fn least(&self, other: &CallerBounds) -> CallerBounds {
+    pub fn strictest(&self, other: &CallerBounds) -> CallerBounds {
         CallerBounds {
             head_bytes: self.head_bytes.min(other.head_bytes),
             body_bytes: self.body_bytes.min(other.body_bytes),
--- a/crates/bindings/src/lib.rs
+++ b/crates/bindings/src/lib.rs
@@ -20,4 +20,4 @@
 pub use declarations::{CallerBounds, FunctionDeclaration};
 pub use resources::{Class, FunctionBinding, HeadcountPlan, Kind, WeightSheet};
 pub use routing::{Function, RouteTable};
-pub use tuning::{Bounds, Span, Tuning};
+pub use tuning::{Tuning, TuningBounds, TuningRange};
--- a/crates/bindings/src/resources.rs
+++ b/crates/bindings/src/resources.rs
@@ -28,12 +28,12 @@
         [Kind::FunctionBinding, Kind::WeightSheet, Kind::HeadcountPlan, Kind::Function, Kind::Bounds, Kind::Consumer];
 
     /// The words of all kinds, as they are told to whoever used another.
-    pub fn words() -> String {
-        Kind::ALL.map(Kind::word).join(", ")
+    pub fn names() -> String {
+        Kind::ALL.map(Kind::name).join(", ")
     }
 
     /// The kind's word in paths and documents, such as `weight-sheets`.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Kind::FunctionBinding => "function-bindings",
             Kind::WeightSheet => "weight-sheets",
@@ -45,8 +45,8 @@
     }
 
     /// The kind of a word.
-    pub fn from_word(word: &str) -> Option<Kind> {
-        Kind::ALL.into_iter().find(|kind| kind.word() == word)
+    pub fn from_name(name: &str) -> Option<Kind> {
+        Kind::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
 
@@ -154,7 +154,7 @@
     }
 
     /// One of its functions, by weight; every value of the dice is as likely as another.
-    pub fn function_for(&self, dice: u64) -> &str {
+    pub fn pick_function(&self, dice: u64) -> &str {
         let sum: f64 = self.functions().map(|(_, weight)| weight).sum();
         let mut left = dice as f64 / (u64::MAX as f64 + 1.0) * sum;
         let mut last = self.function.as_str();
--- a/crates/bindings/src/routing.rs
+++ b/crates/bindings/src/routing.rs
@@ -35,9 +35,9 @@
     /// The weights of its planning.
     pub sheet: WeightSheet,
     /// How long an instance takes to start, on average.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// The shortest aim of its bindings.
-    pub aim: Option<Duration>,
+    pub latency_target: Option<Duration>,
     /// The highest rank of its bindings, 0 before all others.
     pub rank: u32,
     /// The most connections that one instance takes from all routers together.
@@ -54,7 +54,7 @@
     /// The configuration's version.
     pub revision: u64,
     /// The numbered step by which the version became active.
-    pub step: u64,
+    pub epoch: u64,
     routes: Routes,
     bindings: Vec<(String, FunctionBinding)>,
     functions: BTreeMap<String, Function>,
@@ -80,19 +80,19 @@
 impl RouteTable {
     /// Builds it from the declared resources, by kind/tenant/name; what cannot be read is left out.
     pub fn build<'a>(step: u64, revision: u64, pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> RouteTable {
-        let mut table = RouteTable { revision, step, ..RouteTable::default() };
+        let mut table = RouteTable { revision, epoch: step, ..RouteTable::default() };
         let mut read = Read::default();
         let mut bindings: BTreeMap<String, FunctionBinding> = BTreeMap::new();
         for (key, value) in pairs {
             let Some((kind, name)) = key.split_once('/') else { continue };
-            match Kind::from_word(kind) {
+            match Kind::from_name(kind) {
                 Some(Kind::FunctionBinding) => put(&mut bindings, name, value),
                 Some(Kind::WeightSheet) => put(&mut read.sheets, name, value),
                 Some(Kind::HeadcountPlan) => put(&mut read.plans, name, value),
                 Some(Kind::Function) => put(&mut read.declarations, name, value),
                 Some(Kind::Bounds) => {
                     if let Ok(bounds) = serde_json::from_slice::<CallerBounds>(value) {
-                        table.bounds = Some(table.bounds.take().unwrap_or_default().least(&bounds));
+                        table.bounds = Some(table.bounds.take().unwrap_or_default().strictest(&bounds));
                     }
                 }
                 Some(Kind::Consumer) => {
@@ -122,7 +122,7 @@
     }
 
     /// Keeps the resources as they were declared as well, for those who are to show them.
-    pub fn showing<'a>(mut self, pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> RouteTable {
+    pub fn with_declarations<'a>(mut self, pairs: impl Iterator<Item = (&'a str, &'a [u8])>) -> RouteTable {
         self.raw = pairs.map(|(key, value)| (key.to_owned(), value.to_vec())).collect();
         self
     }
@@ -136,7 +136,7 @@
         let first = known.attempts == 0;
         known.player_weight =
             if first { binding.player_weight } else { known.player_weight.max(binding.player_weight) };
-        known.aim = known.aim.into_iter().chain(aim).min();
+        known.latency_target = known.latency_target.into_iter().chain(aim).min();
         known.rank = if first { binding.rank } else { known.rank.min(binding.rank) };
         known.attempts = known.attempts.max(binding.attempts);
     }
@@ -161,7 +161,7 @@
         self.functions.values()
     }
     /// Whether some binding of the function is of the deferred class.
-    pub fn takes_deferred(&self, function: &str) -> bool {
+    pub fn has_deferred_binding(&self, function: &str) -> bool {
         self.deferred.contains(function)
     }
     /// The least bounds on callers, if any tenant declares some.
@@ -177,11 +177,11 @@
         !self.consumers.is_empty() || self.bounds.as_ref().is_some_and(|bounds| bounds.keys_required)
     }
     /// The resources as they were declared, where they are kept, by kind/tenant/name.
-    pub fn declared(&self) -> impl Iterator<Item = (&str, &[u8])> {
+    pub fn declarations(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.raw.iter().map(|(key, value)| (key.as_str(), value.as_slice()))
     }
     /// The number of routes.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.routes.count()
     }
 }
@@ -216,8 +216,8 @@
             fixed: plan.fixed,
             player_weight: 1.0,
             sheet: self.sheets.get(name).cloned().unwrap_or_default(),
-            boot: shape.boot_ms.map_or(BOOT, |boot| Duration::from_millis(boot.into())),
-            aim: None,
+            boot_time: shape.boot_ms.map_or(BOOT, |boot| Duration::from_millis(boot.into())),
+            latency_target: None,
             rank: rank(),
             connections: shape.connections.unwrap_or(u32::MAX),
             attempts: 0,
@@ -231,7 +231,7 @@
     /// least, unless an operator's plan says otherwise.
     fn keep_warm(&mut self, read: &Read) {
         let planned = read.plans.get(&self.name).is_some_and(|plan| plan.min.is_some());
-        if !planned && self.aim.is_some_and(|aim| aim < self.boot) {
+        if !planned && self.latency_target.is_some_and(|aim| aim < self.boot_time) {
             self.min = self.min.max(1).min(self.max);
         }
     }
--- a/crates/bindings/src/tuning.rs
+++ b/crates/bindings/src/tuning.rs
@@ -7,7 +7,7 @@
 /// The tuning of one field.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Span {
+pub struct TuningRange {
     /// Whether it is tuned; it is if left out.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub on: Option<bool>,
@@ -27,54 +27,54 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub on: Option<bool>,
     /// For the startup delay.
-    pub startup_delay_steps: Span,
+    pub startup_delay_steps: TuningRange,
     /// For the target utilization.
-    pub target_usage: Span,
+    pub target_usage: TuningRange,
     /// For the cost of uncovered demand.
-    pub sla_hard: Span,
+    pub sla_hard: TuningRange,
 }
 
 /// The bounds in force for a tuned field, around what was declared.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct TuningBounds {
     /// The least value.
-    pub least: f64,
+    pub min: f64,
     /// The greatest value.
-    pub most: f64,
+    pub max: f64,
 }
 
-impl Bounds {
+impl TuningBounds {
     /// The value, moved into the bounds.
-    pub fn keep(&self, value: f64) -> f64 {
-        value.clamp(self.least, self.most)
+    pub fn clamp(&self, value: f64) -> f64 {
+        value.clamp(self.min, self.max)
     }
 }
 
 impl WeightSheet {
-    fn bounds(&self, span: &Span, declared: f64, least: f64, most: f64) -> Option<Bounds> {
+    fn bounds(&self, span: &TuningRange, declared: f64, least: f64, most: f64) -> Option<TuningBounds> {
         let on = self.tuning.on.unwrap_or(true) && span.on.unwrap_or(true);
         let (least, most) = (span.least.unwrap_or(least.min(declared)), span.most.unwrap_or(most.max(declared)));
-        (on && least <= most).then_some(Bounds { least, most })
+        (on && least <= most).then_some(TuningBounds { min: least, max: most })
     }
 
     /// The bounds of the startup delay; none if it is not tuned.
-    pub fn delay_bounds(&self) -> Option<Bounds> {
+    pub fn startup_delay_bounds(&self) -> Option<TuningBounds> {
         self.bounds(&self.tuning.startup_delay_steps, f64::from(self.startup_delay_steps), 1.0, 4.0)
     }
 
     /// The bounds of the target utilization; none if it is not tuned.
-    pub fn usage_bounds(&self) -> Option<Bounds> {
+    pub fn target_usage_bounds(&self) -> Option<TuningBounds> {
         self.bounds(&self.tuning.target_usage, self.target_usage, 0.4, 0.75)
     }
 
     /// The bounds of the cost of uncovered demand; none if it is not tuned.
-    pub fn hard_bounds(&self) -> Option<Bounds> {
+    pub fn sla_hard_bounds(&self) -> Option<TuningBounds> {
         self.bounds(&self.tuning.sla_hard, self.sla_hard, self.sla_hard, self.sla_hard * 4.0)
     }
 }
 
 /// Each fault of a sheet's tuning, by the field it sits in and what is allowed there.
-pub fn faults(tuning: &Tuning) -> Vec<(String, String)> {
+pub fn check_tuning(tuning: &Tuning) -> Vec<(String, String)> {
     let fields = [
         ("startup_delay_steps", &tuning.startup_delay_steps, 1.0, 8.0),
         ("target_usage", &tuning.target_usage, 0.05, 1.0),
--- a/crates/bindings/tests/routing.rs
+++ b/crates/bindings/tests/routing.rs
@@ -44,7 +44,7 @@
         .collect();
     let pairs: Vec<(&str, &str)> = pairs.iter().map(|(key, value)| (key.as_str(), value.as_str())).collect();
     let table = table(&pairs);
-    assert_eq!(table.routes(), routes.len());
+    assert_eq!(table.route_count(), routes.len());
     let (found, binding) = table.find_route(host, path)?;
     assert_eq!(table.binding(found), Some(binding));
     routes.iter().map(|(name, ..)| *name).find(|name| *name == found)
@@ -64,12 +64,12 @@
     let binding: FunctionBinding = serde_json::from_str(raw).unwrap();
     let mut drawn: BTreeMap<&str, u32> = BTreeMap::new();
     let step = u64::MAX / 4000;
-    (0..4000u64).for_each(|n| *drawn.entry(binding.function_for(n * step + step / 2)).or_default() += 1);
+    (0..4000u64).for_each(|n| *drawn.entry(binding.pick_function(n * step + step / 2)).or_default() += 1);
     assert_eq!(drawn, BTreeMap::from([("a", 3000), ("c", 1000)]));
-    assert_eq!((binding.function_for(0), binding.function_for(u64::MAX)), ("a", "c"));
+    assert_eq!((binding.pick_function(0), binding.pick_function(u64::MAX)), ("a", "c"));
     assert!(binding.sends_to("a") && !binding.sends_to("b") && !binding.sends_to("d"));
     let one: FunctionBinding = serde_json::from_str(r#"{"route":"/t/f","function":"f","class":"ordinary"}"#).unwrap();
-    assert!(one.function_for(u64::MAX) == "f" && one.sends_to("f"));
+    assert!(one.pick_function(u64::MAX) == "f" && one.sends_to("f"));
 }
 
 #[test]
@@ -93,13 +93,13 @@
         ("headcount-plans/t/planned", r#"{"min":0}"#),
     ]);
     let (hot, cold) = (table.function("t/hot").unwrap(), table.function("t/cold").unwrap());
-    assert_eq!((hot.boot, hot.aim), (Duration::from_millis(1400), Some(Duration::from_millis(300))));
+    assert_eq!((hot.boot_time, hot.latency_target), (Duration::from_millis(1400), Some(Duration::from_millis(300))));
     assert_eq!((hot.min, hot.max, hot.rank, hot.attempts, hot.connections), (1, 1000, 0, 2, u32::MAX));
-    assert_eq!((cold.aim, cold.min, cold.rank, cold.attempts), (Some(Duration::from_millis(900)), 0, 2, 3));
+    assert_eq!((cold.latency_target, cold.min, cold.rank, cold.attempts), (Some(Duration::from_millis(900)), 0, 2, 3));
     assert_eq!((cold.instance_limit, cold.memory_mb, cold.connections), (1, 128, 26));
     assert_eq!(table.function("t/planned").unwrap().min, 0, "an operator's plan goes before");
     let unused = table.function("t/unused").unwrap();
-    assert_eq!((unused.min, unused.aim, unused.boot), (0, None, Duration::from_secs(1)));
+    assert_eq!((unused.min, unused.latency_target, unused.boot_time), (0, None, Duration::from_secs(1)));
     let bounds = table.bounds().unwrap();
     assert_eq!((bounds.body_bytes, bounds.idle_ms, bounds.head_ms), (100, 20, u32::MAX));
 }
@@ -108,7 +108,7 @@
 fn a_binding_as_it_was_declared_before_is_what_it_was() {
     let table = table(&[("function-bindings/t/f", r#"{"route":"/t/f","function":"f","class":"once","max":3}"#)]);
     let function = table.function("t/f").unwrap();
-    assert_eq!((function.min, function.max, function.aim, function.rank), (0, 3, None, 1));
+    assert_eq!((function.min, function.max, function.latency_target, function.rank), (0, 3, None, 1));
     let (_, binding) = table.find_route("whatever", "/t/f/x").unwrap();
     assert_eq!((binding.attempts, binding.declared, binding.aim_ms), (2, false, None));
     assert!(table.bounds().is_none());
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -220,7 +220,7 @@
                 self.tail_history.record_report(from, view, age, self.clock.now)
             }
             ChainMessage::Leaving { remaining_ms } => self.handle_leaving(from, Duration::from_millis(remaining_ms)),
-            ChainMessage::Done { op, appended, reply } => {
+            ChainMessage::ProposalReply { op, appended, reply } => {
                 self.outputs.push(Output::ProposalDone { op, appended: appended != 0, reply: reply.into_vec() })
             }
         }
--- a/crates/chain/src/replica/replication.rs
+++ b/crates/chain/src/replica/replication.rs
@@ -62,7 +62,7 @@
         if op.origin == self.me() {
             self.outputs.push(Output::ProposalDone { op, appended, reply });
         } else {
-            self.send(op.origin, ChainMessage::Done { op, appended: appended as u8, reply: reply.into() });
+            self.send(op.origin, ChainMessage::ProposalReply { op, appended: appended as u8, reply: reply.into() });
         }
     }
 
--- a/crates/control/examples/change_cost.rs
+++ b/crates/control/examples/change_cost.rs
@@ -7,7 +7,7 @@
 use wire::{Command, CommandReply, ConfigurationItem, from_bytes, to_bytes};
 
 fn line(key: String, value: String) -> ConfigurationItem {
-    ConfigurationItem { key: key.into(), gone: 0, value: value.into_bytes().into() }
+    ConfigurationItem { key: key.into(), is_removed: 0, value: value.into_bytes().into() }
 }
 
 fn route(number: usize, deadline: u32) -> ConfigurationItem {
@@ -49,7 +49,7 @@
 
 fn change(op: &str, base: u64, full: bool, items: Vec<ConfigurationItem>) -> Command {
     let (op, scope, items) = (op.into(), "main".into(), items.into());
-    Command::Declare { op, base, any: 0, full: full as u8, revision: base + 3, scope, items }
+    Command::Declare { op, base, is_any_base: 0, replaces_scope: full as u8, revision: base + 3, scope, items }
 }
 
 fn main() {
@@ -57,9 +57,9 @@
     let mut state = State::new();
     let items: Vec<ConfigurationItem> = (0..158).map(service).chain((0..count).map(|n| route(n, 4000))).collect();
     take(&mut state, "whole", change("one", 0, true, items.clone()));
-    take(&mut state, "activation", Command::Activate { step: 1 });
+    take(&mut state, "activation", Command::Activate { epoch: 1 });
     take(&mut state, "patch", change("two", 3, false, vec![route(5, 900)]));
-    take(&mut state, "activation of the patch", Command::Activate { step: 2 });
+    take(&mut state, "activation of the patch", Command::Activate { epoch: 2 });
     take(&mut state, "whole again", change("three", 6, true, items));
     let pairs = || state.iter().filter_map(|(key, value)| Some((key.strip_prefix("a/")?, &value[..])));
     let routes = timed("a router's book", || RouteTable::build(1, 1, pairs()));
--- a/crates/control/src/activation.rs
+++ b/crates/control/src/activation.rs
@@ -91,7 +91,7 @@
             }
         }
         if ready > active {
-            self.propose_duty(Duty::Activate, &Command::Activate { step: ready });
+            self.propose_duty(Duty::Activate, &Command::Activate { epoch: ready });
         }
         self.record_pending(ready, latest, first_wait);
     }
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -106,7 +106,7 @@
 
 fn item(key: &str, value: Option<&Value>) -> ConfigurationItem {
     let raw = value.map(|value| value.to_string().into_bytes()).unwrap_or_default();
-    ConfigurationItem { key: key.into(), gone: value.is_none() as u8, value: raw.into() }
+    ConfigurationItem { key: key.into(), is_removed: value.is_none() as u8, value: raw.into() }
 }
 
 async fn operation(State(api): State<Api>, Path(op): Path<String>, headers: HeaderMap) -> Response {
@@ -177,9 +177,9 @@
         if kind == "revision" {
             continue;
         }
-        let (Some(_), Value::Object(list)) = (Kind::from_word(kind), list) else {
+        let (Some(_), Value::Object(list)) = (Kind::from_name(kind), list) else {
             return api
-                .refuse_change(&headers, 422, &format!("{kind}: kinds are {}, each an object", Kind::words()))
+                .refuse_change(&headers, 422, &format!("{kind}: kinds are {}, each an object", Kind::names()))
                 .await;
         };
         items.extend(list.iter().map(|(name, value)| item(&format!("{kind}/{name}"), Some(value))));
--- a/crates/control/src/apply.rs
+++ b/crates/control/src/apply.rs
@@ -46,16 +46,16 @@
 
 fn execute(draft: &mut Draft, command: Command) -> CommandReply {
     match command {
-        Command::Change { op, base, any, full, scope, items } => {
+        Command::Change { op, base, is_any_base: any, replaces_scope: full, scope, items } => {
             let (base, full, items) = ((any == 0).then_some(base), full != 0, items.as_slice());
             change(draft, op.as_str(), &Change { base, revision: 0, full, scope: scope.as_str(), items })
         }
-        Command::Declare { op, base, any, full, revision, scope, items } => {
+        Command::Declare { op, base, is_any_base: any, replaces_scope: full, revision, scope, items } => {
             let (base, full, items) = ((any == 0).then_some(base), full != 0, items.as_slice());
             declare(draft, op.as_str(), &Change { base, revision, full, scope: scope.as_str(), items })
         }
-        Command::Quorum { after, members } => quorum(draft, after, members.into_vec()),
-        Command::Activate { step } => activate(draft, step),
+        Command::SetQuorum { after, members } => quorum(draft, after, members.into_vec()),
+        Command::Activate { epoch: step } => activate(draft, step),
         Command::Join { id, incarnation, address, zone, ops } => {
             let capacity = Capacity::default();
             join(draft, Member { id, incarnation, address, zone, ops, leaving: 0, hashing: 1, capacity })
@@ -63,7 +63,7 @@
         Command::JoinWithCapacity { id, incarnation, address, zone, ops, hashing, capacity } => {
             join(draft, Member { id, incarnation, address, zone, ops, leaving: 0, hashing, capacity })
         }
-        Command::Lapse { id, incarnation } => lapse(draft, id, incarnation),
+        Command::ExpireLease { id, incarnation } => lapse(draft, id, incarnation),
         Command::Leaving { id, incarnation } => leaving(draft, id, incarnation),
         Command::Claim { scope, digest, member, incarnation, request_id } => {
             claim(draft, scope.as_str(), digest, (member, incarnation, request_id), DEFAULT_KEY_TICKS)
--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -74,7 +74,7 @@
     let mut reply = match validate(&draft, change) {
         Ok(changed) => {
             let keys = |gone: u8| {
-                let of_it = changed.iter().filter(move |item| (item.gone != 0) == (gone != 0));
+                let of_it = changed.iter().filter(move |item| (item.is_removed != 0) == (gone != 0));
                 of_it.map(|item| item.key.as_str().to_owned()).collect::<Vec<String>>()
             };
             ApiReply::new(200, json!({"outcome": "would-change", "set": keys(0), "remove": keys(1)}))
@@ -92,7 +92,7 @@
     let revision = if declared != 0 { declared } else { draft.number(keys::LATEST_REVISION).saturating_add(1) };
     for item in &items {
         let key = format!("{}{}", keys::LATEST_PAIRS, item.key.as_str());
-        if item.gone != 0 {
+        if item.is_removed != 0 {
             draft.drop(key);
         } else {
             draft.put(key, item.value.as_slice().to_vec());
@@ -102,7 +102,7 @@
     let latest = draft.number(keys::LATEST);
     let quorum = keys::quorum(draft.state, latest);
     let step = add_step(draft, revision, quorum, items);
-    CommandReply::Changed { step, revision }
+    CommandReply::Changed { epoch: step, revision }
 }
 
 fn add_step(draft: &mut Draft, revision: u64, quorum: Vec<NodeId>, items: Vec<ConfigurationItem>) -> u64 {
@@ -119,19 +119,19 @@
         let revision = draft.number(keys::LATEST_REVISION);
         add_step(draft, revision, members, Vec::new());
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 pub fn activate(draft: &mut Draft, to: u64) -> CommandReply {
     let active = draft.number(keys::ACTIVE);
     if to <= active || to > draft.number(keys::LATEST) {
-        return CommandReply::Plain;
+        return CommandReply::Empty;
     }
     for number in active + 1..=to {
         let Some(step) = keys::step(draft.state, number) else { continue };
         for item in step.items.iter() {
             let key = format!("{}{}", keys::ACTIVE_PAIRS, item.key.as_str());
-            if item.gone != 0 {
+            if item.is_removed != 0 {
                 draft.drop(key);
             } else {
                 draft.put(key, item.value.as_slice().to_vec());
@@ -141,7 +141,7 @@
     }
     draft.put_number(keys::ACTIVE, to);
     forget_steps(draft, to);
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 /// Forgets the steps up to the active one that are beyond what is kept: each may be as large as a whole
--- a/crates/control/src/apply_member.rs
+++ b/crates/control/src/apply_member.rs
@@ -20,7 +20,7 @@
         draft.put(key, raw);
         next_membership(draft);
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 fn known(draft: &Draft, id: NodeId, incarnation: u64) -> Option<Member> {
@@ -33,7 +33,7 @@
         draft.drop(keys::member_key(id));
         next_membership(draft);
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 pub fn leaving(draft: &mut Draft, id: NodeId, incarnation: u64) -> CommandReply {
@@ -44,13 +44,13 @@
         draft.put(keys::member_key(id), line.written());
         next_membership(draft);
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 pub fn tick(draft: &mut Draft, number: u64) -> CommandReply {
     let ticks = draft.number(keys::TICKS);
     if number != ticks + 1 {
-        return CommandReply::Plain;
+        return CommandReply::Empty;
     }
     draft.put_number(keys::TICKS, number);
     let end = format!("x/{number:012}/~");
@@ -73,14 +73,14 @@
         draft.put_number(keys::CLAIMS, draft.number(keys::CLAIMS).saturating_sub(claims));
         draft.put_number(keys::STORED, draft.number(keys::STORED).saturating_sub(stored));
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 /// A key claimed anew after a release outlives the mark its first claim left.
 fn is_due(draft: &Draft, key: &str, number: u64) -> bool {
     match draft.state.get(key) {
         Some(raw) if key.starts_with("k/") => {
-            wire::from_bytes::<ClaimRecord>(raw).is_none_or(|record| record.due <= number)
+            wire::from_bytes::<ClaimRecord>(raw).is_none_or(|record| record.expiry_tick <= number)
         }
         other => other.is_some(),
     }
--- a/crates/control/src/apply_task.rs
+++ b/crates/control/src/apply_task.rs
@@ -37,8 +37,15 @@
         let (member, incarnation, request_id) = asker;
         let ticks = u64::from(ticks.clamp(1, MAX_KEY_TICKS));
         let due = draft.number(keys::TICKS) + ticks;
-        let record =
-            ClaimRecord { digest, member, incarnation, request_id, due, is_answered: 0, answer: Blob::default() };
+        let record = ClaimRecord {
+            digest,
+            member,
+            incarnation,
+            request_id,
+            expiry_tick: due,
+            is_answered: 0,
+            answer: Blob::default(),
+        };
         draft.put(key.clone(), wire::to_bytes(&record));
         draft.put_number(keys::CLAIMS, count + 1);
         draft.expire(&key, ticks);
@@ -69,7 +76,7 @@
         record.answer = answer;
         draft.put(key, wire::to_bytes(&record));
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 pub fn release(draft: &mut Draft, scope: &str, asker: Asker) -> CommandReply {
@@ -82,7 +89,7 @@
         let count = draft.number(keys::CLAIMS);
         draft.put_number(keys::CLAIMS, count.saturating_sub(1));
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 pub fn store(draft: &mut Draft, id: &str, function: Text, digest: Blob, task: Blob) -> CommandReply {
@@ -90,7 +97,7 @@
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw)) {
         let state = match () {
             () if record.digest != digest => ClaimState::OtherBody,
-            () if record.done != 0 => ClaimState::Answered,
+            () if record.is_answered != 0 => ClaimState::Answered,
             () => ClaimState::Running,
         };
         return CommandReply::Stored { state, answer: record.answer };
@@ -100,7 +107,7 @@
         return CommandReply::Stored { state: ClaimState::Full, answer: Blob::default() };
     }
     draft.put(format!("p/{}/{id}", function.as_str()), task.into_vec());
-    let record = DeferredRecord { function, digest, done: 0, answer: Blob::default() };
+    let record = DeferredRecord { function, digest, is_answered: 0, answer: Blob::default() };
     draft.put(key, wire::to_bytes(&record));
     draft.put_number(keys::STORED, count + 1);
     CommandReply::Stored { state: ClaimState::Granted, answer: Blob::default() }
@@ -109,13 +116,13 @@
 pub fn finish(draft: &mut Draft, id: &str, function: &str, answer: Blob) -> CommandReply {
     let key = format!("d/{id}");
     if let Some(mut record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw))
-        && record.done == 0
+        && record.is_answered == 0
     {
-        record.done = 1;
+        record.is_answered = 1;
         record.answer = answer;
         draft.drop(format!("p/{function}/{id}"));
         draft.put(key.clone(), wire::to_bytes(&record));
         draft.expire(&key, DONE_TICKS);
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
--- a/crates/control/src/change_validation.rs
+++ b/crates/control/src/change_validation.rs
@@ -60,12 +60,12 @@
         let removed: Vec<&str> = resources.keys().copied().filter(|key| in_scope(key)).collect();
         for key in removed {
             resources.remove(key);
-            changed.insert(key, ConfigurationItem { key: key.into(), gone: 1, value: Vec::new().into() });
+            changed.insert(key, ConfigurationItem { key: key.into(), is_removed: 1, value: Vec::new().into() });
         }
     }
     for item in change.items {
         let key = item.key.as_str();
-        if item.gone != 0 {
+        if item.is_removed != 0 {
             resources.remove(key);
         } else {
             resources.insert(key, item.value.as_slice());
@@ -76,8 +76,8 @@
     check_size(&changed)?;
     let latest = |key: &str| draft.state.get(&format!("{}{key}", keys::LATEST_PAIRS));
     changed.retain(|key, item| match latest(key) {
-        Some(value) => item.gone != 0 || value[..] != *item.value.as_slice(),
-        None => item.gone == 0,
+        Some(value) => item.is_removed != 0 || value[..] != *item.value.as_slice(),
+        None => item.is_removed == 0,
     });
     Ok(changed.into_values().collect())
 }
--- a/crates/control/src/configuration_reads.rs
+++ b/crates/control/src/configuration_reads.rs
@@ -83,7 +83,7 @@
 
 pub fn document(revision: u64, scope: &str, pairs: &BTreeMap<String, Vec<u8>>) -> Value {
     let mut kinds: BTreeMap<&str, Map<String, Value>> =
-        Kind::ALL.iter().map(|kind| (kind.word(), Map::new())).collect();
+        Kind::ALL.iter().map(|kind| (kind.name(), Map::new())).collect();
     for (key, value) in pairs {
         let Some((kind, name)) = key.split_once('/') else { continue };
         if !scope.is_empty() && name.split('/').next() != Some(scope) {
--- a/crates/control/src/keys.rs
+++ b/crates/control/src/keys.rs
@@ -63,7 +63,7 @@
 pub fn items(state: &State, prefix: &str) -> Vec<ConfigurationItem> {
     let item = |(key, value): (&String, &Value)| ConfigurationItem {
         key: key[prefix.len()..].into(),
-        gone: 0,
+        is_removed: 0,
         value: value.to_vec().into(),
     };
     with_prefix(state, prefix).map(item).collect()
@@ -81,7 +81,7 @@
         }
         bytes += key.len() + value.len();
         let shown = if strip { name } else { key.as_str() };
-        items.push(ConfigurationItem { key: shown.into(), gone: 0, value: value.to_vec().into() });
+        items.push(ConfigurationItem { key: shown.into(), is_removed: 0, value: value.to_vec().into() });
     }
     (items, String::new())
 }
--- a/crates/control/src/membership_updates.rs
+++ b/crates/control/src/membership_updates.rs
@@ -6,7 +6,7 @@
 use leases::Membership;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
-use wire::{LeaseMessage, Packed};
+use wire::{Compressed, LeaseMessage};
 
 const UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 const MAX_RETAINED: usize = 16;
@@ -16,7 +16,7 @@
     sent: VecDeque<Membership>,
     sent_at: Duration,
     /// What differs in the newest from an earlier one, by the number of that.
-    changes: BTreeMap<u64, Packed>,
+    changes: BTreeMap<u64, Compressed>,
 }
 
 impl MembershipUpdates {
@@ -40,7 +40,7 @@
         let membership = self.sent.back()?;
         Some(LeaseMessage::Membership {
             number: membership.number,
-            body: membership.clone().written(wire::CAPACITY - 1).into(),
+            body: membership.clone().written(wire::CAPACITY_FORMAT - 1).into(),
         })
     }
 
@@ -50,7 +50,7 @@
         let since = earlier.map_or(0, |membership| membership.number);
         let packed = self.changes.entry(since).or_insert_with(|| {
             let change = newest.change_since(earlier.unwrap_or(&Membership::default()));
-            wire::pack(&wire::to_bytes(&change))
+            wire::compress(&wire::to_bytes(&change))
         });
         let (size, body) = (packed.size, packed.bytes.clone());
         Some(LeaseMessage::MembershipChange { since, number: newest.number, size, body })
--- a/crates/control/src/operator_calls.rs
+++ b/crates/control/src/operator_calls.rs
@@ -68,14 +68,24 @@
                 let (name, scope, items) = (op.as_str().into(), scope.into(), items.into());
                 let (base, any, full) = (base.unwrap_or_default(), base.is_none() as u8, full as u8);
                 let command = match (self.format, revision) {
-                    (..DECLARES, None) => Command::Change { op: name, base, any, full, scope, items },
+                    (..DECLARES, None) => {
+                        Command::Change { op: name, base, is_any_base: any, replaces_scope: full, scope, items }
+                    }
                     (..DECLARES, Some(_)) => {
                         let detail = "revisions are declared once every registry speaks the newest format";
                         return self.busy(request_id, detail);
                     }
                     _ => {
                         let revision = revision.unwrap_or_default();
-                        Command::Declare { op: name, base, any, full, revision, scope, items }
+                        Command::Declare {
+                            op: name,
+                            base,
+                            is_any_base: any,
+                            replaces_scope: full,
+                            revision,
+                            scope,
+                            items,
+                        }
                     }
                 };
                 let body = wire::to_bytes(&command);
@@ -109,7 +119,7 @@
 
     fn operation_outcome(&self, op: &str) -> ApiReply {
         match apply_change::outcome(self.state(), op) {
-            Some(CommandReply::Changed { step, revision }) => {
+            Some(CommandReply::Changed { epoch: step, revision }) => {
                 let outcome = if step <= self.calls.active_step { "in-force" } else { "staged" };
                 ApiReply::new(200, json!({"operation": op, "outcome": outcome, "revision": revision}))
             }
@@ -135,7 +145,7 @@
             return self.busy(request_id, "the chain takes no changes at the moment; nothing was changed");
         }
         match wire::from_bytes::<CommandReply>(reply) {
-            Some(CommandReply::Changed { step, revision }) => {
+            Some(CommandReply::Changed { epoch: step, revision }) => {
                 let due = self.now + self.timing.call;
                 self.calls.activations.push(AwaitedActivation { request_id, op, step, revision, due });
                 self.activated(self.calls.active_step);
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -51,7 +51,7 @@
             }
             OptimizerMessage::Frame { message: PlanMessage::Request { .. }, .. } if !host.plans => {}
             OptimizerMessage::Frame { from, message } => {
-                let tunes = matches!(message, PlanMessage::Measures { .. } | PlanMessage::Tuned { .. });
+                let tunes = matches!(message, PlanMessage::Measurements { .. } | PlanMessage::Tuned { .. });
                 for planned in planner.step(begun.elapsed(), host.me, from, message, host.solve) {
                     if let Some(fault) = planned.fault {
                         event!(plan_failed, "{fault}");
--- a/crates/control/src/packed_steps.rs
+++ b/crates/control/src/packed_steps.rs
@@ -6,7 +6,7 @@
 use crate::keys;
 use chain::State;
 use std::collections::BTreeMap;
-use wire::{ConfigurationEpoch, LeaseMessage, NodeId, Packed};
+use wire::{Compressed, ConfigurationEpoch, LeaseMessage, NodeId};
 
 /// A thin link of 2 Mbit/s takes 64 ms for one; a proof may wait so long.
 const MAX_PART_BYTES: usize = 16 * 1024;
@@ -14,24 +14,24 @@
 
 #[derive(Default)]
 pub struct PackedSteps {
-    steps: BTreeMap<u64, Packed>,
-    full: Option<(u64, Packed)>,
+    steps: BTreeMap<u64, Compressed>,
+    full: Option<(u64, Compressed)>,
 }
 
 impl PackedSteps {
-    fn step(&mut self, state: &State, number: u64) -> Option<&Packed> {
+    fn step(&mut self, state: &State, number: u64) -> Option<&Compressed> {
         if !self.steps.contains_key(&number) {
             let raw = state.get(&keys::step_key(number))?;
             if self.steps.len() >= MAX_PACKED_STEPS {
                 self.steps.pop_first();
             }
-            self.steps.insert(number, wire::pack(raw));
+            self.steps.insert(number, wire::compress(raw));
         }
         self.steps.get(&number)
     }
 
     /// The active configuration as one step that sets all there is.
-    fn full(&mut self, state: &State) -> (u64, &Packed) {
+    fn full(&mut self, state: &State) -> (u64, &Compressed) {
         let number = keys::number(state, keys::ACTIVE);
         if self.full.as_ref().is_none_or(|(packed, _)| *packed != number) {
             let step = ConfigurationEpoch {
@@ -42,7 +42,7 @@
             };
             self.full = None;
             self.steps.retain(|step, _| *step + MAX_PACKED_STEPS as u64 > number);
-            let packed = wire::pack(&wire::to_bytes(&step));
+            let packed = wire::compress(&wire::to_bytes(&step));
             return (number, &self.full.insert((number, packed)).1);
         }
         let (number, packed) = self.full.as_ref().expect("it was packed above or before");
@@ -63,7 +63,7 @@
         };
         // Begun under a step that is no longer active: from the start of the one that is.
         let offset = if full && number != found { 0 } else { offset };
-        let bytes = packed.bytes.part(offset as usize, MAX_PART_BYTES);
+        let bytes = packed.bytes.slice(offset as usize, MAX_PART_BYTES);
         let (size, total) = (packed.size, packed.bytes.len() as u32);
         let full = full as u8;
         Some(LeaseMessage::Part { request_id, full, number: found, size, packed: total, offset, bytes })
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -90,7 +90,7 @@
                 let fault = planned.fault.map(|fault| format!("{}: {fault}", function.name));
                 vec![Planned { to: from, message, fault }]
             }
-            PlanMessage::Measures { lines } if self.view.optimizer == me => {
+            PlanMessage::Measurements { lines } if self.view.optimizer == me => {
                 self.measured(now, me, from, lines.as_slice())
             }
             PlanMessage::Tuned { fence, lines } => {
@@ -150,17 +150,17 @@
     TunedParameters {
         function: name.into(),
         startup_delay_steps: tuned.startup_delay_steps,
-        usage_micro: (tuned.target_usage * 1e6).round() as u64,
-        hard_milli: (tuned.sla_hard * 1e3).round() as u64,
-        why: tuned.why.as_str().into(),
+        target_usage_micro: (tuned.target_usage * 1e6).round() as u64,
+        sla_hard_milli: (tuned.sla_hard * 1e3).round() as u64,
+        reason: tuned.why.as_str().into(),
     }
 }
 
 fn tuned_of(line: &TunedParameters) -> Tuned {
     Tuned {
         startup_delay_steps: line.startup_delay_steps,
-        target_usage: line.usage_micro as f64 / 1e6,
-        sla_hard: line.hard_milli as f64 / 1e3,
-        why: line.why.as_str().to_owned(),
+        target_usage: line.target_usage_micro as f64 / 1e6,
+        sla_hard: line.sla_hard_milli as f64 / 1e3,
+        why: line.reason.as_str().to_owned(),
     }
 }
--- a/crates/control/src/router_messages.rs
+++ b/crates/control/src/router_messages.rs
@@ -36,7 +36,7 @@
             }
             LeaseMessage::JoinWithCapacity { address, zone, ops, hashing, capacity } if self.tail.is_held() => {
                 let id = from;
-                let command = match self.format >= wire::CAPACITY {
+                let command = match self.format >= wire::CAPACITY_FORMAT {
                     true => wire::Command::JoinWithCapacity { id, incarnation, address, zone, ops, hashing, capacity },
                     false => wire::Command::Join { id, incarnation, address, zone, ops },
                 };
@@ -61,7 +61,7 @@
                 }
                 self.propose_raw(Origin::Router { to: from, request_id }, body.into_vec());
             }
-            LeaseMessage::ConfigurationPage { request_id, step, revision, items, next, .. } => {
+            LeaseMessage::ConfigurationPage { request_id, epoch: step, revision, items, next, .. } => {
                 self.on_configuration_page(request_id, step, revision, items.into_vec(), next.as_str())
             }
             LeaseMessage::Proofs { view, earlier_millis, proofs } => {
@@ -131,7 +131,7 @@
         let (items, next) = keys::page(self.state(), keys::ACTIVE_PAIRS, start, true);
         let message = LeaseMessage::ConfigurationPage {
             request_id,
-            step: active,
+            epoch: active,
             revision: keys::number(self.state(), keys::ACTIVE_REVISION),
             quorum: keys::quorum(self.state(), active).into(),
             items: items.into(),
--- a/crates/control/src/router_pushes.rs
+++ b/crates/control/src/router_pushes.rs
@@ -37,7 +37,7 @@
         for (id, session) in self.sessions.table.iter_mut().filter(|(_, session)| !session.departed) {
             if let Some(next) = next_step(now, session, active, latest) {
                 let step = match self.format {
-                    ..PARTS => keys::step(&state, next).map(|step| LeaseMessage::Stage { step }),
+                    ..PARTS => keys::step(&state, next).map(|step| LeaseMessage::Stage { epoch: step }),
                     _ => self.pushes.packed_steps.part(&state, 0, false, next, 0),
                 };
                 session.pushed = next;
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -33,7 +33,7 @@
         tuning: bool = true, any, "whether weight sheets are tuned by what is measured when this registry is the optimizer's host";
         tokens_file: PathBuf = PathBuf::new(), any, "file of more bearer tokens, one to a line, so that none need stand on a command line";
         show: bool = false, any, "print the configuration kept in the data folder and stop; nothing is served or changed";
-        format: u16 = wire::FORMAT, in_range(wire::OLDEST, wire::FORMAT), "format in which frames are written; the one before while a fleet rolls from a version that knows no newer";
+        format: u16 = wire::FORMAT, in_range(wire::OLDEST_FORMAT, wire::FORMAT), "format in which frames are written; the one before while a fleet rolls from a version that knows no newer";
         log_level: String = "info".into(), |level: &String| one_of_levels(level), "error, warn, info, debug or trace";
         log_file: String = String::new(), any, "log file, rolled over by size; empty for standard error";
     }
--- a/crates/control/src/tail_duties.rs
+++ b/crates/control/src/tail_duties.rs
@@ -36,7 +36,7 @@
             self.propose_duty(Duty::Tick, &Command::Tick { number });
         }
         for (id, incarnation) in self.sessions.lapsed(self.now, self.timing.proof_over) {
-            self.propose_duty(Duty::Lapse { id, incarnation }, &Command::Lapse { id, incarnation });
+            self.propose_duty(Duty::Lapse { id, incarnation }, &Command::ExpireLease { id, incarnation });
         }
         self.maybe_activate();
         if self.earlier_leases_are_over() {
@@ -57,7 +57,7 @@
         let few = known * 4 >= members.len().max(quorum.len()) * 3 && members.len() > SMALL_FLEET;
         let calm = if few { self.timing.calm * 5 } else { self.timing.calm };
         if self.now >= since + calm {
-            self.propose_duty(Duty::Quorum, &Command::Quorum { after: latest, members: members.into() });
+            self.propose_duty(Duty::Quorum, &Command::SetQuorum { after: latest, members: members.into() });
         }
     }
 }
--- a/crates/control/tests/changes.rs
+++ b/crates/control/tests/changes.rs
@@ -12,12 +12,20 @@
 
 fn plan(fixed: u32) -> Vec<ConfigurationItem> {
     let value = format!(r#"{{"fixed":{fixed}}}"#).into_bytes();
-    vec![ConfigurationItem { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }]
+    vec![ConfigurationItem { key: "headcount-plans/t/f".into(), is_removed: 0, value: value.into() }]
 }
 
 fn declare(op: &str, base: Option<u64>, revision: u64, fixed: u32) -> Command {
     let (any, base) = (base.is_none() as u8, base.unwrap_or_default());
-    Command::Declare { op: op.into(), base, any, full: 0, revision, scope: "".into(), items: plan(fixed).into() }
+    Command::Declare {
+        op: op.into(),
+        base,
+        is_any_base: any,
+        replaces_scope: 0,
+        revision,
+        scope: "".into(),
+        items: plan(fixed).into(),
+    }
 }
 
 fn refused(reply: CommandReply) -> u16 {
@@ -34,14 +42,14 @@
         [(0, 5, 5), (5, 0, 6), (6, 1_000_000, 1_000_000), (1_000_000, 1_000_001, 1_000_001)].into_iter().enumerate()
     {
         let reply = propose(&mut state, &declare(&format!("op{step}"), Some(base), declared, 1));
-        assert_eq!(reply, CommandReply::Changed { step: step as u64 + 1, revision });
+        assert_eq!(reply, CommandReply::Changed { epoch: step as u64 + 1, revision });
     }
     for declared in [1, 1_000_000, 1_000_001] {
         assert_eq!(refused(propose(&mut state, &declare("low", None, declared, 2))), 422);
     }
     assert_eq!(refused(propose(&mut state, &declare("stale", Some(6), 2_000_000, 2))), 412);
     assert_eq!(number(&state, "c/latest-revision"), 1_000_001);
-    propose(&mut state, &Command::Activate { step: 4 });
+    propose(&mut state, &Command::Activate { epoch: 4 });
     assert_eq!(number(&state, "c/revision"), 1_000_001);
 }
 
@@ -50,13 +58,13 @@
     let mut state = State::new();
     let early = declare("early", Some(3), 9, 1);
     assert_eq!(refused(propose(&mut state, &early)), 412);
-    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), CommandReply::Changed { step: 1, revision: 3 });
+    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), CommandReply::Changed { epoch: 1, revision: 3 });
     let taken = propose(&mut state, &early);
-    assert_eq!(taken, CommandReply::Changed { step: 2, revision: 9 });
+    assert_eq!(taken, CommandReply::Changed { epoch: 2, revision: 9 });
     propose(&mut state, &declare("later", Some(9), 10, 3));
     let before = state.clone();
     assert_eq!(propose(&mut state, &early), taken);
-    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), CommandReply::Changed { step: 1, revision: 3 });
+    assert_eq!(propose(&mut state, &declare("first", Some(0), 3, 2)), CommandReply::Changed { epoch: 1, revision: 3 });
     assert!(state == before, "asked again, nothing changes");
 }
 
@@ -82,19 +90,19 @@
     let entry = |op: &str, base| Command::Change {
         op: op.into(),
         base,
-        any: 0,
-        full: 0,
+        is_any_base: 0,
+        replaces_scope: 0,
         scope: "".into(),
         items: plan(1).into(),
     };
     assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412);
-    assert_eq!(propose(&mut state, &entry("first", 0)), CommandReply::Changed { step: 1, revision: 1 });
+    assert_eq!(propose(&mut state, &entry("first", 0)), CommandReply::Changed { epoch: 1, revision: 1 });
     assert_eq!(refused(propose(&mut state, &entry("early", 1))), 412, "its refusal stands");
     let again = declare("early", Some(1), 0, 1);
     assert_eq!(
         propose(&mut state, &again),
-        CommandReply::Changed { step: 2, revision: 2 },
+        CommandReply::Changed { epoch: 2, revision: 2 },
         "but not for the new entry"
     );
-    assert_eq!(propose(&mut state, &declare("first", Some(0), 0, 1)), CommandReply::Changed { step: 1, revision: 1 });
+    assert_eq!(propose(&mut state, &declare("first", Some(0), 0, 1)), CommandReply::Changed { epoch: 1, revision: 1 });
 }
--- a/crates/control/tests/cluster/mod.rs
+++ b/crates/control/tests/cluster/mod.rs
@@ -183,7 +183,7 @@
 pub fn change(op: &str, base: u64) -> ApiCall {
     let fixed = op.bytes().fold(7u64, |sum, byte| (sum * 31 + u64::from(byte)) % 997);
     let value = format!(r#"{{"fixed":{fixed}}}"#).into_bytes();
-    let items = vec![ConfigurationItem { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }];
+    let items = vec![ConfigurationItem { key: "headcount-plans/t/f".into(), is_removed: 0, value: value.into() }];
     ApiCall::Change {
         op: op.to_owned(),
         base: Some(base),
--- a/crates/control/tests/disk_bound.rs
+++ b/crates/control/tests/disk_bound.rs
@@ -73,10 +73,17 @@
         let bindings = (0..ROUTES).map(|route| binding(route, 1000 + number));
         let items: Vec<ConfigurationItem> = (0..FUNCTIONS).map(function).chain(bindings).collect();
         let op = format!("change {number}").as_str().into();
-        let command =
-            Command::Declare { op, base: 0, any: 1, full: 1, revision: 0, scope: "main".into(), items: items.into() };
+        let command = Command::Declare {
+            op,
+            base: 0,
+            is_any_base: 1,
+            replaces_scope: 1,
+            revision: 0,
+            scope: "main".into(),
+            items: items.into(),
+        };
         self.propose(&command);
-        self.propose(&Command::Activate { step: number });
+        self.propose(&Command::Activate { epoch: number });
     }
 }
 
@@ -84,7 +91,7 @@
     let value = r#"{"memory_mb":768,"boot_ms":1400,"instance_limit":6,"connections":106,"notes":{}}"#;
     ConfigurationItem {
         key: format!("functions/main/s{number}").as_str().into(),
-        gone: 0,
+        is_removed: 0,
         value: value.as_bytes().to_vec().into(),
     }
 }
@@ -97,7 +104,7 @@
     );
     ConfigurationItem {
         key: format!("function-bindings/main/r-{route}").as_str().into(),
-        gone: 0,
+        is_removed: 0,
         value: value.into_bytes().into(),
     }
 }
--- a/crates/control/tests/fleet_net/mod.rs
+++ b/crates/control/tests/fleet_net/mod.rs
@@ -109,7 +109,7 @@
         self.asks += 1;
         let request_id = self.asks;
         let value = format!(r#"{{"fixed":{value}}}"#).into_bytes();
-        let items = vec![ConfigurationItem { key: "headcount-plans/t/f".into(), gone: 0, value: value.into() }];
+        let items = vec![ConfigurationItem { key: "headcount-plans/t/f".into(), is_removed: 0, value: value.into() }];
         let (op, scope) = (format!("op-{request_id}"), String::new());
         let call = ApiCall::Change { op, base: None, revision: None, full: false, scope, items, dry: false };
         self.feed_registry(registry, CoreInput::Call { request_id, call });
--- a/crates/control/tests/fuzz.rs
+++ b/crates/control/tests/fuzz.rs
@@ -29,18 +29,18 @@
         0..=2 => {
             let key = format!("function-bindings/t{tenant}/b{}", dice.random_range(0..6));
             let gone = dice.random_ratio(1, 5) as u8;
-            let item = ConfigurationItem { key: key.into(), gone, value: binding(dice).into() };
+            let item = ConfigurationItem { key: key.into(), is_removed: gone, value: binding(dice).into() };
             let full = dice.random_ratio(1, 10) as u8;
             Command::Change {
                 op: format!("op{round}").into(),
                 base: dice.random_range(0..40),
-                any: dice.random_ratio(3, 4) as u8,
-                full,
+                is_any_base: dice.random_ratio(3, 4) as u8,
+                replaces_scope: full,
                 scope: if dice.random_bool(0.5) { format!("t{tenant}").into() } else { "".into() },
                 items: vec![item].into(),
             }
         }
-        3 => Command::Activate { step: dice.random_range(0..60) },
+        3 => Command::Activate { epoch: dice.random_range(0..60) },
         4 => Command::Claim {
             scope: format!("k{}", dice.random_range(0..20)).into(),
             digest: vec![dice.random_range(0..2)].into(),
--- a/crates/control/tests/key_table.rs
+++ b/crates/control/tests/key_table.rs
@@ -149,7 +149,7 @@
             }
             match dice.random_range(0..12) {
                 0..=2 => model.tick(),
-                3 => drop(model.execute(&Command::Lapse { id: member, incarnation: 1 })),
+                3 => drop(model.execute(&Command::ExpireLease { id: member, incarnation: 1 })),
                 4 => drop(model.execute(&join(member))),
                 _ => {}
             }
--- a/crates/control/tests/lost_answers.rs
+++ b/crates/control/tests/lost_answers.rs
@@ -47,7 +47,7 @@
 }
 
 fn not_entered(from: NodeId, op: ProposalId) -> CoreInput {
-    CoreInput::Chain { from, message: ChainMessage::Done { op, appended: 0, reply: Vec::new().into() } }
+    CoreInput::Chain { from, message: ChainMessage::ProposalReply { op, appended: 0, reply: Vec::new().into() } }
 }
 
 #[test]
@@ -78,11 +78,11 @@
 }
 
 fn page(request_id: u64, key: &str, next: &str) -> CoreInput {
-    let items = vec![ConfigurationItem { key: key.into(), gone: 0, value: b"{}".to_vec().into() }];
+    let items = vec![ConfigurationItem { key: key.into(), is_removed: 0, value: b"{}".to_vec().into() }];
     let quorum = Vec::new().into();
     let message = LeaseMessage::ConfigurationPage {
         request_id,
-        step: 4,
+        epoch: 4,
         revision: 9,
         quorum,
         items: items.into(),
--- a/crates/control/tests/membership_log.rs
+++ b/crates/control/tests/membership_log.rs
@@ -28,9 +28,9 @@
     assert_eq!(activation_sent(&mut membership, &state), [(MemberChange::Joined, 2)]);
     assert_eq!(activation_sent(&mut membership, &state), []);
     propose(&mut state, &Command::Leaving { id: 1, incarnation: 1 });
-    propose(&mut state, &Command::Lapse { id: 2, incarnation: 1 });
+    propose(&mut state, &Command::ExpireLease { id: 2, incarnation: 1 });
     assert_eq!(activation_sent(&mut membership, &state), [(MemberChange::Lapsed, 2), (MemberChange::Leaving, 1)]);
-    propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
+    propose(&mut state, &Command::ExpireLease { id: 1, incarnation: 1 });
     assert_eq!(activation_sent(&mut membership, &state), [], "that it leaves was told before");
 }
 
@@ -41,6 +41,6 @@
     assert_eq!(activation_sent(&mut membership, &state), [], "what is found at the first look is no change");
     propose(&mut state, &join(1, 2));
     assert_eq!(activation_sent(&mut membership, &state), [(MemberChange::Joined, 1)]);
-    propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
+    propose(&mut state, &Command::ExpireLease { id: 1, incarnation: 1 });
     assert_eq!(activation_sent(&mut membership, &state), []);
 }
--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -109,7 +109,7 @@
     fn fault_choices(&self, choices: &mut Vec<Choice>) {
         if self.budget.drops > 0 {
             for ((from, to), messages) in &self.frames {
-                let droppable = |message: &ChainMessage| !matches!(message, ChainMessage::Done { .. });
+                let droppable = |message: &ChainMessage| !matches!(message, ChainMessage::ProposalReply { .. });
                 let places = (0..messages.len()).filter(|place| droppable(&messages[*place]));
                 choices.extend(places.map(|place| Choice::Drop { from: *from, to: *to, place }));
             }
--- a/crates/fleet/src/processes.rs
+++ b/crates/fleet/src/processes.rs
@@ -97,7 +97,7 @@
         }
         let mut command = self.command(node, start)?;
         let arguments = known_arguments(&command, &node.arguments);
-        let oldest = ["--format".to_owned(), wire::OLDEST.to_string()];
+        let oldest = ["--format".to_owned(), wire::OLDEST_FORMAT.to_string()];
         let more = if start == Start::Other { oldest.as_slice() } else { &[] };
         let child = command
             .args(arguments)
--- a/crates/http_server/src/kinds.rs
+++ b/crates/http_server/src/kinds.rs
@@ -18,10 +18,10 @@
         let item = item.or_insert_with(|| json!({"declared": null}));
         item["tuned"] = json!({
             "startup_delay_steps": line.startup_delay_steps,
-            "target_usage": line.usage_micro as f64 / 1e6,
-            "sla_hard": line.hard_milli as f64 / 1e3,
+            "target_usage": line.target_usage_micro as f64 / 1e6,
+            "sla_hard": line.sla_hard_milli as f64 / 1e3,
         });
-        item["why"] = line.why.as_str().into();
+        item["why"] = line.reason.as_str().into();
         item["fence"] = fence.into();
     }
     items
--- a/crates/http_server/src/views.rs
+++ b/crates/http_server/src/views.rs
@@ -57,7 +57,7 @@
         let Some(scope) = self.tokens.scope(bearer) else {
             return Err(Box::new(refuse(StatusCode::UNAUTHORIZED, "a bearer token is needed")));
         };
-        if Kind::from_word(kind).is_none() {
+        if Kind::from_name(kind).is_none() {
             return Err(Box::new(refuse(StatusCode::NOT_FOUND, "no such kind")));
         }
         if name.is_some_and(|name| !in_scope(name, &scope)) {
--- a/crates/leases/src/epochs.rs
+++ b/crates/leases/src/epochs.rs
@@ -87,7 +87,7 @@
         self.revision = epoch.revision;
         self.quorum = epoch.quorum.into_vec();
         for item in epoch.items.into_vec() {
-            if item.gone != 0 {
+            if item.is_removed != 0 {
                 self.items.remove(item.key.as_str());
             } else {
                 self.items.insert(item.key.as_str().to_owned(), item.value.into_vec());
--- a/crates/leases/src/membership.rs
+++ b/crates/leases/src/membership.rs
@@ -128,7 +128,7 @@
 
     /// The record as a program of that wire format reads it.
     pub fn written(self, format: u16) -> Vec<u8> {
-        if format >= wire::CAPACITY {
+        if format >= wire::CAPACITY_FORMAT {
             return wire::to_bytes(&self);
         }
         let members: Vec<PlainMember> = self.members.into_vec().into_iter().map(PlainMember::from).collect();
--- a/crates/leases/src/peer_messages.rs
+++ b/crates/leases/src/peer_messages.rs
@@ -41,7 +41,7 @@
             return;
         }
         let change = self.membership.change_since(&Membership::default());
-        let packed = wire::pack(&wire::to_bytes(&change));
+        let packed = wire::compress(&wire::to_bytes(&change));
         let number = self.membership.number;
         let message = LeaseMessage::PeerMembership { number, size: packed.size, body: packed.bytes };
         self.outs.push(FollowerOutput::ToPeer { to, message });
@@ -51,7 +51,7 @@
         if number <= self.membership.number {
             return;
         }
-        let raw = wire::unpack(body.as_slice(), size);
+        let raw = wire::decompress(body.as_slice(), size);
         let Some(change) = raw.and_then(|raw| wire::from_bytes::<MembershipChange>(&raw)) else { return };
         self.membership = Membership::default().changed(number, change);
         self.outs.push(FollowerOutput::MembershipUpdated { number });
--- a/crates/leases/src/registry_messages.rs
+++ b/crates/leases/src/registry_messages.rs
@@ -20,7 +20,7 @@
                     self.outs.push(FollowerOutput::RegistryAddresses { addresses });
                 }
             }
-            LeaseMessage::Stage { step } => self.on_stage(from, step),
+            LeaseMessage::Stage { epoch: step } => self.on_stage(from, step),
             LeaseMessage::Activate { number } => self.activate_to(number),
             LeaseMessage::Membership { number, body } => {
                 if number > self.membership.number
@@ -41,7 +41,7 @@
                     self.on_step_part(from, part)
                 }
             }
-            LeaseMessage::ConfigurationPage { request_id, step, revision, quorum, items, next } => {
+            LeaseMessage::ConfigurationPage { request_id, epoch: step, revision, quorum, items, next } => {
                 self.on_configuration_page(from, request_id, step, revision, quorum.into_vec(), items.into_vec(), next)
             }
             _ => {}
@@ -60,7 +60,7 @@
         if number <= self.membership.number || (since != 0 && since != self.membership.number) {
             return;
         }
-        let raw = wire::unpack(body.as_slice(), size);
+        let raw = wire::decompress(body.as_slice(), size);
         let Some(change) = raw.and_then(|raw| wire::from_bytes::<MembershipChange>(&raw)) else { return };
         let membership = if since == 0 {
             Membership::default().changed(number, change)
--- a/crates/leases/src/step_parts.rs
+++ b/crates/leases/src/step_parts.rs
@@ -50,7 +50,7 @@
         if arriving.bytes.len() < packed as usize {
             return Received::More;
         }
-        let raw = wire::unpack(&arriving.bytes, size);
+        let raw = wire::decompress(&arriving.bytes, size);
         *slot = None;
         Received::Complete(
             raw.and_then(|raw| wire::from_bytes::<ConfigurationEpoch>(&raw)).filter(|step| step.number == number),
--- a/crates/leases/tests/follower.rs
+++ b/crates/leases/tests/follower.rs
@@ -36,9 +36,9 @@
 }
 
 fn step(number: u64) -> LeaseMessage {
-    let item = ConfigurationItem { key: "headcount-plans/t/f".into(), gone: 0, value: b"{}".to_vec().into() };
+    let item = ConfigurationItem { key: "headcount-plans/t/f".into(), is_removed: 0, value: b"{}".to_vec().into() };
     let step = ConfigurationEpoch { number, revision: number, quorum: vec![ME, 8, 7].into(), items: vec![item].into() };
-    LeaseMessage::Stage { step }
+    LeaseMessage::Stage { epoch: step }
 }
 
 #[test]
--- a/crates/leases/tests/membership.rs
+++ b/crates/leases/tests/membership.rs
@@ -99,7 +99,7 @@
 fn records_are_read_in_both_shapes_and_written_as_the_format_has_them() {
     let full = membership((1..=3).map(|id| line(id, 260, 2000)).collect());
     assert_eq!(Membership::read(&full.clone().written(wire::FORMAT)), Some(full.clone()));
-    let older = Membership::read(&full.clone().written(wire::CAPACITY - 1)).unwrap();
+    let older = Membership::read(&full.clone().written(wire::CAPACITY_FORMAT - 1)).unwrap();
     let plain = |line: &Member| Member { hashing: 1, capacity: Capacity::default(), ..line.clone() };
     assert_eq!(older.members.iter().cloned().collect::<Vec<_>>(), full.members.iter().map(plain).collect::<Vec<_>>());
 }
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -5,31 +5,37 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
-use wire::{ConfigurationEpoch, ConfigurationItem, LeaseMessage, Packed, pack, to_bytes};
+use wire::{Compressed, ConfigurationEpoch, ConfigurationItem, LeaseMessage, compress, to_bytes};
 
 const TAIL: u64 = 1;
 const PART: usize = 700;
 
-fn packed(dice: &mut ChaCha8Rng, number: u64, count: usize) -> Packed {
+fn packed(dice: &mut ChaCha8Rng, number: u64, count: usize) -> Compressed {
     let value = |dice: &mut ChaCha8Rng| (0..40).map(|_| dice.random::<u8>()).collect::<Vec<u8>>();
     let items: Vec<ConfigurationItem> = (0..count)
         .map(|n| ConfigurationItem {
             key: format!("functions/t/f{n}").as_str().into(),
-            gone: 0,
+            is_removed: 0,
             value: value(dice).into(),
         })
         .collect();
-    pack(&to_bytes(&ConfigurationEpoch { number, revision: number, quorum: vec![9].into(), items: items.into() }))
+    compress(&to_bytes(&ConfigurationEpoch { number, revision: number, quorum: vec![9].into(), items: items.into() }))
 }
 
-fn part(request_id: u64, full: bool, number: u64, packed: &Packed, offset: u32) -> LeaseMessage {
-    let bytes = packed.bytes.part(offset as usize, PART);
+fn part(request_id: u64, full: bool, number: u64, packed: &Compressed, offset: u32) -> LeaseMessage {
+    let bytes = packed.bytes.slice(offset as usize, PART);
     let (size, total) = (packed.size, packed.bytes.len() as u32);
     LeaseMessage::Part { request_id, full: full as u8, number, size, packed: total, offset, bytes }
 }
 
 /// The core's side over a bad network: answers what is asked, drops a fifth, says a fifth twice.
-fn play(dice: &mut ChaCha8Rng, one: &mut Follower, first: Option<LeaseMessage>, number: u64, packed: &Packed) -> u64 {
+fn play(
+    dice: &mut ChaCha8Rng,
+    one: &mut Follower,
+    first: Option<LeaseMessage>,
+    number: u64,
+    packed: &Compressed,
+) -> u64 {
     let mut coming = Vec::new();
     for at in (0..20_000).step_by(10) {
         let now = Duration::from_millis(at);
@@ -114,7 +120,7 @@
     let mut one = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
     let honest = packed(&mut dice, 1, 4);
     for size in [honest.size - 1, honest.size + 1, u32::MAX] {
-        let lie = part(0, false, 1, &Packed { size, ..honest.clone() }, 0);
+        let lie = part(0, false, 1, &Compressed { size, ..honest.clone() }, 0);
         one.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message: lie });
         assert_eq!(one.staged_number(), 0);
     }
--- a/crates/leases/tests/relays.rs
+++ b/crates/leases/tests/relays.rs
@@ -25,7 +25,7 @@
 
 fn stage(number: u64) -> LeaseMessage {
     LeaseMessage::Stage {
-        step: ConfigurationEpoch {
+        epoch: ConfigurationEpoch {
             number,
             revision: number,
             quorum: (1..=COUNT).collect::<Vec<_>>().into(),
@@ -60,7 +60,7 @@
         for id in 1..=COUNT {
             fleet.members.insert(id, Follower::new(id, 1, "", "a", "", FollowerTiming::default()));
             let change = membership.change_since(&Membership::default());
-            let packed = wire::pack(&wire::to_bytes(&change));
+            let packed = wire::compress(&wire::to_bytes(&change));
             let (size, body) = (packed.size, packed.bytes);
             fleet.tell(id, TAIL, LeaseMessage::MembershipChange { since: 0, number: 1, size, body });
             fleet.tell(id, TAIL, stage(1));
--- a/crates/leases/tests/split_membership.rs
+++ b/crates/leases/tests/split_membership.rs
@@ -37,7 +37,7 @@
 
 fn told(membership: &Membership) -> LeaseMessage {
     let change = membership.change_since(&Membership::default());
-    let packed = wire::pack(&wire::to_bytes(&change));
+    let packed = wire::compress(&wire::to_bytes(&change));
     LeaseMessage::MembershipChange { since: 0, number: membership.number, size: packed.size, body: packed.bytes }
 }
 
@@ -53,7 +53,7 @@
         let step = ConfigurationEpoch { number: 1, revision: 1, quorum: quorum.into(), items: Vec::new().into() };
         for id in &ids {
             fleet.tell(*id, TAIL, told(&membership(1, &ids)));
-            fleet.tell(*id, TAIL, LeaseMessage::Stage { step: step.clone() });
+            fleet.tell(*id, TAIL, LeaseMessage::Stage { epoch: step.clone() });
             fleet.tell(*id, TAIL, LeaseMessage::Activate { number: 1 });
         }
         fleet.pass(Duration::from_millis(600), |_| {});
--- a/crates/quota/src/agreement.rs
+++ b/crates/quota/src/agreement.rs
@@ -114,7 +114,7 @@
         QuotaGrantersReply {
             round: query.round,
             granters: self.current.fingerprint(),
-            granted_by_it_ms: u32::try_from(granted_by_it.as_millis()).unwrap_or(u32::MAX),
+            membership_in_use_ms: u32::try_from(granted_by_it.as_millis()).unwrap_or(u32::MAX),
         }
     }
 
@@ -124,7 +124,7 @@
             return false;
         }
         self.agreeing.insert(from);
-        let since = now.saturating_sub(Duration::from_millis(reply.granted_by_it_ms.into()));
+        let since = now.saturating_sub(Duration::from_millis(reply.membership_in_use_ms.into()));
         self.all_dealt_by_it_since = self.all_dealt_by_it_since.max(since);
         self.maybe_settle()
     }
--- a/crates/scaler/src/optimizer.rs
+++ b/crates/scaler/src/optimizer.rs
@@ -72,7 +72,7 @@
         limit: Duration,
     ) -> Planned {
         let mut sheet = self.tuner.in_force(function);
-        let boots = (function.boot.as_secs_f64() / self.step.as_secs_f64()).ceil().min(MOST_DELAY) as u32;
+        let boots = (function.boot_time.as_secs_f64() / self.step.as_secs_f64()).ceil().min(MOST_DELAY) as u32;
         sheet.startup_delay_steps = sheet.startup_delay_steps.max(boots);
         let gained = now.saturating_sub(self.refilled).as_secs_f64() * self.fits_per_second;
         self.fits_left = (self.fits_left + gained).min(self.fits_per_second.max(1.0));
--- a/crates/scaler/src/tuner.rs
+++ b/crates/scaler/src/tuner.rs
@@ -101,11 +101,11 @@
 
     fn move_to(&mut self, usage: f64, hard: f64, why: String) {
         let before = (self.tuned.target_usage, self.tuned.sla_hard);
-        if let Some(bounds) = self.declared.usage_bounds() {
-            self.tuned.target_usage = bounds.keep(self.tuned.target_usage + usage);
+        if let Some(bounds) = self.declared.target_usage_bounds() {
+            self.tuned.target_usage = bounds.clamp(self.tuned.target_usage + usage);
         }
-        if let Some(bounds) = self.declared.hard_bounds() {
-            self.tuned.sla_hard = bounds.keep(self.tuned.sla_hard * hard);
+        if let Some(bounds) = self.declared.sla_hard_bounds() {
+            self.tuned.sla_hard = bounds.clamp(self.tuned.sla_hard * hard);
         }
         if before != (self.tuned.target_usage, self.tuned.sla_hard) {
             self.tuned.why = why;
@@ -113,10 +113,10 @@
     }
 
     fn follow_boots(&mut self, measure: Measure, step: Duration) {
-        let Some(bounds) = self.declared.delay_bounds().filter(|_| measure.boots > 0) else { return };
+        let Some(bounds) = self.declared.startup_delay_bounds().filter(|_| measure.boots > 0) else { return };
         self.boot = if self.boot.is_zero() { measure.boot } else { (self.boot * 3 + measure.boot) / 4 };
         let seen = (self.boot.as_secs_f64() / step.as_secs_f64()).ceil().max(1.0);
-        let wanted = bounds.keep(seen) as u32;
+        let wanted = bounds.clamp(seen) as u32;
         let steps = self.tuned.startup_delay_steps;
         self.agreeing = if wanted == steps { 0 } else { self.agreeing + 1 };
         if self.agreeing >= AGREEING {
@@ -151,17 +151,18 @@
     /// Goes on from what an earlier host had in force.
     pub fn adopt(&mut self, function: &Function, tuned: Tuned) {
         let mut track = Track::new(&function.sheet);
-        let keep =
-            |bounds: Option<bindings::Bounds>, value: f64, declared: f64| bounds.map_or(declared, |b| b.keep(value));
+        let keep = |bounds: Option<bindings::TuningBounds>, value: f64, declared: f64| {
+            bounds.map_or(declared, |b| b.clamp(value))
+        };
         let sheet = &function.sheet;
         track.tuned = Tuned {
             startup_delay_steps: keep(
-                sheet.delay_bounds(),
+                sheet.startup_delay_bounds(),
                 f64::from(tuned.startup_delay_steps),
                 f64::from(sheet.startup_delay_steps),
             ) as u32,
-            target_usage: keep(sheet.usage_bounds(), tuned.target_usage, sheet.target_usage),
-            sla_hard: keep(sheet.hard_bounds(), tuned.sla_hard, sheet.sla_hard),
+            target_usage: keep(sheet.target_usage_bounds(), tuned.target_usage, sheet.target_usage),
+            sla_hard: keep(sheet.sla_hard_bounds(), tuned.sla_hard, sheet.sla_hard),
             why: tuned.why,
         };
         self.tracks.insert(function.name.clone(), track);
--- a/crates/sim/src/declared.rs
+++ b/crates/sim/src/declared.rs
@@ -6,7 +6,7 @@
 use wire::ConfigurationItem;
 
 pub(crate) fn line(key: &str, value: Value) -> ConfigurationItem {
-    ConfigurationItem { key: key.into(), gone: 0, value: value.to_string().into_bytes().into() }
+    ConfigurationItem { key: key.into(), is_removed: 0, value: value.to_string().into_bytes().into() }
 }
 
 impl World {
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -163,7 +163,7 @@
                     } else {
                         self.booked = Some(revision);
                         let routes = RouteTable::build(step, revision, self.follower.pairs());
-                        let routes = if self.viewed { routes.showing(self.follower.pairs()) } else { routes };
+                        let routes = if self.viewed { routes.with_declarations(self.follower.pairs()) } else { routes };
                         self.tell(TrafficMessage::RouteTable(Box::new(routes)));
                     }
                     self.show();
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -181,7 +181,7 @@
                 self.work(Work::FunctionOwner(OwnerInput::Platform { report, listed_at }));
             }
             TrafficMessage::RouteTable(routes) => {
-                self.step = routes.step;
+                self.step = routes.epoch;
                 let routes = Rc::new(*routes);
                 if let Some(shelving) = &mut self.shelving {
                     shelving.routes(routes.clone());
@@ -214,7 +214,7 @@
         let Some((reply, _)) = self.statuses.remove(&request_id) else { return };
         let told = match record.and_then(|raw| wire::from_bytes::<DeferredRecord>(&raw)) {
             None => Reply::own(404, None, "no such task"),
-            Some(record) if record.done == 0 => Reply {
+            Some(record) if record.is_answered == 0 => Reply {
                 body: b"{\"state\":\"pending\"}".to_vec(),
                 ..Reply::own(200, Some(wire::Outcome::Accepted), "")
             },
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -90,7 +90,7 @@
             }
             OwnerOutput::PlanRequest { message } => self.to_registries(Message::Plan(message)),
             OwnerOutput::Measures { lines } => {
-                self.to_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
+                self.to_registries(Message::Plan(PlanMessage::Measurements { lines: lines.into() }));
             }
             OwnerOutput::Samples { lines } => {
                 self.to_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
--- a/crates/traffic/src/declared_views.rs
+++ b/crates/traffic/src/declared_views.rs
@@ -34,11 +34,11 @@
     pub fn show(&mut self, owner: &FunctionOwner) {
         let Some(routes) = self.routes.clone() else { return };
         let (fence, lines) = owner.tuned();
-        let sum = lines.iter().map(|line| line.usage_micro ^ line.hard_milli).fold(0, u64::wrapping_add);
+        let sum = lines.iter().map(|line| line.target_usage_micro ^ line.sla_hard_milli).fold(0, u64::wrapping_add);
         let last_sent = (*fence, sum, lines.len());
         if self.has_changes || last_sent != self.last_sent {
             (self.has_changes, self.last_sent) = (false, last_sent);
-            self.items = http_server::kinds(routes.declared(), *fence, lines);
+            self.items = http_server::kinds(routes.declarations(), *fence, lines);
             self.plans.clear();
         }
         let mut changed: Vec<(String, Value)> = Vec::new();
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -29,7 +29,7 @@
             .iter()
             .filter(|(_, scheduler)| scheduler.leaving.is_none() && scheduler.adopting.is_none())
             .filter(|(_, scheduler)| scheduler.read_at.is_none_or(|at| now >= at + self.timing.deferred_read))
-            .filter(|(name, _)| routes.takes_deferred(name))
+            .filter(|(name, _)| routes.has_deferred_binding(name))
             .map(|(name, _)| name.clone())
             .take(READS_AT_ONCE.saturating_sub(reading))
             .collect();
--- a/crates/traffic/src/estimate.rs
+++ b/crates/traffic/src/estimate.rs
@@ -29,7 +29,7 @@
 
     /// Returns the mean answer time; before the first answer, a quarter of the latency aim.
     pub fn mean_answer_time(&self) -> Duration {
-        let fallback = || self.function.aim.map_or(Duration::ZERO, |aim| aim / 4);
+        let fallback = || self.function.latency_target.map_or(Duration::ZERO, |aim| aim / 4);
         if self.mean_time.is_zero() { fallback() } else { self.mean_time }
     }
 
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -229,7 +229,7 @@
             let most = Duration::from_millis(binding.deadline_ms.into());
             record.due = record.started_at + record.call.deadline.map_or(most, |deadline| deadline.min(most));
         }
-        record.function = format!("{tenant}/{}", binding.function_for(dice(task)));
+        record.function = format!("{tenant}/{}", binding.pick_function(dice(task)));
         record.class = Some(binding.class);
         let counted = matches!(binding.class, Class::Ordinary | Class::Single);
         record.attempts.set_limit(counted.then_some(binding.attempts.max(1)));
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -112,7 +112,7 @@
                     | ForwardMessage::Forward { .. }
                     | ForwardMessage::ForwardForConsumer { .. }),
             } => {
-                if let Some((request, consumer)) = message.into_forwarded() {
+                if let Some((request, consumer)) = message.into_forward_request() {
                     self.admit(from, request, consumer.as_str());
                 }
             }
@@ -139,7 +139,9 @@
                 self.inventory_received(from, inventory)
             }
             OwnerInput::Forward { from, message: ForwardMessage::InventoryRequest } => self.inventory_requested(from),
-            OwnerInput::Forward { from, message: ForwardMessage::Table { table } } => self.on_table(from, table),
+            OwnerInput::Forward { from, message: ForwardMessage::OwnershipTable { table } } => {
+                self.on_table(from, table)
+            }
             OwnerInput::Forward { .. } => {}
             OwnerInput::Dispatched { number, outcome } => self.handle_dispatch_outcome(number, outcome),
             OwnerInput::StoreOperation { message } => self.handle_store_reply(message),
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -112,7 +112,7 @@
 
     /// How long one start takes on average.
     pub fn boot(&self) -> Duration {
-        self.function.boot
+        self.function.boot_time
     }
 
     /// Others may have been owner here meanwhile: what they spent and sent is not known.
--- a/crates/traffic/src/handover.rs
+++ b/crates/traffic/src/handover.rs
@@ -112,7 +112,7 @@
         let Some((next, _)) = scheduler.leaving else { return };
         scheduler.leaving = Some((next, now));
         if let Some(table) = self.table_of(name, false) {
-            self.outs.push(OwnerOutput::Forward { to: next, message: ForwardMessage::Table { table } });
+            self.outs.push(OwnerOutput::Forward { to: next, message: ForwardMessage::OwnershipTable { table } });
         }
     }
 
--- a/crates/traffic/src/inventory.rs
+++ b/crates/traffic/src/inventory.rs
@@ -103,7 +103,7 @@
         let inventory = &mut self.inventory;
         let since = inventory.source.filter(|(from, _)| *from == self.me).map_or(0, |(_, number)| number);
         let change = InventoryChange { number, since, ..change_of(&inventory.instances, &list) };
-        if !change.instances.as_slice().is_empty() || !change.gone.as_slice().is_empty() {
+        if !change.instances.as_slice().is_empty() || !change.removed_instances.as_slice().is_empty() {
             inventory.changed = self.now;
         }
         inventory.instances = list;
@@ -133,7 +133,7 @@
                 since,
                 workers_read,
                 workers,
-                workers_gone,
+                removed_workers: workers_gone,
                 ..InventoryChange::default()
             });
         }
@@ -199,12 +199,12 @@
             inventory.instances.clear();
             inventory.workers.clear();
         }
-        change.gone.iter().for_each(|id| drop(inventory.instances.remove(id.as_str())));
+        change.removed_instances.iter().for_each(|id| drop(inventory.instances.remove(id.as_str())));
         inventory.instances.extend(lines.into_iter().map(|line| (line.id.clone(), line)));
         (inventory.source, inventory.heard) = (Some((from, change.number)), now);
         let ago = |age: u32| now.saturating_sub(Duration::from_millis(age.into()));
         inventory.asked = ago(change.age_ms);
-        change.workers_gone.iter().for_each(|name| drop(inventory.workers.remove(name.as_str())));
+        change.removed_workers.iter().for_each(|name| drop(inventory.workers.remove(name.as_str())));
         inventory.workers.extend(change.workers.iter().map(from_worker_record).map(|line| (line.name.clone(), line)));
         let list = std::mem::take(&mut inventory.instances);
         let workers = (change.workers_read != 0).then(|| inventory.workers.values().cloned().collect());
--- a/crates/traffic/src/inventory_records.rs
+++ b/crates/traffic/src/inventory_records.rs
@@ -61,5 +61,9 @@
     after: &BTreeMap<String, InstanceLine>,
 ) -> InventoryChange {
     let instances: Vec<InstanceRecord> = changed(before, after).map(record).collect();
-    InventoryChange { instances: instances.into(), gone: gone(before, after).into(), ..InventoryChange::default() }
+    InventoryChange {
+        instances: instances.into(),
+        removed_instances: gone(before, after).into(),
+        ..InventoryChange::default()
+    }
 }
--- a/crates/traffic/src/load.rs
+++ b/crates/traffic/src/load.rs
@@ -122,7 +122,7 @@
 
     /// Returns whether keeping idle instances is worth their memory.
     pub fn is_kept_idle(&self, now: Duration, start_gb_seconds: f64) -> bool {
-        let Function { memory_mb, boot, .. } = self.function;
+        let Function { memory_mb, boot_time: boot, .. } = self.function;
         InstanceCost { memory_mb, boot, start_gb_seconds }.is_kept_idle(now, &self.load.long_run)
     }
 }
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -101,7 +101,7 @@
                 self.outs.push(OwnerOutput::PlanRequest { message });
             }
             let count = ready + starting;
-            let kept = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot);
+            let kept = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot_time);
             let willing = now >= scheduler.refused_until && (queued > 0 || now >= scheduler.backs_off);
             let may_grow = count == 0 || now >= self.no_growth;
             if scheduler.desired > count && willing && may_grow {
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -47,7 +47,7 @@
         quota_overrun: f64 = 0.1, in_range(0.0, 10.0), "part of its limit by which a consumer's requests in a window may be beyond it";
         quota_slack: f64 = 20.0, in_range(0.0, 1_000_000.0), "requests by which they may be beyond it besides";
         step: Duration = Duration::from_secs(15), in_range(Duration::from_millis(250), Duration::from_secs(600)), "one step of samples and plans; the same on every machine";
-        format: u16 = wire::FORMAT, in_range(wire::OLDEST, wire::FORMAT), "format in which frames are written; the one before while a fleet rolls from a version that knows no newer";
+        format: u16 = wire::FORMAT, in_range(wire::OLDEST_FORMAT, wire::FORMAT), "format in which frames are written; the one before while a fleet rolls from a version that knows no newer";
         log_level: String = "info".into(), word, "error, warn, info, debug or trace";
         log_file: String = String::new(), any, "log file, rolled over by size; empty for standard error";
     }
@@ -73,7 +73,7 @@
             allowances: self.allowances(),
             key_window: self.key_window,
             recorded_answer_bytes: self.recorded_answer_bytes,
-            claims_for_ticks: self.format >= wire::KEY_WINDOWS,
+            claims_for_ticks: self.format >= wire::KEY_WINDOW_FORMAT,
             ..OwnerTiming::default()
         }
     }
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -87,7 +87,7 @@
         for name in names {
             let Some(to) = self.membership.owner_after(&name, self.me).filter(|to| *to != self.me) else { continue };
             if let Some(table) = self.table_of(&name, true) {
-                self.outs.push(OwnerOutput::Forward { to, message: ForwardMessage::Table { table } });
+                self.outs.push(OwnerOutput::Forward { to, message: ForwardMessage::OwnershipTable { table } });
             }
         }
     }
@@ -137,7 +137,7 @@
             let earlier = self.history.earlier_homes(now, &name);
             let allowances = &self.timing.allowances;
             allowances.raise_copied_counts(earlier, &mut table.requests, &mut table.retries, &mut table.rejections);
-            self.outs.push(OwnerOutput::Forward { to: copy.from, message: ForwardMessage::Table { table } });
+            self.outs.push(OwnerOutput::Forward { to: copy.from, message: ForwardMessage::OwnershipTable { table } });
         }
     }
 
--- a/crates/traffic/src/tuning.rs
+++ b/crates/traffic/src/tuning.rs
@@ -45,7 +45,7 @@
     pub(crate) fn apply_tuned_parameters(&mut self) {
         for scheduler in self.schedulers.values_mut() {
             let line = self.tuned.1.iter().find(|line| line.function.as_str() == scheduler.function.name);
-            scheduler.tuned_usage = line.map(|line| line.usage_micro as f64 / 1e6);
+            scheduler.tuned_usage = line.map(|line| line.target_usage_micro as f64 / 1e6);
         }
     }
 
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -45,7 +45,7 @@
     let slots = vec![slot(1), slot(2), slot(3), slot(4)].into();
     let table =
         OwnershipTable { function: "t/f".into(), membership: 2, slots, requests: 100, ..OwnershipTable::default() };
-    owner.step(ms(1), true, OwnerInput::Forward { from: 9, message: ForwardMessage::Table { table } });
+    owner.step(ms(1), true, OwnerInput::Forward { from: 9, message: ForwardMessage::OwnershipTable { table } });
     owner
 }
 
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -72,12 +72,12 @@
 }
 
 pub fn given(table: OwnershipTable) -> OwnerInput {
-    OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table } }
+    OwnerInput::Forward { from: OTHER, message: ForwardMessage::OwnershipTable { table } }
 }
 
 pub fn reported(outputs: &[OwnerOutput]) -> Option<OwnershipTable> {
     outputs.iter().find_map(|output| match output {
-        OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. } => Some(table.clone()),
+        OwnerOutput::Forward { message: ForwardMessage::OwnershipTable { table }, .. } => Some(table.clone()),
         _ => None,
     })
 }
@@ -107,7 +107,7 @@
     let item = |number: &u64| ConfigurationItem {
         key: format!("p/{FUNCTION}/{}", stored(*number)).as_str().into(),
         value: wire::to_bytes(&is_standby_copy).into(),
-        gone: 0,
+        is_removed: 0,
     };
     let items: Vec<ConfigurationItem> = numbers.iter().map(item).collect();
     OwnerInput::StoreOperation { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
--- a/crates/traffic/tests/common/keyed.rs
+++ b/crates/traffic/tests/common/keyed.rs
@@ -33,7 +33,7 @@
     let slot = InstanceSlots { instance: "i".into(), address: "127.0.0.1:1".into(), ready: 1, busy: 0 };
     let slots = vec![slot].into();
     let table = OwnershipTable { function: "t/f".into(), membership: 2, slots, ..OwnershipTable::default() };
-    owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table } });
+    owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: ForwardMessage::OwnershipTable { table } });
     owner
 }
 
--- a/crates/traffic/tests/consumers.rs
+++ b/crates/traffic/tests/consumers.rs
@@ -40,7 +40,7 @@
 fn forwarded(outputs: &[FrontOutput]) -> Option<(ForwardRequest, String)> {
     outputs.iter().find_map(|output| match output {
         FrontOutput::Forward { message, .. } => {
-            message.clone().into_forwarded().map(|(request, consumer)| (request, consumer.as_str().to_owned()))
+            message.clone().into_forward_request().map(|(request, consumer)| (request, consumer.as_str().to_owned()))
         }
         FrontOutput::Reply { .. } => None,
     })
--- a/crates/traffic/tests/earlier_owners.rs
+++ b/crates/traffic/tests/earlier_owners.rs
@@ -21,7 +21,9 @@
         busy: 0,
     };
     let slots: Vec<InstanceSlots> = (0..20).map(slot).collect();
-    ForwardMessage::Table { table: OwnershipTable { is_standby_copy: 1, slots: slots.into(), ..table(roster_number) } }
+    ForwardMessage::OwnershipTable {
+        table: OwnershipTable { is_standby_copy: 1, slots: slots.into(), ..table(roster_number) },
+    }
 }
 
 /// Each is the owner for a second, sends all that it may of a backlog in doubt, and is killed.
--- a/crates/traffic/tests/lapse.rs
+++ b/crates/traffic/tests/lapse.rs
@@ -78,7 +78,7 @@
     owner.step(ms(50), true, OwnerInput::Dispatched { number: order.expect("sent"), outcome });
     let outputs = owner.step(ms(60), true, OwnerInput::Membership { membership: membership(2, &[OTHER]) });
     let reported = outputs.iter().any(|output| {
-        matches!(output, OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. }
+        matches!(output, OwnerOutput::Forward { message: ForwardMessage::OwnershipTable { table }, .. }
             if table.is_started_complete != 0 && table.started.as_slice().len() == 1)
     });
     assert!(reported, "{outputs:?}");
--- a/crates/traffic/tests/quotas.rs
+++ b/crates/traffic/tests/quotas.rs
@@ -83,7 +83,7 @@
 
 fn forward_of(outputs: &[FrontOutput]) -> u64 {
     let forwarded = outputs.iter().find_map(|output| match output {
-        FrontOutput::Forward { message, .. } => message.clone().into_forwarded(),
+        FrontOutput::Forward { message, .. } => message.clone().into_forward_request(),
         FrontOutput::Reply { .. } => None,
     });
     forwarded.expect("it is forwarded").0.task
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -124,7 +124,9 @@
     again.members = members.into();
     let outputs = keeper.step(ms(500), true, OwnerInput::Membership { membership: again.into() });
     let handed = outputs.iter().find_map(|output| match output {
-        OwnerOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } } if table.membership == 3 => {
+        OwnerOutput::Forward { to: OTHER, message: ForwardMessage::OwnershipTable { table } }
+            if table.membership == 3 =>
+        {
             Some(table)
         }
         _ => None,
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -29,7 +29,7 @@
         |id: &str| InstanceSlots { instance: id.into(), address: format!("127.0.0.1:{id}").into(), ready: 1, busy: 0 };
     let slots = vec![slot("1"), slot("2")].into();
     let table = OwnershipTable { function: "t/f".into(), membership: 2, slots, ..OwnershipTable::default() };
-    owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table } });
+    owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: ForwardMessage::OwnershipTable { table } });
     let head = RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() };
     let message = ForwardMessage::ForwardUncounted {
         task: 7,
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -11,7 +11,7 @@
 fn table(membership: u64, is_standby_copy: u8, instance: &str) -> ForwardMessage {
     let slot = InstanceSlots { instance: instance.into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 };
     let slots = vec![slot].into();
-    ForwardMessage::Table {
+    ForwardMessage::OwnershipTable {
         table: OwnershipTable {
             function: FUNCTION.into(),
             membership,
@@ -89,7 +89,7 @@
     again.members = members.into();
     let outputs = keeper.step(ms(500), true, OwnerInput::Membership { membership: again.into() });
     let handed = outputs.iter().any(|output| {
-        matches!(output, OwnerOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } }
+        matches!(output, OwnerOutput::Forward { to: OTHER, message: ForwardMessage::OwnershipTable { table } }
             if table.is_standby_copy == 0 && table.membership == 2 && table.slots.as_slice().len() == 1)
     });
     assert!(handed, "{outputs:?}");
@@ -158,9 +158,9 @@
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     owner.step(ms(3000), false, OwnerInput::Lapsed);
     assert!(!dispatched(&owner.step(ms(3001), true, OwnerInput::Forward { from: OTHER, message: task(7) })));
-    let ForwardMessage::Table { table: mut between } = table(2, 0, "i2") else { panic!("a table") };
+    let ForwardMessage::OwnershipTable { table: mut between } = table(2, 0, "i2") else { panic!("a table") };
     between.rejections = 9;
-    let handed = ForwardMessage::Table { table: between.clone() };
+    let handed = ForwardMessage::OwnershipTable { table: between.clone() };
     assert!(
         !dispatched(&owner.step(ms(3002), true, OwnerInput::Forward { from: OTHER, message: handed })),
         "nine were turned away"
@@ -175,14 +175,14 @@
 #[test]
 fn what_a_later_table_tells_beyond_the_copy_counts_too() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
-    let ForwardMessage::Table { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
+    let ForwardMessage::OwnershipTable { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
     let rejections = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["turned_away_5s"].as_u64();
     for (at, reported, wanted) in [(2100, 5, 5), (2300, 7, 7), (2500, 7, 7)] {
         whole.rejections = reported;
         owner.step(
             ms(at),
             true,
-            OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table: whole.clone() } },
+            OwnerInput::Forward { from: OTHER, message: ForwardMessage::OwnershipTable { table: whole.clone() } },
         );
         assert_eq!(rejections(&mut owner), Some(wanted), "at {at} ms");
     }
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -171,14 +171,19 @@
     let nonce = owner.starts[0].nonce.clone();
     owner.feed(OwnerInput::Membership { membership: membership(8, &[OTHER]) });
     let table = owner.others.iter().find_map(|output| match output {
-        OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. } if table.is_standby_copy == 0 => {
+        OwnerOutput::Forward { message: ForwardMessage::OwnershipTable { table }, .. }
+            if table.is_standby_copy == 0 =>
+        {
             Some(table.clone())
         }
         _ => None,
     });
     let mut next = Supplied::beside(OTHER, 1, six_workers());
     next.feed(OwnerInput::Membership { membership: membership(8, &[ME]) });
-    next.feed(OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table: table.expect("a table") } });
+    next.feed(OwnerInput::Forward {
+        from: OTHER,
+        message: ForwardMessage::OwnershipTable { table: table.expect("a table") },
+    });
     next.pass(300);
     let nonces: Vec<&str> = next.starts.iter().map(|order| order.nonce.as_str()).collect();
     assert_eq!(nonces, [nonce.as_str()]);
--- a/crates/wire/src/chain.rs
+++ b/crates/wire/src/chain.rs
@@ -142,7 +142,7 @@
     BootstrapRequest { node: NodeAddress, bound_to: View },
     /// To whoever proposed: whether it was appended, and the reply once it is committed.
     #[deku(id = "18")]
-    Done { op: ProposalId, appended: u8, reply: Blob },
+    ProposalReply { op: ProposalId, appended: u8, reply: Blob },
     /// Requests the entries after `last`, with a checksum of those after `since` that prove the logs agree.
     #[deku(id = "19")]
     MissedEntriesRequest { since: u64, last: u64, checksum: u64 },
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -10,23 +10,23 @@
 /// The newest format.
 pub const FORMAT: u16 = 9;
 /// The oldest format that is still understood.
-pub const OLDEST: u16 = 1;
+pub const OLDEST_FORMAT: u16 = 1;
 /// The format that first told what a machine can carry, and in which owners heartbeat only whom they serve.
-pub const CAPACITY: u16 = 4;
+pub const CAPACITY_FORMAT: u16 = 4;
 /// The format that first told how many attempts at a request its front grants.
-pub const ATTEMPTS: u16 = 5;
+pub const ATTEMPTS_FORMAT: u16 = 5;
 /// The format in which a registry first announced that it is to stop.
-pub const DEPARTURES: u16 = 6;
+pub const REGISTRY_LEAVING_FORMAT: u16 = 6;
 /// The format that first told whose request is forwarded.
-pub const CONSUMERS: u16 = 7;
+pub const CONSUMER_FORMAT: u16 = 7;
 /// The format in which a claim first told how long its key is kept.
-pub const KEY_WINDOWS: u16 = 7;
+pub const KEY_WINDOW_FORMAT: u16 = 7;
 /// The format in which routers first confirmed the membership to each other, beside the epoch.
-pub const PEER_MEMBERSHIPS: u16 = 8;
+pub const PEER_MEMBERSHIP_FORMAT: u16 = 8;
 /// The format in which credits were first granted for the requests of limited consumers.
-pub const CREDITS: u16 = 9;
+pub const CREDITS_FORMAT: u16 = 9;
 /// A frame holds no more bytes than this.
-pub const LIMIT: usize = 8 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// What a frame holds.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
@@ -85,7 +85,7 @@
     Format(#[error(not(source))] u16),
     /// It is of another cluster.
     #[display("frame of another cluster, {_0}")]
-    Foreign(#[error(not(source))] String),
+    WrongCluster(#[error(not(source))] String),
 }
 
 /// A frame as it travels: length, checksum and record.
@@ -104,12 +104,12 @@
         return Err(FrameError::Checksum);
     }
     let format = record.get(..2).map(|b| u16::from_le_bytes([b[0], b[1]])).ok_or(FrameError::Malformed)?;
-    if !(OLDEST..=FORMAT).contains(&format) {
+    if !(OLDEST_FORMAT..=FORMAT).contains(&format) {
         return Err(FrameError::Format(format));
     }
     let frame: Frame = from_bytes(record).ok_or(FrameError::Malformed)?;
     if frame.cluster.as_str() != cluster {
-        return Err(FrameError::Foreign(frame.cluster.as_str().chars().take(64).collect()));
+        return Err(FrameError::WrongCluster(frame.cluster.as_str().chars().take(64).collect()));
     }
     Ok(frame)
 }
@@ -120,7 +120,7 @@
     stream.read_exact(&mut head).await?;
     let len = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
     let checksum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
-    if len > LIMIT {
+    if len > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(len));
     }
     let mut record = Vec::new();
@@ -134,7 +134,7 @@
 /// Writes a frame to a stream.
 pub async fn write_frame<W: AsyncWrite + Unpin>(stream: &mut W, frame: &Frame) -> Result<(), FrameError> {
     let bytes = encode(frame);
-    if bytes.len() > LIMIT {
+    if bytes.len() > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(bytes.len()));
     }
     stream.write_all(&bytes).await?;
--- a/crates/wire/src/commands.rs
+++ b/crates/wire/src/commands.rs
@@ -24,19 +24,19 @@
 pub enum Command {
     /// A change of the configuration before format 3: its refusal is remembered like a taken one.
     #[deku(id = "1")]
-    Change { op: Text, base: u64, any: u8, full: u8, scope: Text, items: List<ConfigurationItem> },
+    Change { op: Text, base: u64, is_any_base: u8, replaces_scope: u8, scope: Text, items: List<ConfigurationItem> },
     /// Another set of routers confirms leases without the core from now on.
     #[deku(id = "2")]
-    Quorum { after: u64, members: List<NodeId> },
+    SetQuorum { after: u64, members: List<NodeId> },
     /// An epoch comes into force.
     #[deku(id = "3")]
-    Activate { step: u64 },
+    Activate { epoch: u64 },
     /// A router joins, before format 4.
     #[deku(id = "4")]
     Join { id: NodeId, incarnation: u64, address: Text, zone: Text, ops: Text },
     /// A router's lease ran out.
     #[deku(id = "5")]
-    Lapse { id: NodeId, incarnation: u64 },
+    ExpireLease { id: NodeId, incarnation: u64 },
     /// A router is about to stop.
     #[deku(id = "6")]
     Leaving { id: NodeId, incarnation: u64 },
@@ -60,7 +60,15 @@
     Tick { number: u64 },
     /// A change with the revision it declares, or 0 for the next; only a taken one is remembered.
     #[deku(id = "13")]
-    Declare { op: Text, base: u64, any: u8, full: u8, revision: u64, scope: Text, items: List<ConfigurationItem> },
+    Declare {
+        op: Text,
+        base: u64,
+        is_any_base: u8,
+        replaces_scope: u8,
+        revision: u64,
+        scope: Text,
+        items: List<ConfigurationItem>,
+    },
     /// `Join` with the hashing of owners that is known and what the machine can carry.
     #[deku(id = "14")]
     JoinWithCapacity {
@@ -83,7 +91,7 @@
 pub enum CommandReply {
     /// The change was taken as this epoch and revision.
     #[deku(id = "1")]
-    Changed { step: u64, revision: u64 },
+    Changed { epoch: u64, revision: u64 },
     /// It was refused with this status and these faults.
     #[deku(id = "2")]
     Refused { status: u16, body: Blob },
@@ -95,7 +103,7 @@
     Stored { state: ClaimState, answer: Blob },
     /// Nothing to be said.
     #[deku(id = "5")]
-    Plain,
+    Empty,
 }
 
 /// What a claim or a stored request meets.
@@ -134,7 +142,7 @@
     /// The router's number of the claim.
     pub request_id: u64,
     /// The tick at which it expires.
-    pub due: u64,
+    pub expiry_tick: u64,
     /// Not 0 once the answer is recorded.
     pub is_answered: u8,
     /// The answer.
@@ -149,7 +157,7 @@
     /// A digest of the request.
     pub digest: Blob,
     /// Not 0 once it is answered.
-    pub done: u8,
+    pub is_answered: u8,
     /// The answer.
     pub answer: Blob,
 }
--- a/crates/wire/src/downgrade.rs
+++ b/crates/wire/src/downgrade.rs
@@ -12,39 +12,41 @@
 //! | 8 | memberships in what routers confirm to each other |
 //! | 9 | credits for the requests of limited consumers |
 
-use crate::codec::{ATTEMPTS, CAPACITY, CONSUMERS, CREDITS, DEPARTURES, PEER_MEMBERSHIPS};
+use crate::codec::{
+    ATTEMPTS_FORMAT, CAPACITY_FORMAT, CONSUMER_FORMAT, CREDITS_FORMAT, PEER_MEMBERSHIP_FORMAT, REGISTRY_LEAVING_FORMAT,
+};
 use crate::{ChainMessage, ForwardMessage, ForwardRequest, LeaseMessage, Message, PlanMessage, Text};
 
 /// The format that first told times to come back in milliseconds.
-const MILLISECONDS: u16 = 3;
+const MILLISECONDS_FORMAT: u16 = 3;
 /// The format that first had ownership tables and missed entries.
-const TABLES: u16 = 2;
+const OWNERSHIP_TABLE_FORMAT: u16 = 2;
 
 /// The message as a peer that understands only this format is sent it, if there is a way to say it.
 pub fn downgrade(message: Message, format: u16) -> Option<Message> {
     let mut message = message;
-    if format < CREDITS && is_about_credits(&message) {
+    if format < CREDITS_FORMAT && is_about_credits(&message) {
         return None;
     }
-    if format < PEER_MEMBERSHIPS {
+    if format < PEER_MEMBERSHIP_FORMAT {
         message = without_peer_memberships(message)?;
     }
-    if format < CONSUMERS {
+    if format < CONSUMER_FORMAT {
         message = without_consumers(message)?;
     }
-    if format < DEPARTURES && matches!(message, Message::Chain(ChainMessage::Leaving { .. })) {
+    if format < REGISTRY_LEAVING_FORMAT && matches!(message, Message::Chain(ChainMessage::Leaving { .. })) {
         return None;
     }
-    if format < ATTEMPTS {
+    if format < ATTEMPTS_FORMAT {
         message = without_attempts(message)?;
     }
-    if format < CAPACITY {
+    if format < CAPACITY_FORMAT {
         message = without_parts(message)?;
     }
-    if format < MILLISECONDS {
+    if format < MILLISECONDS_FORMAT {
         message = without_milliseconds(message);
     }
-    if format < TABLES {
+    if format < OWNERSHIP_TABLE_FORMAT {
         message = without_tables(message)?;
     }
     Some(message)
@@ -139,10 +141,10 @@
         Message::Chain(ChainMessage::MissedEntriesRequest { .. }) => {
             Message::Chain(ChainMessage::SnapshotRequest { snapshot_id: 0, chunk: 0 })
         }
-        Message::Plan(PlanMessage::Measures { .. } | PlanMessage::Tuned { .. }) => return None,
+        Message::Plan(PlanMessage::Measurements { .. } | PlanMessage::Tuned { .. }) => return None,
         Message::Forward(ForwardMessage::Heartbeat) => return None,
-        Message::Forward(ForwardMessage::Table { table }) if table.is_standby_copy != 0 => return None,
-        Message::Forward(ForwardMessage::Table { table }) => Message::Forward(ForwardMessage::Handover {
+        Message::Forward(ForwardMessage::OwnershipTable { table }) if table.is_standby_copy != 0 => return None,
+        Message::Forward(ForwardMessage::OwnershipTable { table }) => Message::Forward(ForwardMessage::Handover {
             function: table.function,
             membership: table.membership,
             slots: table.slots,
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -145,7 +145,7 @@
     Heartbeat,
     /// What an owner knows of a function.
     #[deku(id = "7")]
-    Table { table: OwnershipTable },
+    OwnershipTable { table: OwnershipTable },
     /// `AnswerInSeconds` with the time to come back in milliseconds.
     #[deku(id = "8")]
     Answer { task: u64, outcome: Outcome, status: u16, retry_after_ms: u32, head: Blob, body: Blob },
--- a/crates/wire/src/forward_request.rs
+++ b/crates/wire/src/forward_request.rs
@@ -37,7 +37,7 @@
 impl ForwardMessage {
     /// The request that is forwarded, if one is, and whose it is, empty for no consumer's; by a front that counts its
     /// attempts or by an older one.
-    pub fn into_forwarded(self) -> Option<(ForwardRequest, Text)> {
+    pub fn into_forward_request(self) -> Option<(ForwardRequest, Text)> {
         match self {
             ForwardMessage::ForwardForConsumer { request, consumer } => Some((*request, consumer)),
             ForwardMessage::Forward { request } => Some((*request, Text::default())),
--- a/crates/wire/src/inventory.rs
+++ b/crates/wire/src/inventory.rs
@@ -35,9 +35,9 @@
     pub since: u64,
     pub age_ms: u32,
     pub instances: List<InstanceRecord>,
-    pub gone: List<Text>,
+    pub removed_instances: List<Text>,
     pub workers_read: u8,
     pub workers_age_ms: u32,
     pub workers: List<WorkerRecord>,
-    pub workers_gone: List<Text>,
+    pub removed_workers: List<Text>,
 }
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -11,7 +11,7 @@
     /// Kind, tenant and name.
     pub key: Text,
     /// Not 0 if it is removed.
-    pub gone: u8,
+    pub is_removed: u8,
     /// Its JSON.
     pub value: Blob,
 }
@@ -59,7 +59,7 @@
     NotTail { tail: NodeId, view: u64, addresses: List<Text> },
     /// A complete epoch to be staged, before format 4.
     #[deku(id = "5")]
-    Stage { step: ConfigurationEpoch },
+    Stage { epoch: ConfigurationEpoch },
     /// The newest epoch that the router has staged.
     #[deku(id = "6")]
     Staged { number: u64 },
@@ -76,7 +76,7 @@
     #[deku(id = "10")]
     ConfigurationPage {
         request_id: u64,
-        step: u64,
+        epoch: u64,
         revision: u64,
         quorum: List<NodeId>,
         items: List<ConfigurationItem>,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -5,22 +5,23 @@
 mod chain;
 mod codec;
 mod commands;
+mod compression;
 mod downgrade;
 mod forward;
 mod forward_request;
 mod inventory;
 mod lease;
-mod packed;
 mod plan;
 mod primitives;
 mod quota;
 
 pub use chain::{ChainMessage, KeyValue, LogEntry, NodeAddress, ProposalId, View};
 pub use codec::{
-    ATTEMPTS, CAPACITY, CONSUMERS, FORMAT, Frame, FrameError, KEY_WINDOWS, LIMIT, Message, OLDEST, decode, encode,
-    read_frame, write_frame,
+    ATTEMPTS_FORMAT, CAPACITY_FORMAT, CONSUMER_FORMAT, FORMAT, Frame, FrameError, KEY_WINDOW_FORMAT, MAX_FRAME_BYTES,
+    Message, OLDEST_FORMAT, decode, encode, read_frame, write_frame,
 };
 pub use commands::{Capacity, ClaimRecord, ClaimState, Command, CommandReply, DeferredRecord, OpRecord};
+pub use compression::{Compressed, compress, decompress};
 pub use downgrade::downgrade;
 pub use forward::{
     AnswerHead, ForwardMessage, HeaderField, InstanceSlots, Outcome, OwnershipTable, RequestHead, StoredAnswer,
@@ -29,7 +30,6 @@
 pub use forward_request::ForwardRequest;
 pub use inventory::{InstanceRecord, InventoryChange, WorkerRecord};
 pub use lease::{ConfigurationEpoch, ConfigurationItem, LeaseMessage, ProofAge};
-pub use packed::{Packed, pack, unpack};
 pub use plan::{DemandSample, Measurement, PlanMessage, TunedParameters};
 pub use primitives::{Blob, List, Text, from_bytes, to_bytes};
 pub use quota::{
--- a/crates/wire/src/plan.rs
+++ b/crates/wire/src/plan.rs
@@ -46,11 +46,11 @@
     /// Steps until a start takes effect.
     pub startup_delay_steps: u32,
     /// Instance time a request takes.
-    pub usage_micro: u64,
+    pub target_usage_micro: u64,
     /// Penalty of a shortfall.
-    pub hard_milli: u64,
+    pub sla_hard_milli: u64,
     /// The reason, for operators.
-    pub why: Text,
+    pub reason: Text,
 }
 
 /// What owners and the optimizer's host say to each other.
@@ -68,7 +68,7 @@
     Reply { request_id: u64, fence: u64, state: u8, step_ms: u32, desired: List<u32> },
     /// What was measured beside the samples.
     #[deku(id = "4")]
-    Measures { lines: List<Measurement> },
+    Measurements { lines: List<Measurement> },
     /// All that is tuned at present, fenced like a plan.
     #[deku(id = "5")]
     Tuned { fence: u64, lines: List<TunedParameters> },
--- a/crates/wire/src/primitives.rs
+++ b/crates/wire/src/primitives.rs
@@ -10,14 +10,14 @@
 use deku::{DekuReader, DekuWriter};
 
 /// A byte string holds no more than this.
-pub const BYTES: u32 = 6 * 1024 * 1024;
-const STEP: usize = 256 * 1024;
-const ITEMS: u32 = 65_536;
+pub const MAX_BLOB_BYTES: u32 = 6 * 1024 * 1024;
+const READ_CHUNK_BYTES: usize = 256 * 1024;
+const MAX_LIST_ITEMS: u32 = 65_536;
 
 /// Bytes that copies share: what goes to many is held once.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Default, DekuRead, DekuWrite)]
 pub struct Blob {
-    #[deku(update = "self.data.len()", assert = "*len <= BYTES")]
+    #[deku(update = "self.data.len()", assert = "*len <= MAX_BLOB_BYTES")]
     len: u32,
     #[deku(reader = "read_bytes(deku::reader, *len)", writer = "write_bytes(deku::writer, &self.data)")]
     data: Bytes,
@@ -28,7 +28,7 @@
     // A length that lies is found out a step at a time, before much is allocated for it.
     while bytes.len() < len as usize {
         let from = bytes.len();
-        bytes.resize((len as usize).min(from + STEP), 0);
+        bytes.resize((len as usize).min(from + READ_CHUNK_BYTES), 0);
         let more = bytes.len() - from;
         reader.read_bytes(more, &mut bytes[from..], Order::Lsb0)?;
     }
@@ -59,7 +59,7 @@
         self.data.len()
     }
     /// A part of it, or as much of that as there is; nothing is copied.
-    pub fn part(&self, from: usize, most: usize) -> Blob {
+    pub fn slice(&self, from: usize, most: usize) -> Blob {
         let from = from.min(self.data.len());
         let to = from.saturating_add(most).min(self.data.len());
         self.data.slice(from..to).into()
@@ -120,7 +120,7 @@
 where
     T: DekuWriter + for<'a> DekuReader<'a>,
 {
-    #[deku(update = "self.items.len()", assert = "*len <= ITEMS")]
+    #[deku(update = "self.items.len()", assert = "*len <= MAX_LIST_ITEMS")]
     len: u32,
     #[deku(count = "len")]
     items: Vec<T>,
--- a/crates/wire/src/quota.rs
+++ b/crates/wire/src/quota.rs
@@ -94,5 +94,5 @@
     /// The fingerprint of the routers that grant, by the membership that the answering router has.
     pub granters: u64,
     /// For how long it has granted nothing by another membership.
-    pub granted_by_it_ms: u32,
+    pub membership_in_use_ms: u32,
 }
--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -17,7 +17,7 @@
         damaged[place] ^= 0x10;
         assert!(decode("posta", checksum, &damaged[8..]).is_err());
     }
-    assert!(matches!(decode("pixel", checksum, &bytes[8..]), Err(FrameError::Foreign(_))));
+    assert!(matches!(decode("pixel", checksum, &bytes[8..]), Err(FrameError::WrongCluster(_))));
     let later = encode(&Frame { format: FORMAT + 1, ..frame() });
     let checksum = u32::from_le_bytes(later[4..8].try_into().unwrap());
     assert!(matches!(decode("posta", checksum, &later[8..]), Err(FrameError::Format(_))));
--- a/crates/wire/tests/downgrade.rs
+++ b/crates/wire/tests/downgrade.rs
@@ -17,8 +17,8 @@
         ..OwnershipTable::default()
     };
     let is_standby_copy = OwnershipTable { is_standby_copy: 1, ..table.clone() };
-    assert_eq!(old(Message::Forward(ForwardMessage::Table { table: is_standby_copy })), None);
-    let handed = old(Message::Forward(ForwardMessage::Table { table: table.clone() }));
+    assert_eq!(old(Message::Forward(ForwardMessage::OwnershipTable { table: is_standby_copy })), None);
+    let handed = old(Message::Forward(ForwardMessage::OwnershipTable { table: table.clone() }));
     assert!(
         matches!(handed, Some(Message::Forward(ForwardMessage::Handover { membership: 4, requests: 9, .. }))),
         "{handed:?}"
@@ -42,7 +42,7 @@
         head: vec![1].into(),
         body: vec![2].into(),
     };
-    let (request, _) = forward.clone().into_forwarded().expect("a forward");
+    let (request, _) = forward.clone().into_forward_request().expect("a forward");
     assert_eq!(request.attempts, ForwardRequest::UNCOUNTED);
     let counted = ForwardMessage::Forward { request: Box::new(ForwardRequest { attempts: 1, ..request }) };
     let heard = |message: ForwardMessage, format| downgrade(Message::Forward(message), format);
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -31,13 +31,13 @@
         optimizer: 2,
     };
     let entry = LogEntry { seq: 9, op: ProposalId { origin: 1, number: 2 }, body: vec![7; 40].into() };
-    let item = ConfigurationItem { key: "function-bindings/a/b".into(), gone: 0, value: b"{}".to_vec().into() };
+    let item = ConfigurationItem { key: "function-bindings/a/b".into(), is_removed: 0, value: b"{}".to_vec().into() };
     let step =
         ConfigurationEpoch { number: 4, revision: 2, quorum: vec![1, 2, 3].into(), items: vec![item.clone()].into() };
     vec![
         Message::Chain(ChainMessage::Decided { view }),
         Message::Chain(ChainMessage::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
-        Message::Lease(LeaseMessage::Stage { step }),
+        Message::Lease(LeaseMessage::Stage { epoch: step }),
         Message::Lease(LeaseMessage::ReadReply { request_id: 1, state: 1, items: vec![item].into() }),
         Message::Forward(ForwardMessage::NotOwner { task: 5 }),
         Message::Forward(ForwardMessage::Forward { request: Box::new(forward()) }),
--- a/crates/wire/tests/samples/forward.rs
+++ b/crates/wire/tests/samples/forward.rs
@@ -40,11 +40,11 @@
         since: 209,
         age_ms: 210,
         instances: vec![instance].into(),
-        gone: vec!["j".into()].into(),
+        removed_instances: vec!["j".into()].into(),
         workers_read: 1,
         workers_age_ms: 211,
         workers: vec![worker].into(),
-        workers_gone: vec!["v".into()].into(),
+        removed_workers: vec!["v".into()].into(),
     }
 }
 
@@ -101,7 +101,7 @@
         ForwardMessage::QuotaGrant { grant: QuotaGrant { number: 316, granted: 317, retry_after_ms: 318 } },
         ForwardMessage::QuotaGrantersQuery { query: QuotaGrantersQuery { round: 319 } },
         ForwardMessage::QuotaGrantersReply {
-            reply: QuotaGrantersReply { round: 320, granters: 321, granted_by_it_ms: 322 },
+            reply: QuotaGrantersReply { round: 320, granters: 321, membership_in_use_ms: 322 },
         },
     ]
 }
@@ -120,7 +120,7 @@
         Handover { function: "t/f".into(), membership: 232, slots: vec![slot()].into(), requests: 233, retries: 234 },
         Preempt { function: "t/f".into(), memory_mb: 235 },
         Heartbeat,
-        Table { table: table() },
+        OwnershipTable { table: table() },
         answer,
         HeartbeatRequest,
         Inventory { inventory: inventory() },
@@ -159,15 +159,15 @@
     let tuned = TunedParameters {
         function: "t/f".into(),
         startup_delay_steps: 261,
-        usage_micro: 262,
-        hard_milli: 263,
-        why: "why".into(),
+        target_usage_micro: 262,
+        sla_hard_milli: 263,
+        reason: "why".into(),
     };
     [
         PlanMessage::Samples { lines: vec![sample].into() },
         PlanMessage::Request { request_id: 264, function: "t/f".into(), current: 265, queued: 266, waiting: 267 },
         PlanMessage::Reply { request_id: 268, fence: 269, state: 1, step_ms: 270, desired: vec![271].into() },
-        PlanMessage::Measures { lines: vec![measure].into() },
+        PlanMessage::Measurements { lines: vec![measure].into() },
         PlanMessage::Tuned { fence: 272, lines: vec![tuned].into() },
     ]
     .into_iter()
--- a/crates/wire/tests/samples/lease.rs
+++ b/crates/wire/tests/samples/lease.rs
@@ -4,7 +4,7 @@
 use wire::{Capacity, ConfigurationEpoch, ConfigurationItem, LeaseMessage, Message, ProofAge};
 
 fn item() -> ConfigurationItem {
-    ConfigurationItem { key: "functions/a/f".into(), gone: 1, value: b"{}".to_vec().into() }
+    ConfigurationItem { key: "functions/a/f".into(), is_removed: 1, value: b"{}".to_vec().into() }
 }
 
 fn step() -> ConfigurationEpoch {
@@ -22,14 +22,14 @@
         Renew { request_id: 111, staged: 112, active: 113, membership: 114 },
         Proof { request_id: 115, active: 116, latest: 117, member: 1 },
         NotTail { tail: 118, view: 119, addresses: vec!["s:3".into()].into() },
-        Stage { step: step() },
+        Stage { epoch: step() },
         Staged { number: 120 },
         Activate { number: 121 },
         Membership { number: 122, body: vec![123].into() },
         ConfigurationRequest { request_id: 124, from: "f".into() },
         ConfigurationPage {
             request_id: 125,
-            step: 126,
+            epoch: 126,
             revision: 127,
             quorum: vec![128].into(),
             items: vec![item()].into(),
--- a/crates/wire/tests/samples/mod.rs
+++ b/crates/wire/tests/samples/mod.rs
@@ -48,7 +48,7 @@
         SnapshotChunk { snapshot_id: 69, chunk: 70, last: 1, seq: 71, pairs: vec![pair].into() },
         JoinRequest { node: node(72), ready: 1, seq: 73 },
         BootstrapRequest { node: node(74), bound_to: view() },
-        Done { op, appended: 1, reply: vec![75, 76].into() },
+        ProposalReply { op, appended: 1, reply: vec![75, 76].into() },
         MissedEntriesRequest { since: 77, last: 78, checksum: 79 },
         MissedEntries { snapshot_id: 80, entries: vec![entry(81)].into() },
         TailLastAnswered { view: 82, millis: 83 },
--- a/crates/wire/tests/samples/record.rs
+++ b/crates/wire/tests/samples/record.rs
@@ -8,17 +8,24 @@
 };
 
 fn item() -> ConfigurationItem {
-    ConfigurationItem { key: "services/a/s".into(), gone: 1, value: vec![1].into() }
+    ConfigurationItem { key: "services/a/s".into(), is_removed: 1, value: vec![1].into() }
 }
 
 fn commands() -> Vec<Command> {
     use Command::*;
     vec![
-        Change { op: "o".into(), base: 301, any: 1, full: 2, scope: "s".into(), items: vec![item()].into() },
-        Quorum { after: 302, members: vec![303].into() },
-        Activate { step: 304 },
+        Change {
+            op: "o".into(),
+            base: 301,
+            is_any_base: 1,
+            replaces_scope: 2,
+            scope: "s".into(),
+            items: vec![item()].into(),
+        },
+        SetQuorum { after: 302, members: vec![303].into() },
+        Activate { epoch: 304 },
         Join { id: 305, incarnation: 306, address: "a:1".into(), zone: "z".into(), ops: "o:2".into() },
-        Lapse { id: 307, incarnation: 308 },
+        ExpireLease { id: 307, incarnation: 308 },
         Leaving { id: 309, incarnation: 310 },
         Claim { scope: "c".into(), digest: vec![2].into(), member: 311, incarnation: 312, request_id: 313 },
         RecordAnswer { scope: "c".into(), member: 314, incarnation: 315, request_id: 316, answer: vec![3].into() },
@@ -29,8 +36,8 @@
         Declare {
             op: "o".into(),
             base: 321,
-            any: 1,
-            full: 2,
+            is_any_base: 1,
+            replaces_scope: 2,
             revision: 322,
             scope: "s".into(),
             items: vec![item()].into(),
@@ -57,10 +64,10 @@
 
 fn replies() -> Vec<CommandReply> {
     let mut replies = vec![
-        CommandReply::Changed { step: 331, revision: 332 },
+        CommandReply::Changed { epoch: 331, revision: 332 },
         CommandReply::Refused { status: 333, body: vec![7].into() },
         CommandReply::Stored { state: ClaimState::Full, answer: vec![8].into() },
-        CommandReply::Plain,
+        CommandReply::Empty,
     ];
     use ClaimState::*;
     for state in [Granted, Running, Answered, Unknown, OtherBody] {
@@ -78,17 +85,17 @@
         member: 341,
         incarnation: 342,
         request_id: 343,
-        due: 344,
+        expiry_tick: 344,
         is_answered: 1,
         answer: vec![11].into(),
     };
-    let deferred = DeferredRecord { function: "t/f".into(), digest: digest(), done: 1, answer: vec![12].into() };
+    let deferred = DeferredRecord { function: "t/f".into(), digest: digest(), is_answered: 1, answer: vec![12].into() };
     let header = HeaderField { name: "n".into(), value: vec![13].into() };
     let head = RequestHead { method: "GET".into(), target: "/t".into(), headers: vec![header.clone()].into() };
     let task = StoredRequest { binding: "t/b".into(), head: to_bytes(&head).into(), body: vec![14].into() };
     samples.push(to_bytes(&claim));
     samples.push(to_bytes(&deferred));
-    samples.push(to_bytes(&OpRecord { reply: CommandReply::Plain }));
+    samples.push(to_bytes(&OpRecord { reply: CommandReply::Empty }));
     samples.push(to_bytes(&head));
     samples.push(to_bytes(&AnswerHead { headers: vec![header].into() }));
     samples.push(to_bytes(&task));
