--- a/crates/control/src/configuration_reads.rs
+++ b/crates/control/src/configuration_reads.rs
@@ -1,5 +1,5 @@
-//! Reads of the whole configuration, from the tail, page by page and all of one step. A read that is slow
-//! is begun anew; a page that answers an earlier ask is left aside, since pages before it may be missing.
+//! Reads of the whole configuration from the tail, in pages that all belong to one epoch. A slow read is restarted;
+//! pages requested before the restart are ignored, since the pages before them may be missing.
 
 use crate::api_calls::ApiReply;
 use crate::core::{Core, CoreOutput};
@@ -11,25 +11,28 @@
 use std::time::Duration;
 use wire::{ConfigurationItem, LeaseMessage};
 
+/// Time without a page after which a read is restarted.
 const PAGE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 impl Core {
-    pub(crate) fn tick_reads(&mut self) {
+    /// Restarts slow reads, and gives up those that are past their deadline.
+    pub(crate) fn process_reads(&mut self) {
         let now = self.now;
         let open: Vec<u64> = self.calls.reads.keys().copied().collect();
         for request_id in open {
             let Some(read) = self.calls.reads.get(&request_id) else { continue };
             if now > read.due {
                 self.calls.reads.remove(&request_id);
-                self.busy(request_id, "the tail could not be reached in time");
+                self.reply_busy(request_id, "the tail could not be reached in time");
             } else if now > read.requested_at + PAGE_RETRY_INTERVAL {
-                self.read_on(request_id, String::new());
+                self.request_page(request_id, String::new());
             }
         }
     }
 
-    pub(crate) fn read_on(&mut self, request_id: u64, from: String) {
-        let Some(tail) = self.member.view().chain.as_slice().last().copied() else { return };
+    /// Requests the page of a read that starts at a key; an empty key restarts the read.
+    pub(crate) fn request_page(&mut self, request_id: u64, from: String) {
+        let Some(tail) = self.replica.view().chain.as_slice().last().copied() else { return };
         let page_request_id = self.proposals.next_number();
         if let Some(read) = self.calls.reads.get_mut(&request_id) {
             read.requested_at = self.now;
@@ -39,11 +42,12 @@
                 read.pairs.clear();
             }
             let message = LeaseMessage::ConfigurationRequest { request_id: read.page_request_id, from: from.into() };
-            self.outs.push(CoreOutput::Router { to: tail, message });
+            self.outputs.push(CoreOutput::Router { to: tail, message });
         }
     }
 
-    pub(crate) fn on_configuration_page(
+    /// Adds a page to the read that requested it, and answers the read after its last page.
+    pub(crate) fn handle_configuration_page(
         &mut self,
         page_request_id: u64,
         step: u64,
@@ -58,12 +62,12 @@
         };
         let request_id = *request_id;
         if read.step.is_some_and(|first| first != step) {
-            return self.read_on(request_id, String::new());
+            return self.request_page(request_id, String::new());
         }
         read.step = Some(step);
         read.pairs.extend(items.into_iter().map(|item| (item.key.as_str().to_owned(), item.value.into_vec())));
         if !next.is_empty() {
-            return self.read_on(request_id, next.to_owned());
+            return self.request_page(request_id, next.to_owned());
         }
         if let Some(read) = self.calls.reads.remove(&request_id) {
             let mut reply = ApiReply::new(200, document(revision, &read.scope, &read.pairs));
@@ -73,14 +77,15 @@
     }
 }
 
-/// The configuration in force as one data file keeps it, which may be behind the others'.
+/// Returns the active configuration as stored in one data file, which may be older than in other registries' files.
 pub fn stored_document(state: &State) -> Value {
     let pairs = keys::with_prefix(state, keys::ACTIVE_PAIRS)
         .map(|(key, value)| (key[keys::ACTIVE_PAIRS.len()..].to_owned(), value.to_vec()))
         .collect();
-    document(keys::number(state, keys::ACTIVE_REVISION), "", &pairs)
+    document(keys::read_number(state, keys::ACTIVE_REVISION), "", &pairs)
 }
 
+/// Renders the configuration of a tenant, or of all if `scope` is empty, as JSON by kind and name.
 pub fn document(revision: u64, scope: &str, pairs: &BTreeMap<String, Vec<u8>>) -> Value {
     let mut kinds: BTreeMap<&str, Map<String, Value>> =
         Kind::ALL.iter().map(|kind| (kind.name(), Map::new())).collect();
--- a/crates/control/src/control_loop_tests.rs
+++ b/crates/control/src/control_loop_tests.rs
@@ -1,4 +1,4 @@
-//! What the control thread goes on doing while a planned stop waits for the others.
+//! Work that the control thread continues while a planned stop waits for the other registries.
 
 use super::*;
 use crate::apply::apply;
@@ -14,7 +14,7 @@
     NodeAddress { id, address: format!("10.0.0.{id}:1").into() }
 }
 
-/// One of three registries whose peers do not answer, so that it cannot leave the chain.
+/// Returns one of three registries whose peers do not answer, so that it cannot leave the chain.
 fn control(links: InboxSender<LinkOrder>) -> Control {
     let voters: Vec<NodeAddress> = (1..=3).map(node).collect();
     let view = View { number: 1, chain: vec![1, 2, 3].into(), voters: voters.into(), learner: 0, optimizer: 2 };
@@ -25,18 +25,18 @@
     let (store, _) = Store::open(&file, "test", node(1)).unwrap();
     let reopen = move || Store::reopen(&file, "test", &node(1));
     let disk = DiskWriter::start(store, reopen, |_| {}).unwrap();
-    let member = ChainReplica::new(node(1), stored, Timing::default(), apply, Duration::ZERO);
+    let replica = ChainReplica::new(node(1), stored, Timing::default(), apply, Duration::ZERO);
     let (optimizer, _) = inbox(INBOX);
     Control {
-        core: Core::new(member, CoreTiming::default(), 1),
+        core: Core::new(replica, CoreTiming::default(), 1),
         disk,
         links,
         optimizer,
         calls: BTreeMap::new(),
-        next_call: 0,
-        view: watch::channel(String::new()).0,
-        revision: None,
-        shown: Instant::now(),
+        last_call_id: 0,
+        status: watch::channel(String::new()).0,
+        sent_revision: None,
+        status_published_at: Instant::now(),
         membership: MembershipLog::default(),
         seeds: Vec::new(),
         grace: Duration::from_secs(4),
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn a_registry_that_waits_to_leave_goes_on_with_its_heartbeats() {
+fn a_registry_that_waits_to_leave_keeps_sending_heartbeats() {
     let (links, mut orders) = inbox(INBOX);
-    let (post, messages) = inbox(INBOX);
-    assert!(post.send(ControlMessage::Stop).is_ok());
-    let running = thread::spawn(move || kernel::local(control(links).run(post, messages)));
+    let (sender, messages) = inbox(INBOX);
+    assert!(sender.send(ControlMessage::Stop).is_ok());
+    let running = thread::spawn(move || kernel::local(control(links).run(sender, messages)));
     let mut proposals = 0;
     let mut heartbeats = 0;
-    // The orders end with the process.
+    // The inbox closes when the control loop ends.
     while heartbeats < 5
         && let Some(order) = orders.next_blocking()
     {
@@ -64,6 +64,6 @@
             _ => {}
         }
     }
-    assert_eq!(heartbeats, 5, "it was silent once it had proposed to leave");
+    assert_eq!(heartbeats, 5, "the registry sent no heartbeats after it had proposed to leave");
     running.join().unwrap();
 }
--- a/crates/control/src/core.rs
+++ b/crates/control/src/core.rs
@@ -1,6 +1,6 @@
-//! A registry as one state machine over its chain member: it takes ticks, frames, finished writes
-//! and operators' calls, and returns frames, writes and replies. The service feeds it from real
-//! sockets and disks, the simulator from seeded ones.
+//! A registry as one state machine over its chain replica: it takes ticks, frames, finished writes and
+//! operators' calls, and returns frames, writes and replies. The service feeds it from real sockets and
+//! disks, the simulator from simulated ones driven by a seed.
 
 use crate::activation::{ActivationWait, PendingActivation};
 use crate::api_calls::{ApiCall, ApiReply};
@@ -16,16 +16,21 @@
 use std::time::Duration;
 use wire::{ChainMessage, LeaseMessage, NodeId, View};
 
+/// Timeouts and intervals of a core.
 #[derive(Clone, Debug)]
 pub struct CoreTiming {
-    pub lapse: Duration,
-    /// How long after it was asked for no proof can still hold.
-    pub proof_over: Duration,
-    /// How long after the core's last word no router can hold a lease by its peers' any more.
-    pub peers_over: Duration,
-    pub call: Duration,
-    pub tick: Duration,
-    pub calm: Duration,
+    /// Time after which a router's lease from the core counts as lapsed.
+    pub lease_lapse: Duration,
+    /// Time after the request for a lease proof by which the proof has expired on every clock.
+    pub proof_expiry: Duration,
+    /// Time after the core's last proof by which no router can hold a lease proved by its peers.
+    pub peer_proof_expiry: Duration,
+    /// Time after which an operator's call is answered with an unknown outcome.
+    pub call_timeout: Duration,
+    /// Interval of the chain's logical clock, which expires records.
+    pub tick_interval: Duration,
+    /// Time for which the members must stay the same before the quorum is renewed.
+    pub quorum_stability: Duration,
 }
 
 impl Default for CoreTiming {
@@ -35,59 +40,81 @@
 }
 
 impl CoreTiming {
-    /// A router's lease lapses here a sixth later than it can have lapsed there. A proof is taken to be over a
-    /// fifteenth after it has run out, which allows for clocks that run apart by so much.
+    /// Returns the timing for leases that last for `hold`. The core lets a router's lease lapse a sixth of `hold`
+    /// after the router itself did. A proof counts as expired a fifteenth of `hold` after its end, which tolerates
+    /// clocks whose rates differ by that much.
     pub fn for_hold(hold: Duration) -> Self {
         CoreTiming {
-            lapse: hold + hold / 6,
-            proof_over: hold + hold / 15,
-            peers_over: DEFAULT_PEER_HOLD + DEFAULT_PEER_HOLD / 15,
-            call: Duration::from_secs(10),
-            tick: Duration::from_secs(1),
-            calm: Duration::from_secs(2),
+            lease_lapse: hold + hold / 6,
+            proof_expiry: hold + hold / 15,
+            peer_proof_expiry: DEFAULT_PEER_HOLD + DEFAULT_PEER_HOLD / 15,
+            call_timeout: Duration::from_secs(10),
+            tick_interval: Duration::from_secs(1),
+            quorum_stability: Duration::from_secs(2),
         }
     }
 
-    /// For routers that go by their peers' word for so long after the core's last.
+    /// Adapts the timing to routers that accept their peers' proofs for `peer_hold` after the core's last proof.
     pub fn with_peer_hold(self, peer_hold: Duration) -> Self {
-        CoreTiming { peers_over: peer_hold + peer_hold / 15, ..self }
+        CoreTiming { peer_proof_expiry: peer_hold + peer_hold / 15, ..self }
     }
 }
 
+/// An event that drives a core.
 #[derive(Debug)]
 pub enum CoreInput {
+    /// Time has passed.
     Tick,
+    /// A frame from another registry.
     Chain { from: NodeId, message: ChainMessage },
+    /// The write with this ticket is synced.
     Written { ticket: u64 },
+    /// A write failed.
     DiskError,
+    /// The disk works again and holds `stored`.
     DiskRecovered { stored: Box<StoredReplica> },
+    /// A lease message from a router or from another registry.
     Router { from: NodeId, incarnation: u64, message: LeaseMessage },
+    /// A call of an operator.
     Call { request_id: u64, call: ApiCall },
+    /// A planned stop of this registry.
     Leave { within: Duration },
 }
 
+/// An action that a core requests, or an event that it reports.
 #[derive(Debug)]
 pub enum CoreOutput {
+    /// Send a frame to a registry.
     Registry { to: NodeId, message: ChainMessage },
+    /// Send a frame to every seed address.
     Seeds { message: ChainMessage },
+    /// Write and sync a batch.
     Write { ticket: u64, batch: Batch },
+    /// Send a lease message to a router or to another registry.
     Router { to: NodeId, message: LeaseMessage },
+    /// Answer an operator's call.
     Reply { request_id: u64, reply: ApiReply },
+    /// This replica adopted a view.
     ViewAdopted { view: View },
+    /// A seed reported a view while this registry is empty.
     ViewLearned { view: View },
+    /// A configuration epoch came into force.
     Activated { step: u64 },
+    /// A staged configuration epoch has waited for long.
     ActivationDelayed { step: u64, wait: ActivationWait, waited: Duration },
+    /// This replica caught up, by this number of log entries or, if none is given, by a snapshot.
     CaughtUp { missed_entries: Option<usize> },
+    /// A configuration change was refused as invalid.
     ChangeInvalid { fault: String },
 }
 
-/// The control plane's state machine: the coordinator of a chain replica and of what the tail does with it.
+/// The control plane's state machine: a chain replica and the duties of the chain's tail.
 pub struct Core {
-    pub(crate) member: ChainReplica,
+    pub(crate) replica: ChainReplica,
     pub(crate) timing: CoreTiming,
     pub(crate) format: u16,
     pub(crate) now: Duration,
-    pub(crate) outs: Vec<CoreOutput>,
+    pub(crate) outputs: Vec<CoreOutput>,
     pub(crate) sessions: Sessions,
     pub(crate) tail: TailRole,
     pub(crate) requests: RouterRequests,
@@ -100,15 +127,15 @@
 }
 
 impl Core {
-    /// A core over a replica, whose proposals and rounds are numbered from `first_number` on, differently in each
-    /// incarnation.
-    pub fn new(member: ChainReplica, timing: CoreTiming, first_number: u64) -> Self {
+    /// Creates a core over a replica. Proposals and confirmation rounds are numbered from `first_number`, which must
+    /// differ between incarnations.
+    pub fn new(replica: ChainReplica, timing: CoreTiming, first_number: u64) -> Self {
         Core {
-            member: member.with_first_round(first_number),
+            replica: replica.with_first_round(first_number),
             timing,
             format: wire::FORMAT,
             now: Duration::ZERO,
-            outs: Vec::new(),
+            outputs: Vec::new(),
             sessions: Sessions::default(),
             tail: TailRole::default(),
             requests: RouterRequests::default(),
@@ -121,86 +148,91 @@
         }
     }
 
-    /// Proposes nothing that a program of this format could not read.
-    pub fn speaking(mut self, format: u16) -> Self {
+    /// Limits proposals to commands that programs of this format can read.
+    pub fn with_format(mut self, format: u16) -> Self {
         self.format = format;
         self
     }
 
-    pub fn member(&self) -> &ChainReplica {
-        &self.member
+    /// Returns the chain replica.
+    pub fn replica(&self) -> &ChainReplica {
+        &self.replica
     }
 
+    /// Returns the committed state.
     pub fn state(&self) -> &State {
-        self.member.committed_state()
+        self.replica.committed_state()
     }
 
+    /// Whether a router is a member.
     pub fn has_member(&self, id: NodeId) -> bool {
         keys::incarnations(self.state()).contains_key(&id)
     }
 
-    pub fn me(&self) -> NodeId {
-        self.member.node().id
+    /// Returns this registry's id.
+    pub fn id(&self) -> NodeId {
+        self.replica.node().id
     }
 
+    /// Handles one input and returns the resulting outputs.
     pub fn step(&mut self, now: Duration, input: CoreInput) -> Vec<CoreOutput> {
         self.now = now;
         match input {
             CoreInput::Tick => {
-                self.chain(Input::Tick);
+                self.step_replica(Input::Tick);
                 self.tick();
             }
-            CoreInput::Chain { from, message } => self.chain(Input::Message { from, message }),
-            CoreInput::Written { ticket } => self.chain(Input::Written { ticket }),
-            CoreInput::DiskError => self.chain(Input::DiskError),
+            CoreInput::Chain { from, message } => self.step_replica(Input::Message { from, message }),
+            CoreInput::Written { ticket } => self.step_replica(Input::Written { ticket }),
+            CoreInput::DiskError => self.step_replica(Input::DiskError),
             CoreInput::DiskRecovered { stored } => {
-                self.tail.lose();
-                self.chain(Input::DiskRecovered { stored: *stored });
+                self.tail.end();
+                self.step_replica(Input::DiskRecovered { stored: *stored });
             }
-            CoreInput::Router { from, incarnation, message } => self.router(from, incarnation, message),
-            CoreInput::Call { request_id, call } => self.call(request_id, call),
-            CoreInput::Leave { within } => self.chain(Input::Leave { within }),
+            CoreInput::Router { from, incarnation, message } => self.handle_lease_message(from, incarnation, message),
+            CoreInput::Call { request_id, call } => self.handle_call(request_id, call),
+            CoreInput::Leave { within } => self.step_replica(Input::Leave { within }),
         }
-        self.after();
-        let mut outs = Vec::new();
+        self.handle_progress();
+        let mut outputs = Vec::new();
         loop {
-            let batch = std::mem::take(&mut self.outs);
+            let batch = std::mem::take(&mut self.outputs);
             if batch.is_empty() {
-                return outs;
+                return outputs;
             }
-            for out in batch {
-                match out {
-                    CoreOutput::Router { to, message } if to == self.me() => {
-                        self.router(to, 0, message);
-                        self.after();
+            for output in batch {
+                match output {
+                    CoreOutput::Router { to, message } if to == self.id() => {
+                        self.handle_lease_message(to, 0, message);
+                        self.handle_progress();
                     }
-                    other => outs.push(other),
+                    other => outputs.push(other),
                 }
             }
         }
     }
 
-    pub(crate) fn chain(&mut self, input: Input) {
-        let mut reviewed = false;
-        for output in self.member.step(self.now, input) {
+    pub(crate) fn step_replica(&mut self, input: Input) {
+        let mut view_changed = false;
+        for output in self.replica.step(self.now, input) {
             match output {
-                Output::Send { to, message } => self.outs.push(CoreOutput::Registry { to, message }),
-                Output::SendSeeds { message } => self.outs.push(CoreOutput::Seeds { message }),
-                Output::Write { ticket, batch } => self.outs.push(CoreOutput::Write { ticket, batch }),
+                Output::Send { to, message } => self.outputs.push(CoreOutput::Registry { to, message }),
+                Output::SendSeeds { message } => self.outputs.push(CoreOutput::Seeds { message }),
+                Output::Write { ticket, batch } => self.outputs.push(CoreOutput::Write { ticket, batch }),
                 Output::ViewAdopted { view } => {
-                    self.outs.push(CoreOutput::ViewAdopted { view });
-                    reviewed = true;
+                    self.outputs.push(CoreOutput::ViewAdopted { view });
+                    view_changed = true;
                 }
-                Output::ViewLearned { view } => self.outs.push(CoreOutput::ViewLearned { view }),
+                Output::ViewLearned { view } => self.outputs.push(CoreOutput::ViewLearned { view }),
                 Output::ProposalDone { op, appended, reply } => self.handle_proposal_done(op, appended, reply),
-                Output::Confirmed { round } => self.confirmed(round),
-                Output::CaughtUp { missed_entries } => self.outs.push(CoreOutput::CaughtUp { missed_entries }),
+                Output::Confirmed { round } => self.handle_confirmed_round(round),
+                Output::CaughtUp { missed_entries } => self.outputs.push(CoreOutput::CaughtUp { missed_entries }),
                 Output::Committed { .. } => {}
             }
         }
-        if reviewed {
+        if view_changed {
             self.hand_over_leases();
-            self.propose_again();
+            self.repeat_proposals();
         }
     }
 }
--- a/crates/control/src/tail_tenure.rs
+++ b/crates/control/src/tail_tenure.rs
@@ -1,4 +1,4 @@
-//! Taking over and handing over the tail's role: which leases may still be valid that other tails granted.
+//! Handover of the tail's role between registries: which leases granted by other tails may still be valid.
 
 use crate::core::{Core, CoreOutput};
 use leases::{Session, Sessions};
@@ -10,37 +10,38 @@
 }
 
 impl Core {
-    /// Keeps the sessions while the run of views goes on, and starts them anew with another.
-    pub(crate) fn follow_tenure(&mut self) {
-        if !self.member.is_current_tail() {
+    /// Keeps the sessions while the run of views continues, and resets them when another run begins.
+    pub(crate) fn update_tenure(&mut self) {
+        if !self.replica.is_current_tail() {
             self.pending_activation = None;
-            return self.tail.lose();
+            return self.tail.end();
         }
-        let first_view = self.member.tail_since_view().unwrap_or_default();
-        if self.tail.hold(first_view, self.member.view().number, self.now) {
+        let first_view = self.replica.tail_since_view().unwrap_or_default();
+        if self.tail.record_tail(first_view, self.replica.view().number, self.now) {
             self.sessions = Sessions::default();
-            self.pushes.forget_alignment();
+            self.pushes.reset_alignment();
         }
     }
 
-    /// Reports to the tail of a view just adopted which leases may still be valid, if this registry was the tail
-    /// of the view before. From here on it grants none: no round is confirmed to it any more.
+    /// If this registry was the tail of the previous view, reports to the tail of the newly adopted view which leases
+    /// may still be valid. After that it grants no lease, since no confirmation round of its own succeeds any more.
     pub(crate) fn hand_over_leases(&mut self) {
-        let (now, view) = (self.now, self.member.view().number);
-        let Some(to) = self.member.view().tail().filter(|to| *to != self.me()) else { return };
-        self.earlier_leases_are_over();
+        let (now, view) = (self.now, self.replica.view().number);
+        let Some(to) = self.replica.view().tail().filter(|to| *to != self.id()) else { return };
+        self.earlier_leases_expired();
         let Some(tenure) = self.tail.tenure_before(view) else { return };
         let age_of = |(id, session): (&NodeId, &Session)| ProofAge {
             id: *id,
             incarnation: session.incarnation,
             millis: as_millis(now.saturating_sub(session.lease_requested_until)),
         };
-        let proofs: Vec<ProofAge> = self.sessions.table.iter().map(age_of).collect();
+        let proofs: Vec<ProofAge> = self.sessions.by_router.iter().map(age_of).collect();
         let earlier_millis = as_millis(now.saturating_sub(tenure.earlier_leases_until));
         let message = LeaseMessage::Proofs { view, earlier_millis, proofs: proofs.into() };
-        self.outs.push(CoreOutput::Router { to, message });
+        self.outputs.push(CoreOutput::Router { to, message });
     }
 
+    /// Applies the report of the previous tail, if it has arrived.
     fn take_over_leases(&mut self) {
         let Some(report) = self.tail.take_report() else { return };
         let Some(tenure) = &mut self.tail.tenure else { return };
@@ -48,15 +49,15 @@
         tenure.earlier_leases_until = tenure.earlier_leases_until.min(report.earlier_until);
     }
 
-    /// Whether every lease granted by tails before this one has run out.
-    pub(crate) fn earlier_leases_are_over(&mut self) -> bool {
+    /// Whether every lease granted by earlier tails has expired.
+    pub(crate) fn earlier_leases_expired(&mut self) -> bool {
         self.take_over_leases();
-        let reported = self.member.last_answer_to_earlier_tails();
+        let reported = self.replica.last_answer_to_earlier_tails();
         let Some(tenure) = &mut self.tail.tenure else { return false };
         if let Some(until) = reported.filter(|until| *until < tenure.earlier_leases_until) {
             tenure.earlier_leases_until = until;
-            self.sessions.bound_earlier_proofs(tenure.started_at, until);
+            self.sessions.limit_earlier_leases(tenure.started_at, until);
         }
-        self.now >= tenure.earlier_leases_until + self.timing.proof_over
+        self.now >= tenure.earlier_leases_until + self.timing.proof_expiry
     }
 }
--- a/crates/traffic/src/dispatch_outcomes.rs
+++ b/crates/traffic/src/dispatch_outcomes.rs
@@ -29,7 +29,7 @@
         let class = task.class;
         task.avoid = instance_id;
         match (outcome, class) {
-            (DispatchOutcome::NotSent | DispatchOutcome::Crowded, _) => {
+            (DispatchOutcome::Unreachable | DispatchOutcome::NoConnection, _) => {
                 task.dispatches -= 1;
                 task.not_before = now;
                 if task.is_first()
@@ -68,8 +68,8 @@
                     self.answer(number, Outcome::Answered, status, Duration::ZERO, head, body);
                 }
             }
-            (DispatchOutcome::InDoubt { late, .. }, Class::Ordinary | Class::Single) => {
-                let status = if late { 504 } else { 502 };
+            (DispatchOutcome::InDoubt { timed_out, .. }, Class::Ordinary | Class::Single) => {
+                let status = if timed_out { 504 } else { 502 };
                 match class {
                     Class::Single => self.answer_without_body(number, Outcome::Unknown, status, Duration::ZERO),
                     _ => self.retry(number, true, Failure::unknown(status)),
@@ -128,11 +128,13 @@
                 DispatchOutcome::Complete { .. } if !turned_away => {
                     instance.proven_concurrency = instance.proven_concurrency.max(concurrency)
                 }
-                DispatchOutcome::NotSent | DispatchOutcome::Crowded => instance.paused_until = now + UNREACHABLE_PAUSE,
-                DispatchOutcome::InDoubt { late, .. } => {
+                DispatchOutcome::Unreachable | DispatchOutcome::NoConnection => {
+                    instance.paused_until = now + UNREACHABLE_PAUSE
+                }
+                DispatchOutcome::InDoubt { timed_out, .. } => {
                     // The instance may still be running the request, so its proven concurrency no longer applies.
                     instance.proven_concurrency = 0;
-                    if *late {
+                    if *timed_out {
                         instance.foreign_requests =
                             if now < instance.foreign_until { instance.foreign_requests + 1 } else { 1 };
                         instance.foreign_until = now + Duration::from_secs(2);
@@ -153,10 +155,10 @@
                 event!(instance_answer_in_doubt, "{instance_id}: another instance answers at its address")
             }
             DispatchOutcome::InDoubt { detail, .. } => event!(instance_answer_in_doubt, "{instance_id}: {detail}"),
-            DispatchOutcome::NotSent | DispatchOutcome::Crowded => {}
+            DispatchOutcome::Unreachable | DispatchOutcome::NoConnection => {}
         }
         let is_replaced = *outcome == DispatchOutcome::NotRun { wrong_instance: true };
-        if is_replaced || *outcome == DispatchOutcome::NotSent {
+        if is_replaced || *outcome == DispatchOutcome::Unreachable {
             self.outs.push(OwnerOutput::Forget { id: instance_id.to_owned() });
             if is_replaced { self.mark_replaced(name, instance_id) } else { self.lose(name, instance_id) }
         }
--- a/crates/traffic/src/front_quota.rs
+++ b/crates/traffic/src/front_quota.rs
@@ -7,7 +7,7 @@
 use crate::front_types::{FrontOutput, Reply};
 use bindings::RouteTable;
 use events::event;
-use leases::{Membership, mix};
+use leases::{Membership, stable_hash};
 use quota::{
     Admission, ConsumerId, ConsumerLimit, GranterMembership, Granters, QuotaBounds, QuotaGranter, QuotaLimits,
     QuotaMeter,
@@ -169,7 +169,7 @@
         let Some(record) = self.table.get_mut(&task) else { return };
         let attempts = record.attempts.take_uncharged();
         if let Some(charge) = record.charge.filter(|_| attempts > 0) {
-            self.quota.meter.charge_again(self.now, charge.consumer, attempts);
+            self.quota.meter.charge_extra_attempts(self.now, charge.consumer, attempts);
         }
     }
 
@@ -235,5 +235,5 @@
 
 /// The same on every router.
 fn consumer_id(name: &str) -> ConsumerId {
-    ConsumerId(mix(&[b"consumer", name.as_bytes()]))
+    ConsumerId(stable_hash(&[b"consumer", name.as_bytes()]))
 }
--- a/crates/traffic/src/wait_queue.rs
+++ b/crates/traffic/src/wait_queue.rs
@@ -68,7 +68,7 @@
 
     /// Lengthens a delay by up to half, so that callers refused at the same time do not come back at the same time.
     pub(crate) fn add_jitter(&self, number: u64, delay: Duration) -> Duration {
-        let hash = leases::mix(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
+        let hash = leases::stable_hash(&[&number.to_le_bytes(), &self.me.to_le_bytes()]);
         delay + delay * (hash >> 55) as u32 / 1024
     }
 
