--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,34 +1,34 @@
-//! Frames on a byte stream: length, checksum, then the deku record. A frame of another cluster,
-//! another format, a bad checksum or too great a length is a fault, after which the connection
-//! is of no more use.
+//! Frames on a byte stream: length, checksum, then the deku record. A frame that is too long, has a wrong checksum,
+//! an unsupported format or another cluster's name is an error, after which the connection can't be used any more.
 
 use crate::{ChainMessage, ForwardMessage, LeaseMessage, NodeId, PlanMessage, Text, from_bytes, to_bytes};
 use deku::prelude::*;
 use derive_more::{Display, Error, From};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The newest format.
+/// Newest supported format.
 pub const FORMAT: u16 = 9;
-/// The oldest format that is still understood.
+/// Oldest supported format.
 pub const OLDEST_FORMAT: u16 = 1;
-/// The format that first told what a machine can carry, and in which owners heartbeat only whom they serve.
+/// First format that reports the capacity of machines, and in which owners send heartbeats only to the routers that
+/// they serve.
 pub const CAPACITY_FORMAT: u16 = 4;
-/// The format that first told how many attempts at a request its front grants.
+/// First format in which a front tells the owner how many attempts it grants for a request.
 pub const ATTEMPTS_FORMAT: u16 = 5;
-/// The format in which a registry first announced that it is to stop.
+/// First format in which a registry announces that it is about to stop.
 pub const REGISTRY_LEAVING_FORMAT: u16 = 6;
-/// The format that first told whose request is forwarded.
+/// First format in which a forwarded request names its consumer.
 pub const CONSUMER_FORMAT: u16 = 7;
-/// The format in which a claim first told how long its key is kept.
+/// First format in which a claim specifies how long its key is kept.
 pub const KEY_WINDOW_FORMAT: u16 = 7;
-/// The format in which routers first confirmed the membership to each other, beside the epoch.
+/// First format in which routers confirm the membership to each other, in addition to the epoch.
 pub const PEER_MEMBERSHIP_FORMAT: u16 = 8;
-/// The format in which credits were first granted for the requests of limited consumers.
+/// First format with credits for the requests of rate-limited consumers.
 pub const CREDITS_FORMAT: u16 = 9;
-/// A frame holds no more bytes than this.
+/// Maximum number of bytes in a frame.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// What a frame holds.
+/// Content of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum Message {
@@ -44,51 +44,51 @@
     /// Between owners and the optimizer's host.
     #[deku(id = "4")]
     Plan(PlanMessage),
-    /// The first frame on a connection: the address the sender is reached at.
+    /// First frame on a connection: the address at which the sender can be reached.
     #[deku(id = "5")]
     Hello { address: Text },
 }
 
-/// One frame.
+/// Message with its format, cluster and sender.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct Frame {
-    /// The format it is written in.
+    /// Format in which the frame is encoded.
     pub format: u16,
-    /// The cluster's name.
+    /// Name of the cluster.
     pub cluster: Text,
-    /// The sender.
+    /// Id of the sender.
     pub sender: NodeId,
-    /// The sender's incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// The message.
+    /// Content of the frame.
     pub message: Message,
 }
 
-/// Why a frame cannot be read or written; the connection is of no more use after it.
+/// Reason why a frame can't be read or written. The connection can't be used after it.
 #[derive(Debug, Display, Error, From)]
 pub enum FrameError {
     /// The connection failed.
-    #[display("connection: {_0}")]
+    #[display("connection failed: {_0}")]
     #[from]
     Connection(std::io::Error),
-    /// Its length is over the limit.
-    #[display("frame of {_0} bytes is over the limit")]
+    /// The frame is longer than `MAX_FRAME_BYTES`.
+    #[display("frame of {_0} bytes exceeds the limit")]
     TooLong(#[error(not(source))] usize),
-    /// Its checksum does not match.
+    /// The checksum does not match the record.
     #[display("checksum does not match")]
     Checksum,
-    /// It cannot be decoded.
-    #[display("frame cannot be read")]
+    /// The record can't be decoded.
+    #[display("frame is malformed")]
     Malformed,
-    /// Its format is not understood.
-    #[display("format {_0} is not spoken here")]
+    /// The format is not supported.
+    #[display("format {_0} is not supported")]
     Format(#[error(not(source))] u16),
-    /// It is of another cluster.
-    #[display("frame of another cluster, {_0}")]
+    /// The frame belongs to another cluster.
+    #[display("frame belongs to another cluster: {_0}")]
     WrongCluster(#[error(not(source))] String),
 }
 
-/// A frame as it travels: length, checksum and record.
+/// Encodes a frame as length, checksum and record.
 pub fn encode(frame: &Frame) -> Vec<u8> {
     let record = to_bytes(frame);
     let mut bytes = Vec::with_capacity(record.len() + 8);
@@ -98,7 +98,7 @@
     bytes
 }
 
-/// Reads a record whose checksum is given.
+/// Decodes a record after checking its checksum, format and cluster.
 pub fn decode(cluster: &str, checksum: u32, record: &[u8]) -> Result<Frame, FrameError> {
     if crc32fast::hash(record) != checksum {
         return Err(FrameError::Checksum);
@@ -114,18 +114,18 @@
     Ok(frame)
 }
 
-/// Reads the next frame of a stream.
+/// Reads the next frame from a stream.
 pub async fn read_frame<R: AsyncRead + Unpin>(cluster: &str, stream: &mut R) -> Result<Frame, FrameError> {
-    let mut head = [0u8; 8];
-    stream.read_exact(&mut head).await?;
-    let len = u32::from_le_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    let checksum = u32::from_le_bytes([head[4], head[5], head[6], head[7]]);
+    let mut header = [0u8; 8];
+    stream.read_exact(&mut header).await?;
+    let len = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
+    let checksum = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
     if len > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(len));
     }
     let mut record = Vec::new();
-    let got = (&mut *stream).take(len as u64).read_to_end(&mut record).await?;
-    if got < len {
+    let read_len = (&mut *stream).take(len as u64).read_to_end(&mut record).await?;
+    if read_len < len {
         return Err(FrameError::Connection(std::io::ErrorKind::UnexpectedEof.into()));
     }
     decode(cluster, checksum, &record)
--- a/crates/wire/src/commands.rs
+++ b/crates/wire/src/commands.rs
@@ -1,14 +1,14 @@
-//! The entries of the chain and the replies its tail gives for them, as deku records.
+//! Commands that are replicated as entries of the chain, the tail's replies to them, and stored records.
 
 use crate::{Blob, ConfigurationItem, List, NodeId, Text};
 use deku::prelude::*;
 
-/// What a machine can carry: its part of a core in thousandths, and its link.
+/// Capacity of a machine: its share of a core and the speed of its network link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct Capacity {
-    /// Thousandths of a core.
+    /// CPU share in thousandths of a core.
     pub processor_milli: u32,
-    /// Thousands of bits a second.
+    /// Speed of the network link in kbit/s.
     pub link_kbit: u32,
 }
 
@@ -18,47 +18,51 @@
     }
 }
 
-/// What an entry of the chain does to the state.
+/// Operation on the replicated state. `scope` is the tenant that a change is restricted to, empty for all, or the
+/// scope of a run-once key.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum Command {
-    /// A change of the configuration before format 3: its refusal is remembered like a taken one.
+    /// Changes the configuration, before format 3. A refusal is remembered like an accepted change. `base` is the
+    /// revision that the change is based on, unless `is_any_base`; with `replaces_scope` everything else in the scope
+    /// is removed.
     #[deku(id = "1")]
     Change { op: Text, base: u64, is_any_base: u8, replaces_scope: u8, scope: Text, items: List<ConfigurationItem> },
-    /// Another set of routers confirms leases without the core from now on.
+    /// Replaces the routers whose majority can confirm leases without the registries, if `after` is the latest epoch.
     #[deku(id = "2")]
     SetQuorum { after: u64, members: List<NodeId> },
-    /// An epoch comes into force.
+    /// Activates all epochs up to this one.
     #[deku(id = "3")]
     Activate { epoch: u64 },
-    /// A router joins, before format 4.
+    /// Adds a router to the membership, before format 4. `ops` is the address of its pages for operators.
     #[deku(id = "4")]
     Join { id: NodeId, incarnation: u64, address: Text, zone: Text, ops: Text },
-    /// A router's lease ran out.
+    /// Removes a router whose lease has expired.
     #[deku(id = "5")]
     ExpireLease { id: NodeId, incarnation: u64 },
-    /// A router is about to stop.
+    /// Records that a router is about to stop.
     #[deku(id = "6")]
     Leaving { id: NodeId, incarnation: u64 },
-    /// Claims a run-once key for a request.
+    /// Claims a run-once key for a request. `member` is the claiming router.
     #[deku(id = "7")]
     Claim { scope: Text, digest: Blob, member: NodeId, incarnation: u64, request_id: u64 },
-    /// Records the answer under a claimed key.
+    /// Stores the answer under a claimed key.
     #[deku(id = "8")]
     RecordAnswer { scope: Text, member: NodeId, incarnation: u64, request_id: u64, answer: Blob },
-    /// Gives a claim back: the request was sent nowhere.
+    /// Releases a claim whose request was not sent to any instance.
     #[deku(id = "9")]
     Release { scope: Text, member: NodeId, incarnation: u64, request_id: u64 },
     /// Stores a deferred request.
     #[deku(id = "10")]
     Store { id: Text, function: Text, digest: Blob, task: Blob },
-    /// Records the answer of a deferred request.
+    /// Stores the answer to a deferred request.
     #[deku(id = "11")]
     Finish { id: Text, function: Text, answer: Blob },
-    /// The chain's clock goes on, by which records expire.
+    /// Advances the chain's clock, by which records expire.
     #[deku(id = "12")]
     Tick { number: u64 },
-    /// A change with the revision it declares, or 0 for the next; only a taken one is remembered.
+    /// As `Change`, with the revision that the change declares, or 0 for the next one. Only the reply to an accepted
+    /// change is returned when it is repeated.
     #[deku(id = "13")]
     Declare {
         op: Text,
@@ -69,7 +73,7 @@
         scope: Text,
         items: List<ConfigurationItem>,
     },
-    /// `Join` with the hashing of owners that is known and what the machine can carry.
+    /// As `Join`, with the version of owner hashing that the router supports and the capacity of its machine.
     #[deku(id = "14")]
     JoinWithCapacity {
         id: NodeId,
@@ -80,91 +84,91 @@
         hashing: u8,
         capacity: Capacity,
     },
-    /// `Claim` with how many of the chain's ticks the key is kept.
+    /// As `Claim`, with the number of ticks of the chain's clock for which the key is kept.
     #[deku(id = "15")]
     ClaimForTicks { scope: Text, digest: Blob, member: NodeId, incarnation: u64, request_id: u64, ticks: u32 },
 }
 
-/// What an entry answers.
+/// Reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum CommandReply {
-    /// The change was taken as this epoch and revision.
+    /// The change was accepted as this epoch and revision.
     #[deku(id = "1")]
     Changed { epoch: u64, revision: u64 },
-    /// It was refused with this status and these faults.
+    /// The change was refused with this HTTP status and these faults.
     #[deku(id = "2")]
     Refused { status: u16, body: Blob },
-    /// Claims a run-once key for a request.
+    /// State of a claimed run-once key, with the stored answer if there is one.
     #[deku(id = "3")]
     Claim { state: ClaimState, answer: Blob },
-    /// What became of a deferred request.
+    /// State of a deferred request, with its answer if there is one.
     #[deku(id = "4")]
     Stored { state: ClaimState, answer: Blob },
-    /// Nothing to be said.
+    /// The command has no result.
     #[deku(id = "5")]
     Empty,
 }
 
-/// What a claim or a stored request meets.
+/// State of a run-once key or a deferred request when a router claims or stores it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum ClaimState {
-    /// The key is claimed by this request now.
+    /// The key is now claimed by this request.
     #[deku(id = "1")]
     Granted,
-    /// Another request has claimed it and is not answered.
+    /// Another request has claimed the key and has no answer yet.
     #[deku(id = "2")]
     Running,
-    /// It is answered, and the answer is given again.
+    /// The request has been answered, and its answer is returned.
     #[deku(id = "3")]
     Answered,
-    /// Whoever claimed it is gone; it may have run.
+    /// The router that claimed the key is no longer a member; the request may have run.
     #[deku(id = "4")]
     Unknown,
-    /// The key was used for another body.
+    /// The key was used for a request with another body.
     #[deku(id = "5")]
     OtherBody,
-    /// There is no room for more.
+    /// The store is full.
     #[deku(id = "6")]
     Full,
 }
 
-/// A claimed run-once key.
+/// Stored state of a claimed run-once key.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct ClaimRecord {
-    /// A digest of the request.
+    /// Digest of the request.
     pub digest: Blob,
-    /// The router that claimed it.
+    /// Router that claimed the key.
     pub member: NodeId,
-    /// The router's incarnation.
+    /// Incarnation of that router.
     pub incarnation: u64,
-    /// The router's number of the claim.
+    /// Number that the router gave to the claim.
     pub request_id: u64,
-    /// The tick at which it expires.
+    /// Tick of the chain's clock at which the record expires.
     pub expiry_tick: u64,
-    /// Not 0 once the answer is recorded.
+    /// Not 0 once the answer is stored.
     pub is_answered: u8,
-    /// The answer.
+    /// Answer to the request.
     pub answer: Blob,
 }
 
-/// A deferred request.
+/// Stored state of a deferred request.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct DeferredRecord {
-    /// Tenant and name.
+    /// Name of the function as `tenant/name`.
     pub function: Text,
-    /// A digest of the request.
+    /// Digest of the request.
     pub digest: Blob,
-    /// Not 0 once it is answered.
+    /// Not 0 once the request is answered.
     pub is_answered: u8,
-    /// The answer.
+    /// Answer to the request.
     pub answer: Blob,
 }
 
-/// An operation's reply, given again when it is repeated.
+/// Stored reply to an operation, returned when the operation is repeated.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct OpRecord {
-    /// The reply.
+    /// Reply to the operation.
     pub reply: CommandReply,
 }
--- a/crates/wire/src/compression.rs
+++ b/crates/wire/src/compression.rs
@@ -1,31 +1,31 @@
-//! Packed bytes: deflated once where they are made, shared by all they are sent to, and inflated by
-//! their receiver to no more than the size that was told, itself bounded.
+//! Compression of large data: deflated once by the sender, shared by the messages to all receivers, and inflated by
+//! each receiver to at most the declared size, which is bounded too.
 
 use crate::Blob;
 use crate::primitives::MAX_BLOB_BYTES;
 
-/// The best of what is cheap: beyond it JSON shrinks by little more and the time doubles.
+/// Above this level JSON shrinks by little more and compression takes twice the time.
 const COMPRESSION_LEVEL: u8 = 4;
 
-/// Packed bytes.
+/// Deflated data and its original size.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Compressed {
-    /// Bytes before packing.
+    /// Number of bytes before compression.
     pub size: u32,
-    /// The bytes, packed.
+    /// The compressed bytes.
     pub bytes: Blob,
 }
 
-/// Packs bytes.
+/// Compresses bytes.
 pub fn compress(raw: &[u8]) -> Compressed {
     Compressed { size: raw.len() as u32, bytes: miniz_oxide::deflate::compress_to_vec(raw, COMPRESSION_LEVEL).into() }
 }
 
-/// Unpacks bytes that must come to this size; none if they do not.
-pub fn decompress(packed: &[u8], size: u32) -> Option<Vec<u8>> {
+/// Decompresses bytes. Returns `None` unless the result has exactly `size` bytes.
+pub fn decompress(compressed: &[u8], size: u32) -> Option<Vec<u8>> {
     if size > MAX_BLOB_BYTES * 2 {
         return None;
     }
-    let raw = miniz_oxide::inflate::decompress_to_vec_with_limit(packed, size as usize).ok()?;
+    let raw = miniz_oxide::inflate::decompress_to_vec_with_limit(compressed, size as usize).ok()?;
     (raw.len() == size as usize).then_some(raw)
 }
--- a/crates/wire/src/downgrade.rs
+++ b/crates/wire/src/downgrade.rs
@@ -1,31 +1,31 @@
-//! Messages in an older format, while a fleet rolls from one version of the programs to the next. Who understands
-//! only an earlier format is sent the earlier message that says the same, or nothing where there was none.
+//! Conversion of messages to older formats, used while a fleet is upgraded from one version to the next. A peer that
+//! supports only an older format is sent the equivalent older message, or nothing if there is none.
 //!
-//! | format | brought |
+//! | format | added |
 //! |---|---|
-//! | 2 | heartbeats between routers, ownership tables, missed entries; it dropped fields that nobody read |
-//! | 3 | changes with a declared revision, times to come back in milliseconds |
-//! | 4 | epochs and configurations in packed parts, changes of the membership, capacities, the inventory |
-//! | 5 | attempts granted with a forward, and reports on what earlier tails granted |
-//! | 6 | announcements of planned stops of registries |
-//! | 7 | whose request is forwarded, what consumers used, how long a claimed key is kept |
-//! | 8 | memberships in what routers confirm to each other |
-//! | 9 | credits for the requests of limited consumers |
+//! | 2 | heartbeats between routers, ownership tables, missed entries; unused fields were removed |
+//! | 3 | changes with a declared revision, retry delays in milliseconds |
+//! | 4 | compressed parts of epochs and configurations, membership changes, machine capacities, the inventory |
+//! | 5 | attempts granted with a forwarded request, reports on what previous tails granted |
+//! | 6 | announcements that a registry is about to stop |
+//! | 7 | consumers of forwarded requests, consumer usage, retention time of claimed keys |
+//! | 8 | membership numbers in the confirmations between routers |
+//! | 9 | credits for the requests of rate-limited consumers |
 
 use crate::codec::{
     ATTEMPTS_FORMAT, CAPACITY_FORMAT, CONSUMER_FORMAT, CREDITS_FORMAT, PEER_MEMBERSHIP_FORMAT, REGISTRY_LEAVING_FORMAT,
 };
 use crate::{ChainMessage, ForwardMessage, ForwardRequest, LeaseMessage, Message, PlanMessage, Text};
 
-/// The format that first told times to come back in milliseconds.
+/// First format with retry delays in milliseconds.
 const MILLISECONDS_FORMAT: u16 = 3;
-/// The format that first had ownership tables and missed entries.
+/// First format with ownership tables and missed entries.
 const OWNERSHIP_TABLE_FORMAT: u16 = 2;
 
-/// The message as a peer that understands only this format is sent it, if there is a way to say it.
+/// Converts a message for a peer that supports only `format`. Returns `None` if there is no equivalent.
 pub fn downgrade(message: Message, format: u16) -> Option<Message> {
     let mut message = message;
-    if format < CREDITS_FORMAT && is_about_credits(&message) {
+    if format < CREDITS_FORMAT && is_credit_message(&message) {
         return None;
     }
     if format < PEER_MEMBERSHIP_FORMAT {
@@ -52,7 +52,7 @@
     Some(message)
 }
 
-fn is_about_credits(message: &Message) -> bool {
+fn is_credit_message(message: &Message) -> bool {
     use ForwardMessage::{QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaRequest};
     let Message::Forward(message) = message else { return false };
     matches!(message, QuotaRequest { .. } | QuotaGrant { .. } | QuotaGrantersQuery { .. } | QuotaGrantersReply { .. })
@@ -64,7 +64,7 @@
             Message::Forward(ForwardMessage::Forward { request })
         }
         Message::Forward(ForwardMessage::QuotaReport { .. } | ForwardMessage::QuotaTotals { .. }) => return None,
-        same => same,
+        unchanged => unchanged,
     };
     Some(older)
 }
@@ -81,20 +81,20 @@
         MajorityRequest { request_id, active, .. } => MajorityEpochRequest { request_id, active },
         MajorityReply { request_id, active, .. } => MajorityEpochReply { request_id, active },
         PeerMembership { .. } => return None,
-        same => same,
+        unchanged => unchanged,
     };
     Some(Message::Lease(older))
 }
 
 fn without_attempts(message: Message) -> Option<Message> {
     let older = match message {
-        Message::Forward(ForwardMessage::Forward { request }) => Message::Forward(uncounted(*request)),
+        Message::Forward(ForwardMessage::Forward { request }) => Message::Forward(to_uncounted_forward(*request)),
         Message::Forward(ForwardMessage::Returned { task, .. }) => Message::Forward(ForwardMessage::NotOwner { task }),
         Message::Forward(ForwardMessage::AttemptRequest { .. } | ForwardMessage::AttemptGrant { .. }) => return None,
         Message::Chain(ChainMessage::TailLastAnswered { .. }) | Message::Lease(LeaseMessage::Proofs { .. }) => {
             return None;
         }
-        same => same,
+        unchanged => unchanged,
     };
     Some(older)
 }
@@ -117,7 +117,7 @@
             | MajorityEpochRequest { .. }
             | MajorityEpochReply { .. },
         ) => return None,
-        same => same,
+        unchanged => unchanged,
     };
     Some(older)
 }
@@ -128,7 +128,7 @@
             let retry_after = retry_after_ms.div_ceil(1000);
             Message::Forward(ForwardMessage::AnswerInSeconds { task, outcome, status, retry_after, head, body })
         }
-        same => same,
+        unchanged => unchanged,
     }
 }
 
@@ -151,13 +151,13 @@
             requests: table.requests,
             retries: table.retries,
         }),
-        same => same,
+        unchanged => unchanged,
     };
     Some(older)
 }
 
-/// A forward as it was before fronts granted attempts.
-fn uncounted(request: ForwardRequest) -> ForwardMessage {
+/// Converts a forwarded request to the format before fronts granted attempts.
+fn to_uncounted_forward(request: ForwardRequest) -> ForwardMessage {
     let ForwardRequest { task, function, binding, left_ms, resends, respond_async, key, head, body, .. } = request;
     ForwardMessage::ForwardUncounted { task, function, binding, left_ms, resends, respond_async, key, head, body }
 }
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -1,5 +1,5 @@
-//! What routers say to each other about tasks: forwarding one to its function's owner, the whole
-//! answer on the way back, and the table a leaving owner hands to its successor.
+//! Messages between routers about requests: forwarding a request to its function's owner, returning the complete
+//! answer, handing an owner's state over to the next owner, and credits for rate-limited consumers.
 
 use crate::{
     Blob, ForwardRequest, InventoryChange, List, QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaReport,
@@ -7,26 +7,26 @@
 };
 use deku::prelude::*;
 
-/// What may be believed about a request that is answered.
+/// What is known about the execution of a request that is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum Outcome {
-    /// An instance ran it, and this is its complete answer.
+    /// An instance ran the request, and this is its complete answer.
     #[deku(id = "1")]
     Answered,
-    /// It has not run and never will.
+    /// The request has not run and never will.
     #[deku(id = "2")]
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     #[deku(id = "3")]
     Unknown,
-    /// It is stored, and runs later.
+    /// The request is stored and runs later.
     #[deku(id = "4")]
     Accepted,
 }
 
 impl Outcome {
-    /// The word for it in headers and JSON.
+    /// Returns the outcome's name in headers and JSON.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
@@ -37,7 +37,7 @@
     }
 }
 
-/// An instance of a function and how many requests it has in flight.
+/// Instance of a function and its number of requests in flight.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct InstanceSlots {
     pub instance: Text,
@@ -46,14 +46,14 @@
     pub busy: u32,
 }
 
-/// One header field.
+/// HTTP header field.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct HeaderField {
     pub name: Text,
     pub value: Blob,
 }
 
-/// Method, target and headers of a request.
+/// Head of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct RequestHead {
     pub method: Text,
@@ -61,61 +61,61 @@
     pub headers: List<HeaderField>,
 }
 
-/// An answer's headers.
+/// Head of an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct AnswerHead {
     pub headers: List<HeaderField>,
 }
 
-/// An answer as it is stored under a run-once key.
+/// Answer that is stored under a run-once key.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct StoredAnswer {
     pub outcome: Outcome,
     pub status: u16,
-    /// Method, target and headers.
+    /// Encoded `AnswerHead`.
     pub head: Blob,
-    /// The body.
+    /// Body of the answer.
     pub body: Blob,
 }
 
-/// A deferred request as it is stored.
+/// Deferred request that is stored.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct StoredRequest {
-    /// The binding that its route led to.
+    /// Name of the binding that the route belongs to.
     pub binding: Text,
-    /// Method, target and headers.
+    /// Encoded `RequestHead`.
     pub head: Blob,
-    /// The body.
+    /// Body of the request.
     pub body: Blob,
 }
 
-/// What an owner knows of one function: handed over to the next owner, or kept by the router that would
-/// be owner next (`is_standby_copy`). `started` names stored tasks that were sent at least once and are not done;
-/// without `is_started_complete` there were more.
+/// An owner's state of one function, handed over to the next owner or, as a standby copy, kept by the router that would
+/// become the next owner. `started` lists stored requests that were sent at least once and have no answer yet; it is
+/// incomplete if `is_started_complete` is 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct OwnershipTable {
-    /// Tenant and name.
+    /// Name of the function as `tenant/name`.
     pub function: Text,
-    /// The membership by which the sender was the owner.
+    /// Number of the membership in which the sender was the owner.
     pub membership: u64,
     pub is_standby_copy: u8,
-    /// Its instances.
+    /// Instances of the function.
     pub slots: List<InstanceSlots>,
-    /// Requests in the retry budget's window.
+    /// Number of requests in the retry budget's window.
     pub requests: u32,
-    /// Retries in that window.
+    /// Number of retries in that window.
     pub retries: u32,
-    /// Rejections by instances lately.
+    /// Number of recent rejections by instances.
     pub rejections: u32,
     pub started: List<Text>,
     pub is_started_complete: u8,
 }
 
-/// What routers say to each other about requests. `task` is the front's number of a request.
+/// Message between routers. `task` is the front's number of a request.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum ForwardMessage {
-    /// As `Forward`, by a front that does not count attempts (before format 5).
+    /// As `Forward`, from a front that doesn't count attempts (before format 5).
     #[deku(id = "1")]
     ForwardUncounted {
         task: u64,
@@ -128,73 +128,73 @@
         head: Blob,
         body: Blob,
     },
-    /// As `Answer`, with the time to come back in seconds (before format 3).
+    /// As `Answer`, with the retry delay in seconds (before format 3).
     #[deku(id = "2")]
     AnswerInSeconds { task: u64, outcome: Outcome, status: u16, retry_after: u32, head: Blob, body: Blob },
-    /// The receiver is not the function's owner, and the request was sent nowhere.
+    /// The answering router is not the function's owner and has not sent the request to an instance.
     #[deku(id = "3")]
     NotOwner { task: u64 },
-    /// As `Table`, in format 1.
+    /// As `OwnershipTable`, in format 1.
     #[deku(id = "4")]
     Handover { function: Text, membership: u64, slots: List<InstanceSlots>, requests: u32, retries: u32 },
     /// Asks the owner of another function to free memory.
     #[deku(id = "5")]
     Preempt { function: Text, memory_mb: u32 },
-    /// The sender lives, and owns what it owned.
+    /// The sender is alive and still owns its functions.
     #[deku(id = "6")]
     Heartbeat,
-    /// What an owner knows of a function.
+    /// An owner's state of a function.
     #[deku(id = "7")]
     OwnershipTable { table: OwnershipTable },
-    /// `AnswerInSeconds` with the time to come back in milliseconds.
+    /// Complete answer to a forwarded request, with the retry delay in milliseconds.
     #[deku(id = "8")]
     Answer { task: u64, outcome: Outcome, status: u16, retry_after_ms: u32, head: Blob, body: Blob },
     /// Asks an owner to send a heartbeat.
     #[deku(id = "9")]
     HeartbeatRequest,
-    /// Changes of the provider's list, from the owner that reads it.
+    /// Changes of the provider's list, from the owner that reads the list.
     #[deku(id = "10")]
     Inventory { inventory: InventoryChange },
-    /// Asks for the inventory whole.
+    /// Requests the complete inventory.
     #[deku(id = "11")]
     InventoryRequest,
-    /// `ForwardUncounted` with the attempts that the front grants.
+    /// Forwards a request, with the number of attempts that the front grants.
     #[deku(id = "12")]
     Forward { request: Box<ForwardRequest> },
-    /// An owner asks a front for so many attempts in all at what was forwarded under this number.
+    /// An owner asks a front for a total number of attempts for a request.
     #[deku(id = "13")]
     AttemptRequest { task: u64, attempts: u32 },
-    /// The attempts granted in all at what was forwarded under this number, whether or not more were asked for.
+    /// The total number of attempts granted for a request, whether or not more were requested.
     #[deku(id = "14")]
     AttemptGrant { task: u64, attempts: u32 },
-    /// `NotOwner` for what was sent to so many instances, none of which ran it.
+    /// As `NotOwner`, for a request that was sent to this many instances, none of which ran it.
     #[deku(id = "15")]
     Returned { task: u64, attempts: u32 },
-    /// `Forward` of a consumer's request, by tenant and name.
+    /// As `Forward`, with the name of the request's consumer as `tenant/name`.
     #[deku(id = "16")]
     ForwardForConsumer { request: Box<ForwardRequest>, consumer: Text },
-    /// A front's counts of what consumers used, to the router that added them up (formats 7 and 8).
+    /// A front's counts of consumer usage, to the router that adds them up (formats 7 and 8).
     #[deku(id = "17")]
     QuotaReport { report: QuotaReport },
-    /// The answer to it: where consumers stood over all routers (formats 7 and 8).
+    /// Answer to a report: the state of consumers over all routers (formats 7 and 8).
     #[deku(id = "18")]
     QuotaTotals { totals: QuotaTotals },
-    /// A front asks a granter for credits of a consumer.
+    /// A front asks a granter for a consumer's credits.
     #[deku(id = "19")]
     QuotaRequest { request: QuotaRequest },
-    /// The answer to it.
+    /// Answer to a `QuotaRequest`.
     #[deku(id = "20")]
     QuotaGrant { grant: QuotaGrant },
     /// A granter asks another router by which membership it divides limits.
     #[deku(id = "21")]
     QuotaGrantersQuery { query: QuotaGrantersQuery },
-    /// The answer to it.
+    /// Answer to a `QuotaGrantersQuery`.
     #[deku(id = "22")]
     QuotaGrantersReply { reply: QuotaGrantersReply },
 }
 
 impl ForwardMessage {
-    /// Whether it is meant for the receiver's owner; if not, it is for the receiver's front.
+    /// Returns whether the message is for the receiver's owner part; otherwise it is for its front.
     pub fn is_for_owner(&self) -> bool {
         !matches!(
             self,
--- a/crates/wire/src/forward_request.rs
+++ b/crates/wire/src/forward_request.rs
@@ -1,42 +1,42 @@
-//! A request forwarded to its function's owner, whichever message brings it.
+//! The content of a forwarded request, independent of the message variant that carries it.
 
 use crate::{Blob, ForwardMessage, Text};
 use deku::prelude::*;
 
-/// A request forwarded to its function's owner, with the number of attempts that its front grants.
+/// Request that a front forwards to its function's owner.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct ForwardRequest {
-    /// The front's number of it.
+    /// Number that the front gave to the request.
     pub task: u64,
-    /// Tenant and name.
+    /// Name of the function as `tenant/name`.
     pub function: Text,
-    /// The binding that its route led to.
+    /// Name of the binding that the route belongs to.
     pub binding: Text,
-    /// The time that is left for it.
+    /// Time left until the request's deadline.
     pub left_ms: u32,
-    /// How often the front forwarded it before.
+    /// Number of times that the front has forwarded the request before.
     pub resends: u8,
-    /// To how many instances the owner may send it before it asks for more; `UNCOUNTED` if the front
-    /// does not count.
+    /// Number of instances to which the owner may send the request before it asks for more attempts; `UNCOUNTED` if
+    /// the front doesn't count attempts.
     pub attempts: u32,
-    /// Not 0 if the caller takes an answer that it is stored.
+    /// Not 0 if the caller accepts an answer which says that the request is stored.
     pub respond_async: u8,
-    /// The run-once key, empty for none.
+    /// Run-once key, empty for none.
     pub key: Text,
-    /// Method, target and headers.
+    /// Encoded `RequestHead`.
     pub head: Blob,
-    /// The body.
+    /// Body of the request.
     pub body: Blob,
 }
 
 impl ForwardRequest {
-    /// As many attempts as the binding allows.
+    /// Value of `attempts` that allows as many attempts as the binding.
     pub const UNCOUNTED: u32 = 0;
 }
 
 impl ForwardMessage {
-    /// The request that is forwarded, if one is, and whose it is, empty for no consumer's; by a front that counts its
-    /// attempts or by an older one.
+    /// Returns the forwarded request and the name of its consumer (empty for none), if the message forwards one in any
+    /// format.
     pub fn into_forward_request(self) -> Option<(ForwardRequest, Text)> {
         match self {
             ForwardMessage::ForwardForConsumer { request, consumer } => Some((*request, consumer)),
--- a/crates/wire/src/inventory.rs
+++ b/crates/wire/src/inventory.rs
@@ -1,5 +1,5 @@
-//! The provider's instances and workers, as the owner that reads its list sends them to the others: only what
-//! changed.
+//! Changes of the provider's instances and workers, sent to the other owners by the one that reads the provider's
+//! list.
 
 use crate::{List, Text};
 use deku::prelude::*;
@@ -8,12 +8,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct InstanceRecord {
     pub id: Text,
-    /// Tenant and name.
+    /// Name of the function as `tenant/name`.
     pub function: Text,
     pub address: Text,
     pub zone: Text,
     pub worker: Text,
-    /// 0 starting, 1 running, 2 leaving
+    /// 0 starting, 1 running, 2 leaving.
     pub state: u8,
 }
 
@@ -27,8 +27,8 @@
     pub ready: u8,
 }
 
-/// What the provider's list shows otherwise than under an earlier number, or than nothing where that
-/// is 0, and how long ago it was asked for; the workers likewise where they were read as well.
+/// Differences of the provider's list from the list numbered `since`, or from an empty list if `since` is 0, and the
+/// age of the request for the list. The fields about workers are filled if `workers_read` is not 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct InventoryChange {
     pub number: u64,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! The one language heronlink's processes speak among themselves: deku frames with a length,
-//! a checksum, a format number, the cluster's name and the sender's identity. Every list and
-//! byte string inside a frame is bounded before anything is allocated for it.
+//! The protocol between heronlink's own processes: deku frames with a length, a checksum, a format number,
+//! the cluster's name and the sender's identity. The length of every list and byte string in a frame is checked
+//! against a limit before memory is allocated for it.
 
 mod chain;
 mod codec;
@@ -36,5 +36,5 @@
     QuotaCount, QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaReport, QuotaRequest, QuotaTotal, QuotaTotals,
 };
 
-/// Identifies a registry or a router; drawn at random.
+/// Randomly chosen identifier of a registry or a router.
 pub type NodeId = u64;
--- a/crates/wire/src/plan.rs
+++ b/crates/wire/src/plan.rs
@@ -1,75 +1,75 @@
-//! What owners and the optimizer's host say: fifteen-second samples one way, a plan asked for and
-//! answered the other, fenced by the number of the view that named the host.
+//! Messages between owners and the optimizer's host: owners send samples every fifteen seconds and request plans; the
+//! host answers with plans, fenced by the number of the view that appointed it.
 
 use crate::{List, Text};
 use deku::prelude::*;
 
-/// What an owner saw of a function in one step. `_milli` is in thousandths, `_micro` in millionths of a second.
+/// An owner's observations of a function in one step. `_milli` is in thousandths, `_micro` in millionths.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct DemandSample {
-    /// Tenant and name.
+    /// Name of the function as `tenant/name`.
     pub function: Text,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_milli: u64,
-    /// Mean response time.
+    /// Mean response time in microseconds.
     pub response_micro: u64,
-    /// Requests waiting for an instance to start.
+    /// Number of requests waiting for an instance to start.
     pub waiting_milli: u64,
-    /// Requests queued.
+    /// Number of queued requests.
     pub queued_milli: u64,
 }
 
-/// What an owner saw of a function beside its sample: boots, refusals, rejections, usage.
+/// An owner's further measurements of a function: starts, refusals, rejections and utilization.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct Measurement {
-    /// Tenant and name.
+    /// Name of the function as `tenant/name`.
     pub function: Text,
-    /// Total time of starts.
+    /// Total start time of instances in microseconds.
     pub boot_micro: u64,
-    /// Starts that were measured.
+    /// Number of starts that were measured.
     pub boots: u32,
-    /// Requests refused.
+    /// Number of refused requests.
     pub refused: u32,
-    /// Requests that instances rejected.
+    /// Number of requests that instances rejected.
     pub rejections: u32,
-    /// Requests waiting for an instance to start.
+    /// Number of requests waiting for an instance to start.
     pub waiting_milli: u64,
-    /// Requests in flight for each of the instances' slots.
+    /// Requests in flight per slot of the instances.
     pub usage_milli: u64,
 }
 
-/// The part of a weight sheet that is tuned, as it is in force, and why.
+/// Tuned parameters of a weight sheet that are in effect, and the reason for them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct TunedParameters {
-    /// Tenant and name.
+    /// Name of the function as `tenant/name`.
     pub function: Text,
-    /// Steps until a start takes effect.
+    /// Number of steps until a start takes effect.
     pub startup_delay_steps: u32,
-    /// Instance time a request takes.
+    /// Utilization that capacity is planned for, in millionths.
     pub target_usage_micro: u64,
-    /// Penalty of a shortfall.
+    /// Cost of uncovered demand, in thousandths.
     pub sla_hard_milli: u64,
-    /// The reason, for operators.
+    /// Reason for the values, shown to operators.
     pub reason: Text,
 }
 
-/// What owners and the optimizer's host say to each other.
+/// Message between an owner and the optimizer's host.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8")]
 pub enum PlanMessage {
-    /// Samples of the last step.
+    /// Samples of the previous step.
     #[deku(id = "1")]
     Samples { lines: List<DemandSample> },
-    /// Requests a plan, with the present count of instances and requests.
+    /// Requests a plan, with the current numbers of instances and of queued and waiting requests.
     #[deku(id = "2")]
     Request { request_id: u64, function: Text, current: u32, queued: u32, waiting: u32 },
-    /// The plan: the count of instances in each step from now on.
+    /// The plan: the number of instances in each step from now on.
     #[deku(id = "3")]
     Reply { request_id: u64, fence: u64, state: u8, step_ms: u32, desired: List<u32> },
-    /// What was measured beside the samples.
+    /// Measurements in addition to the samples.
     #[deku(id = "4")]
     Measurements { lines: List<Measurement> },
-    /// All that is tuned at present, fenced like a plan.
+    /// All currently tuned parameters, fenced like a plan.
     #[deku(id = "5")]
     Tuned { fence: u64, lines: List<TunedParameters> },
 }
--- a/crates/wire/src/primitives.rs
+++ b/crates/wire/src/primitives.rs
@@ -1,5 +1,5 @@
-//! Bounded building blocks of every frame: text, byte strings and lists, each with a counted
-//! length that is checked against a limit while it is read.
+//! Bounded building blocks of every frame: text, byte strings and lists. Each starts with its length, which is
+//! checked against a limit while it is decoded.
 
 use bytes::Bytes;
 use deku::ctx::Order;
@@ -9,12 +9,14 @@
 use deku::writer::Writer;
 use deku::{DekuReader, DekuWriter};
 
-/// A byte string holds no more than this.
+/// Maximum number of bytes in a `Blob`.
 pub const MAX_BLOB_BYTES: u32 = 6 * 1024 * 1024;
+/// Number of bytes allocated at a time while a `Blob` is decoded.
 const READ_CHUNK_BYTES: usize = 256 * 1024;
+/// Maximum number of items in a `List`.
 const MAX_LIST_ITEMS: u32 = 65_536;
 
-/// Bytes that copies share: what goes to many is held once.
+/// Byte string whose clones share one buffer, so that data sent to many receivers is held once.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Default, DekuRead, DekuWrite)]
 pub struct Blob {
     #[deku(update = "self.data.len()", assert = "*len <= MAX_BLOB_BYTES")]
@@ -25,12 +27,12 @@
 
 fn read_bytes<R: Read + Seek>(reader: &mut Reader<R>, len: u32) -> Result<Bytes, DekuError> {
     let mut bytes = Vec::new();
-    // A length that lies is found out a step at a time, before much is allocated for it.
+    // Allocates in chunks, so that a false length is detected before much memory is allocated for it.
     while bytes.len() < len as usize {
-        let from = bytes.len();
-        bytes.resize((len as usize).min(from + READ_CHUNK_BYTES), 0);
-        let more = bytes.len() - from;
-        reader.read_bytes(more, &mut bytes[from..], Order::Lsb0)?;
+        let start = bytes.len();
+        bytes.resize((len as usize).min(start + READ_CHUNK_BYTES), 0);
+        let chunk_len = bytes.len() - start;
+        reader.read_bytes(chunk_len, &mut bytes[start..], Order::Lsb0)?;
     }
     Ok(bytes.into())
 }
@@ -46,25 +48,25 @@
 }
 
 impl Blob {
-    /// What it holds.
+    /// Returns the bytes.
     pub fn as_slice(&self) -> &[u8] {
         &self.data
     }
-    /// What it holds, taken out.
+    /// Converts the blob into a vector.
     pub fn into_vec(self) -> Vec<u8> {
         self.data.into()
     }
-    /// How many bytes it holds.
+    /// Returns the number of bytes.
     pub fn len(&self) -> usize {
         self.data.len()
     }
-    /// A part of it, or as much of that as there is; nothing is copied.
-    pub fn slice(&self, from: usize, most: usize) -> Blob {
-        let from = from.min(self.data.len());
-        let to = from.saturating_add(most).min(self.data.len());
-        self.data.slice(from..to).into()
+    /// Returns up to `max_len` bytes from `offset` on, without copying them.
+    pub fn slice(&self, offset: usize, max_len: usize) -> Blob {
+        let start = offset.min(self.data.len());
+        let end = start.saturating_add(max_len).min(self.data.len());
+        self.data.slice(start..end).into()
     }
-    /// Whether it holds none.
+    /// Returns whether there are no bytes.
     pub fn is_empty(&self) -> bool {
         self.data.is_empty()
     }
@@ -82,7 +84,7 @@
     }
 }
 
-/// UTF-8 text.
+/// String in UTF-8, checked while it is decoded.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Default, DekuRead, DekuWrite)]
 pub struct Text {
     #[deku(assert = "std::str::from_utf8(raw.as_slice()).is_ok()")]
@@ -96,25 +98,25 @@
 }
 
 impl Text {
-    /// The text.
+    /// Returns the text.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(self.raw.as_slice()).unwrap_or_default()
     }
 }
 
 impl From<&str> for Text {
-    fn from(words: &str) -> Self {
-        Text { raw: words.as_bytes().to_vec().into() }
+    fn from(text: &str) -> Self {
+        Text { raw: text.as_bytes().to_vec().into() }
     }
 }
 
 impl From<String> for Text {
-    fn from(words: String) -> Self {
-        Text { raw: words.into_bytes().into() }
+    fn from(text: String) -> Self {
+        Text { raw: text.into_bytes().into() }
     }
 }
 
-/// A list of records.
+/// List of records with a bounded length.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct List<T>
 where
@@ -127,15 +129,15 @@
 }
 
 impl<T: DekuWriter + for<'a> DekuReader<'a>> List<T> {
-    /// What it holds.
+    /// Returns the items.
     pub fn as_slice(&self) -> &[T] {
         &self.items
     }
-    /// What it holds, taken out.
+    /// Converts the list into a vector.
     pub fn into_vec(self) -> Vec<T> {
         self.items
     }
-    /// What it holds, one by one.
+    /// Iterates over the items.
     pub fn iter(&self) -> std::slice::Iter<'_, T> {
         self.items.iter()
     }
@@ -153,12 +155,12 @@
     }
 }
 
-/// A record as it travels and lies on disk.
+/// Encodes a record as it is sent and stored on disk.
 pub fn to_bytes<T: DekuContainerWrite>(value: &T) -> Vec<u8> {
-    value.to_bytes().expect("every heronlink record can be written")
+    value.to_bytes().expect("every record can be encoded")
 }
 
-/// Reads a record; none if the bytes are not just one.
+/// Decodes a record. Returns `None` if the bytes aren't exactly one record.
 pub fn from_bytes<T: for<'a> DekuContainerRead<'a>>(bytes: &[u8]) -> Option<T> {
     match T::from_bytes((bytes, 0)) {
         Ok((([], 0), value)) => Some(value),
--- a/crates/wire/src/quota.rs
+++ b/crates/wire/src/quota.rs
@@ -1,98 +1,99 @@
-//! Credits for the requests of consumers with a limit, as routers ask for them and are granted them, and what granters
-//! tell each other of the membership by which they divide limits. A consumer is named by the hash of its name.
+//! Requests and grants of credits for rate-limited consumers, and messages by which granters compare the memberships
+//! that they divide limits by. A consumer is identified by the hash of its name.
 //!
-//! Reports and totals are those of formats 7 and 8, in which one router added up what all had counted. They are still
-//! read, and not answered.
+//! Reports and totals belong to formats 7 and 8, in which one router added up the counts of all routers. They are still
+//! decoded, but not answered.
 
 use crate::List;
 use deku::prelude::*;
 
-/// What one router counted of one consumer since it started. The counts only grow.
+/// One router's counts for one consumer since the router started. The first three only grow.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct QuotaCount {
-    /// The hash of the consumer's name.
+    /// Hash of the consumer's name.
     pub consumer: u64,
-    /// Requests that were admitted.
+    /// Number of admitted requests.
     pub admitted: u64,
-    /// Of those, the ones that were given back since they did not run.
+    /// Number of admitted requests that were refunded because they did not run.
     pub refunded: u64,
-    /// Requests that arrived, admitted or not.
+    /// Number of requests that arrived, admitted or not.
     pub arrived: u64,
-    /// Of the admitted less the refunded, those that no aggregator has confirmed yet.
+    /// Admitted requests, less the refunded ones, that no aggregator has confirmed yet.
     pub unconfirmed_used: u32,
-    /// Of the arrived, those that no aggregator has confirmed yet.
+    /// Requests that arrived and that no aggregator has confirmed yet.
     pub unconfirmed_arrived: u32,
 }
 
-/// A router's report on the consumers whose counts changed; one without counts says that it is there.
+/// A router's report on the consumers whose counts changed. A report without counts only tells that the router is
+/// alive.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct QuotaReport {
-    /// The incarnation of the router that counted.
+    /// Incarnation of the reporting router.
     pub incarnation: u64,
-    /// Grows with each report of a router.
+    /// Number that grows with each report of a router.
     pub number: u64,
-    /// Not 0 if it only asks whether the receiver is there; the sender reports to another.
+    /// Not 0 if the report only asks whether the receiver is alive, while the sender reports to another router.
     pub is_probe: u8,
-    /// The counts that changed.
+    /// Counts that changed.
     pub counts: List<QuotaCount>,
 }
 
-/// Where one consumer stands over all routers.
+/// State of one consumer's limit over all routers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct QuotaTotal {
-    /// The hash of the consumer's name.
+    /// Hash of the consumer's name.
     pub consumer: u64,
-    /// Requests left in its bucket, in hundredths; below zero where routers ran ahead.
+    /// Tokens left in the consumer's bucket, in hundredths of a request; negative if routers admitted too many.
     pub level_centi: i32,
-    /// Requests that arrive for it a second, in hundredths.
+    /// Arrival rate in hundredths of a request per second.
     pub demand_centi: u32,
 }
 
-/// The answer to a report: the reported consumers, and those near or over their limits.
+/// Answer to a report: the reported consumers, and those near or over their limits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct QuotaTotals {
-    /// The number of the report that it answers.
+    /// Number of the report that is answered.
     pub number: u64,
-    /// Where consumers stand.
+    /// State of each of these consumers.
     pub totals: List<QuotaTotal>,
 }
 
-/// Asks a granter for credits.
+/// Request to a granter for credits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct QuotaRequest {
-    /// Names the request; no other of the sender has the same number.
+    /// Number of the request, unique for the sender.
     pub number: u64,
-    /// The hash of the consumer's name.
+    /// Hash of the consumer's name.
     pub consumer: u64,
-    /// Credits that the sender can use.
+    /// Number of credits that the sender can use.
     pub wanted: u32,
 }
 
-/// The answer to it.
+/// Answer to a request for credits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct QuotaGrant {
-    /// The number of the request.
+    /// Number of the request.
     pub number: u64,
-    /// Credits granted, at most those asked for.
+    /// Number of credits granted, at most the number requested.
     pub granted: u32,
-    /// Where fewer were granted, when to ask again; 0 where all were.
+    /// Time after which to ask again if fewer credits were granted than requested; otherwise 0.
     pub retry_after_ms: u32,
 }
 
-/// Asks a router by which membership it divides limits.
+/// Question to a router by which membership it divides limits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct QuotaGrantersQuery {
-    /// Names what the sender asks for; another membership of the sender has another round.
+    /// Number of the sender's round of questions; it changes with the sender's membership.
     pub round: u64,
 }
 
-/// The answer to it.
+/// Answer to a `QuotaGrantersQuery`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct QuotaGrantersReply {
-    /// The round of the query.
+    /// Round of the query.
     pub round: u64,
-    /// The fingerprint of the routers that grant, by the membership that the answering router has.
+    /// Fingerprint of the set of granters in the answering router's membership.
     pub granters: u64,
-    /// For how long it has granted nothing by another membership.
+    /// Time since the answering router last granted credits by another membership.
     pub membership_in_use_ms: u32,
 }
