--- a/crates/wire/tests/codec.rs
+++ b/crates/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on a byte stream: what comes back, and what is refused.
+//! Encoding and decoding of frames, and rejection of invalid ones.
 
 use wire::{ChainMessage, FORMAT, Frame, FrameError, Message, decode, encode, to_bytes};
 
@@ -8,26 +8,26 @@
 }
 
 #[test]
-fn a_frame_comes_back_as_it_went_and_a_flipped_bit_never_passes() {
+fn frames_decode_to_the_original_and_corrupt_or_foreign_ones_are_rejected() {
     let bytes = encode(&frame());
     let checksum = u32::from_le_bytes(bytes[4..8].try_into().unwrap());
     assert_eq!(decode("posta", checksum, &bytes[8..]).unwrap(), frame());
-    for place in 8..bytes.len() {
-        let mut damaged = bytes.clone();
-        damaged[place] ^= 0x10;
-        assert!(decode("posta", checksum, &damaged[8..]).is_err());
+    for position in 8..bytes.len() {
+        let mut corrupt = bytes.clone();
+        corrupt[position] ^= 0x10;
+        assert!(decode("posta", checksum, &corrupt[8..]).is_err());
     }
     assert!(matches!(decode("pixel", checksum, &bytes[8..]), Err(FrameError::WrongCluster(_))));
-    let later = encode(&Frame { format: FORMAT + 1, ..frame() });
-    let checksum = u32::from_le_bytes(later[4..8].try_into().unwrap());
-    assert!(matches!(decode("posta", checksum, &later[8..]), Err(FrameError::Format(_))));
+    let newer = encode(&Frame { format: FORMAT + 1, ..frame() });
+    let checksum = u32::from_le_bytes(newer[4..8].try_into().unwrap());
+    assert!(matches!(decode("posta", checksum, &newer[8..]), Err(FrameError::Format(_))));
 }
 
 #[test]
-fn a_length_that_lies_is_refused_without_allocating_for_it() {
+fn a_false_length_is_rejected_without_allocating_for_it() {
     let mut record = to_bytes(&frame());
-    // The length of the cluster's name, which follows the two bytes of the format.
-    let lie = 2 + record[2..].iter().position(|b| *b == 5).unwrap();
-    record[lie..lie + 4].copy_from_slice(&u32::MAX.to_le_bytes());
+    // Position of the length of the cluster's name, which follows the two bytes of the format.
+    let length_position = 2 + record[2..].iter().position(|b| *b == 5).unwrap();
+    record[length_position..length_position + 4].copy_from_slice(&u32::MAX.to_le_bytes());
     assert!(matches!(decode("posta", crc32fast::hash(&record), &record), Err(FrameError::Malformed)));
 }
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Frames bent at random never panic and never pass for what they are not.
+//! Decoding of randomly corrupted frames never panics and never accepts bytes that differ from the decoded frame.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -7,7 +7,7 @@
     LogEntry, Message, NodeAddress, PlanMessage, ProposalId, View, decode, encode, from_bytes, to_bytes,
 };
 
-fn forward() -> ForwardRequest {
+fn forward_request() -> ForwardRequest {
     ForwardRequest {
         task: 5,
         function: "a/f".into(),
@@ -32,15 +32,15 @@
     };
     let entry = LogEntry { seq: 9, op: ProposalId { origin: 1, number: 2 }, body: vec![7; 40].into() };
     let item = ConfigurationItem { key: "function-bindings/a/b".into(), is_removed: 0, value: b"{}".to_vec().into() };
-    let step =
+    let epoch =
         ConfigurationEpoch { number: 4, revision: 2, quorum: vec![1, 2, 3].into(), items: vec![item.clone()].into() };
     vec![
         Message::Chain(ChainMessage::Decided { view }),
         Message::Chain(ChainMessage::Append { view: 3, fence: 8, entries: vec![entry.clone(), entry].into() }),
-        Message::Lease(LeaseMessage::Stage { epoch: step }),
+        Message::Lease(LeaseMessage::Stage { epoch }),
         Message::Lease(LeaseMessage::ReadReply { request_id: 1, state: 1, items: vec![item].into() }),
         Message::Forward(ForwardMessage::NotOwner { task: 5 }),
-        Message::Forward(ForwardMessage::Forward { request: Box::new(forward()) }),
+        Message::Forward(ForwardMessage::Forward { request: Box::new(forward_request()) }),
         Message::Forward(ForwardMessage::AttemptGrant { task: 5, attempts: 2 }),
         Message::Plan(PlanMessage::Reply {
             request_id: 1,
@@ -57,42 +57,42 @@
 }
 
 #[test]
-fn bent_frames_are_read_as_themselves_or_refused() {
-    let mut dice = ChaCha8Rng::seed_from_u64(4);
-    let (mut refused, mut read) = (0, 0);
+fn corrupted_frames_are_rejected_or_decoded_faithfully() {
+    let mut rng = ChaCha8Rng::seed_from_u64(4);
+    let (mut rejected_count, mut decoded_count) = (0, 0);
     for round in 0..60_000 {
-        let full = frame(samples()[round % 8].clone());
-        let mut record = to_bytes(&full);
-        for _ in 0..dice.random_range(1..6) {
-            let place = dice.random_range(0..record.len());
-            match dice.random_range(0..4) {
-                0 => record[place] ^= 1 << dice.random_range(0..8),
-                1 => record[place] = [0, 255, 127, 128][dice.random_range(0..4)],
-                2 => record.truncate(place.max(1)),
-                _ => record.insert(place, dice.random()),
+        let original = frame(samples()[round % 8].clone());
+        let mut record = to_bytes(&original);
+        for _ in 0..rng.random_range(1..6) {
+            let position = rng.random_range(0..record.len());
+            match rng.random_range(0..4) {
+                0 => record[position] ^= 1 << rng.random_range(0..8),
+                1 => record[position] = [0, 255, 127, 128][rng.random_range(0..4)],
+                2 => record.truncate(position.max(1)),
+                _ => record.insert(position, rng.random()),
             }
         }
-        // The checksum is made to fit, as a hostile sender would.
+        // Computes a valid checksum for the corrupted record, as a malicious sender would.
         match decode("posta", crc32fast::hash(&record), &record) {
-            Ok(got) => {
-                assert_eq!(to_bytes(&got), record, "read as something it does not write as");
-                read += 1;
+            Ok(decoded) => {
+                assert_eq!(to_bytes(&decoded), record, "the decoded frame encodes to other bytes");
+                decoded_count += 1;
             }
-            Err(_) => refused += 1,
+            Err(_) => rejected_count += 1,
         }
     }
-    assert!(refused > 10_000 && read > 100, "refused {refused} read {read}");
+    assert!(rejected_count > 10_000 && decoded_count > 100, "rejected {rejected_count} decoded {decoded_count}");
 }
 
 #[test]
-fn bytes_at_random_are_refused() {
-    let mut dice = ChaCha8Rng::seed_from_u64(9);
+fn random_bytes_are_rejected_or_decoded_faithfully() {
+    let mut rng = ChaCha8Rng::seed_from_u64(9);
     for _ in 0..20_000 {
-        let length = dice.random_range(0..200);
-        let bytes: Vec<u8> = (0..length).map(|_| dice.random()).collect();
+        let length = rng.random_range(0..200);
+        let bytes: Vec<u8> = (0..length).map(|_| rng.random()).collect();
         assert!(from_bytes::<Frame>(&bytes).is_none_or(|frame| to_bytes(&frame) == bytes));
     }
-    let good = encode(&frame(samples()[0].clone()));
-    let checksum = u32::from_le_bytes([good[4], good[5], good[6], good[7]]);
-    assert!(decode("posta", checksum, &good[8..]).is_ok());
+    let valid = encode(&frame(samples()[0].clone()));
+    let checksum = u32::from_le_bytes([valid[4], valid[5], valid[6], valid[7]]);
+    assert!(decode("posta", checksum, &valid[8..]).is_ok());
 }
--- a/crates/wire/tests/samples/forward.rs
+++ b/crates/wire/tests/samples/forward.rs
@@ -1,22 +1,22 @@
-//! Samples of what routers say to each other, and of samples and plans.
+//! Samples of messages between routers, and of messages about plans.
 
-use super::frame;
+use super::encode_frame;
 use wire::{
     DemandSample, ForwardMessage, ForwardRequest, InstanceRecord, InstanceSlots, InventoryChange, Measurement, Message,
     Outcome, OwnershipTable, PlanMessage, QuotaCount, QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaReport,
     QuotaRequest, QuotaTotal, QuotaTotals, TunedParameters, WorkerRecord,
 };
 
-fn slot() -> InstanceSlots {
+fn instance_slots() -> InstanceSlots {
     InstanceSlots { instance: "i".into(), address: "a:1".into(), ready: 1, busy: 201 }
 }
 
-fn table() -> OwnershipTable {
+fn ownership_table() -> OwnershipTable {
     OwnershipTable {
         function: "t/f".into(),
         membership: 202,
         is_standby_copy: 1,
-        slots: vec![slot()].into(),
+        slots: vec![instance_slots()].into(),
         requests: 203,
         retries: 204,
         rejections: 205,
@@ -25,7 +25,7 @@
     }
 }
 
-fn inventory() -> InventoryChange {
+fn inventory_change() -> InventoryChange {
     let instance = InstanceRecord {
         id: "i".into(),
         function: "t/f".into(),
@@ -48,7 +48,7 @@
     }
 }
 
-fn request() -> ForwardRequest {
+fn forward_request() -> ForwardRequest {
     ForwardRequest {
         task: 212,
         function: "t/f".into(),
@@ -63,7 +63,7 @@
     }
 }
 
-fn uncounted() -> ForwardMessage {
+fn uncounted_forward() -> ForwardMessage {
     ForwardMessage::ForwardUncounted {
         task: 217,
         function: "t/f".into(),
@@ -95,7 +95,7 @@
     ForwardMessage::QuotaTotals { totals: QuotaTotals { number: 312, totals: vec![total].into() } }
 }
 
-fn credits() -> [ForwardMessage; 4] {
+fn credit_messages() -> [ForwardMessage; 4] {
     [
         ForwardMessage::QuotaRequest { request: QuotaRequest { number: 313, consumer: 314, wanted: 315 } },
         ForwardMessage::QuotaGrant { grant: QuotaGrant { number: 316, granted: 317, retry_after_ms: 318 } },
@@ -114,28 +114,34 @@
     let (head, body) = (vec![226].into(), vec![227].into());
     let answer = Answer { task: 228, outcome: Outcome::Accepted, status: 229, retry_after_ms: 230, head, body };
     [
-        uncounted(),
+        uncounted_forward(),
         in_seconds,
         NotOwner { task: 231 },
-        Handover { function: "t/f".into(), membership: 232, slots: vec![slot()].into(), requests: 233, retries: 234 },
+        Handover {
+            function: "t/f".into(),
+            membership: 232,
+            slots: vec![instance_slots()].into(),
+            requests: 233,
+            retries: 234,
+        },
         Preempt { function: "t/f".into(), memory_mb: 235 },
         Heartbeat,
-        OwnershipTable { table: table() },
+        OwnershipTable { table: ownership_table() },
         answer,
         HeartbeatRequest,
-        Inventory { inventory: inventory() },
+        Inventory { inventory: inventory_change() },
         InventoryRequest,
-        Forward { request: Box::new(request()) },
+        Forward { request: Box::new(forward_request()) },
         AttemptRequest { task: 236, attempts: 237 },
         AttemptGrant { task: 238, attempts: 239 },
         Returned { task: 240, attempts: 241 },
-        ForwardForConsumer { request: Box::new(request()), consumer: "t/c".into() },
+        ForwardForConsumer { request: Box::new(forward_request()), consumer: "t/c".into() },
         quota_report(),
         quota_totals(),
     ]
     .into_iter()
-    .chain(credits())
-    .map(|message| frame(Message::Forward(message)))
+    .chain(credit_messages())
+    .map(|message| encode_frame(Message::Forward(message)))
     .collect()
 }
 
@@ -147,7 +153,7 @@
         waiting_milli: 253,
         queued_milli: 254,
     };
-    let measure = Measurement {
+    let measurement = Measurement {
         function: "t/f".into(),
         boot_micro: 255,
         boots: 256,
@@ -167,10 +173,10 @@
         PlanMessage::Samples { lines: vec![sample].into() },
         PlanMessage::Request { request_id: 264, function: "t/f".into(), current: 265, queued: 266, waiting: 267 },
         PlanMessage::Reply { request_id: 268, fence: 269, state: 1, step_ms: 270, desired: vec![271].into() },
-        PlanMessage::Measurements { lines: vec![measure].into() },
+        PlanMessage::Measurements { lines: vec![measurement].into() },
         PlanMessage::Tuned { fence: 272, lines: vec![tuned].into() },
     ]
     .into_iter()
-    .map(|message| frame(Message::Plan(message)))
+    .map(|message| encode_frame(Message::Plan(message)))
     .collect()
 }
--- a/crates/wire/tests/samples/lease.rs
+++ b/crates/wire/tests/samples/lease.rs
@@ -1,13 +1,13 @@
-//! Samples of what registries and routers say to each other.
+//! Samples of messages between routers and registries.
 
-use super::frame;
+use super::encode_frame;
 use wire::{Capacity, ConfigurationEpoch, ConfigurationItem, LeaseMessage, Message, ProofAge};
 
 fn item() -> ConfigurationItem {
     ConfigurationItem { key: "functions/a/f".into(), is_removed: 1, value: b"{}".to_vec().into() }
 }
 
-fn step() -> ConfigurationEpoch {
+fn epoch() -> ConfigurationEpoch {
     ConfigurationEpoch { number: 101, revision: 102, quorum: vec![103, 104].into(), items: vec![item()].into() }
 }
 
@@ -22,7 +22,7 @@
         Renew { request_id: 111, staged: 112, active: 113, membership: 114 },
         Proof { request_id: 115, active: 116, latest: 117, member: 1 },
         NotTail { tail: 118, view: 119, addresses: vec!["s:3".into()].into() },
-        Stage { epoch: step() },
+        Stage { epoch: epoch() },
         Staged { number: 120 },
         Activate { number: 121 },
         Membership { number: 122, body: vec![123].into() },
@@ -46,13 +46,13 @@
         Leaving,
     ]
     .into_iter()
-    .map(|message| frame(Message::Lease(message)))
+    .map(|message| encode_frame(Message::Lease(message)))
     .collect();
-    samples.extend(later_messages().into_iter().map(|message| frame(Message::Lease(message))));
+    samples.extend(messages_added_since_format_4().into_iter().map(|message| encode_frame(Message::Lease(message))));
     samples
 }
 
-fn later_messages() -> Vec<LeaseMessage> {
+fn messages_added_since_format_4() -> Vec<LeaseMessage> {
     use LeaseMessage::*;
     vec![
         Part { request_id: 141, full: 1, number: 142, size: 143, packed: 144, offset: 145, bytes: vec![146].into() },
--- a/crates/wire/tests/samples/mod.rs
+++ b/crates/wire/tests/samples/mod.rs
@@ -1,4 +1,4 @@
-//! One sample of each message and record, no two fields of which hold the same value, as bytes.
+//! One encoded sample of each message and record. Fields hold distinct values, so that swapped fields are detected.
 
 mod forward;
 mod lease;
@@ -10,7 +10,7 @@
 
 use wire::{ChainMessage, FORMAT, Frame, KeyValue, LogEntry, Message, NodeAddress, ProposalId, View, to_bytes};
 
-pub fn frame(message: Message) -> Vec<u8> {
+pub fn encode_frame(message: Message) -> Vec<u8> {
     to_bytes(&Frame { format: FORMAT, cluster: "posta".into(), sender: 901, incarnation: 902, message })
 }
 
@@ -55,6 +55,6 @@
         Leaving { remaining_ms: 84 },
     ]
     .into_iter()
-    .map(|message| frame(Message::Chain(message)))
+    .map(|message| encode_frame(Message::Chain(message)))
     .collect()
 }
--- a/crates/wire/tests/samples/record.rs
+++ b/crates/wire/tests/samples/record.rs
@@ -1,6 +1,6 @@
-//! Samples of the chain's commands and their replies, and of records that are stored.
+//! Samples of commands, their replies and stored records.
 
-use super::frame;
+use super::encode_frame;
 use super::lease::capacity;
 use wire::{
     AnswerHead, ClaimRecord, ClaimState, Command, CommandReply, ConfigurationItem, DeferredRecord, HeaderField,
@@ -92,17 +92,17 @@
     let deferred = DeferredRecord { function: "t/f".into(), digest: digest(), is_answered: 1, answer: vec![12].into() };
     let header = HeaderField { name: "n".into(), value: vec![13].into() };
     let head = RequestHead { method: "GET".into(), target: "/t".into(), headers: vec![header.clone()].into() };
-    let task = StoredRequest { binding: "t/b".into(), head: to_bytes(&head).into(), body: vec![14].into() };
+    let stored_request = StoredRequest { binding: "t/b".into(), head: to_bytes(&head).into(), body: vec![14].into() };
     samples.push(to_bytes(&claim));
     samples.push(to_bytes(&deferred));
     samples.push(to_bytes(&OpRecord { reply: CommandReply::Empty }));
     samples.push(to_bytes(&head));
     samples.push(to_bytes(&AnswerHead { headers: vec![header].into() }));
-    samples.push(to_bytes(&task));
+    samples.push(to_bytes(&stored_request));
     for outcome in [Outcome::Answered, Outcome::NotRun, Outcome::Unknown, Outcome::Accepted] {
         let (head, body) = (vec![15].into(), vec![16].into());
         samples.push(to_bytes(&StoredAnswer { outcome, status: 345, head, body }));
     }
-    samples.push(frame(Message::Hello { address: "h:1".into() }));
+    samples.push(encode_frame(Message::Hello { address: "h:1".into() }));
     samples
 }
