--- a/crates/bindings/src/consumers.rs
+++ b/crates/bindings/src/consumers.rs
@@ -1,26 +1,26 @@
-//! Consumers: whoever calls with one of its API keys, within a rate that holds for all routers together.
+//! Consumers: callers that are identified by API keys and share a rate limit over all routers.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// A consumer as it is declared.
+/// Declared consumer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Consumer {
-    /// The API keys by which its requests are known.
+    /// API keys that identify the consumer's requests.
     pub keys: Vec<String>,
-    /// Requests a second that it may make through all routers together; 0 for no limit.
+    /// Maximum rate of requests per second over all routers; 0 for no limit.
     pub rate_per_s: f64,
-    /// Requests that it may make at once beyond that rate.
+    /// Number of requests that may exceed that rate at once.
     pub burst: f64,
-    /// Goes before the rank of the binding; 0 is before all others.
+    /// Rank that takes precedence over the binding's rank; 0 is served first.
     pub rank: Option<u32>,
-    /// What the operator keeps beside it; given back as declared.
+    /// Free-form notes of the operator, returned as declared.
     pub notes: Map<String, Value>,
 }
 
 impl Consumer {
-    /// Whether its rate is limited.
+    /// Returns whether the consumer's rate is limited.
     pub fn is_limited(&self) -> bool {
         self.rate_per_s > 0.0
     }
--- a/crates/bindings/src/declarations.rs
+++ b/crates/bindings/src/declarations.rs
@@ -1,29 +1,29 @@
-//! Functions declared on their own, apart from the bindings that send to them, and the bounds on what
-//! a caller may send and how long it may take or stay idle.
+//! Declarations of functions, separate from the bindings that send requests to them, and limits on the size and
+//! duration of callers' requests and on idle connections.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// A function declared as a resource of its own.
+/// Function that is declared as a separate resource.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FunctionDeclaration {
-    /// The memory an instance needs.
+    /// Memory of an instance, in MB.
     pub memory_mb: u32,
-    /// How long an instance takes to start, on average.
+    /// Average start time of an instance, in milliseconds.
     pub boot_ms: Option<u32>,
-    /// The most tasks that one instance may have at once.
+    /// Maximum number of concurrent requests per instance.
     pub instance_limit: u32,
-    /// The most connections that one instance takes from all routers together.
+    /// Maximum number of connections per instance from all routers together.
     pub connections: Option<u32>,
-    /// The fewest instances.
+    /// Minimum number of instances.
     pub min: u32,
-    /// The most instances.
+    /// Maximum number of instances.
     pub max: u32,
-    /// Whether its instances keep a record of idempotency keys themselves, so that a request whose outcome is in
-    /// doubt may be sent to them again.
+    /// Whether the instances deduplicate requests by idempotency key themselves, so that a request with an unknown
+    /// outcome may be sent to them again.
     pub deduplicates: bool,
-    /// What the operator keeps beside it; given back as declared.
+    /// Free-form notes of the operator, returned as declared.
     pub notes: Map<String, Value>,
 }
 
@@ -42,32 +42,32 @@
     }
 }
 
-/// Bounds on what callers may send. A bound that is left out is none.
+/// Limits on callers. A limit that is left out does not apply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerBounds {
-    /// The largest head of a request.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: u32,
-    /// The largest body of a request.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: u32,
-    /// How long a head may take to arrive.
+    /// Maximum time in which a request's head must arrive, in milliseconds.
     pub head_ms: u32,
-    /// How long a connection may stay idle.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_ms: u32,
     /// Whether requests need an API key even if no consumer is declared.
     pub keys_required: bool,
-    /// What the operator keeps beside it; given back as declared.
+    /// Free-form notes of the operator, returned as declared.
     pub notes: Map<String, Value>,
 }
 
 impl Default for CallerBounds {
     fn default() -> Self {
-        let none = u32::MAX;
+        let unlimited = u32::MAX;
         CallerBounds {
-            head_bytes: none,
-            body_bytes: none,
-            head_ms: none,
-            idle_ms: none,
+            head_bytes: unlimited,
+            body_bytes: unlimited,
+            head_ms: unlimited,
+            idle_ms: unlimited,
             keys_required: false,
             notes: Map::new(),
         }
@@ -75,7 +75,7 @@
 }
 
 impl CallerBounds {
-    /// The strictest of each bound, where several tenants declare their own.
+    /// Combines the limits of several tenants by taking the strictest value of each.
     pub fn strictest(&self, other: &CallerBounds) -> CallerBounds {
         CallerBounds {
             head_bytes: self.head_bytes.min(other.head_bytes),
--- a/crates/bindings/src/lib.rs
+++ b/crates/bindings/src/lib.rs
@@ -1,6 +1,6 @@
-//! What operators declare: function bindings, weight sheets, headcount plans, functions, bounds on
-//! callers and consumers with their API keys, kept as pairs under `kind/tenant/name`. A configuration is checked whole; every fault is
-//! told with its path.
+//! Resources that operators declare: function bindings, weight sheets, headcount plans, functions, bounds on callers,
+//! and consumers with their API keys. Each is stored under the key `kind/tenant/name`. A configuration is checked as a
+//! whole, and every fault is reported with its path.
 
 #![warn(missing_docs)]
 
@@ -20,4 +20,4 @@
 pub use declarations::{CallerBounds, FunctionDeclaration};
 pub use resources::{Class, FunctionBinding, HeadcountPlan, Kind, WeightSheet};
 pub use routing::{Function, RouteTable};
-pub use tuning::{Tuning, TuningBounds, TuningRange};
+pub use tuning::{Span, Tuning, TuningBounds};
--- a/crates/bindings/src/resources.rs
+++ b/crates/bindings/src/resources.rs
@@ -1,38 +1,38 @@
-//! The declared kinds and the fields of the first three, with the defaults an operator may leave out.
+//! The kinds of declared resources, and the fields and defaults of bindings, weight sheets and headcount plans.
 
 use crate::tuning::Tuning;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 
-/// The kinds of resources that operators declare.
+/// Kind of a declared resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// A route and what serves it.
+    /// Route and the functions that serve it.
     FunctionBinding,
-    /// The costs that a function's planning weighs.
+    /// Costs by which a function's instances are planned.
     WeightSheet,
-    /// The operator's bounds on a function's instances.
+    /// Operator's limits on the number of a function's instances.
     HeadcountPlan,
-    /// A function's needs and limits.
+    /// Resource needs and limits of a function.
     Function,
-    /// Bounds on callers.
+    /// Limits on callers.
     Bounds,
-    /// Whoever calls with one of its API keys.
+    /// Caller that is identified by its API keys.
     Consumer,
 }
 
 impl Kind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Kind; 6] =
         [Kind::FunctionBinding, Kind::WeightSheet, Kind::HeadcountPlan, Kind::Function, Kind::Bounds, Kind::Consumer];
 
-    /// The words of all kinds, as they are told to whoever used another.
+    /// Returns the names of all kinds, separated by commas, for error messages about unknown kinds.
     pub fn names() -> String {
         Kind::ALL.map(Kind::name).join(", ")
     }
 
-    /// The kind's word in paths and documents, such as `weight-sheets`.
+    /// Returns the kind's name in paths and documents, such as `weight-sheets`.
     pub fn name(self) -> &'static str {
         match self {
             Kind::FunctionBinding => "function-bindings",
@@ -44,168 +44,168 @@
         }
     }
 
-    /// The kind of a word.
+    /// Returns the kind with this name.
     pub fn from_name(name: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
 
-/// What is promised about running a request.
+/// Guarantee about how often a request is run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// May be tried again on another instance, within its deadline and the retry budget.
+    /// May be retried on another instance, within the deadline and the retry budget.
     Ordinary,
-    /// Sent to one instance at most, and once, without a key or a run-once store.
+    /// Sent at most once, to a single instance, without a key or the run-once store.
     Single,
-    /// Run once under the caller's key, which is claimed in the run-once store before it is sent.
+    /// Run once under the caller's key, which is claimed in the run-once store before the request is sent.
     Once,
-    /// Stored before it is tried, and tried until an instance answers.
+    /// Stored before the first attempt and retried until an instance answers.
     Deferred,
 }
 
-fn deadline() -> u32 {
+fn default_deadline_ms() -> u32 {
     4000
 }
-fn one() -> u32 {
+fn default_instance_limit() -> u32 {
     1
 }
-fn memory() -> u32 {
+fn default_memory_mb() -> u32 {
     256
 }
-fn max() -> u32 {
+fn default_max_instances() -> u32 {
     20
 }
-fn player_weight() -> f64 {
+fn default_player_weight() -> f64 {
     1.0
 }
-fn attempts() -> u32 {
+fn default_attempts() -> u32 {
     2
 }
-pub(crate) fn rank() -> u32 {
+pub(crate) fn default_rank() -> u32 {
     1
 }
 
-/// A route, and the function or functions its requests go to.
+/// Route and the function or functions that its requests are sent to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FunctionBinding {
-    /// The host it is for, in any case and with or without a port; empty for any host.
+    /// Host of the route, compared without case and port; empty for any host.
     #[serde(default)]
     pub host: String,
-    /// The path prefix it is for.
+    /// Path or path prefix of the route.
     pub route: String,
-    /// The one function it sends to, as `tenant/service`; empty where there are shares.
+    /// Function that requests are sent to, by its name without the tenant; may be empty if there are shares.
     #[serde(default)]
     pub function: String,
-    /// Functions and their weights; if there are any, they take the place of the one function.
+    /// Functions and their weights, used instead of `function` if there are any.
     #[serde(default)]
     pub shares: BTreeMap<String, f64>,
-    /// What is promised about its requests.
+    /// Guarantee about how often its requests are run.
     pub class: Class,
-    /// How long a request may take in all.
-    #[serde(default = "deadline")]
+    /// Maximum total time of a request, in milliseconds.
+    #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u32,
-    /// The most requests that one instance may have at once.
-    #[serde(default = "one")]
+    /// Maximum number of concurrent requests per instance.
+    #[serde(default = "default_instance_limit")]
     pub instance_limit: u32,
-    /// The memory an instance needs.
-    #[serde(default = "memory")]
+    /// Memory of an instance, in MB.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: u32,
-    /// The fewest instances.
+    /// Minimum number of instances.
     #[serde(default)]
     pub min: u32,
-    /// The most instances.
-    #[serde(default = "max")]
+    /// Maximum number of instances.
+    #[serde(default = "default_max_instances")]
     pub max: u32,
-    /// Which functions go first where starts are limited, 0 to 10; at 0 its requests queue behind all others.
-    #[serde(default = "player_weight")]
+    /// Priority of the functions when instance starts are limited, 0 to 10. At 0 the requests queue behind all others.
+    #[serde(default = "default_player_weight")]
     pub player_weight: f64,
-    /// The time within which an answer is worth most.
+    /// Target response time in milliseconds, within which an answer has the highest value.
     #[serde(default)]
     pub aim_ms: Option<u32>,
-    /// The most instances that one task may be sent to.
-    #[serde(default = "attempts")]
+    /// Maximum number of instances that a request may be sent to.
+    #[serde(default = "default_attempts")]
     pub attempts: u32,
-    /// 0 goes before all others.
-    #[serde(default = "rank")]
+    /// Rank of the requests; 0 is served first.
+    #[serde(default = "default_rank")]
     pub rank: u32,
-    /// Whether its functions must be declared as resources of their own.
+    /// Whether the functions must be declared as separate resources.
     #[serde(default)]
     pub declared: bool,
-    /// Whether it takes requests without an API key where others need one.
+    /// Whether requests need no API key, even if other routes require one.
     #[serde(default)]
     pub public: bool,
-    /// What the operator keeps beside it; given back as declared.
+    /// Free-form notes of the operator, returned as declared.
     #[serde(default)]
     pub notes: Map<String, Value>,
 }
 
 impl FunctionBinding {
-    /// The functions it may send to, each with its weight.
+    /// Iterates over the functions and their weights.
     pub fn functions(&self) -> impl Iterator<Item = (&str, f64)> {
-        let alone = self.shares.is_empty().then_some((self.function.as_str(), 1.0));
-        alone.into_iter().chain(self.shares.iter().map(|(name, weight)| (name.as_str(), *weight)))
+        let single = self.shares.is_empty().then_some((self.function.as_str(), 1.0));
+        single.into_iter().chain(self.shares.iter().map(|(name, weight)| (name.as_str(), *weight)))
     }
 
-    /// Whether it may send to a function at present.
+    /// Returns whether requests may be sent to a function, which needs a weight above 0.
     pub fn sends_to(&self, function: &str) -> bool {
         self.functions().any(|(name, weight)| name == function && weight > 0.0)
     }
 
-    /// One of its functions, by weight; every value of the dice is as likely as another.
-    pub fn pick_function(&self, dice: u64) -> &str {
-        let sum: f64 = self.functions().map(|(_, weight)| weight).sum();
-        let mut left = dice as f64 / (u64::MAX as f64 + 1.0) * sum;
-        let mut last = self.function.as_str();
+    /// Picks a function by weight. `random` must be uniformly distributed.
+    pub fn pick_function(&self, random: u64) -> &str {
+        let total: f64 = self.functions().map(|(_, weight)| weight).sum();
+        let mut remaining = random as f64 / (u64::MAX as f64 + 1.0) * total;
+        let mut picked = self.function.as_str();
         for (name, weight) in self.functions().filter(|(_, weight)| *weight > 0.0) {
-            last = name;
-            left -= weight;
-            if left < 0.0 {
+            picked = name;
+            remaining -= weight;
+            if remaining < 0.0 {
                 break;
             }
         }
-        last
+        picked
     }
 }
 
-/// The weights of a function's planning.
+/// Costs and limits by which a function's instances are planned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WeightSheet {
-    /// The cost of an instance in a step.
+    /// Cost of an instance per step.
     pub replica_cost: f64,
-    /// The cost of uncovered demand, up to the soft fraction.
+    /// Cost of uncovered demand up to the soft fraction.
     pub sla_soft: f64,
-    /// The cost of uncovered demand beyond it, and of demand that meets no instance at all.
+    /// Cost of uncovered demand beyond the soft fraction, and of demand without any instance.
     pub sla_hard: f64,
-    /// The part of the demand to be covered that may be missed at the soft cost, 0 to 1.
+    /// Fraction of the demand that may stay uncovered at the soft cost, 0 to 1.
     pub soft_fraction: f64,
-    /// The cost of starting an instance.
+    /// Cost of starting an instance.
     pub startup_cost: f64,
-    /// The cost of stopping an instance.
+    /// Cost of stopping an instance.
     pub shutdown_cost: f64,
-    /// What uncovered demand costs against the same in the step before, 0 to 1.
+    /// Cost of uncovered demand relative to the same demand in the previous step, 0 to 1.
     pub time_discount: f64,
-    /// The most instances started in a step.
+    /// Maximum number of instances started per step.
     pub max_scale_up: u32,
-    /// The most instances stopped in a step.
+    /// Maximum number of instances stopped per step.
     pub max_scale_down: u32,
-    /// Steps between an order and a ready instance.
+    /// Number of steps between the start order and a ready instance.
     pub startup_delay_steps: u32,
-    /// What the forecast work weighs in the demand.
+    /// Weight of the forecast work in the demand.
     pub work_weight: f64,
-    /// What requests waiting for room weigh in the demand.
+    /// Weight of requests that wait for capacity in the demand.
     pub waiting_weight: f64,
-    /// What requests waiting for a first instance weigh in the demand.
+    /// Weight of requests that wait for a first instance in the demand.
     pub held_weight: f64,
-    /// Whether the forecast's upper band is covered, rather than its mean.
+    /// Whether the forecast's upper band is covered instead of its mean.
     pub risk_aware: bool,
-    /// The utilization that capacity is planned at, 0 to 1.
+    /// Utilization that capacity is planned for, 0 to 1.
     pub target_usage: f64,
-    /// Demand below this counts as none.
+    /// Demand below this value is treated as zero.
     pub demand_floor: f64,
-    /// Which fields may be tuned, and how far.
+    /// Fields that may be tuned, and their ranges.
     pub tuning: Tuning,
 }
 
@@ -233,14 +233,14 @@
     }
 }
 
-/// The operator's own say on a function's instances.
+/// Operator's limits on the number of a function's instances.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct HeadcountPlan {
-    /// Exactly so many; it goes before any plan.
+    /// Exact number of instances, which overrides any computed plan.
     pub fixed: Option<u32>,
-    /// The fewest instances.
+    /// Minimum number of instances.
     pub min: Option<u32>,
-    /// The most instances.
+    /// Maximum number of instances.
     pub max: Option<u32>,
 }
--- a/crates/bindings/src/tuning.rs
+++ b/crates/bindings/src/tuning.rs
@@ -1,97 +1,100 @@
-//! What the system may tune of a weight sheet by what it measures, and within which bounds. The sheet
-//! as declared is never rewritten; each field, or all of them, can be left as declared.
+//! Fields of a weight sheet that the system may tune by its measurements, and their bounds. The declared sheet itself
+//! is never changed, and tuning can be turned off for each field or for all of them.
 
 use crate::resources::WeightSheet;
 use serde::{Deserialize, Serialize};
 
-/// The tuning of one field.
+/// Range in which one field may be tuned. The type's name is part of the parse errors that operators receive.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct TuningRange {
-    /// Whether it is tuned; it is if left out.
+pub struct Span {
+    /// Whether the field is tuned; the default is yes.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub on: Option<bool>,
-    /// The least value it may be set to.
+    /// Minimum value that the field may be set to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub least: Option<f64>,
-    /// The greatest value it may be set to.
+    /// Maximum value that the field may be set to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub most: Option<f64>,
 }
 
-/// The tuning of a weight sheet.
+/// Tuning of a weight sheet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-    /// Whether any field is tuned; those that allow it are if left out.
+    /// Whether any field is tuned; the default is that those whose own tuning is on are.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub on: Option<bool>,
-    /// For the startup delay.
-    pub startup_delay_steps: TuningRange,
-    /// For the target utilization.
-    pub target_usage: TuningRange,
-    /// For the cost of uncovered demand.
-    pub sla_hard: TuningRange,
+    /// Tuning of the startup delay.
+    pub startup_delay_steps: Span,
+    /// Tuning of the target utilization.
+    pub target_usage: Span,
+    /// Tuning of the hard cost of uncovered demand.
+    pub sla_hard: Span,
 }
 
-/// The bounds in force for a tuned field, around what was declared.
+/// Effective bounds of a tuned field, which include the declared value unless the operator sets them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TuningBounds {
-    /// The least value.
+    /// Minimum value.
     pub min: f64,
-    /// The greatest value.
+    /// Maximum value.
     pub max: f64,
 }
 
 impl TuningBounds {
-    /// The value, moved into the bounds.
+    /// Limits a value to the bounds.
     pub fn clamp(&self, value: f64) -> f64 {
         value.clamp(self.min, self.max)
     }
 }
 
 impl WeightSheet {
-    fn bounds(&self, span: &TuningRange, declared: f64, least: f64, most: f64) -> Option<TuningBounds> {
-        let on = self.tuning.on.unwrap_or(true) && span.on.unwrap_or(true);
-        let (least, most) = (span.least.unwrap_or(least.min(declared)), span.most.unwrap_or(most.max(declared)));
-        (on && least <= most).then_some(TuningBounds { min: least, max: most })
+    /// Returns the bounds of a field, by default `default_min` and `default_max` extended to the declared value, or
+    /// `None` if the field is not tuned.
+    fn tuning_bounds(&self, range: &Span, declared: f64, default_min: f64, default_max: f64) -> Option<TuningBounds> {
+        let is_tuned = self.tuning.on.unwrap_or(true) && range.on.unwrap_or(true);
+        let min = range.least.unwrap_or(default_min.min(declared));
+        let max = range.most.unwrap_or(default_max.max(declared));
+        (is_tuned && min <= max).then_some(TuningBounds { min, max })
     }
 
-    /// The bounds of the startup delay; none if it is not tuned.
+    /// Returns the bounds of the startup delay, or `None` if it is not tuned.
     pub fn startup_delay_bounds(&self) -> Option<TuningBounds> {
-        self.bounds(&self.tuning.startup_delay_steps, f64::from(self.startup_delay_steps), 1.0, 4.0)
+        self.tuning_bounds(&self.tuning.startup_delay_steps, f64::from(self.startup_delay_steps), 1.0, 4.0)
     }
 
-    /// The bounds of the target utilization; none if it is not tuned.
+    /// Returns the bounds of the target utilization, or `None` if it is not tuned.
     pub fn target_usage_bounds(&self) -> Option<TuningBounds> {
-        self.bounds(&self.tuning.target_usage, self.target_usage, 0.4, 0.75)
+        self.tuning_bounds(&self.tuning.target_usage, self.target_usage, 0.4, 0.75)
     }
 
-    /// The bounds of the cost of uncovered demand; none if it is not tuned.
+    /// Returns the bounds of the hard cost of uncovered demand, or `None` if it is not tuned.
     pub fn sla_hard_bounds(&self) -> Option<TuningBounds> {
-        self.bounds(&self.tuning.sla_hard, self.sla_hard, self.sla_hard, self.sla_hard * 4.0)
+        self.tuning_bounds(&self.tuning.sla_hard, self.sla_hard, self.sla_hard, self.sla_hard * 4.0)
     }
 }
 
-/// Each fault of a sheet's tuning, by the field it sits in and what is allowed there.
+/// Returns the faults of a sheet's tuning, each as the field and the values that it allows.
 pub fn check_tuning(tuning: &Tuning) -> Vec<(String, String)> {
     let fields = [
         ("startup_delay_steps", &tuning.startup_delay_steps, 1.0, 8.0),
         ("target_usage", &tuning.target_usage, 0.05, 1.0),
         ("sla_hard", &tuning.sla_hard, 0.0, 1e6),
     ];
-    let mut found = Vec::new();
-    for (field, span, least, most) in fields {
-        for (end, value) in [("least", span.least), ("most", span.most)] {
-            if value.is_some_and(|value| !(least..=most).contains(&value)) {
-                found.push((format!("tuning/{field}/{end}"), format!("{least} to {most}")));
+    let mut faults = Vec::new();
+    for (field, range, lowest, highest) in fields {
+        for (end, value) in [("least", range.least), ("most", range.most)] {
+            if value.is_some_and(|value| !(lowest..=highest).contains(&value)) {
+                faults.push((format!("tuning/{field}/{end}"), format!("{lowest} to {highest}")));
             }
         }
-        if let (Some(low), Some(high)) = (span.least, span.most)
-            && low > high
+        if let (Some(least), Some(most)) = (range.least, range.most)
+            && least > most
         {
-            found.push((format!("tuning/{field}/least"), "no more than most".into()));
+            faults.push((format!("tuning/{field}/least"), "no more than most".into()));
         }
     }
-    found
+    faults
 }
