--- a/crates/bindings/tests/check.rs
+++ b/crates/bindings/tests/check.rs
@@ -1,4 +1,4 @@
-//! The check of a whole configuration, fault by fault.
+//! Faults that the check of a complete configuration reports.
 
 use bindings::{check, check_name};
 
@@ -12,7 +12,7 @@
         ("weight-sheets/b/y", br#"{"time_discount":0,"tuning":{"target_usage":{"least":0.9,"most":0.3}}}"#),
         ("weight-sheets/b/z", br#"{"tuning":{"sla_hard":{"most":-1}}}"#),
     ];
-    let paths: Vec<String> = check(pairs.into_iter()).into_iter().map(|fault| fault.path).collect();
+    let paths: Vec<String> = check(pairs.into_iter()).into_iter().map(|error| error.path).collect();
     let expected = [
         "function-bindings/b/y/deadline_ms",
         "function-bindings/b/y/route",
@@ -25,30 +25,30 @@
     assert_eq!(paths, expected);
 }
 
-fn paths(pairs: &[(&str, &str)]) -> Vec<String> {
-    check(pairs.iter().map(|(key, value)| (*key, value.as_bytes()))).into_iter().map(|fault| fault.path).collect()
+fn error_paths(pairs: &[(&str, &str)]) -> Vec<String> {
+    check(pairs.iter().map(|(key, value)| (*key, value.as_bytes()))).into_iter().map(|error| error.path).collect()
 }
 
 #[test]
-fn functions_shares_hosts_and_bounds_are_checked_together() {
-    let bind = |more: &str| format!(r#"{{"class":"single",{more}}}"#);
-    let one = bind(r#""host":"a.example","route":"/x/","function":"f","declared":true"#);
-    let same = bind(r#""host":"A.example:80","route":"/x/","function":"g","declared":true"#);
-    let other = bind(r#""host":"b.example","route":"/x/","shares":{"f":1,"gone":2},"declared":true"#);
-    let nothing = bind(r#""route":"/n/","shares":{"f":0,"h":0}"#);
-    let below = bind(r#""route":"/b/","shares":{"f":-1,"h":2}"#);
-    let bare = bind(r#""route":"/""#);
-    let limits = bind(r#""route":"//a/%20/","function":"f","deadline_ms":600001,"attempts":0"#);
-    let found = paths(&[
+fn faults_of_functions_shares_hosts_and_bounds_are_all_reported() {
+    let binding = |fields: &str| format!(r#"{{"class":"single",{fields}}}"#);
+    let first = binding(r#""host":"a.example","route":"/x/","function":"f","declared":true"#);
+    let same_route = binding(r#""host":"A.example:80","route":"/x/","function":"g","declared":true"#);
+    let other_host = binding(r#""host":"b.example","route":"/x/","shares":{"f":1,"gone":2},"declared":true"#);
+    let zero_shares = binding(r#""route":"/n/","shares":{"f":0,"h":0}"#);
+    let negative_share = binding(r#""route":"/b/","shares":{"f":-1,"h":2}"#);
+    let without_function = binding(r#""route":"/""#);
+    let invalid_limits = binding(r#""route":"//a/%20/","function":"f","deadline_ms":600001,"attempts":0"#);
+    let paths = error_paths(&[
         ("bounds/t/one", r#"{"head_ms":0}"#),
         ("bounds/t/two", "{}"),
-        ("function-bindings/t/a", &one),
-        ("function-bindings/t/b", &same),
-        ("function-bindings/t/c", &other),
-        ("function-bindings/t/d", &nothing),
-        ("function-bindings/t/e", &below),
-        ("function-bindings/t/f", &bare),
-        ("function-bindings/t/g", &limits),
+        ("function-bindings/t/a", &first),
+        ("function-bindings/t/b", &same_route),
+        ("function-bindings/t/c", &other_host),
+        ("function-bindings/t/d", &zero_shares),
+        ("function-bindings/t/e", &negative_share),
+        ("function-bindings/t/f", &without_function),
+        ("function-bindings/t/g", &invalid_limits),
         ("functions/t/f", r#"{"boot_ms":900,"instance_limit":6}"#),
         ("functions/t/i", r#"{"instance_limit":0,"connections":0,"min":4,"max":3}"#),
         ("functions/u/gone", "{}"),
@@ -68,38 +68,38 @@
         "function-bindings/t/b/function",
         "function-bindings/t/c/function",
     ];
-    assert_eq!(found, expected);
+    assert_eq!(paths, expected);
 }
 
 #[test]
-fn names_are_of_plain_characters() {
-    let long = "x".repeat(128);
-    assert!(["a", "r-2bsp73y", "A.b_C-9", &long].iter().all(|name| check_name(name)));
-    let longer = "x".repeat(129);
-    assert!(["", "a b", "a/b", "\u{17e}", "a%", &longer].iter().all(|name| !check_name(name)));
+fn names_are_limited_to_128_plain_characters() {
+    let longest = "x".repeat(128);
+    assert!(["a", "r-2bsp73y", "A.b_C-9", &longest].iter().all(|name| check_name(name)));
+    let too_long = "x".repeat(129);
+    assert!(["", "a b", "a/b", "\u{17e}", "a%", &too_long].iter().all(|name| !check_name(name)));
 }
 
 #[test]
-fn a_consumer_that_cannot_be_read_tells_no_key() {
+fn errors_of_malformed_consumers_contain_no_key() {
     for value in [r#"{"keys":"secret-1"}"#, r#"{"keys":[],"secret-2":1}"#, r#"{"rank":"secret-3"}"#] {
-        let faults = check([("consumers/t/a", value.as_bytes())].into_iter());
-        assert_eq!((faults.len(), faults[0].path.as_str()), (1, "consumers/t/a"));
-        assert!(!faults[0].fault.contains("secret"), "{faults:?}");
+        let errors = check([("consumers/t/a", value.as_bytes())].into_iter());
+        assert_eq!((errors.len(), errors[0].path.as_str()), (1, "consumers/t/a"));
+        assert!(!errors[0].fault.contains("secret"), "{errors:?}");
     }
 }
 
 #[test]
-fn consumers_keys_and_limits_are_checked_and_no_key_is_told() {
-    let consumer = |keys: &str, more: &str| format!(r#"{{"keys":[{keys}]{more}}}"#);
+fn keys_and_limits_of_consumers_are_checked_without_disclosing_keys() {
+    let consumer = |keys: &str, fields: &str| format!(r#"{{"keys":[{keys}]{fields}}}"#);
     let first = consumer(r#""secret-1","secret-2""#, "");
-    let sharing = consumer(r#""secret-3","secret-2""#, "");
-    let empty = consumer(r#""""#, r#","rate_per_s":-1,"burst":-0.5"#);
-    let unknown = consumer("", r#","colour":"red""#);
+    let shared_key = consumer(r#""secret-3","secret-2""#, "");
+    let empty_key = consumer(r#""""#, r#","rate_per_s":-1,"burst":-0.5"#);
+    let unknown_field = consumer("", r#","colour":"red""#);
     let pairs = [
         ("consumers/t/a", first.as_str()),
-        ("consumers/t/b", sharing.as_str()),
-        ("consumers/t/c", empty.as_str()),
-        ("consumers/t/d", unknown.as_str()),
+        ("consumers/t/b", shared_key.as_str()),
+        ("consumers/t/c", empty_key.as_str()),
+        ("consumers/t/d", unknown_field.as_str()),
     ];
     let expected = [
         "consumers/t/b/keys",
@@ -108,7 +108,7 @@
         "consumers/t/c/burst",
         "consumers/t/d",
     ];
-    assert_eq!(paths(&pairs), expected);
-    let faults = check(pairs.iter().map(|(key, value)| (*key, value.as_bytes())));
-    assert!(faults.iter().all(|fault| !fault.fault.contains("secret")), "{faults:?}");
+    assert_eq!(error_paths(&pairs), expected);
+    let errors = check(pairs.iter().map(|(key, value)| (*key, value.as_bytes())));
+    assert!(errors.iter().all(|error| !error.fault.contains("secret")), "{errors:?}");
 }
--- a/crates/bindings/tests/routing.rs
+++ b/crates/bindings/tests/routing.rs
@@ -1,4 +1,4 @@
-//! What a router finds in a configuration: routes by host and path, shares, functions as declared.
+//! Lookups in a route table: routes by host and path, shares, and functions as they were declared.
 
 use bindings::{FunctionBinding, RouteTable};
 use std::collections::BTreeMap;
@@ -11,23 +11,23 @@
     RouteTable::build(1, 1, pairs.iter().map(|(key, value)| (*key, value.as_bytes())))
 }
 
-#[test_case("a.example", "/x/y/z" => Some("t/a-xy"); "the longest of the host")]
-#[test_case("a.example", "/x/y/" => Some("t/a-xy"); "the whole of a leading part")]
-#[test_case("a.example", "/x/y" => Some("t/a-x"); "a leading part needs its slash")]
-#[test_case("a.example", "/x/yy/z" => Some("t/a-x"); "parts are whole")]
-#[test_case("a.example", "/" => None; "nothing that short, and none of any host")]
-#[test_case("A.Example:8080", "/x/y/z" => Some("t/a-xy"); "letters and port of a host do not count")]
-#[test_case("b.example", "/x/y/z" => Some("t/b-all"); "all of a host")]
-#[test_case("b.example", "/" => Some("t/b-all"); "the root of a host")]
+#[test_case("a.example", "/x/y/z" => Some("t/a-xy"); "longest route of the host")]
+#[test_case("a.example", "/x/y/" => Some("t/a-xy"); "path equal to a prefix route")]
+#[test_case("a.example", "/x/y" => Some("t/a-x"); "prefix route needs its slash")]
+#[test_case("a.example", "/x/yy/z" => Some("t/a-x"); "prefix matches whole segments")]
+#[test_case("a.example", "/" => None; "root without a route of the host or of any host")]
+#[test_case("A.Example:8080", "/x/y/z" => Some("t/a-xy"); "case and port of a host are ignored")]
+#[test_case("b.example", "/x/y/z" => Some("t/b-all"); "all paths of a host")]
+#[test_case("b.example", "/" => Some("t/b-all"); "root of a host")]
 #[test_case("c.example", "/own/f" => Some("t/any"); "any host")]
-#[test_case("", "/own/f/g" => Some("t/any"); "no host")]
-#[test_case("a.example", "/own/f/" => Some("t/any"); "a host without such a route")]
-#[test_case("a.example", "/own/ff" => None; "parts of a route are whole")]
-#[test_case("c.example", "/own" => None; "too short")]
-#[test_case("[::1]:80", "/v6/x" => Some("t/six"); "an IP number as host")]
-#[test_case("a.example", "" => None; "no path")]
-#[test_case("a.example", "/x/\u{17e}/y" => Some("t/a-x"); "letters beyond ASCII")]
-fn a_route_is_found_by_host_and_longest_beginning(host: &str, path: &str) -> Option<&'static str> {
+#[test_case("", "/own/f/g" => Some("t/any"); "empty host")]
+#[test_case("a.example", "/own/f/" => Some("t/any"); "route of any host for a known host")]
+#[test_case("a.example", "/own/ff" => None; "route matches whole segments")]
+#[test_case("c.example", "/own" => None; "path shorter than the route")]
+#[test_case("[::1]:80", "/v6/x" => Some("t/six"); "IP address as host")]
+#[test_case("a.example", "" => None; "empty path")]
+#[test_case("a.example", "/x/\u{17e}/y" => Some("t/a-x"); "non ASCII path")]
+fn finds_the_longest_route_of_the_host_or_of_any_host(host: &str, path: &str) -> Option<&'static str> {
     let routes = [
         ("t/a-x", "a.example", "/x/"),
         ("t/a-xy", "a.EXAMPLE", "/x/y/"),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_path_of_slashes_alone_is_looked_at_no_further_than_the_longest_route() {
+fn paths_are_examined_no_further_than_the_longest_route() {
     let pairs = [("function-bindings/t/f", r#"{"route":"/t/f","function":"f","class":"ordinary"}"#)];
     let table = table(&pairs);
     assert!(table.find_route("", &"/".repeat(1 << 20)).is_none());
@@ -59,26 +59,28 @@
 }
 
 #[test]
-fn shares_are_drawn_by_weight() {
-    let raw = r#"{"route":"/t/f","shares":{"a":3,"b":0,"c":1},"class":"ordinary"}"#;
-    let binding: FunctionBinding = serde_json::from_str(raw).unwrap();
-    let mut drawn: BTreeMap<&str, u32> = BTreeMap::new();
+fn functions_are_picked_by_weight() {
+    let json = r#"{"route":"/t/f","shares":{"a":3,"b":0,"c":1},"class":"ordinary"}"#;
+    let binding: FunctionBinding = serde_json::from_str(json).unwrap();
+    let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
     let step = u64::MAX / 4000;
-    (0..4000u64).for_each(|n| *drawn.entry(binding.pick_function(n * step + step / 2)).or_default() += 1);
-    assert_eq!(drawn, BTreeMap::from([("a", 3000), ("c", 1000)]));
+    (0..4000u64).for_each(|n| *counts.entry(binding.pick_function(n * step + step / 2)).or_default() += 1);
+    assert_eq!(counts, BTreeMap::from([("a", 3000), ("c", 1000)]));
     assert_eq!((binding.pick_function(0), binding.pick_function(u64::MAX)), ("a", "c"));
     assert!(binding.sends_to("a") && !binding.sends_to("b") && !binding.sends_to("d"));
-    let one: FunctionBinding = serde_json::from_str(r#"{"route":"/t/f","function":"f","class":"ordinary"}"#).unwrap();
-    assert!(one.pick_function(u64::MAX) == "f" && one.sends_to("f"));
+    let single: FunctionBinding =
+        serde_json::from_str(r#"{"route":"/t/f","function":"f","class":"ordinary"}"#).unwrap();
+    assert!(single.pick_function(u64::MAX) == "f" && single.sends_to("f"));
 }
 
 #[test]
-fn a_function_takes_its_shape_from_its_declaration_and_its_aim_from_its_bindings() {
-    let bind = |route: &str, more: &str| format!(r#"{{"route":"{route}","class":"ordinary","declared":true,{more}}}"#);
-    let slow = bind("/slow/", r#""function":"cold","aim_ms":1500,"rank":2,"attempts":3"#);
-    let fast = bind("/fast/", r#""function":"hot","aim_ms":300,"rank":0"#);
-    let both = bind("/both/", r#""shares":{"hot":1,"cold":2},"aim_ms":900,"rank":4,"attempts":1"#);
-    let planned = bind("/planned/", r#""function":"planned","aim_ms":10"#);
+fn functions_combine_their_declaration_with_their_bindings() {
+    let binding =
+        |route: &str, fields: &str| format!(r#"{{"route":"{route}","class":"ordinary","declared":true,{fields}}}"#);
+    let slow = binding("/slow/", r#""function":"cold","aim_ms":1500,"rank":2,"attempts":3"#);
+    let fast = binding("/fast/", r#""function":"hot","aim_ms":300,"rank":0"#);
+    let both = binding("/both/", r#""shares":{"hot":1,"cold":2},"aim_ms":900,"rank":4,"attempts":1"#);
+    let planned = binding("/planned/", r#""function":"planned","aim_ms":10"#);
     let table = table(&[
         ("bounds/t/limits", r#"{"body_bytes":100,"idle_ms":50}"#),
         ("bounds/u/limits", r#"{"body_bytes":200,"idle_ms":20}"#),
@@ -97,7 +99,7 @@
     assert_eq!((hot.min, hot.max, hot.rank, hot.attempts, hot.connections), (1, 1000, 0, 2, u32::MAX));
     assert_eq!((cold.latency_target, cold.min, cold.rank, cold.attempts), (Some(Duration::from_millis(900)), 0, 2, 3));
     assert_eq!((cold.instance_limit, cold.memory_mb, cold.connections), (1, 128, 26));
-    assert_eq!(table.function("t/planned").unwrap().min, 0, "an operator's plan goes before");
+    assert_eq!(table.function("t/planned").unwrap().min, 0, "the operator's plan takes precedence");
     let unused = table.function("t/unused").unwrap();
     assert_eq!((unused.min, unused.latency_target, unused.boot_time), (0, None, Duration::from_secs(1)));
     let bounds = table.bounds().unwrap();
@@ -105,7 +107,7 @@
 }
 
 #[test]
-fn a_binding_as_it_was_declared_before_is_what_it_was() {
+fn bindings_without_newer_fields_have_the_earlier_behavior() {
     let table = table(&[("function-bindings/t/f", r#"{"route":"/t/f","function":"f","class":"once","max":3}"#)]);
     let function = table.function("t/f").unwrap();
     assert_eq!((function.min, function.max, function.latency_target, function.rank), (0, 3, None, 1));
