--- a/crates/control/src/packed_epochs.rs
+++ b/crates/control/src/packed_epochs.rs
@@ -69,7 +69,7 @@
         let bytes = packed.bytes.slice(offset as usize, MAX_PART_BYTES);
         let (size, total) = (packed.size, packed.bytes.len() as u32);
         let full = full as u8;
-        Some(LeaseMessage::Part { request_id, full, number: found, size, packed: total, offset, bytes })
+        Some(LeaseMessage::Part { request_id, full, number: found, size, compressed_size: total, offset, bytes })
     }
 }
 
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -74,7 +74,7 @@
         limit: Duration,
     ) -> Vec<PlannerOutput> {
         match message {
-            PlanMessage::Samples { lines } => {
+            PlanMessage::Samples { samples: lines } => {
                 for line in lines.iter().filter(|line| self.functions.contains_key(line.function.as_str())) {
                     let sample = Sample {
                         rate: line.rate_milli as f64 / 1000.0,
@@ -100,10 +100,10 @@
                 let fault = planned.error.map(|fault| format!("{}: {fault}", function.name));
                 vec![PlannerOutput { to: from, message, fault }]
             }
-            PlanMessage::Measurements { lines } if self.view.optimizer == me => {
+            PlanMessage::Measurements { measurements: lines } if self.view.optimizer == me => {
                 self.handle_measurements(now, me, from, lines.as_slice())
             }
-            PlanMessage::Tuned { fence, lines } => {
+            PlanMessage::Tuned { fence, parameters: lines } => {
                 self.adopt(fence, lines.into_vec());
                 Vec::new()
             }
@@ -138,7 +138,7 @@
             .filter(|to| self.tuned_sent_at.get(to).is_none_or(|at| now >= *at + ANNOUNCE_INTERVAL))
             .collect();
         self.tuned_sent_at.retain(|_, at| now < *at + ANNOUNCE_INTERVAL * 20);
-        let message = PlanMessage::Tuned { fence: self.fence, lines: self.tuned.clone().into() };
+        let message = PlanMessage::Tuned { fence: self.fence, parameters: self.tuned.clone().into() };
         due.into_iter()
             .map(|to| {
                 self.tuned_sent_at.insert(to, now);
--- a/crates/control/src/router_messages.rs
+++ b/crates/control/src/router_messages.rs
@@ -127,7 +127,7 @@
             request_id,
             active: keys::read_number(self.state(), keys::ACTIVE),
             latest: keys::read_number(self.state(), keys::LATEST),
-            member: member as u8,
+            is_member: member as u8,
         };
         if member {
             self.sessions.record_lease(from, now);
--- a/crates/leases/src/registry_messages.rs
+++ b/crates/leases/src/registry_messages.rs
@@ -10,7 +10,7 @@
 impl Follower {
     pub(crate) fn handle_registry_message(&mut self, from: NodeId, message: LeaseMessage) {
         match message {
-            LeaseMessage::Proof { request_id, active, latest, member } => {
+            LeaseMessage::Proof { request_id, active, latest, is_member: member } => {
                 self.handle_lease_confirmation(from, request_id, active, latest, member != 0)
             }
             LeaseMessage::NotTail { addresses, .. } | LeaseMessage::RegistryAddresses { addresses } => {
@@ -33,7 +33,7 @@
             LeaseMessage::MembershipChange { since, number, size, body } => {
                 self.handle_membership_change(since, number, size, &body)
             }
-            LeaseMessage::Part { request_id, full, number, size, packed, offset, bytes } => {
+            LeaseMessage::Part { request_id, full, number, size, compressed_size: packed, offset, bytes } => {
                 let part = Part { number, size, packed, offset, bytes };
                 if full != 0 {
                     self.handle_configuration_part(from, request_id, part)
--- a/crates/leases/tests/follower.rs
+++ b/crates/leases/tests/follower.rs
@@ -34,7 +34,7 @@
 }
 
 fn confirmation(request_id: u64, active: u64, latest: u64) -> LeaseMessage {
-    LeaseMessage::Proof { request_id, active, latest, member: 1 }
+    LeaseMessage::Proof { request_id, active, latest, is_member: 1 }
 }
 
 fn stage(number: u64) -> LeaseMessage {
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -25,7 +25,7 @@
 fn part(request_id: u64, full: bool, number: u64, packed_epoch: &Compressed, offset: u32) -> LeaseMessage {
     let bytes = packed_epoch.bytes.slice(offset as usize, PART);
     let (size, total) = (packed_epoch.size, packed_epoch.bytes.len() as u32);
-    LeaseMessage::Part { request_id, full: full as u8, number, size, packed: total, offset, bytes }
+    LeaseMessage::Part { request_id, full: full as u8, number, size, compressed_size: total, offset, bytes }
 }
 
 /// Simulates the core over an unreliable network that drops a fifth and duplicates a fifth of the answers. Returns when the epoch was staged or activated, in milliseconds.
@@ -56,7 +56,7 @@
                 }
                 LeaseMessage::Staged { number: staged } if staged == number => return at,
                 LeaseMessage::Renew { request_id, .. } => {
-                    incoming.push(LeaseMessage::Proof { request_id, active: number - 1, latest: number, member: 1 })
+                    incoming.push(LeaseMessage::Proof { request_id, active: number - 1, latest: number, is_member: 1 })
                 }
                 _ => {}
             }
@@ -102,7 +102,7 @@
             request_id: request_id.expect("the follower renews at once"),
             active: 7,
             latest: 7,
-            member: 1,
+            is_member: 1,
         };
         let outputs = follower.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message });
         let fetch = outputs.iter().find_map(|output| match output {
--- a/crates/leases/tests/relays.rs
+++ b/crates/leases/tests/relays.rs
@@ -91,7 +91,7 @@
                     self.frames.push((now + delay, id, to, message));
                 }
                 FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } if self.has_core => {
-                    let confirmation = LeaseMessage::Proof { request_id, active: 1, latest: 1, member: 1 };
+                    let confirmation = LeaseMessage::Proof { request_id, active: 1, latest: 1, is_member: 1 };
                     self.frames.push((now + delay, TAIL, id, confirmation));
                 }
                 _ => {}
--- a/crates/leases/tests/split_membership.rs
+++ b/crates/leases/tests/split_membership.rs
@@ -76,7 +76,7 @@
             match output {
                 FollowerOutput::ToPeer { to, message } => self.frames.push((id, to, message)),
                 FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } if self.has_core => {
-                    let confirmation = LeaseMessage::Proof { request_id, active: 1, latest: 1, member: 1 };
+                    let confirmation = LeaseMessage::Proof { request_id, active: 1, latest: 1, is_member: 1 };
                     self.frames.push((TAIL, id, confirmation));
                 }
                 _ => {}
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -62,10 +62,10 @@
                             OwnerOutput::Forget { .. } => {}
                             OwnerOutput::PlanRequest { message } => self.ask_registries(n, message),
                             OwnerOutput::Measures { lines } => {
-                                self.ask_registries(n, PlanMessage::Measurements { lines: lines.into() });
+                                self.ask_registries(n, PlanMessage::Measurements { measurements: lines.into() });
                             }
                             OwnerOutput::Samples { lines } => {
-                                self.ask_registries(n, PlanMessage::Samples { lines: lines.into() });
+                                self.ask_registries(n, PlanMessage::Samples { samples: lines.into() });
                             }
                         }
                     }
--- a/crates/traffic/src/admission.rs
+++ b/crates/traffic/src/admission.rs
@@ -20,8 +20,18 @@
 impl FunctionOwner {
     /// Admits a request from a front: queues it, answers it, or starts the store operation that its class needs.
     pub(crate) fn admit(&mut self, from: NodeId, request: ForwardRequest, consumer: &str) {
-        let ForwardRequest { task, function, binding, left_ms, resends, attempts, respond_async, key, head, body } =
-            request;
+        let ForwardRequest {
+            task,
+            function,
+            binding,
+            remaining_ms: left_ms,
+            resends,
+            attempts,
+            respond_async,
+            key,
+            head,
+            body,
+        } = request;
         let id = TaskId { from, task };
         if self.seen.insert(id, self.now).is_some() {
             return;
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -90,10 +90,10 @@
             }
             OwnerOutput::PlanRequest { message } => self.to_registries(Message::Plan(message)),
             OwnerOutput::Measures { lines } => {
-                self.to_registries(Message::Plan(PlanMessage::Measurements { lines: lines.into() }));
+                self.to_registries(Message::Plan(PlanMessage::Measurements { measurements: lines.into() }));
             }
             OwnerOutput::Samples { lines } => {
-                self.to_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
+                self.to_registries(Message::Plan(PlanMessage::Samples { samples: lines.into() }));
             }
         }
         None
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -35,7 +35,7 @@
             task: record.forward,
             function: record.function.as_str().into(),
             binding: record.binding.as_str().into(),
-            left_ms: (record.due - self.now).as_millis() as u32,
+            remaining_ms: (record.due - self.now).as_millis() as u32,
             resends: record.resends,
             attempts: record.attempts.grant_first(),
             respond_async: record.call.respond_async as u8,
--- a/crates/traffic/src/scale.rs
+++ b/crates/traffic/src/scale.rs
@@ -223,7 +223,7 @@
     }
 
     pub(crate) fn handle_plan_reply(&mut self, message: PlanMessage) {
-        if let PlanMessage::Tuned { fence, lines } = message {
+        if let PlanMessage::Tuned { fence, parameters: lines } = message {
             return self.receive_tuned_parameters(fence, lines.into_vec());
         }
         let PlanMessage::Reply { request_id, fence, step_ms, desired, .. } = message else { return };
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -236,7 +236,7 @@
         task: 7,
         function: "t/f".into(),
         binding: "t/f".into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         respond_async: 0,
         key: "a".into(),
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -39,7 +39,7 @@
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
-        left_ms: 60_000,
+        remaining_ms: 60_000,
         resends: 0,
         respond_async: 1,
         key: format!("k-{number}").as_str().into(),
--- a/crates/traffic/tests/common/keyed.rs
+++ b/crates/traffic/tests/common/keyed.rs
@@ -47,7 +47,7 @@
         task,
         function: "t/f".into(),
         binding: "t/f".into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         respond_async: 0,
         key: key.into(),
--- a/crates/traffic/tests/hot_function.rs
+++ b/crates/traffic/tests/hot_function.rs
@@ -145,7 +145,7 @@
             task: self.next,
             function: function.as_str().into(),
             binding: function.as_str().into(),
-            left_ms: (request.due - self.owner.at) as u32,
+            remaining_ms: (request.due - self.owner.at) as u32,
             resends: 0,
             respond_async: 0,
             key: format!("a-{}", self.next).as_str().into(),
--- a/crates/traffic/tests/load.rs
+++ b/crates/traffic/tests/load.rs
@@ -18,7 +18,7 @@
         task,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         respond_async: 0,
         key: format!("a-{task}").as_str().into(),
--- a/crates/traffic/tests/order.rs
+++ b/crates/traffic/tests/order.rs
@@ -14,7 +14,7 @@
         task,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
-        left_ms,
+        remaining_ms: left_ms,
         resends: 0,
         respond_async: 0,
         key: format!("a-{task}").as_str().into(),
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -35,7 +35,7 @@
         task: 7,
         function: "t/f".into(),
         binding: "t/f".into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         respond_async: 0,
         key: "a".into(),
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -28,7 +28,7 @@
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         respond_async: 0,
         key: "a".into(),
--- a/crates/wire/src/downgrade.rs
+++ b/crates/wire/src/downgrade.rs
@@ -158,6 +158,6 @@
 
 /// Converts a forwarded request to the format before fronts granted attempts.
 fn to_uncounted_forward(request: ForwardRequest) -> ForwardMessage {
-    let ForwardRequest { task, function, binding, left_ms, resends, respond_async, key, head, body, .. } = request;
-    ForwardMessage::ForwardUncounted { task, function, binding, left_ms, resends, respond_async, key, head, body }
+    let ForwardRequest { task, function, binding, remaining_ms, resends, respond_async, key, head, body, .. } = request;
+    ForwardMessage::ForwardUncounted { task, function, binding, remaining_ms, resends, respond_async, key, head, body }
 }
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -121,7 +121,7 @@
         task: u64,
         function: Text,
         binding: Text,
-        left_ms: u32,
+        remaining_ms: u32,
         resends: u8,
         respond_async: u8,
         key: Text,
--- a/crates/wire/src/forward_request.rs
+++ b/crates/wire/src/forward_request.rs
@@ -13,7 +13,7 @@
     /// Name of the binding that the route belongs to.
     pub binding: Text,
     /// Time left until the request's deadline.
-    pub left_ms: u32,
+    pub remaining_ms: u32,
     /// Number of times that the front has forwarded the request before.
     pub resends: u8,
     /// Number of instances to which the owner may send the request before it asks for more attempts; `UNCOUNTED` if
@@ -45,7 +45,7 @@
                 task,
                 function,
                 binding,
-                left_ms,
+                remaining_ms,
                 resends,
                 respond_async,
                 key,
@@ -57,7 +57,7 @@
                     task,
                     function,
                     binding,
-                    left_ms,
+                    remaining_ms,
                     resends,
                     attempts,
                     respond_async,
--- a/crates/wire/src/lease.rs
+++ b/crates/wire/src/lease.rs
@@ -52,9 +52,9 @@
     /// A router asks for confirmation of its lease and reports its epochs and membership.
     #[deku(id = "2")]
     Renew { request_id: u64, staged: u64, active: u64, membership: u64 },
-    /// The tail confirms that no epoch after `latest` exists. `member` is 0 if the router is not a member.
+    /// The tail confirms that no epoch after `latest` exists. `is_member` is 0 if the router is not a member.
     #[deku(id = "3")]
-    Proof { request_id: u64, active: u64, latest: u64, member: u8 },
+    Proof { request_id: u64, active: u64, latest: u64, is_member: u8 },
     /// As `RegistryAddresses`, in format 1.
     #[deku(id = "4")]
     NotTail { tail: NodeId, view: u64, addresses: List<Text> },
@@ -112,7 +112,7 @@
     Leaving,
     /// Part of a compressed epoch or, if `full` is not 0, of the complete active configuration as one epoch.
     #[deku(id = "20")]
-    Part { request_id: u64, full: u8, number: u64, size: u32, packed: u32, offset: u32, bytes: Blob },
+    Part { request_id: u64, full: u8, number: u64, size: u32, compressed_size: u32, offset: u32, bytes: Blob },
     /// Requests the part at an offset. Number 0 stands for the active epoch.
     #[deku(id = "21")]
     PartRequest { request_id: u64, full: u8, number: u64, offset: u32 },
--- a/crates/wire/src/plan.rs
+++ b/crates/wire/src/plan.rs
@@ -59,7 +59,7 @@
 pub enum PlanMessage {
     /// Samples of the previous step.
     #[deku(id = "1")]
-    Samples { lines: List<DemandSample> },
+    Samples { samples: List<DemandSample> },
     /// Requests a plan, with the current numbers of instances and of queued and waiting requests.
     #[deku(id = "2")]
     Request { request_id: u64, function: Text, current: u32, queued: u32, waiting: u32 },
@@ -68,8 +68,8 @@
     Reply { request_id: u64, fence: u64, state: u8, step_ms: u32, desired: List<u32> },
     /// Measurements in addition to the samples.
     #[deku(id = "4")]
-    Measurements { lines: List<Measurement> },
+    Measurements { measurements: List<Measurement> },
     /// All currently tuned parameters, fenced like a plan.
     #[deku(id = "5")]
-    Tuned { fence: u64, lines: List<TunedParameters> },
+    Tuned { fence: u64, parameters: List<TunedParameters> },
 }
--- a/crates/wire/tests/fuzz.rs
+++ b/crates/wire/tests/fuzz.rs
@@ -12,7 +12,7 @@
         task: 5,
         function: "a/f".into(),
         binding: "a/b".into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         attempts: 1,
         respond_async: 0,
--- a/crates/wire/tests/samples/forward.rs
+++ b/crates/wire/tests/samples/forward.rs
@@ -53,7 +53,7 @@
         task: 212,
         function: "t/f".into(),
         binding: "t/b".into(),
-        left_ms: 213,
+        remaining_ms: 213,
         resends: 3,
         attempts: 214,
         respond_async: 1,
@@ -68,7 +68,7 @@
         task: 217,
         function: "t/f".into(),
         binding: "t/b".into(),
-        left_ms: 218,
+        remaining_ms: 218,
         resends: 4,
         respond_async: 1,
         key: "k".into(),
@@ -170,11 +170,11 @@
         reason: "why".into(),
     };
     [
-        PlanMessage::Samples { lines: vec![sample].into() },
+        PlanMessage::Samples { samples: vec![sample].into() },
         PlanMessage::Request { request_id: 264, function: "t/f".into(), current: 265, queued: 266, waiting: 267 },
         PlanMessage::Reply { request_id: 268, fence: 269, state: 1, step_ms: 270, desired: vec![271].into() },
-        PlanMessage::Measurements { lines: vec![measurement].into() },
-        PlanMessage::Tuned { fence: 272, lines: vec![tuned].into() },
+        PlanMessage::Measurements { measurements: vec![measurement].into() },
+        PlanMessage::Tuned { fence: 272, parameters: vec![tuned].into() },
     ]
     .into_iter()
     .map(|message| encode_frame(Message::Plan(message)))
--- a/crates/wire/tests/samples/lease.rs
+++ b/crates/wire/tests/samples/lease.rs
@@ -20,7 +20,7 @@
     let mut samples: Vec<Vec<u8>> = [
         Join { address: "a:1".into(), zone: "z".into(), ops: "o:2".into() },
         Renew { request_id: 111, staged: 112, active: 113, membership: 114 },
-        Proof { request_id: 115, active: 116, latest: 117, member: 1 },
+        Proof { request_id: 115, active: 116, latest: 117, is_member: 1 },
         NotTail { tail: 118, view: 119, addresses: vec!["s:3".into()].into() },
         Stage { epoch: epoch() },
         Staged { number: 120 },
@@ -55,7 +55,15 @@
 fn messages_added_since_format_4() -> Vec<LeaseMessage> {
     use LeaseMessage::*;
     vec![
-        Part { request_id: 141, full: 1, number: 142, size: 143, packed: 144, offset: 145, bytes: vec![146].into() },
+        Part {
+            request_id: 141,
+            full: 1,
+            number: 142,
+            size: 143,
+            compressed_size: 144,
+            offset: 145,
+            bytes: vec![146].into(),
+        },
         PartRequest { request_id: 147, full: 1, number: 148, offset: 149 },
         MajorityEpochRequest { request_id: 150, active: 151 },
         MajorityEpochReply { request_id: 152, active: 153 },
