--- a/crates/wire/src/chain.rs
+++ b/crates/wire/src/chain.rs
@@ -9,6 +9,7 @@
 pub struct ProposalId {
     /// Registry that made the proposal.
     pub origin: NodeId,
+    /// Number that the proposer gave to it.
     pub number: u64,
 }
 
@@ -24,6 +25,7 @@
 /// Registries that replicate the state, as agreed by a majority of the voters of the previous view.
 #[derive(Clone, Debug, PartialEq, Eq, Default, DekuRead, DekuWrite)]
 pub struct View {
+    /// Number of the view, which grows with each view.
     pub number: u64,
     /// Replicas in the order in which entries are passed along.
     pub chain: List<NodeId>,
--- a/crates/wire/src/forward.rs
+++ b/crates/wire/src/forward.rs
@@ -40,37 +40,49 @@
 /// Instance of a function and its number of requests in flight.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct InstanceSlots {
+    /// Id of the instance.
     pub instance: Text,
+    /// Address at which the instance takes requests.
     pub address: Text,
+    /// Not 0 if the instance is ready.
     pub ready: u8,
+    /// Number of requests in flight.
     pub busy: u32,
 }
 
 /// HTTP header field.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct HeaderField {
+    /// Name of the field.
     pub name: Text,
+    /// Value of the field.
     pub value: Blob,
 }
 
 /// Head of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct RequestHead {
+    /// HTTP method.
     pub method: Text,
+    /// Request target.
     pub target: Text,
+    /// Header fields.
     pub headers: List<HeaderField>,
 }
 
 /// Head of an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct AnswerHead {
+    /// Header fields.
     pub headers: List<HeaderField>,
 }
 
 /// Answer that is stored under a run-once key.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 pub struct StoredAnswer {
+    /// What is known about the request's execution.
     pub outcome: Outcome,
+    /// HTTP status.
     pub status: u16,
     /// Encoded `AnswerHead`.
     pub head: Blob,
@@ -98,6 +110,7 @@
     pub function: Text,
     /// Number of the membership in which the sender was the owner.
     pub membership: u64,
+    /// Not 0 if the table is a standby copy.
     pub is_standby_copy: u8,
     /// Instances of the function.
     pub slots: List<InstanceSlots>,
@@ -107,7 +120,9 @@
     pub retries: u32,
     /// Number of recent rejections by instances.
     pub rejections: u32,
+    /// Ids of stored requests that were sent and have no answer yet.
     pub started: List<Text>,
+    /// Not 0 if `started` is complete.
     pub is_started_complete: u8,
 }
 
