--- a/crates/control/src/router_messages.rs
+++ b/crates/control/src/router_messages.rs
@@ -38,7 +38,7 @@
             }
             LeaseMessage::JoinWithCapacity { address, zone, ops, hashing, capacity } if self.tail.is_held() => {
                 let id = from;
-                let command = match self.format >= wire::CAPACITY {
+                let command = match self.format >= wire::CAPACITY_FORMAT {
                     true => wire::Command::JoinWithCapacity { id, incarnation, address, zone, ops, hashing, capacity },
                     false => wire::Command::Join { id, incarnation, address, zone, ops },
                 };
@@ -63,7 +63,7 @@
                 }
                 self.propose_raw(Origin::Router { to: from, request_id }, body.into_vec());
             }
-            LeaseMessage::ConfigurationPage { request_id, step, revision, items, next, .. } => {
+            LeaseMessage::ConfigurationPage { request_id, epoch: step, revision, items, next, .. } => {
                 self.handle_configuration_page(request_id, step, revision, items.into_vec(), next.as_str())
             }
             LeaseMessage::Proofs { view, earlier_millis, proofs } => {
@@ -127,7 +127,7 @@
             request_id,
             active: keys::read_number(self.state(), keys::ACTIVE),
             latest: keys::read_number(self.state(), keys::LATEST),
-            member: member as u8,
+            is_member: member as u8,
         };
         if member {
             self.sessions.record_lease(from, now);
@@ -145,7 +145,7 @@
         let (items, next) = keys::page(self.state(), keys::ACTIVE_PAIRS, start, true);
         let message = LeaseMessage::ConfigurationPage {
             request_id,
-            step: active,
+            epoch: active,
             revision: keys::read_number(self.state(), keys::ACTIVE_REVISION),
             quorum: keys::quorum(self.state(), active).into(),
             items: items.into(),
--- a/crates/leases/tests/parts.rs
+++ b/crates/leases/tests/parts.rs
@@ -5,27 +5,27 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
-use wire::{ConfigurationEpoch, ConfigurationItem, LeaseMessage, Packed, pack, to_bytes};
+use wire::{Compressed, ConfigurationEpoch, ConfigurationItem, LeaseMessage, compress, to_bytes};
 
 const TAIL: u64 = 1;
 const PART: usize = 700;
 
-fn packed_epoch(rng: &mut ChaCha8Rng, number: u64, count: usize) -> Packed {
+fn packed_epoch(rng: &mut ChaCha8Rng, number: u64, count: usize) -> Compressed {
     let value = |rng: &mut ChaCha8Rng| (0..40).map(|_| rng.random::<u8>()).collect::<Vec<u8>>();
     let items: Vec<ConfigurationItem> = (0..count)
         .map(|n| ConfigurationItem {
             key: format!("functions/t/f{n}").as_str().into(),
-            gone: 0,
+            is_removed: 0,
             value: value(rng).into(),
         })
         .collect();
-    pack(&to_bytes(&ConfigurationEpoch { number, revision: number, quorum: vec![9].into(), items: items.into() }))
+    compress(&to_bytes(&ConfigurationEpoch { number, revision: number, quorum: vec![9].into(), items: items.into() }))
 }
 
-fn part(request_id: u64, full: bool, number: u64, packed_epoch: &Packed, offset: u32) -> LeaseMessage {
-    let bytes = packed_epoch.bytes.part(offset as usize, PART);
+fn part(request_id: u64, full: bool, number: u64, packed_epoch: &Compressed, offset: u32) -> LeaseMessage {
+    let bytes = packed_epoch.bytes.slice(offset as usize, PART);
     let (size, total) = (packed_epoch.size, packed_epoch.bytes.len() as u32);
-    LeaseMessage::Part { request_id, full: full as u8, number, size, packed: total, offset, bytes }
+    LeaseMessage::Part { request_id, full: full as u8, number, size, compressed_size: total, offset, bytes }
 }
 
 /// Simulates the core over an unreliable network that drops a fifth and duplicates a fifth of the answers. Returns when the epoch was staged or activated, in milliseconds.
@@ -34,7 +34,7 @@
     follower: &mut Follower,
     first: Option<LeaseMessage>,
     number: u64,
-    packed_epoch: &Packed,
+    packed_epoch: &Compressed,
 ) -> u64 {
     let mut incoming = Vec::new();
     for at in (0..20_000).step_by(10) {
@@ -56,7 +56,7 @@
                 }
                 LeaseMessage::Staged { number: staged } if staged == number => return at,
                 LeaseMessage::Renew { request_id, .. } => {
-                    incoming.push(LeaseMessage::Proof { request_id, active: number - 1, latest: number, member: 1 })
+                    incoming.push(LeaseMessage::Proof { request_id, active: number - 1, latest: number, is_member: 1 })
                 }
                 _ => {}
             }
@@ -102,7 +102,7 @@
             request_id: request_id.expect("the follower renews at once"),
             active: 7,
             latest: 7,
-            member: 1,
+            is_member: 1,
         };
         let outputs = follower.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message });
         let fetch = outputs.iter().find_map(|output| match output {
@@ -124,7 +124,7 @@
     let mut follower = Follower::new(9, 1, "10.0.1.1:1", "a", "", FollowerTiming::default());
     let valid = packed_epoch(&mut rng, 1, 4);
     for size in [valid.size - 1, valid.size + 1, u32::MAX] {
-        let wrong_size = part(0, false, 1, &Packed { size, ..valid.clone() }, 0);
+        let wrong_size = part(0, false, 1, &Compressed { size, ..valid.clone() }, 0);
         follower.step(Duration::ZERO, FollowerInput::Registry { from: TAIL, message: wrong_size });
         assert_eq!(follower.staged_epoch(), 0);
     }
--- a/crates/leases/tests/relays.rs
+++ b/crates/leases/tests/relays.rs
@@ -27,7 +27,7 @@
 
 fn stage(number: u64) -> LeaseMessage {
     LeaseMessage::Stage {
-        step: ConfigurationEpoch {
+        epoch: ConfigurationEpoch {
             number,
             revision: number,
             quorum: (1..=COUNT).collect::<Vec<_>>().into(),
@@ -62,7 +62,7 @@
         for id in 1..=COUNT {
             fleet.members.insert(id, Follower::new(id, 1, "", "a", "", FollowerTiming::default()));
             let change = membership.change_since(&Membership::default());
-            let packed = wire::pack(&wire::to_bytes(&change));
+            let packed = wire::compress(&wire::to_bytes(&change));
             let (size, body) = (packed.size, packed.bytes);
             fleet.deliver(id, TAIL, LeaseMessage::MembershipChange { since: 0, number: 1, size, body });
             fleet.deliver(id, TAIL, stage(1));
@@ -91,7 +91,7 @@
                     self.frames.push((now + delay, id, to, message));
                 }
                 FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } if self.has_core => {
-                    let confirmation = LeaseMessage::Proof { request_id, active: 1, latest: 1, member: 1 };
+                    let confirmation = LeaseMessage::Proof { request_id, active: 1, latest: 1, is_member: 1 };
                     self.frames.push((now + delay, TAIL, id, confirmation));
                 }
                 _ => {}
--- a/crates/traffic/src/data_plane_outputs.rs
+++ b/crates/traffic/src/data_plane_outputs.rs
@@ -90,10 +90,10 @@
             }
             OwnerOutput::PlanRequest { message } => self.to_registries(Message::Plan(message)),
             OwnerOutput::Measurements { lines } => {
-                self.to_registries(Message::Plan(PlanMessage::Measures { lines: lines.into() }));
+                self.to_registries(Message::Plan(PlanMessage::Measurements { measurements: lines.into() }));
             }
             OwnerOutput::Samples { lines } => {
-                self.to_registries(Message::Plan(PlanMessage::Samples { lines: lines.into() }));
+                self.to_registries(Message::Plan(PlanMessage::Samples { samples: lines.into() }));
             }
         }
         None
--- a/crates/traffic/src/scaling.rs
+++ b/crates/traffic/src/scaling.rs
@@ -107,7 +107,7 @@
                 self.outs.push(OwnerOutput::PlanRequest { message });
             }
             let count = ready + starting;
-            let kept_count = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot);
+            let kept_count = scheduler.peak.update(now, scheduler.desired, scheduler.function.boot_time);
             let may_start = now >= scheduler.no_starts_until && (queued > 0 || now >= scheduler.preempted_until);
             let may_grow = count == 0 || now >= self.no_growth_until;
             if scheduler.desired > count && may_start && may_grow {
@@ -232,7 +232,7 @@
 
     /// Handles a plan or tuned parameters from the registries.
     pub(crate) fn handle_plan_reply(&mut self, message: PlanMessage) {
-        if let PlanMessage::Tuned { fence, lines } = message {
+        if let PlanMessage::Tuned { fence, parameters: lines } = message {
             return self.receive_tuned_parameters(fence, lines.into_vec());
         }
         let PlanMessage::Reply { request_id, fence, step_ms, desired, .. } = message else { return };
--- a/crates/traffic/tests/common/deferred.rs
+++ b/crates/traffic/tests/common/deferred.rs
@@ -40,7 +40,7 @@
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
-        left_ms: 60_000,
+        remaining_ms: 60_000,
         resends: 0,
         respond_async: 1,
         key: format!("k-{number}").as_str().into(),
@@ -80,13 +80,13 @@
 
 /// Sends a table from the other router.
 pub fn table_message(table: OwnershipTable) -> OwnerInput {
-    OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table } }
+    OwnerInput::Forward { from: OTHER, message: ForwardMessage::OwnershipTable { table } }
 }
 
 /// Returns the table among the outputs.
 pub fn table_in(outputs: &[OwnerOutput]) -> Option<OwnershipTable> {
     outputs.iter().find_map(|output| match output {
-        OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. } => Some(table.clone()),
+        OwnerOutput::Forward { message: ForwardMessage::OwnershipTable { table }, .. } => Some(table.clone()),
         _ => None,
     })
 }
@@ -118,7 +118,7 @@
     let item = |number: &u64| ConfigurationItem {
         key: format!("p/{FUNCTION}/{}", stored_name(*number)).as_str().into(),
         value: wire::to_bytes(&is_standby_copy).into(),
-        gone: 0,
+        is_removed: 0,
     };
     let items: Vec<ConfigurationItem> = numbers.iter().map(item).collect();
     OwnerInput::StoreReply { message: LeaseMessage::ReadReply { request_id, state: 1, items: items.into() } }
