--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -1,6 +1,6 @@
 //! What may happen next in a state, and making it happen.
 
-use crate::passing::Silence;
+use crate::clock::Isolation;
 use crate::world::World;
 use std::fmt::{Display, Formatter};
 use wire::{ChainMessage, NodeId};
@@ -12,28 +12,28 @@
     Deliver {
         from: NodeId,
         to: NodeId,
-        place: usize,
+        position: usize,
     },
     /// One message is lost.
     Drop {
         from: NodeId,
         to: NodeId,
-        place: usize,
+        position: usize,
     },
     /// A machine's oldest write is synced.
-    Land(usize),
+    CompleteWrite(usize),
     /// All messages arrive and all writes land, in the order sent, until nothing is under way.
     Settle,
     /// Three half suspicion times pass; messages stay under way.
-    Pass(Silence),
+    AdvanceClocks(Isolation),
     /// Three half suspicion times pass with all messages and writes finished in between.
-    Calm(Silence),
+    AdvanceAndDeliver(Isolation),
     Propose(usize),
     Confirm(usize),
     /// The process dies; its unsynced write is lost, or lands unreported.
     Crash {
         machine: usize,
-        write_lands: bool,
+        write_synced: bool,
     },
     Restart(usize),
     /// The process dies and its disk is lost; the machine starts empty under a new identity.
@@ -46,7 +46,7 @@
         replaces: usize,
     },
     /// A view forged by a planted fault is spread.
-    Forge,
+    ForgeView,
 }
 
 impl Display for Choice {
@@ -62,8 +62,8 @@
         self.progress_choices(&mut choices);
         self.fault_choices(&mut choices);
         self.membership_choices(&mut choices);
-        if self.may_forge_view() {
-            choices.push(Choice::Forge);
+        if self.can_forge_view() {
+            choices.push(Choice::ForgeView);
         }
         choices
     }
@@ -76,7 +76,7 @@
         }
         for (index, machine) in self.machines.iter().enumerate() {
             if !machine.pending.is_empty() {
-                choices.push(Choice::Land(index));
+                choices.push(Choice::CompleteWrite(index));
             }
             if machine.member.is_some() && self.budget.entries > 0 {
                 choices.push(Choice::Propose(index));
@@ -86,13 +86,13 @@
             }
         }
         for ((from, to), messages) in &self.frames {
-            for place in 0..messages.len() {
-                choices.push(Choice::Deliver { from: *from, to: *to, place });
+            for position in 0..messages.len() {
+                choices.push(Choice::Deliver { from: *from, to: *to, position });
             }
         }
         if self.budget.passes > 0 {
-            choices.push(Choice::Calm(Silence::None));
-            choices.extend(self.may_stall().then_some(Choice::Pass(Silence::None)));
+            choices.push(Choice::AdvanceAndDeliver(Isolation::None));
+            choices.extend(self.may_stall_writes().then_some(Choice::AdvanceClocks(Isolation::None)));
         }
     }
 
@@ -101,17 +101,17 @@
         (0..self.machines.len()).filter(|index| !self.machines[*index].pending.is_empty())
     }
 
-    fn may_stall(&self) -> bool {
-        let counted = self.stalled().filter(|index| !self.is_missed_already(*index)).count();
-        self.lost_count() + counted <= self.losses
+    fn may_stall_writes(&self) -> bool {
+        let newly_stalled = self.stalled().filter(|index| !self.is_already_unavailable(*index)).count();
+        self.lost_count() + newly_stalled <= self.losses
     }
 
     fn fault_choices(&self, choices: &mut Vec<Choice>) {
         if self.budget.drops > 0 {
             for ((from, to), messages) in &self.frames {
                 let droppable = |message: &ChainMessage| !matches!(message, ChainMessage::Done { .. });
-                let places = (0..messages.len()).filter(|place| droppable(&messages[*place]));
-                choices.extend(places.map(|place| Choice::Drop { from: *from, to: *to, place }));
+                let positions = (0..messages.len()).filter(|position| droppable(&messages[*position]));
+                choices.extend(positions.map(|position| Choice::Drop { from: *from, to: *to, position }));
             }
         }
         for (index, machine) in self.machines.iter().enumerate() {
@@ -125,9 +125,9 @@
                 continue;
             }
             if self.budget.crashes > 0 {
-                choices.push(Choice::Crash { machine: index, write_lands: false });
+                choices.push(Choice::Crash { machine: index, write_synced: false });
                 if !machine.pending.is_empty() {
-                    choices.push(Choice::Crash { machine: index, write_lands: true });
+                    choices.push(Choice::Crash { machine: index, write_synced: true });
                 }
             }
             if self.budget.wipes > 0 {
@@ -135,10 +135,10 @@
             }
             if self.budget.silences > 0 && self.budget.passes > 0 {
                 if self.stalled().all(|stalled| stalled == index) {
-                    choices.push(Choice::Pass(Silence::Frozen(index)));
-                    choices.push(Choice::Pass(Silence::Cut(index)));
+                    choices.push(Choice::AdvanceClocks(Isolation::Frozen(index)));
+                    choices.push(Choice::AdvanceClocks(Isolation::Cut(index)));
                 }
-                choices.push(Choice::Calm(Silence::Cut(index)));
+                choices.push(Choice::AdvanceAndDeliver(Isolation::Cut(index)));
             }
         }
     }
@@ -148,13 +148,13 @@
             if machine.member.is_none() {
                 continue;
             }
-            let succeeded = machine.successor.is_some_and(|successor| !self.machines[successor].troubled);
-            let may_go = succeeded || self.may_lose(index);
-            let may_end = (succeeded && self.may_stop(index)) || self.may_lose(index);
+            let has_intact_successor = machine.successor.is_some_and(|successor| !self.machines[successor].is_faulty);
+            let may_leave = has_intact_successor || self.may_lose(index);
+            let may_end = (has_intact_successor && self.may_stop(index)) || self.may_lose(index);
             if machine.leaving && may_end {
                 choices.push(Choice::EndLeaving(index));
             }
-            if !machine.leaving && may_go && self.budget.leaves > 0 {
+            if !machine.leaving && may_leave && self.budget.leaves > 0 {
                 choices.push(Choice::Leave(index));
             }
             if self.budget.joins > 0 && machine.successor.is_none() && self.machines.len() < 10 {
@@ -163,20 +163,20 @@
         }
     }
 
-    pub fn take(&mut self, choice: &Choice) {
+    pub fn apply_choice(&mut self, choice: &Choice) {
         match *choice {
-            Choice::Deliver { from, to, place } => {
-                let message = self.unsend(from, to, place);
+            Choice::Deliver { from, to, position } => {
+                let message = self.take_message(from, to, position);
                 self.deliver(from, to, message);
             }
-            Choice::Drop { from, to, place } => {
-                self.unsend(from, to, place);
+            Choice::Drop { from, to, position } => {
+                self.take_message(from, to, position);
                 self.budget.drops -= 1;
             }
-            Choice::Land(index) => self.land(index),
-            Choice::Settle => self.settle(Silence::None),
-            Choice::Pass(silence) => self.pass(silence, false),
-            Choice::Calm(silence) => self.pass(silence, true),
+            Choice::CompleteWrite(index) => self.complete_write(index),
+            Choice::Settle => self.settle(Isolation::None),
+            Choice::AdvanceClocks(isolation) => self.advance_steps(isolation, false),
+            Choice::AdvanceAndDeliver(isolation) => self.advance_steps(isolation, true),
             Choice::Propose(index) => {
                 self.budget.entries -= 1;
                 self.propose(index);
@@ -185,7 +185,7 @@
                 self.budget.confirms -= 1;
                 self.confirm(index);
             }
-            Choice::Crash { machine, write_lands } => self.crash(machine, write_lands),
+            Choice::Crash { machine, write_synced } => self.crash(machine, write_synced),
             Choice::Restart(index) => self.start(index),
             Choice::Wipe(index) => {
                 self.budget.wipes -= 1;
@@ -194,12 +194,12 @@
             Choice::Leave(index) => {
                 self.budget.leaves -= 1;
                 self.machines[index].leaving = true;
-                self.machines[index].troubled |= self.machines[index].successor.is_none();
-                self.feed(index, chain::Input::Leave { within: crate::passing::GRACE });
+                self.machines[index].is_faulty |= self.machines[index].successor.is_none();
+                self.handle_input(index, chain::Input::Leave { within: crate::clock::GRACE });
             }
             Choice::EndLeaving(index) => {
                 self.machines[index].removed = self.machines[index].successor.is_some();
-                self.machines[index].left_in_order = self.may_stop(index) && self.has_left(index);
+                self.machines[index].left_cleanly = self.may_stop(index) && self.has_left(index);
                 self.stop(index);
             }
             Choice::Join { replaces } => {
@@ -207,19 +207,19 @@
                 let index = self.add_machine(false);
                 self.machines[replaces].successor = Some(index);
             }
-            Choice::Forge => self.forge_view(),
+            Choice::ForgeView => self.forge_view(),
         }
         self.check();
     }
 
-    fn unsend(&mut self, from: NodeId, to: NodeId, place: usize) -> ChainMessage {
+    fn take_message(&mut self, from: NodeId, to: NodeId, position: usize) -> ChainMessage {
         let Some(messages) = self.frames.get_mut(&(from, to)) else { panic!("no message from {from} to {to}") };
-        messages.remove(place)
+        messages.remove(position)
     }
 
-    fn crash(&mut self, index: usize, write_lands: bool) {
+    fn crash(&mut self, index: usize, write_synced: bool) {
         self.budget.crashes -= 1;
-        if write_lands && !self.machines[index].pending.is_empty() {
+        if write_synced && !self.machines[index].pending.is_empty() {
             let (_, batch) = self.machines[index].pending.remove(0);
             self.machines[index].disk.apply(&batch);
         }
@@ -231,7 +231,7 @@
         let machine = &mut self.machines[index];
         machine.disk = chain::StoredReplica::default();
         machine.wipes += 1;
-        machine.may_found = false;
+        machine.is_founder = false;
         self.start(index);
     }
 }
--- a/crates/explore/src/history.rs
+++ b/crates/explore/src/history.rs
@@ -7,7 +7,7 @@
 
 /// What stood when a tail was asked to confirm its reads.
 #[derive(Clone, Hash)]
-pub struct Asked {
+pub struct ConfirmationRequest {
     pub newest_view: u64,
     pub committed: u64,
 }
@@ -18,25 +18,25 @@
     pub committed: BTreeMap<u64, (ProposalId, String)>,
     /// The view of each number, as first learnt to be decided anywhere.
     pub decided: BTreeMap<u64, View>,
-    pub asked: BTreeMap<(NodeId, u64), Asked>,
+    pub confirmation_requests: BTreeMap<(NodeId, u64), ConfirmationRequest>,
     pub violation: Option<String>,
 }
 
 impl History {
-    pub fn note_asked(&mut self, id: NodeId, round: u64) {
+    pub fn record_confirmation_request(&mut self, id: NodeId, round: u64) {
         let newest_view = self.decided.keys().next_back().copied().unwrap_or(0);
         let committed = self.committed.keys().next_back().copied().unwrap_or(0);
-        self.asked.entry((id, round)).or_insert(Asked { newest_view, committed });
+        self.confirmation_requests.entry((id, round)).or_insert(ConfirmationRequest { newest_view, committed });
     }
 
-    pub fn break_rule(&mut self, told: impl FnOnce() -> String) {
+    pub fn record_violation(&mut self, describe: impl FnOnce() -> String) {
         if self.violation.is_none() {
-            self.violation = Some(told());
+            self.violation = Some(describe());
         }
     }
 
     pub fn digest(&self, hasher: &mut impl Hasher) {
-        (&self.committed, &self.asked).hash(hasher);
+        (&self.committed, &self.confirmation_requests).hash(hasher);
         for (number, view) in &self.decided {
             (number, to_bytes(view)).hash(hasher);
         }
--- a/crates/explore/src/invariants.rs
+++ b/crates/explore/src/invariants.rs
@@ -1,12 +1,12 @@
 //! The invariants, checked on every output and at every state.
 
-use crate::history::Asked;
-use crate::world::{World, machine_of};
+use crate::history::ConfirmationRequest;
+use crate::world::{World, machine_index};
 use chain::{Output, StoredReplica};
 use wire::{NodeId, ProposalId, View};
 
 impl World {
-    pub(crate) fn record(&mut self, index: usize, outputs: &[Output]) {
+    pub(crate) fn record_outputs(&mut self, index: usize, outputs: &[Output]) {
         for output in outputs {
             match output {
                 Output::ViewAdopted { view } => self.record_view(view.clone()),
@@ -21,7 +21,7 @@
         let known = self.history.decided.get(&view.number).cloned();
         if let Some(known) = known {
             if known != view {
-                self.history.break_rule(|| format!("(c) view {} decided twice: {known:?} {view:?}", view.number));
+                self.history.record_violation(|| format!("(c) view {} decided twice: {known:?} {view:?}", view.number));
             }
             return;
         }
@@ -29,40 +29,40 @@
         self.history.decided.insert(view.number, view.clone());
         if let Some(before) = before {
             self.check_survivors(&before, &view);
-            self.check_one_change(&before, &view);
+            self.check_single_change(&before, &view);
             self.check_quorum(&before, &view);
         }
     }
 
     fn check_survivors(&mut self, before: &View, view: &View) {
-        let complete = |id: &&NodeId| **id != before.learner;
-        let kept = before.chain.iter().filter(complete).any(|id| view.chain.as_slice().contains(id));
-        if !kept {
-            self.history.break_rule(|| format!("(e) only a learner survives from {before:?} to {view:?}"));
+        let is_complete = |id: &&NodeId| **id != before.learner;
+        let has_survivor = before.chain.iter().filter(is_complete).any(|id| view.chain.as_slice().contains(id));
+        if !has_survivor {
+            self.history.record_violation(|| format!("(e) only a learner survives from {before:?} to {view:?}"));
         }
     }
 
-    fn check_one_change(&mut self, before: &View, view: &View) {
+    fn check_single_change(&mut self, before: &View, view: &View) {
         let added = view.chain.iter().filter(|id| !before.chain.as_slice().contains(id)).count();
-        let old = |id: &NodeId| before.voters.iter().any(|node| node.id == *id);
-        let new = |id: &NodeId| view.voters.iter().any(|node| node.id == *id);
-        let seats_added = view.voters.iter().filter(|node| !old(&node.id)).count();
-        let seats_removed = before.voters.iter().filter(|node| !new(&node.id)).count();
-        let overlaps = before.learner != 0 && (added > 0 || seats_added > 0 || seats_removed > 0);
-        if added > 1 || seats_added > 1 || seats_removed > 1 || overlaps {
-            self.history.break_rule(|| format!("(d) membership changes overlap from {before:?} to {view:?}"));
+        let was_voter = |id: &NodeId| before.voters.iter().any(|node| node.id == *id);
+        let is_voter = |id: &NodeId| view.voters.iter().any(|node| node.id == *id);
+        let voters_added = view.voters.iter().filter(|node| !was_voter(&node.id)).count();
+        let voters_removed = before.voters.iter().filter(|node| !is_voter(&node.id)).count();
+        let overlaps = before.learner != 0 && (added > 0 || voters_added > 0 || voters_removed > 0);
+        if added > 1 || voters_added > 1 || voters_removed > 1 || overlaps {
+            self.history.record_violation(|| format!("(d) membership changes overlap from {before:?} to {view:?}"));
         }
     }
 
     /// Whoever was a voter and lost its disk since may have accepted; all others must show it.
     fn check_quorum(&mut self, before: &View, view: &View) {
         let accepted = |id: NodeId| {
-            let machine = &self.machines[machine_of(id)];
+            let machine = &self.machines[machine_index(id)];
             machine.id != id || holds_view(&machine.disk, view)
         };
         let count = before.voters.iter().filter(|node| accepted(node.id)).count();
         if count * 2 <= before.voters.as_slice().len() {
-            self.history.break_rule(|| format!("(d) {view:?} is kept by {count} voters of {before:?} only"));
+            self.history.record_violation(|| format!("(d) {view:?} is kept by {count} voters of {before:?} only"));
         }
     }
 
@@ -73,35 +73,35 @@
             .filter(|entry| entry.seq <= seq)
             .map(|entry| (entry.seq, entry.op, String::from_utf8_lossy(entry.body.as_slice()).into_owned()))
             .collect();
-        for (place, op, key) in entries {
-            let first = self.history.committed.get(&place).cloned();
+        for (seq, op, key) in entries {
+            let first = self.history.committed.get(&seq).cloned();
             match first {
                 Some((known, _)) if known != op => {
-                    self.history.break_rule(|| format!("(a) {known:?} and {op:?} are committed at {place}"));
+                    self.history.record_violation(|| format!("(a) {known:?} and {op:?} are committed at {seq}"));
                 }
                 Some(_) => {}
                 None => {
-                    self.history.committed.insert(place, (op, key));
-                    self.check_copies(place);
+                    self.history.committed.insert(seq, (op, key));
+                    self.check_copy_count(seq);
                 }
             }
         }
     }
 
-    fn check_copies(&mut self, place: u64) {
-        let copies = (0..self.machines.len()).filter(|index| self.keeps(*index, place)).count();
+    fn check_copy_count(&mut self, seq: u64) {
+        let copies = (0..self.machines.len()).filter(|index| self.stores_committed(*index, seq)).count();
         let losses = self.losses;
         if copies <= losses {
             self.history
-                .break_rule(|| format!("(b) {place} is committed on {copies} disks where {losses} may be lost"));
+                .record_violation(|| format!("(b) {seq} is committed on {copies} disks where {losses} may be lost"));
         }
     }
 
     /// Whether a machine's disk holds what was committed at a place.
-    fn keeps(&self, index: usize, place: u64) -> bool {
+    fn stores_committed(&self, index: usize, seq: u64) -> bool {
         let disk = &self.machines[index].disk;
-        let key = self.history.committed.get(&place).map(|(_, key)| key);
-        disk.last >= place && key.is_some_and(|key| disk.state.contains_key(key))
+        let key = self.history.committed.get(&seq).map(|(_, key)| key);
+        disk.last >= seq && key.is_some_and(|key| disk.state.contains_key(key))
     }
 
     fn record_confirmed(&mut self, index: usize, round: u64) {
@@ -109,15 +109,19 @@
         let id = self.machines[index].id;
         let view = member.view().number;
         let state = member.committed_state().clone();
-        let answered: Vec<Asked> =
-            self.history.asked.range((id, 0)..=(id, round)).map(|(_, asked)| asked.clone()).collect();
-        self.history.asked.retain(|(other, asked), _| *other != id || *asked > round);
-        for asked in answered {
+        let confirmed: Vec<ConfirmationRequest> = self
+            .history
+            .confirmation_requests
+            .range((id, 0)..=(id, round))
+            .map(|(_, request)| request.clone())
+            .collect();
+        self.history.confirmation_requests.retain(|(other, requested), _| *other != id || *requested > round);
+        for request in confirmed {
             let missing =
-                self.history.committed.range(..=asked.committed).any(|(_, (_, key))| !state.contains_key(key));
-            if view < asked.newest_view || missing {
-                self.history.break_rule(|| {
-                    let newest = asked.newest_view;
+                self.history.committed.range(..=request.committed).any(|(_, (_, key))| !state.contains_key(key));
+            if view < request.newest_view || missing {
+                self.history.record_violation(|| {
+                    let newest = request.newest_view;
                     format!("(h) {id} confirms reads in view {view} where {newest} was decided, missing: {missing}")
                 });
             }
@@ -127,35 +131,37 @@
     /// What holds of each state as a whole.
     pub fn check(&mut self) {
         let Some(newest) = self.newest_view().cloned() else { return };
-        for lost in self.further_losses() {
+        for lost in self.possible_further_losses() {
             self.check_majority(&newest, &lost);
-            self.check_kept(&newest, &lost);
+            self.check_committed_survive(&newest, &lost);
         }
     }
 
     fn check_majority(&mut self, newest: &View, lost: &[usize]) {
-        let votes = |id: NodeId| {
-            let machine = &self.machines[machine_of(id)];
-            let bound = machine.disk.meta.accepted_number > 0;
-            let runs = machine.member.as_ref().is_some_and(|member| member.view().number > 0 || bound);
-            machine.id == id && runs && !lost.contains(&machine_of(id))
+        let can_vote = |id: NodeId| {
+            let machine = &self.machines[machine_index(id)];
+            let has_accepted = machine.disk.meta.accepted_number > 0;
+            let runs = machine.member.as_ref().is_some_and(|member| member.view().number > 0 || has_accepted);
+            machine.id == id && runs && !lost.contains(&machine_index(id))
         };
-        let left = newest.voters.iter().filter(|node| votes(node.id)).count();
-        if left * 2 <= newest.voters.as_slice().len() {
-            self.history.break_rule(|| format!("(g) {left} voters left of {newest:?} without machines {lost:?}"));
+        let remaining = newest.voters.iter().filter(|node| can_vote(node.id)).count();
+        if remaining * 2 <= newest.voters.as_slice().len() {
+            self.history
+                .record_violation(|| format!("(g) {remaining} voters left of {newest:?} without machines {lost:?}"));
         }
     }
 
-    fn check_kept(&mut self, newest: &View, lost: &[usize]) {
-        let must_survive = |index: &usize| {
+    fn check_committed_survive(&mut self, newest: &View, lost: &[usize]) {
+        let is_complete_survivor = |index: &usize| {
             let id = self.machines[*index].id;
             !lost.contains(index) && newest.chain.as_slice().contains(&id) && newest.learner != id
         };
-        let survivors: Vec<usize> = (0..self.machines.len()).filter(must_survive).collect();
-        let places: Vec<u64> = self.history.committed.keys().copied().collect();
-        let missing = places.into_iter().find(|place| !survivors.iter().any(|index| self.keeps(*index, *place)));
-        if let Some(place) = missing {
-            self.history.break_rule(|| format!("(b) {place} is lost with machines {lost:?} in {newest:?}"));
+        let survivors: Vec<usize> = (0..self.machines.len()).filter(is_complete_survivor).collect();
+        let committed: Vec<u64> = self.history.committed.keys().copied().collect();
+        let missing =
+            committed.into_iter().find(|seq| !survivors.iter().any(|index| self.stores_committed(*index, *seq)));
+        if let Some(seq) = missing {
+            self.history.record_violation(|| format!("(b) {seq} is lost with machines {lost:?} in {newest:?}"));
         }
     }
 }
--- a/crates/explore/src/lib.rs
+++ b/crates/explore/src/lib.rs
@@ -3,17 +3,17 @@
 //! invariants at every state: exhaustively to a depth, or along random walks.
 
 mod choice;
+mod clock;
 mod faults;
 mod history;
 mod invariants;
-mod passing;
 mod probe;
 mod scenario;
 mod search;
 mod world;
 
 pub use choice::Choice;
-pub use faults::Plant;
+pub use faults::PlantedFault;
 pub use scenario::Scenario;
-pub use search::{Finding, Limits, Report, explore, follow, walk};
+pub use search::{Finding, Limits, Report, explore, replay, walk};
 pub use world::{Budget, World};
--- a/crates/explore/src/main.rs
+++ b/crates/explore/src/main.rs
@@ -1,6 +1,6 @@
 //! `explore`: searches the states of a modelled cluster for a broken invariant.
 
-use explore::{Budget, Finding, Limits, Plant, Scenario, explore, walk};
+use explore::{Budget, Finding, Limits, PlantedFault, Scenario, explore, walk};
 use lexopt::prelude::*;
 use std::process::ExitCode;
 
@@ -17,7 +17,7 @@
 struct Flags {
     search: String,
     scenario: Scenario,
-    plant: Plant,
+    planted_fault: PlantedFault,
     limits: Limits,
     budget: Budget,
     from: u64,
@@ -30,7 +30,7 @@
         Flags {
             search: String::new(),
             scenario: Scenario::Three,
-            plant: Plant::None,
+            planted_fault: PlantedFault::None,
             limits: Limits { depth: 6, states: 10_000_000, seconds: 600, probe_every: 0 },
             budget: Budget {
                 entries: 2,
@@ -54,8 +54,8 @@
     match read_flags().and_then(|flags| flags.map_or(Ok(true), |flags| search(&flags))) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(told) => {
-            eprintln!("explore: {told}");
+        Err(error) => {
+            eprintln!("explore: {error}");
             ExitCode::from(2)
         }
     }
@@ -63,8 +63,8 @@
 
 fn read_flags() -> Result<Option<Flags>, String> {
     let mut flags = Flags::default();
-    let mut line = lexopt::Parser::from_env();
-    while let Some(argument) = line.next().map_err(|error| error.to_string())? {
+    let mut parser = lexopt::Parser::from_env();
+    while let Some(argument) = parser.next().map_err(|error| error.to_string())? {
         let name = match argument {
             Short('h') | Long("help") => {
                 println!("{HELP}");
@@ -77,7 +77,7 @@
             Long(name) => name.to_owned(),
             other => return Err(other.unexpected().to_string()),
         };
-        let value = line.value().and_then(|value| value.string()).map_err(|error| error.to_string())?;
+        let value = parser.value().and_then(|value| value.string()).map_err(|error| error.to_string())?;
         set_flag(&mut flags, &name, &value)?;
     }
     Ok(Some(flags))
@@ -86,11 +86,12 @@
 fn set_flag(flags: &mut Flags, name: &str, value: &str) -> Result<(), String> {
     match name {
         "scenario" => {
-            flags.scenario = Scenario::from_word(value).ok_or(format!("no scenario {value}; see --help"))?;
+            flags.scenario = Scenario::from_name(value).ok_or(format!("no scenario {value}; see --help"))?;
             return Ok(());
         }
         "plant" => {
-            flags.plant = Plant::from_word(value).ok_or(format!("no planted fault {value}; see --help"))?;
+            flags.planted_fault =
+                PlantedFault::from_name(value).ok_or(format!("no planted fault {value}; see --help"))?;
             return Ok(());
         }
         _ => {}
@@ -120,9 +121,9 @@
 }
 
 fn search(flags: &Flags) -> Result<bool, String> {
-    let start = flags.scenario.build(flags.budget.clone(), flags.plant);
-    if let Some(told) = &start.history.violation {
-        println!("BROKEN before the first choice: {told}");
+    let start = flags.scenario.build(flags.budget.clone(), flags.planted_fault);
+    if let Some(violation) = &start.history.violation {
+        println!("BROKEN before the first choice: {violation}");
         return Ok(false);
     }
     match flags.search.as_str() {
@@ -139,27 +140,27 @@
                 if report.complete { "complete" } else { "cut short" },
                 report.seconds
             );
-            Ok(report.finding.as_ref().is_none_or(tell))
+            Ok(report.finding.as_ref().is_none_or(print_finding))
         }
         "walk" => {
-            let mut broken = 0;
+            let mut failed_walks = 0;
             let seeds = flags.from..flags.from + flags.count;
             for seed in seeds {
                 if let Some(finding) = walk(&start, seed, flags.length) {
-                    broken += 1;
+                    failed_walks += 1;
                     println!("seed {seed}:");
-                    tell(&finding);
+                    print_finding(&finding);
                 }
             }
-            println!("{:?}: {} walks of {} choices, {broken} broken", flags.scenario, flags.count, flags.length);
-            Ok(broken == 0)
+            println!("{:?}: {} walks of {} choices, {failed_walks} broken", flags.scenario, flags.count, flags.length);
+            Ok(failed_walks == 0)
         }
         _ => Err("say all or walk; see --help".into()),
     }
 }
 
-fn tell(finding: &Finding) -> bool {
+fn print_finding(finding: &Finding) -> bool {
     finding.path.iter().for_each(|choice| println!("  {choice}"));
-    println!("  BROKEN {}", finding.told);
+    println!("  BROKEN {}", finding.violation);
     false
 }
--- a/crates/explore/src/scenario.rs
+++ b/crates/explore/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Where explorations begin: clusters brought without faults to a moment worth exploring from.
 
-use crate::faults::Plant;
-use crate::passing::Silence;
+use crate::clock::Isolation;
+use crate::faults::PlantedFault;
 use crate::world::{Budget, World};
 
 /// Calm steps of half a suspicion time after which every machine has founded or joined.
@@ -26,8 +26,8 @@
 }
 
 impl Scenario {
-    pub fn from_word(word: &str) -> Option<Scenario> {
-        match word {
+    pub fn from_name(name: &str) -> Option<Scenario> {
+        match name {
             "three" => Some(Scenario::Three),
             "wiped" => Some(Scenario::Wiped),
             "learning" => Some(Scenario::Learning),
@@ -39,23 +39,23 @@
         }
     }
 
-    pub fn build(self, budget: Budget, plant: Plant) -> World {
+    pub fn build(self, budget: Budget, planted_fault: PlantedFault) -> World {
         let (losses, count) = match self {
             Scenario::Six => (2, 6),
             Scenario::Eight => (2, 8),
             _ => (1, 3),
         };
-        let mut world = World::new(losses, budget, Plant::None);
+        let mut world = World::new(losses, budget, PlantedFault::None);
         for index in 0..count {
             world.add_machine(index < 3);
         }
         if self == Scenario::Founding {
-            world.plant = plant;
+            world.planted_fault = planted_fault;
             return world;
         }
-        world.run_calm(FORMING_STEPS);
+        world.run_without_faults(FORMING_STEPS);
         world.propose(0);
-        world.run_calm(2);
+        world.run_without_faults(2);
         match self {
             Scenario::Wiped => world.wipe(2),
             Scenario::Learning => {
@@ -65,31 +65,31 @@
             Scenario::Replacing => {
                 let successor = world.add_machine(false);
                 world.machines[2].successor = Some(successor);
-                world.run_calm(FORMING_STEPS);
+                world.run_without_faults(FORMING_STEPS);
             }
             _ => {}
         }
-        world.plant = plant;
+        world.planted_fault = planted_fault;
         world.check();
         world
     }
 }
 
 impl World {
-    fn run_calm(&mut self, steps: usize) {
+    fn run_without_faults(&mut self, steps: usize) {
         for _ in 0..steps {
-            self.advance(Silence::None);
-            self.settle(Silence::None);
-            self.note_recovered();
+            self.advance(Isolation::None);
+            self.settle(Isolation::None);
+            self.mark_recovered();
         }
     }
 
     fn run_until_learner(&mut self) {
-        let learning = |world: &World| world.newest_view().is_some_and(|view| view.learner != 0);
+        let has_learner = |world: &World| world.newest_view().is_some_and(|view| view.learner != 0);
         for _ in 0..FORMING_STEPS {
-            self.advance(Silence::None);
-            while !learning(self) && self.finish_next(Silence::None) {}
-            if learning(self) {
+            self.advance(Isolation::None);
+            while !has_learner(self) && self.finish_next(Isolation::None) {}
+            if has_learner(self) {
                 return;
             }
         }
--- a/crates/explore/src/search.rs
+++ b/crates/explore/src/search.rs
@@ -20,7 +20,7 @@
 /// A broken invariant, and the choices that led to it.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    pub told: String,
+    pub violation: String,
     pub path: Vec<Choice>,
 }
 
@@ -43,17 +43,17 @@
     visited: HashMap<u64, usize>,
     path: Vec<Choice>,
     report: Report,
-    begun: Instant,
+    started: Instant,
 }
 
 /// Takes every choice from a state, to the depth of the limits.
 pub fn explore(start: &World, limits: &Limits) -> Report {
-    let begun = Instant::now();
-    let mut search = Search { limits, visited: HashMap::new(), path: Vec::new(), report: Report::default(), begun };
+    let started = Instant::now();
+    let mut search = Search { limits, visited: HashMap::new(), path: Vec::new(), report: Report::default(), started };
     search.report.complete = true;
     search.descend(start);
     search.report.distinct = search.visited.len() as u64;
-    search.report.seconds = begun.elapsed().as_secs_f64();
+    search.report.seconds = started.elapsed().as_secs_f64();
     search.report
 }
 
@@ -63,13 +63,13 @@
             return;
         }
         for choice in world.choices() {
-            let late = self.begun.elapsed().as_secs() >= self.limits.seconds;
-            if late || self.report.explored >= self.limits.states {
+            let out_of_time = self.started.elapsed().as_secs() >= self.limits.seconds;
+            if out_of_time || self.report.explored >= self.limits.states {
                 self.report.complete = false;
                 return;
             }
             let mut next = world.clone();
-            next.take(&choice);
+            next.apply_choice(&choice);
             self.path.push(choice);
             self.visit(&mut next);
             self.path.pop();
@@ -84,19 +84,19 @@
         self.report.explored += 1;
         self.report.deepest = self.report.deepest.max(depth);
         let digest = world.digest();
-        let known = self.visited.get(&digest).copied();
-        if known.is_some_and(|least| least <= depth) {
+        let known_depth = self.visited.get(&digest).copied();
+        if known_depth.is_some_and(|known_depth| known_depth <= depth) {
             return;
         }
         self.visited.insert(digest, depth);
         let every = self.limits.probe_every;
-        let probes = every > 0 && (self.visited.len() as u64).is_multiple_of(every);
-        if known.is_none() && probes {
+        let is_probe_due = every > 0 && (self.visited.len() as u64).is_multiple_of(every);
+        if known_depth.is_none() && is_probe_due {
             self.report.probed += 1;
             world.probe();
         }
-        if let Some(told) = world.history.violation.clone() {
-            self.report.finding = Some(Finding { told, path: self.path.clone() });
+        if let Some(violation) = world.history.violation.clone() {
+            self.report.finding = Some(Finding { violation, path: self.path.clone() });
             return;
         }
         self.descend(world);
@@ -107,22 +107,22 @@
 pub fn walk(start: &World, seed: u64, length: usize) -> Option<Finding> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let picks: Vec<u16> = (0..length).map(|_| random.random()).collect();
-    follow(start, &picks)
+    replay(start, &picks)
 }
 
 /// Takes the choice that each number points at, with a look ahead at the end.
-pub fn follow(start: &World, picks: &[u16]) -> Option<Finding> {
+pub fn replay(start: &World, picks: &[u16]) -> Option<Finding> {
     let mut world = start.clone();
     let mut path = Vec::new();
     for pick in picks {
         let choices = world.choices();
         let Some(choice) = choices.get(*pick as usize % choices.len().max(1)) else { break };
         path.push(choice.clone());
-        world.take(choice);
-        if let Some(told) = world.history.violation.take() {
-            return Some(Finding { told, path });
+        world.apply_choice(choice);
+        if let Some(violation) = world.history.violation.take() {
+            return Some(Finding { violation, path });
         }
     }
     world.probe();
-    world.history.violation.take().map(|told| Finding { told, path })
+    world.history.violation.take().map(|violation| Finding { violation, path })
 }
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -1,6 +1,6 @@
 //! The modelled cluster: machines with a process and a disk each, and the messages between them.
 
-use crate::faults::Plant;
+use crate::faults::PlantedFault;
 use crate::history::History;
 use chain::{Batch, ChainReplica, Change, Effect, Input, Output, State, StoredReplica, Timing};
 use std::collections::BTreeMap;
@@ -34,16 +34,16 @@
     pub wipes: u64,
     pub starts: u64,
     /// Had a fault, and has not been back in the chain since.
-    pub troubled: bool,
+    pub is_faulty: bool,
     /// Was in the chain at least once.
-    pub arrived: bool,
+    pub was_in_chain: bool,
     pub leaving: bool,
     /// Stopped for good, its place taken by the machine started as its successor, if any.
     pub removed: bool,
     pub successor: Option<usize>,
     /// When it ended, its member had no more to do.
-    pub left_in_order: bool,
-    pub may_found: bool,
+    pub left_cleanly: bool,
+    pub is_founder: bool,
 }
 
 #[derive(Clone)]
@@ -55,10 +55,10 @@
     pub losses: usize,
     pub budget: Budget,
     pub history: History,
-    pub plant: Plant,
+    pub planted_fault: PlantedFault,
     /// Heartbeats arrive at once while time passes.
-    pub(crate) passing: bool,
-    pub(crate) silent: Option<usize>,
+    pub(crate) advancing: bool,
+    pub(crate) isolated: Option<usize>,
     pub(crate) next_operation: u64,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl World {
-    pub fn new(losses: usize, budget: Budget, plant: Plant) -> World {
+    pub fn new(losses: usize, budget: Budget, planted_fault: PlantedFault) -> World {
         World {
             machines: Vec::new(),
             frames: BTreeMap::new(),
@@ -80,14 +80,14 @@
             losses,
             budget,
             history: History::default(),
-            plant,
-            passing: false,
-            silent: None,
+            planted_fault,
+            advancing: false,
+            isolated: None,
             next_operation: 0,
         }
     }
 
-    pub fn add_machine(&mut self, may_found: bool) -> usize {
+    pub fn add_machine(&mut self, is_founder: bool) -> usize {
         self.machines.push(Machine {
             id: 0,
             member: None,
@@ -95,13 +95,13 @@
             pending: Vec::new(),
             wipes: 0,
             starts: 0,
-            troubled: !may_found,
-            arrived: false,
+            is_faulty: !is_founder,
+            was_in_chain: false,
             leaving: false,
             removed: false,
             successor: None,
-            left_in_order: false,
-            may_found,
+            left_cleanly: false,
+            is_founder,
         });
         let index = self.machines.len() - 1;
         self.start(index);
@@ -114,12 +114,12 @@
         machine.id = index as NodeId + 1 + machine.wipes * 10;
         machine.starts += 1;
         machine.leaving = false;
-        machine.left_in_order = false;
+        machine.left_cleanly = false;
         let node = NodeAddress { id: machine.id, address: address(index) };
         machine.disk.meta.node = node.clone();
-        let seats = if machine.may_found { 3 } else { 0 };
+        let founders = if machine.is_founder { 3 } else { 0 };
         let member = ChainReplica::new(node, machine.disk.clone(), Timing::default(), apply, self.now);
-        let member = member.with_founders(seats).with_tolerated_losses(self.losses);
+        let member = member.with_founders(founders).with_tolerated_losses(self.losses);
         machine.member = Some(member.with_first_round(machine.starts << 20));
     }
 
@@ -128,22 +128,22 @@
     pub fn stop(&mut self, index: usize) {
         self.machines[index].member = None;
         self.machines[index].pending.clear();
-        self.machines[index].troubled = true;
+        self.machines[index].is_faulty = true;
         let id = self.machines[index].id;
-        self.history.asked.retain(|(asked, _), _| *asked != id);
+        self.history.confirmation_requests.retain(|(requester, _), _| *requester != id);
     }
 
-    pub fn feed(&mut self, index: usize, input: Input) {
+    pub fn handle_input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let Some(member) = self.machines[index].member.as_mut() else { return };
         let outputs = member.step(now, input);
-        self.record(index, &outputs);
+        self.record_outputs(index, &outputs);
         for output in outputs {
-            self.carry_out(index, output);
+            self.execute_output(index, output);
         }
     }
 
-    fn carry_out(&mut self, index: usize, output: Output) {
+    fn execute_output(&mut self, index: usize, output: Output) {
         let from = self.machines[index].id;
         match output {
             Output::Send { to, message } => self.send(from, to, message),
@@ -154,7 +154,7 @@
             }
             Output::Write { ticket, batch } => {
                 self.machines[index].pending.push((ticket, batch));
-                self.report_unkept(index, ticket);
+                self.report_early_sync(index, ticket);
             }
             _ => {}
         }
@@ -162,10 +162,10 @@
 
     fn send(&mut self, from: NodeId, to: NodeId, message: ChainMessage) {
         use ChainMessage::{Heartbeat, HeartbeatAck, Leaving};
-        if self.passing && matches!(message, Heartbeat { .. } | HeartbeatAck { .. } | Leaving { .. }) {
+        if self.advancing && matches!(message, Heartbeat { .. } | HeartbeatAck { .. } | Leaving { .. }) {
             return self.deliver(from, to, message);
         }
-        self.forge(from, to, &message);
+        self.forge_reply(from, to, &message);
         let link = self.frames.entry((from, to)).or_default();
         if !link.contains(&message) {
             link.push(message);
@@ -174,35 +174,35 @@
 
     /// A message goes to an address: whichever process runs there now gets it.
     pub fn deliver(&mut self, from: NodeId, to: NodeId, message: ChainMessage) {
-        let (sender, receiver) = (machine_of(from), machine_of(to));
-        if self.passing && (self.silent == Some(sender) || self.silent == Some(receiver)) {
+        let (sender, receiver) = (machine_index(from), machine_index(to));
+        if self.advancing && (self.isolated == Some(sender) || self.isolated == Some(receiver)) {
             return;
         }
-        self.feed(receiver, Input::Message { from, message });
+        self.handle_input(receiver, Input::Message { from, message });
     }
 
     /// The oldest write of a machine is synced and reported.
-    pub fn land(&mut self, index: usize) {
+    pub fn complete_write(&mut self, index: usize) {
         if self.machines[index].pending.is_empty() {
             return;
         }
         let (ticket, batch) = self.machines[index].pending.remove(0);
         self.machines[index].disk.apply(&batch);
-        self.feed(index, Input::Written { ticket });
+        self.handle_input(index, Input::Written { ticket });
     }
 
     pub fn propose(&mut self, index: usize) {
         self.next_operation += 1;
         let op = ProposalId { origin: self.machines[index].id, number: self.next_operation };
-        self.feed(index, Input::Propose { op, body: op.number.to_string().into_bytes() });
+        self.handle_input(index, Input::Propose { op, body: op.number.to_string().into_bytes() });
     }
 
     pub fn confirm(&mut self, index: usize) {
         let Some(member) = self.machines[index].member.as_mut() else { return };
         let round = member.request_confirmation();
         let id = self.machines[index].id;
-        self.history.note_asked(id, round);
-        self.feed(index, Input::Confirm);
+        self.history.record_confirmation_request(id, round);
+        self.handle_input(index, Input::Confirm);
     }
 
     /// Whether the member says that a planned stop may end now.
@@ -218,8 +218,8 @@
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for machine in &self.machines {
-            (machine.id, machine.wipes, machine.troubled, machine.arrived, machine.leaving).hash(&mut hasher);
-            (machine.removed, machine.left_in_order, machine.successor, machine.member.is_some()).hash(&mut hasher);
+            (machine.id, machine.wipes, machine.is_faulty, machine.was_in_chain, machine.leaving).hash(&mut hasher);
+            (machine.removed, machine.left_cleanly, machine.successor, machine.member.is_some()).hash(&mut hasher);
             if let Some(member) = &machine.member {
                 member.digest(&mut hasher);
             }
@@ -243,6 +243,6 @@
 }
 
 /// Which machine an identity was given to: a wiped one starts with a new identity.
-pub fn machine_of(id: NodeId) -> usize {
+pub fn machine_index(id: NodeId) -> usize {
     ((id - 1) % 10) as usize
 }
--- a/crates/explore/tests/searches.rs
+++ b/crates/explore/tests/searches.rs
@@ -1,7 +1,7 @@
 //! Short searches of the modelled cluster, and that they find each planted fault. Longer ones are
 //! behind the flags of `explore`.
 
-use explore::{Budget, Limits, Plant, Report, Scenario, explore, follow, walk};
+use explore::{Budget, Limits, PlantedFault, Report, Scenario, explore, replay, walk};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestError, TestRunner};
 
@@ -11,22 +11,22 @@
     Budget { entries: 2, confirms: 1, crashes: 1, wipes: 1, drops: 1, silences: 1, passes: 4, leaves: 1, joins: 1 }
 }
 
-fn search(scenario: Scenario, plant: Plant, depth: usize) -> Report {
-    let start = scenario.build(budget(), plant);
+fn search(scenario: Scenario, planted_fault: PlantedFault, depth: usize) -> Report {
+    let start = scenario.build(budget(), planted_fault);
     explore(&start, &Limits { depth, states: 20_000, seconds: 600, probe_every: 0 })
 }
 
-fn finding(scenario: Scenario, plant: Plant, depth: usize) -> String {
-    let report = search(scenario, plant, depth);
-    report.finding.map_or_else(String::new, |finding| finding.told)
+fn find_violation(scenario: Scenario, planted_fault: PlantedFault, depth: usize) -> String {
+    let report = search(scenario, planted_fault, depth);
+    report.finding.map_or_else(String::new, |finding| finding.violation)
 }
 
 #[test]
-fn no_choices_to_a_small_depth_break_an_invariant() {
+fn exhaustive_search_to_small_depth_finds_no_violation() {
     for (scenario, depth) in
         [(Scenario::Three, 2), (Scenario::Wiped, 2), (Scenario::Learning, 2), (Scenario::Replacing, 2)]
     {
-        let report = search(scenario, Plant::None, depth);
+        let report = search(scenario, PlantedFault::None, depth);
         println!("{scenario:?}: {} states, {} distinct", report.explored, report.distinct);
         assert!(report.complete && report.finding.is_none(), "{scenario:?}: {:?}", report.finding);
         assert!(report.distinct < report.explored, "states that were visited are skipped");
@@ -34,33 +34,33 @@
 }
 
 #[test]
-fn an_answer_before_the_write_is_synced_is_found() {
-    let told = finding(Scenario::Three, Plant::EarlySync, 5);
-    assert!(told.starts_with("(b)"), "{told}");
+fn early_sync_report_is_detected() {
+    let violation = find_violation(Scenario::Three, PlantedFault::EarlySync, 5);
+    assert!(violation.starts_with("(b)"), "{violation}");
 }
 
 #[test]
-fn a_majority_that_is_one_vote_short_is_found() {
-    let told = finding(Scenario::Three, Plant::ForgedVote, 5);
-    assert!(told.starts_with("(d)"), "{told}");
+fn forged_vote_is_detected() {
+    let violation = find_violation(Scenario::Three, PlantedFault::ForgedVote, 5);
+    assert!(violation.starts_with("(d)"), "{violation}");
 }
 
 #[test]
-fn a_learner_that_survives_alone_is_found() {
-    let told = finding(Scenario::Learning, Plant::LoneLearner, 4);
-    assert!(told.starts_with("(e)"), "{told}");
+fn chain_of_only_a_learner_is_detected() {
+    let violation = find_violation(Scenario::Learning, PlantedFault::LoneLearner, 4);
+    assert!(violation.starts_with("(e)"), "{violation}");
 }
 
 #[test]
-fn an_entry_with_too_few_copies_is_found() {
-    let told = finding(Scenario::Three, Plant::ForgedCopy, 5);
-    assert!(told.starts_with("(b)"), "{told}");
+fn committed_entry_with_too_few_copies_is_detected() {
+    let violation = find_violation(Scenario::Three, PlantedFault::ForgedCopy, 5);
+    assert!(violation.starts_with("(b)"), "{violation}");
 }
 
 #[test]
-fn fixed_walks_break_no_invariant() {
+fn seeded_walks_find_no_violation() {
     for scenario in [Scenario::Three, Scenario::Wiped, Scenario::Learning, Scenario::Replacing, Scenario::Six] {
-        let start = scenario.build(budget(), Plant::None);
+        let start = scenario.build(budget(), PlantedFault::None);
         for seed in 1..=3 {
             let finding = walk(&start, seed, 30);
             assert!(finding.is_none(), "{scenario:?} seed {seed}: {finding:?}");
@@ -69,7 +69,7 @@
 }
 
 /// The same sequences each time; another seed takes others.
-fn seeded() -> ProptestConfig {
+fn seeded_config() -> ProptestConfig {
     ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(SEED), ..ProptestConfig::default() }
 }
 
@@ -84,31 +84,31 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 16, ..seeded() })]
+    #![proptest_config(ProptestConfig { cases: 16, ..seeded_config() })]
 
     /// Each number picks one of the choices of its state; a failing sequence shrinks. On failure proptest
     /// prints the shortest sequence that it found.
     #[test]
-    fn no_sequence_of_choices_breaks_an_invariant(
+    fn random_choice_sequences_find_no_violation(
         scenario in scenarios(),
         picks in prop::collection::vec(any::<u16>(), 0..40),
     ) {
-        let start = scenario.build(budget(), Plant::None);
-        let finding = follow(&start, &picks);
+        let start = scenario.build(budget(), PlantedFault::None);
+        let finding = replay(&start, &picks);
         prop_assert!(finding.is_none(), "{:?}", finding);
     }
 }
 
 #[test]
-fn a_failing_sequence_shrinks_to_a_short_one() {
-    let mut runner = TestRunner::new(ProptestConfig { cases: 200, ..seeded() });
-    let start = Scenario::Learning.build(budget(), Plant::LoneLearner);
+fn failing_sequence_shrinks_to_few_choices() {
+    let mut runner = TestRunner::new(ProptestConfig { cases: 200, ..seeded_config() });
+    let start = Scenario::Learning.build(budget(), PlantedFault::LoneLearner);
     let outcome = runner.run(&prop::collection::vec(any::<u16>(), 0..60), |picks| {
-        let finding = follow(&start, &picks);
+        let finding = replay(&start, &picks);
         prop_assert!(finding.is_none());
         Ok(())
     });
     let Err(TestError::Fail(_, picks)) = outcome else { panic!("{outcome:?}") };
-    println!("shrunk to {} choices: {:?}", picks.len(), follow(&start, &picks));
+    println!("shrunk to {} choices: {:?}", picks.len(), replay(&start, &picks));
     assert!((1..=8).contains(&picks.len()), "{picks:?}");
 }
