--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -1,51 +1,42 @@
-//! What may happen next in a state, and making it happen.
+//! The choices available in a state, and their execution.
 
 use crate::clock::Isolation;
 use crate::world::World;
 use std::fmt::{Display, Formatter};
 use wire::{ChainMessage, NodeId};
 
-/// One step of a run. Machines are named by their index.
+/// One step of a run. Machines are identified by their index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// One message arrives, in whatever order.
-    Deliver {
-        from: NodeId,
-        to: NodeId,
-        position: usize,
-    },
+    /// One message arrives, in any order. `position` is its index among the messages in flight on the link.
+    Deliver { from: NodeId, to: NodeId, position: usize },
     /// One message is lost.
-    Drop {
-        from: NodeId,
-        to: NodeId,
-        position: usize,
-    },
-    /// A machine's oldest write is synced.
+    Drop { from: NodeId, to: NodeId, position: usize },
+    /// The oldest write of a machine is synced.
     CompleteWrite(usize),
-    /// All messages arrive and all writes land, in the order sent, until nothing is under way.
+    /// All messages are delivered and all writes completed, in the order sent, until none is left.
     Settle,
-    /// Three half suspicion times pass; messages stay under way.
+    /// The clocks advance by three half suspicion timeouts; messages stay in flight.
     AdvanceClocks(Isolation),
-    /// Three half suspicion times pass with all messages and writes finished in between.
+    /// The clocks advance by three half suspicion timeouts; all messages and writes complete in between.
     AdvanceAndDeliver(Isolation),
+    /// A change is proposed at a machine.
     Propose(usize),
+    /// A tail is asked to confirm its reads.
     Confirm(usize),
-    /// The process dies; its unsynced write is lost, or lands unreported.
-    Crash {
-        machine: usize,
-        write_synced: bool,
-    },
+    /// The process crashes; its oldest unsynced write is lost, or synced without a report.
+    Crash { machine: usize, write_synced: bool },
+    /// The process starts again from its disk.
     Restart(usize),
-    /// The process dies and its disk is lost; the machine starts empty under a new identity.
+    /// The process crashes and its disk is lost; the machine starts empty with a new node id.
     Wipe(usize),
+    /// A machine is told to leave the chain.
     Leave(usize),
-    /// A machine that was told to leave ends.
+    /// The process of a machine that was told to leave stops.
     EndLeaving(usize),
-    /// A new machine starts, the successor of one that is to leave.
-    Join {
-        replaces: usize,
-    },
-    /// A view forged by a planted fault is spread.
+    /// A new machine starts as the successor of one that will leave.
+    Join { replaces: usize },
+    /// A view forged by a planted fault is sent to the voters.
     ForgeView,
 }
 
@@ -56,7 +47,7 @@
 }
 
 impl World {
-    /// Everything that may happen next within the budget and the declared losses.
+    /// Returns every choice allowed by the budget and the declared number of losses.
     pub fn choices(&self) -> Vec<Choice> {
         let mut choices = Vec::new();
         self.progress_choices(&mut choices);
@@ -96,7 +87,8 @@
         }
     }
 
-    /// Whose writes are under way: while time passes their disks hang, which counts as a loss.
+    /// Returns the machines with pending writes. If the clocks advance meanwhile, their disks are stalled, which
+    /// counts as a loss.
     pub(crate) fn stalled(&self) -> impl Iterator<Item = usize> {
         (0..self.machines.len()).filter(|index| !self.machines[*index].pending.is_empty())
     }
@@ -163,6 +155,7 @@
         }
     }
 
+    /// Executes a choice and checks the invariants of the resulting state.
     pub fn apply_choice(&mut self, choice: &Choice) {
         match *choice {
             Choice::Deliver { from, to, position } => {
@@ -212,8 +205,11 @@
         self.check();
     }
 
+    /// Removes a message in flight from its link.
     fn take_message(&mut self, from: NodeId, to: NodeId, position: usize) -> ChainMessage {
-        let Some(messages) = self.frames.get_mut(&(from, to)) else { panic!("no message from {from} to {to}") };
+        let Some(messages) = self.frames.get_mut(&(from, to)) else {
+            panic!("no message in flight from {from} to {to}")
+        };
         messages.remove(position)
     }
 
@@ -226,6 +222,7 @@
         self.stop(index);
     }
 
+    /// Stops a machine, clears its disk and starts it with a new node id.
     pub(crate) fn wipe(&mut self, index: usize) {
         self.stop(index);
         let machine = &mut self.machines[index];
--- a/crates/explore/src/clock.rs
+++ b/crates/explore/src/clock.rs
@@ -1,26 +1,28 @@
-//! Time as an explicit choice: clocks advance in steps of half the suspicion time, in which heartbeats
-//! arrive at once, while at most one machine is frozen or cut off.
+//! Time as an explicit choice: the clocks advance in steps of half the suspicion timeout. During a step
+//! heartbeats arrive at once and at most one machine is frozen or cut off.
 
 use crate::world::{World, machine_index};
 use chain::Input;
 use std::time::Duration;
 use wire::NodeId;
 
-/// Half the time after which a silent member is suspected: a longer step would look like a freeze.
+/// Half the suspicion timeout: to the members a longer step would look like a freeze.
 const STEP_DURATION: Duration = Duration::from_millis(450);
+/// Number of clock steps in one choice that advances the clocks.
 const STEPS_PER_CHOICE: usize = 3;
-/// How long a machine that is told to stop may wait.
+/// Maximum time a machine that is told to leave may wait before it stops.
 pub const GRACE: Duration = Duration::from_secs(4);
-/// More deliveries than any exchange without a loop needs.
+/// Limit on deliveries in one call; an exchange of messages without a loop needs fewer.
 const MAX_DELIVERIES: usize = 20_000;
 
-/// Who is not heard while time passes.
+/// Machine that is unreachable while the clocks advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Isolation {
+    /// No machine.
     None,
-    /// Its process does not run.
+    /// The process does not run.
     Frozen(usize),
-    /// Its process runs, and nothing reaches it or leaves it.
+    /// The process runs, but no message reaches it or leaves it.
     Cut(usize),
 }
 
@@ -34,6 +36,7 @@
 }
 
 impl World {
+    /// Advances the clocks by one choice, with or without delivering messages and completing writes.
     pub(crate) fn advance_steps(&mut self, isolation: Isolation, settle: bool) {
         self.budget.passes -= 1;
         if let Some(index) = isolation.machine() {
@@ -55,7 +58,7 @@
         }
     }
 
-    /// One step of the clocks, with a tick of every process that runs.
+    /// Advances the clocks by one step and ticks every process that is not frozen.
     pub(crate) fn advance(&mut self, isolation: Isolation) {
         self.now += STEP_DURATION;
         self.advancing = true;
@@ -69,8 +72,8 @@
         self.isolated = None;
     }
 
-    /// Delivers all that is under way, link by link in the order sent, until nothing is left. What
-    /// concerns a silent machine stays under way if it is frozen, and is lost if it is cut off.
+    /// Delivers all messages, link by link in the order sent, and completes all writes until none is left.
+    /// Messages from or to a frozen machine stay in flight; those from or to a machine cut off are lost.
     pub(crate) fn settle(&mut self, isolation: Isolation) {
         if let Isolation::Cut(index) = isolation {
             self.frames.retain(|(from, to), _| machine_index(*from) != index && machine_index(*to) != index);
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Lands one write or delivers one message, and says whether there was any.
+    /// Completes one write or delivers one message; returns whether there was any.
     pub(crate) fn finish_next(&mut self, isolation: Isolation) -> bool {
         let has_pending_write =
             |index: &usize| !self.machines[*index].pending.is_empty() && isolation != Isolation::Frozen(*index);
--- a/crates/explore/src/faults.rs
+++ b/crates/explore/src/faults.rs
@@ -1,26 +1,28 @@
-//! Which machines count as lost, and faults planted in the world around the members: a disk that
-//! reports too early, forged votes, forged replies, a forged view. The members' code is untouched.
+//! Rules for which machines count as lost, and faults planted around the members to test the explorer: a
+//! disk that reports too early, forged votes, forged replies, a forged view. The code of the members is
+//! unchanged.
 
 use crate::world::{World, machine_index};
 use chain::Input;
 use wire::{ChainMessage, NodeAddress, NodeId};
 
-/// A fault planted to see that the explorer finds it.
+/// A fault planted to check that the explorer detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum PlantedFault {
     #[default]
     None,
     /// The disk reports each write before it is synced.
     EarlySync,
-    /// A proposer is told of one vote that nobody cast.
+    /// A proposer receives a vote that no voter cast.
     ForgedVote,
-    /// A view is spread in which only a learner is left.
+    /// A forged view with only a learner in its chain is sent to the voters.
     LoneLearner,
-    /// A member is told that its successor has synced what it was only sent.
+    /// A member is told that its successor in the chain has synced entries that were only sent to it.
     ForgedCopy,
 }
 
 impl PlantedFault {
+    /// Returns the fault with this name on the command line.
     pub fn from_name(name: &str) -> Option<PlantedFault> {
         match name {
             "none" => Some(PlantedFault::None),
@@ -34,7 +36,8 @@
 }
 
 impl World {
-    /// Whether a machine counts as lost now. For one that leaves, its successor counts if there is one.
+    /// Returns whether a machine counts as lost. While a machine with a successor leaves, the successor counts
+    /// in its place.
     fn is_lost(&self, index: usize) -> bool {
         let machine = &self.machines[index];
         if self.is_leaving_or_removed(index) && machine.successor.is_some() {
@@ -52,19 +55,21 @@
             .any(|other| self.is_leaving_or_removed(other) && self.machines[other].successor == Some(index))
     }
 
-    /// One that had a fault, or ended too early, while it was leaving is missed until it has no voter.
+    /// Returns whether a leaving machine had a fault or stopped too early and so still counts as lost: it does
+    /// until none of its node ids is a voter.
     fn left_uncleanly(&self, index: usize) -> bool {
         let machine = &self.machines[index];
         machine.is_faulty && !machine.left_cleanly && self.has_voter(index)
     }
 
-    /// Whether any identity that a machine ever had is a voter.
+    /// Returns whether any node id that a machine ever had is a voter.
     pub(crate) fn has_voter(&self, index: usize) -> bool {
         let is_own_identity = |node: &NodeAddress| machine_index(node.id) == index;
         self.newest_view().is_some_and(|view| view.voters.iter().any(is_own_identity))
     }
 
-    /// Whether no identity of a machine is in the chain, or has a voter that could be spared.
+    /// Returns whether the machine has left: none of its node ids is in the chain, and none is a voter that
+    /// the remaining voters could do without.
     pub(crate) fn has_left(&self, index: usize) -> bool {
         let Some(newest) = self.newest_view() else { return true };
         let in_chain = newest.chain.iter().any(|id| machine_index(*id) == index);
@@ -73,8 +78,8 @@
         !in_chain && !can_give_up_voter
     }
 
-    /// A new machine that was never whole is not missed, for whom it replaces is, unless it has a voter
-    /// and cannot vote.
+    /// Returns whether a new machine was never fully in the chain. It does not count as lost, because the
+    /// machine that it replaces does, unless one of its node ids is a voter and it cannot vote.
     fn is_joining(&self, index: usize) -> bool {
         let machine = &self.machines[index];
         let is_own_identity = |node: &NodeAddress| node.id == machine.id;
@@ -83,20 +88,23 @@
         !machine.was_in_chain && !machine.is_founder && (can_vote || !self.has_voter(index))
     }
 
+    /// Returns the number of machines that count as lost.
     pub(crate) fn lost_count(&self) -> usize {
         (0..self.machines.len()).filter(|index| self.is_lost(*index)).count()
     }
 
-    /// Whether the loss of a machine makes no more machines lost than there are.
+    /// Returns whether losing the machine would not increase the number of lost machines.
     pub(crate) fn is_already_unavailable(&self, index: usize) -> bool {
         self.is_lost(index) || !self.machines[index].was_in_chain && !self.has_voter(index)
     }
 
+    /// Returns whether the machine may be lost within the declared tolerance.
     pub(crate) fn may_lose(&self, index: usize) -> bool {
         self.is_already_unavailable(index) || self.lost_count() < self.losses
     }
 
-    /// After a calm time, a machine in the newest view's chain that is no learner there is whole again.
+    /// Marks each machine as recovered that is in the chain of the newest view and not its learner. Called
+    /// after a period without faults.
     pub(crate) fn mark_recovered(&mut self) {
         let Some(newest) = self.newest_view().cloned() else { return };
         for machine in &mut self.machines {
@@ -109,8 +117,8 @@
         }
     }
 
-    /// Every set of machines that may still be lost on top of those that are; none if more are lost
-    /// than was declared, as when one that is leaving joins after all.
+    /// Returns every set of machines that may still be lost in addition to those already lost. Empty if more
+    /// are lost than declared, which happens when a leaving machine joins again.
     pub(crate) fn possible_further_losses(&self) -> Vec<Vec<usize>> {
         if self.lost_count() > self.losses {
             return Vec::new();
@@ -133,13 +141,14 @@
         sets
     }
 
+    /// Reports a write as synced before it is, if that fault is planted.
     pub(crate) fn report_early_sync(&mut self, index: usize, ticket: u64) {
         if self.planted_fault == PlantedFault::EarlySync {
             self.handle_input(index, Input::Written { ticket });
         }
     }
 
-    /// Sends the answer to a message that its receiver has not given.
+    /// Sends a reply to a message that its receiver has not given, if such a fault is planted.
     pub(crate) fn forge_reply(&mut self, from: NodeId, to: NodeId, message: &ChainMessage) {
         let forged = match (self.planted_fault, message) {
             (PlantedFault::ForgedVote, ChainMessage::Accept { slot, proposal_number, .. }) => {
@@ -154,10 +163,12 @@
         self.frames.entry((to, from)).or_default().push(forged);
     }
 
+    /// Returns whether the planted fault can forge a view now.
     pub(crate) fn can_forge_view(&self) -> bool {
         self.planted_fault == PlantedFault::LoneLearner && self.newest_view().is_some_and(|view| view.learner != 0)
     }
 
+    /// Sends all voters a decided view with only the learner in its chain.
     pub(crate) fn forge_view(&mut self) {
         let Some(newest) = self.newest_view().cloned() else { return };
         let learner = newest.learner;
--- a/crates/explore/src/invariants.rs
+++ b/crates/explore/src/invariants.rs
@@ -1,4 +1,8 @@
-//! The invariants, checked on every output and at every state.
+//! The invariants, checked on every output of a member and at every state.
+//!
+//! (a) one operation at each sequence number, (b) enough copies of each committed entry, (c) one view of
+//! each number, (d) quorums and single membership changes, (e) a complete member survives each change of
+//! view, (g) the cluster stays available after the tolerated losses, (h) confirmed reads are current.
 
 use crate::history::ConfirmationRequest;
 use crate::world::{World, machine_index};
@@ -21,7 +25,9 @@
         let known = self.history.decided.get(&view.number).cloned();
         if let Some(known) = known {
             if known != view {
-                self.history.record_violation(|| format!("(c) view {} decided twice: {known:?} {view:?}", view.number));
+                self.history.record_violation(|| {
+                    format!("(c) two views decided as number {}: {known:?} and {view:?}", view.number)
+                });
             }
             return;
         }
@@ -54,7 +60,8 @@
         }
     }
 
-    /// Whoever was a voter and lost its disk since may have accepted; all others must show it.
+    /// Checks that a majority of the previous voters accepted the view. A voter that has lost its disk since
+    /// may have accepted it; each other voter must have it on disk.
     fn check_quorum(&mut self, before: &View, view: &View) {
         let accepted = |id: NodeId| {
             let machine = &self.machines[machine_index(id)];
@@ -62,7 +69,7 @@
         };
         let count = before.voters.iter().filter(|node| accepted(node.id)).count();
         if count * 2 <= before.voters.as_slice().len() {
-            self.history.record_violation(|| format!("(d) {view:?} is kept by {count} voters of {before:?} only"));
+            self.history.record_violation(|| format!("(d) {view:?} is stored by only {count} voters of {before:?}"));
         }
     }
 
@@ -77,7 +84,7 @@
             let first = self.history.committed.get(&seq).cloned();
             match first {
                 Some((known, _)) if known != op => {
-                    self.history.record_violation(|| format!("(a) {known:?} and {op:?} are committed at {seq}"));
+                    self.history.record_violation(|| format!("(a) both {known:?} and {op:?} are committed at {seq}"));
                 }
                 Some(_) => {}
                 None => {
@@ -92,12 +99,13 @@
         let copies = (0..self.machines.len()).filter(|index| self.stores_committed(*index, seq)).count();
         let losses = self.losses;
         if copies <= losses {
-            self.history
-                .record_violation(|| format!("(b) {seq} is committed on {copies} disks where {losses} may be lost"));
+            self.history.record_violation(|| {
+                format!("(b) entry {seq} is committed on only {copies} disks, but {losses} may be lost")
+            });
         }
     }
 
-    /// Whether a machine's disk holds what was committed at a place.
+    /// Returns whether the disk of a machine holds the entry committed at a sequence number.
     fn stores_committed(&self, index: usize, seq: u64) -> bool {
         let disk = &self.machines[index].disk;
         let key = self.history.committed.get(&seq).map(|(_, key)| key);
@@ -128,7 +136,7 @@
         }
     }
 
-    /// What holds of each state as a whole.
+    /// Checks the invariants of the state as a whole, for each set of further losses that must be tolerated.
     pub fn check(&mut self) {
         let Some(newest) = self.newest_view().cloned() else { return };
         for lost in self.possible_further_losses() {
@@ -146,8 +154,9 @@
         };
         let remaining = newest.voters.iter().filter(|node| can_vote(node.id)).count();
         if remaining * 2 <= newest.voters.as_slice().len() {
-            self.history
-                .record_violation(|| format!("(g) {remaining} voters left of {newest:?} without machines {lost:?}"));
+            self.history.record_violation(|| {
+                format!("(g) only {remaining} voters remain of {newest:?} without machines {lost:?}")
+            });
         }
     }
 
@@ -161,7 +170,7 @@
         let missing =
             committed.into_iter().find(|seq| !survivors.iter().any(|index| self.stores_committed(*index, *seq)));
         if let Some(seq) = missing {
-            self.history.record_violation(|| format!("(b) {seq} is lost with machines {lost:?} in {newest:?}"));
+            self.history.record_violation(|| format!("(b) entry {seq} is lost with machines {lost:?} in {newest:?}"));
         }
     }
 }
--- a/crates/explore/src/main.rs
+++ b/crates/explore/src/main.rs
@@ -1,19 +1,20 @@
-//! `explore`: searches the states of a modelled cluster for a broken invariant.
+//! `explore`: searches the states of a modelled cluster for a violation of an invariant.
 
 use explore::{Budget, Finding, Limits, PlantedFault, Scenario, explore, walk};
 use lexopt::prelude::*;
 use std::process::ExitCode;
 
-const HELP: &str = "explore: searches the states of a modelled cluster for a broken invariant
+const HELP: &str = "explore: searches the states of a modelled cluster for a violation of an invariant
 
 Usage: explore all  [--scenario S] [--depth N] [--states N] [--seconds N] [--probe-every N] [BUDGET]
        explore walk [--scenario S] [--from N] [--count N] [--length N] [BUDGET]
 
 --scenario: three, wiped, learning, replacing, six, eight or founding [three]
 --plant: none, early-sync, forged-vote, lone-learner or forged-copy [none]
-BUDGET, how many of each a run may have: --entries --confirms --crashes --wipes --drops --silences
+BUDGET: maximum number of each event in a run: --entries --confirms --crashes --wipes --drops --silences
        --passes --leaves --joins";
 
+/// Parsed command line.
 struct Flags {
     search: String,
     scenario: Scenario,
@@ -86,17 +87,17 @@
 fn set_flag(flags: &mut Flags, name: &str, value: &str) -> Result<(), String> {
     match name {
         "scenario" => {
-            flags.scenario = Scenario::from_name(value).ok_or(format!("no scenario {value}; see --help"))?;
+            flags.scenario = Scenario::from_name(value).ok_or(format!("unknown scenario {value}; see --help"))?;
             return Ok(());
         }
         "plant" => {
             flags.planted_fault =
-                PlantedFault::from_name(value).ok_or(format!("no planted fault {value}; see --help"))?;
+                PlantedFault::from_name(value).ok_or(format!("unknown planted fault {value}; see --help"))?;
             return Ok(());
         }
         _ => {}
     }
-    let number = value.parse::<u64>().map_err(|_| format!("--{name} {value}: allowed is a number"))?;
+    let number = value.parse::<u64>().map_err(|_| format!("--{name} {value}: expected a number"))?;
     let budget = &mut flags.budget;
     match name {
         "depth" => flags.limits.depth = number as usize,
@@ -115,7 +116,7 @@
         "passes" => budget.passes = number as u32,
         "leaves" => budget.leaves = number as u32,
         "joins" => budget.joins = number as u32,
-        _ => return Err(format!("no flag --{name}; see --help")),
+        _ => return Err(format!("unknown flag --{name}; see --help")),
     }
     Ok(())
 }
@@ -155,7 +156,7 @@
             println!("{:?}: {} walks of {} choices, {failed_walks} broken", flags.scenario, flags.count, flags.length);
             Ok(failed_walks == 0)
         }
-        _ => Err("say all or walk; see --help".into()),
+        _ => Err("expected all or walk; see --help".into()),
     }
 }
 
--- a/crates/explore/src/probe.rs
+++ b/crates/explore/src/probe.rs
@@ -1,17 +1,19 @@
-//! A look ahead from a state: with every further loss that was declared to be bearable, and no other
-//! trouble, the cluster must take changes again and still hold what was committed.
+//! Probe from a state: after any further losses within the declared tolerance, and with no other fault, the
+//! cluster must commit changes again and still hold everything committed before.
 
 use crate::clock::Isolation;
 use crate::world::World;
 
-/// Half suspicion times until the cluster must have mended itself: about twenty seconds.
+/// Clock steps, of half a suspicion timeout each, within which the cluster must recover: about 20 s.
 const RECOVERY_STEPS: usize = 45;
-/// Within these many more a change must be committed.
+/// Further clock steps within which a change must be committed.
 const COMMIT_STEPS: usize = 12;
-/// A machine that was told to leave ends after so many, whether it may or not: its grace is over.
+/// Clock steps after which a machine that was told to leave is stopped even if its member is not ready,
+/// because its grace period is over.
 const LEAVING_STEPS: usize = 9;
 
 impl World {
+    /// Records a violation if the cluster does not recover from some tolerated set of further losses.
     pub fn probe(&mut self) {
         if self.history.violation.is_some() || self.newest_view().is_none() {
             return;
@@ -23,6 +25,7 @@
         }
     }
 
+    /// Simulates the loss of these machines and returns a description of the violation, if any.
     fn check_without(&self, lost: &[usize]) -> Option<String> {
         let mut world = self.clone();
         lost.iter().for_each(|index| world.lose_permanently(*index));
@@ -44,7 +47,7 @@
         }
         let view = world.newest_view().cloned();
         (world.history.committed.len() == before)
-            .then(|| format!("(g) nothing is committed after the loss of machines {lost:?}: {view:?}"))
+            .then(|| format!("(g) no change is committed after the loss of machines {lost:?}: {view:?}"))
     }
 
     fn lose_permanently(&mut self, index: usize) {
--- a/crates/explore/src/scenario.rs
+++ b/crates/explore/src/scenario.rs
@@ -1,21 +1,24 @@
-//! Where explorations begin: clusters brought without faults to a moment worth exploring from.
+//! Start states of a search: clusters brought without faults to a state worth exploring from.
 
+use crate::budget::Budget;
 use crate::clock::Isolation;
 use crate::faults::PlantedFault;
-use crate::world::{Budget, World};
+use crate::world::World;
 
-/// Calm steps of half a suspicion time after which every machine has founded or joined.
+/// Clock steps without faults, of half a suspicion timeout each, after which every machine has formed or
+/// joined the chain.
 const FORMING_STEPS: usize = 60;
 
+/// A start state of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
     /// Three machines with one change committed; one may be lost.
     Three,
-    /// The same, with one machine's disk just lost: it asks to join under a new identity.
+    /// Like `Three`, with the disk of one machine just lost: it asks to join with a new node id.
     Wiped,
-    /// The same, at the moment when the wiped machine has been added to the chain as a learner.
+    /// Like `Wiped`, when the wiped machine has just been added to the chain as a learner.
     Learning,
-    /// The same as the first, with a fourth machine just joined, the successor of the third.
+    /// Like `Three`, with a fourth machine just joined as the successor of the third.
     Replacing,
     /// Six machines of which two may be lost.
     Six,
@@ -26,6 +29,7 @@
 }
 
 impl Scenario {
+    /// Returns the scenario with this name on the command line.
     pub fn from_name(name: &str) -> Option<Scenario> {
         match name {
             "three" => Some(Scenario::Three),
@@ -39,6 +43,7 @@
         }
     }
 
+    /// Builds the start state; the fault is planted only once this state is reached.
     pub fn build(self, budget: Budget, planted_fault: PlantedFault) -> World {
         let (losses, count) = match self {
             Scenario::Six => (2, 6),
--- a/crates/explore/src/search.rs
+++ b/crates/explore/src/search.rs
@@ -1,4 +1,4 @@
-//! The searches: every choice to a depth with visited states skipped, random walks, and replays.
+//! The searches: exhaustive to a depth with visited states skipped, random walks, and replays.
 
 use crate::choice::Choice;
 use crate::world::World;
@@ -7,46 +7,54 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// Where a search ends.
+/// Limits at which an exhaustive search ends.
 #[derive(Clone, Debug)]
 pub struct Limits {
+    /// Maximum number of choices from the start.
     pub depth: usize,
+    /// Maximum number of states to reach.
     pub states: u64,
+    /// Maximum duration in seconds.
     pub seconds: u64,
-    /// Look ahead from every so many-th distinct state; 0 for never.
+    /// Number of distinct states between two probes; 0 disables probes.
     pub probe_every: u64,
 }
 
-/// A broken invariant, and the choices that led to it.
+/// A violated invariant and the choices that led to it.
 #[derive(Clone, Debug)]
 pub struct Finding {
     pub violation: String,
     pub path: Vec<Choice>,
 }
 
+/// Result of an exhaustive search.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// States reached, with those reached again.
+    /// Number of states reached, including repeated visits.
     pub explored: u64,
+    /// Number of different states reached.
     pub distinct: u64,
+    /// Number of states from which a probe was run.
     pub probed: u64,
+    /// Largest number of choices taken from the start.
     pub deepest: usize,
-    /// Whether every choice to the depth was taken.
+    /// Whether every choice within the depth limit was explored.
     pub complete: bool,
+    /// Duration of the search.
     pub seconds: f64,
     pub finding: Option<Finding>,
 }
 
 struct Search<'a> {
     limits: &'a Limits,
-    /// The least depth at which each state was reached.
+    /// Smallest depth at which each state, identified by its digest, was reached.
     visited: HashMap<u64, usize>,
     path: Vec<Choice>,
     report: Report,
     started: Instant,
 }
 
-/// Takes every choice from a state, to the depth of the limits.
+/// Explores every sequence of choices from a state within the limits.
 pub fn explore(start: &World, limits: &Limits) -> Report {
     let started = Instant::now();
     let mut search = Search { limits, visited: HashMap::new(), path: Vec::new(), report: Report::default(), started };
@@ -103,14 +111,14 @@
     }
 }
 
-/// One random walk of so many choices, with a look ahead at its end.
+/// Runs a random walk of `length` choices and a probe at its end.
 pub fn walk(start: &World, seed: u64, length: usize) -> Option<Finding> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let picks: Vec<u16> = (0..length).map(|_| random.random()).collect();
     replay(start, &picks)
 }
 
-/// Takes the choice that each number points at, with a look ahead at the end.
+/// Takes for each pick the choice at that index, modulo the number of choices, and probes at the end.
 pub fn replay(start: &World, picks: &[u16]) -> Option<Finding> {
     let mut world = start.clone();
     let mut path = Vec::new();
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -1,5 +1,6 @@
 //! The modelled cluster: machines with a process and a disk each, and the messages between them.
 
+use crate::budget::Budget;
 use crate::faults::PlantedFault;
 use crate::history::History;
 use chain::{Batch, ChainReplica, Change, Effect, Input, Output, State, StoredReplica, Timing};
@@ -8,56 +9,49 @@
 use std::time::Duration;
 use wire::{ChainMessage, NodeAddress, NodeId, ProposalId, View, to_bytes};
 
-/// How many of each kind of event a run may still have.
-#[derive(Clone, Debug, Hash)]
-pub struct Budget {
-    pub entries: u32,
-    pub confirms: u32,
-    pub crashes: u32,
-    pub wipes: u32,
-    pub drops: u32,
-    pub silences: u32,
-    pub passes: u32,
-    pub leaves: u32,
-    pub joins: u32,
-}
-
-/// A machine: an address, the process that runs there now, and its disk.
+/// A machine: an address, the process that runs there, if any, and its disk.
 #[derive(Clone)]
 pub struct Machine {
     pub id: NodeId,
     pub member: Option<ChainReplica>,
     pub disk: StoredReplica,
-    /// Writes handed to the disk that are not yet synced.
+    /// Writes handed to the disk but not yet synced, oldest first.
     pub pending: Vec<(u64, Batch)>,
-    /// How often its disk was lost, and its process started.
+    /// Number of times the disk was lost.
     pub wipes: u64,
+    /// Number of times the process was started.
     pub starts: u64,
-    /// Had a fault, and has not been back in the chain since.
+    /// Whether the machine had a fault and has not been back in the chain since.
     pub is_faulty: bool,
-    /// Was in the chain at least once.
+    /// Whether the machine was in the chain at least once.
     pub was_in_chain: bool,
+    /// Whether the process was told to leave the chain.
     pub leaving: bool,
-    /// Stopped for good, its place taken by the machine started as its successor, if any.
+    /// Whether the machine is permanently stopped and replaced by its successor.
     pub removed: bool,
+    /// Index of the machine that was started to replace this one.
     pub successor: Option<usize>,
-    /// When it ended, its member had no more to do.
+    /// Whether the process ended after its member had completed the leave.
     pub left_cleanly: bool,
+    /// Whether the machine may form the first view.
     pub is_founder: bool,
 }
 
+/// State of the modelled cluster.
 #[derive(Clone)]
 pub struct World {
     pub machines: Vec<Machine>,
-    /// Messages under way, by sender and receiver, in the order sent.
+    /// Messages in flight, by sender and receiver, in the order sent.
     pub frames: BTreeMap<(NodeId, NodeId), Vec<ChainMessage>>,
     pub now: Duration,
+    /// Number of machines that the cluster is declared to tolerate losing.
     pub losses: usize,
     pub budget: Budget,
     pub history: History,
     pub planted_fault: PlantedFault,
-    /// Heartbeats arrive at once while time passes.
+    /// Whether the clocks are advancing; heartbeats are delivered at once meanwhile.
     pub(crate) advancing: bool,
+    /// The frozen or cut-off machine while the clocks advance.
     pub(crate) isolated: Option<usize>,
     pub(crate) next_operation: u64,
 }
@@ -72,6 +66,7 @@
 }
 
 impl World {
+    /// Returns a cluster without machines.
     pub fn new(losses: usize, budget: Budget, planted_fault: PlantedFault) -> World {
         World {
             machines: Vec::new(),
@@ -87,6 +82,7 @@
         }
     }
 
+    /// Adds a machine with an empty disk, starts its process and returns its index.
     pub fn add_machine(&mut self, is_founder: bool) -> usize {
         self.machines.push(Machine {
             id: 0,
@@ -108,7 +104,7 @@
         index
     }
 
-    /// Starts the process of a machine on whatever its disk holds.
+    /// Starts the process of a machine from the contents of its disk.
     pub fn start(&mut self, index: usize) {
         let machine = &mut self.machines[index];
         machine.id = index as NodeId + 1 + machine.wipes * 10;
@@ -123,8 +119,8 @@
         machine.member = Some(member.with_first_round(machine.starts << 20));
     }
 
-    /// The process ends; what was not synced is gone. Messages on their way to it may still reach the
-    /// next process.
+    /// Stops the process of a machine and discards its unsynced writes. Messages in flight to it may still
+    /// reach the next process on this machine.
     pub fn stop(&mut self, index: usize) {
         self.machines[index].member = None;
         self.machines[index].pending.clear();
@@ -133,6 +129,7 @@
         self.history.confirmation_requests.retain(|(requester, _), _| *requester != id);
     }
 
+    /// Passes an input to the member on a machine and executes the outputs.
     pub fn handle_input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let Some(member) = self.machines[index].member.as_mut() else { return };
@@ -172,7 +169,7 @@
         }
     }
 
-    /// A message goes to an address: whichever process runs there now gets it.
+    /// Delivers a message to whichever process now runs at the address of the receiver.
     pub fn deliver(&mut self, from: NodeId, to: NodeId, message: ChainMessage) {
         let (sender, receiver) = (machine_index(from), machine_index(to));
         if self.advancing && (self.isolated == Some(sender) || self.isolated == Some(receiver)) {
@@ -181,7 +178,7 @@
         self.handle_input(receiver, Input::Message { from, message });
     }
 
-    /// The oldest write of a machine is synced and reported.
+    /// Syncs the oldest pending write of a machine and reports it to the member.
     pub fn complete_write(&mut self, index: usize) {
         if self.machines[index].pending.is_empty() {
             return;
@@ -191,12 +188,14 @@
         self.handle_input(index, Input::Written { ticket });
     }
 
+    /// Proposes a new change at a machine.
     pub fn propose(&mut self, index: usize) {
         self.next_operation += 1;
         let op = ProposalId { origin: self.machines[index].id, number: self.next_operation };
         self.handle_input(index, Input::Propose { op, body: op.number.to_string().into_bytes() });
     }
 
+    /// Requests a read confirmation from the member on a machine.
     pub fn confirm(&mut self, index: usize) {
         let Some(member) = self.machines[index].member.as_mut() else { return };
         let round = member.request_confirmation();
@@ -205,16 +204,17 @@
         self.handle_input(index, Input::Confirm);
     }
 
-    /// Whether the member says that a planned stop may end now.
+    /// Returns whether the member reports that its planned stop may complete.
     pub(crate) fn may_stop(&self, index: usize) -> bool {
         self.machines[index].member.as_ref().is_some_and(|member| member.may_stop())
     }
 
-    /// The newest view that any member learnt to be decided.
+    /// Returns the newest view that any member knows to be decided.
     pub fn newest_view(&self) -> Option<&View> {
         self.history.decided.values().next_back()
     }
 
+    /// Returns a hash of the whole state, with which a search recognizes visited states.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         for machine in &self.machines {
@@ -242,7 +242,7 @@
     }
 }
 
-/// Which machine an identity was given to: a wiped one starts with a new identity.
+/// Returns the index of the machine to which a node id was given. A wiped machine starts with a new id.
 pub fn machine_index(id: NodeId) -> usize {
     ((id - 1) % 10) as usize
 }
--- a/crates/explore/tests/searches.rs
+++ b/crates/explore/tests/searches.rs
@@ -1,5 +1,5 @@
-//! Short searches of the modelled cluster, and that they find each planted fault. Longer ones are
-//! behind the flags of `explore`.
+//! Short searches of the modelled cluster find no violation and detect each planted fault. The `explore`
+//! program runs longer searches.
 
 use explore::{Budget, Limits, PlantedFault, Report, Scenario, explore, replay, walk};
 use proptest::prelude::*;
@@ -29,7 +29,7 @@
         let report = search(scenario, PlantedFault::None, depth);
         println!("{scenario:?}: {} states, {} distinct", report.explored, report.distinct);
         assert!(report.complete && report.finding.is_none(), "{scenario:?}: {:?}", report.finding);
-        assert!(report.distinct < report.explored, "states that were visited are skipped");
+        assert!(report.distinct < report.explored, "visited states are explored again");
     }
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// The same sequences each time; another seed takes others.
+/// Fixes the seed, so that every run tries the same sequences.
 fn seeded_config() -> ProptestConfig {
     ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(SEED), ..ProptestConfig::default() }
 }
@@ -86,8 +86,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 16, ..seeded_config() })]
 
-    /// Each number picks one of the choices of its state; a failing sequence shrinks. On failure proptest
-    /// prints the shortest sequence that it found.
+    /// Each number picks one of the choices of the current state. On failure proptest shrinks the sequence
+    /// and prints the shortest one it found.
     #[test]
     fn random_choice_sequences_find_no_violation(
         scenario in scenarios(),
