--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -5,5 +5,5 @@
 mod linearizable;
 mod recovery;
 
-pub use linearizable::{Anomaly, Invocation, Read, Response, anomalies};
-pub use recovery::{Low, Recovery, recovery};
+pub use linearizable::{Anomaly, Invocation, Read, Response, find_anomalies};
+pub use recovery::{LowSecond, Recovery, check_recovery};
--- a/crates/loadgen/src/check.rs
+++ b/crates/loadgen/src/check.rs
@@ -50,8 +50,9 @@
     if let Some(path) = &order.spans {
         let spans: Vec<Span> = read(path)?;
         let recovery = spans::recovery(&attempts, &spans);
-        let low = recovery.low.iter().map(|low| format!("second {}: {} of {}", low.second, low.served, low.level));
-        println!("recovery: {} seconds judged", recovery.judged);
+        let low =
+            recovery.low_seconds.iter().map(|low| format!("second {}: {} of {}", low.second, low.served, low.baseline));
+        println!("recovery: {} seconds judged", recovery.judged_seconds);
         add(&mut broken, "below a quarter of the level before, 12 s after the return", &low.collect::<Vec<_>>());
         let (calm, cut, refused) = spans::planned(&attempts, &spans);
         println!("planned stretches: {calm} attempts");
--- a/crates/loadgen/src/fresh.rs
+++ b/crates/loadgen/src/fresh.rs
@@ -5,7 +5,7 @@
 
 use crate::rules::Run;
 use crate::tally::Attempt;
-use checker::{Invocation, Response, anomalies};
+use checker::{Invocation, Response, find_anomalies};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -40,13 +40,13 @@
     /// The change as an order of its own: each is sent once.
     fn invocation(&self) -> Invocation {
         Invocation {
-            order: format!("{} asked at {}", self.service, self.asked),
+            change: format!("{} asked at {}", self.service, self.asked),
             base: (self.base > 0).then_some(self.base),
             is_valid: true,
             sent: Duration::from_millis(self.asked),
             ended: Duration::from_millis(self.told),
             response: match self.status {
-                200 => Response::Taken { revision: self.revision },
+                200 => Response::Acknowledged { revision: self.revision },
                 412 => Response::Stale,
                 400..=499 => Response::Invalid,
                 _ => Response::Unknown,
@@ -100,7 +100,7 @@
         slipped: told(&newest),
         refused,
         racers: racers.map(|(base, count)| format!("{count} changes on revision {base}")).collect(),
-        anomalies: anomalies(&history, &[]).iter().map(|anomaly| format!("{anomaly:?}")).collect(),
+        anomalies: find_anomalies(&history, &[]).iter().map(|anomaly| format!("{anomaly:?}")).collect(),
     }
 }
 
--- a/crates/loadgen/src/spans.rs
+++ b/crates/loadgen/src/spans.rs
@@ -31,7 +31,7 @@
     let good: Vec<Duration> = attempts.iter().filter(|a| is_good(a)).map(|a| since(a.at + a.took)).collect();
     let faults: Vec<(Duration, Duration)> =
         spans.iter().filter(|span| !span.planned).map(|span| (since(span.from), since(span.to))).collect();
-    checker::recovery(&good, &faults, Duration::from_secs(5), since(last))
+    checker::check_recovery(&good, &faults, Duration::from_secs(5), since(last))
 }
 
 /// Attempts in stretches without a failure or its aftermath that were cut, unanswered, or refused
@@ -69,9 +69,9 @@
     #[test]
     fn service_that_stays_low_and_work_cut_in_a_planned_stretch_are_seen() {
         let late = attempts(10..30);
-        assert_eq!(recovery(&late, &[span(10, 12, false)]).low.len(), 6, "seconds 24 to 29");
-        assert!(recovery(&late, &[span(10, 18, false)]).low.is_empty());
-        assert!(recovery(&attempts(0..0), &[span(10, 12, false)]).judged > 30);
+        assert_eq!(recovery(&late, &[span(10, 12, false)]).low_seconds.len(), 6, "seconds 24 to 29");
+        assert!(recovery(&late, &[span(10, 18, false)]).low_seconds.is_empty());
+        assert!(recovery(&attempts(0..0), &[span(10, 12, false)]).judged_seconds > 30);
         assert_eq!(planned(&late, &[span(10, 12, true)]).1.len(), 200, "planned stops excuse nothing");
         assert!(planned(&late, &[span(10, 12, false)]).1.is_empty(), "the aftermath of a failure does");
         let mut refused = attempts(0..0);
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -56,7 +56,7 @@
     pub fn record(&mut self, now: Duration, asked: &Asked, response: Response) {
         let order = asked.mark.clone();
         let (base, is_valid, sent, ended) = (asked.base, !asked.invalid, asked.sent, now);
-        self.history.push(Invocation { order, base, is_valid, sent, ended, response });
+        self.history.push(Invocation { change: order, base, is_valid, sent, ended, response });
     }
 }
 
@@ -141,7 +141,7 @@
         let Some(asked) = self.operators.open.remove(&(n, request_id)) else { return };
         let now = self.now;
         let response = match reply.status {
-            200 => Response::Taken { revision: reply.revision.unwrap_or_default() },
+            200 => Response::Acknowledged { revision: reply.revision.unwrap_or_default() },
             412 => Response::Stale,
             400..=499 => Response::Invalid,
             _ => Response::Unknown,
--- a/crates/sim/src/resending.rs
+++ b/crates/sim/src/resending.rs
@@ -5,7 +5,7 @@
 use crate::declared::mark_line;
 use crate::operators::Asked;
 use crate::world::{Event, World};
-use checker::{Response, anomalies};
+use checker::{Response, find_anomalies};
 use control::{ApiCall, CoreInput};
 use rand::RngExt;
 use std::time::Duration;
@@ -111,7 +111,7 @@
     /// for good.
     pub fn check_orders(&mut self) {
         let now = self.now;
-        for anomaly in anomalies(&self.operators.history, &[]) {
+        for anomaly in find_anomalies(&self.operators.history, &[]) {
             self.rules.tell(now, format!("not linearizable: {anomaly:?}"));
         }
         let newest = self
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -147,13 +147,13 @@
     /// Service must be above a quarter of its earlier level in every second that lies more than 12 s
     /// after all machines returned and before anything fails anew. Says what was judged.
     pub fn recovered(&mut self, from: Duration, until: Duration) -> usize {
-        let recovery = checker::recovery(&self.good, &self.faults, from, until);
-        for low in &recovery.low {
-            let (served, second, level) = (low.served, low.second, low.level);
+        let recovery = checker::check_recovery(&self.good, &self.faults, from, until);
+        for low in &recovery.low_seconds {
+            let (served, second, level) = (low.served, low.second, low.baseline);
             let told = format!("{served} tasks served in second {second}, {level} a second before anything failed");
             self.tell(until, told);
         }
-        recovery.judged
+        recovery.judged_seconds
     }
 
     pub fn acknowledged(&mut self, now: Duration, revision: u64) {
