--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -1,4 +1,4 @@
-//! Judgements that the simulator and the checker of process runs share.
+//! Checks shared by the simulator and the load generator: linearizability of changes, and recovery of service.
 
 #![warn(missing_docs)]
 
--- a/crates/checker/src/linearizable.rs
+++ b/crates/checker/src/linearizable.rs
@@ -1,94 +1,95 @@
-//! Whether a history of operators' changes is linearizable as a compare-and-set register: the configuration
-//! has one revision at a time; an order names the revision it builds on and makes another. Orders are told
-//! apart by what they are, so one that is sent again is the same change under a further invocation.
+//! Checks that a history of operators' changes is linearizable as a compare-and-set register: the configuration
+//! has one revision at a time; a change names the revision it builds on and creates another. Changes are
+//! identified by their content, so a change that is sent again is the same change in a further invocation.
 //!
-//! The register admits a direct check instead of a search. Every order that was taken names its parent, so
-//! all that took effect form one chain of revisions from the first; the order of the chain is the only
-//! linearization. It is then held against real time: no response may come before its effect, and no
+//! This register allows a direct check instead of a search. Every acknowledged change names its parent, so
+//! all changes that took effect form one chain of revisions from the first; the sequence of the chain is the
+//! only linearization. It is then compared with real time: no response may come before its effect, and no
 //! invocation may follow an effect that it must have preceded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What one invocation was answered.
+/// Response to one invocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// Acknowledged under this revision.
+    /// Acknowledged as a new revision.
     Acknowledged {
-        /// What became current by it.
+        /// Revision that the change created.
         revision: u64,
     },
     /// Refused because another revision is current.
     Stale,
-    /// Refused for what it says.
+    /// Refused because the content of the change is invalid.
     Invalid,
-    /// Nothing that tells what became of it.
+    /// No response that tells whether the change took effect.
     Unknown,
 }
 
-/// One sending of an order to one registry.
+/// One request with a change to one registry.
 #[derive(Clone, Debug)]
 pub struct Invocation {
-    /// What tells one order from another, the same each time it is sent.
+    /// Identity of the change, the same each time it is sent.
     pub change: String,
-    /// The revision it builds on, or none for whatever is current.
+    /// Revision that the change builds on; `None` for the current one, whichever it is.
     pub base: Option<u64>,
-    /// Whether what it says may be taken at all.
+    /// Whether the content of the change is valid.
     pub is_valid: bool,
-    /// When it was sent.
+    /// Time when the request was sent.
     pub sent: Duration,
-    /// When it was answered, or given up as unknown.
+    /// Time when it was answered, or given up as unknown.
     pub ended: Duration,
-    /// What came back.
+    /// Response that was received.
     pub response: Response,
 }
 
 /// One read of the configuration.
 #[derive(Clone, Debug)]
 pub struct Read {
-    /// When it was asked for.
+    /// Time when the read was requested.
     pub sent: Duration,
-    /// When it was answered.
+    /// Time when the read was answered.
     pub ended: Duration,
-    /// The revision that was read.
+    /// Revision that was read.
     pub revision: u64,
-    /// The order that made what was read, where that can be told.
+    /// Change that created the content that was read, if it can be identified.
     pub change: Option<String>,
 }
 
-/// What no compare-and-set register could have done.
+/// Behaviour that is impossible for a compare-and-set register.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[allow(missing_docs, reason = "each variant's own comment names what its fields are")]
+#[allow(missing_docs, reason = "the comment of each variant explains its fields")]
 pub enum Anomaly {
     /// Two changes were acknowledged on top of one revision.
     TwoChangesOnOneBase { base: u64, changes: [String; 2] },
     /// Two changes were acknowledged as one revision.
     RevisionReused { revision: u64, changes: [String; 2] },
-    /// One order was acknowledged as two revisions.
+    /// One change was acknowledged as two revisions.
     AppliedTwice { change: String, revisions: [u64; 2] },
-    /// An order was refused after it had been acknowledged, or in spite of it.
+    /// A change was refused although it had been acknowledged before.
     RefusedAfterAcknowledgement { change: String },
-    /// An order was refused as stale though the revision it builds on was current from before it was sent
+    /// A change was refused as stale though the revision it builds on was current from before it was sent
     /// until after it was refused.
     RefusedThoughBaseCurrent { change: String, base: u64 },
-    /// An order that says something invalid was acknowledged.
+    /// A change with invalid content was acknowledged.
     InvalidAcknowledged { change: String },
-    /// A revision was acknowledged that isn't newer than one acknowledged before the order was sent.
+    /// A revision was acknowledged that isn't newer than one acknowledged before the change was sent.
     RevisionWentBack { change: String, revision: u64, newer: u64 },
-    /// A read was older than what had been acknowledged or read before it began.
+    /// A read returned an older revision than one acknowledged or read before the read began.
     StaleRead { read: u64, known: u64 },
-    /// What was read under a revision isn't what was acknowledged as that, or was refused.
+    /// The change read under a revision isn't the one acknowledged as that revision, or was refused.
     LostUpdate { revision: u64, read: String },
 }
 
-/// The effects that are known: each order that was acknowledged, its revision, and the time it was first.
+/// Known effects: acknowledged changes with their first revision, the first change of each revision, and the
+/// time of each acknowledgement.
 struct Effects<'a> {
     by_change: BTreeMap<&'a str, u64>,
     by_revision: BTreeMap<u64, &'a str>,
     acknowledged: Vec<(Duration, u64)>,
 }
 
-/// Everything in the history that a compare-and-set register with unknown outcomes could not have done.
+/// Returns everything in the history that a compare-and-set register with unknown outcomes could not have done.
 pub fn find_anomalies(invocations: &[Invocation], reads: &[Read]) -> Vec<Anomaly> {
     let mut anomalies = Vec::new();
     let effects = collect_effects(invocations, &mut anomalies);
@@ -157,8 +158,8 @@
     }
 }
 
-/// Whether the revision was surely current during the whole of an invocation: it was known before, and
-/// nothing that could have followed it was sent by then, but for the change itself.
+/// Returns whether the revision was certainly current during the whole invocation: it was acknowledged before,
+/// and apart from the change itself no change that could have replaced it was sent before the response.
 fn was_current_throughout(base: u64, refused: &Invocation, invocations: &[Invocation], effects: &Effects) -> bool {
     let known = effects.acknowledged.iter().any(|(at, revision)| *revision == base && *at <= refused.sent);
     let may_follow = |other: &Invocation| {
@@ -204,7 +205,7 @@
         .filter(|invocation| invocation.change == *change)
         .map(|invocation| matches!(invocation.response, Response::Stale | Response::Invalid))
         .collect();
-    // It can have taken effect if one of its sendings was acknowledged or isn't known to be refused.
+    // The change can have taken effect if one of its invocations was acknowledged or isn't known to be refused.
     if owner.is_some_and(|owner| owner != change) || !was_refused.contains(&false) {
         anomalies.push(Anomaly::LostUpdate { revision: read.revision, read: change.clone() });
     }
--- a/crates/checker/src/recovery.rs
+++ b/crates/checker/src/recovery.rs
@@ -1,32 +1,33 @@
-//! Whether service came back: in every second that lies more than 12 s after all machines returned
-//! and before anything fails anew, it must be at a quarter of the baseline before the first fault.
+//! Checks that service recovers: in every second that is more than 12 s after all machines returned and
+//! before the next fault, it must reach a quarter of the baseline before the first fault.
 
 use std::time::Duration;
 
-/// How long service may take to return.
+/// Maximum time until service must have recovered.
 const RECOVERY_TIME: Duration = Duration::from_secs(12);
 
-/// A second in which too little was served.
+/// A second with too few successful answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LowSecond {
-    /// Seconds since the run's beginning.
+    /// Seconds since the start of the run.
     pub second: u64,
-    /// Good answers in this second.
+    /// Number of successful answers in this second.
     pub served: u32,
-    /// Mean of good answers a second before the first fault.
+    /// Mean number of successful answers per second before the first fault.
     pub baseline: u32,
 }
 
-/// What the check came to.
+/// Result of the check.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// How many seconds were calm enough to be held to the baseline.
+    /// Number of seconds far enough from any fault to be compared with the baseline.
     pub judged_seconds: usize,
-    /// Those that fell short of it.
+    /// Compared seconds with less than a quarter of the baseline.
     pub low_seconds: Vec<LowSecond>,
 }
 
-/// `good` are the moments of good answers, `faults` the spans in which something failed.
+/// Compares the seconds between `from` and `until` with the baseline. `good` holds the times of successful
+/// answers, `faults` the time spans in which something failed.
 pub fn check_recovery(good: &[Duration], faults: &[(Duration, Duration)], from: Duration, until: Duration) -> Recovery {
     let mut served_per_second = vec![0u32; until.as_secs() as usize + 1];
     for at in good.iter().filter(|at| **at < until) {
@@ -67,6 +68,6 @@
         assert_eq!(check(&[(8, 10)]).low_seconds, [22, 23].map(|second| LowSecond { second, served: 0, baseline: 10 }));
         assert_eq!(check(&[(8, 12)]), Recovery { judged_seconds: 36, low_seconds: Vec::new() });
         assert_eq!(check(&[(8, 10), (20, 30)]), Recovery { judged_seconds: 18, low_seconds: Vec::new() });
-        assert_eq!(check(&[(8, u64::MAX)]).judged_seconds, 0, "what never returns is never judged");
+        assert_eq!(check(&[(8, u64::MAX)]).judged_seconds, 0, "a fault that never ends leaves no second to compare");
     }
 }
--- a/crates/checker/tests/linearizable.rs
+++ b/crates/checker/tests/linearizable.rs
@@ -1,4 +1,4 @@
-//! The checker of operators' histories passes what is right and finds each fault planted for it.
+//! The linearizability check accepts a correct history and reports each anomaly planted in one.
 
 use checker::{Anomaly, Invocation, Read, Response, find_anomalies};
 use std::time::Duration;
@@ -20,7 +20,7 @@
     Read { sent: ms(from), ended: ms(to), revision, change: Some(change.to_owned()) }
 }
 
-/// Three revisions, a race, a lost answer with its second sending, and an order nobody knows about.
+/// Three revisions, a race, a lost answer whose change is sent again, and a change with an unknown outcome.
 fn valid_history() -> Vec<Invocation> {
     vec![
         acknowledged("a", 0, 0, 10, 1),
@@ -48,7 +48,7 @@
 #[test]
 fn stale_refusal_is_accepted_if_an_unknown_change_may_have_been_first() {
     let later = invocation("f", 6, 2400, 2410, Response::Stale);
-    assert_eq!(anomalies_with(later), [], "what became of e isn't known");
+    assert_eq!(anomalies_with(later), [], "the outcome of e is unknown");
 }
 
 #[test]
@@ -104,5 +104,5 @@
     assert_eq!(found(&[read(60, 70, 6, "d"), read(80, 90, 5, "b")]), [Anomaly::StaleRead { read: 5, known: 6 }]);
     let lost = |revision, change: &str| [Anomaly::LostUpdate { revision, read: change.into() }];
     assert_eq!(found(&[read(1160, 1170, 6, "b")]), lost(6, "b"));
-    assert_eq!(found(&[read(2400, 2410, 7, "c")]), lost(7, "c"), "a refused order took effect");
+    assert_eq!(found(&[read(2400, 2410, 7, "c")]), lost(7, "c"), "a refused change took effect");
 }
