--- a/crates/fleet/src/line.rs
+++ b/crates/fleet/src/command_line.rs
@@ -1,6 +1,6 @@
 //! The command line of the fleet runner.
 
-use crate::faults::{Timed, parse_faults};
+use crate::faults::{ScheduledFault, parse_faults};
 use config::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
@@ -33,15 +33,15 @@
   --refusals N       most own refusals let pass in all [a handful where nothing fails]";
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum Mode {
     Up,
     Prove,
     Soak,
     Smoke,
 }
 
-pub struct Order {
-    pub what: What,
+pub struct Options {
+    pub mode: Mode,
     pub deployment: PathBuf,
     pub folder: PathBuf,
     pub programs: PathBuf,
@@ -52,19 +52,20 @@
     pub seed: u64,
     pub factor: f64,
     pub crowds: Vec<String>,
-    pub faults: Vec<Timed>,
+    pub faults: Vec<ScheduledFault>,
     pub refusals: Option<usize>,
     pub turns: f64,
-    pub other: Option<PathBuf>,
+    pub other_programs: Option<PathBuf>,
 }
 
-pub fn parse(line: lexopt::Parser) -> Result<Option<Order>, String> {
-    let beside = std::env::current_exe().ok().and_then(|path| path.parent().map(PathBuf::from)).unwrap_or_default();
-    let mut order = Order {
-        what: What::Up,
+pub fn parse(parser: lexopt::Parser) -> Result<Option<Options>, String> {
+    let program_folder =
+        std::env::current_exe().ok().and_then(|path| path.parent().map(PathBuf::from)).unwrap_or_default();
+    let mut options = Options {
+        mode: Mode::Up,
         deployment: PathBuf::new(),
         folder: "run".into(),
-        programs: beside,
+        programs: program_folder,
         routers: None,
         plans: true,
         tuning: true,
@@ -75,11 +76,11 @@
         faults: Vec::new(),
         refusals: None,
         turns: 3.0,
-        other: None,
+        other_programs: None,
     };
-    let mut what = String::new();
-    let mut line = ToolLine::new(line, &["no-tuning", "no-plans"]);
-    while let Some(argument) = line.next_argument()? {
+    let mut command = String::new();
+    let mut parser = ToolLine::new(parser, &["no-tuning", "no-plans"]);
+    while let Some(argument) = parser.next_argument()? {
         let (name, value) = match argument {
             ToolArgument::Help => {
                 println!("{HELP}");
@@ -90,39 +91,39 @@
                 return Ok(None);
             }
             ToolArgument::Command(word) => {
-                what = word;
+                command = word;
                 continue;
             }
             ToolArgument::Switch(name) => {
-                order.tuning &= name != "no-tuning";
-                order.plans &= name != "no-plans";
+                options.tuning &= name != "no-tuning";
+                options.plans &= name != "no-plans";
                 continue;
             }
             ToolArgument::Option { name, value } => (name, value),
         };
-        let wrong = |_| format!("--{name} {value}: allowed is a number");
+        let not_a_number = |_| format!("--{name} {value}: allowed is a number");
         match name.as_str() {
-            "deployment" => order.deployment = value.into(),
-            "folder" => order.folder = value.into(),
-            "programs" => order.programs = value.into(),
-            "routers" => order.routers = Some(value.parse().map_err(wrong)?),
-            "seconds" => order.seconds = value.parse().map_err(wrong)?,
-            "seed" => order.seed = value.parse().map_err(wrong)?,
-            "factor" => order.factor = value.parse().map_err(|_| format!("--factor {value}: allowed is a number"))?,
-            "crowd" => order.crowds.push(value),
-            "turns" => order.turns = value.parse().map_err(|_| format!("--turns {value}: allowed is a number"))?,
-            "other" => order.other = Some(value.into()),
-            "fault" => order.faults.extend(parse_faults(&value)?),
-            "refusals" => order.refusals = Some(value.parse().map_err(wrong)?),
+            "deployment" => options.deployment = value.into(),
+            "folder" => options.folder = value.into(),
+            "programs" => options.programs = value.into(),
+            "routers" => options.routers = Some(value.parse().map_err(not_a_number)?),
+            "seconds" => options.seconds = value.parse().map_err(not_a_number)?,
+            "seed" => options.seed = value.parse().map_err(not_a_number)?,
+            "factor" => options.factor = value.parse().map_err(|_| format!("--factor {value}: allowed is a number"))?,
+            "crowd" => options.crowds.push(value),
+            "turns" => options.turns = value.parse().map_err(|_| format!("--turns {value}: allowed is a number"))?,
+            "other" => options.other_programs = Some(value.into()),
+            "fault" => options.faults.extend(parse_faults(&value)?),
+            "refusals" => options.refusals = Some(value.parse().map_err(not_a_number)?),
             _ => return Err(format!("no flag --{name}; see --help")),
         }
     }
-    order.what = match what.as_str() {
-        "up" => What::Up,
-        "prove" => What::Prove,
-        "soak" => What::Soak,
-        "smoke" => What::Smoke,
+    options.mode = match command.as_str() {
+        "up" => Mode::Up,
+        "prove" => Mode::Prove,
+        "soak" => Mode::Soak,
+        "smoke" => Mode::Smoke,
         _ => return Err("say up, prove, soak or smoke; see --help".into()),
     };
-    Ok(Some(order))
+    Ok(Some(options))
 }
--- a/crates/fleet/src/drawing.rs
+++ b/crates/fleet/src/configure.rs
@@ -1,9 +1,9 @@
 //! Drawing a fleet up: which nodes there are, where each listens and what it is told.
 
+use crate::command_line::{Mode, Options};
 use crate::deployment::Deployment;
-use crate::line::{Order, What};
-use crate::ports::take_ports;
-use crate::processes::{Fleet, Node, TOKEN};
+use crate::ports::reserve_ports;
+use crate::processes::{Fleet, Node, OPERATOR_TOKEN};
 use crate::relay::Relays;
 use std::collections::BTreeSet;
 
@@ -11,25 +11,25 @@
 const PEER_HOLD: &str = "10s";
 
 impl Fleet {
-    pub fn draw_up(order: &Order, deployment: &Deployment) -> Result<Fleet, String> {
-        let folder = order.folder.clone();
-        std::fs::create_dir_all(folder.join("logs")).map_err(|fault| format!("{}: {fault}", folder.display()))?;
-        let count = order.routers.unwrap_or(deployment.routers);
-        let free = take_ports(&folder, 1 + 3 * 3 + count * 4)?;
+    pub fn configure(options: &Options, deployment: &Deployment) -> Result<Fleet, String> {
+        let folder = options.folder.clone();
+        std::fs::create_dir_all(folder.join("logs")).map_err(|error| format!("{}: {error}", folder.display()))?;
+        let count = options.routers.unwrap_or(deployment.routers);
+        let free = reserve_ports(&folder, 1 + 3 * 3 + count * 4)?;
         let mut free = free.into_iter();
         let mut port = || free.next().unwrap_or_default();
-        let words = |list: &[&str]| list.iter().map(|word| (*word).to_owned()).collect::<Vec<String>>();
-        let platform = port();
+        let to_strings = |list: &[&str]| list.iter().map(|word| (*word).to_owned()).collect::<Vec<String>>();
+        let emulator_address = port();
         let emulator = Node {
             name: "platform-emulator".into(),
             program: "platform-emulator",
-            peer: platform.clone(),
-            bind: String::new(),
-            door: String::new(),
-            ops: platform.clone(),
-            arguments: words(&[
+            peer_address: emulator_address.clone(),
+            bind_address: String::new(),
+            client_address: String::new(),
+            ops_address: emulator_address.clone(),
+            arguments: to_strings(&[
                 "--address",
-                &platform,
+                &emulator_address,
                 "--services",
                 &deployment.services.display().to_string(),
                 "--record",
@@ -39,30 +39,30 @@
                 "--memory-mb",
                 &deployment.memory_mb.to_string(),
                 "--seed",
-                &order.seed.to_string(),
+                &options.seed.to_string(),
             ]),
-            data: None,
+            data_folder: None,
         };
-        let seats: Vec<(String, String, String)> = (0..3).map(|_| (port(), port(), port())).collect();
-        let seeds = seats.iter().map(|(peer, ..)| peer.clone()).collect::<Vec<_>>().join(",");
+        let registry_addresses: Vec<(String, String, String)> = (0..3).map(|_| (port(), port(), port())).collect();
+        let seeds = registry_addresses.iter().map(|(peer, ..)| peer.clone()).collect::<Vec<_>>().join(",");
         let zone = |n: usize| deployment.zones[n % deployment.zones.len().max(1)].clone();
         let tokens = folder.join("tokens");
         std::fs::write(
             &tokens,
-            format!("# of a fleet on one machine\n*={TOKEN}\npixelkrov=tenant-token-of-pixelkrov\n"),
+            format!("# of a fleet on one machine\n*={OPERATOR_TOKEN}\npixelkrov=tenant-token-of-pixelkrov\n"),
         )
-        .map_err(|fault| format!("{}: {fault}", tokens.display()))?;
+        .map_err(|error| format!("{}: {error}", tokens.display()))?;
         let tokens = tokens.display().to_string();
-        let registries = seats.iter().enumerate().map(|(n, (peer, api, bind))| {
+        let registries = registry_addresses.iter().enumerate().map(|(n, (peer, api, bind))| {
             let data = folder.join(format!("registry-{n}"));
             Node {
                 name: format!("registry-{n}"),
                 program: "registry",
-                peer: peer.clone(),
-                bind: bind.clone(),
-                door: api.clone(),
-                ops: api.clone(),
-                arguments: words(&[
+                peer_address: peer.clone(),
+                bind_address: bind.clone(),
+                client_address: api.clone(),
+                ops_address: api.clone(),
+                arguments: to_strings(&[
                     "--cluster",
                     &deployment.cluster,
                     "--zone",
@@ -82,20 +82,20 @@
                     "--peer-hold",
                     PEER_HOLD,
                     "--plans",
-                    &order.plans.to_string(),
+                    &options.plans.to_string(),
                     "--tuning",
-                    &order.tuning.to_string(),
+                    &options.tuning.to_string(),
                 ]),
-                data: Some(data),
+                data_folder: Some(data),
             }
         });
         let registries: Vec<Node> = registries.collect();
         let routers = (0..count).map(|n| {
-            let (peer, door, ops, bind) = (port(), port(), port(), port());
+            let (peer, client_address, ops_address, bind) = (port(), port(), port(), port());
             Node {
                 name: format!("router-{n}"),
                 program: "router",
-                arguments: words(&[
+                arguments: to_strings(&[
                     "--cluster",
                     &deployment.cluster,
                     "--zone",
@@ -105,29 +105,29 @@
                     "--bind",
                     &bind,
                     "--listen",
-                    &door,
+                    &client_address,
                     "--ops",
-                    &ops,
+                    &ops_address,
                     "--seeds",
                     &seeds,
                     "--platform",
-                    &platform,
+                    &emulator_address,
                     "--tokens-file",
                     &tokens,
                     "--peer-hold",
                     PEER_HOLD,
                 ]),
-                peer,
-                bind,
-                door,
-                ops,
-                data: None,
+                peer_address: peer,
+                bind_address: bind,
+                client_address,
+                ops_address,
+                data_folder: None,
             }
         });
         let mut routers: Vec<Node> = routers.collect();
         let mut registries = registries;
-        if order.what == What::Soak {
-            let grace = format!("{}ms", crate::watch::GRACE.as_millis());
+        if options.mode == Mode::Soak {
+            let grace = format!("{}ms", crate::process_monitor::STOP_GRACE.as_millis());
             let nodes = routers.iter_mut().chain(&mut registries);
             nodes.for_each(|node| node.arguments.extend(["--grace".to_owned(), grace.clone()]));
         }
@@ -137,11 +137,11 @@
             routers,
             running: Vec::new(),
             folder,
-            programs: order.programs.clone(),
-            other: order.other.clone(),
+            programs: options.programs.clone(),
+            other_programs: options.other_programs.clone(),
             relays: Relays::new(&deployment.cluster),
-            ended: Vec::new(),
-            asked: BTreeSet::new(),
+            exits: Vec::new(),
+            told_to_stop: BTreeSet::new(),
         })
     }
 }
--- a/crates/fleet/src/deployment.rs
+++ b/crates/fleet/src/deployment.rs
@@ -16,8 +16,8 @@
 impl Deployment {
     pub fn load(folder: &Path) -> Result<Deployment, String> {
         let file = folder.join("deployment.toml");
-        let text = std::fs::read_to_string(&file).map_err(|fault| format!("{}: {fault}", file.display()))?;
-        let table: toml::Table = text.parse().map_err(|fault| format!("{}: {fault}", file.display()))?;
+        let text = std::fs::read_to_string(&file).map_err(|error| format!("{}: {error}", file.display()))?;
+        let table: toml::Table = text.parse().map_err(|error| format!("{}: {error}", file.display()))?;
         let missing = |name: &str| format!("{}: {name} is missing or of another type", file.display());
         let number = |name: &str| table.get(name).and_then(toml::Value::as_integer).ok_or_else(|| missing(name));
         let zones = table.get("zones").and_then(toml::Value::as_array).ok_or_else(|| missing("zones"))?;
--- a/crates/fleet/src/folder.rs
+++ b/crates/fleet/src/folder.rs
@@ -45,7 +45,7 @@
 
 impl FolderLock {
     /// Takes the right, unless another fleet has it.
-    pub fn take(folder: &Path) -> Result<FolderLock, FolderError> {
+    pub fn acquire(folder: &Path) -> Result<FolderLock, FolderError> {
         let path = folder.join(LOCK_FILE);
         let file = OpenOptions::new().create(true).truncate(false).write(true).open(&path);
         let file = file.map_err(|error| FolderError::File { file: path.clone(), error })?;
@@ -58,12 +58,12 @@
 }
 
 /// Waits until no process has any of these data files open. Files that are not there yet are free.
-pub async fn wait_for_data_files(files: &[PathBuf], patience: Duration) -> Result<(), FolderError> {
+pub async fn wait_for_data_files(files: &[PathBuf], timeout: Duration) -> Result<(), FolderError> {
     let started = Instant::now();
     for path in files {
         while is_locked(path)? {
             let waited = started.elapsed();
-            if waited >= patience {
+            if waited >= timeout {
                 return Err(FolderError::DataFileLocked { file: path.clone(), waited });
             }
             sleep(POLL_INTERVAL).await;
--- a/crates/fleet/src/folder_tests.rs
+++ b/crates/fleet/src/folder_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn fresh(name: &str) -> PathBuf {
+fn create_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("heronlink-fleet-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
@@ -14,18 +14,18 @@
 }
 
 #[test]
-fn a_folder_in_use_is_refused_until_the_other_fleet_has_ended() {
-    let folder = fresh("in-use");
-    let first = FolderLock::take(&folder).unwrap();
-    let refused = FolderLock::take(&folder).unwrap_err().to_string();
+fn folder_is_refused_while_another_fleet_uses_it() {
+    let folder = create_folder("in-use");
+    let first = FolderLock::acquire(&folder).unwrap();
+    let refused = FolderLock::acquire(&folder).unwrap_err().to_string();
     assert!(refused.contains("in use by another fleet"), "{refused}");
     drop(first);
-    assert!(FolderLock::take(&folder).is_ok());
+    assert!(FolderLock::acquire(&folder).is_ok());
 }
 
 #[test]
-fn a_locked_data_file_is_waited_for_and_named_when_patience_ends() {
-    let folder = fresh("locked");
+fn locked_data_file_is_awaited_and_named_on_timeout() {
+    let folder = create_folder("locked");
     let path = folder.join("registry.redb");
     let missing = folder.join("none.redb");
     let file = File::create(&path).unwrap();
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -2,47 +2,47 @@
 //! three registries, the routers, the configuration applied; then, if asked, load and faults on a
 //! timetable and the checker's outcome. It starts processes, which the product's own never do.
 
-mod bring_up;
+mod command_line;
+mod configure;
 mod deployment;
-mod drawing;
 mod faults;
 mod folder;
-mod line;
 mod ports;
+mod process_monitor;
 mod processes;
 mod prove;
 mod relay;
 mod resources;
+mod route_changes;
 mod smoke;
 mod smoke_views;
 mod soak_schedule;
+mod startup;
 mod timeline;
-mod turns;
-mod watch;
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let order = match line::parse(lexopt::Parser::from_env()) {
-        Ok(Some(order)) => order,
+    let options = match command_line::parse(lexopt::Parser::from_env()) {
+        Ok(Some(options)) => options,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(told) => {
-            eprintln!("fleet: {told}");
+        Err(error) => {
+            eprintln!("fleet: {error}");
             return ExitCode::from(2);
         }
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(fault) => {
-            eprintln!("fleet: {fault}");
+        Err(error) => {
+            eprintln!("fleet: {error}");
             return ExitCode::FAILURE;
         }
     };
-    match tokio::task::LocalSet::new().block_on(&runtime, prove::run(order)) {
+    match tokio::task::LocalSet::new().block_on(&runtime, prove::run(options)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(told) => {
-            eprintln!("fleet: {told}");
+        Err(error) => {
+            eprintln!("fleet: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/fleet/src/ports_tests.rs
+++ b/crates/fleet/src/ports_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn fresh(name: &str) -> std::path::PathBuf {
+fn create_folder(name: &str) -> std::path::PathBuf {
     let folder = std::env::temp_dir().join(format!("heronlink-ports-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
@@ -11,14 +11,14 @@
 
 /// One test: side by side two would draw the same ports.
 #[test]
-fn the_ports_of_the_fleet_before_are_used_again_unless_one_is_taken() {
-    let folder = fresh("again");
-    let first = take_ports(&folder, 5).unwrap();
+fn ports_of_the_previous_fleet_are_reused_unless_one_is_in_use() {
+    let folder = create_folder("again");
+    let first = reserve_ports(&folder, 5).unwrap();
     assert_eq!(first.iter().collect::<BTreeSet<_>>().len(), 5);
-    assert_eq!(take_ports(&folder, 5).unwrap(), first);
-    let more = take_ports(&folder, 8).unwrap();
+    assert_eq!(reserve_ports(&folder, 5).unwrap(), first);
+    let more = reserve_ports(&folder, 8).unwrap();
     assert_eq!((more.len(), &more[..5]), (8, &first[..]));
     let _other = TcpListener::bind(&first[1]).unwrap();
-    let second = take_ports(&folder, 3).unwrap();
+    let second = reserve_ports(&folder, 3).unwrap();
     assert!(!second.contains(&first[1]), "{second:?}");
 }
--- a/crates/fleet/src/processes.rs
+++ b/crates/fleet/src/processes.rs
@@ -7,28 +7,28 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-pub const TOKEN: &str = "fleet-operator-token";
+pub const OPERATOR_TOKEN: &str = "fleet-operator-token";
 
 #[derive(Clone)]
 pub struct Node {
     pub name: String,
     pub program: &'static str,
-    pub peer: String,
-    pub bind: String,
-    pub door: String,
-    pub ops: String,
+    pub peer_address: String,
+    pub bind_address: String,
+    pub client_address: String,
+    pub ops_address: String,
     pub arguments: Vec<String>,
-    pub data: Option<PathBuf>,
+    pub data_folder: Option<PathBuf>,
 }
 
 /// How a node is started: as always, by the programs of another revision, or without room on its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
-    Plain,
+pub enum StartMode {
+    Normal,
     /// By the other programs, speaking the oldest format, and then the newest.
-    Other,
-    Switched,
-    Full,
+    OtherOldestFormat,
+    OtherNewestFormat,
+    DiskFull,
 }
 
 pub struct Fleet {
@@ -38,48 +38,52 @@
     pub running: Vec<(String, Child)>,
     pub folder: PathBuf,
     pub programs: PathBuf,
-    pub other: Option<PathBuf>,
+    pub other_programs: Option<PathBuf>,
     pub relays: Relays,
-    pub ended: Vec<(String, Option<i32>)>,
-    pub asked: BTreeSet<String>,
+    pub exits: Vec<(String, Option<i32>)>,
+    pub told_to_stop: BTreeSet<String>,
 }
 
 impl Fleet {
     /// Opens each node's relay, at the address the others dial.
     pub async fn open_relays(&self) -> Result<(), String> {
         for node in self.registries.iter().chain(&self.routers) {
-            self.relays.open(&node.name, &node.peer, &node.bind).await?;
+            self.relays.open(&node.name, &node.peer_address, &node.bind_address).await?;
         }
         Ok(())
     }
 
-    pub fn node(&self, kind: &str, number: usize) -> Result<Node, String> {
+    pub fn find_node(&self, kind: &str, number: usize) -> Result<Node, String> {
         let list = if kind == "registry" { &self.registries } else { &self.routers };
         list.get(number).cloned().ok_or_else(|| format!("there is no {kind} {number}"))
     }
 
-    fn log(&self, name: &str) -> Result<File, String> {
+    fn open_log(&self, name: &str) -> Result<File, String> {
         let path = self.folder.join("logs").join(format!("{name}.log"));
-        OpenOptions::new().create(true).append(true).open(&path).map_err(|fault| format!("{}: {fault}", path.display()))
+        OpenOptions::new().create(true).append(true).open(&path).map_err(|error| format!("{}: {error}", path.display()))
     }
 
     pub fn start(&mut self, node: &Node) -> Result<(), String> {
-        self.start_as(node, Start::Plain)
+        self.start_in_mode(node, StartMode::Normal)
     }
 
     /// Waits until a process that was killed is gone; a kill is not long in coming.
-    pub fn wait_for(&mut self, name: &str) {
+    pub fn wait_for_exit(&mut self, name: &str) {
         self.running.retain_mut(|(known, child)| known != name || child.wait().is_err());
     }
 
-    fn command(&self, node: &Node, start: Start) -> Result<Command, String> {
-        let folder = match (start, &self.other) {
-            (Start::Other | Start::Switched, None) => return Err("--other is needed to roll".into()),
-            (Start::Other | Start::Switched, Some(other)) => other,
+    fn command(&self, node: &Node, start: StartMode) -> Result<Command, String> {
+        let folder = match (start, &self.other_programs) {
+            (StartMode::OtherOldestFormat | StartMode::OtherNewestFormat, None) => {
+                return Err("--other is needed to roll".into());
+            }
+            (StartMode::OtherOldestFormat | StartMode::OtherNewestFormat, Some(other)) => other,
             _ => &self.programs,
         };
         let path = folder.join(node.program);
-        let Some(data) = node.data.as_ref().filter(|_| start == Start::Full) else { return Ok(Command::new(path)) };
+        let Some(data) = node.data_folder.as_ref().filter(|_| start == StartMode::DiskFull) else {
+            return Ok(Command::new(path));
+        };
         let size = std::fs::metadata(data.join("registry.redb")).map_or(0, |file| file.len());
         let mut shell = Command::new("sh");
         shell.args(["-c", "trap '' XFSZ; ulimit -f \"$1\"; shift; exec \"$@\"", "sh"]);
@@ -87,26 +91,26 @@
         Ok(shell)
     }
 
-    pub fn start_as(&mut self, node: &Node, start: Start) -> Result<(), String> {
+    pub fn start_in_mode(&mut self, node: &Node, start: StartMode) -> Result<(), String> {
         let ended = self.reap();
-        self.ended.extend(ended);
-        self.asked.remove(&node.name);
-        self.ended.retain(|(name, _)| *name != node.name);
+        self.exits.extend(ended);
+        self.told_to_stop.remove(&node.name);
+        self.exits.retain(|(name, _)| *name != node.name);
         if self.running.iter().any(|(name, _)| *name == node.name) {
             return Ok(());
         }
         let mut command = self.command(node, start)?;
-        let arguments = known_arguments(&command, &node.arguments);
+        let arguments = supported_arguments(&command, &node.arguments);
         let oldest = ["--format".to_owned(), wire::OLDEST.to_string()];
-        let more = if start == Start::Other { oldest.as_slice() } else { &[] };
+        let format_arguments = if start == StartMode::OtherOldestFormat { oldest.as_slice() } else { &[] };
         let child = command
             .args(arguments)
-            .args(more)
+            .args(format_arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(self.log(&node.name)?)
+            .stderr(self.open_log(&node.name)?)
             .spawn()
-            .map_err(|fault| format!("{}: {fault}", node.program))?;
+            .map_err(|error| format!("{}: {error}", node.program))?;
         self.running.push((node.name.clone(), child));
         Ok(())
     }
@@ -124,24 +128,24 @@
     }
 
     /// A process that ended though nothing was asked of it.
-    pub fn ended_unasked(&mut self) -> Option<(String, Option<i32>)> {
+    pub fn take_unexpected_exit(&mut self) -> Option<(String, Option<i32>)> {
         let ended = self.reap();
-        self.ended.extend(ended);
-        let place = self.ended.iter().position(|(name, _)| !self.asked.contains(name))?;
-        Some(self.ended.remove(place))
+        self.exits.extend(ended);
+        let position = self.exits.iter().position(|(name, _)| !self.told_to_stop.contains(name))?;
+        Some(self.exits.remove(position))
     }
 
     /// Sends a signal, by its name, to one process this runner started.
     pub fn signal(&mut self, name: &str, signal: &str) -> Result<(), String> {
         let Some((_, child)) = self.running.iter().find(|(known, _)| known == name) else { return Ok(()) };
         if ["KILL", "TERM"].contains(&signal) {
-            self.asked.insert(name.to_owned());
+            self.told_to_stop.insert(name.to_owned());
         }
         let status = Command::new("kill").arg(format!("-{signal}")).arg(child.id().to_string()).status();
-        status.map(drop).map_err(|fault| format!("kill: {fault}"))
+        status.map(drop).map_err(|error| format!("kill: {error}"))
     }
 
-    pub async fn end_all(&mut self) {
+    pub async fn stop_all(&mut self) {
         let names: Vec<String> = self.running.iter().map(|(name, _)| name.clone()).collect();
         for name in names.iter().rev() {
             let _ = self.signal(name, "CONT");
@@ -167,18 +171,19 @@
 
 /// Programs of an earlier revision do not know every flag; those are left out, and tokens are given in
 /// the way they know.
-fn known_arguments(command: &Command, arguments: &[String]) -> Vec<String> {
-    let shell = command.get_program() == "sh";
+fn supported_arguments(command: &Command, arguments: &[String]) -> Vec<String> {
+    let is_shell = command.get_program() == "sh";
     let help = Command::new(command.get_program()).arg("--help").stdin(Stdio::null()).output();
     let help = help.map(|output| String::from_utf8_lossy(&output.stdout).into_owned()).unwrap_or_default();
-    let knows =
-        |flag: &str| shell || help.is_empty() || [" ", "\n"].iter().any(|end| help.contains(&format!("{flag}{end}")));
+    let is_supported = |flag: &str| {
+        is_shell || help.is_empty() || [" ", "\n"].iter().any(|end| help.contains(&format!("{flag}{end}")))
+    };
     let mut known = Vec::new();
     for pair in arguments.chunks(2) {
-        if knows(&pair[0]) {
+        if is_supported(&pair[0]) {
             known.extend_from_slice(pair);
-        } else if pair[0] == "--tokens-file" && knows("--tokens") {
-            known.extend(["--tokens".to_owned(), format!("*={TOKEN}")]);
+        } else if pair[0] == "--tokens-file" && is_supported("--tokens") {
+            known.extend(["--tokens".to_owned(), format!("*={OPERATOR_TOKEN}")]);
         }
     }
     known
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -13,11 +13,11 @@
 use tokio::time::sleep;
 use wire::{Message, encode, read_frame};
 
-const LOOK: Duration = Duration::from_millis(20);
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Default)]
 pub struct Relays {
-    names: Rc<RefCell<BTreeMap<String, String>>>,
+    node_names: Rc<RefCell<BTreeMap<String, String>>>,
     cuts: Rc<RefCell<BTreeSet<(String, String)>>>,
     cluster: Rc<RefCell<String>>,
 }
@@ -29,57 +29,57 @@
         relays
     }
 
-    pub async fn open(&self, name: &str, address: &str, behind: &str) -> Result<(), String> {
-        let listener = TcpListener::bind(address).await.map_err(|fault| format!("relay at {address}: {fault}"))?;
-        self.names.borrow_mut().insert(address.to_owned(), name.to_owned());
-        let (relays, name, behind) = (self.clone(), name.to_owned(), behind.to_owned());
+    pub async fn open(&self, name: &str, address: &str, bind_address: &str) -> Result<(), String> {
+        let listener = TcpListener::bind(address).await.map_err(|error| format!("relay at {address}: {error}"))?;
+        self.node_names.borrow_mut().insert(address.to_owned(), name.to_owned());
+        let (relays, name, bind_address) = (self.clone(), name.to_owned(), bind_address.to_owned());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (relays, name, behind) = (relays.clone(), name.clone(), behind.clone());
-                spawn_local(async move { relays.relay(stream, &name, &behind).await });
+                let (relays, name, bind_address) = (relays.clone(), name.clone(), bind_address.clone());
+                spawn_local(async move { relays.forward_connection(stream, &name, &bind_address).await });
             }
         });
         Ok(())
     }
 
-    async fn relay(&self, mut dialler: TcpStream, target: &str, behind: &str) -> Option<()> {
+    async fn forward_connection(&self, mut client: TcpStream, target: &str, bind_address: &str) -> Option<()> {
         let cluster = self.cluster.borrow().clone();
-        let hello = read_frame(&cluster, &mut dialler).await.ok()?;
+        let hello = read_frame(&cluster, &mut client).await.ok()?;
         let Message::Hello { address } = &hello.message else { return None };
-        let source = self.names.borrow().get(address.as_str()).cloned().unwrap_or_default();
-        let mut node = TcpStream::connect(behind).await.ok()?;
-        self.wait(&source, target).await;
+        let source = self.node_names.borrow().get(address.as_str()).cloned().unwrap_or_default();
+        let mut node = TcpStream::connect(bind_address).await.ok()?;
+        self.wait_while_cut(&source, target).await;
         node.write_all(&encode(&hello)).await.ok()?;
-        let (dialler_read, dialler_write) = dialler.into_split();
+        let (client_read, client_write) = client.into_split();
         let (node_read, node_write) = node.into_split();
         tokio::select! {
-            _ = self.pump(dialler_read, node_write, &source, target) => {}
-            _ = self.pump(node_read, dialler_write, target, &source) => {}
+            _ = self.copy_bytes(client_read, node_write, &source, target) => {}
+            _ = self.copy_bytes(node_read, client_write, target, &source) => {}
         }
         Some(())
     }
 
-    async fn wait(&self, from: &str, to: &str) {
+    async fn wait_while_cut(&self, from: &str, to: &str) {
         while self.cuts.borrow().contains(&(from.to_owned(), to.to_owned())) {
-            sleep(LOOK).await;
+            sleep(CUT_POLL_INTERVAL).await;
         }
     }
 
-    async fn pump(&self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf, from: &str, to: &str) -> Option<()> {
+    async fn copy_bytes(&self, mut read: OwnedReadHalf, mut write: OwnedWriteHalf, from: &str, to: &str) -> Option<()> {
         let mut buffer = vec![0u8; 64 * 1024];
         loop {
             let count = read.read(&mut buffer).await.ok().filter(|count| *count > 0)?;
-            self.wait(from, to).await;
+            self.wait_while_cut(from, to).await;
             write.write_all(&buffer[..count]).await.ok()?;
         }
     }
 
     /// `LEFT/RIGHT`, each a list parted by `+`; without RIGHT, everybody else. One way only, from
     /// left to right, with `one_way`.
-    pub fn cut(&self, words: &str, one_way: bool) {
-        let (left, right) = words.split_once('/').unwrap_or((words, ""));
+    pub fn cut(&self, links: &str, one_way: bool) {
+        let (left, right) = links.split_once('/').unwrap_or((links, ""));
         let left: Vec<String> = left.split('+').map(str::to_owned).collect();
-        let all: Vec<String> = self.names.borrow().values().cloned().collect();
+        let all: Vec<String> = self.node_names.borrow().values().cloned().collect();
         let right: Vec<String> = match right {
             "" => all.into_iter().filter(|name| !left.contains(name)).collect(),
             list => list.split('+').map(str::to_owned).collect(),
--- a/crates/fleet/src/resources.rs
+++ b/crates/fleet/src/resources.rs
@@ -7,13 +7,13 @@
 struct Allowance {
     what: &'static str,
     factor: f64,
-    besides: f64,
+    extra: f64,
 }
 
 const ALLOWANCES: [Allowance; 3] = [
-    Allowance { what: "memory KB", factor: 1.5, besides: 24.0 * 1024.0 },
-    Allowance { what: "descriptors", factor: 1.25, besides: 48.0 },
-    Allowance { what: "threads", factor: 1.0, besides: 4.0 },
+    Allowance { what: "memory KB", factor: 1.5, extra: 24.0 * 1024.0 },
+    Allowance { what: "descriptors", factor: 1.25, extra: 48.0 },
+    Allowance { what: "threads", factor: 1.0, extra: 4.0 },
 ];
 
 /// One look at a process.
@@ -25,7 +25,7 @@
 
 impl Usage {
     /// Looks at a process; none if it is gone.
-    pub fn of(process: u32) -> Option<Usage> {
+    pub fn read(process: u32) -> Option<Usage> {
         let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
         let field = |name: &str| {
             let line = status.lines().find(|line| line.starts_with(name))?;
@@ -48,7 +48,7 @@
     pub fn sample<'a>(&mut self, processes: impl Iterator<Item = (&'a str, u32)>) {
         self.rounds += 1;
         for (name, process) in processes {
-            if let Some(usage) = Usage::of(process) {
+            if let Some(usage) = Usage::read(process) {
                 self.samples.entry((name.to_owned(), process)).or_default().push(usage);
             }
         }
@@ -56,21 +56,21 @@
 
     /// One line for each process that lived nearly throughout, and those that used more and more.
     pub fn report(&self) -> (Vec<String>, Vec<String>) {
-        let (mut lines, mut faults) = (Vec::new(), Vec::new());
-        let throughout = self.samples.iter().filter(|(_, samples)| samples.len() * 10 >= self.rounds * 9);
-        for ((name, _), samples) in throughout {
+        let (mut lines, mut growing) = (Vec::new(), Vec::new());
+        let long_lived = self.samples.iter().filter(|(_, samples)| samples.len() * 10 >= self.rounds * 9);
+        for ((name, _), samples) in long_lived {
             let third = (samples.len() / 3).max(1);
             for (index, allowance) in ALLOWANCES.iter().enumerate() {
                 let first = median(&samples[..third], index);
                 let last = median(&samples[samples.len() - third..], index);
                 let line = format!("{name}: {} {first} in the first third, {last} in the last", allowance.what);
-                if last > first * allowance.factor + allowance.besides {
-                    faults.push(line.clone());
+                if last > first * allowance.factor + allowance.extra {
+                    growing.push(line.clone());
                 }
                 lines.push(line);
             }
         }
-        (lines, faults)
+        (lines, growing)
     }
 }
 
--- a/crates/fleet/src/resources_tests.rs
+++ b/crates/fleet/src/resources_tests.rs
@@ -8,20 +8,20 @@
 }
 
 #[test]
-fn a_process_that_uses_more_and_more_is_found() {
-    let (lines, faults) = usages(|round| 20_000.0 + 2000.0 * round as f64, 60).report();
-    assert_eq!((lines.len(), faults.len()), (3, 1));
-    assert!(faults[0].contains("memory KB"), "{faults:?}");
+fn growing_memory_use_is_reported() {
+    let (lines, growing) = usages(|round| 20_000.0 + 2000.0 * round as f64, 60).report();
+    assert_eq!((lines.len(), growing.len()), (3, 1));
+    assert!(growing[0].contains("memory KB"), "{growing:?}");
 }
 
 #[test]
-fn noise_is_no_growth_and_a_late_process_is_not_judged() {
+fn noise_and_late_processes_are_not_reported() {
     assert!(usages(|round| 20_000.0 + (round % 7) as f64 * 900.0, 60).report().1.is_empty());
     assert!(usages(|round| 20_000.0 * round as f64, 30).report().0.is_empty());
 }
 
 #[test]
-fn this_process_can_be_looked_at() {
-    let usage = Usage::of(std::process::id()).unwrap();
+fn usage_of_this_process_is_read() {
+    let usage = Usage::read(std::process::id()).unwrap();
     assert!(usage.values.iter().all(|value| *value > 0.0), "{usage:?}");
 }
--- a/crates/fleet/src/turns.rs
+++ b/crates/fleet/src/route_changes.rs
@@ -3,7 +3,7 @@
 //! two on the same revision, and then the winner is read back. What was asked and told is recorded.
 
 use crate::deployment::Deployment;
-use crate::processes::{Node, TOKEN};
+use crate::processes::{Node, OPERATOR_TOKEN};
 use hyper::Method;
 use operator_client::{Answer, Call, send_call};
 use serde_json::{Value, json};
@@ -13,76 +13,83 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-const FUNCTIONS: usize = 12;
+const FUNCTION_COUNT: usize = 12;
 const RATE: f64 = 12.0;
-const LIMIT: Duration = Duration::from_secs(14);
+const CALL_TIMEOUT: Duration = Duration::from_secs(14);
 
 fn service(number: usize) -> String {
-    format!("probe/turn-{}", number % FUNCTIONS)
+    format!("probe/turn-{}", number % FUNCTION_COUNT)
 }
 
 fn binding(route: String, number: usize, min: u32) -> Value {
     json!({
-        "route": route, "function": format!("turn-{}", number % FUNCTIONS), "class": "ordinary",
+        "route": route, "function": format!("turn-{}", number % FUNCTION_COUNT), "class": "ordinary",
         "instance_limit": 4, "memory_mb": 64, "min": min, "max": 3,
     })
 }
 
 /// The deployment with the turned route, and one of its own for each function it is turned to, so
 /// that none of them sleeps.
-pub fn with_probe(deployment: &Deployment, folder: &Path) -> Result<Deployment, String> {
+pub fn add_probe_route(deployment: &Deployment, folder: &Path) -> Result<Deployment, String> {
     let read = |path: &Path| -> Result<Value, String> {
-        let raw = std::fs::read(path).map_err(|fault| format!("{}: {fault}", path.display()))?;
-        serde_json::from_slice(&raw).map_err(|fault| format!("{}: {fault}", path.display()))
+        let raw = std::fs::read(path).map_err(|error| format!("{}: {error}", path.display()))?;
+        serde_json::from_slice(&raw).map_err(|error| format!("{}: {error}", path.display()))
     };
     let (mut configuration, mut services) = (read(&deployment.configuration)?, read(&deployment.services)?);
     configuration["function-bindings"]["probe/turn"] = binding("/probe/turn".into(), 0, 1);
-    for number in 0..FUNCTIONS {
+    for number in 0..FUNCTION_COUNT {
         let name = format!("probe/keep-{number}");
         configuration["function-bindings"][name] = binding(format!("/probe/keep-{number}"), number, 1);
         let rate = if number == 0 { RATE } else { 0.0 };
         services[service(number)] = json!({"limit": 4, "rate": rate, "start_ms": 900, "work_ms": 30});
     }
-    std::fs::create_dir_all(folder).map_err(|fault| format!("{}: {fault}", folder.display()))?;
+    std::fs::create_dir_all(folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let write = |name: &str, value: &Value| -> Result<PathBuf, String> {
         let path = folder.join(name);
-        std::fs::write(&path, value.to_string()).map_err(|fault| format!("{}: {fault}", path.display()))?;
+        std::fs::write(&path, value.to_string()).map_err(|error| format!("{}: {error}", path.display()))?;
         Ok(path)
     };
     let (configuration, services) = (write("configuration.json", &configuration)?, write("services.json", &services)?);
     Ok(Deployment { configuration, services, ..deployment.clone() })
 }
 
-pub struct Turns {
+pub struct RouteChanger {
     pub registries: Vec<Node>,
-    pub every: Duration,
-    pub lines: RefCell<Vec<Value>>,
+    pub interval: Duration,
+    pub records: RefCell<Vec<Value>>,
     pub until: Instant,
 }
 
-impl Turns {
+impl RouteChanger {
     pub async fn run(self: Rc<Self>) {
         let mut number = 0;
-        while Instant::now() + self.every < self.until {
-            sleep(self.every).await;
+        while Instant::now() + self.interval < self.until {
+            sleep(self.interval).await;
             number += 1;
             let base = self.revision(number).await;
             match base {
                 Some(base) if number.is_multiple_of(3) => {
-                    let one = self.turn(number, number, Some(base));
-                    let two = self.turn(number + 1, number + 1, Some(base));
-                    let told = tokio::join!(one, two);
+                    let one = self.change_route(number, number, Some(base));
+                    let two = self.change_route(number + 1, number + 1, Some(base));
+                    let answers = tokio::join!(one, two);
                     number += 1;
-                    self.read_back(number, told).await;
+                    self.read_back(number, answers).await;
                 }
-                base => drop(self.turn(number, number, base.filter(|_| number % 3 == 1)).await),
+                base => drop(self.change_route(number, number, base.filter(|_| number % 3 == 1)).await),
             }
         }
     }
 
     fn call(&self, at: usize, method: Method, path: &str) -> Call {
-        let address = self.registries[at % self.registries.len()].door.clone();
-        Call { method, address, path: path.into(), token: TOKEN.into(), limit: LIMIT, ..Call::default() }
+        let address = self.registries[at % self.registries.len()].client_address.clone();
+        Call {
+            method,
+            address,
+            path: path.into(),
+            token: OPERATOR_TOKEN.into(),
+            limit: CALL_TIMEOUT,
+            ..Call::default()
+        }
     }
 
     async fn revision(&self, at: usize) -> Option<u64> {
@@ -91,32 +98,32 @@
     }
 
     /// Asks for one turn and records what was told; a turn nobody answered may yet come into force.
-    async fn turn(&self, at: usize, number: usize, base: Option<u64>) -> Option<Answer> {
+    async fn change_route(&self, at: usize, number: usize, base: Option<u64>) -> Option<Answer> {
         let binding = binding("/probe/turn".into(), number, 1);
         let body = json!({"name": "turn", "set": {"function-bindings/probe/turn": binding}}).to_string().into_bytes();
         let tag = base.map_or("*".to_owned(), |base| base.to_string());
         let call = Call { if_match: Some(tag), body, ..self.call(at, Method::PATCH, "/v1/configuration") };
-        let asked = wall_ms();
+        let asked = unix_time_ms();
         let answer = send_call(&call).await.ok();
         let (status, revision) = answer.as_ref().map_or((0, None), |answer| (answer.status, answer.revision));
-        self.lines.borrow_mut().push(json!({
-            "asked": asked, "told": wall_ms(), "status": status, "revision": revision.unwrap_or(0),
+        self.records.borrow_mut().push(json!({
+            "asked": asked, "told": unix_time_ms(), "status": status, "revision": revision.unwrap_or(0),
             "base": base.unwrap_or(0), "service": service(number),
         }));
         answer
     }
 
     /// After a race: what is read must not be a turn that was refused.
-    async fn read_back(&self, number: usize, told: (Option<Answer>, Option<Answer>)) {
+    async fn read_back(&self, number: usize, answers: (Option<Answer>, Option<Answer>)) {
         let call = self.call(number + 1, Method::GET, "/v1/function-bindings/probe/turn");
         let Ok(answer) = send_call(&call).await else { return };
         let read: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-        for (place, answer) in [(number - 1, told.0), (number, told.1)] {
+        for (number, answer) in [(number - 1, answers.0), (number, answers.1)] {
             let refused = answer.is_some_and(|answer| answer.status == 412);
-            let function = service(place);
+            let function = service(number);
             if refused && read["function"].as_str() == function.strip_prefix("probe/") {
-                let mut lines = self.lines.borrow_mut();
-                if let Some(line) = lines.iter_mut().rev().find(|line| line["service"] == function.as_str()) {
+                let mut records = self.records.borrow_mut();
+                if let Some(line) = records.iter_mut().rev().find(|line| line["service"] == function.as_str()) {
                     line["read"] = true.into();
                 }
             }
@@ -124,13 +131,13 @@
     }
 
     pub fn write(&self, path: &Path) -> Result<(), String> {
-        let lines: String = self.lines.borrow().iter().map(|line| format!("{line}\n")).collect();
-        std::fs::write(path, lines).map_err(|fault| format!("{}: {fault}", path.display()))
+        let records: String = self.records.borrow().iter().map(|line| format!("{line}\n")).collect();
+        std::fs::write(path, records).map_err(|error| format!("{}: {error}", path.display()))
     }
 }
 
 #[expect(clippy::disallowed_types, reason = "records of several processes are held against each other by it")]
-pub fn wall_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     use std::time::{SystemTime, UNIX_EPOCH};
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/fleet/src/timeline.rs
+++ b/crates/fleet/src/timeline.rs
@@ -2,8 +2,8 @@
 //! thaw, a cut until it is healed, mischief until it ends, a crowd while it lasts. Planned stops,
 //! starts after them and changes are told apart.
 
-use crate::faults::Timed;
-use crate::turns::wall_ms;
+use crate::faults::ScheduledFault;
+use crate::route_changes::unix_time_ms;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -33,10 +33,10 @@
 }
 
 impl Timeline {
-    pub fn note(&mut self, fault: &Timed) {
-        let now = wall_ms();
-        let (verb, kind) = fault.what.split_once('-').unwrap_or((fault.what.as_str(), ""));
-        let names = || fault.which.split(',').map(|which| format!("{kind}-{which}"));
+    pub fn record(&mut self, fault: &ScheduledFault) {
+        let now = unix_time_ms();
+        let (verb, kind) = fault.kind.split_once('-').unwrap_or((fault.kind.as_str(), ""));
+        let names = || fault.target.split(',').map(|which| format!("{kind}-{which}"));
         match (verb, kind) {
             ("kill" | "freeze" | "fill", _) => names().for_each(|name| self.begin(name, now, false)),
             ("stop", _) => names().for_each(|name| self.begin(name, now, true)),
@@ -45,12 +45,12 @@
             ("heal", _) => self.end("cut", now),
             ("mischief", _) => {
                 self.end("mischief", now);
-                if !fault.which.is_empty() {
+                if !fault.target.is_empty() {
                     self.begin("mischief".into(), now, false);
                 }
             }
             ("patch", _) => self.push(now, now, "patch", true),
-            _ => self.push(now, now, &fault.what, false),
+            _ => self.push(now, now, &fault.kind, false),
         }
     }
 
@@ -70,10 +70,10 @@
     }
 
     /// A crowd, which may bring refusals of our own without anything having failed.
-    pub fn crowd(&mut self, begun: u64, words: &str) {
-        let mut parts = words.split(',').map(|part| part.parse::<f64>().unwrap_or(0.0));
+    pub fn record_crowd(&mut self, started: u64, values: &str) {
+        let mut parts = values.split(',').map(|part| part.parse::<f64>().unwrap_or(0.0));
         let (at, lasts) = (parts.next().unwrap_or(0.0), parts.next().unwrap_or(0.0));
-        let from = begun + (at * 1000.0) as u64;
+        let from = started + (at * 1000.0) as u64;
         self.push(from, from + (lasts * 1000.0) as u64, "crowd", false);
     }
 
@@ -85,6 +85,6 @@
         let ended = self.spans.iter().map(|span| line(span.from_ms, span.to_ms, &span.what, span.planned));
         let open = self.open.iter().map(|(name, span)| line(span.from_ms, u64::MAX, name, span.planned));
         let lines: String = ended.chain(open).collect();
-        std::fs::write(path, lines).map_err(|fault| format!("{}: {fault}", path.display()))
+        std::fs::write(path, lines).map_err(|error| format!("{}: {error}", path.display()))
     }
 }
