--- a/crates/fleet/src/command_line.rs
+++ b/crates/fleet/src/command_line.rs
@@ -1,45 +1,51 @@
-//! The command line of the fleet runner.
+//! Command line of the fleet runner.
 
 use crate::faults::{ScheduledFault, parse_faults};
 use config::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
-pub const HELP: &str = "fleet: a whole deployment on one machine
+pub const HELP: &str = "fleet: runs a whole deployment on one machine
 
 Usage: fleet up --deployment DIR [options]          until interrupted
-       fleet prove --deployment DIR [options]       load, faults, verdict
-       fleet soak --deployment DIR [options]        faults in series from a seed, verdict
-       fleet smoke --deployment DIR [options]       what callers and operators would try first
+       fleet prove --deployment DIR [options]       load, scheduled faults, check
+       fleet soak --deployment DIR [options]        random faults from a seed, check
+       fleet smoke --deployment DIR [options]       basic calls of callers and operators
 
   --deployment DIR   folder with deployment.toml, configuration.json, services.json
-  --folder DIR       where data, logs and records go [run]
-  --programs DIR     where the programs are [beside this one]
+  --folder DIR       folder for data, logs and records [run]
+  --programs DIR     folder of the programs [that of this one]
   --no-tuning        weight sheets stay as declared
-  --no-plans         the fallback alone: registries make no plans
-  --routers N        number of routers [the deployment's]
+  --no-plans         registries make no plans; only the fallback is used
+  --routers N        number of routers [as in the deployment]
 prove and soak:
-  --seconds N        length of the load [60]
-  --seed N           seed of the load and the platform's chances [1]
-  --factor F         all rates times this [1.0]
-  --crowd LIST       AT,FOR,TIMES,SERVICE; may be given often
+  --seconds N        duration of the load [60]
+  --seed N           seed of the load and of the platform emulator [1]
+  --factor F         factor on all rates [1.0]
+  --crowd LIST       AT,FOR,TIMES,SERVICE; may be repeated
   --fault LIST       AT:WHAT:WHICH[;..], such as 20:kill-registry:0;40:start-registry:0
                      WHAT: kill, stop, start, freeze, thaw, wipe, each -registry or -router;
-                     roll-, switch- (start by the other programs, in the oldest format or the newest);
+                     roll-, switch- (start with the other programs, in the oldest or the newest format);
                      fill-registry (its data file cannot grow);
                      crash-worker, drain-worker, undrain-worker; mischief:NAME=SHARE[,..]; patch:NAME;
                      cut:A+B[/C+D], cut-one-way:A+B[/C+D], heal
-  --turns SECONDS    turn a route every so often, 0 for never [3]
+  --turns SECONDS    interval between changes of a route, 0 for none [3]
   --other DIR        programs of another revision, for roll-registry and roll-router
-  --refusals N       most own refusals let pass in all [a handful where nothing fails]";
+  --refusals N       maximum number of refusals by the fleet itself [a few if nothing fails]";
 
+/// Subcommand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
+    /// Run until interrupted.
     Up,
+    /// Load, scheduled faults and a check.
     Prove,
+    /// Load, random faults and a check.
     Soak,
+    /// Basic calls of callers and operators.
     Smoke,
 }
 
+/// Parsed command line; the fields correspond to the options in `HELP`.
 pub struct Options {
     pub mode: Mode,
     pub deployment: PathBuf,
@@ -58,6 +64,7 @@
     pub other_programs: Option<PathBuf>,
 }
 
+/// Parses the command line; returns `None` if only help or the version was printed.
 pub fn parse(parser: lexopt::Parser) -> Result<Option<Options>, String> {
     let program_folder =
         std::env::current_exe().ok().and_then(|path| path.parent().map(PathBuf::from)).unwrap_or_default();
@@ -101,7 +108,7 @@
             }
             ToolArgument::Option { name, value } => (name, value),
         };
-        let not_a_number = |_| format!("--{name} {value}: allowed is a number");
+        let not_a_number = |_| format!("--{name} {value}: expected a number");
         match name.as_str() {
             "deployment" => options.deployment = value.into(),
             "folder" => options.folder = value.into(),
@@ -109,13 +116,13 @@
             "routers" => options.routers = Some(value.parse().map_err(not_a_number)?),
             "seconds" => options.seconds = value.parse().map_err(not_a_number)?,
             "seed" => options.seed = value.parse().map_err(not_a_number)?,
-            "factor" => options.factor = value.parse().map_err(|_| format!("--factor {value}: allowed is a number"))?,
+            "factor" => options.factor = value.parse().map_err(|_| format!("--factor {value}: expected a number"))?,
             "crowd" => options.crowds.push(value),
-            "turns" => options.turns = value.parse().map_err(|_| format!("--turns {value}: allowed is a number"))?,
+            "turns" => options.turns = value.parse().map_err(|_| format!("--turns {value}: expected a number"))?,
             "other" => options.other_programs = Some(value.into()),
             "fault" => options.faults.extend(parse_faults(&value)?),
             "refusals" => options.refusals = Some(value.parse().map_err(not_a_number)?),
-            _ => return Err(format!("no flag --{name}; see --help")),
+            _ => return Err(format!("unknown flag --{name}; see --help")),
         }
     }
     options.mode = match command.as_str() {
@@ -123,7 +130,7 @@
         "prove" => Mode::Prove,
         "soak" => Mode::Soak,
         "smoke" => Mode::Smoke,
-        _ => return Err("say up, prove, soak or smoke; see --help".into()),
+        _ => return Err("expected up, prove, soak or smoke; see --help".into()),
     };
     Ok(Some(options))
 }
--- a/crates/fleet/src/configure.rs
+++ b/crates/fleet/src/configure.rs
@@ -1,4 +1,4 @@
-//! Drawing a fleet up: which nodes there are, where each listens and what it is told.
+//! Configuration of a fleet: its nodes, their addresses and their command lines.
 
 use crate::command_line::{Mode, Options};
 use crate::deployment::Deployment;
@@ -7,10 +7,12 @@
 use crate::relay::Relays;
 use std::collections::BTreeSet;
 
-/// How long its routers go by each other's word without the core, and a change waits for routers that are gone.
+/// Time for which the routers rely on each other's information without the registries, and for which a change
+/// waits for routers that are gone.
 const PEER_HOLD: &str = "10s";
 
 impl Fleet {
+    /// Reserves ports and builds the command line of every node; starts no process.
     pub fn configure(options: &Options, deployment: &Deployment) -> Result<Fleet, String> {
         let folder = options.folder.clone();
         std::fs::create_dir_all(folder.join("logs")).map_err(|error| format!("{}: {error}", folder.display()))?;
--- a/crates/fleet/src/deployment.rs
+++ b/crates/fleet/src/deployment.rs
@@ -1,7 +1,8 @@
-//! A deployment's description, as checked in beside its configuration.
+//! Description of a deployment, stored next to its configuration.
 
 use std::path::{Path, PathBuf};
 
+/// Contents of `deployment.toml`, and the paths of the files next to it.
 #[derive(Clone)]
 pub struct Deployment {
     pub cluster: String,
@@ -14,11 +15,12 @@
 }
 
 impl Deployment {
+    /// Reads the description of the deployment in a folder.
     pub fn load(folder: &Path) -> Result<Deployment, String> {
         let file = folder.join("deployment.toml");
         let text = std::fs::read_to_string(&file).map_err(|error| format!("{}: {error}", file.display()))?;
         let table: toml::Table = text.parse().map_err(|error| format!("{}: {error}", file.display()))?;
-        let missing = |name: &str| format!("{}: {name} is missing or of another type", file.display());
+        let missing = |name: &str| format!("{}: {name} is missing or has the wrong type", file.display());
         let number = |name: &str| table.get(name).and_then(toml::Value::as_integer).ok_or_else(|| missing(name));
         let zones = table.get("zones").and_then(toml::Value::as_array).ok_or_else(|| missing("zones"))?;
         Ok(Deployment {
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -1,4 +1,4 @@
-//! The timetable of faults and how each is brought about.
+//! The schedule of faults and the injection of each.
 
 use crate::processes::{Fleet, Node, OPERATOR_TOKEN, StartMode};
 use hyper::Method;
@@ -6,22 +6,27 @@
 use serde_json::{Map, Value, json};
 use std::time::Duration;
 
-/// How long a change may take at one registry before another is asked.
+/// Timeout of a change at one registry, after which the next one is tried.
 const PATCH_TIMEOUT: Duration = Duration::from_secs(15);
 
+/// A fault, repair or change that is injected at a set time.
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
+    /// Time since the start of the load.
     pub at: Duration,
+    /// Kind, such as `kill-registry`.
     pub kind: String,
+    /// Numbers of nodes or workers, links, shares or a name, depending on the kind.
     pub target: String,
 }
 
+/// Parses a list `AT:WHAT:WHICH[;..]`.
 pub fn parse_faults(text: &str) -> Result<Vec<ScheduledFault>, String> {
     text.split(';').filter(|part| !part.is_empty()).map(parse_one).collect()
 }
 
 fn parse_one(text: &str) -> Result<ScheduledFault, String> {
-    let invalid = || format!("--fault {text}: allowed is AT:WHAT:WHICH, see --help");
+    let invalid = || format!("--fault {text}: expected AT:WHAT:WHICH; see --help");
     let mut parts = text.trim().splitn(3, ':');
     let at: f64 = parts.next().and_then(|at| at.parse().ok()).ok_or_else(invalid)?;
     let kind = parts.next().ok_or_else(invalid)?.to_owned();
@@ -59,7 +64,7 @@
 }
 
 impl Fleet {
-    /// Whether every node and worker the timetable names is there, before anything is started.
+    /// Checks that every node and worker in the schedule exists, before any process is started.
     pub fn validate_targets(&self, faults: &[ScheduledFault], workers: i64) -> Result<(), String> {
         for fault in faults {
             let invalid = |target: &str| format!("--fault {}:{}: there is no {target}", fault.kind, fault.target);
@@ -86,6 +91,7 @@
         Ok(())
     }
 
+    /// Injects a fault now.
     pub async fn inject(&mut self, fault: &ScheduledFault) -> Result<(), String> {
         println!("fault: {} {}", fault.kind, fault.target);
         match fault.kind.as_str() {
@@ -115,7 +121,7 @@
                 Ok(())
             }
             "patch" => {
-                // The timetable goes on meanwhile: a registry that is asked may be frozen.
+                // Runs in the background, because a registry that is asked may be frozen.
                 let (registries, name) = (self.registries.clone(), fault.target.clone());
                 tokio::task::spawn_local(async move { apply_patch(&registries, &name).await });
                 Ok(())
@@ -123,7 +129,7 @@
             kind => {
                 let (verb, node_kind) = kind.split_once('-').unwrap_or_default();
                 for number in fault.target.split(',') {
-                    let number: usize = number.parse().map_err(|_| format!("{kind}:{number}: allowed is a number"))?;
+                    let number: usize = number.parse().map_err(|_| format!("{kind}:{number}: expected a number"))?;
                     self.act_on_node(verb, node_kind, number)?;
                 }
                 Ok(())
@@ -136,7 +142,7 @@
         match verb {
             "kill" => {
                 self.signal(&node.name, "KILL")?;
-                // On a busy disk that takes a moment, and one that still runs is not started again.
+                // On a busy disk the exit takes a moment, and a node that still runs is not started again.
                 self.wait_for_exit(&node.name);
                 Ok(())
             }
@@ -158,6 +164,7 @@
         }
     }
 
+    /// Sends an order to the platform emulator.
     pub async fn call_platform(&self, path: &str, body: Value) -> Result<(), String> {
         let call = Call {
             method: Method::POST,
@@ -171,7 +178,8 @@
     }
 }
 
-/// A named change, on whatever is the latest, at any registry that answers; returns the acknowledged revision.
+/// Applies a named change on the latest revision at the first registry that acknowledges it; returns the new
+/// revision.
 pub async fn apply_patch(registries: &[Node], name: &str) -> Option<u64> {
     let key = format!("headcount-plans/patched/{}", if name.is_empty() { "one" } else { name });
     let body = json!({"name": name, "set": {key: {"min": 0}}}).to_string().into_bytes();
--- a/crates/fleet/src/folder.rs
+++ b/crates/fleet/src/folder.rs
@@ -1,5 +1,5 @@
-//! The folder of a fleet: one fleet at a time uses it, and a fleet starts only once the processes of the one
-//! before it have let go of their data files.
+//! The folder of a fleet: only one fleet at a time uses it, and a fleet starts only after the processes of the
+//! previous one have closed their data files.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::path::{Path, PathBuf};
@@ -9,10 +9,10 @@
 const LOCK_FILE: &str = "fleet.lock";
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a folder cannot be used.
+/// Reason why a folder cannot be used.
 #[derive(Debug)]
 pub enum FolderError {
-    /// Another fleet runs in it.
+    /// Another fleet uses the folder.
     InUse { folder: PathBuf },
     /// A process of an earlier fleet still has a data file open.
     DataFileLocked { file: PathBuf, waited: Duration },
@@ -24,11 +24,11 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             FolderError::InUse { folder } => {
-                write!(f, "{} is in use by another fleet; end that one or give another --folder", folder.display())
+                write!(f, "{} is in use by another fleet; stop that fleet or choose another --folder", folder.display())
             }
             FolderError::DataFileLocked { file, waited } => write!(
                 f,
-                "{} is still open in a registry of an earlier fleet after {} s; end that process",
+                "{} is still open in a registry of an earlier fleet after {} s; stop that process",
                 file.display(),
                 waited.as_secs()
             ),
@@ -37,14 +37,14 @@
     }
 }
 
-/// The right to use a folder, for as long as it is kept.
+/// Exclusive lock on a folder, held until it is dropped.
 #[derive(Debug)]
 pub struct FolderLock {
     _file: File,
 }
 
 impl FolderLock {
-    /// Takes the right, unless another fleet has it.
+    /// Locks the folder; fails if another fleet has locked it.
     pub fn acquire(folder: &Path) -> Result<FolderLock, FolderError> {
         let path = folder.join(LOCK_FILE);
         let file = OpenOptions::new().create(true).truncate(false).write(true).open(&path);
@@ -57,7 +57,7 @@
     }
 }
 
-/// Waits until no process has any of these data files open. Files that are not there yet are free.
+/// Waits until no process has any of these data files open. Files that do not exist yet count as closed.
 pub async fn wait_for_data_files(files: &[PathBuf], timeout: Duration) -> Result<(), FolderError> {
     let started = Instant::now();
     for path in files {
--- a/crates/fleet/src/folder_tests.rs
+++ b/crates/fleet/src/folder_tests.rs
@@ -1,4 +1,4 @@
-//! Two fleets in one folder, and data files that an earlier fleet's processes have not let go of.
+//! Two fleets in one folder, and data files that processes of an earlier fleet still have open.
 
 use super::*;
 
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -1,6 +1,6 @@
-//! `fleet`: a whole deployment on one machine, for trying and proving it: the platform's stand-in,
-//! three registries, the routers, the configuration applied; then, if asked, load and faults on a
-//! timetable and the checker's outcome. It starts processes, which the product's own never do.
+//! `fleet`: runs a whole deployment on one machine, to try and test it: the platform emulator, three
+//! registries and the routers, with the configuration applied; then, if requested, load, scheduled faults and
+//! the result of the checker. It starts processes, which the programs of the product never do.
 
 mod command_line;
 mod configure;
--- a/crates/fleet/src/ports.rs
+++ b/crates/fleet/src/ports.rs
@@ -1,17 +1,18 @@
-//! Ports of a fleet's nodes: free ones are asked of the machine, and those of the fleet before in the same folder
-//! are used again, so that machines keep their addresses, and so their identities, over a restart.
+//! Ports of the nodes of a fleet: free ports of the machine, or those of the previous fleet in the same folder,
+//! so that nodes keep their addresses, and thereby their node ids, over a restart.
 
 use std::collections::BTreeSet;
 use std::net::TcpListener;
 use std::path::Path;
 
+/// File in the folder that records the ports.
 const PORTS_FILE: &str = "ports";
-/// Below those that the machine deals out to connections, so that none is taken before its node listens.
+/// Range below the ephemeral ports of the machine, so that no connection takes a port before its node listens.
 const PORT_RANGE: std::ops::Range<u16> = 10_000..32_000;
-/// Fleets that start at once begin their search this far apart.
+/// Distance between the first ports tried by fleets with consecutive process ids, which may start at the same time.
 const SEARCH_OFFSET: u16 = 97;
 
-/// So many addresses with free ports, first those that are written in the folder.
+/// Returns `count` addresses with free ports, starting with the ports recorded in the folder.
 pub fn reserve_ports(folder: &Path, count: usize) -> Result<Vec<String>, String> {
     let path = folder.join(PORTS_FILE);
     let previous = std::fs::read_to_string(&path).unwrap_or_default();
@@ -25,12 +26,12 @@
     Ok(ports.iter().map(|port| format!("127.0.0.1:{port}")).collect())
 }
 
-/// Listeners at all of these ports, or none if one is taken.
+/// Binds all of these ports; returns `None` if one is in use.
 fn bind_all(ports: &[u16]) -> Option<Vec<TcpListener>> {
     ports.iter().map(|port| TcpListener::bind(("127.0.0.1", *port)).ok()).collect()
 }
 
-/// Ports that are held until all are found, so that none is given twice.
+/// Adds free ports up to `count`. All stay bound until the last is found, so that none is returned twice.
 fn reserve_more(mut listeners: Vec<TcpListener>, count: usize) -> Result<Vec<u16>, String> {
     let port_of = |listener: &TcpListener| listener.local_addr().map_or(0, |address| address.port());
     let reserved: BTreeSet<u16> = listeners.iter().map(port_of).collect();
@@ -44,7 +45,7 @@
         listeners.extend(TcpListener::bind(("127.0.0.1", port)));
     }
     if listeners.len() < count {
-        return Err(format!("{count} free ports are needed"));
+        return Err(format!("fewer than {count} free ports are available"));
     }
     Ok(listeners.iter().map(port_of).collect())
 }
--- a/crates/fleet/src/ports_tests.rs
+++ b/crates/fleet/src/ports_tests.rs
@@ -1,4 +1,4 @@
-//! A fleet that is started again in its folder.
+//! A fleet that is started again in the same folder.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     folder
 }
 
-/// One test: side by side two would draw the same ports.
+/// A single test, because two running in parallel would reserve the same ports.
 #[test]
 fn ports_of_the_previous_fleet_are_reused_unless_one_is_in_use() {
     let folder = create_folder("again");
--- a/crates/fleet/src/process_monitor.rs
+++ b/crates/fleet/src/process_monitor.rs
@@ -1,5 +1,5 @@
-//! Looks at a fleet's processes while faults are brought about: what they use, how they end, and how soon after
-//! they are told to stop.
+//! Monitors the processes of a fleet during faults: their resource use, their exit codes, and the time they take
+//! to stop.
 
 use crate::faults::ScheduledFault;
 use crate::processes::Fleet;
@@ -8,14 +8,14 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How long processes of a soak may take to stop, as they are told by their settings.
+/// Grace period for stopping, as set for the processes of a soak.
 pub const STOP_GRACE: Duration = Duration::from_secs(3);
-/// What ending takes besides, on a busy machine.
+/// Additional time that the exit takes on a busy machine.
 const EXIT_MARGIN: Duration = Duration::from_millis(1200);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was seen so far.
+/// Observations so far.
 #[derive(Default)]
 pub struct ProcessMonitor {
     usages: Usages,
@@ -26,7 +26,7 @@
 }
 
 impl ProcessMonitor {
-    /// Looks at the fleet until a moment.
+    /// Monitors the fleet until a given time.
     pub async fn wait_until(&mut self, fleet: &mut Fleet, until: Instant) {
         loop {
             self.check_processes(fleet);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Looks once: who has ended, and, once a second, what each uses.
+    /// Checks once which processes have exited, and samples their resource use once a second.
     pub fn check_processes(&mut self, fleet: &mut Fleet) {
         for (name, code) in fleet.reap() {
             self.record_exit(fleet, &name, code);
@@ -46,8 +46,10 @@
         let overdue = |since: &Instant| since.elapsed() > STOP_GRACE + EXIT_MARGIN;
         if let Some((name, _)) = self.stopping_since.iter().find(|(_, since)| overdue(since)) {
             let name = name.clone();
-            self.faults
-                .push(format!("{name} runs {:?} after it was told to stop", self.stopping_since[&name].elapsed()));
+            self.faults.push(format!(
+                "{name} still runs {:?} after it was told to stop",
+                self.stopping_since[&name].elapsed()
+            ));
             self.stopping_since.remove(&name);
         }
         if self.sampled_at.is_none_or(|last| last.elapsed() >= SAMPLE_INTERVAL) {
@@ -60,21 +62,21 @@
         if self.stopping_since.remove(name).is_some() {
             self.stops += 1;
             if code != Some(0) {
-                self.faults.push(format!("{name} was told to stop and ended with {code:?}"));
+                self.faults.push(format!("{name} was told to stop and exited with {code:?}"));
             }
         } else if !fleet.told_to_stop.contains(name) {
-            self.faults.push(format!("{name} ended by itself with {code:?}"));
+            self.faults.push(format!("{name} exited by itself with {code:?}"));
         }
     }
 
-    /// A fault was brought about.
+    /// Records a planned stop, so that its duration is checked.
     pub fn record_fault(&mut self, fault: &ScheduledFault) {
         if let Some(kind) = fault.kind.strip_prefix("stop-") {
             self.stopping_since.insert(format!("{kind}-{}", fault.target), Instant::now());
         }
     }
 
-    /// Prints what was seen; true if nothing was wrong.
+    /// Prints the observations; returns whether there was no fault.
     pub fn report(&self) -> bool {
         let (lines, growing) = self.usages.report();
         lines.iter().for_each(|line| println!("usage: {line}"));
--- a/crates/fleet/src/processes.rs
+++ b/crates/fleet/src/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a fleet: how each is started, and how it is ended by its own id.
+//! The processes of a fleet: starting each, and stopping each by its own process id.
 
 use crate::relay::Relays;
 use std::collections::BTreeSet;
@@ -7,30 +7,40 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
+/// Token of the operator of all tenants.
 pub const OPERATOR_TOKEN: &str = "fleet-operator-token";
 
+/// A node of the fleet and how it is started.
 #[derive(Clone)]
 pub struct Node {
     pub name: String,
     pub program: &'static str,
+    /// Address that other nodes dial, where the relay of the node listens.
     pub peer_address: String,
+    /// Address where the node itself listens for other nodes.
     pub bind_address: String,
+    /// Address for callers of a router or for the API of a registry.
     pub client_address: String,
+    /// Address of the operators' status pages.
     pub ops_address: String,
     pub arguments: Vec<String>,
     pub data_folder: Option<PathBuf>,
 }
 
-/// How a node is started: as always, by the programs of another revision, or without room on its disk.
+/// Manner in which a node is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartMode {
+    /// With the programs under test.
     Normal,
-    /// By the other programs, speaking the oldest format, and then the newest.
+    /// With the programs of another revision, in the oldest wire format.
     OtherOldestFormat,
+    /// With the programs of another revision, in the newest wire format.
     OtherNewestFormat,
+    /// With a data file that cannot grow.
     DiskFull,
 }
 
+/// All nodes of the fleet and the processes that run.
 pub struct Fleet {
     pub emulator: Node,
     pub registries: Vec<Node>,
@@ -38,14 +48,17 @@
     pub running: Vec<(String, Child)>,
     pub folder: PathBuf,
     pub programs: PathBuf,
+    /// Folder with the programs of another revision.
     pub other_programs: Option<PathBuf>,
     pub relays: Relays,
+    /// Exit codes of processes that have exited.
     pub exits: Vec<(String, Option<i32>)>,
+    /// Nodes whose process was signalled to exit.
     pub told_to_stop: BTreeSet<String>,
 }
 
 impl Fleet {
-    /// Opens each node's relay, at the address the others dial.
+    /// Opens the relay of each node at the address that the others dial.
     pub async fn open_relays(&self) -> Result<(), String> {
         for node in self.registries.iter().chain(&self.routers) {
             self.relays.open(&node.name, &node.peer_address, &node.bind_address).await?;
@@ -53,6 +66,7 @@
         Ok(())
     }
 
+    /// Returns a registry or router by its number.
     pub fn find_node(&self, kind: &str, number: usize) -> Result<Node, String> {
         let list = if kind == "registry" { &self.registries } else { &self.routers };
         list.get(number).cloned().ok_or_else(|| format!("there is no {kind} {number}"))
@@ -63,11 +77,12 @@
         OpenOptions::new().create(true).append(true).open(&path).map_err(|error| format!("{}: {error}", path.display()))
     }
 
+    /// Starts a node with the programs under test unless it runs.
     pub fn start(&mut self, node: &Node) -> Result<(), String> {
         self.start_in_mode(node, StartMode::Normal)
     }
 
-    /// Waits until a process that was killed is gone; a kill is not long in coming.
+    /// Waits, without a timeout, until a killed process has exited, which takes only a short time.
     pub fn wait_for_exit(&mut self, name: &str) {
         self.running.retain_mut(|(known, child)| known != name || child.wait().is_err());
     }
@@ -75,7 +90,7 @@
     fn command(&self, node: &Node, start: StartMode) -> Result<Command, String> {
         let folder = match (start, &self.other_programs) {
             (StartMode::OtherOldestFormat | StartMode::OtherNewestFormat, None) => {
-                return Err("--other is needed to roll".into());
+                return Err("roll and switch need --other".into());
             }
             (StartMode::OtherOldestFormat | StartMode::OtherNewestFormat, Some(other)) => other,
             _ => &self.programs,
@@ -91,6 +106,7 @@
         Ok(shell)
     }
 
+    /// Starts a node in the given manner unless it runs.
     pub fn start_in_mode(&mut self, node: &Node, start: StartMode) -> Result<(), String> {
         let ended = self.reap();
         self.exits.extend(ended);
@@ -115,6 +131,7 @@
         Ok(())
     }
 
+    /// Removes processes that have exited and returns their names and exit codes.
     pub fn reap(&mut self) -> Vec<(String, Option<i32>)> {
         let mut ended = Vec::new();
         self.running.retain_mut(|(name, child)| match child.try_wait() {
@@ -127,7 +144,7 @@
         ended
     }
 
-    /// A process that ended though nothing was asked of it.
+    /// Returns a process that exited without having been told to, once for each.
     pub fn take_unexpected_exit(&mut self) -> Option<(String, Option<i32>)> {
         let ended = self.reap();
         self.exits.extend(ended);
@@ -135,7 +152,7 @@
         Some(self.exits.remove(position))
     }
 
-    /// Sends a signal, by its name, to one process this runner started.
+    /// Sends a signal, by its name, to one process that this program started.
     pub fn signal(&mut self, name: &str, signal: &str) -> Result<(), String> {
         let Some((_, child)) = self.running.iter().find(|(known, _)| known == name) else { return Ok(()) };
         if ["KILL", "TERM"].contains(&signal) {
@@ -145,6 +162,7 @@
         status.map(drop).map_err(|error| format!("kill: {error}"))
     }
 
+    /// Tells all processes to stop and kills those that are still running after 10 s.
     pub async fn stop_all(&mut self) {
         let names: Vec<String> = self.running.iter().map(|(name, _)| name.clone()).collect();
         for name in names.iter().rev() {
@@ -169,8 +187,8 @@
     }
 }
 
-/// Programs of an earlier revision do not know every flag; those are left out, and tokens are given in
-/// the way they know.
+/// Returns the arguments that a program supports. Programs of an earlier revision lack some flags: these are
+/// left out, and the tokens are passed with the flag that they have.
 fn supported_arguments(command: &Command, arguments: &[String]) -> Vec<String> {
     let is_shell = command.get_program() == "sh";
     let help = Command::new(command.get_program()).arg("--help").stdin(Stdio::null()).output();
--- a/crates/fleet/src/prove.rs
+++ b/crates/fleet/src/prove.rs
@@ -1,4 +1,4 @@
-//! A fleet from its start to its end and, when proving, the load, the faults and the checker's outcome.
+//! Life of a fleet from its start to its end and, with `prove` or `soak`, the load, the faults and the check.
 
 use crate::command_line::{Mode, Options};
 use crate::deployment::Deployment;
@@ -18,6 +18,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
+/// Runs the subcommand; returns whether all checks passed.
 pub async fn run(mut options: Options) -> Result<bool, String> {
     let mut deployment = Deployment::load(&options.deployment)?;
     std::fs::create_dir_all(&options.folder).map_err(|error| format!("{}: {error}", options.folder.display()))?;
@@ -34,7 +35,7 @@
     let mut fleet = Fleet::configure(&options, &deployment)?;
     fleet.validate_targets(&options.faults, deployment.workers)?;
     wait_for_previous_fleet(&fleet).await?;
-    // Whenever it is interrupted, it ends what it has started.
+    // An interrupt at any time still stops all started processes.
     let result = tokio::select! {
         result = work(&options, &deployment, &mut fleet) => result,
         () = kernel::wait_for_signal() => if options.mode == Mode::Up { Ok(true) } else { Err("interrupted".into()) },
@@ -51,7 +52,7 @@
     println!("operators: {} (token {OPERATOR_TOKEN})", fleet.registries[0].client_address);
     println!("callers: {}", caller_addresses(fleet));
     if options.mode == Mode::Up {
-        println!("the fleet is up; interrupt to end it");
+        println!("the fleet is up; interrupt to stop it");
         return std::future::pending().await;
     }
     prove(options, deployment, fleet).await
@@ -135,8 +136,8 @@
     Ok(check_status.success() && is_kept && processes_ok)
 }
 
-/// The day's end: a change is acknowledged, every registry loses power at once, and after they are
-/// back the configuration must be the acknowledged one.
+/// Final check: after an acknowledged change all registries are killed at once, as by a power failure. After
+/// their restart the configuration must be the acknowledged one.
 async fn check_power_loss(fleet: &mut Fleet) -> Result<bool, String> {
     let Some(acknowledged) = apply_patch(&fleet.registries, "day-end").await else { return Ok(false) };
     for node in fleet.registries.clone() {
@@ -169,7 +170,7 @@
     Ok(is_kept)
 }
 
-/// Waits until no router holds a task any longer: what was accepted has been run.
+/// Waits until no router holds a task, so that every accepted task has been run.
 async fn wait_for_open_tasks(fleet: &mut Fleet) -> Result<(), String> {
     let started = Instant::now();
     let mut quiet = 0;
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -1,6 +1,6 @@
-//! Relays between nodes: each node is dialled at its relay's address, the relay learns from the
-//! first frame who dials, and passes bytes on unless that way is cut. A cut holds bytes back, as a
-//! lost network does; healing lets them through.
+//! Relays between nodes. Other nodes dial a node at the address of its relay. The relay learns the dialling node
+//! from the first frame and forwards bytes unless that direction is cut. A cut holds bytes back, as a network
+//! outage does; healing lets them through.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,8 +13,10 @@
 use tokio::time::sleep;
 use wire::{Message, encode, read_frame};
 
+/// Interval at which a held connection checks whether its link is healed.
 const CUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// All relays of a fleet and the links that are cut.
 #[derive(Clone, Default)]
 pub struct Relays {
     node_names: Rc<RefCell<BTreeMap<String, String>>>,
@@ -23,12 +25,14 @@
 }
 
 impl Relays {
+    /// Returns an empty set of relays for a cluster.
     pub fn new(cluster: &str) -> Relays {
         let relays = Relays::default();
         *relays.cluster.borrow_mut() = cluster.to_owned();
         relays
     }
 
+    /// Listens at `address` and forwards connections to the node at `bind_address`.
     pub async fn open(&self, name: &str, address: &str, bind_address: &str) -> Result<(), String> {
         let listener = TcpListener::bind(address).await.map_err(|error| format!("relay at {address}: {error}"))?;
         self.node_names.borrow_mut().insert(address.to_owned(), name.to_owned());
@@ -74,8 +78,8 @@
         }
     }
 
-    /// `LEFT/RIGHT`, each a list parted by `+`; without RIGHT, everybody else. One way only, from
-    /// left to right, with `one_way`.
+    /// Cuts links given as `LEFT/RIGHT`, each a list of names separated by `+`; without RIGHT, all links between
+    /// LEFT and all other nodes. With `one_way` only the direction from left to right is cut.
     pub fn cut(&self, links: &str, one_way: bool) {
         let (left, right) = links.split_once('/').unwrap_or((links, ""));
         let left: Vec<String> = left.split('+').map(str::to_owned).collect();
@@ -93,6 +97,7 @@
         }
     }
 
+    /// Restores all links.
     pub fn heal(&self) {
         self.cuts.borrow_mut().clear();
     }
--- a/crates/fleet/src/resources.rs
+++ b/crates/fleet/src/resources.rs
@@ -1,9 +1,9 @@
-//! What processes use of the machine over a run, and whether it stays flat from the first third to the last.
+//! Resource use of the processes over a run, and whether it grows from the first third to the last.
 
 use std::collections::BTreeMap;
 use std::fs;
 
-/// What a process may use more in the last third than in the first: so many times as much and so much besides.
+/// Allowed growth from the first third to the last: the use may be multiplied by a factor, plus an extra amount.
 struct Allowance {
     what: &'static str,
     factor: f64,
@@ -16,7 +16,7 @@
     Allowance { what: "threads", factor: 1.0, extra: 4.0 },
 ];
 
-/// One look at a process.
+/// Resource use of a process at one time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
     /// Resident memory in KB, open descriptors, threads.
@@ -24,7 +24,7 @@
 }
 
 impl Usage {
-    /// Looks at a process; none if it is gone.
+    /// Reads the resource use of a process; `None` if it has exited.
     pub fn read(process: u32) -> Option<Usage> {
         let status = fs::read_to_string(format!("/proc/{process}/status")).ok()?;
         let field = |name: &str| {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Looks at processes, by the name of their node and their number; a restarted node is another process.
+/// Samples of resource use, by node name and process id; a restarted node is a new process.
 #[derive(Default)]
 pub struct Usages {
     samples: BTreeMap<(String, u32), Vec<Usage>>,
@@ -44,7 +44,7 @@
 }
 
 impl Usages {
-    /// Looks at these processes.
+    /// Samples the given processes.
     pub fn sample<'a>(&mut self, processes: impl Iterator<Item = (&'a str, u32)>) {
         self.rounds += 1;
         for (name, process) in processes {
@@ -54,7 +54,8 @@
         }
     }
 
-    /// One line for each process that lived nearly throughout, and those that used more and more.
+    /// Returns a line for each resource of each process that ran for at least 90 % of the samples, and the lines of
+    /// those whose use grew too much.
     pub fn report(&self) -> (Vec<String>, Vec<String>) {
         let (mut lines, mut growing) = (Vec::new(), Vec::new());
         let long_lived = self.samples.iter().filter(|(_, samples)| samples.len() * 10 >= self.rounds * 9);
--- a/crates/fleet/src/resources_tests.rs
+++ b/crates/fleet/src/resources_tests.rs
@@ -1,4 +1,4 @@
-//! Growth is found, noise is not, and a process that came late is not judged.
+//! Growth is reported, noise is not, and a process that started late is not evaluated.
 
 use super::*;
 
--- a/crates/fleet/src/route_changes.rs
+++ b/crates/fleet/src/route_changes.rs
@@ -1,6 +1,6 @@
-//! Turning one route from function to function while the load runs, so that the instance that runs a
-//! task tells which revision was followed. Each turn goes to another registry; every third is raced by
-//! two on the same revision, and then the winner is read back. What was asked and told is recorded.
+//! Switches one route from function to function while the load runs, so that the instance that runs a task shows
+//! which revision was followed. Each change goes to another registry. Every third is a race of two changes on the
+//! same revision, after which the winner is read back. Requests and answers are recorded.
 
 use crate::deployment::Deployment;
 use crate::processes::{Node, OPERATOR_TOKEN};
@@ -14,6 +14,7 @@
 use tokio::time::sleep;
 
 const FUNCTION_COUNT: usize = 12;
+/// Tasks per second on the probe route.
 const RATE: f64 = 12.0;
 const CALL_TIMEOUT: Duration = Duration::from_secs(14);
 
@@ -28,8 +29,8 @@
     })
 }
 
-/// The deployment with the turned route, and one of its own for each function it is turned to, so
-/// that none of them sleeps.
+/// Adds the probe route to the deployment, and for each function that it switches to a route of its own, so that
+/// no function is idle.
 pub fn add_probe_route(deployment: &Deployment, folder: &Path) -> Result<Deployment, String> {
     let read = |path: &Path| -> Result<Value, String> {
         let raw = std::fs::read(path).map_err(|error| format!("{}: {error}", path.display()))?;
@@ -53,6 +54,7 @@
     Ok(Deployment { configuration, services, ..deployment.clone() })
 }
 
+/// Periodically changes the probe route and records each change.
 pub struct RouteChanger {
     pub registries: Vec<Node>,
     pub interval: Duration,
@@ -61,6 +63,7 @@
 }
 
 impl RouteChanger {
+    /// Changes the route at each interval until the end time.
     pub async fn run(self: Rc<Self>) {
         let mut number = 0;
         while Instant::now() + self.interval < self.until {
@@ -97,7 +100,7 @@
         send_call(&call).await.ok().filter(|answer| answer.status == 200)?.revision
     }
 
-    /// Asks for one turn and records what was told; a turn nobody answered may yet come into force.
+    /// Requests one change and records the answer; a change without an answer may still come into force.
     async fn change_route(&self, at: usize, number: usize, base: Option<u64>) -> Option<Answer> {
         let binding = binding("/probe/turn".into(), number, 1);
         let body = json!({"name": "turn", "set": {"function-bindings/probe/turn": binding}}).to_string().into_bytes();
@@ -113,7 +116,7 @@
         answer
     }
 
-    /// After a race: what is read must not be a turn that was refused.
+    /// Reads the route back after a race and marks a refused change that nevertheless is in force.
     async fn read_back(&self, number: usize, answers: (Option<Answer>, Option<Answer>)) {
         let call = self.call(number + 1, Method::GET, "/v1/function-bindings/probe/turn");
         let Ok(answer) = send_call(&call).await else { return };
@@ -130,13 +133,15 @@
         }
     }
 
+    /// Writes the records as JSON lines.
     pub fn write(&self, path: &Path) -> Result<(), String> {
         let records: String = self.records.borrow().iter().map(|line| format!("{line}\n")).collect();
         std::fs::write(path, records).map_err(|error| format!("{}: {error}", path.display()))
     }
 }
 
-#[expect(clippy::disallowed_types, reason = "records of several processes are held against each other by it")]
+#[expect(clippy::disallowed_types, reason = "records of several processes are compared by wall-clock time")]
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn unix_time_ms() -> u64 {
     use std::time::{SystemTime, UNIX_EPOCH};
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
--- a/crates/fleet/src/smoke.rs
+++ b/crates/fleet/src/smoke.rs
@@ -1,5 +1,5 @@
-//! The smoke: a small fleet, and what a caller or operator would try first on it, right and wrong,
-//! with one registry lost and one router leaving on the way. It waits on conditions only.
+//! Smoke test of a small fleet: basic valid and invalid calls of callers and operators, the loss of one registry
+//! and the planned stop of one router. It waits only for conditions, never for fixed times.
 
 use crate::command_line::Options;
 use crate::deployment::Deployment;
@@ -14,15 +14,18 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
+/// Token of an operator with access to a single tenant.
 pub const TENANT_TOKEN: &str = "tenant-token-of-pixelkrov";
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(40);
 
+/// Results of the checks so far.
 pub struct Smoke {
     passed: usize,
     failures: Vec<String>,
 }
 
 impl Smoke {
+    /// Records and prints the result of a check.
     pub fn check(&mut self, what: &str, passed: bool, details: impl std::fmt::Display) {
         if passed {
             self.passed += 1;
@@ -33,6 +36,7 @@
         }
     }
 
+    /// Sends a call and checks the status of its answer.
     pub async fn check_status(&mut self, what: &str, call: Call, wanted: u16) -> Option<Answer> {
         match send_call(&call).await {
             Ok(answer) => {
@@ -48,6 +52,7 @@
     }
 }
 
+/// Runs all checks; returns whether all passed.
 pub async fn run(options: &Options, deployment: &Deployment, fleet: &mut Fleet) -> Result<bool, String> {
     let mut smoke = Smoke { passed: 0, failures: Vec::new() };
     check_settings(options, &mut smoke)?;
@@ -84,7 +89,7 @@
     let words =
         ["--check", "--address", "127.0.0.1:1", "--api", "127.0.0.1:2", "--seeds", seeds, "--data", "/nowhere/at/all"];
     let output = run("registry", &words)?;
-    smoke.check("--check opens nothing", output.status.success(), String::from_utf8_lossy(&output.stderr));
+    smoke.check("--check opens no file", output.status.success(), String::from_utf8_lossy(&output.stderr));
     Ok(())
 }
 
@@ -102,13 +107,15 @@
 async fn check_callers(fleet: &Fleet, smoke: &mut Smoke) {
     let (one, two) = (&fleet.routers[0], &fleet.routers[1]);
     let post = |node: &Node, path: &str, body: &str| call_to(node, Method::POST, path, body);
-    smoke.check_status("a sleeping function is woken and answers", post(one, "/pixelkrov/saves", "s"), 200).await;
+    smoke.check_status("an idle function is started and answers", post(one, "/pixelkrov/saves", "s"), 200).await;
     smoke.check_status("an unknown route is 404", post(one, "/nowhere", ""), 404).await;
-    smoke.check_status("a body too long is 413", post(one, "/pixelkrov/saves", &"x".repeat(300 * 1024)), 413).await;
+    smoke
+        .check_status("a body that is too long is 413", post(one, "/pixelkrov/saves", &"x".repeat(300 * 1024)), 413)
+        .await;
     let long = format!("/pixelkrov/saves?{}", "q".repeat(60 * 1024));
     let answer = send_call(&post(one, &long, "")).await;
     smoke.check(
-        "a head too long is 431 or 414",
+        "a head that is too long is 431 or 414",
         matches!(&answer, Ok(a) if [431, 414].contains(&a.status)),
         format!("{answer:?}"),
     );
@@ -118,9 +125,9 @@
         call
     };
     let first = smoke.check_status("a trade is answered", keyed(one, "gives 3"), 200).await;
-    let again = smoke.check_status("its repeat at another router too", keyed(two, "gives 3"), 200).await;
+    let again = smoke.check_status("its repeat at another router is answered", keyed(two, "gives 3"), 200).await;
     let same = first.is_some() && first.map(|a| a.body) == again.map(|a| a.body);
-    smoke.check("with the very same answer", same, "bodies differ");
+    smoke.check("the repeat has the same answer", same, "bodies differ");
     smoke.check_status("another body under the same key is 422", keyed(two, "gives 4"), 422).await;
     let mut later = post(two, "/pixelkrov/backups", "b");
     later.headers = vec![("prefer".into(), "respond-async".into()), ("x-task".into(), "smoke-b#1".into())];
@@ -135,7 +142,7 @@
         }
         sleep(Duration::from_millis(100)).await;
     }
-    smoke.check("and its answer is found at its status address", last.contains("body=b"), last);
+    smoke.check("the answer of the backup is at its status address", last.contains("body=b"), last);
 }
 
 async fn check_operators(fleet: &Fleet, smoke: &mut Smoke) {
@@ -169,11 +176,15 @@
         smoke.check_status("an invalid change is 422", change(two, OPERATOR_TOKEN, Some("*"), bad), 422).await;
     let details = refusal.map(|answer| String::from_utf8_lossy(&answer.body).into_owned()).unwrap_or_default();
     let both = details.contains("/pixelkrov/x/route") && details.contains("/pixelkrov/x/function");
-    smoke.check("with every fault and its path", both, details);
+    smoke.check("the answer lists every fault with its path", both, details);
     let mut read = call_to(two, Method::GET, "/v1/configuration", "");
     read.token = OPERATOR_TOKEN.into();
     let back = smoke.check_status("the configuration is read back", read, 200).await;
-    smoke.check("at the revision acknowledged", back.and_then(|answer| answer.revision) == Some(revision), revision);
+    smoke.check(
+        "it is read back at the acknowledged revision",
+        back.and_then(|answer| answer.revision) == Some(revision),
+        revision,
+    );
 }
 
 async fn check_losses(fleet: &mut Fleet, smoke: &mut Smoke) -> Result<(), String> {
@@ -196,12 +207,12 @@
     fleet.start(&lost)?;
     let mut status_call = call_to(&lost, Method::GET, "/v1/status", "");
     status_call.token = OPERATOR_TOKEN.into();
-    wait_until("the emptied registry is whole in the chain again", fleet, &status_call, |answer| {
+    wait_until("the wiped registry is a full member of the chain again", fleet, &status_call, |answer| {
         let page: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
         page["view"]["chain"].as_array().is_some_and(|chain| chain.len() == 3) && page["view"]["fresh"].is_null()
     })
     .await?;
-    smoke.check("an emptied registry copies and joins", true, "");
+    smoke.check("a wiped registry copies the state and joins", true, "");
     let leaving = fleet.routers[0].name.clone();
     fleet.signal(&leaving, "TERM")?;
     let started = Instant::now();
@@ -209,10 +220,10 @@
     while code.is_none() && started.elapsed() < CONDITION_TIMEOUT {
         let answer = send_call(&call_to(&fleet.routers[1], Method::POST, "/pixelkrov/inventory", "i")).await;
         if !matches!(&answer, Ok(answer) if answer.status == 200) {
-            smoke.check("tasks are answered while a router leaves", false, format!("{answer:?}"));
+            smoke.check("tasks are answered while a router stops", false, format!("{answer:?}"));
         }
         code = fleet.reap().into_iter().find(|(name, _)| *name == leaving).map(|(_, code)| code);
     }
-    smoke.check("a router asked to leave goes with exit code 0", code == Some(Some(0)), format!("{code:?}"));
+    smoke.check("a router told to stop exits with code 0", code == Some(Some(0)), format!("{code:?}"));
     Ok(())
 }
--- a/crates/fleet/src/smoke_views.rs
+++ b/crates/fleet/src/smoke_views.rs
@@ -1,5 +1,5 @@
-//! The smoke of what any node shows of the three kinds, of declarations kept as files, and of a
-//! replayed archive, right and wrong.
+//! Smoke test of the views of the three resource kinds on each node, of declarations in files, and of replayed
+//! archives, with valid and invalid input.
 
 use crate::command_line::Options;
 use crate::processes::{Fleet, Node, OPERATOR_TOKEN};
@@ -17,6 +17,7 @@
     Call { address: node.ops_address.clone(), path: path.into(), token: token.into(), limit, ..Call::default() }
 }
 
+/// Checks which resources a node shows to which token.
 pub async fn check_views(fleet: &Fleet, smoke: &mut Smoke) {
     for node in [&fleet.registries[1], &fleet.routers[1]] {
         let name = &node.name;
@@ -32,7 +33,7 @@
             .await;
         smoke
             .check_status(
-                &format!("{name}: a watch of one too"),
+                &format!("{name}: a watch of an unknown kind is 404"),
                 ops_call(node, "/v1/watch/plans", OPERATOR_TOKEN),
                 404,
             )
@@ -40,19 +41,19 @@
         let foreign_path = "/v1/watch/function-bindings/studio-01/rules";
         smoke
             .check_status(
-                &format!("{name}: a watch of another tenant's is 403"),
+                &format!("{name}: a watch of another tenant's resource is 403"),
                 ops_call(node, foreign_path, TENANT_TOKEN),
                 403,
             )
             .await;
         let all = "/v1/view/function-bindings";
         let list = smoke
-            .check_status(&format!("{name}: a tenant sees its own kind"), ops_call(node, all, TENANT_TOKEN), 200)
+            .check_status(&format!("{name}: a tenant may list a kind"), ops_call(node, all, TENANT_TOKEN), 200)
             .await;
         let page: Value = list.and_then(|a| serde_json::from_slice(&a.body).ok()).unwrap_or_default();
         let names: Vec<&String> = page["items"].as_object().map(|items| items.keys().collect()).unwrap_or_default();
         let own = !names.is_empty() && names.iter().all(|name| name.starts_with("pixelkrov/"));
-        smoke.check(&format!("{name}: and nobody else's"), own, format!("{names:?}"));
+        smoke.check(&format!("{name}: a tenant sees no other tenant's resources"), own, format!("{names:?}"));
     }
     let mut plan = Value::Null;
     let started = Instant::now();
@@ -67,10 +68,10 @@
         }
         sleep(Duration::from_millis(100)).await;
     }
-    smoke.check("a plan's home shows what is desired, played and there", plan["desired"].is_array(), &plan);
+    smoke.check("the home of a plan shows desired and actual instances", plan["desired"].is_array(), &plan);
 }
 
-/// Beside the relays, which this process carries on meanwhile.
+/// Runs a program on another thread, because this one must keep forwarding for the relays.
 async fn run(options: &Options, program: &str, words: &[&str]) -> Result<Output, String> {
     let mut command = Command::new(options.programs.join(program));
     command.args(words).env("HERON_TOKEN", OPERATOR_TOKEN).stdin(Stdio::null());
@@ -82,7 +83,7 @@
     format!("{}{}", String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr))
 }
 
-/// A folder of declarations: told apart, tried dry, applied, and nothing left to tell.
+/// Checks a folder of declarations: diff, dry run, apply and an empty diff, and then invalid files and archives.
 pub async fn check_declarations(
     options: &Options,
     fleet: &Fleet,
@@ -105,20 +106,20 @@
         smoke.check(what, output.status.code() == Some(code) && details.contains(words), details);
     };
     check(
-        "heronlinkctl diff tells what would change",
+        "heronlinkctl diff shows what would change",
         heronlinkctl(&["diff", &path]).await?,
         1,
         "+ weight-sheets/pixelkrov/new-one",
     );
     check("a dry run is checked by the server", heronlinkctl(&["--dry-run", "apply", &path]).await?, 0, "would-change");
-    check("and changes nothing", heronlinkctl(&["diff", &path]).await?, 1, "+ weight-sheets/pixelkrov/new-one");
+    check("a dry run changes nothing", heronlinkctl(&["diff", &path]).await?, 1, "+ weight-sheets/pixelkrov/new-one");
     check("heronlinkctl apply takes the folder", heronlinkctl(&["apply", &path]).await?, 0, "in-force");
-    check("after which there is nothing to tell", heronlinkctl(&["diff", &path]).await?, 0, "");
+    check("diff is empty after apply", heronlinkctl(&["diff", &path]).await?, 0, "");
     write("again.json", r#"{"weight-sheets": {"pixelkrov/new-one": {}}}"#)?;
     let twice = heronlinkctl(&["apply", &path]).await?;
     check("a resource declared twice is refused, with both files", twice, 2, "again.json and in");
     write("again.json", r#"{"weight-sheets": {"pixelkrov/other-one": {"tuning": {"target_usage": {"least": 7}}}}"#)?;
-    check("a file that is no JSON is refused by name", heronlinkctl(&["diff", &path]).await?, 2, "again.json");
+    check("an invalid JSON file is refused with its name", heronlinkctl(&["diff", &path]).await?, 2, "again.json");
     write("again.json", r#"{"weight-sheets": {"pixelkrov/other-one": {"tuning": {"target_usage": {"least": 7}}}}}"#)?;
     let bound = heronlinkctl(&["--dry-run", "apply", &path]).await?;
     check(
@@ -130,10 +131,10 @@
     let bad = folder.join("cut.har");
     std::fs::write(&bad, "{\"log\": {").map_err(|error| error.to_string())?;
     let replay = ["replay", "--har", &bad.display().to_string(), "--targets", &fleet.routers[0].client_address];
-    check("an archive that is cut is refused", run(options, "loadgen", &replay).await?, 2, "not a whole HTTP archive");
+    check("a truncated archive is refused", run(options, "loadgen", &replay).await?, 2, "not a whole HTTP archive");
     let mistimed = ["prove", "--deployment", &options.deployment.display().to_string(), "--fault", "1:kill-router:77"];
     let scratch = options.folder.join("refused").display().to_string();
     let output = run(options, "fleet", &[&mistimed[..], &["--folder", &scratch]].concat()).await?;
-    check("a timetable naming no node is refused before anything starts", output, 1, "there is no router 77");
+    check("a fault on an unknown node is refused before any process starts", output, 1, "there is no router 77");
     Ok(())
 }
--- a/crates/fleet/src/soak_schedule.rs
+++ b/crates/fleet/src/soak_schedule.rs
@@ -1,24 +1,25 @@
-//! What a soak does to its fleet: a timetable drawn from a seed, with signals, restarts, replacements, cuts and changes
-//! that come in series and overlap. One registry at a time is in trouble, and a third of the routers at most; some
-//! routers are left alone, as witnesses whose use of the machine must stay flat.
+//! Schedule of a soak, drawn from a seed: signals, restarts, disk losses, cuts and changes, in series and
+//! overlapping. At most one registry and a third of the routers are faulty at a time. Some routers are left
+//! untouched; their resource use must stay flat.
 
 use crate::faults::ScheduledFault;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Nothing happens before this, nor in the last part of a run.
+/// No fault happens before this time.
 const FIRST_FAULT_SECONDS: f64 = 4.0;
+/// Length of the last part of a run, without faults.
 const CALM_END_SECONDS: f64 = 8.0;
-/// A process that was told to stop has ended this long after, and is started again.
+/// Time after which a process that was told to stop has exited and is started again.
 const STOP_SECONDS: f64 = 4.5;
-/// A registry counts as in trouble for so long after it is back.
+/// Time after its return for which a registry still counts as faulty.
 const CATCH_UP_SECONDS: f64 = 4.0;
 const REGISTRIES: usize = 3;
-/// Routers that are left alone: one in so many, one at least.
+/// One of this many routers is left untouched, and at least one.
 const ROUTERS_PER_UNTOUCHED_ROUTER: usize = 5;
 
-/// How much is done to a fleet.
+/// Size of the fleet and length of the soak.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakSize {
     /// Length of the load in seconds.
@@ -30,13 +31,13 @@
 }
 
 impl SoakSize {
-    /// The first routers are witnesses.
+    /// Returns the number of untouched routers, which are the first ones.
     pub fn untouched_routers(&self) -> usize {
         (self.routers / ROUTERS_PER_UNTOUCHED_ROUTER).max(1)
     }
 }
 
-/// A timetable in order of time; the same for the same seed.
+/// Returns a schedule sorted by time; the same for the same seed.
 pub fn draw_schedule(seed: u64, size: SoakSize) -> Vec<ScheduledFault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut schedule = Schedule { faults: Vec::new(), end: size.seconds as f64 - CALM_END_SECONDS };
@@ -60,7 +61,8 @@
         self.faults.push(ScheduledFault { at, kind: kind.to_owned(), target: target.to_string() });
     }
 
-    /// One after the other, mostly with little time in between; sometimes the same one twice.
+    /// Faults of registries, one after the other, mostly with little time in between; sometimes the same registry
+    /// twice in a row.
     fn draw_registries(&mut self, rng: &mut impl Rng) {
         let mut at = FIRST_FAULT_SECONDS + rng.random_range(0.0..2.0);
         while at < self.end - STOP_SECONDS {
@@ -73,7 +75,7 @@
     fn draw_routers(&mut self, rng: &mut impl Rng, size: SoakSize) {
         let first = size.untouched_routers();
         let count = size.routers.saturating_sub(first);
-        // Each lane goes round its own routers, so that lanes overlap and no router is in two.
+        // Each lane uses its own routers, so that faults of several lanes overlap but no router is in two lanes.
         let lane_count = (size.routers / 3).clamp(1, 8).min(count);
         for lane in 0..lane_count {
             let mut at = FIRST_FAULT_SECONDS + rng.random_range(0.0..4.0);
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Kills, stops, freezes or empties a process and brings it back; returns how long it is away.
+    /// Kills, stops, freezes or wipes a process and brings it back; returns how many seconds it is away.
     fn draw_process_fault(&mut self, rng: &mut impl Rng, node_kind: &str, target: usize, at: f64) -> f64 {
         let away_seconds = rng.random_range(0.2..2.0);
         match rng.random_range(0..if node_kind == "registry" { 4 } else { 3 }) {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Single links between routers, one way or both.
+    /// Cuts of single links between routers, in one direction or both.
     fn draw_links(&mut self, rng: &mut impl Rng, size: SoakSize) {
         let mut at = FIRST_FAULT_SECONDS + rng.random_range(2.0..6.0);
         while at < self.end && size.routers > 1 {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Single changes, and now and then a few a second.
+    /// Single changes, and occasionally bursts of a few per second.
     fn draw_changes(&mut self, rng: &mut impl Rng) {
         let mut at = FIRST_FAULT_SECONDS + rng.random_range(0.0..3.0);
         let mut number = 0;
--- a/crates/fleet/src/soak_schedule_tests.rs
+++ b/crates/fleet/src/soak_schedule_tests.rs
@@ -1,4 +1,4 @@
-//! What holds of every drawn timetable.
+//! Properties of every drawn schedule.
 
 use super::*;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
             max = max.max(down.values().filter(|is_down| **is_down).count());
         }
     }
-    assert!(down.values().all(|is_down| !is_down), "all are back at the end: {down:?}");
+    assert!(down.values().all(|is_down| !is_down), "not all processes are back at the end: {down:?}");
     max
 }
 
--- a/crates/fleet/src/startup.rs
+++ b/crates/fleet/src/startup.rs
@@ -1,5 +1,4 @@
-//! Bringing a fleet up, waiting on conditions rather than on time, and saying what is waited for when that is in
-//! vain.
+//! Startup of a fleet: waits for conditions instead of fixed times, and reports what is missing on a timeout.
 
 use crate::deployment::Deployment;
 use crate::folder::wait_for_data_files;
@@ -11,14 +10,14 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// How long a condition is waited for.
+/// Maximum time to wait for a condition.
 pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
-/// Processes that were told to stop end within their grace, which is less.
+/// Maximum time to wait for data files. Processes told to stop exit within their grace period, which is shorter.
 const DATA_FILE_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until the registries of the fleet before in this folder have let go of their data files.
+/// Waits until the registries of the previous fleet in this folder have closed their data files.
 pub async fn wait_for_previous_fleet(fleet: &Fleet) -> Result<(), String> {
     let data = fleet.registries.iter().filter_map(|node| node.data_folder.as_ref());
     let files: Vec<PathBuf> = data.map(|folder| folder.join("registry.redb")).collect();
@@ -57,7 +56,7 @@
     }
 }
 
-/// Applies the configuration under one operation id, again while its outcome is not known.
+/// Applies the configuration under one operation id and retries it while the outcome is unknown.
 async fn apply_configuration(deployment: &Deployment, fleet: &Fleet) -> Result<(), String> {
     let body = std::fs::read(&deployment.configuration).map_err(|error| error.to_string())?;
     let started = Instant::now();
@@ -85,7 +84,7 @@
     }
 }
 
-/// What the registries say a change still waits for.
+/// Returns what the registries report that a pending change still waits for.
 async fn describe_pending(fleet: &Fleet) -> String {
     let mut lines = Vec::new();
     for node in &fleet.registries {
@@ -111,7 +110,7 @@
     lines.join("; ")
 }
 
-/// Sends a call until its answer is good.
+/// Repeats a call until its answer is the expected one; fails on a timeout or if a process exits unexpectedly.
 pub async fn wait_until(
     what: &str,
     fleet: &mut Fleet,
@@ -126,9 +125,9 @@
             return Ok(());
         }
         if let Some((name, code)) = fleet.take_unexpected_exit() {
-            return Err(format!("{name} ended with {code:?}; see its log in {}", fleet.folder.join("logs").display()));
+            return Err(format!("{name} exited with {code:?}; see its log in {}", fleet.folder.join("logs").display()));
         }
         sleep(POLL_INTERVAL).await;
     }
-    Err(format!("waited in vain until {what}: {}", describe_pending(fleet).await))
+    Err(format!("timed out waiting until {what}: {}", describe_pending(fleet).await))
 }
--- a/crates/fleet/src/timeline.rs
+++ b/crates/fleet/src/timeline.rs
@@ -1,6 +1,6 @@
-//! What failed from when to when, as the checker needs it: a kill until the start, a freeze until the
-//! thaw, a cut until it is healed, mischief until it ends, a crowd while it lasts. Planned stops,
-//! starts after them and changes are told apart.
+//! Time spans of faults for the checker: a kill until the start, a freeze until the thaw, a cut until it is
+//! healed, mischief until it ends, a crowd while it lasts. Planned stops with the starts after them, and
+//! changes, are marked as planned.
 
 use crate::faults::ScheduledFault;
 use crate::route_changes::unix_time_ms;
@@ -8,24 +8,24 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// A failure that has not ended yet.
+/// A fault or planned work that has not ended yet.
 struct OpenSpan {
     /// Milliseconds of the wall clock.
     from_ms: u64,
     planned: bool,
 }
 
-/// A failure or planned work, from when to when.
+/// A fault or planned work with its start and end.
 struct Span {
     /// Milliseconds of the wall clock.
     from_ms: u64,
-    /// Milliseconds of the wall clock; the greatest number where it did not end.
+    /// Milliseconds of the wall clock; the largest number if the span did not end.
     to_ms: u64,
     what: String,
     planned: bool,
 }
 
-/// What failed or was planned in a run so far.
+/// Faults and planned work in a run so far.
 #[derive(Default)]
 pub struct Timeline {
     open: BTreeMap<String, OpenSpan>,
@@ -33,6 +33,7 @@
 }
 
 impl Timeline {
+    /// Records an injected fault or its end.
     pub fn record(&mut self, fault: &ScheduledFault) {
         let now = unix_time_ms();
         let (verb, kind) = fault.kind.split_once('-').unwrap_or((fault.kind.as_str(), ""));
@@ -69,7 +70,8 @@
         }
     }
 
-    /// A crowd, which may bring refusals of our own without anything having failed.
+    /// Records a crowd, given as on the command line. During a crowd the fleet may refuse requests although nothing
+    /// has failed.
     pub fn record_crowd(&mut self, started: u64, values: &str) {
         let mut parts = values.split(',').map(|part| part.parse::<f64>().unwrap_or(0.0));
         let (at, lasts) = (parts.next().unwrap_or(0.0), parts.next().unwrap_or(0.0));
@@ -77,7 +79,7 @@
         self.push(from, from + (lasts * 1000.0) as u64, "crowd", false);
     }
 
-    /// Writes one JSON line for each span, those that did not end last.
+    /// Writes one JSON line for each span; spans that did not end come last.
     pub fn write(&self, path: &Path) -> Result<(), String> {
         let line = |from: u64, to: u64, what: &str, planned: bool| {
             format!("{}\n", json!({"from": from, "to": to, "what": what, "planned": planned}))
