--- a/crates/loadgen/src/attempt.rs
+++ b/crates/loadgen/src/attempt.rs
@@ -12,9 +12,9 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(6);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(6);
 
-pub type Http = Client<HttpConnector, Full<Bytes>>;
+pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
 pub struct AttemptSpec<'a> {
     pub method: &'a str,
@@ -28,14 +28,14 @@
     pub target: &'a str,
 }
 
-pub fn client() -> Http {
+pub fn build_client() -> HttpClient {
     Client::builder(TokioExecutor::new())
         .pool_max_idle_per_host(64)
         .pool_idle_timeout(Duration::from_secs(30))
         .build_http()
 }
 
-pub async fn attempt(http: &Http, spec: AttemptSpec<'_>) -> Attempt {
+pub async fn send_attempt(http: &HttpClient, spec: AttemptSpec<'_>) -> Attempt {
     let label = format!("{}#{}", spec.task, spec.number);
     let mut attempt = Attempt {
         task: spec.task.to_owned(),
@@ -53,25 +53,26 @@
         request = request.header(name, value);
     }
     let Ok(request) = request.body(Full::new(Bytes::from(spec.body))) else { return attempt };
-    let begun = Instant::now();
+    let started = Instant::now();
     let work = async {
-        let answer = http.request(request).await.map_err(|error| format!("{error:?}"))?;
-        let status = answer.status().as_u16();
-        let text = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
+        let response = http.request(request).await.map_err(|error| format!("{error:?}"))?;
+        let status = response.status().as_u16();
+        let text =
+            |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
         let (outcome, retry_after) = (text("heronlink-outcome"), !text("retry-after").is_empty());
-        let body = Limited::new(answer.into_body(), 1 << 20).collect().await.map_err(|error| error.to_string())?;
+        let body = Limited::new(response.into_body(), 1 << 20).collect().await.map_err(|error| error.to_string())?;
         Ok::<_, String>((status, outcome, retry_after, body.to_bytes()))
     };
-    match timeout(PATIENCE, work).await {
+    match timeout(ATTEMPT_TIMEOUT, work).await {
         Ok(Ok((status, outcome, retry_after, body))) => {
             attempt.status = status;
             attempt.outcome = outcome;
             attempt.retry_after = retry_after;
             attempt.body = String::from_utf8_lossy(&body).into_owned();
         }
-        Ok(Err(told)) => attempt.body = told,
+        Ok(Err(error)) => attempt.body = error,
         Err(_) => attempt.body = "no answer in time".into(),
     }
-    attempt.took = begun.elapsed().as_millis() as u64;
+    attempt.took = started.elapsed().as_millis() as u64;
     attempt
 }
--- a/crates/loadgen/src/line.rs
+++ b/crates/loadgen/src/command_line.rs
@@ -1,8 +1,8 @@
 //! The command line of the load generator and the checker.
 
-use crate::check::CheckOrder;
-use crate::load::{Crowd, LoadOrder};
-use crate::replay::ReplayOrder;
+use crate::check::CheckOptions;
+use crate::load::{Crowd, LoadOptions};
+use crate::replay::ReplayOptions;
 use config::{ToolArgument, ToolLine};
 use std::path::PathBuf;
 
@@ -34,26 +34,26 @@
   --spans FILE          what failed or was planned, and when
   --refusals N          most own refusals let pass in all [a handful where nothing fails]";
 
-pub enum Order {
+pub enum Command {
     Help,
     Version,
-    Load(LoadOrder),
-    Replay(ReplayOrder),
-    Check(CheckOrder),
+    Load(LoadOptions),
+    Replay(ReplayOptions),
+    Check(CheckOptions),
 }
 
-pub fn parse(line: lexopt::Parser) -> Result<Order, String> {
-    let mut what = None;
+pub fn parse(parser: lexopt::Parser) -> Result<Command, String> {
+    let mut command = None;
     let (mut har, mut speed) = (PathBuf::new(), 1.0);
-    let mut load = LoadOrder::default();
-    let mut check = CheckOrder { turned: "/probe/turn".into(), ..CheckOrder::default() };
-    let mut line = ToolLine::new(line, &[]);
-    while let Some(argument) = line.next_argument()? {
+    let mut load = LoadOptions::default();
+    let mut check = CheckOptions { changed_route: "/probe/turn".into(), ..CheckOptions::default() };
+    let mut parser = ToolLine::new(parser, &[]);
+    while let Some(argument) = parser.next_argument()? {
         let (name, value) = match argument {
-            ToolArgument::Help => return Ok(Order::Help),
-            ToolArgument::Version => return Ok(Order::Version),
+            ToolArgument::Help => return Ok(Command::Help),
+            ToolArgument::Version => return Ok(Command::Version),
             ToolArgument::Command(word) => {
-                what = Some(word);
+                command = Some(word);
                 continue;
             }
             ToolArgument::Switch(name) => return Err(format!("no flag --{name}; see --help")),
@@ -75,46 +75,46 @@
             "tasks" => check.tasks = value.into(),
             "runs" => check.runs = value.into(),
             "changes" => check.changes = Some(PathBuf::from(value)),
-            "turned" => check.turned = value,
+            "turned" => check.changed_route = value,
             "spans" => check.spans = Some(PathBuf::from(value)),
             "refusals" => check.refusals = Some(number("refusals", &value)?),
             other => return Err(format!("no flag --{other}; see --help")),
         }
     }
-    match what.as_deref() {
-        Some(what @ ("load" | "replay")) => {
+    match command.as_deref() {
+        Some(command @ ("load" | "replay")) => {
             let loopback = |target: &String| {
                 target.parse::<std::net::SocketAddr>().is_ok_and(|address| address.ip().is_loopback())
             };
             if load.targets.is_empty() || !load.targets.iter().all(loopback) {
                 return Err("--targets: allowed are loopback addresses with ports".into());
             }
-            if what == "replay" {
+            if command == "replay" {
                 if !(0.01..=1000.0).contains(&speed) {
                     return Err(format!("--speed {speed}: allowed is 0.01 to 1000"));
                 }
-                return Ok(Order::Replay(ReplayOrder { har, targets: load.targets, out: load.out, speed }));
+                return Ok(Command::Replay(ReplayOptions { har, targets: load.targets, out: load.out, speed }));
             }
-            Ok(Order::Load(load))
+            Ok(Command::Load(load))
         }
-        Some("check") => Ok(Order::Check(check)),
+        Some("check") => Ok(Command::Check(check)),
         _ => Err("say load, replay or check; see --help".into()),
     }
 }
 
-fn number<T: std::str::FromStr>(name: &str, words: &str) -> Result<T, String> {
-    words.parse().map_err(|_| format!("--{name} {words}: allowed is a number"))
+fn number<T: std::str::FromStr>(name: &str, text: &str) -> Result<T, String> {
+    text.parse().map_err(|_| format!("--{name} {text}: allowed is a number"))
 }
 
-fn crowd(words: &str) -> Result<Crowd, String> {
-    let parts: Vec<&str> = words.split(',').collect();
-    let [at, lasts, times, service] = parts[..] else {
-        return Err(format!("--crowd {words}: allowed is AT,FOR,TIMES,SERVICE"));
+fn crowd(text: &str) -> Result<Crowd, String> {
+    let parts: Vec<&str> = text.split(',').collect();
+    let [start, duration, factor, service] = parts[..] else {
+        return Err(format!("--crowd {text}: allowed is AT,FOR,TIMES,SERVICE"));
     };
     Ok(Crowd {
-        at: number("crowd", at)?,
-        lasts: number("crowd", lasts)?,
-        times: number("crowd", times)?,
+        start_s: number("crowd", start)?,
+        duration_s: number("crowd", duration)?,
+        factor: number("crowd", factor)?,
         service: service.to_owned(),
     })
 }
--- a/crates/loadgen/src/errors.rs
+++ b/crates/loadgen/src/errors.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 #[derive(Debug, Display, Error, From)]
-pub enum WorkError {
+pub enum ToolError {
     #[display("{}: {error}", path.display())]
     File { path: PathBuf, error: io::Error },
     #[display("{}: {error}: {line}", path.display())]
@@ -15,13 +15,13 @@
     Runtime(io::Error),
     #[display("more than {_0} tasks are open at once; the load ends here")]
     #[from(ignore)]
-    TooMany(#[error(not(source))] usize),
+    TooManyOpen(#[error(not(source))] usize),
     #[display("the load broke off: {_0}")]
-    Broken(tokio::task::JoinError),
+    TaskFailed(tokio::task::JoinError),
     #[from]
     Replay(ReplayError),
 }
 
-pub fn at(path: &Path) -> impl Fn(io::Error) -> WorkError {
-    move |error| WorkError::File { path: path.to_owned(), error }
+pub fn file_error(path: &Path) -> impl Fn(io::Error) -> ToolError {
+    move |error| ToolError::File { path: path.to_owned(), error }
 }
--- a/crates/loadgen/src/fresh.rs
+++ b/crates/loadgen/src/freshness.rs
@@ -3,21 +3,22 @@
 //! followed. Nothing older may run 3 s after a newer turn was acknowledged, nor a quarter second after
 //! the newer was seen in an answer; and a turn that was refused may never run at all.
 
-use crate::rules::Run;
+use crate::rules::InstanceRecord;
 use crate::tally::Attempt;
 use checker::{Invocation, Response, find_anomalies};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const OLD: u64 = 3000;
-const SLIP: u64 = 250;
+const FOLLOW_LIMIT_MS: u64 = 3000;
+const SLIP_LIMIT_MS: u64 = 250;
 
 /// One change: when it was asked and answered, with which status, and the function it turned to.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Change {
     pub asked: u64,
-    pub told: u64,
+    #[serde(rename = "told")]
+    pub answered: u64,
     pub status: u16,
     pub revision: u64,
     pub base: u64,
@@ -28,11 +29,11 @@
 }
 
 pub struct Freshness {
-    pub judged: usize,
-    pub old: Vec<String>,
-    pub slipped: Vec<String>,
-    pub refused: Vec<String>,
-    pub racers: Vec<String>,
+    pub judged_runs: usize,
+    pub outdated: Vec<String>,
+    pub slipped_back: Vec<String>,
+    pub refused_followed: Vec<String>,
+    pub races: Vec<String>,
     pub anomalies: Vec<String>,
 }
 
@@ -44,7 +45,7 @@
             base: (self.base > 0).then_some(self.base),
             is_valid: true,
             sent: Duration::from_millis(self.asked),
-            ended: Duration::from_millis(self.told),
+            ended: Duration::from_millis(self.answered),
             response: match self.status {
                 200 => Response::Acknowledged { revision: self.revision },
                 412 => Response::Stale,
@@ -55,18 +56,18 @@
     }
 }
 
-pub fn freshness(attempts: &[Attempt], runs: &[&Run], changes: &[Change], path: &str) -> Freshness {
-    let mut turned: Vec<&Change> = changes.iter().filter(|change| change.status == 200).collect();
-    turned.sort_by_key(|change| change.revision);
+pub fn check_freshness(attempts: &[Attempt], runs: &[&InstanceRecord], changes: &[Change], path: &str) -> Freshness {
+    let mut acknowledged: Vec<&Change> = changes.iter().filter(|change| change.status == 200).collect();
+    acknowledged.sort_by_key(|change| change.revision);
     let asked: BTreeMap<&str, &Attempt> =
         attempts.iter().filter(|a| a.path == path).map(|a| (a.label.as_str(), a)).collect();
     // The newest change asked before a run that turned to the run's function is the one it followed.
-    let followed = |run: &Run| {
+    let followed = |run: &InstanceRecord| {
         let same = |change: &&Change| change.service == run.service && change.asked <= run.at;
         changes.iter().filter(same).max_by_key(|change| change.asked)
     };
-    let mut seen: BTreeMap<u64, u64> = BTreeMap::new();
-    let mut list = Vec::new();
+    let mut first_seen: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut followed_runs = Vec::new();
     let read = changes.iter().filter(|change| change.read && change.status != 200);
     let mut refused: Vec<String> = read.map(|change| format!("{} was read back", change.service)).collect();
     for run in runs {
@@ -74,9 +75,9 @@
         let Some(change) = followed(run) else { continue };
         match change.status {
             200 => {
-                list.push((run.at, change.revision, run.task.clone()));
+                followed_runs.push((run.at, change.revision, run.task.clone()));
                 if attempt.status == 200 {
-                    let at = seen.entry(change.revision).or_insert(u64::MAX);
+                    let at = first_seen.entry(change.revision).or_insert(u64::MAX);
                     *at = (*at).min(attempt.at + attempt.took);
                 }
             }
@@ -84,22 +85,26 @@
             _ => {}
         }
     }
-    let due = |at: u64| turned.iter().filter(|c| c.told + OLD < at).map(|c| c.revision).max().unwrap_or(0);
-    let newest = |at: u64| seen.iter().filter(|(_, first)| **first + SLIP < at).map(|(r, _)| *r).max().unwrap_or(0);
-    let told = |bound: &dyn Fn(u64) -> u64| -> Vec<String> {
-        let late = list.iter().filter(|(at, revision, _)| *revision < bound(*at));
+    let required = |at: u64| {
+        acknowledged.iter().filter(|c| c.answered + FOLLOW_LIMIT_MS < at).map(|c| c.revision).max().unwrap_or(0)
+    };
+    let newest = |at: u64| {
+        first_seen.iter().filter(|(_, first)| **first + SLIP_LIMIT_MS < at).map(|(r, _)| *r).max().unwrap_or(0)
+    };
+    let runs_below = |bound: &dyn Fn(u64) -> u64| -> Vec<String> {
+        let late = followed_runs.iter().filter(|(at, revision, _)| *revision < bound(*at));
         late.map(|(at, revision, task)| format!("{task} at {at} followed {revision}, not {}", bound(*at))).collect()
     };
     let mut bases: BTreeMap<u64, usize> = BTreeMap::new();
-    turned.iter().filter(|change| change.base > 0).for_each(|change| *bases.entry(change.base).or_default() += 1);
-    let racers = bases.iter().filter(|(_, count)| **count > 1);
+    acknowledged.iter().filter(|change| change.base > 0).for_each(|change| *bases.entry(change.base).or_default() += 1);
+    let races = bases.iter().filter(|(_, count)| **count > 1);
     let history: Vec<Invocation> = changes.iter().map(Change::invocation).collect();
     Freshness {
-        judged: list.len(),
-        old: told(&due),
-        slipped: told(&newest),
-        refused,
-        racers: racers.map(|(base, count)| format!("{count} changes on revision {base}")).collect(),
+        judged_runs: followed_runs.len(),
+        outdated: runs_below(&required),
+        slipped_back: runs_below(&newest),
+        refused_followed: refused,
+        races: races.map(|(base, count)| format!("{count} changes on revision {base}")).collect(),
         anomalies: find_anomalies(&history, &[]).iter().map(|anomaly| format!("{anomaly:?}")).collect(),
     }
 }
@@ -109,7 +114,7 @@
     use super::*;
 
     fn change(asked: u64, status: u16, revision: u64, base: u64, service: &str) -> Change {
-        Change { asked, told: asked + 50, status, revision, base, service: service.into(), read: false }
+        Change { asked, answered: asked + 50, status, revision, base, service: service.into(), read: false }
     }
 
     fn found(runs: &[(u64, &str)], more: &[Change]) -> Freshness {
@@ -129,10 +134,10 @@
                 ..Attempt::default()
             })
             .collect();
-        let lines: Vec<Run> = labels
+        let lines: Vec<InstanceRecord> = labels
             .iter()
             .zip(runs)
-            .map(|(label, (at, service))| Run {
+            .map(|(label, (at, service))| InstanceRecord {
                 at: *at,
                 what: "run".into(),
                 task: label.clone(),
@@ -140,19 +145,22 @@
                 instance: String::new(),
             })
             .collect();
-        freshness(&attempts, &lines.iter().collect::<Vec<_>>(), &changes, "/turn")
+        check_freshness(&attempts, &lines.iter().collect::<Vec<_>>(), &changes, "/turn")
     }
 
     #[test]
-    fn each_of_its_rules_catches_a_fault_planted_for_it() {
+    fn each_violation_planted_in_a_record_is_reported() {
         let good = found(&[(5000, "p/t0"), (10_030, "p/t1"), (10_200, "p/t0"), (15_000, "p/t1")], &[]);
-        assert_eq!((good.judged, good.old.len(), good.slipped.len(), good.refused.len()), (4, 0, 0, 0));
-        assert_eq!(found(&[(13_051, "p/t0")], &[]).old.len(), 1);
-        assert_eq!(found(&[(13_050, "p/t0")], &[]).old.len(), 0);
-        assert_eq!(found(&[(10_030, "p/t1"), (10_306, "p/t0")], &[]).slipped.len(), 1);
-        assert_eq!(found(&[(20_100, "p/t2")], &[]).refused.len(), 1);
-        assert_eq!(found(&[], &[change(10_001, 200, 3, 1, "p/t3")]).racers.len(), 1);
-        assert!(found(&[], &[]).racers.is_empty());
+        assert_eq!(
+            (good.judged_runs, good.outdated.len(), good.slipped_back.len(), good.refused_followed.len()),
+            (4, 0, 0, 0)
+        );
+        assert_eq!(found(&[(13_051, "p/t0")], &[]).outdated.len(), 1);
+        assert_eq!(found(&[(13_050, "p/t0")], &[]).outdated.len(), 0);
+        assert_eq!(found(&[(10_030, "p/t1"), (10_306, "p/t0")], &[]).slipped_back.len(), 1);
+        assert_eq!(found(&[(20_100, "p/t2")], &[]).refused_followed.len(), 1);
+        assert_eq!(found(&[], &[change(10_001, 200, 3, 1, "p/t3")]).races.len(), 1);
+        assert!(found(&[], &[]).races.is_empty());
         // The record itself leaves out who won over the turn that was refused at 20 s.
         let anomalies = |more: &[Change]| found(&[], more).anomalies.len();
         assert_eq!(anomalies(&[]), 1);
@@ -161,6 +169,6 @@
         assert_eq!(anomalies(&[change(10_010, 412, 0, 1, "p/t3")]), 1, "another came first");
         assert_eq!(anomalies(&[change(5000, 412, 0, 1, "p/t3")]), 2, "nothing came first");
         let read = Change { read: true, ..change(30_000, 412, 0, 2, "p/t3") };
-        assert_eq!(found(&[], &[read]).refused.len(), 1);
+        assert_eq!(found(&[], &[read]).refused_followed.len(), 1);
     }
 }
--- a/crates/loadgen/src/load.rs
+++ b/crates/loadgen/src/load.rs
@@ -1,8 +1,8 @@
 //! The open loop: tasks leave on the seed's schedule whatever became of the ones before. Each
 //! attempt is recorded with its own label, which the instance echoes and records.
 
-use crate::attempt::{AttemptSpec, Http, attempt, client};
-use crate::errors::{WorkError, at};
+use crate::attempt::{AttemptSpec, HttpClient, build_client, send_attempt};
+use crate::errors::{ToolError, file_error};
 use crate::mix::{self, Route};
 use crate::tally::{self, Attempt};
 use rand::{RngExt, SeedableRng};
@@ -13,18 +13,18 @@
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 use tokio::time::sleep_until;
 
-const AT_ONCE: usize = 20_000;
+const MAX_OPEN_TASKS: usize = 20_000;
 
 #[derive(Clone, Debug)]
 pub struct Crowd {
-    pub at: f64,
-    pub lasts: f64,
-    pub times: f64,
+    pub start_s: f64,
+    pub duration_s: f64,
+    pub factor: f64,
     pub service: String,
 }
 
 #[derive(Clone, Debug)]
-pub struct LoadOrder {
+pub struct LoadOptions {
     pub targets: Vec<String>,
     pub configuration: PathBuf,
     pub services: PathBuf,
@@ -37,9 +37,9 @@
     pub crowds: Vec<Crowd>,
 }
 
-impl Default for LoadOrder {
+impl Default for LoadOptions {
     fn default() -> Self {
-        LoadOrder {
+        LoadOptions {
             targets: Vec::new(),
             configuration: PathBuf::new(),
             services: PathBuf::new(),
@@ -54,17 +54,17 @@
     }
 }
 
-pub fn run(order: LoadOrder) -> Result<bool, WorkError> {
-    let routes = mix::load(&order.configuration, &order.services, order.factor)?;
-    let file = std::fs::File::create(&order.out).map_err(at(&order.out))?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(WorkError::Runtime)?;
-    let attempts = LocalSet::new().block_on(&runtime, drive(order, routes, file))?;
+pub fn run(options: LoadOptions) -> Result<bool, ToolError> {
+    let routes = mix::load(&options.configuration, &options.services, options.factor)?;
+    let file = std::fs::File::create(&options.out).map_err(file_error(&options.out))?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ToolError::Runtime)?;
+    let attempts = LocalSet::new().block_on(&runtime, send_load(options, routes, file))?;
     println!("{}", tally::summary(&attempts));
     Ok(true)
 }
 
-async fn drive(order: LoadOrder, routes: Vec<Route>, file: std::fs::File) -> Result<Vec<Attempt>, WorkError> {
-    let http: Http = client();
+async fn send_load(options: LoadOptions, routes: Vec<Route>, file: std::fs::File) -> Result<Vec<Attempt>, ToolError> {
+    let http: HttpClient = build_client();
     let (sender, mut inbox) = mpsc::channel::<Attempt>(65_536);
     let writer = spawn_local(async move {
         let mut file = BufWriter::new(file);
@@ -78,65 +78,65 @@
         let _ = file.flush();
         all
     });
-    let mut dice = rand_chacha::ChaCha8Rng::seed_from_u64(order.seed);
-    let begun = Instant::now();
+    let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(options.seed);
+    let started = Instant::now();
     let (mut at, mut number) = (0.0, 0u64);
     let mut open = JoinSet::new();
     loop {
-        let (wait, place) = mix::next(&mut dice, &routes, &order.crowds, at);
+        let (wait, index) = mix::next_task(&mut rng, &routes, &options.crowds, at);
         at += wait;
-        if at >= order.seconds {
+        if at >= options.seconds {
             break;
         }
         number += 1;
-        let route = routes[place].clone();
-        let first = dice.random_range(0..order.targets.len());
-        let again = dice.random_range(0..order.targets.len());
-        let targets = [order.targets[first].clone(), order.targets[again].clone()];
-        let task = format!("s{}-{number}", order.seed);
-        let repeats = route.class == "once" && dice.random_bool(order.repeat);
-        let eager = dice.random_bool(order.eager);
-        sleep_until((begun + Duration::from_secs_f64(at)).into()).await;
+        let route = routes[index].clone();
+        let first = rng.random_range(0..options.targets.len());
+        let second = rng.random_range(0..options.targets.len());
+        let targets = [options.targets[first].clone(), options.targets[second].clone()];
+        let task = format!("s{}-{number}", options.seed);
+        let repeats = route.class == "once" && rng.random_bool(options.repeat);
+        let retries_at_once = rng.random_bool(options.eager);
+        sleep_until((started + Duration::from_secs_f64(at)).into()).await;
         while open.try_join_next().is_some() {}
-        if open.len() >= AT_ONCE {
-            return Err(WorkError::TooMany(AT_ONCE));
+        if open.len() >= MAX_OPEN_TASKS {
+            return Err(ToolError::TooManyOpen(MAX_OPEN_TASKS));
         }
-        open.spawn_local(caller(http.clone(), route, task, targets, repeats, eager, sender.clone()));
+        open.spawn_local(run_caller(http.clone(), route, task, targets, repeats, retries_at_once, sender.clone()));
     }
     while open.join_next().await.is_some() {}
     drop(sender);
-    writer.await.map_err(WorkError::Broken)
+    writer.await.map_err(ToolError::TaskFailed)
 }
 
-async fn caller(
-    http: Http,
+async fn run_caller(
+    http: HttpClient,
     route: Route,
     task: String,
     targets: [String; 2],
     repeats: bool,
-    eager: bool,
+    retries_at_once: bool,
     record: mpsc::Sender<Attempt>,
 ) {
     if repeats {
-        let one = attempt(&http, asked(&route, &task, 1, &targets[0]));
-        let two = attempt(&http, asked(&route, &task, 2, &targets[1]));
-        let (one, two) = tokio::join!(one, two);
-        let _ = record.send(one).await;
-        let _ = record.send(two).await;
+        let first_attempt = send_attempt(&http, attempt_spec(&route, &task, 1, &targets[0]));
+        let second_attempt = send_attempt(&http, attempt_spec(&route, &task, 2, &targets[1]));
+        let (first_attempt, second_attempt) = tokio::join!(first_attempt, second_attempt);
+        let _ = record.send(first_attempt).await;
+        let _ = record.send(second_attempt).await;
         return;
     }
-    let tries = if eager { 3 } else { 1 };
+    let tries = if retries_at_once { 3 } else { 1 };
     for number in 1..=tries {
-        let done = attempt(&http, asked(&route, &task, number, &targets[number as usize % 2])).await;
-        let settled = done.status > 0 && done.status < 500;
+        let done = send_attempt(&http, attempt_spec(&route, &task, number, &targets[number as usize % 2])).await;
+        let is_final = done.status > 0 && done.status < 500;
         let _ = record.send(done).await;
-        if settled {
+        if is_final {
             return;
         }
     }
 }
 
-fn asked<'a>(route: &'a Route, task: &'a str, number: u32, target: &'a str) -> AttemptSpec<'a> {
+fn attempt_spec<'a>(route: &'a Route, task: &'a str, number: u32, target: &'a str) -> AttemptSpec<'a> {
     let keyed = (route.class != "ordinary").then(|| ("idempotency-key".to_owned(), task.to_owned()));
     AttemptSpec {
         method: "POST",
--- a/crates/loadgen/src/main.rs
+++ b/crates/loadgen/src/main.rs
@@ -4,9 +4,9 @@
 
 mod attempt;
 mod check;
+mod command_line;
 mod errors;
-mod fresh;
-mod line;
+mod freshness;
 mod load;
 mod mix;
 mod replay;
@@ -17,32 +17,32 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match line::parse(lexopt::Parser::from_env()) {
-        Ok(line::Order::Help) => {
-            println!("{}", line::HELP);
+    match command_line::parse(lexopt::Parser::from_env()) {
+        Ok(command_line::Command::Help) => {
+            println!("{}", command_line::HELP);
             ExitCode::SUCCESS
         }
-        Ok(line::Order::Version) => {
+        Ok(command_line::Command::Version) => {
             println!("loadgen {}", env!("CARGO_PKG_VERSION"));
             ExitCode::SUCCESS
         }
-        Ok(line::Order::Load(order)) => end(load::run(order)),
-        Ok(line::Order::Replay(order)) => end(replay::run(&order)),
-        Ok(line::Order::Check(order)) => end(check::run(&order)),
-        Err(told) => {
-            eprintln!("loadgen: {told}");
+        Ok(command_line::Command::Load(options)) => exit_code(load::run(options)),
+        Ok(command_line::Command::Replay(options)) => exit_code(replay::run(&options)),
+        Ok(command_line::Command::Check(options)) => exit_code(check::run(&options)),
+        Err(error) => {
+            eprintln!("loadgen: {error}");
             ExitCode::from(2)
         }
     }
 }
 
-fn end(result: Result<bool, errors::WorkError>) -> ExitCode {
+fn exit_code(result: Result<bool, errors::ToolError>) -> ExitCode {
     match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
             eprintln!("loadgen: {error}");
-            ExitCode::from(if matches!(error, errors::WorkError::Replay(_)) { 2 } else { 1 })
+            ExitCode::from(if matches!(error, errors::ToolError::Replay(_)) { 2 } else { 1 })
         }
     }
 }
--- a/crates/loadgen/src/mix.rs
+++ b/crates/loadgen/src/mix.rs
@@ -1,6 +1,6 @@
 //! The mix: which binding the next task goes to and when, from the services' rates and crowds.
 
-use crate::errors::{WorkError, at};
+use crate::errors::{ToolError, file_error};
 use crate::load::Crowd;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -25,48 +25,49 @@
 }
 
 #[derive(Deserialize)]
-struct Whole {
+struct Configuration {
     #[serde(rename = "function-bindings")]
     bindings: BTreeMap<String, Binding>,
 }
 
 #[derive(Deserialize)]
-struct Shape {
+struct ServiceRate {
     rate: f64,
 }
 
-fn read<T: DeserializeOwned>(path: &Path) -> Result<T, WorkError> {
-    let raw = std::fs::read(path).map_err(at(path))?;
-    let wrong = |error| WorkError::Line { path: path.to_owned(), error, line: String::new() };
-    serde_json::from_slice(&raw).map_err(wrong)
+fn read<T: DeserializeOwned>(path: &Path) -> Result<T, ToolError> {
+    let raw = std::fs::read(path).map_err(file_error(path))?;
+    let parse_error = |error| ToolError::Line { path: path.to_owned(), error, line: String::new() };
+    serde_json::from_slice(&raw).map_err(parse_error)
 }
 
-pub fn load(configuration: &Path, services: &Path, factor: f64) -> Result<Vec<Route>, WorkError> {
-    let whole: Whole = read(configuration)?;
-    let shapes: BTreeMap<String, Shape> = read(services)?;
+pub fn load(configuration: &Path, services: &Path, factor: f64) -> Result<Vec<Route>, ToolError> {
+    let content: Configuration = read(configuration)?;
+    let service_rates: BTreeMap<String, ServiceRate> = read(services)?;
     let mut routes = Vec::new();
-    for (name, binding) in whole.bindings {
+    for (name, binding) in content.bindings {
         let tenant = name.split('/').next().unwrap_or_default();
         let service = format!("{tenant}/{}", binding.function);
-        let rate = shapes.get(&service).map_or(0.0, |shape| shape.rate) * factor;
+        let rate = service_rates.get(&service).map_or(0.0, |service| service.rate) * factor;
         routes.push(Route { service, path: binding.route, class: binding.class, rate });
     }
     Ok(routes)
 }
 
 /// The wait until the next task and its route, drawn as one Poisson stream over all routes.
-pub fn next(dice: &mut ChaCha8Rng, routes: &[Route], crowds: &[Crowd], at: f64) -> (f64, usize) {
+pub fn next_task(rng: &mut ChaCha8Rng, routes: &[Route], crowds: &[Crowd], at: f64) -> (f64, usize) {
     let weight = |route: &Route| {
-        let crowd = crowds.iter().find(|c| c.service == route.service && at >= c.at && at < c.at + c.lasts);
-        route.rate * crowd.map_or(1.0, |crowd| crowd.times)
+        let crowd =
+            crowds.iter().find(|c| c.service == route.service && at >= c.start_s && at < c.start_s + c.duration_s);
+        route.rate * crowd.map_or(1.0, |crowd| crowd.factor)
     };
     let total: f64 = routes.iter().map(weight).sum();
-    let wait = -(1.0 - dice.random::<f64>()).ln() / total.max(1e-9);
-    let mut mark = dice.random::<f64>() * total;
-    for (place, route) in routes.iter().enumerate() {
-        mark -= weight(route);
-        if mark <= 0.0 {
-            return (wait, place);
+    let wait = -(1.0 - rng.random::<f64>()).ln() / total.max(1e-9);
+    let mut remaining_weight = rng.random::<f64>() * total;
+    for (index, route) in routes.iter().enumerate() {
+        remaining_weight -= weight(route);
+        if remaining_weight <= 0.0 {
+            return (wait, index);
         }
     }
     (wait, routes.len() - 1)
--- a/crates/loadgen/src/replay.rs
+++ b/crates/loadgen/src/replay.rs
@@ -2,8 +2,8 @@
 //! multiple of it. The archive is read by a library; hosts, connections and cookies of the page it was
 //! taken from stay behind.
 
-use crate::attempt::{AttemptSpec, Http, attempt, client};
-use crate::errors::{WorkError, at};
+use crate::attempt::{AttemptSpec, HttpClient, build_client, send_attempt};
+use crate::errors::{ToolError, file_error};
 use crate::tally::{self, Attempt};
 use derive_more::{Display, Error};
 use serde_json::Value;
@@ -12,24 +12,24 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::sleep_until;
 
-const MOST: usize = 100_000;
-const STAYS: [&str; 8] =
+const MAX_REQUESTS: usize = 100_000;
+const SKIPPED_HEADERS: [&str; 8] =
     ["host", "connection", "content-length", "transfer-encoding", "cookie", "te", "upgrade", "keep-alive"];
 
 #[derive(Debug, Display, Error)]
 pub enum ReplayError {
-    #[display("{}: not a whole HTTP archive: {told}", path.display())]
-    Unread { path: PathBuf, told: String },
+    #[display("{}: not a whole HTTP archive: {reason}", path.display())]
+    Unreadable { path: PathBuf, reason: String },
     #[display("{}: there are no requests in it", path.display())]
     Empty { path: PathBuf },
-    #[display("{}: more than {MOST} requests", path.display())]
+    #[display("{}: more than {MAX_REQUESTS} requests", path.display())]
     TooMany { path: PathBuf },
-    #[display("request {number}: {told}")]
-    Request { number: usize, told: String },
+    #[display("request {number}: {reason}")]
+    Request { number: usize, reason: String },
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct ReplayOrder {
+pub struct ReplayOptions {
     pub har: PathBuf,
     pub targets: Vec<String>,
     pub out: PathBuf,
@@ -37,83 +37,84 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
-    pub after: Duration,
+pub struct RecordedRequest {
+    pub offset: Duration,
     pub method: String,
     pub path: String,
     pub headers: Vec<(String, String)>,
     pub body: String,
 }
 
-pub fn read(path: &Path) -> Result<Vec<Taken>, ReplayError> {
-    let unread = |told: String| ReplayError::Unread { path: path.to_owned(), told };
-    let archive = har::from_path(path).map_err(|error| unread(error.to_string()))?;
-    let whole = serde_json::to_value(&archive).map_err(|error| unread(error.to_string()))?;
-    let entries = whole["log"]["entries"].as_array().map(Vec::as_slice).unwrap_or_default();
+pub fn read(path: &Path) -> Result<Vec<RecordedRequest>, ReplayError> {
+    let unreadable = |reason: String| ReplayError::Unreadable { path: path.to_owned(), reason };
+    let archive = har::from_path(path).map_err(|error| unreadable(error.to_string()))?;
+    let content = serde_json::to_value(&archive).map_err(|error| unreadable(error.to_string()))?;
+    let entries = content["log"]["entries"].as_array().map(Vec::as_slice).unwrap_or_default();
     if entries.is_empty() {
         return Err(ReplayError::Empty { path: path.to_owned() });
     }
-    if entries.len() > MOST {
+    if entries.len() > MAX_REQUESTS {
         return Err(ReplayError::TooMany { path: path.to_owned() });
     }
     let mut list = Vec::new();
-    for (place, entry) in entries.iter().enumerate() {
-        let wrong = |told: String| ReplayError::Request { number: place + 1, told };
+    for (index, entry) in entries.iter().enumerate() {
+        let invalid = |reason: String| ReplayError::Request { number: index + 1, reason };
         let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
         let at: jiff::Timestamp =
-            text(&entry["startedDateTime"]).parse().map_err(|error: jiff::Error| wrong(error.to_string()))?;
+            text(&entry["startedDateTime"]).parse().map_err(|error: jiff::Error| invalid(error.to_string()))?;
         let url: hyper::Uri = text(&entry["request"]["url"])
             .parse()
-            .map_err(|error: hyper::http::uri::InvalidUri| wrong(error.to_string()))?;
+            .map_err(|error: hyper::http::uri::InvalidUri| invalid(error.to_string()))?;
         let headers = entry["request"]["headers"].as_array().into_iter().flatten();
         let headers = headers.map(|line| (text(&line["name"]).to_lowercase(), text(&line["value"])));
-        let headers = headers.filter(|(name, _)| !name.starts_with(':') && !STAYS.contains(&name.as_str())).collect();
-        let taken = Taken {
-            after: Duration::ZERO,
+        let headers =
+            headers.filter(|(name, _)| !name.starts_with(':') && !SKIPPED_HEADERS.contains(&name.as_str())).collect();
+        let request = RecordedRequest {
+            offset: Duration::ZERO,
             method: text(&entry["request"]["method"]),
             path: url.path_and_query().map_or("/".to_owned(), |path| path.as_str().to_owned()),
             headers,
             body: text(&entry["request"]["postData"]["text"]),
         };
-        list.push((at, taken));
+        list.push((at, request));
     }
     list.sort_by_key(|(at, _)| *at);
     let first = list[0].0;
     let since = |at: jiff::Timestamp| at.duration_since(first).unsigned_abs();
-    Ok(list.into_iter().map(|(at, taken)| Taken { after: since(at), ..taken }).collect())
+    Ok(list.into_iter().map(|(at, request)| RecordedRequest { offset: since(at), ..request }).collect())
 }
 
-pub fn run(order: &ReplayOrder) -> Result<bool, WorkError> {
-    let list = read(&order.har)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(WorkError::Runtime)?;
-    let attempts = LocalSet::new().block_on(&runtime, drive(order, list));
+pub fn run(options: &ReplayOptions) -> Result<bool, ToolError> {
+    let list = read(&options.har)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ToolError::Runtime)?;
+    let attempts = LocalSet::new().block_on(&runtime, send_requests(options, list));
     let lines: String = attempts.iter().filter_map(|a| serde_json::to_string(a).ok()).map(|line| line + "\n").collect();
-    std::fs::write(&order.out, lines).map_err(at(&order.out))?;
+    std::fs::write(&options.out, lines).map_err(file_error(&options.out))?;
     println!("{}", tally::summary(&attempts));
     Ok(true)
 }
 
-async fn drive(order: &ReplayOrder, list: Vec<Taken>) -> Vec<Attempt> {
-    let http: Http = client();
-    let begun = Instant::now();
+async fn send_requests(options: &ReplayOptions, list: Vec<RecordedRequest>) -> Vec<Attempt> {
+    let http: HttpClient = build_client();
+    let started = Instant::now();
     let mut open = JoinSet::new();
-    for (number, taken) in list.into_iter().enumerate() {
-        sleep_until((begun + taken.after.div_f64(order.speed)).into()).await;
-        let (http, target) = (http.clone(), order.targets[number % order.targets.len()].clone());
+    for (number, request) in list.into_iter().enumerate() {
+        sleep_until((started + request.offset.div_f64(options.speed)).into()).await;
+        let (http, target) = (http.clone(), options.targets[number % options.targets.len()].clone());
         open.spawn_local(async move {
             let task = format!("har-{}", number + 1);
             let spec = AttemptSpec {
-                method: &taken.method,
-                path: &taken.path,
-                headers: taken.headers.clone(),
-                body: taken.body.clone(),
+                method: &request.method,
+                path: &request.path,
+                headers: request.headers.clone(),
+                body: request.body.clone(),
                 class: "replayed",
                 service: "",
                 task: &task,
                 number: 1,
                 target: &target,
             };
-            attempt(&http, spec).await
+            send_attempt(&http, spec).await
         });
     }
     open.join_all().await
@@ -135,18 +136,18 @@
         )
     }
 
-    fn whole(entries: &[String]) -> String {
+    fn content(entries: &[String]) -> String {
         let creator = r#""version":"1.2","creator":{"name":"x","version":"1"}"#;
         format!(r#"{{"log":{{{creator},"entries":[{}]}}}}"#, entries.join(","))
     }
 
     #[test]
-    fn requests_keep_their_order_in_time_their_paths_and_their_own_headers() {
+    fn requests_are_sorted_by_time_and_keep_paths_and_headers() {
         let entries = [entry("2026-01-02T10:00:01.500+01:00", "/b?x=1"), entry("2026-01-02T09:00:00Z", "/a")];
-        let path = archive("good", &whole(&entries));
+        let path = archive("good", &content(&entries));
         let list = read(&path).unwrap();
         assert_eq!(
-            list.iter().map(|t| (t.after.as_millis(), t.path.as_str())).collect::<Vec<_>>(),
+            list.iter().map(|t| (t.offset.as_millis(), t.path.as_str())).collect::<Vec<_>>(),
             [(0, "/a"), (1500, "/b?x=1")]
         );
         assert_eq!((list[0].method.as_str(), list[0].body.as_str()), ("POST", "gives 3"));
@@ -155,15 +156,15 @@
     }
 
     #[test]
-    fn an_archive_that_is_cut_or_empty_is_refused_with_one_message() {
-        let text = whole(&[entry("2026-01-02T09:00:00Z", "/a")]);
+    fn truncated_empty_or_invalid_archive_is_refused_with_one_line() {
+        let text = content(&[entry("2026-01-02T09:00:00Z", "/a")]);
         let cut = archive("cut", &text[..text.len() / 2]);
-        assert!(matches!(read(&cut), Err(ReplayError::Unread { .. })));
-        let empty = archive("empty", &whole(&[]));
+        assert!(matches!(read(&cut), Err(ReplayError::Unreadable { .. })));
+        let empty = archive("empty", &content(&[]));
         assert!(matches!(read(&empty), Err(ReplayError::Empty { .. })));
-        let odd = archive("odd", &whole(&[entry("yesterday", "/a")]));
-        let told = read(&odd).unwrap_err().to_string();
-        assert!(told.starts_with("request 1: ") && !told.contains('\n'), "{told}");
-        [cut, empty, odd].iter().for_each(|path| _ = std::fs::remove_file(path));
+        let invalid = archive("odd", &content(&[entry("yesterday", "/a")]));
+        let reason = read(&invalid).unwrap_err().to_string();
+        assert!(reason.starts_with("request 1: ") && !reason.contains('\n'), "{reason}");
+        [cut, empty, invalid].iter().for_each(|path| _ = std::fs::remove_file(path));
     }
 }
--- a/crates/loadgen/src/spans.rs
+++ b/crates/loadgen/src/spans.rs
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-const HANDFUL: usize = 5;
-const AFTERMATH: u64 = 20_000;
+const MAX_OWN_REFUSALS: usize = 5;
+const AFTERMATH_MS: u64 = 20_000;
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Span {
@@ -16,7 +16,7 @@
     pub planned: bool,
 }
 
-pub fn is_good(attempt: &Attempt) -> bool {
+pub fn is_served(attempt: &Attempt) -> bool {
     matches!(attempt.outcome.as_str(), "answered" | "accepted") && (1..500).contains(&attempt.status)
 }
 
@@ -24,11 +24,11 @@
     attempt.outcome == "not-run" && attempt.status == 503 || attempt.outcome == "unknown"
 }
 
-pub fn recovery(attempts: &[Attempt], spans: &[Span]) -> checker::Recovery {
-    let Some(begun) = attempts.iter().map(|attempt| attempt.at).min() else { return checker::Recovery::default() };
-    let since = |at: u64| Duration::from_millis(at.saturating_sub(begun));
-    let last = attempts.iter().map(|attempt| attempt.at).max().unwrap_or(begun);
-    let good: Vec<Duration> = attempts.iter().filter(|a| is_good(a)).map(|a| since(a.at + a.took)).collect();
+pub fn check_recovery(attempts: &[Attempt], spans: &[Span]) -> checker::Recovery {
+    let Some(started) = attempts.iter().map(|attempt| attempt.at).min() else { return checker::Recovery::default() };
+    let since = |at: u64| Duration::from_millis(at.saturating_sub(started));
+    let last = attempts.iter().map(|attempt| attempt.at).max().unwrap_or(started);
+    let good: Vec<Duration> = attempts.iter().filter(|a| is_served(a)).map(|a| since(a.at + a.took)).collect();
     let faults: Vec<(Duration, Duration)> =
         spans.iter().filter(|span| !span.planned).map(|span| (since(span.from), since(span.to))).collect();
     checker::check_recovery(&good, &faults, Duration::from_secs(5), since(last))
@@ -36,18 +36,18 @@
 
 /// Attempts in stretches without a failure or its aftermath that were cut, unanswered, or refused
 /// beyond a handful. A door that is closed already takes no task in, so nothing of it is dropped.
-pub fn planned(attempts: &[Attempt], spans: &[Span]) -> (usize, Vec<String>, Vec<String>) {
+pub fn check_planned(attempts: &[Attempt], spans: &[Span]) -> (usize, Vec<String>, Vec<String>) {
     let failing: Vec<&Span> = spans.iter().filter(|span| !span.planned).collect();
-    let calm = |attempt: &&Attempt| {
+    let is_calm = |attempt: &&Attempt| {
         let end = attempt.at + attempt.took;
-        failing.iter().all(|span| end < span.from || attempt.at > span.to.saturating_add(AFTERMATH))
+        failing.iter().all(|span| end < span.from || attempt.at > span.to.saturating_add(AFTERMATH_MS))
     };
-    let calm: Vec<&Attempt> = attempts.iter().filter(calm).collect();
+    let calm: Vec<&Attempt> = attempts.iter().filter(is_calm).collect();
     let cut = calm.iter().filter(|a| a.status == 0 && !a.body.contains("Connect"));
     let cut = cut.map(|a| format!("{} at {}: {}", a.label, a.target, a.body)).collect();
     let own: Vec<String> =
         calm.iter().filter(|a| is_own_refusal(a)).map(|a| format!("{} {} {}", a.label, a.status, a.outcome)).collect();
-    (calm.len(), cut, if own.len() > HANDFUL { own } else { Vec::new() })
+    (calm.len(), cut, if own.len() > MAX_OWN_REFUSALS { own } else { Vec::new() })
 }
 
 #[cfg(test)]
@@ -67,16 +67,16 @@
     }
 
     #[test]
-    fn service_that_stays_low_and_work_cut_in_a_planned_stretch_are_seen() {
+    fn low_service_and_cut_work_in_planned_stretches_are_reported() {
         let late = attempts(10..30);
-        assert_eq!(recovery(&late, &[span(10, 12, false)]).low_seconds.len(), 6, "seconds 24 to 29");
-        assert!(recovery(&late, &[span(10, 18, false)]).low_seconds.is_empty());
-        assert!(recovery(&attempts(0..0), &[span(10, 12, false)]).judged_seconds > 30);
-        assert_eq!(planned(&late, &[span(10, 12, true)]).1.len(), 200, "planned stops excuse nothing");
-        assert!(planned(&late, &[span(10, 12, false)]).1.is_empty(), "the aftermath of a failure does");
+        assert_eq!(check_recovery(&late, &[span(10, 12, false)]).low_seconds.len(), 6, "seconds 24 to 29");
+        assert!(check_recovery(&late, &[span(10, 18, false)]).low_seconds.is_empty());
+        assert!(check_recovery(&attempts(0..0), &[span(10, 12, false)]).judged_seconds > 30);
+        assert_eq!(check_planned(&late, &[span(10, 12, true)]).1.len(), 200, "planned stops excuse nothing");
+        assert!(check_planned(&late, &[span(10, 12, false)]).1.is_empty(), "the aftermath of a failure does");
         let mut refused = attempts(0..0);
         refused.iter_mut().take(6).for_each(|a| (a.status, a.outcome) = (503, "not-run".into()));
-        assert_eq!(planned(&refused, &[]).2.len(), 6);
-        assert!(planned(&refused[1..], &[]).2.is_empty(), "five are a handful");
+        assert_eq!(check_planned(&refused, &[]).2.len(), 6);
+        assert!(check_planned(&refused[1..], &[]).2.is_empty(), "five are a handful");
     }
 }
--- a/crates/loadgen/src/tally.rs
+++ b/crates/loadgen/src/tally.rs
@@ -1,6 +1,6 @@
 //! The record of one attempt, and the figures of a whole load.
 
-use crate::spans::is_good;
+use crate::spans::is_served;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -27,16 +27,16 @@
         classes.entry(&attempt.class).or_default().push(attempt);
     }
     for (class, list) in classes {
-        let good = list.iter().filter(|a| is_good(a)).count();
+        let good = list.iter().filter(|a| is_served(a)).count();
         let mut took: Vec<u64> = list.iter().map(|a| a.took).collect();
         took.sort_unstable();
         let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
-        let mut words: BTreeMap<String, usize> = BTreeMap::new();
+        let mut statuses: BTreeMap<String, usize> = BTreeMap::new();
         for attempt in &list {
-            *words.entry(format!("{} {}", attempt.status, attempt.outcome)).or_default() += 1;
+            *statuses.entry(format!("{} {}", attempt.status, attempt.outcome)).or_default() += 1;
         }
         lines.push(format!(
-            "{class}: {} attempts, {:.4} served, ms p50 {} p95 {} p99 {} most {}; {words:?}",
+            "{class}: {} attempts, {:.4} served, ms p50 {} p95 {} p99 {} most {}; {statuses:?}",
             list.len(),
             good as f64 / list.len() as f64,
             at(0.5),
