--- a/crates/loadgen/src/attempt.rs
+++ b/crates/loadgen/src/attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt at a task: a request with a label of its own, and the record of what came of it.
+//! One attempt at a task: a request with a unique label, and the record of its outcome.
 
-#![expect(clippy::disallowed_types, reason = "two records are held against each other by it")]
+#![expect(clippy::disallowed_types, reason = "the records of two processes are compared by wall-clock time")]
 
 use crate::tally::Attempt;
 use bytes::Bytes;
@@ -12,10 +12,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::time::timeout;
 
+/// Maximum time to wait for the whole response.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(6);
 
+/// HTTP client shared by all attempts.
 pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
+/// Request of an attempt, and the properties of its task that are recorded.
 pub struct AttemptSpec<'a> {
     pub method: &'a str,
     pub path: &'a str,
@@ -28,6 +31,7 @@
     pub target: &'a str,
 }
 
+/// Returns a client with a connection pool.
 pub fn build_client() -> HttpClient {
     Client::builder(TokioExecutor::new())
         .pool_max_idle_per_host(64)
@@ -35,6 +39,7 @@
         .build_http()
 }
 
+/// Sends a request and returns the record of its outcome.
 pub async fn send_attempt(http: &HttpClient, spec: AttemptSpec<'_>) -> Attempt {
     let label = format!("{}#{}", spec.task, spec.number);
     let mut attempt = Attempt {
--- a/crates/loadgen/src/check.rs
+++ b/crates/loadgen/src/check.rs
@@ -1,4 +1,4 @@
-//! The checker's reading of both records.
+//! The check of the callers' record against the instances' record.
 
 use crate::errors::{ToolError, file_error};
 use crate::freshness::{Change, check_freshness};
@@ -20,6 +20,7 @@
     Ok(list)
 }
 
+/// Options of `loadgen check`, as in its help.
 #[derive(Clone, Debug, Default)]
 pub struct CheckOptions {
     pub tasks: PathBuf,
@@ -30,6 +31,7 @@
     pub refusals: Option<usize>,
 }
 
+/// Prints each violated rule; returns whether there was none.
 pub fn run(options: &CheckOptions) -> Result<bool, ToolError> {
     let attempts: Vec<Attempt> = read(&options.tasks)?;
     let lines: Vec<InstanceRecord> = read(&options.runs)?;
@@ -40,9 +42,17 @@
         let runs: Vec<&InstanceRecord> = lines.iter().filter(|line| line.what == "run").collect();
         let found = check_freshness(&attempts, &runs, &changes, &options.changed_route);
         let acknowledged = changes.iter().filter(|change| change.status == 200).count();
-        println!("followed: {} runs over {acknowledged} of {} turns", found.judged_runs, changes.len());
-        add_violation(&mut violations, "an older revision 3 s after a newer was acknowledged", &found.outdated);
-        add_violation(&mut violations, "a slip back after a newer revision was seen", &found.slipped_back);
+        println!("followed: {} runs over {acknowledged} of {} changes", found.judged_runs, changes.len());
+        add_violation(
+            &mut violations,
+            "an older revision was followed 3 s after a newer one was acknowledged",
+            &found.outdated,
+        );
+        add_violation(
+            &mut violations,
+            "an older revision was followed after a newer one was seen",
+            &found.slipped_back,
+        );
         add_violation(&mut violations, "a refused change was followed", &found.refused_followed);
         add_violation(&mut violations, "racing changes were both acknowledged", &found.races);
         add_violation(&mut violations, "the changes are not linearizable", &found.anomalies);
--- a/crates/loadgen/src/command_line.rs
+++ b/crates/loadgen/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of the load generator and the checker.
+//! Command line of the load generator and the checker.
 
 use crate::check::CheckOptions;
 use crate::load::{Crowd, LoadOptions};
@@ -13,27 +13,28 @@
        loadgen check --tasks FILE --runs FILE [options]
 
 load:
-  --targets LIST        routers' callers' addresses (loopback only)
-  --configuration FILE  the whole configuration, for routes and classes
-  --services FILE       services with their rates a second
+  --targets LIST        addresses of the routers for callers (loopback only)
+  --configuration FILE  configuration with routes and classes
+  --services FILE       services with their rates per second
   --out FILE            record of attempts, one JSON line each
-  --seconds N           how long [60]
-  --factor F            all rates times this [1.0]
+  --seconds N           duration [60]
+  --factor F            factor on all rates [1.0]
   --seed N              seed of the load [1]
   --repeat SHARE        share of run-once tasks repeated at another router [0.05]
-  --eager SHARE         share of callers that try again at once when refused [0.2]
-  --crowd AT,FOR,TIMES,SERVICE   a crowd at one service; may be given often
+  --eager SHARE         share of callers that retry a refusal at once [0.2]
+  --crowd AT,FOR,TIMES,SERVICE   a crowd at one service; may be repeated
 replay:
-  --har FILE            an HTTP archive; its requests keep their pace
-  --speed F             so many times as fast [1.0]
+  --har FILE            HTTP archive, replayed at its own pace
+  --speed F             factor on the pace [1.0]
 check:
   --tasks FILE          record of attempts
   --runs FILE           record of the instances
-  --changes FILE        turns of a route, as the fleet made them
-  --turned PATH         the route that was turned [/probe/turn]
-  --spans FILE          what failed or was planned, and when
-  --refusals N          most own refusals let pass in all [a handful where nothing fails]";
+  --changes FILE        changes of a route, as recorded by fleet
+  --turned PATH         route that was changed [/probe/turn]
+  --spans FILE          time spans of faults and planned work
+  --refusals N          maximum number of refusals by the fleet itself [a few if nothing fails]";
 
+/// Parsed command line.
 pub enum Command {
     Help,
     Version,
@@ -42,6 +43,7 @@
     Check(CheckOptions),
 }
 
+/// Parses the command line.
 pub fn parse(parser: lexopt::Parser) -> Result<Command, String> {
     let mut command = None;
     let (mut har, mut speed) = (PathBuf::new(), 1.0);
@@ -56,7 +58,7 @@
                 command = Some(word);
                 continue;
             }
-            ToolArgument::Switch(name) => return Err(format!("no flag --{name}; see --help")),
+            ToolArgument::Switch(name) => return Err(format!("unknown flag --{name}; see --help")),
             ToolArgument::Option { name, value } => (name, value),
         };
         match name.as_str() {
@@ -78,7 +80,7 @@
             "turned" => check.changed_route = value,
             "spans" => check.spans = Some(PathBuf::from(value)),
             "refusals" => check.refusals = Some(number("refusals", &value)?),
-            other => return Err(format!("no flag --{other}; see --help")),
+            other => return Err(format!("unknown flag --{other}; see --help")),
         }
     }
     match command.as_deref() {
@@ -87,29 +89,29 @@
                 target.parse::<std::net::SocketAddr>().is_ok_and(|address| address.ip().is_loopback())
             };
             if load.targets.is_empty() || !load.targets.iter().all(loopback) {
-                return Err("--targets: allowed are loopback addresses with ports".into());
+                return Err("--targets: expected loopback addresses with ports".into());
             }
             if command == "replay" {
                 if !(0.01..=1000.0).contains(&speed) {
-                    return Err(format!("--speed {speed}: allowed is 0.01 to 1000"));
+                    return Err(format!("--speed {speed}: expected 0.01 to 1000"));
                 }
                 return Ok(Command::Replay(ReplayOptions { har, targets: load.targets, out: load.out, speed }));
             }
             Ok(Command::Load(load))
         }
         Some("check") => Ok(Command::Check(check)),
-        _ => Err("say load, replay or check; see --help".into()),
+        _ => Err("expected load, replay or check; see --help".into()),
     }
 }
 
 fn number<T: std::str::FromStr>(name: &str, text: &str) -> Result<T, String> {
-    text.parse().map_err(|_| format!("--{name} {text}: allowed is a number"))
+    text.parse().map_err(|_| format!("--{name} {text}: expected a number"))
 }
 
 fn crowd(text: &str) -> Result<Crowd, String> {
     let parts: Vec<&str> = text.split(',').collect();
     let [start, duration, factor, service] = parts[..] else {
-        return Err(format!("--crowd {text}: allowed is AT,FOR,TIMES,SERVICE"));
+        return Err(format!("--crowd {text}: expected AT,FOR,TIMES,SERVICE"));
     };
     Ok(Crowd {
         start_s: number("crowd", start)?,
--- a/crates/loadgen/src/freshness.rs
+++ b/crates/loadgen/src/freshness.rs
@@ -1,7 +1,7 @@
-//! Whether tasks followed the revisions that were acknowledged. While the load runs, one route is
-//! turned from function to function, so that the instance that ran a task tells which revision was
-//! followed. Nothing older may run 3 s after a newer turn was acknowledged, nor a quarter second after
-//! the newer was seen in an answer; and a turn that was refused may never run at all.
+//! Checks that tasks follow the acknowledged revisions. While the load runs, one route is switched from function
+//! to function, so that the instance that ran a task shows which revision was followed. No older revision may be
+//! followed 3 s after a newer change was acknowledged, nor 250 ms after the newer one was seen in an answer; and
+//! a refused change may never be followed.
 
 use crate::rules::InstanceRecord;
 use crate::tally::Attempt;
@@ -10,10 +10,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Time after the acknowledgement of a change from which every task must follow it.
 const FOLLOW_LIMIT_MS: u64 = 3000;
+/// Time after the first answer under a revision from which no task may follow an older one.
 const SLIP_LIMIT_MS: u64 = 250;
 
-/// One change: when it was asked and answered, with which status, and the function it turned to.
+/// One change of the route: the times of request and answer, its status, and the function it switched to.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Change {
     pub asked: u64,
@@ -23,11 +25,12 @@
     pub revision: u64,
     pub base: u64,
     pub service: String,
-    /// It was read back after it had been refused.
+    /// Whether the change was read back after it had been refused.
     #[serde(default)]
     pub read: bool,
 }
 
+/// Number of evaluated runs, and descriptions of all violations.
 pub struct Freshness {
     pub judged_runs: usize,
     pub outdated: Vec<String>,
@@ -38,7 +41,7 @@
 }
 
 impl Change {
-    /// The change as an order of its own: each is sent once.
+    /// Returns the change as an invocation; each change is sent once.
     fn invocation(&self) -> Invocation {
         Invocation {
             change: format!("{} asked at {}", self.service, self.asked),
@@ -56,12 +59,13 @@
     }
 }
 
+/// Checks the runs of tasks on the route `path` against the changes of that route.
 pub fn check_freshness(attempts: &[Attempt], runs: &[&InstanceRecord], changes: &[Change], path: &str) -> Freshness {
     let mut acknowledged: Vec<&Change> = changes.iter().filter(|change| change.status == 200).collect();
     acknowledged.sort_by_key(|change| change.revision);
     let asked: BTreeMap<&str, &Attempt> =
         attempts.iter().filter(|a| a.path == path).map(|a| (a.label.as_str(), a)).collect();
-    // The newest change asked before a run that turned to the run's function is the one it followed.
+    // A run followed the newest change to its function that was requested before the run.
     let followed = |run: &InstanceRecord| {
         let same = |change: &&Change| change.service == run.service && change.asked <= run.at;
         changes.iter().filter(same).max_by_key(|change| change.asked)
@@ -161,13 +165,17 @@
         assert_eq!(found(&[(20_100, "p/t2")], &[]).refused_followed.len(), 1);
         assert_eq!(found(&[], &[change(10_001, 200, 3, 1, "p/t3")]).races.len(), 1);
         assert!(found(&[], &[]).races.is_empty());
-        // The record itself leaves out who won over the turn that was refused at 20 s.
+        // The record lacks the change that won against the one refused at 20 s, which is one anomaly.
         let anomalies = |more: &[Change]| found(&[], more).anomalies.len();
         assert_eq!(anomalies(&[]), 1);
-        assert_eq!(anomalies(&[change(19_990, 200, 3, 2, "p/t3")]), 0, "with its winner it is right");
-        assert_eq!(anomalies(&[change(20_100, 200, 2, 1, "p/t3")]), 4, "a second winner, its number twice, a way back");
-        assert_eq!(anomalies(&[change(10_010, 412, 0, 1, "p/t3")]), 1, "another came first");
-        assert_eq!(anomalies(&[change(5000, 412, 0, 1, "p/t3")]), 2, "nothing came first");
+        assert_eq!(anomalies(&[change(19_990, 200, 3, 2, "p/t3")]), 0, "with the winning change the record is correct");
+        assert_eq!(
+            anomalies(&[change(20_100, 200, 2, 1, "p/t3")]),
+            4,
+            "a second winner, its revision used twice, a decreasing revision"
+        );
+        assert_eq!(anomalies(&[change(10_010, 412, 0, 1, "p/t3")]), 1, "another change was first");
+        assert_eq!(anomalies(&[change(5000, 412, 0, 1, "p/t3")]), 2, "no other change was first");
         let read = Change { read: true, ..change(30_000, 412, 0, 2, "p/t3") };
         assert_eq!(found(&[], &[read]).refused_followed.len(), 1);
     }
--- a/crates/loadgen/src/load.rs
+++ b/crates/loadgen/src/load.rs
@@ -1,4 +1,4 @@
-//! The open loop: tasks leave on the seed's schedule whatever became of the ones before. Each
+//! Open-loop load: tasks are sent on a schedule from the seed, regardless of the outcome of earlier ones. Each
 //! attempt is recorded with its own label, which the instance echoes and records.
 
 use crate::attempt::{AttemptSpec, HttpClient, build_client, send_attempt};
@@ -13,8 +13,10 @@
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 use tokio::time::sleep_until;
 
+/// Maximum number of unfinished tasks; the load fails beyond it.
 const MAX_OPEN_TASKS: usize = 20_000;
 
+/// A period in which the rate of one service is multiplied.
 #[derive(Clone, Debug)]
 pub struct Crowd {
     pub start_s: f64,
@@ -23,6 +25,7 @@
     pub service: String,
 }
 
+/// Options of `loadgen load`, as in its help.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
     pub targets: Vec<String>,
@@ -54,6 +57,7 @@
     }
 }
 
+/// Sends the load, writes the record and prints a summary.
 pub fn run(options: LoadOptions) -> Result<bool, ToolError> {
     let routes = mix::load(&options.configuration, &options.services, options.factor)?;
     let file = std::fs::File::create(&options.out).map_err(file_error(&options.out))?;
--- a/crates/loadgen/src/main.rs
+++ b/crates/loadgen/src/main.rs
@@ -1,6 +1,6 @@
-//! `loadgen`: the load generator and its checker. `loadgen load` sends a seeded open-loop load and
-//! records every attempt; `loadgen replay` sends what an HTTP archive holds; `loadgen check` holds that record against what the instances say they
-//! ran and names each broken rule.
+//! `loadgen`: the load generator and its checker. `loadgen load` sends a seeded open-loop load and records every
+//! attempt; `loadgen replay` sends the requests of an HTTP archive; `loadgen check` compares that record with the
+//! instances' record of the tasks they ran and prints each violated rule.
 
 mod attempt;
 mod check;
--- a/crates/loadgen/src/mix.rs
+++ b/crates/loadgen/src/mix.rs
@@ -1,4 +1,4 @@
-//! The mix: which binding the next task goes to and when, from the services' rates and crowds.
+//! The mix of tasks: time and route of the next task, from the rates of the services and the crowds.
 
 use crate::errors::{ToolError, file_error};
 use crate::load::Crowd;
@@ -9,6 +9,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
+/// A route, its service and its rate in tasks per second.
 #[derive(Clone, Debug)]
 pub struct Route {
     pub service: String,
@@ -41,6 +42,7 @@
     serde_json::from_slice(&raw).map_err(parse_error)
 }
 
+/// Reads the routes from the configuration and their rates from the services file.
 pub fn load(configuration: &Path, services: &Path, factor: f64) -> Result<Vec<Route>, ToolError> {
     let content: Configuration = read(configuration)?;
     let service_rates: BTreeMap<String, ServiceRate> = read(services)?;
@@ -54,7 +56,7 @@
     Ok(routes)
 }
 
-/// The wait until the next task and its route, drawn as one Poisson stream over all routes.
+/// Draws the time in seconds until the next task and the index of its route, as one Poisson process over all routes.
 pub fn next_task(rng: &mut ChaCha8Rng, routes: &[Route], crowds: &[Crowd], at: f64) -> (f64, usize) {
     let weight = |route: &Route| {
         let crowd =
--- a/crates/loadgen/src/replay.rs
+++ b/crates/loadgen/src/replay.rs
@@ -1,6 +1,5 @@
-//! Replaying an HTTP archive: its requests go to the routers at the pace they were taken in, or a
-//! multiple of it. The archive is read by a library; hosts, connections and cookies of the page it was
-//! taken from stay behind.
+//! Replay of an HTTP archive: its requests are sent to the routers at the recorded pace or a multiple of it. A
+//! library parses the archive. Host, connection and cookie headers of the recorded site are not sent.
 
 use crate::attempt::{AttemptSpec, HttpClient, build_client, send_attempt};
 use crate::errors::{ToolError, file_error};
@@ -12,15 +11,18 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::sleep_until;
 
+/// Maximum number of requests in an archive.
 const MAX_REQUESTS: usize = 100_000;
+/// Headers that are not replayed.
 const SKIPPED_HEADERS: [&str; 8] =
     ["host", "connection", "content-length", "transfer-encoding", "cookie", "te", "upgrade", "keep-alive"];
 
+/// Reason why an archive cannot be replayed.
 #[derive(Debug, Display, Error)]
 pub enum ReplayError {
     #[display("{}: not a whole HTTP archive: {reason}", path.display())]
     Unreadable { path: PathBuf, reason: String },
-    #[display("{}: there are no requests in it", path.display())]
+    #[display("{}: contains no requests", path.display())]
     Empty { path: PathBuf },
     #[display("{}: more than {MAX_REQUESTS} requests", path.display())]
     TooMany { path: PathBuf },
@@ -28,6 +30,7 @@
     Request { number: usize, reason: String },
 }
 
+/// Options of `loadgen replay`, as in its help.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayOptions {
     pub har: PathBuf,
@@ -36,8 +39,10 @@
     pub speed: f64,
 }
 
+/// A request of the archive.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedRequest {
+    /// Time since the first request.
     pub offset: Duration,
     pub method: String,
     pub path: String,
@@ -45,6 +50,7 @@
     pub body: String,
 }
 
+/// Reads the requests of an archive, sorted by time.
 pub fn read(path: &Path) -> Result<Vec<RecordedRequest>, ReplayError> {
     let unreadable = |reason: String| ReplayError::Unreadable { path: path.to_owned(), reason };
     let archive = har::from_path(path).map_err(|error| unreadable(error.to_string()))?;
@@ -84,6 +90,7 @@
     Ok(list.into_iter().map(|(at, request)| RecordedRequest { offset: since(at), ..request }).collect())
 }
 
+/// Replays the archive, writes the record and prints a summary.
 pub fn run(options: &ReplayOptions) -> Result<bool, ToolError> {
     let list = read(&options.har)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(ToolError::Runtime)?;
--- a/crates/loadgen/src/rules.rs
+++ b/crates/loadgen/src/rules.rs
@@ -1,10 +1,11 @@
-//! The rules a caller's record and the instances' record must keep between them.
+//! Rules that the callers' record and the instances' record must satisfy together.
 
 use crate::spans::is_own_refusal;
 use crate::tally::Attempt;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// One line of the instances' record.
 #[derive(Clone, Debug, Deserialize)]
 pub struct InstanceRecord {
     pub at: u64,
@@ -17,10 +18,14 @@
     pub instance: String,
 }
 
+/// Maximum number of tasks of one function turned away by its instances in 5 s.
 const MAX_TURNED_AWAY: usize = 11;
+/// Time after an instance was first listed as leaving from which it must receive no task.
 const LEAVING_GRACE_MS: u64 = 3000;
+/// Maximum number of violations printed for each rule.
 const MAX_SHOWN: usize = 5;
 
+/// Returns a line for each violation. `refusals` is the maximum number of refusals by the fleet itself.
 pub fn find_violations(attempts: &[Attempt], lines: &[InstanceRecord], refusals: Option<usize>) -> Vec<String> {
     let runs: Vec<&InstanceRecord> = lines.iter().filter(|line| line.what == "run").collect();
     let mut violations = Vec::new();
@@ -71,6 +76,7 @@
     same_task && body == format!("{{\"task\":\"{}\"}}", attempt.task) && runs.contains_key(label)
 }
 
+/// Returns functions with too many tasks turned away in 5 s.
 fn find_turned_away(lines: &[InstanceRecord]) -> Vec<String> {
     let mut by_service: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for line in lines.iter().filter(|line| line.what == "turned-away") {
@@ -88,7 +94,7 @@
     violations
 }
 
-/// Three seconds after the platform first told any of us.
+/// Returns tasks sent to an instance more than 3 s after the platform first listed it as leaving to any node.
 fn find_sent_to_leaving(runs: &[&InstanceRecord], lines: &[InstanceRecord]) -> Vec<String> {
     let leaving = lines.iter().filter(|line| line.what == "told");
     let since: BTreeMap<&str, u64> = leaving.map(|line| (line.instance.as_str(), line.at)).collect();
@@ -97,6 +103,7 @@
     runs.iter().filter(late).map(|run| format!("{} to {}", run.task, run.instance)).collect()
 }
 
+/// Returns functions whose retries in 10 s exceed a fifth of the first attempts plus 60.
 fn find_excess_retries(runs: &[&InstanceRecord], lines: &[InstanceRecord]) -> Vec<String> {
     let mut by_service: BTreeMap<&str, Vec<(u64, bool)>> = BTreeMap::new();
     let mut seen: BTreeSet<&str> = BTreeSet::new();
--- a/crates/loadgen/src/spans.rs
+++ b/crates/loadgen/src/spans.rs
@@ -1,14 +1,17 @@
-//! The runner's timetable as it came about: spans in which something failed, or in which only planned
-//! things were done. Recovery is judged after each failure; in stretches with nothing but planned
-//! stops and changes, every task is answered whole, with hardly a refusal of our own.
+//! Time spans of faults and planned work, as recorded by `fleet`. Recovery is checked after each fault. In
+//! stretches with only planned stops and changes, every task must be answered completely, with at most a few
+//! refusals by the fleet itself.
 
 use crate::tally::Attempt;
 use serde::Deserialize;
 use std::time::Duration;
 
+/// Maximum number of refusals by the fleet itself in stretches without faults.
 const MAX_OWN_REFUSALS: usize = 5;
+/// Time after a fault that is excluded from stretches without faults.
 const AFTERMATH_MS: u64 = 20_000;
 
+/// A fault or planned work; times in milliseconds of the wall clock.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Span {
     pub from: u64,
@@ -16,14 +19,17 @@
     pub planned: bool,
 }
 
+/// Returns whether the attempt was answered or accepted without a server error.
 pub fn is_served(attempt: &Attempt) -> bool {
     matches!(attempt.outcome.as_str(), "answered" | "accepted") && (1..500).contains(&attempt.status)
 }
 
+/// Returns whether the fleet itself, not an instance, refused the attempt or lost its outcome.
 pub fn is_own_refusal(attempt: &Attempt) -> bool {
     attempt.outcome == "not-run" && attempt.status == 503 || attempt.outcome == "unknown"
 }
 
+/// Checks that service recovers after each fault.
 pub fn check_recovery(attempts: &[Attempt], spans: &[Span]) -> checker::Recovery {
     let Some(started) = attempts.iter().map(|attempt| attempt.at).min() else { return checker::Recovery::default() };
     let since = |at: u64| Duration::from_millis(at.saturating_sub(started));
@@ -34,8 +40,9 @@
     checker::check_recovery(&good, &faults, Duration::from_secs(5), since(last))
 }
 
-/// Attempts in stretches without a failure or its aftermath that were cut, unanswered, or refused
-/// beyond a handful. A door that is closed already takes no task in, so nothing of it is dropped.
+/// Returns the number of attempts in stretches without a fault or its aftermath, those that were cut or not
+/// answered, and the refusals by the fleet itself if there are more than `MAX_OWN_REFUSALS`. A connection that is
+/// refused because the listener is already closed is not counted as cut: no task was accepted on it.
 pub fn check_planned(attempts: &[Attempt], spans: &[Span]) -> (usize, Vec<String>, Vec<String>) {
     let failing: Vec<&Span> = spans.iter().filter(|span| !span.planned).collect();
     let is_calm = |attempt: &&Attempt| {
@@ -72,11 +79,14 @@
         assert_eq!(check_recovery(&late, &[span(10, 12, false)]).low_seconds.len(), 6, "seconds 24 to 29");
         assert!(check_recovery(&late, &[span(10, 18, false)]).low_seconds.is_empty());
         assert!(check_recovery(&attempts(0..0), &[span(10, 12, false)]).judged_seconds > 30);
-        assert_eq!(check_planned(&late, &[span(10, 12, true)]).1.len(), 200, "planned stops excuse nothing");
-        assert!(check_planned(&late, &[span(10, 12, false)]).1.is_empty(), "the aftermath of a failure does");
+        assert_eq!(check_planned(&late, &[span(10, 12, true)]).1.len(), 200, "cut work counts during planned stops");
+        assert!(
+            check_planned(&late, &[span(10, 12, false)]).1.is_empty(),
+            "cut work does not count in the aftermath of a fault"
+        );
         let mut refused = attempts(0..0);
         refused.iter_mut().take(6).for_each(|a| (a.status, a.outcome) = (503, "not-run".into()));
         assert_eq!(check_planned(&refused, &[]).2.len(), 6);
-        assert!(check_planned(&refused[1..], &[]).2.is_empty(), "five are a handful");
+        assert!(check_planned(&refused[1..], &[]).2.is_empty(), "five refusals are within the limit");
     }
 }
--- a/crates/loadgen/src/tally.rs
+++ b/crates/loadgen/src/tally.rs
@@ -1,9 +1,10 @@
-//! The record of one attempt, and the figures of a whole load.
+//! The record of one attempt, and the summary of a whole load.
 
 use crate::spans::is_served;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// One line of the callers' record; times in milliseconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Attempt {
     pub task: String,
@@ -20,6 +21,7 @@
     pub body: String,
 }
 
+/// Returns counts, share of served attempts, latencies and statuses for each class of tasks.
 pub fn summary(attempts: &[Attempt]) -> String {
     let mut lines = vec![format!("{} attempts", attempts.len())];
     let mut classes: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
