--- a/crates/emulator/src/api.rs
+++ b/crates/emulator/src/api.rs
@@ -1,6 +1,6 @@
 //! The platform's API and the emulator's owner: one thread holds the state, handlers send it asks.
 
-use crate::instance::{Ask, draw, wall_ms};
+use crate::instance::{DisturbanceRequest, draw_disturbance, unix_time_ms};
 use crate::record::Record;
 use crate::services::load;
 use crate::starting::start_instance;
@@ -18,9 +18,9 @@
 
 pub type Answer = (StatusCode, Value);
 
-pub enum Order {
-    Call { what: &'static str, id: String, body: Value, reply: oneshot::Sender<Answer> },
-    Disturbance(Ask),
+pub enum EmulatorMessage {
+    Call { operation: &'static str, id: String, body: Value, reply: oneshot::Sender<Answer> },
+    DrawDisturbance(DisturbanceRequest),
     Ready { id: String },
 }
 
@@ -32,7 +32,7 @@
         let listener = TcpListener::bind(&settings.address)
             .await
             .map_err(|error| format!("cannot listen on {}: {error}", settings.address))?;
-        let (orders, inbox) = mpsc::channel(4096);
+        let (messages, inbox) = mpsc::channel(4096);
         let router = Router::new()
             .route("/v1/instances", get(list).post(start))
             .route("/v1/instances/{id}", axum::routing::delete(stop))
@@ -40,36 +40,36 @@
             .route("/v1/workers", get(workers))
             .route("/v1/workers/{id}/{what}", post(worker))
             .route("/v1/counts", get(counts))
-            .with_state(orders.clone());
+            .with_state(messages.clone());
         let emulator = Emulator {
             drained: vec![false; settings.workers as usize],
-            dice: rand_chacha::ChaCha8Rng::seed_from_u64(settings.seed),
+            rng: rand_chacha::ChaCha8Rng::seed_from_u64(settings.seed),
             settings,
             services,
             instances: BTreeMap::new(),
             nonces: BTreeMap::new(),
-            begun: 0,
-            shown: VecDeque::new(),
-            calls: VecDeque::new(),
+            started_count: 0,
+            snapshots: VecDeque::new(),
+            recent_calls: VecDeque::new(),
             mischief: Misbehaviour::default(),
-            refused: 0,
-            told: BTreeSet::new(),
+            refused_calls: 0,
+            announced_leaving: BTreeSet::new(),
             instance_seconds: 0.0,
         };
-        tokio::task::spawn_local(own(emulator, record, orders, inbox));
+        tokio::task::spawn_local(run_emulator(emulator, record, messages, inbox));
         axum::serve(listener, router).await.map_err(|error| error.to_string())
     })
 }
 
-async fn forward_order(
-    orders: &mpsc::Sender<Order>,
-    what: &'static str,
+async fn forward_call(
+    messages: &mpsc::Sender<EmulatorMessage>,
+    operation: &'static str,
     id: String,
     body: Value,
 ) -> (StatusCode, Json<Value>) {
-    let (reply, told) = oneshot::channel();
-    let _ = orders.send(Order::Call { what, id, body, reply }).await;
-    match told.await {
+    let (reply, answer) = oneshot::channel();
+    let _ = messages.send(EmulatorMessage::Call { operation, id, body, reply }).await;
+    match answer.await {
         Ok((status, value)) => (status, Json(value)),
         Err(_) => {
             // A hung call: the caller's own limit ends it.
@@ -79,54 +79,62 @@
     }
 }
 
-type Orders = State<mpsc::Sender<Order>>;
+type MessageSender = State<mpsc::Sender<EmulatorMessage>>;
 
-async fn list(State(orders): Orders) -> (StatusCode, Json<Value>) {
-    forward_order(&orders, "list", String::new(), Value::Null).await
+async fn list(State(messages): MessageSender) -> (StatusCode, Json<Value>) {
+    forward_call(&messages, "list", String::new(), Value::Null).await
 }
-async fn workers(State(orders): Orders) -> (StatusCode, Json<Value>) {
-    forward_order(&orders, "workers", String::new(), Value::Null).await
+async fn workers(State(messages): MessageSender) -> (StatusCode, Json<Value>) {
+    forward_call(&messages, "workers", String::new(), Value::Null).await
 }
-async fn start(State(orders): Orders, Json(body): Json<Value>) -> (StatusCode, Json<Value>) {
-    forward_order(&orders, "start", String::new(), body).await
+async fn start(State(messages): MessageSender, Json(body): Json<Value>) -> (StatusCode, Json<Value>) {
+    forward_call(&messages, "start", String::new(), body).await
 }
-async fn stop(State(orders): Orders, Path(id): Path<String>) -> (StatusCode, Json<Value>) {
-    forward_order(&orders, "stop", id, Value::Null).await
+async fn stop(State(messages): MessageSender, Path(id): Path<String>) -> (StatusCode, Json<Value>) {
+    forward_call(&messages, "stop", id, Value::Null).await
 }
-async fn mischief(State(orders): Orders, Json(body): Json<Value>) -> (StatusCode, Json<Value>) {
-    forward_order(&orders, "mischief", String::new(), body).await
+async fn mischief(State(messages): MessageSender, Json(body): Json<Value>) -> (StatusCode, Json<Value>) {
+    forward_call(&messages, "mischief", String::new(), body).await
 }
-async fn worker(State(orders): Orders, Path((id, what)): Path<(String, String)>) -> (StatusCode, Json<Value>) {
-    forward_order(&orders, "worker", id, json!(what)).await
+async fn worker(
+    State(messages): MessageSender,
+    Path((id, operation)): Path<(String, String)>,
+) -> (StatusCode, Json<Value>) {
+    forward_call(&messages, "worker", id, json!(operation)).await
 }
-async fn counts(State(orders): Orders) -> (StatusCode, Json<Value>) {
-    forward_order(&orders, "counts", String::new(), Value::Null).await
+async fn counts(State(messages): MessageSender) -> (StatusCode, Json<Value>) {
+    forward_call(&messages, "counts", String::new(), Value::Null).await
 }
 
-async fn own(mut emulator: Emulator, record: Record, orders: mpsc::Sender<Order>, mut inbox: mpsc::Receiver<Order>) {
+async fn run_emulator(
+    mut emulator: Emulator,
+    record: Record,
+    messages: mpsc::Sender<EmulatorMessage>,
+    mut inbox: mpsc::Receiver<EmulatorMessage>,
+) {
     let mut ticks = tokio::time::interval(Duration::from_millis(200));
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                let (list, workers) = (emulator.listing(), emulator.workers());
-                emulator.shown.push_back((Instant::now(), list, workers));
+                let (list, workers) = (emulator.instance_list(), emulator.workers());
+                emulator.snapshots.push_back((Instant::now(), list, workers));
             }
-            order = inbox.recv() => match order {
-                Some(Order::Disturbance(Ask::Disturbance(reply))) => drop(reply.send(draw(&mut emulator))),
-                Some(Order::Ready { id }) => {
-                    if let Some(held) = emulator.instances.get_mut(&id)
-                        && held.state == "starting" {
-                        held.state = "running";
+            message = inbox.recv() => match message {
+                Some(EmulatorMessage::DrawDisturbance(DisturbanceRequest::Disturbance(reply))) => drop(reply.send(draw_disturbance(&mut emulator))),
+                Some(EmulatorMessage::Ready { id }) => {
+                    if let Some(instance) = emulator.instances.get_mut(&id)
+                        && instance.state == "starting" {
+                        instance.state = "running";
                     }
                 }
-                Some(Order::Call { what, id, body, reply }) => {
-                    let (hang, lost) = (emulator.mischief.hang_calls, emulator.mischief.drop_receipts);
-                    let calls = what == "start" || what == "stop";
-                    if calls && emulator.chance(hang) {
+                Some(EmulatorMessage::Call { operation, id, body, reply }) => {
+                    let (hang_share, drop_share) = (emulator.mischief.hang_calls, emulator.mischief.drop_receipts);
+                    let is_start_or_stop = operation == "start" || operation == "stop";
+                    if is_start_or_stop && emulator.draw_chance(hang_share) {
                         continue;
                     }
-                    let answer = execute_order(&mut emulator, &record, &orders, what, &id, &body);
-                    if !(calls && emulator.chance(lost)) {
+                    let answer = execute_call(&mut emulator, &record, &messages, operation, &id, &body);
+                    if !(is_start_or_stop && emulator.draw_chance(drop_share)) {
                         let _ = reply.send(answer);
                     }
                 }
@@ -136,24 +144,24 @@
     }
 }
 
-fn execute_order(
+fn execute_call(
     emulator: &mut Emulator,
     record: &Record,
-    orders: &mpsc::Sender<Order>,
-    what: &str,
+    messages: &mpsc::Sender<EmulatorMessage>,
+    operation: &str,
     id: &str,
     body: &Value,
 ) -> Answer {
-    match what {
+    match operation {
         "list" => {
-            let tell = |id: &str| record.write(json!({"at": wall_ms(), "what": "told", "instance": id}));
-            (StatusCode::OK, emulator.late_listing(tell))
+            let record_leaving = |id: &str| record.write(json!({"at": unix_time_ms(), "what": "told", "instance": id}));
+            (StatusCode::OK, emulator.lagged_instances(record_leaving))
         }
         "start" | "stop" if !emulator.admit_call() => {
             (StatusCode::TOO_MANY_REQUESTS, json!({"fault": "too many calls"}))
         }
-        "workers" => (StatusCode::OK, emulator.late_workers()),
-        "start" => start_instance(emulator, record, orders, body),
+        "workers" => (StatusCode::OK, emulator.lagged_workers()),
+        "start" => start_instance(emulator, record, messages, body),
         "stop" => match emulator.remove(id) {
             true => (StatusCode::ACCEPTED, json!({"id": id})),
             false => (StatusCode::NOT_FOUND, json!({"fault": "no such instance"})),
@@ -175,31 +183,36 @@
             if number >= emulator.drained.len() {
                 return (StatusCode::NOT_FOUND, json!({}));
             }
-            let on_it: Vec<String> =
-                emulator.instances.iter().filter(|(_, held)| held.worker == number).map(|(id, _)| id.clone()).collect();
+            let affected_instances: Vec<String> = emulator
+                .instances
+                .iter()
+                .filter(|(_, instance)| instance.worker == number)
+                .map(|(id, _)| id.clone())
+                .collect();
             match body.as_str() {
-                Some("crash") => on_it.iter().for_each(|id| _ = emulator.remove(id)),
+                Some("crash") => affected_instances.iter().for_each(|id| _ = emulator.remove(id)),
                 Some("drain") => {
                     emulator.drained[number] = true;
-                    for id in &on_it {
-                        if let Some(held) = emulator.instances.get_mut(id) {
-                            held.state = "leaving";
+                    for id in &affected_instances {
+                        if let Some(instance) = emulator.instances.get_mut(id) {
+                            instance.state = "leaving";
                         }
-                        record.write(json!({"at": wall_ms(), "what": "leaving", "instance": id}));
+                        record.write(json!({"at": unix_time_ms(), "what": "leaving", "instance": id}));
                     }
                 }
                 _ => emulator.drained[number] = false,
             }
-            record.write(json!({"at": wall_ms(), "what": "worker", "worker": number, "order": body}));
-            (StatusCode::OK, json!({"instances": on_it.len()}))
+            record.write(json!({"at": unix_time_ms(), "what": "worker", "worker": number, "order": body}));
+            (StatusCode::OK, json!({"instances": affected_instances.len()}))
         }
         _ => {
-            let running: f64 = emulator.instances.values().map(|held| held.asked.elapsed().as_secs_f64()).sum();
-            let told = json!({
-                "instances": emulator.instances.len(), "refused_calls": emulator.refused,
+            let running: f64 =
+                emulator.instances.values().map(|instance| instance.requested_at.elapsed().as_secs_f64()).sum();
+            let counts = json!({
+                "instances": emulator.instances.len(), "refused_calls": emulator.refused_calls,
                 "instance_seconds": emulator.instance_seconds + running,
             });
-            (StatusCode::OK, told)
+            (StatusCode::OK, counts)
         }
     }
 }
--- a/crates/emulator/src/instance.rs
+++ b/crates/emulator/src/instance.rs
@@ -20,7 +20,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-pub enum Ask {
+pub enum DisturbanceRequest {
     Disturbance(oneshot::Sender<Disturbance>),
 }
 
@@ -37,14 +37,14 @@
 pub struct Endpoint {
     pub id: String,
     pub service: String,
-    pub shape: Service,
+    pub profile: Service,
     pub busy: Arc<AtomicU32>,
     pub alive: Arc<AtomicBool>,
     pub record: Record,
-    pub disturbances: mpsc::Sender<Ask>,
+    pub disturbances: mpsc::Sender<DisturbanceRequest>,
 }
 
-pub fn wall_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
@@ -53,7 +53,7 @@
     let _ = axum::serve(listener, router).await;
 }
 
-pub fn draw(emulator: &mut Emulator) -> Disturbance {
+pub fn draw_disturbance(emulator: &mut Emulator) -> Disturbance {
     let mischief = emulator.mischief.clone();
     for (share, disturbance) in [
         (mischief.turn_away, Disturbance::TurnAway),
@@ -61,7 +61,7 @@
         (mischief.garbage, Disturbance::Garbage),
         (mischief.cut, Disturbance::Cut),
     ] {
-        if emulator.chance(share) {
+        if emulator.draw_chance(share) {
             return disturbance;
         }
     }
@@ -70,36 +70,36 @@
 
 async fn run(State(endpoint): State<Endpoint>, method: Method, uri: Uri, headers: HeaderMap, body: Bytes) -> Response {
     let task = headers.get("x-task").and_then(|value| value.to_str().ok()).unwrap_or("-").to_owned();
-    let (reply, told) = oneshot::channel();
-    let asked = endpoint.disturbances.send(Ask::Disturbance(reply)).await.is_ok();
+    let (reply, drawn) = oneshot::channel();
+    let was_requested = endpoint.disturbances.send(DisturbanceRequest::Disturbance(reply)).await.is_ok();
     if !endpoint.alive.load(Ordering::SeqCst) {
-        return lost(64);
+        return lost_response(64);
     }
-    let disturbance = if asked { told.await.unwrap_or(Disturbance::Plain) } else { Disturbance::Plain };
+    let disturbance = if was_requested { drawn.await.unwrap_or(Disturbance::Plain) } else { Disturbance::Plain };
     let busy = endpoint.busy.fetch_add(1, Ordering::SeqCst);
-    let note = |what: &str| {
+    let record_task = |event: &str| {
         endpoint.record.write(
-            json!({"at": wall_ms(), "what": what, "task": task, "service": endpoint.service, "instance": endpoint.id}),
+            json!({"at": unix_time_ms(), "what": event, "task": task, "service": endpoint.service, "instance": endpoint.id}),
         )
     };
-    if busy >= endpoint.shape.limit || disturbance == Disturbance::TurnAway {
+    if busy >= endpoint.profile.limit || disturbance == Disturbance::TurnAway {
         endpoint.busy.fetch_sub(1, Ordering::SeqCst);
-        note("turned-away");
+        record_task("turned-away");
         return (StatusCode::SERVICE_UNAVAILABLE, "at its limit").into_response();
     }
-    note("run");
-    let (busy, work) = (endpoint.busy.clone(), Duration::from_millis(endpoint.shape.work_ms));
+    record_task("run");
+    let (busy, work) = (endpoint.busy.clone(), Duration::from_millis(endpoint.profile.work_ms));
     let work = tokio::spawn(async move {
         tokio::time::sleep(work).await;
         busy.fetch_sub(1, Ordering::SeqCst);
     });
     let _ = work.await;
     if !endpoint.alive.load(Ordering::SeqCst) {
-        return lost(64);
+        return lost_response(64);
     }
     let text = format!("{method} {} task={task} body={}", uri.path(), String::from_utf8_lossy(&body));
     match disturbance {
-        Disturbance::Lose => lost(text.len()),
+        Disturbance::Lose => lost_response(text.len()),
         Disturbance::Cut => {
             let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
             let parts = [Ok(half), Err(std::io::Error::other("cut"))];
@@ -119,7 +119,7 @@
 }
 
 /// The work may be done, the answer is lost: a declared length that is never met.
-fn lost(length: usize) -> Response {
+fn lost_response(length: usize) -> Response {
     let body = Body::from_stream(futures_lite::stream::once(Err::<Bytes, _>(std::io::Error::other("lost"))));
     Response::builder().header("content-length", length).body(body).unwrap_or_default()
 }
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -25,7 +25,7 @@
     }
 }
 
-pub struct RunningInstance {
+pub struct Instance {
     pub service: String,
     pub address: String,
     pub worker: usize,
@@ -33,7 +33,7 @@
     pub state: &'static str,
     pub task: Option<AbortHandle>,
     pub alive: Arc<AtomicBool>,
-    pub asked: Instant,
+    pub requested_at: Instant,
 }
 
 /// What a start came to; the same nonce is told the same again.
@@ -57,34 +57,34 @@
 pub struct Emulator {
     pub settings: EmulatorSettings,
     pub services: Services,
-    pub instances: BTreeMap<String, RunningInstance>,
+    pub instances: BTreeMap<String, Instance>,
     pub nonces: BTreeMap<(String, String), Started>,
-    pub begun: u64,
+    pub started_count: u64,
     pub drained: Vec<bool>,
-    pub shown: VecDeque<(Instant, Value, Value)>,
-    pub calls: VecDeque<Instant>,
+    pub snapshots: VecDeque<(Instant, Value, Value)>,
+    pub recent_calls: VecDeque<Instant>,
     pub mischief: Misbehaviour,
-    pub dice: rand_chacha::ChaCha8Rng,
-    pub refused: u64,
-    pub told: BTreeSet<String>,
+    pub rng: rand_chacha::ChaCha8Rng,
+    pub refused_calls: u64,
+    pub announced_leaving: BTreeSet<String>,
     pub instance_seconds: f64,
 }
 
 impl Emulator {
-    pub fn chance(&mut self, share: f64) -> bool {
-        share > 0.0 && self.dice.random_bool(share.min(1.0))
+    pub fn draw_chance(&mut self, share: f64) -> bool {
+        share > 0.0 && self.rng.random_bool(share.min(1.0))
     }
 
     pub fn admit_call(&mut self) -> bool {
         let now = Instant::now();
-        while self.calls.front().is_some_and(|at| now.duration_since(*at) > Duration::from_secs(1)) {
-            self.calls.pop_front();
+        while self.recent_calls.front().is_some_and(|at| now.duration_since(*at) > Duration::from_secs(1)) {
+            self.recent_calls.pop_front();
         }
-        if self.calls.len() >= self.settings.calls as usize {
-            self.refused += 1;
+        if self.recent_calls.len() >= self.settings.calls as usize {
+            self.refused_calls += 1;
             return false;
         }
-        self.calls.push_back(now);
+        self.recent_calls.push_back(now);
         true
     }
 
@@ -98,10 +98,10 @@
     }
 
     /// The worker that is named, or the one with the most memory left, if it has enough.
-    pub fn place(&self, named: Option<usize>, memory_mb: u32) -> Option<usize> {
+    pub fn choose_worker(&self, requested_worker: Option<usize>, memory_mb: u32) -> Option<usize> {
         let free_mb_by_worker = self.free_mb_by_worker();
         (0..free_mb_by_worker.len())
-            .filter(|worker| named.is_none_or(|named| named == *worker))
+            .filter(|worker| requested_worker.is_none_or(|requested_worker| requested_worker == *worker))
             .filter(|worker| !self.drained[*worker] && free_mb_by_worker[*worker] >= i64::from(memory_mb))
             .max_by_key(|worker| (free_mb_by_worker[*worker], std::cmp::Reverse(*worker)))
     }
@@ -111,8 +111,8 @@
         zones.get(worker % zones.len().max(1)).map_or("", String::as_str)
     }
 
-    pub fn listing(&self) -> Value {
-        let line = |(id, instance): (&String, &RunningInstance)| {
+    pub fn instance_list(&self) -> Value {
+        let line = |(id, instance): (&String, &Instance)| {
             json!({
                 "id": id, "service": instance.service, "address": instance.address, "zone": self.zone(instance.worker),
                 "worker": worker_name(instance.worker), "state": instance.state,
@@ -122,36 +122,36 @@
     }
 
     pub fn workers(&self) -> Value {
-        let line = |(worker, free_mb_by_worker): (usize, i64)| {
+        let line = |(worker, free_mb): (usize, i64)| {
             json!({
                 "name": worker_name(worker), "zone": self.zone(worker), "memory_mb": self.settings.memory_mb,
-                "free_mb": free_mb_by_worker.max(0), "ready": !self.drained[worker],
+                "free_mb": free_mb.max(0), "ready": !self.drained[worker],
             })
         };
         json!({"workers": self.free_mb_by_worker().into_iter().enumerate().map(line).collect::<Vec<Value>>()})
     }
 
     /// The lists, of instances and of workers, as they stood a while ago.
-    fn late(&mut self) -> Option<&(Instant, Value, Value)> {
+    fn lagged_snapshot(&mut self) -> Option<&(Instant, Value, Value)> {
         let now = Instant::now();
         let lag = self.settings.lag;
-        while self.shown.len() > 1 && now.duration_since(self.shown[1].0) >= lag {
-            self.shown.pop_front();
+        while self.snapshots.len() > 1 && now.duration_since(self.snapshots[1].0) >= lag {
+            self.snapshots.pop_front();
         }
-        self.shown.front()
+        self.snapshots.front()
     }
 
-    pub fn late_workers(&mut self) -> Value {
+    pub fn lagged_workers(&mut self) -> Value {
         let now = self.workers();
-        self.late().map_or(now, |(_, _, workers)| workers.clone())
+        self.lagged_snapshot().map_or(now, |(_, _, workers)| workers.clone())
     }
 
-    pub fn late_listing(&mut self, tell: impl Fn(&str)) -> Value {
-        let list = self.late().map_or_else(|| json!({"instances": []}), |(_, list, _)| list.clone());
+    pub fn lagged_instances(&mut self, on_leaving: impl Fn(&str)) -> Value {
+        let list = self.lagged_snapshot().map_or_else(|| json!({"instances": []}), |(_, list, _)| list.clone());
         for line in list["instances"].as_array().into_iter().flatten().filter(|line| line["state"] == "leaving") {
             let id = line["id"].as_str().unwrap_or_default();
-            if self.told.insert(id.to_owned()) {
-                tell(id);
+            if self.announced_leaving.insert(id.to_owned()) {
+                on_leaving(id);
             }
         }
         list
@@ -159,7 +159,7 @@
 
     pub fn remove(&mut self, id: &str) -> bool {
         let Some(instance) = self.instances.remove(id) else { return false };
-        self.instance_seconds += instance.asked.elapsed().as_secs_f64();
+        self.instance_seconds += instance.requested_at.elapsed().as_secs_f64();
         instance.alive.store(false, Ordering::SeqCst);
         if let Some(task) = instance.task {
             task.abort();
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -96,8 +96,8 @@
         println!("fault: {} {}", fault.kind, fault.target);
         match fault.kind.as_str() {
             "crash-worker" | "drain-worker" | "undrain-worker" => {
-                let action = fault.kind.trim_end_matches("-worker");
-                self.call_platform(&format!("/v1/workers/{}/{action}", fault.target), Value::Null).await
+                let order = fault.kind.trim_end_matches("-worker");
+                self.call_platform(&format!("/v1/workers/{}/{order}", fault.target), Value::Null).await
             }
             "mischief" => {
                 let mut shares = Map::new();
--- a/crates/fleet/src/soak_schedule.rs
+++ b/crates/fleet/src/soak_schedule.rs
@@ -92,28 +92,28 @@
     }
 
     /// Kills, stops, freezes or wipes a process and brings it back; returns how many seconds it is away.
-    fn draw_process_fault(&mut self, rng: &mut impl Rng, node_kind: &str, target: usize, at: f64) -> f64 {
+    fn draw_process_fault(&mut self, rng: &mut impl Rng, kind: &str, target: usize, at: f64) -> f64 {
         let away_seconds = rng.random_range(0.2..2.0);
-        match rng.random_range(0..if node_kind == "registry" { 4 } else { 3 }) {
+        match rng.random_range(0..if kind == "registry" { 4 } else { 3 }) {
             0 => {
-                self.add(at, &format!("kill-{node_kind}"), target);
-                self.add(at + away_seconds, &format!("start-{node_kind}"), target);
+                self.add(at, &format!("kill-{kind}"), target);
+                self.add(at + away_seconds, &format!("start-{kind}"), target);
                 away_seconds
             }
             1 => {
-                self.add(at, &format!("stop-{node_kind}"), target);
-                self.add(at + STOP_SECONDS, &format!("start-{node_kind}"), target);
+                self.add(at, &format!("stop-{kind}"), target);
+                self.add(at + STOP_SECONDS, &format!("start-{kind}"), target);
                 STOP_SECONDS
             }
             2 => {
-                self.add(at, &format!("freeze-{node_kind}"), target);
-                self.add(at + away_seconds, &format!("thaw-{node_kind}"), target);
+                self.add(at, &format!("freeze-{kind}"), target);
+                self.add(at + away_seconds, &format!("thaw-{kind}"), target);
                 away_seconds
             }
             _ => {
-                self.add(at, &format!("kill-{node_kind}"), target);
-                self.add(at + 0.3, &format!("wipe-{node_kind}"), target);
-                self.add(at + 0.4 + away_seconds, &format!("start-{node_kind}"), target);
+                self.add(at, &format!("kill-{kind}"), target);
+                self.add(at + 0.3, &format!("wipe-{kind}"), target);
+                self.add(at + 0.4 + away_seconds, &format!("start-{kind}"), target);
                 0.4 + away_seconds
             }
         }
