--- a/crates/emulator/src/api.rs
+++ b/crates/emulator/src/api.rs
@@ -1,4 +1,4 @@
-//! The platform's API and the emulator's owner: one thread holds the state, handlers send it asks.
+//! The platform's API, and the task that owns the emulator's state: the handlers send it messages.
 
 use crate::instance::{DisturbanceRequest, draw_disturbance, unix_time_ms};
 use crate::record::Record;
@@ -16,14 +16,20 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
+/// Status and body of an API answer.
 pub type Answer = (StatusCode, Value);
 
+/// Message to the task that owns the state.
 pub enum EmulatorMessage {
+    /// An API call.
     Call { operation: &'static str, id: String, body: Value, reply: oneshot::Sender<Answer> },
+    /// An instance asks whether it shall misbehave on the next task.
     DrawDisturbance(DisturbanceRequest),
+    /// An instance has started.
     Ready { id: String },
 }
 
+/// Serves the API until the process ends.
 pub fn run(settings: EmulatorSettings) -> Result<(), String> {
     let services = load(&settings.services)?;
     let record = Record::open(&settings.record)?;
@@ -72,13 +78,14 @@
     match answer.await {
         Ok((status, value)) => (status, Json(value)),
         Err(_) => {
-            // A hung call: the caller's own limit ends it.
+            // A hung call, ended by the timeout of the caller.
             tokio::time::sleep(Duration::from_secs(20)).await;
             (StatusCode::GATEWAY_TIMEOUT, Json(json!({})))
         }
     }
 }
 
+/// Channel to the task that owns the state, as an extractor.
 type MessageSender = State<mpsc::Sender<EmulatorMessage>>;
 
 async fn list(State(messages): MessageSender) -> (StatusCode, Json<Value>) {
--- a/crates/emulator/src/instance.rs
+++ b/crates/emulator/src/instance.rs
@@ -1,8 +1,7 @@
-//! An instance's own endpoint: it takes connections once it has started, runs up to its limit of
-//! tasks at once, turns the rest away, echoes what it was sent, and records each run before it
-//! answers.
+//! HTTP endpoint of an instance. It accepts connections once it has started, runs tasks up to its concurrency
+//! limit, turns the rest away, echoes each request, and records each run before it answers.
 
-#![expect(clippy::disallowed_types, reason = "two records are held against each other by it")]
+#![expect(clippy::disallowed_types, reason = "the records of two processes are compared by wall-clock time")]
 
 use crate::record::Record;
 use crate::services::Service;
@@ -20,39 +19,53 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
+/// Request of an instance to the task that owns the state.
 pub enum DisturbanceRequest {
+    /// Draws the disturbance of one task.
     Disturbance(oneshot::Sender<Disturbance>),
 }
 
+/// Way in which an instance misbehaves on a task.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Disturbance {
+    /// Not at all.
     Plain,
+    /// Runs the task and breaks the connection before the body of the answer.
     Lose,
+    /// Sends an invalid body and breaks the connection.
     Garbage,
+    /// Sends half of the answer.
     Cut,
+    /// Refuses the task as if at its limit.
     TurnAway,
 }
 
+/// State of the endpoint of one instance.
 #[derive(Clone)]
 pub struct Endpoint {
     pub id: String,
     pub service: String,
     pub profile: Service,
+    /// Number of tasks that run.
     pub busy: Arc<AtomicU32>,
+    /// Whether the instance still exists.
     pub alive: Arc<AtomicBool>,
     pub record: Record,
     pub disturbances: mpsc::Sender<DisturbanceRequest>,
 }
 
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn unix_time_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
+/// Serves the endpoint on its listener.
 pub async fn serve(endpoint: Endpoint, listener: TcpListener) {
     let router = Router::new().fallback(any(run)).with_state(endpoint);
     let _ = axum::serve(listener, router).await;
 }
 
+/// Draws the disturbance of the next task from the configured shares.
 pub fn draw_disturbance(emulator: &mut Emulator) -> Disturbance {
     let mischief = emulator.mischief.clone();
     for (share, disturbance) in [
@@ -118,7 +131,7 @@
     }
 }
 
-/// The work may be done, the answer is lost: a declared length that is never met.
+/// Returns a response whose declared length is never sent: the task may have run, but its answer is lost.
 fn lost_response(length: usize) -> Response {
     let body = Body::from_stream(futures_lite::stream::once(Err::<Bytes, _>(std::io::Error::other("lost"))));
     Response::builder().header("content-length", length).body(body).unwrap_or_default()
--- a/crates/emulator/src/record.rs
+++ b/crates/emulator/src/record.rs
@@ -1,17 +1,19 @@
-//! The instances' own record, one JSON line a run: what the checker holds the callers' record
-//! against. Written through a buffer of its own thread, flushed after each burst.
+//! The instances' record, one JSON line per event, with which the checker compares the callers' record. A separate
+//! thread writes it through a buffer and flushes it after each burst.
 
 use serde_json::Value;
 use std::io::{BufWriter, Write};
 use std::path::Path;
 use std::sync::mpsc;
 
+/// Handle with which lines are added to the record.
 #[derive(Clone)]
 pub struct Record {
     lines: mpsc::Sender<Value>,
 }
 
 impl Record {
+    /// Opens the file and starts the thread that writes it.
     pub fn open(path: &Path) -> Result<Record, String> {
         let file = std::fs::OpenOptions::new()
             .create(true)
@@ -32,6 +34,7 @@
         Ok(Record { lines })
     }
 
+    /// Queues a line.
     pub fn write(&self, line: Value) {
         let _ = self.lines.send(line);
     }
--- a/crates/emulator/src/starting.rs
+++ b/crates/emulator/src/starting.rs
@@ -1,5 +1,5 @@
-//! Beginning an instance: a place on a worker, an address, and an endpoint that listens once the
-//! instance has started. The same nonce is told of the same instance again.
+//! Start of an instance: choice of a worker, an address, and an endpoint that listens once the instance has
+//! started. A repeated call with the same nonce returns the same instance.
 
 use crate::api::{Answer, EmulatorMessage};
 use crate::instance::{Endpoint, serve};
@@ -21,6 +21,7 @@
     (StatusCode::ACCEPTED, json!({"id": started.id, "address": started.address, "worker": worker}))
 }
 
+/// Starts an instance and returns its id, address and worker at once.
 pub fn start_instance(
     emulator: &mut Emulator,
     record: &Record,
@@ -43,7 +44,7 @@
     let Some(worker) = emulator.choose_worker(requested_worker, memory_mb) else {
         return (StatusCode::INSUFFICIENT_STORAGE, json!({"fault": "no worker has the memory"}));
     };
-    // The port is taken now and listened on only when the instance has started.
+    // The port is bound now, but listened on only when the instance has started.
     let bound_socket = TcpSocket::new_v4().and_then(|socket| socket.bind(([127, 0, 0, 1], 0).into()).map(|()| socket));
     let Ok((socket, address)) = bound_socket.and_then(|socket| socket.local_addr().map(|address| (socket, address)))
     else {
