--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -171,7 +171,7 @@
             address: self.emulator.peer_address.clone(),
             path: path.into(),
             body: body.to_string().into_bytes(),
-            limit: Duration::from_secs(5),
+            timeout: Duration::from_secs(5),
             ..Call::default()
         };
         send_call(&call).await.map(drop).map_err(|error| error.to_string())
@@ -191,7 +191,7 @@
             token: OPERATOR_TOKEN.into(),
             if_match: Some("*".into()),
             body: body.clone(),
-            limit: PATCH_TIMEOUT,
+            timeout: PATCH_TIMEOUT,
             ..Call::default()
         };
         if let Ok(answer) = send_call(&call).await
--- a/crates/fleet/src/prove.rs
+++ b/crates/fleet/src/prove.rs
@@ -119,7 +119,7 @@
     let counts = Call {
         address: fleet.emulator.peer_address.clone(),
         path: "/v1/counts".into(),
-        limit: CONDITION_TIMEOUT,
+        timeout: CONDITION_TIMEOUT,
         ..Call::default()
     };
     let counted = send_call(&counts).await.map_err(|error| error.to_string())?;
@@ -151,9 +151,9 @@
         fleet.start(&node)?;
     }
     let address = fleet.registries[1].client_address.clone();
-    let limit = Duration::from_secs(15);
+    let timeout = Duration::from_secs(15);
     let read =
-        Call { address, path: "/v1/headcount-plans".into(), token: OPERATOR_TOKEN.into(), limit, ..Call::default() };
+        Call { address, path: "/v1/headcount-plans".into(), token: OPERATOR_TOKEN.into(), timeout, ..Call::default() };
     let mut is_kept = false;
     let started = Instant::now();
     while started.elapsed() < CONDITION_TIMEOUT && !is_kept {
@@ -180,7 +180,7 @@
             let call = Call {
                 address: router.ops_address,
                 path: "/v1/status".into(),
-                limit: Duration::from_secs(2),
+                timeout: Duration::from_secs(2),
                 ..Call::default()
             };
             let page: Value = match send_call(&call).await {
--- a/crates/fleet/src/route_changes.rs
+++ b/crates/fleet/src/route_changes.rs
@@ -90,13 +90,13 @@
             address,
             path: path.into(),
             token: OPERATOR_TOKEN.into(),
-            limit: CALL_TIMEOUT,
+            timeout: CALL_TIMEOUT,
             ..Call::default()
         }
     }
 
     async fn revision(&self, at: usize) -> Option<u64> {
-        let call = Call { limit: Duration::from_secs(2), ..self.call(at, Method::GET, "/v1/headcount-plans") };
+        let call = Call { timeout: Duration::from_secs(2), ..self.call(at, Method::GET, "/v1/headcount-plans") };
         send_call(&call).await.ok().filter(|answer| answer.status == 200)?.revision
     }
 
--- a/crates/fleet/src/smoke.rs
+++ b/crates/fleet/src/smoke.rs
@@ -99,7 +99,7 @@
         address: node.client_address.clone(),
         path: path.into(),
         body: body.as_bytes().to_vec(),
-        limit: Duration::from_secs(15),
+        timeout: Duration::from_secs(15),
         ..Call::default()
     }
 }
--- a/crates/fleet/src/smoke_views.rs
+++ b/crates/fleet/src/smoke_views.rs
@@ -13,8 +13,8 @@
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(40);
 
 fn ops_call(node: &Node, path: &str, token: &str) -> Call {
-    let limit = Duration::from_secs(10);
-    Call { address: node.ops_address.clone(), path: path.into(), token: token.into(), limit, ..Call::default() }
+    let timeout = Duration::from_secs(10);
+    Call { address: node.ops_address.clone(), path: path.into(), token: token.into(), timeout, ..Call::default() }
 }
 
 /// Checks which resources a node shows to which token.
--- a/crates/fleet/src/startup.rs
+++ b/crates/fleet/src/startup.rs
@@ -51,7 +51,7 @@
         address: fleet.registries[0].client_address.clone(),
         path: path.into(),
         token: OPERATOR_TOKEN.into(),
-        limit: CALL_TIMEOUT,
+        timeout: CALL_TIMEOUT,
         ..Call::default()
     }
 }
--- a/crates/operator_client/src/client.rs
+++ b/crates/operator_client/src/client.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// The largest answer read.
-const ANSWER_BYTES: usize = 64 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
 /// Why a call has no answer.
 #[derive(Debug, Display, Error)]
@@ -20,16 +20,16 @@
     #[display("a call that cannot be made: {_0}")]
     Malformed(hyper::http::Error),
     /// The address cannot be reached, or the connection failed on the way.
-    #[display("{address}: {told}")]
-    Unreached {
+    #[display("{address}: {reason}")]
+    Unreachable {
         /// The address called.
         address: String,
         /// What went wrong.
-        told: String,
+        reason: String,
     },
     /// No whole answer came in time; the call may have taken effect.
     #[display("{address}: no answer in time")]
-    Late {
+    TimedOut {
         /// The address called.
         address: String,
     },
@@ -58,7 +58,7 @@
     /// The body, as JSON; empty for none.
     pub body: Vec<u8>,
     /// How long the whole call may take.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// An answer read whole.
@@ -72,59 +72,62 @@
     pub body: Vec<u8>,
 }
 
-fn request(call: &Call) -> Result<Request<Full<Bytes>>, CallError> {
-    let mut request = Request::builder()
+fn build_request(call: &Call) -> Result<Request<Full<Bytes>>, CallError> {
+    let mut builder = Request::builder()
         .method(call.method.clone())
         .uri(format!("http://{}{}", call.address, call.path))
         .header("content-type", "application/json");
     if !call.token.is_empty() {
-        request = request.header("authorization", format!("Bearer {}", call.token));
+        builder = builder.header("authorization", format!("Bearer {}", call.token));
     }
     if let Some(tag) = &call.if_match {
-        request = request.header("if-match", tag);
+        builder = builder.header("if-match", tag);
     }
     if let Some(operation) = &call.operation {
-        request = request.header("operation-id", operation);
+        builder = builder.header("operation-id", operation);
     }
     for (name, value) in &call.headers {
-        request = request.header(name, value);
+        builder = builder.header(name, value);
     }
-    request.body(Full::new(Bytes::from(call.body.clone()))).map_err(CallError::Malformed)
+    builder.body(Full::new(Bytes::from(call.body.clone()))).map_err(CallError::Malformed)
 }
 
-fn unreached(call: &Call, error: impl std::fmt::Display) -> CallError {
-    CallError::Unreached { address: call.address.clone(), told: error.to_string() }
+fn unreachable_error(call: &Call, error: impl std::fmt::Display) -> CallError {
+    CallError::Unreachable { address: call.address.clone(), reason: error.to_string() }
 }
 
-fn http() -> Client<HttpConnector, Full<Bytes>> {
+fn http_client() -> Client<HttpConnector, Full<Bytes>> {
     Client::builder(TokioExecutor::new()).build_http()
 }
 
 /// Makes a call and reads its answer whole.
 pub async fn send_call(call: &Call) -> Result<Answer, CallError> {
     let work = async {
-        let answer = http().request(request(call)?).await.map_err(|error| unreached(call, error))?;
+        let answer =
+            http_client().request(build_request(call)?).await.map_err(|error| unreachable_error(call, error))?;
         let status = answer.status().as_u16();
         let tag =
             answer.headers().get("etag").and_then(|value| value.to_str().ok()).map(|t| t.trim_matches('"').to_owned());
-        let body =
-            Limited::new(answer.into_body(), ANSWER_BYTES).collect().await.map_err(|error| unreached(call, error))?;
+        let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES)
+            .collect()
+            .await
+            .map_err(|error| unreachable_error(call, error))?;
         Ok(Answer { status, revision: tag.and_then(|tag| tag.parse().ok()), body: body.to_bytes().to_vec() })
     };
-    tokio::time::timeout(call.limit, work).await.map_err(|_| CallError::Late { address: call.address.clone() })?
+    tokio::time::timeout(call.timeout, work).await.map_err(|_| CallError::TimedOut { address: call.address.clone() })?
 }
 
 /// Prints each line of a live watch until the other side ends it; false if it was refused.
 pub async fn watch(call: &Call) -> Result<bool, CallError> {
-    let answer = http().request(request(call)?).await.map_err(|error| unreached(call, error))?;
-    let good = answer.status().is_success();
+    let answer = http_client().request(build_request(call)?).await.map_err(|error| unreachable_error(call, error))?;
+    let is_success = answer.status().is_success();
     let mut body = answer.into_body();
     let mut out = std::io::stdout();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| unreached(call, error))?;
+        let frame = frame.map_err(|error| unreachable_error(call, error))?;
         if let Some(data) = frame.data_ref() {
             out.write_all(data).and_then(|()| out.flush()).map_err(CallError::Print)?;
         }
     }
-    Ok(good)
+    Ok(is_success)
 }
--- a/crates/operator_client/src/folder.rs
+++ b/crates/operator_client/src/declarations.rs
@@ -8,16 +8,16 @@
 use std::path::{Path, PathBuf};
 
 /// How deep folders are read.
-const DEPTH: usize = 8;
+const MAX_DEPTH: usize = 8;
 /// The kinds of resources, as they stand in documents and paths.
 const KINDS: [&str; 5] = ["function-bindings", "weight-sheets", "headcount-plans", "functions", "bounds"];
 
 /// Why files are no configuration.
 #[derive(Debug, Display, Error)]
-pub enum FolderError {
+pub enum DeclarationError {
     /// A file or folder cannot be read.
     #[display("{}: {error}", path.display())]
-    Unread {
+    Unreadable {
         /// The file or folder.
         path: PathBuf,
         /// What the system answered.
@@ -25,23 +25,23 @@
     },
     /// A file is no JSON.
     #[display("{}: {error}", path.display())]
-    NotJson {
+    InvalidJson {
         /// The file.
         path: PathBuf,
         /// Where and why reading failed.
         error: serde_json::Error,
     },
     /// A file is no object of kinds.
-    #[display("{}: {told}", path.display())]
-    Shape {
+    #[display("{}: {reason}", path.display())]
+    InvalidStructure {
         /// The file.
         path: PathBuf,
         /// What is allowed.
-        told: String,
+        reason: String,
     },
     /// Two files declare the same resource.
     #[display("{key} is declared in {} and in {}", first.display(), second.display())]
-    Twice {
+    Duplicate {
         /// The resource, as kind/tenant/name.
         key: String,
         /// The file that declares it first.
@@ -58,40 +58,40 @@
 }
 
 /// The declared resources, by kind/tenant/name.
-pub type Declared = BTreeMap<String, Value>;
+pub type Declarations = BTreeMap<String, Value>;
 
 /// Reads one file, or all `.json` files of a folder at any depth up to 8.
-pub fn read(path: &Path) -> Result<Declared, FolderError> {
+pub fn read_declarations(path: &Path) -> Result<Declarations, DeclarationError> {
     let mut files = Vec::new();
     if path.is_dir() {
-        find(path, 0, &mut files)?;
+        find_files(path, 0, &mut files)?;
         files.sort();
     } else {
         files.push(path.to_owned());
     }
     if files.is_empty() {
-        return Err(FolderError::Empty { path: path.to_owned() });
+        return Err(DeclarationError::Empty { path: path.to_owned() });
     }
-    let mut declared = Declared::new();
-    let mut from: BTreeMap<String, PathBuf> = BTreeMap::new();
+    let mut declarations = Declarations::new();
+    let mut sources: BTreeMap<String, PathBuf> = BTreeMap::new();
     for file in files {
-        for (key, value) in read_one(&file)? {
-            if let Some(first) = from.insert(key.clone(), file.clone()) {
-                return Err(FolderError::Twice { key, first, second: file });
+        for (key, value) in read_file(&file)? {
+            if let Some(first) = sources.insert(key.clone(), file.clone()) {
+                return Err(DeclarationError::Duplicate { key, first, second: file });
             }
-            declared.insert(key, value);
+            declarations.insert(key, value);
         }
     }
-    Ok(declared)
+    Ok(declarations)
 }
 
-fn find(folder: &Path, depth: usize, files: &mut Vec<PathBuf>) -> Result<(), FolderError> {
-    let unread = |error| FolderError::Unread { path: folder.to_owned(), error };
-    for entry in std::fs::read_dir(folder).map_err(unread)? {
-        let path = entry.map_err(unread)?.path();
+fn find_files(folder: &Path, depth: usize, files: &mut Vec<PathBuf>) -> Result<(), DeclarationError> {
+    let unreadable = |error| DeclarationError::Unreadable { path: folder.to_owned(), error };
+    for entry in std::fs::read_dir(folder).map_err(unreadable)? {
+        let path = entry.map_err(unreadable)?.path();
         let hidden = path.file_name().is_some_and(|name| name.to_string_lossy().starts_with('.'));
-        if path.is_dir() && depth < DEPTH && !hidden {
-            find(&path, depth + 1, files)?;
+        if path.is_dir() && depth < MAX_DEPTH && !hidden {
+            find_files(&path, depth + 1, files)?;
         } else if path.extension().is_some_and(|end| end == "json") && !hidden {
             files.push(path);
         }
@@ -99,42 +99,43 @@
     Ok(())
 }
 
-fn read_one(path: &Path) -> Result<Declared, FolderError> {
-    let raw = std::fs::read(path).map_err(|error| FolderError::Unread { path: path.to_owned(), error })?;
-    let whole: Value =
-        serde_json::from_slice(&raw).map_err(|error| FolderError::NotJson { path: path.to_owned(), error })?;
-    let shape = |told: String| FolderError::Shape { path: path.to_owned(), told };
-    let kinds = whole.as_object().ok_or_else(|| shape("allowed is an object of kinds".into()))?;
-    let mut declared = Declared::new();
+fn read_file(path: &Path) -> Result<Declarations, DeclarationError> {
+    let raw = std::fs::read(path).map_err(|error| DeclarationError::Unreadable { path: path.to_owned(), error })?;
+    let content: Value =
+        serde_json::from_slice(&raw).map_err(|error| DeclarationError::InvalidJson { path: path.to_owned(), error })?;
+    let invalid_structure = |reason: String| DeclarationError::InvalidStructure { path: path.to_owned(), reason };
+    let kinds = content.as_object().ok_or_else(|| invalid_structure("allowed is an object of kinds".into()))?;
+    let mut declarations = Declarations::new();
     for (kind, list) in kinds.iter().filter(|(kind, _)| *kind != "revision") {
         let list = list.as_object().filter(|_| KINDS.contains(&kind.as_str()));
-        let list = list.ok_or_else(|| shape(format!("{kind}: kinds are {}, each an object", KINDS.join(", "))))?;
-        declared.extend(list.iter().map(|(name, value)| (format!("{kind}/{name}"), value.clone())));
+        let list =
+            list.ok_or_else(|| invalid_structure(format!("{kind}: kinds are {}, each an object", KINDS.join(", "))))?;
+        declarations.extend(list.iter().map(|(name, value)| (format!("{kind}/{name}"), value.clone())));
     }
-    Ok(declared)
+    Ok(declarations)
 }
 
 /// The whole document that the API takes.
-pub fn document(declared: &Declared) -> Value {
-    let mut whole: Map<String, Value> =
+pub fn to_document(declarations: &Declarations) -> Value {
+    let mut document: Map<String, Value> =
         KINDS.iter().map(|kind| ((*kind).to_owned(), Value::Object(Map::new()))).collect();
-    for (key, value) in declared {
+    for (key, value) in declarations {
         let Some((kind, name)) = key.split_once('/') else { continue };
-        if let Some(Value::Object(list)) = whole.get_mut(kind) {
+        if let Some(Value::Object(list)) = document.get_mut(kind) {
             list.insert(name.to_owned(), value.clone());
         }
     }
-    Value::Object(whole)
+    Value::Object(document)
 }
 
 /// The resources of such a document.
-pub fn resources(whole: &Value) -> Declared {
-    let lists = KINDS.iter().filter_map(|kind| Some((*kind, whole.get(*kind)?.as_object()?)));
+pub fn from_document(value: &Value) -> Declarations {
+    let lists = KINDS.iter().filter_map(|kind| Some((*kind, value.get(*kind)?.as_object()?)));
     lists.flat_map(|(kind, list)| list.iter().map(move |(name, v)| (format!("{kind}/{name}"), v.clone()))).collect()
 }
 
 /// One line for each resource that would be added, removed or changed, and each field of it.
-pub fn differences(now: &Declared, wanted: &Declared) -> Vec<String> {
+pub fn differences(now: &Declarations, wanted: &Declarations) -> Vec<String> {
     let mut lines = Vec::new();
     let keys: std::collections::BTreeSet<&String> = now.keys().chain(wanted.keys()).collect();
     for key in keys {
@@ -146,8 +147,8 @@
                 let (a, b) = (old.as_object().unwrap_or(&empty), new.as_object().unwrap_or(&empty));
                 let fields: std::collections::BTreeSet<&String> = a.keys().chain(b.keys()).collect();
                 for field in fields.into_iter().filter(|field| a.get(*field) != b.get(*field)) {
-                    let told = |value: Option<&Value>| value.map_or("default".to_owned(), Value::to_string);
-                    lines.push(format!("~ {key} {field}: {} -> {}", told(a.get(field)), told(b.get(field))));
+                    let reason = |value: Option<&Value>| value.map_or("default".to_owned(), Value::to_string);
+                    lines.push(format!("~ {key} {field}: {} -> {}", reason(a.get(field)), reason(b.get(field))));
                 }
             }
             _ => {}
@@ -170,26 +171,29 @@
     }
 
     #[test]
-    fn files_make_one_configuration_and_the_wrong_ones_are_named() {
+    fn files_are_merged_and_invalid_files_are_named() {
         let one = r#"{"headcount-plans": {"t/f": {"min": 1}}}"#;
         let two = r#"{"headcount-plans": {"t/g": {"min": 2}}, "weight-sheets": {"t/f": {}}}"#;
         let good = folder("good", &[("a.json", one), ("more/b.json", two), ("notes.txt", "no JSON")]);
-        let declared = read(&good).unwrap();
-        assert_eq!(declared.len(), 3);
-        assert_eq!(resources(&document(&declared)), declared);
+        let declarations = read_declarations(&good).unwrap();
+        assert_eq!(declarations.len(), 3);
+        assert_eq!(from_document(&to_document(&declarations)), declarations);
         let twice = folder("twice", &[("a.json", one), ("more/b.json", one)]);
-        let told = read(&twice).unwrap_err().to_string();
-        assert!(told.contains("t/f is declared in") && told.contains("a.json") && told.contains("b.json"), "{told}");
+        let reason = read_declarations(&twice).unwrap_err().to_string();
+        assert!(
+            reason.contains("t/f is declared in") && reason.contains("a.json") && reason.contains("b.json"),
+            "{reason}"
+        );
         let broken = folder("broken", &[("a.json", one), ("more/b.json", "{\"headcount")]);
-        assert!(read(&broken).unwrap_err().to_string().contains("b.json"));
-        let odd = folder("odd", &[("a.json", r#"{"plans": {}}"#)]);
-        assert!(read(&odd).unwrap_err().to_string().contains("kinds are"));
-        assert!(matches!(read(&folder("none", &[])), Err(FolderError::Empty { .. })));
-        [good, twice, broken, odd].iter().for_each(|folder| _ = std::fs::remove_dir_all(folder));
+        assert!(read_declarations(&broken).unwrap_err().to_string().contains("b.json"));
+        let unknown_kind = folder("odd", &[("a.json", r#"{"plans": {}}"#)]);
+        assert!(read_declarations(&unknown_kind).unwrap_err().to_string().contains("kinds are"));
+        assert!(matches!(read_declarations(&folder("none", &[])), Err(DeclarationError::Empty { .. })));
+        [good, twice, broken, unknown_kind].iter().for_each(|folder| _ = std::fs::remove_dir_all(folder));
     }
 
     #[test]
-    fn differences_are_reported_by_resource_and_field() {
+    fn differences_are_listed_by_resource_and_field() {
         let now =
             [("headcount-plans/t/f".to_owned(), json!({"min": 1, "max": 2})), ("weight-sheets/t/f".into(), json!({}))];
         let wanted = [
--- a/crates/operator_client/src/lib.rs
+++ b/crates/operator_client/src/lib.rs
@@ -3,7 +3,7 @@
 #![warn(missing_docs)]
 
 mod client;
-mod folder;
+mod declarations;
 
 pub use client::{Answer, Call, CallError, send_call, watch};
-pub use folder::{Declared, FolderError, differences, document, read, resources};
+pub use declarations::{DeclarationError, Declarations, differences, from_document, read_declarations, to_document};
--- a/crates/operator_client/src/main.rs
+++ b/crates/operator_client/src/main.rs
@@ -2,7 +2,9 @@
 
 use hyper::Method;
 use lexopt::prelude::*;
-use operator_client::{Call, Declared, differences, document, read, resources, send_call, watch};
+use operator_client::{
+    Call, Declarations, differences, from_document, read_declarations, send_call, to_document, watch,
+};
 use serde_json::Value;
 use std::fmt::Display;
 use std::io::Write;
@@ -34,16 +36,16 @@
 3 outcome not known (ask again with the same --operation), 4 not reached.";
 
 /// How long a call may take; a change is answered once every router holds it.
-const CALL_LIMIT: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How a command ends, as scripts read it; the help tells the same.
 mod exit_code {
     pub const DONE: u8 = 0;
     /// The server refused, or `diff` found differences.
     pub const REFUSED: u8 = 1;
-    pub const WRONG_USE: u8 = 2;
-    pub const OUTCOME_NOT_KNOWN: u8 = 3;
-    pub const NOT_REACHED: u8 = 4;
+    pub const USAGE_ERROR: u8 = 2;
+    pub const OUTCOME_UNKNOWN: u8 = 3;
+    pub const UNREACHABLE: u8 = 4;
 }
 
 /// Why a command has no answer to show.
@@ -52,15 +54,15 @@
     message: String,
 }
 
-fn wrong_use(message: impl Display) -> Failure {
-    Failure { exit_code: exit_code::WRONG_USE, message: message.to_string() }
+fn usage_error(message: impl Display) -> Failure {
+    Failure { exit_code: exit_code::USAGE_ERROR, message: message.to_string() }
 }
 
-fn not_reached(message: impl Display) -> Failure {
-    Failure { exit_code: exit_code::NOT_REACHED, message: message.to_string() }
+fn unreachable_error(message: impl Display) -> Failure {
+    Failure { exit_code: exit_code::UNREACHABLE, message: message.to_string() }
 }
 
-struct Line {
+struct Options {
     api: String,
     token: String,
     if_match: Option<String>,
@@ -70,9 +72,9 @@
     words: Vec<String>,
 }
 
-fn parse() -> Result<Option<Line>, String> {
+fn parse() -> Result<Option<Options>, String> {
     let variable = |name: &str| std::env::var(name).unwrap_or_default();
-    let mut found = Line {
+    let mut options = Options {
         api: variable("HERON_API"),
         token: variable("HERON_TOKEN"),
         if_match: None,
@@ -81,8 +83,8 @@
         from: None,
         words: Vec::new(),
     };
-    let mut line = lexopt::Parser::from_env();
-    while let Some(arg) = line.next().map_err(|error| error.to_string())? {
+    let mut parser = lexopt::Parser::from_env();
+    while let Some(arg) = parser.next().map_err(|error| error.to_string())? {
         match arg {
             Short('h') | Long("help") => {
                 println!("{HELP}");
@@ -92,40 +94,40 @@
                 println!("heronlinkctl {}", env!("CARGO_PKG_VERSION"));
                 return Ok(None);
             }
-            Value(word) => found.words.push(word.string().map_err(|error| error.to_string())?),
-            Long("dry-run") => found.dry_run = true,
+            Value(word) => options.words.push(word.string().map_err(|error| error.to_string())?),
+            Long("dry-run") => options.dry_run = true,
             Long(name) => {
                 let name = name.to_owned();
-                let value = line.value().and_then(|v| v.string()).map_err(|error| error.to_string())?;
+                let value = parser.value().and_then(|v| v.string()).map_err(|error| error.to_string())?;
                 match name.as_str() {
-                    "api" => found.api = value,
-                    "token" => found.token = value,
+                    "api" => options.api = value,
+                    "token" => options.token = value,
                     "token-file" => {
                         let text = std::fs::read_to_string(&value).map_err(|error| format!("{value}: {error}"))?;
-                        found.token = text.trim().to_owned();
+                        options.token = text.trim().to_owned();
                     }
-                    "from" => found.from = Some(value),
-                    "if-match" => found.if_match = Some(value),
-                    "operation" => found.operation = Some(value),
+                    "from" => options.from = Some(value),
+                    "if-match" => options.if_match = Some(value),
+                    "operation" => options.operation = Some(value),
                     _ => return Err(format!("no flag --{name}; see --help")),
                 }
             }
             other => return Err(other.unexpected().to_string()),
         }
     }
-    if found.api.parse::<std::net::SocketAddr>().is_err() {
-        return Err(format!("--api {}: allowed is an IP number with a port", found.api));
+    if options.api.parse::<std::net::SocketAddr>().is_err() {
+        return Err(format!("--api {}: allowed is an IP number with a port", options.api));
     }
-    Ok(Some(found))
+    Ok(Some(options))
 }
 
 fn main() -> ExitCode {
-    let line = match parse() {
-        Ok(Some(line)) => line,
+    let options = match parse() {
+        Ok(Some(options)) => options,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(told) => {
-            eprintln!("heronlinkctl: {told}");
-            return ExitCode::from(exit_code::WRONG_USE);
+        Err(error) => {
+            eprintln!("heronlinkctl: {error}");
+            return ExitCode::from(exit_code::USAGE_ERROR);
         }
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
@@ -135,7 +137,7 @@
             return ExitCode::FAILURE;
         }
     };
-    match runtime.block_on(carry_out(line)) {
+    match runtime.block_on(run_command(options)) {
         Ok(code) => ExitCode::from(code),
         Err(failure) => {
             eprintln!("heronlinkctl: {}", failure.message);
@@ -145,20 +147,20 @@
 }
 
 /// The exit code of a command that was answered.
-type Ended = Result<u8, Failure>;
+type CommandResult = Result<u8, Failure>;
 
-async fn carry_out(line: Line) -> Ended {
-    let words: Vec<&str> = line.words.iter().map(String::as_str).collect();
+async fn run_command(options: Options) -> CommandResult {
+    let words: Vec<&str> = options.words.iter().map(String::as_str).collect();
     let call = |method: Method, path: String, body: Vec<u8>| Call {
         method,
         path,
         body,
-        address: line.api.clone(),
-        token: line.token.clone(),
-        limit: CALL_LIMIT,
+        address: options.api.clone(),
+        token: options.token.clone(),
+        timeout: CALL_TIMEOUT,
         ..Call::default()
     };
-    let file = |path: &str| std::fs::read(path).map_err(|error| wrong_use(format!("{path}: {error}")));
+    let file = |path: &str| std::fs::read(path).map_err(|error| usage_error(format!("{path}: {error}")));
     match words[..] {
         ["get"] => show(call(Method::GET, "/v1/configuration".into(), Vec::new())).await,
         ["get", part] => show(call(Method::GET, format!("/v1/{part}"), Vec::new())).await,
@@ -167,74 +169,79 @@
         ["metrics"] => show(call(Method::GET, "/metrics".into(), Vec::new())).await,
         ["watch"] => {
             let call = call(Method::GET, "/v1/watch".into(), Vec::new());
-            watched(&call).await
+            run_watch(&call).await
         }
         ["apply", path] => {
-            let declared = read(Path::new(path)).map_err(wrong_use)?;
-            let body = document(&declared).to_string().into_bytes();
-            change(&line, call(Method::PUT, "/v1/configuration".into(), body)).await
+            let declarations = read_declarations(Path::new(path)).map_err(usage_error)?;
+            let body = to_document(&declarations).to_string().into_bytes();
+            change(&options, call(Method::PUT, "/v1/configuration".into(), body)).await
         }
         ["diff", path] => {
-            let wanted = read(Path::new(path)).map_err(wrong_use)?;
-            diff(call(Method::GET, "/v1/configuration".into(), Vec::new()), &wanted).await
+            let declarations = read_declarations(Path::new(path)).map_err(usage_error)?;
+            diff(call(Method::GET, "/v1/configuration".into(), Vec::new()), &declarations).await
         }
         ["view", part] => show(call(Method::GET, format!("/v1/view/{part}"), Vec::new())).await,
         ["watch", part] => {
-            let from = line.from.as_ref().map(|mark| format!("?from={mark}")).unwrap_or_default();
+            let from = options.from.as_ref().map(|mark| format!("?from={mark}")).unwrap_or_default();
             let call = call(Method::GET, format!("/v1/watch/{part}{from}"), Vec::new());
-            watched(&call).await
+            run_watch(&call).await
         }
-        ["patch", path] => change(&line, call(Method::PATCH, "/v1/configuration".into(), file(path)?)).await,
-        ["set", name, path] => change(&line, call(Method::PUT, format!("/v1/{name}"), file(path)?)).await,
-        ["remove", name] => change(&line, call(Method::DELETE, format!("/v1/{name}"), Vec::new())).await,
-        _ => Err(wrong_use("say a command; see --help")),
+        ["patch", path] => change(&options, call(Method::PATCH, "/v1/configuration".into(), file(path)?)).await,
+        ["set", name, path] => change(&options, call(Method::PUT, format!("/v1/{name}"), file(path)?)).await,
+        ["remove", name] => change(&options, call(Method::DELETE, format!("/v1/{name}"), Vec::new())).await,
+        _ => Err(usage_error("say a command; see --help")),
     }
 }
 
-async fn change(line: &Line, mut call: Call) -> Ended {
-    if line.dry_run {
+async fn change(options: &Options, mut call: Call) -> CommandResult {
+    if options.dry_run {
         call.path.push_str("?dry-run=true");
     }
-    call.operation = line.operation.clone();
-    call.if_match = match &line.if_match {
+    call.operation = options.operation.clone();
+    call.if_match = match &options.if_match {
         Some(tag) => Some(tag.clone()),
         None => {
-            let read = Call { method: Method::GET, path: "/v1/configuration".into(), body: Vec::new(), ..call.clone() };
-            let known = send_call(&read).await.map_err(not_reached)?;
+            let read_call =
+                Call { method: Method::GET, path: "/v1/configuration".into(), body: Vec::new(), ..call.clone() };
+            let known = send_call(&read_call).await.map_err(unreachable_error)?;
             Some(known.revision.map_or("0".into(), |revision| revision.to_string()))
         }
     };
     show(call).await
 }
 
-async fn watched(call: &Call) -> Ended {
-    let good = watch(call).await.map_err(not_reached)?;
-    Ok(if good { exit_code::DONE } else { exit_code::REFUSED })
+async fn run_watch(call: &Call) -> CommandResult {
+    let is_success = watch(call).await.map_err(unreachable_error)?;
+    Ok(if is_success { exit_code::DONE } else { exit_code::REFUSED })
 }
 
 /// What applying the files would change, one line each.
-async fn diff(call: Call, wanted: &Declared) -> Ended {
-    let answer = send_call(&call).await.map_err(not_reached)?;
+async fn diff(call: Call, declarations: &Declarations) -> CommandResult {
+    let answer = send_call(&call).await.map_err(unreachable_error)?;
     let now: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
     if answer.status != 200 {
-        return Err(not_reached(format!("the configuration cannot be read: {} {now}", answer.status)));
+        return Err(unreachable_error(format!("the configuration cannot be read: {} {now}", answer.status)));
     }
-    let lines = differences(&resources(&now), wanted);
+    let lines = differences(&from_document(&now), declarations);
     let page: String = lines.iter().map(|line| format!("{line}\n")).collect();
-    std::io::stdout().write_all(page.as_bytes()).map_err(|error| not_reached(format!("cannot print: {error}")))?;
+    std::io::stdout()
+        .write_all(page.as_bytes())
+        .map_err(|error| unreachable_error(format!("cannot print: {error}")))?;
     Ok(if lines.is_empty() { exit_code::DONE } else { exit_code::REFUSED })
 }
 
-async fn show(call: Call) -> Ended {
-    let answer = send_call(&call).await.map_err(not_reached)?;
+async fn show(call: Call) -> CommandResult {
+    let answer = send_call(&call).await.map_err(unreachable_error)?;
     let page = match serde_json::from_slice::<Value>(&answer.body) {
         Ok(value) => format!("{value:#}\n"),
         Err(_) => format!("{}\n", String::from_utf8_lossy(&answer.body)),
     };
-    std::io::stdout().write_all(page.as_bytes()).map_err(|error| not_reached(format!("cannot print: {error}")))?;
+    std::io::stdout()
+        .write_all(page.as_bytes())
+        .map_err(|error| unreachable_error(format!("cannot print: {error}")))?;
     Ok(match answer.status {
         200..=299 => exit_code::DONE,
-        504 => exit_code::OUTCOME_NOT_KNOWN,
+        504 => exit_code::OUTCOME_UNKNOWN,
         _ => exit_code::REFUSED,
     })
 }
