--- a/crates/fleet/src/smoke.rs
+++ b/crates/fleet/src/smoke.rs
@@ -77,7 +77,7 @@
         ("registry", vec!["--adress", "127.0.0.1:1"], 2, "no flag --adress"),
         ("router", vec!["--hold", "1ms", "--address", "127.0.0.1:1"], 2, "setting"),
         ("router", vec!["--version"], 0, "router"),
-        ("heronlinkctl", vec!["--api", "127.0.0.1:1"], 2, "say a command"),
+        ("heronlinkctl", vec!["--api", "127.0.0.1:1"], 2, "expected a command"),
         ("loadgen", vec!["load", "--targets", "192.0.2.1:80"], 2, "loopback"),
     ] {
         let output = run(program, &words)?;
--- a/crates/operator_client/src/client.rs
+++ b/crates/operator_client/src/client.rs
@@ -1,4 +1,4 @@
-//! One call, with a time limit; and the watch, which prints lines as they come.
+//! A single call with a timeout, and the watch, which prints lines as they arrive.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -10,24 +10,24 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// The largest answer read.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a call has no answer.
+/// Reason why a call has no answer.
 #[derive(Debug, Display, Error)]
 pub enum CallError {
-    /// The request could not be built from what was given.
-    #[display("a call that cannot be made: {_0}")]
+    /// The request could not be built from the call.
+    #[display("invalid request: {_0}")]
     Malformed(hyper::http::Error),
-    /// The address cannot be reached, or the connection failed on the way.
+    /// The address cannot be reached, or the connection failed during the call.
     #[display("{address}: {reason}")]
     Unreachable {
         /// The address called.
         address: String,
-        /// What went wrong.
+        /// Description of the failure.
         reason: String,
     },
-    /// No whole answer came in time; the call may have taken effect.
+    /// No complete answer arrived in time; the call may have taken effect.
     #[display("{address}: no answer in time")]
     TimedOut {
         /// The address called.
@@ -43,32 +43,32 @@
 pub struct Call {
     /// The HTTP method.
     pub method: Method,
-    /// The API's `IP:port`.
+    /// Address of the API as `IP:port`.
     pub address: String,
     /// The path, with its query if there is one.
     pub path: String,
     /// The bearer token; empty for none.
     pub token: String,
-    /// The version that a change is based on, or `*`.
+    /// Revision that a change is based on, or `*`.
     pub if_match: Option<String>,
-    /// The operation's id: a change sent twice under one id takes effect once.
+    /// Id of the operation: a change sent twice under one id takes effect once.
     pub operation: Option<String>,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
     /// The body, as JSON; empty for none.
     pub body: Vec<u8>,
-    /// How long the whole call may take.
+    /// Timeout of the whole call.
     pub timeout: Duration,
 }
 
-/// An answer read whole.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The configuration's version, from the `ETag`.
+    /// Revision of the configuration, from the `ETag`.
     pub revision: Option<u64>,
-    /// The body as it came.
+    /// The unparsed body.
     pub body: Vec<u8>,
 }
 
@@ -100,7 +100,7 @@
     Client::builder(TokioExecutor::new()).build_http()
 }
 
-/// Makes a call and reads its answer whole.
+/// Sends a call and reads the complete answer.
 pub async fn send_call(call: &Call) -> Result<Answer, CallError> {
     let work = async {
         let answer =
@@ -117,7 +117,7 @@
     tokio::time::timeout(call.timeout, work).await.map_err(|_| CallError::TimedOut { address: call.address.clone() })?
 }
 
-/// Prints each line of a live watch until the other side ends it; false if it was refused.
+/// Prints each line of a live watch until the server ends it; returns false if the watch was refused.
 pub async fn watch(call: &Call) -> Result<bool, CallError> {
     let answer = http_client().request(build_request(call)?).await.map_err(|error| unreachable_error(call, error))?;
     let is_success = answer.status().is_success();
--- a/crates/operator_client/src/declarations.rs
+++ b/crates/operator_client/src/declarations.rs
@@ -1,18 +1,18 @@
-//! Declarations kept as files, such as under version control: one file, or a folder of them at any
-//! depth, each a JSON object of kinds. Together they are the whole configuration; two that declare the
-//! same resource, or one that is no such object, are refused with the files' names.
+//! Declarations in files, for example under version control: one file, or a folder with files at any depth up to
+//! 8, each a JSON object of resource kinds. Together they are the whole configuration. Two files that declare the
+//! same resource, or a file that is no such object, are refused with the names of the files.
 
 use derive_more::{Display, Error};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// How deep folders are read.
+/// Maximum depth of subfolders.
 const MAX_DEPTH: usize = 8;
-/// The kinds of resources, as they stand in documents and paths.
+/// Kinds of resources, as written in documents and paths.
 const KINDS: [&str; 5] = ["function-bindings", "weight-sheets", "headcount-plans", "functions", "bounds"];
 
-/// Why files are no configuration.
+/// Reason why files are not a valid configuration.
 #[derive(Debug, Display, Error)]
 pub enum DeclarationError {
     /// A file or folder cannot be read.
@@ -20,23 +20,23 @@
     Unreadable {
         /// The file or folder.
         path: PathBuf,
-        /// What the system answered.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// A file is no JSON.
+    /// A file is not valid JSON.
     #[display("{}: {error}", path.display())]
     InvalidJson {
         /// The file.
         path: PathBuf,
-        /// Where and why reading failed.
+        /// Position and cause of the failure.
         error: serde_json::Error,
     },
-    /// A file is no object of kinds.
+    /// A file is not an object of kinds.
     #[display("{}: {reason}", path.display())]
     InvalidStructure {
         /// The file.
         path: PathBuf,
-        /// What is allowed.
+        /// Expected content.
         reason: String,
     },
     /// Two files declare the same resource.
@@ -49,7 +49,7 @@
         /// The file that declares it again.
         second: PathBuf,
     },
-    /// There is nothing to read.
+    /// The folder has no `.json` file.
     #[display("{}: no .json files", path.display())]
     Empty {
         /// The folder.
@@ -57,7 +57,7 @@
     },
 }
 
-/// The declared resources, by kind/tenant/name.
+/// Declared resources, by kind/tenant/name.
 pub type Declarations = BTreeMap<String, Value>;
 
 /// Reads one file, or all `.json` files of a folder at any depth up to 8.
@@ -104,7 +104,7 @@
     let content: Value =
         serde_json::from_slice(&raw).map_err(|error| DeclarationError::InvalidJson { path: path.to_owned(), error })?;
     let invalid_structure = |reason: String| DeclarationError::InvalidStructure { path: path.to_owned(), reason };
-    let kinds = content.as_object().ok_or_else(|| invalid_structure("allowed is an object of kinds".into()))?;
+    let kinds = content.as_object().ok_or_else(|| invalid_structure("expected an object of kinds".into()))?;
     let mut declarations = Declarations::new();
     for (kind, list) in kinds.iter().filter(|(kind, _)| *kind != "revision") {
         let list = list.as_object().filter(|_| KINDS.contains(&kind.as_str()));
@@ -115,7 +115,7 @@
     Ok(declarations)
 }
 
-/// The whole document that the API takes.
+/// Returns the declarations as the complete document that the API accepts.
 pub fn to_document(declarations: &Declarations) -> Value {
     let mut document: Map<String, Value> =
         KINDS.iter().map(|kind| ((*kind).to_owned(), Value::Object(Map::new()))).collect();
@@ -128,13 +128,13 @@
     Value::Object(document)
 }
 
-/// The resources of such a document.
+/// Returns the resources of such a document.
 pub fn from_document(value: &Value) -> Declarations {
     let lists = KINDS.iter().filter_map(|kind| Some((*kind, value.get(*kind)?.as_object()?)));
     lists.flat_map(|(kind, list)| list.iter().map(move |(name, v)| (format!("{kind}/{name}"), v.clone()))).collect()
 }
 
-/// One line for each resource that would be added, removed or changed, and each field of it.
+/// Returns one line for each added or removed resource, and for each changed field of a changed one.
 pub fn differences(now: &Declarations, wanted: &Declarations) -> Vec<String> {
     let mut lines = Vec::new();
     let keys: std::collections::BTreeSet<&String> = now.keys().chain(wanted.keys()).collect();
--- a/crates/operator_client/src/lib.rs
+++ b/crates/operator_client/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' client as a library: one call to a registry's or router's HTTP API.
+//! Library of the operators' client: calls to the HTTP API of a registry or router, and declarations in files.
 
 #![warn(missing_docs)]
 
--- a/crates/operator_client/src/main.rs
+++ b/crates/operator_client/src/main.rs
@@ -1,4 +1,4 @@
-//! `operator_client`: the operators' client.
+//! `heronlinkctl`: the operators' command line client.
 
 use hyper::Method;
 use lexopt::prelude::*;
@@ -12,43 +12,45 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-const HELP: &str = "heronlinkctl: operators' client
+const HELP: &str = "heronlinkctl: operators' command line client
 
 Usage: heronlinkctl [--api ADDRESS] [--token TOKEN | --token-file FILE] [--if-match REVISION|*]
              [--operation ID] [--dry-run] COMMAND
 
   get [KIND[/TENANT/NAME]]   the configuration, or a part of it
-  apply FILE|FOLDER          replace the whole configuration by a file, or by a folder of files
+  apply FILE|FOLDER          replace the whole configuration by a file or a folder of files
   diff FILE|FOLDER           what apply would change; exit code 0 nothing, 1 something
-  patch FILE                 a named patch: {\"name\", \"set\": {..}, \"remove\": [..]}
-  set KIND/TENANT/NAME FILE  one resource
-  remove KIND/TENANT/NAME    one resource
-  operation ID               what became of a change
-  status                     one node's view (a registry's API or a router's operations port)
-  view KIND[/TENANT/NAME]    a kind as one node holds it: declared, tuned, played
-  watch KIND[/TENANT/NAME]   the same, live, one line a change; --from MARK goes on from there
-  watch                      one node's whole view, live
-  metrics                    one node's metrics
-
---api and --token may stand in HERON_API and HERON_TOKEN. --dry-run has the server check a change
-whole and say what it would come to. Without --if-match, apply, patch, set and
-remove read the revision first and change that one. Exit codes: 0 done, 1 refused, 2 wrong use,
-3 outcome not known (ask again with the same --operation), 4 not reached.";
-
-/// How long a call may take; a change is answered once every router holds it.
+  patch FILE                 apply a named patch: {\"name\", \"set\": {..}, \"remove\": [..]}
+  set KIND/TENANT/NAME FILE  create or replace one resource
+  remove KIND/TENANT/NAME    remove one resource
+  operation ID               outcome of a change
+  status                     status of a node (a registry's API or a router's operations port)
+  view KIND[/TENANT/NAME]    a kind as a node holds it: declared, tuned, played
+  watch KIND[/TENANT/NAME]   the same, live, one line per change; --from MARK resumes there
+  watch                      whole view of a node, live
+  metrics                    metrics of a node
+
+--api and --token default to HERON_API and HERON_TOKEN. With --dry-run the server checks a change
+completely and returns its result without applying it. Without --if-match, apply, patch, set and
+remove read the current revision first and are based on it. Exit codes: 0 done, 1 refused,
+2 usage error, 3 outcome unknown (repeat with the same --operation), 4 unreachable.";
+
+/// Timeout of a call; a change is answered only when every router holds it.
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How a command ends, as scripts read it; the help tells the same.
+/// Exit codes for scripts, as listed in the help.
 mod exit_code {
     pub const DONE: u8 = 0;
     /// The server refused, or `diff` found differences.
     pub const REFUSED: u8 = 1;
+    /// The command line or a file is invalid.
     pub const USAGE_ERROR: u8 = 2;
+    /// A change may or may not take effect.
     pub const OUTCOME_UNKNOWN: u8 = 3;
     pub const UNREACHABLE: u8 = 4;
 }
 
-/// Why a command has no answer to show.
+/// Reason why a command has no answer to show.
 struct Failure {
     exit_code: u8,
     message: String,
@@ -62,6 +64,7 @@
     Failure { exit_code: exit_code::UNREACHABLE, message: message.to_string() }
 }
 
+/// Parsed command line.
 struct Options {
     api: String,
     token: String,
@@ -109,14 +112,14 @@
                     "from" => options.from = Some(value),
                     "if-match" => options.if_match = Some(value),
                     "operation" => options.operation = Some(value),
-                    _ => return Err(format!("no flag --{name}; see --help")),
+                    _ => return Err(format!("unknown flag --{name}; see --help")),
                 }
             }
             other => return Err(other.unexpected().to_string()),
         }
     }
     if options.api.parse::<std::net::SocketAddr>().is_err() {
-        return Err(format!("--api {}: allowed is an IP number with a port", options.api));
+        return Err(format!("--api {}: expected an IP address with a port", options.api));
     }
     Ok(Some(options))
 }
@@ -146,7 +149,7 @@
     }
 }
 
-/// The exit code of a command that was answered.
+/// Exit code of a command that was answered, or the reason why it was not.
 type CommandResult = Result<u8, Failure>;
 
 async fn run_command(options: Options) -> CommandResult {
@@ -189,7 +192,7 @@
         ["patch", path] => change(&options, call(Method::PATCH, "/v1/configuration".into(), file(path)?)).await,
         ["set", name, path] => change(&options, call(Method::PUT, format!("/v1/{name}"), file(path)?)).await,
         ["remove", name] => change(&options, call(Method::DELETE, format!("/v1/{name}"), Vec::new())).await,
-        _ => Err(usage_error("say a command; see --help")),
+        _ => Err(usage_error("expected a command; see --help")),
     }
 }
 
@@ -215,7 +218,7 @@
     Ok(if is_success { exit_code::DONE } else { exit_code::REFUSED })
 }
 
-/// What applying the files would change, one line each.
+/// Prints what applying the files would change, one line each.
 async fn diff(call: Call, declarations: &Declarations) -> CommandResult {
     let answer = send_call(&call).await.map_err(unreachable_error)?;
     let now: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
