--- a/crates/explore/src/invariants.rs
+++ b/crates/explore/src/invariants.rs
@@ -10,6 +10,7 @@
 use wire::{NodeId, ProposalId, View};
 
 impl World {
+    /// Records the outputs of the member on a machine and checks the invariants that concern them.
     pub(crate) fn record_outputs(&mut self, index: usize, outputs: &[Output]) {
         for output in outputs {
             match output {
--- a/crates/loadgen/src/rules.rs
+++ b/crates/loadgen/src/rules.rs
@@ -47,7 +47,7 @@
     let twice = once.iter().filter(|task| by_task.get(*task).copied().unwrap_or(0) > 1);
     add("a run-once task ran twice", twice.map(|task| (*task).to_owned()).collect());
     let ran_anyway = attempts.iter().filter(|a| a.outcome == "not-run" && by_label.contains_key(a.label.as_str()));
-    add("not-run was told of a task that ran", ran_anyway.map(|a| a.label.clone()).collect());
+    add("a task reported as not-run has run", ran_anyway.map(|a| a.label.clone()).collect());
     let foreign_answers =
         attempts.iter().filter(|a| a.outcome == "answered" && a.status == 200 && !is_own_answer(a, &by_label));
     add("an answer is not the instance's own", foreign_answers.map(|a| format!("{}: {}", a.label, a.body)).collect());
@@ -58,9 +58,9 @@
     let unanswered = attempts.iter().filter(|a| a.status == 0);
     let unanswered: Vec<String> = unanswered.map(|a| format!("{} at {}: {}", a.label, a.target, a.body)).collect();
     println!("attempts without an answer: {}", unanswered.len());
-    add("too many turn-aways of one function in 5 s", find_turned_away(lines));
+    add("too many tasks of one function turned away in 5 s", find_turned_away(lines));
     add("a task was sent to an instance long known to be leaving", find_sent_to_leaving(&runs, lines));
-    add("second tries beyond a fifth and 60 in 10 s", find_excess_retries(&runs, lines));
+    add("retries beyond a fifth of the first attempts plus 60 in 10 s", find_excess_retries(&runs, lines));
     let own_refusals = attempts.iter().filter(|a| is_own_refusal(a)).count();
     println!("own refusals and unknowns: {own_refusals}");
     if refusals.is_some_and(|max| own_refusals > max) {
@@ -175,17 +175,17 @@
         let twice = [run(1, "run", "a#1"), run(2, "run", "a#2")];
         assert!(has_violation(&clean, &twice, "a run-once task ran twice"));
         let ran_anyway = [attempt("a", "ordinary", 503, "not-run", "")];
-        assert!(has_violation(&ran_anyway, &[run(1, "run", "a#1")], "not-run was told"));
+        assert!(has_violation(&ran_anyway, &[run(1, "run", "a#1")], "a task reported as not-run"));
         assert!(has_violation(&ran_anyway, &[], "a refusal without Retry-After"));
         let other = [attempt("b", "ordinary", 200, "answered", good)];
         assert!(has_violation(&other, &[run(1, "run", "a#1")], "an answer is not"));
         let lost = [attempt("a", "deferred", 202, "accepted", "")];
         assert!(has_violation(&lost, &[], "an accepted task never ran"));
         let turned: Vec<InstanceRecord> = (0..12).map(|n| run(n * 400, "turned-away", &format!("x{n}#1"))).collect();
-        assert!(has_violation(&[], &turned, "too many turn-aways"));
-        assert!(!has_violation(&[], &turned[1..], "too many turn-aways"));
+        assert!(has_violation(&[], &turned, "too many tasks of one function turned away"));
+        assert!(!has_violation(&[], &turned[1..], "too many tasks of one function turned away"));
         let many: Vec<InstanceRecord> = (0..70).map(|n| run(n, "run", "y#1")).collect();
-        assert!(has_violation(&[], &many, "second tries"));
+        assert!(has_violation(&[], &many, "retries beyond"));
         let leaving = [run(0, "told", ""), run(3001, "run", "z#1")];
         assert!(!has_violation(&[], &[run(0, "told", ""), run(3000, "run", "z#1")], "a task was sent to an instance"));
         assert!(has_violation(&[], &leaving, "a task was sent to an instance"));
