--- a/crates/fleet/src/processes.rs
+++ b/crates/fleet/src/processes.rs
@@ -162,7 +162,8 @@
         status.map(drop).map_err(|error| format!("kill: {error}"))
     }
 
-    /// Tells all processes to stop and kills those that are still running after 10 s.
+    /// Tells all processes to stop. Kills those that are still running after 10 s, and the emulator as soon as no
+    /// other process is left.
     pub async fn stop_all(&mut self) {
         let names: Vec<String> = self.running.iter().map(|(name, _)| name.clone()).collect();
         for name in names.iter().rev() {
--- a/crates/fleet/src/soak_schedule.rs
+++ b/crates/fleet/src/soak_schedule.rs
@@ -13,7 +13,7 @@
 const CALM_END_SECONDS: f64 = 8.0;
 /// Time after which a process that was told to stop has exited and is started again.
 const STOP_SECONDS: f64 = 4.5;
-/// Time after its return for which a registry still counts as faulty.
+/// Time for which a registry still counts as faulty after its return.
 const CATCH_UP_SECONDS: f64 = 4.0;
 const REGISTRIES: usize = 3;
 /// One of this many routers is left untouched, and at least one.
