--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -1,9 +1,9 @@
-//! Judgements that the simulator and the checker of process runs share.
+//! Checks shared by the simulator and the load generator: linearizability of changes, and recovery of service.
 
 #![warn(missing_docs)]
 
 mod linearizable;
 mod recovery;
 
-pub use linearizable::{Anomaly, Invocation, Read, Response, anomalies};
-pub use recovery::{Low, Recovery, recovery};
+pub use linearizable::{Anomaly, Invocation, Read, Response, find_anomalies};
+pub use recovery::{LowSecond, Recovery, check_recovery};
--- a/crates/explore/src/main.rs
+++ b/crates/explore/src/main.rs
@@ -1,23 +1,24 @@
-//! `explore`: searches the states of a modelled cluster for a broken invariant.
+//! `explore`: searches the states of a modelled cluster for a violation of an invariant.
 
-use explore::{Budget, Finding, Limits, Plant, Scenario, explore, walk};
+use explore::{Budget, Finding, Limits, PlantedFault, Scenario, explore, walk};
 use lexopt::prelude::*;
 use std::process::ExitCode;
 
-const HELP: &str = "explore: searches the states of a modelled cluster for a broken invariant
+const HELP: &str = "explore: searches the states of a modelled cluster for a violation of an invariant
 
 Usage: explore all  [--scenario S] [--depth N] [--states N] [--seconds N] [--probe-every N] [BUDGET]
        explore walk [--scenario S] [--from N] [--count N] [--length N] [BUDGET]
 
 --scenario: three, wiped, learning, replacing, six, eight or founding [three]
 --plant: none, early-sync, forged-vote, lone-learner or forged-copy [none]
-BUDGET, how many of each a run may have: --entries --confirms --crashes --wipes --drops --silences
+BUDGET: maximum number of each event in a run: --entries --confirms --crashes --wipes --drops --silences
        --passes --leaves --joins";
 
+/// Parsed command line.
 struct Flags {
     search: String,
     scenario: Scenario,
-    plant: Plant,
+    planted_fault: PlantedFault,
     limits: Limits,
     budget: Budget,
     from: u64,
@@ -30,7 +31,7 @@
         Flags {
             search: String::new(),
             scenario: Scenario::Three,
-            plant: Plant::None,
+            planted_fault: PlantedFault::None,
             limits: Limits { depth: 6, states: 10_000_000, seconds: 600, probe_every: 0 },
             budget: Budget {
                 entries: 2,
@@ -54,8 +55,8 @@
     match read_flags().and_then(|flags| flags.map_or(Ok(true), |flags| search(&flags))) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(told) => {
-            eprintln!("explore: {told}");
+        Err(error) => {
+            eprintln!("explore: {error}");
             ExitCode::from(2)
         }
     }
@@ -63,8 +64,8 @@
 
 fn read_flags() -> Result<Option<Flags>, String> {
     let mut flags = Flags::default();
-    let mut line = lexopt::Parser::from_env();
-    while let Some(argument) = line.next().map_err(|error| error.to_string())? {
+    let mut parser = lexopt::Parser::from_env();
+    while let Some(argument) = parser.next().map_err(|error| error.to_string())? {
         let name = match argument {
             Short('h') | Long("help") => {
                 println!("{HELP}");
@@ -77,7 +78,7 @@
             Long(name) => name.to_owned(),
             other => return Err(other.unexpected().to_string()),
         };
-        let value = line.value().and_then(|value| value.string()).map_err(|error| error.to_string())?;
+        let value = parser.value().and_then(|value| value.string()).map_err(|error| error.to_string())?;
         set_flag(&mut flags, &name, &value)?;
     }
     Ok(Some(flags))
@@ -86,16 +87,17 @@
 fn set_flag(flags: &mut Flags, name: &str, value: &str) -> Result<(), String> {
     match name {
         "scenario" => {
-            flags.scenario = Scenario::from_word(value).ok_or(format!("no scenario {value}; see --help"))?;
+            flags.scenario = Scenario::from_name(value).ok_or(format!("unknown scenario {value}; see --help"))?;
             return Ok(());
         }
         "plant" => {
-            flags.plant = Plant::from_word(value).ok_or(format!("no planted fault {value}; see --help"))?;
+            flags.planted_fault =
+                PlantedFault::from_name(value).ok_or(format!("unknown planted fault {value}; see --help"))?;
             return Ok(());
         }
         _ => {}
     }
-    let number = value.parse::<u64>().map_err(|_| format!("--{name} {value}: allowed is a number"))?;
+    let number = value.parse::<u64>().map_err(|_| format!("--{name} {value}: expected a number"))?;
     let budget = &mut flags.budget;
     match name {
         "depth" => flags.limits.depth = number as usize,
@@ -114,15 +116,15 @@
         "passes" => budget.passes = number as u32,
         "leaves" => budget.leaves = number as u32,
         "joins" => budget.joins = number as u32,
-        _ => return Err(format!("no flag --{name}; see --help")),
+        _ => return Err(format!("unknown flag --{name}; see --help")),
     }
     Ok(())
 }
 
 fn search(flags: &Flags) -> Result<bool, String> {
-    let start = flags.scenario.build(flags.budget.clone(), flags.plant);
-    if let Some(told) = &start.history.violation {
-        println!("BROKEN before the first choice: {told}");
+    let start = flags.scenario.build(flags.budget.clone(), flags.planted_fault);
+    if let Some(violation) = &start.history.violation {
+        println!("BROKEN before the first choice: {violation}");
         return Ok(false);
     }
     match flags.search.as_str() {
@@ -139,27 +141,27 @@
                 if report.complete { "complete" } else { "cut short" },
                 report.seconds
             );
-            Ok(report.finding.as_ref().is_none_or(tell))
+            Ok(report.finding.as_ref().is_none_or(print_finding))
         }
         "walk" => {
-            let mut broken = 0;
+            let mut failed_walks = 0;
             let seeds = flags.from..flags.from + flags.count;
             for seed in seeds {
                 if let Some(finding) = walk(&start, seed, flags.length) {
-                    broken += 1;
+                    failed_walks += 1;
                     println!("seed {seed}:");
-                    tell(&finding);
+                    print_finding(&finding);
                 }
             }
-            println!("{:?}: {} walks of {} choices, {broken} broken", flags.scenario, flags.count, flags.length);
-            Ok(broken == 0)
+            println!("{:?}: {} walks of {} choices, {failed_walks} broken", flags.scenario, flags.count, flags.length);
+            Ok(failed_walks == 0)
         }
-        _ => Err("say all or walk; see --help".into()),
+        _ => Err("expected all or walk; see --help".into()),
     }
 }
 
-fn tell(finding: &Finding) -> bool {
+fn print_finding(finding: &Finding) -> bool {
     finding.path.iter().for_each(|choice| println!("  {choice}"));
-    println!("  BROKEN {}", finding.told);
+    println!("  BROKEN {}", finding.violation);
     false
 }
