--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -66,7 +66,7 @@
             }
             OptimizerMessage::Frame { message: PlanMessage::Request { .. }, .. } if !context.plans => {}
             OptimizerMessage::Frame { from, message } => {
-                let is_tuning_message = matches!(message, PlanMessage::Measures { .. } | PlanMessage::Tuned { .. });
+                let is_tuning_message = matches!(message, PlanMessage::Measurements { .. } | PlanMessage::Tuned { .. });
                 for output in planner.step(started_at.elapsed(), context.me, from, message, context.solve) {
                     if let Some(fault) = output.fault {
                         event!(plan_failed, "{fault}");
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -34,7 +34,7 @@
         tuning: bool = true, any, "whether this registry tunes weight sheets by measurements while it hosts the optimizer";
         tokens_file: PathBuf = PathBuf::new(), any, "file with more bearer tokens, one per line, so that none need appear on a command line";
         show: bool = false, any, "print the configuration stored in the data folder and exit without serving or changing anything";
-        format: u16 = wire::FORMAT, in_range(wire::OLDEST, wire::FORMAT), "format of the frames that are sent; set the previous one during a rolling update from a version that does not know the newest";
+        format: u16 = wire::FORMAT, in_range(wire::OLDEST_FORMAT, wire::FORMAT), "format of the frames that are sent; set the previous one during a rolling update from a version that does not know the newest";
         log_level: String = "info".into(), |level: &String| one_of_levels(level), "error, warn, info, debug or trace";
         log_file: String = String::new(), any, "log file, rotated by size; empty for standard error";
     }
--- a/crates/control/tests/membership_log.rs
+++ b/crates/control/tests/membership_log.rs
@@ -28,9 +28,9 @@
     assert_eq!(reported_changes(&mut membership, &state), [(MemberChange::Joined, 2)]);
     assert_eq!(reported_changes(&mut membership, &state), []);
     propose(&mut state, &Command::Leaving { id: 1, incarnation: 1 });
-    propose(&mut state, &Command::Lapse { id: 2, incarnation: 1 });
+    propose(&mut state, &Command::ExpireLease { id: 2, incarnation: 1 });
     assert_eq!(reported_changes(&mut membership, &state), [(MemberChange::Lapsed, 2), (MemberChange::Leaving, 1)]);
-    propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
+    propose(&mut state, &Command::ExpireLease { id: 1, incarnation: 1 });
     assert_eq!(reported_changes(&mut membership, &state), [], "the departure was already reported");
 }
 
@@ -41,6 +41,6 @@
     assert_eq!(reported_changes(&mut membership, &state), [], "the first membership seen is not a change");
     propose(&mut state, &join(1, 2));
     assert_eq!(reported_changes(&mut membership, &state), [(MemberChange::Joined, 1)]);
-    propose(&mut state, &Command::Lapse { id: 1, incarnation: 1 });
+    propose(&mut state, &Command::ExpireLease { id: 1, incarnation: 1 });
     assert_eq!(reported_changes(&mut membership, &state), []);
 }
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -1,48 +1,48 @@
-//! `fleet`: a whole deployment on one machine, for trying and proving it: the platform's stand-in,
-//! three registries, the routers, the configuration applied; then, if asked, load and faults on a
-//! timetable and the checker's outcome. It starts processes, which the product's own never do.
+//! `fleet`: runs a whole deployment on one machine, to try and test it: the platform emulator, three
+//! registries and the routers, with the configuration applied; then, if requested, load, scheduled faults and
+//! the result of the checker. It starts processes, which the programs of the product never do.
 
-mod bring_up;
+mod command_line;
+mod configure;
 mod deployment;
-mod drawing;
 mod faults;
 mod folder;
-mod line;
 mod ports;
+mod process_monitor;
 mod processes;
 mod prove;
 mod relay;
 mod resources;
+mod route_changes;
 mod smoke;
 mod smoke_views;
 mod soak_schedule;
+mod startup;
 mod timeline;
-mod turns;
-mod watch;
 
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    let order = match line::parse(lexopt::Parser::from_env()) {
-        Ok(Some(order)) => order,
+    let options = match command_line::parse(lexopt::Parser::from_env()) {
+        Ok(Some(options)) => options,
         Ok(None) => return ExitCode::SUCCESS,
-        Err(told) => {
-            eprintln!("fleet: {told}");
+        Err(error) => {
+            eprintln!("fleet: {error}");
             return ExitCode::from(2);
         }
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(fault) => {
-            eprintln!("fleet: {fault}");
+        Err(error) => {
+            eprintln!("fleet: {error}");
             return ExitCode::FAILURE;
         }
     };
-    match tokio::task::LocalSet::new().block_on(&runtime, prove::run(order)) {
+    match tokio::task::LocalSet::new().block_on(&runtime, prove::run(options)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(told) => {
-            eprintln!("fleet: {told}");
+        Err(error) => {
+            eprintln!("fleet: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/leases/tests/split_membership.rs
+++ b/crates/leases/tests/split_membership.rs
@@ -38,7 +38,7 @@
 
 fn membership_message(membership: &Membership) -> LeaseMessage {
     let change = membership.change_since(&Membership::default());
-    let packed = wire::pack(&wire::to_bytes(&change));
+    let packed = wire::compress(&wire::to_bytes(&change));
     LeaseMessage::MembershipChange { since: 0, number: membership.number, size: packed.size, body: packed.bytes }
 }
 
@@ -55,7 +55,7 @@
         let step = ConfigurationEpoch { number: 1, revision: 1, quorum: quorum.into(), items: Vec::new().into() };
         for id in &ids {
             fleet.deliver(*id, TAIL, membership_message(&membership(1, &ids)));
-            fleet.deliver(*id, TAIL, LeaseMessage::Stage { step: step.clone() });
+            fleet.deliver(*id, TAIL, LeaseMessage::Stage { epoch: step.clone() });
             fleet.deliver(*id, TAIL, LeaseMessage::Activate { number: 1 });
         }
         fleet.advance(Duration::from_millis(600), |_| {});
@@ -76,7 +76,7 @@
             match output {
                 FollowerOutput::ToPeer { to, message } => self.frames.push((id, to, message)),
                 FollowerOutput::ToRegistry { message: LeaseMessage::Renew { request_id, .. }, .. } if self.has_core => {
-                    let confirmation = LeaseMessage::Proof { request_id, active: 1, latest: 1, member: 1 };
+                    let confirmation = LeaseMessage::Proof { request_id, active: 1, latest: 1, is_member: 1 };
                     self.frames.push((TAIL, id, confirmation));
                 }
                 _ => {}
--- a/crates/scaler/src/optimizer.rs
+++ b/crates/scaler/src/optimizer.rs
@@ -73,7 +73,8 @@
         limit: Duration,
     ) -> PlanResult {
         let mut sheet = self.tuner.effective_sheet(function);
-        let boot_steps = (function.boot.as_secs_f64() / self.step.as_secs_f64()).ceil().min(MAX_DELAY_STEPS) as u32;
+        let boot_steps =
+            (function.boot_time.as_secs_f64() / self.step.as_secs_f64()).ceil().min(MAX_DELAY_STEPS) as u32;
         sheet.startup_delay_steps = sheet.startup_delay_steps.max(boot_steps);
         let refill = now.saturating_sub(self.refilled_at).as_secs_f64() * self.fits_per_second;
         self.available_fits = (self.available_fits + refill).min(self.fits_per_second.max(1.0));
--- a/crates/scaler/src/tuner.rs
+++ b/crates/scaler/src/tuner.rs
@@ -121,11 +121,11 @@
 
     fn tune_weights(&mut self, usage_change: f64, penalty_factor: f64, reason: String) {
         let previous = (self.tuned.target_usage, self.tuned.sla_hard);
-        if let Some(bounds) = self.declared.usage_bounds() {
-            self.tuned.target_usage = bounds.keep(self.tuned.target_usage + usage_change);
+        if let Some(bounds) = self.declared.target_usage_bounds() {
+            self.tuned.target_usage = bounds.clamp(self.tuned.target_usage + usage_change);
         }
-        if let Some(bounds) = self.declared.hard_bounds() {
-            self.tuned.sla_hard = bounds.keep(self.tuned.sla_hard * penalty_factor);
+        if let Some(bounds) = self.declared.sla_hard_bounds() {
+            self.tuned.sla_hard = bounds.clamp(self.tuned.sla_hard * penalty_factor);
         }
         if previous != (self.tuned.target_usage, self.tuned.sla_hard) {
             self.tuned.reason = reason;
@@ -133,14 +133,14 @@
     }
 
     fn tune_startup_delay(&mut self, measurement: FunctionMeasurement, step: Duration) {
-        let Some(bounds) = self.declared.delay_bounds().filter(|_| measurement.boots > 0) else { return };
+        let Some(bounds) = self.declared.startup_delay_bounds().filter(|_| measurement.boots > 0) else { return };
         self.mean_boot_time = if self.mean_boot_time.is_zero() {
             measurement.boot
         } else {
             (self.mean_boot_time * 3 + measurement.boot) / 4
         };
         let measured_steps = (self.mean_boot_time.as_secs_f64() / step.as_secs_f64()).ceil().max(1.0);
-        let target_steps = bounds.keep(measured_steps) as u32;
+        let target_steps = bounds.clamp(measured_steps) as u32;
         let steps = self.tuned.startup_delay_steps;
         self.delay_deviations = if target_steps == steps { 0 } else { self.delay_deviations + 1 };
         if self.delay_deviations >= DEVIATIONS_TO_CHANGE_DELAY {
@@ -175,17 +175,18 @@
     /// Adopts the values that another registry tuned, limited to the declared bounds.
     pub fn adopt(&mut self, function: &Function, tuned: TunedWeights) {
         let mut tuning = FunctionTuning::new(&function.sheet);
-        let limit =
-            |bounds: Option<bindings::Bounds>, value: f64, declared: f64| bounds.map_or(declared, |b| b.keep(value));
+        let limit = |bounds: Option<bindings::TuningBounds>, value: f64, declared: f64| {
+            bounds.map_or(declared, |b| b.clamp(value))
+        };
         let sheet = &function.sheet;
         tuning.tuned = TunedWeights {
             startup_delay_steps: limit(
-                sheet.delay_bounds(),
+                sheet.startup_delay_bounds(),
                 f64::from(tuned.startup_delay_steps),
                 f64::from(sheet.startup_delay_steps),
             ) as u32,
-            target_usage: limit(sheet.usage_bounds(), tuned.target_usage, sheet.target_usage),
-            sla_hard: limit(sheet.hard_bounds(), tuned.sla_hard, sheet.sla_hard),
+            target_usage: limit(sheet.target_usage_bounds(), tuned.target_usage, sheet.target_usage),
+            sla_hard: limit(sheet.sla_hard_bounds(), tuned.sla_hard, sheet.sla_hard),
             reason: tuned.reason,
         };
         self.tunings.insert(function.name.clone(), tuning);
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -168,8 +168,11 @@
                     } else {
                         self.sent_revision = Some(revision);
                         let routes = RouteTable::build(step, revision, self.follower.resources());
-                        let routes =
-                            if self.has_declared_views { routes.showing(self.follower.resources()) } else { routes };
+                        let routes = if self.has_declared_views {
+                            routes.with_declarations(self.follower.resources())
+                        } else {
+                            routes
+                        };
                         self.send_to_traffic(TrafficMessage::RouteTable(Box::new(routes)));
                     }
                     self.publish_view();
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -196,7 +196,7 @@
                 self.process(Input::FunctionOwner(OwnerInput::ProviderReport { report, listed_at }));
             }
             TrafficMessage::RouteTable(routes) => {
-                self.epoch = routes.step;
+                self.epoch = routes.epoch;
                 let routes = Rc::new(*routes);
                 if let Some(declared_views) = &mut self.declared_views {
                     declared_views.set_routes(routes.clone());
@@ -229,7 +229,7 @@
         let Some((reply, _)) = self.status_queries.remove(&request_id) else { return };
         let answer = match record.and_then(|raw| wire::from_bytes::<DeferredRecord>(&raw)) {
             None => Reply::from_router(404, None, "no such task"),
-            Some(record) if record.done == 0 => Reply {
+            Some(record) if record.is_answered == 0 => Reply {
                 body: b"{\"state\":\"pending\"}".to_vec(),
                 ..Reply::from_router(200, Some(wire::Outcome::Accepted), "")
             },
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -35,7 +35,7 @@
             .filter(|(_, scheduler)| {
                 scheduler.deferred_read_at.is_none_or(|at| now >= at + self.settings.deferred_read_interval)
             })
-            .filter(|(name, _)| routes.takes_deferred(name))
+            .filter(|(name, _)| routes.has_deferred_binding(name))
             .map(|(name, _)| name.clone())
             .take(READS_AT_ONCE.saturating_sub(reading))
             .collect();
--- a/crates/traffic/src/forwarding.rs
+++ b/crates/traffic/src/forwarding.rs
@@ -36,7 +36,7 @@
             task: record.forward_id,
             function: record.function.as_str().into(),
             binding: record.binding.as_str().into(),
-            left_ms: (record.deadline - self.now).as_millis() as u32,
+            remaining_ms: (record.deadline - self.now).as_millis() as u32,
             resends: record.resends,
             attempts: record.attempts.grant_first(),
             respond_async: record.call.respond_async as u8,
--- a/crates/traffic/src/front.rs
+++ b/crates/traffic/src/front.rs
@@ -230,7 +230,7 @@
             record.deadline =
                 record.started_at + record.call.deadline.map_or(max_deadline, |deadline| deadline.min(max_deadline));
         }
-        record.function = format!("{tenant}/{}", binding.function_for(pseudo_random(task)));
+        record.function = format!("{tenant}/{}", binding.pick_function(pseudo_random(task)));
         record.class = Some(binding.class);
         let is_counted = matches!(binding.class, Class::Ordinary | Class::Single);
         record.attempts.set_limit(is_counted.then_some(binding.attempts.max(1)));
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -47,7 +47,7 @@
         quota_overrun: f64 = 0.1, in_range(0.0, 10.0), "fraction of its limit by which a consumer's requests in a window may exceed it";
         quota_slack: f64 = 20.0, in_range(0.0, 1_000_000.0), "additional number of requests by which they may exceed it";
         step: Duration = Duration::from_secs(15), in_range(Duration::from_millis(250), Duration::from_secs(600)), "length of one step of samples and plans; must be the same on every machine";
-        format: u16 = wire::FORMAT, in_range(wire::OLDEST, wire::FORMAT), "format version of sent frames; use the previous one during a rolling update from a version that does not know this one";
+        format: u16 = wire::FORMAT, in_range(wire::OLDEST_FORMAT, wire::FORMAT), "format version of sent frames; use the previous one during a rolling update from a version that does not know this one";
         log_level: String = "info".into(), word, "error, warn, info, debug or trace";
         log_file: String = String::new(), any, "log file, rotated by size; empty for standard error";
     }
@@ -76,7 +76,7 @@
             allowances: self.allowances(),
             key_window: self.key_window,
             recorded_answer_bytes: self.recorded_answer_bytes,
-            claims_for_ticks: self.format >= wire::KEY_WINDOWS,
+            claims_for_ticks: self.format >= wire::KEY_WINDOW_FORMAT,
             ..OwnerSettings::default()
         }
     }
--- a/crates/traffic/src/standby.rs
+++ b/crates/traffic/src/standby.rs
@@ -95,7 +95,7 @@
         for name in names {
             let Some(to) = self.membership.owner_after(&name, self.me).filter(|to| *to != self.me) else { continue };
             if let Some(table) = self.ownership_table(&name, true) {
-                self.outs.push(OwnerOutput::Forward { to, message: ForwardMessage::Table { table } });
+                self.outs.push(OwnerOutput::Forward { to, message: ForwardMessage::OwnershipTable { table } });
             }
         }
     }
@@ -146,7 +146,7 @@
             let earlier = self.history.earlier_owners_of(now, &name);
             let allowances = &self.settings.allowances;
             allowances.raise_copied_counts(earlier, &mut table.requests, &mut table.retries, &mut table.rejections);
-            self.outs.push(OwnerOutput::Forward { to: copy.from, message: ForwardMessage::Table { table } });
+            self.outs.push(OwnerOutput::Forward { to: copy.from, message: ForwardMessage::OwnershipTable { table } });
         }
     }
 
--- a/crates/traffic/tests/consumers.rs
+++ b/crates/traffic/tests/consumers.rs
@@ -46,7 +46,7 @@
 fn forwarded(outputs: &[FrontOutput]) -> Option<(ForwardRequest, String)> {
     outputs.iter().find_map(|output| match output {
         FrontOutput::Forward { message, .. } => {
-            message.clone().into_forwarded().map(|(request, consumer)| (request, consumer.as_str().to_owned()))
+            message.clone().into_forward_request().map(|(request, consumer)| (request, consumer.as_str().to_owned()))
         }
         FrontOutput::Reply { .. } => None,
     })
--- a/crates/traffic/tests/sent_tasks.rs
+++ b/crates/traffic/tests/sent_tasks.rs
@@ -146,7 +146,9 @@
     restarted.members = members.into();
     let outputs = standby.step(ms(500), true, OwnerInput::Membership { membership: restarted.into() });
     let handover = outputs.iter().find_map(|output| match output {
-        OwnerOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } } if table.membership == 3 => {
+        OwnerOutput::Forward { to: OTHER, message: ForwardMessage::OwnershipTable { table } }
+            if table.membership == 3 =>
+        {
             Some(table)
         }
         _ => None,
--- a/crates/wire/tests/samples/mod.rs
+++ b/crates/wire/tests/samples/mod.rs
@@ -1,4 +1,4 @@
-//! One sample of each message and record, no two fields of which hold the same value, as bytes.
+//! One encoded sample of each message and record. Fields hold distinct values, so that swapped fields are detected.
 
 mod forward;
 mod lease;
@@ -10,7 +10,7 @@
 
 use wire::{ChainMessage, FORMAT, Frame, KeyValue, LogEntry, Message, NodeAddress, ProposalId, View, to_bytes};
 
-pub fn frame(message: Message) -> Vec<u8> {
+pub fn encode_frame(message: Message) -> Vec<u8> {
     to_bytes(&Frame { format: FORMAT, cluster: "posta".into(), sender: 901, incarnation: 902, message })
 }
 
@@ -48,13 +48,13 @@
         SnapshotChunk { snapshot_id: 69, chunk: 70, last: 1, seq: 71, pairs: vec![pair].into() },
         JoinRequest { node: node(72), ready: 1, seq: 73 },
         BootstrapRequest { node: node(74), bound_to: view() },
-        Done { op, appended: 1, reply: vec![75, 76].into() },
+        ProposalReply { op, appended: 1, reply: vec![75, 76].into() },
         MissedEntriesRequest { since: 77, last: 78, checksum: 79 },
         MissedEntries { snapshot_id: 80, entries: vec![entry(81)].into() },
         TailLastAnswered { view: 82, millis: 83 },
         Leaving { remaining_ms: 84 },
     ]
     .into_iter()
-    .map(|message| frame(Message::Chain(message)))
+    .map(|message| encode_frame(Message::Chain(message)))
     .collect()
 }
