--- a/crates/sim/src/callers.rs
+++ b/crates/sim/src/callers.rs
@@ -1,9 +1,9 @@
 //! Callers: an open loop of tasks at random routers, some repeating a run-once key elsewhere at
 //! once, some trying again eagerly when they are refused.
 
-use crate::chances::Sort;
 use crate::consumers::Caller;
-use crate::router_node::Turn;
+use crate::router_node::RouterInput;
+use crate::sorts::Sort;
 use crate::world::{Event, World};
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -19,15 +19,15 @@
     pub path: String,
     pub service: String,
     pub resends: u32,
-    pub begun: Duration,
+    pub started: Duration,
     pub caller: Caller,
 }
 
 #[derive(Default)]
 pub struct Callers {
-    pub next: u64,
+    pub last_number: u64,
     pub open: BTreeMap<(usize, u64), SimTask>,
-    pub again: BTreeMap<u64, SimTask>,
+    pub retries: BTreeMap<u64, SimTask>,
     pub answered: u64,
     pub refused: u64,
     pub unknown: u64,
@@ -35,13 +35,13 @@
     pub crowd: Option<(usize, Duration)>,
     pub flood_until: Duration,
     pub eager_until: Duration,
-    pub short_of: [u64; 2],
+    pub unserved: [u64; 2],
     /// Under what a consumer's deferred task is stored, by its key.
     pub scopes: BTreeMap<String, String>,
 }
 
 pub const CLASSES: [&str; 4] = ["ordinary", "once", "deferred", "ordinary"];
-const FLOODER: usize = 0;
+const FLOODING_TENANT: usize = 0;
 const TENANTS: usize = 3;
 
 pub fn service_of(function: usize) -> String {
@@ -53,7 +53,7 @@
 }
 
 /// The most instances that a try is sent to where its binding does not say.
-const ATTEMPTS: usize = 2;
+const DEFAULT_MAX_INSTANCES: usize = 2;
 
 impl World {
     /// Where links are reset, and for consumers, some requests may run on one instance only, and once.
@@ -63,32 +63,32 @@
     }
 
     /// The most instances that a try of the service is sent to; the store counts those of deferred tasks.
-    pub fn most_instances(&self, service: &str) -> usize {
+    pub fn max_instances_per_try(&self, service: &str) -> usize {
         let function = service.rsplit('f').next().and_then(|number| number.parse().ok()).unwrap_or_default();
-        if self.class_of(function) == "deferred" { usize::MAX } else { ATTEMPTS }
+        if self.class_of(function) == "deferred" { usize::MAX } else { DEFAULT_MAX_INSTANCES }
     }
 
-    pub fn caller(&mut self) {
+    pub fn send_next_task(&mut self) {
         let crowd = self.callers.crowd.filter(|(_, until)| self.now < *until).map(|(function, _)| function);
         let flood = self.now < self.callers.flood_until;
-        let hot = self.key_book.hot.is_some_and(|(_, until)| self.now < until);
-        let times = if flood { 40.0 } else { f64::from(1 + 9 * u8::from(crowd.is_some()) + 9 * u8::from(hot)) };
-        let rate = self.plan.rate * times;
-        let wait = Duration::from_secs_f64(-(1.0 - self.dice.random::<f64>()).ln() / rate);
+        let hot = self.consumer_keys.hot_consumer.is_some_and(|(_, until)| self.now < until);
+        let rate_factor = if flood { 40.0 } else { f64::from(1 + 9 * u8::from(crowd.is_some()) + 9 * u8::from(hot)) };
+        let rate = self.plan.rate * rate_factor;
+        let wait = Duration::from_secs_f64(-(1.0 - self.rng.random::<f64>()).ln() / rate);
         if self.now < self.plan.callers_end {
-            self.after(wait, Event::Caller);
+            self.schedule_after(wait, Event::NextTask);
         }
-        let drawn = self.dice.random_range(0..self.plan.functions);
-        let mut function = crowd.filter(|_| self.dice.random_ratio(9, 10)).unwrap_or(drawn);
-        if flood && self.dice.random_ratio(39, 40) {
-            function = drawn / TENANTS * TENANTS + FLOODER;
+        let drawn = self.rng.random_range(0..self.plan.functions);
+        let mut function = crowd.filter(|_| self.rng.random_ratio(9, 10)).unwrap_or(drawn);
+        if flood && self.rng.random_ratio(39, 40) {
+            function = drawn / TENANTS * TENANTS + FLOODING_TENANT;
         }
-        self.ask_for(function);
+        self.send_task_for(function);
     }
 
-    fn ask_for(&mut self, function: usize) {
-        self.callers.next += 1;
-        let number = self.callers.next;
+    fn send_task_for(&mut self, function: usize) {
+        self.callers.last_number += 1;
+        let number = self.callers.last_number;
         let service = service_of(function);
         let task = SimTask {
             label: format!("{number}#1"),
@@ -97,39 +97,39 @@
             path: format!("/{service}"),
             service,
             resends: 1,
-            begun: self.now,
+            started: self.now,
             caller: self.next_caller(function, number),
         };
         let eager = self.now < self.callers.eager_until;
-        if is_keyed(task.class) && (eager || self.dice.random_ratio(1, 10)) {
+        if is_keyed(task.class) && (eager || self.rng.random_ratio(1, 10)) {
             for twin in 0..if eager { 4 } else { 1 } {
                 let label = format!("{number}#twin{twin}");
-                self.call(SimTask { label, resends: 9, ..task.clone() });
+                self.send_task(SimTask { label, resends: 9, ..task.clone() });
             }
         }
-        self.call(task);
+        self.send_task(task);
     }
 
     /// Every function is called for in the same moment.
-    pub fn wake_all(&mut self) {
-        (0..self.plan.functions).for_each(|function| self.ask_for(function));
+    pub fn call_all_functions(&mut self) {
+        (0..self.plan.functions).for_each(|function| self.send_task_for(function));
     }
 
-    pub fn caller_retry(&mut self, task: u64) {
-        if let Some(task) = self.callers.again.remove(&task) {
-            self.call(task);
+    pub fn retry_task(&mut self, task: u64) {
+        if let Some(task) = self.callers.retries.remove(&task) {
+            self.send_task(task);
         }
     }
 
-    fn call(&mut self, task: SimTask) {
-        let n = self.dice.random_range(0..self.routers.len());
-        let left = self.routers[n].leaving_since.is_some_and(|since| self.now > since + Duration::from_millis(700));
-        if left || !self.routers[n].alive() || self.frozen_until(crate::world::Place::Router(n)).is_some() {
+    fn send_task(&mut self, task: SimTask) {
+        let n = self.rng.random_range(0..self.routers.len());
+        let has_left = self.routers[n].leaving_since.is_some_and(|since| self.now > since + Duration::from_millis(700));
+        if has_left || !self.routers[n].is_running() || self.frozen_until(crate::world::NodeRef::Router(n)).is_some() {
             self.callers.lost += 1;
             return;
         }
-        self.callers.next += 1;
-        let request_id = self.callers.next;
+        self.callers.last_number += 1;
+        let request_id = self.callers.last_number;
         let header = HeaderField { name: "x-task".into(), value: task.label.clone().into_bytes().into() };
         let call = Call {
             host: String::new(),
@@ -143,49 +143,49 @@
             body: task.key.clone().into_bytes(),
             key: is_keyed(task.class).then(|| task.caller.idempotency_key.clone()),
             api_key: task.caller.api_key.clone(),
-            respond_async: task.class == "deferred" && self.dice.random_bool(0.5),
+            respond_async: task.class == "deferred" && self.rng.random_bool(0.5),
         };
-        self.say(|| format!("task {} ({}) asked at router {n}", task.label, task.class));
-        self.rules.asked(self.now, &task.label, &task.service);
+        self.log(|| format!("task {} ({}) asked at router {n}", task.label, task.class));
+        self.rules.request_sent(self.now, &task.label, &task.service);
         if task.class == "single" {
-            self.rules.asked_once_per_try(&task.label);
+            self.rules.single_run_try_sent(&task.label);
         }
-        self.note_sent(&task);
+        self.record_sent_request(&task);
         self.callers.open.insert((n, request_id), task);
-        self.turn(n, Turn::Front(FrontInput::Task { request_id, call }));
+        self.feed_router(n, RouterInput::Front(FrontInput::Task { request_id, call }));
     }
 
     pub fn caller_reply(&mut self, n: usize, request_id: u64, reply: Reply) {
         let Some(mut task) = self.callers.open.remove(&(n, request_id)) else { return };
-        self.say(|| {
+        self.log(|| {
             format!(
                 "task {} ({} {}) answered {:?} {} at router {n}",
                 task.label, task.class, task.service, reply.outcome, reply.status
             )
         });
         let now = self.now;
-        let waited = now - task.begun;
+        let waited = now - task.started;
         match reply.outcome {
             Some(Outcome::Answered) if reply.status == 200 => {
                 self.callers.answered += 1;
-                self.rules.served_well(now);
+                self.rules.request_succeeded(now);
                 self.rules.answered(now, &task.label, &task.key, &reply.body);
                 self.rules.answered_consumer(now, &task.label, &reply.body);
                 self.maybe_repeat(&task);
             }
             Some(Outcome::Accepted) => {
                 self.callers.answered += 1;
-                self.rules.served_well(now);
+                self.rules.request_succeeded(now);
                 self.rules.accepted(&task.key, &task.service);
                 self.rules.served_consumer(&task.label);
-                self.note_scope(&task);
-                self.moment(crate::strikes::Trigger::WorkAccepted, n);
+                self.record_task_scope(&task);
+                self.fire_trigger(crate::triggered_faults::Trigger::WorkAccepted, n);
             }
             Some(Outcome::NotRun) => {
                 self.callers.refused += 1;
                 self.rules.not_run(now, &task.label);
                 if reply.status == 503 && reply.retry_after.is_zero() {
-                    self.rules.tell(now, format!("{} was refused without a time to come back", task.label));
+                    self.rules.report_violation(now, format!("{} was refused without a time to come back", task.label));
                 }
             }
             Some(Outcome::Unknown) => self.callers.unknown += 1,
@@ -195,30 +195,30 @@
             }
             _ => self.callers.refused += 1,
         }
-        self.count_short(&task, reply.outcome);
+        self.count_unserved(&task, reply.outcome);
         if waited > Duration::from_secs(6) && self.frozen_lately(n) {
             self.callers.lost += 1;
         } else if waited > Duration::from_secs(6) {
-            self.rules.tell(now, format!("{} waited {} ms", task.label, waited.as_millis()));
+            self.rules.report_violation(now, format!("{} waited {} ms", task.label, waited.as_millis()));
         }
-        let good = matches!(reply.outcome, Some(Outcome::Answered | Outcome::Accepted));
-        if !good && task.resends < 3 && self.dice.random_bool(0.5) {
+        let succeeded = matches!(reply.outcome, Some(Outcome::Answered | Outcome::Accepted));
+        if !succeeded && task.resends < 3 && self.rng.random_bool(0.5) {
             task.resends += 1;
             task.label = format!("{}#{}", task.key, task.resends);
-            task.begun = now + Duration::from_millis(30);
+            task.started = now + Duration::from_millis(30);
             task.caller.api_key = self.key_for_repeat(&task.caller);
-            self.callers.next += 1;
-            let number = self.callers.next;
-            self.callers.again.insert(number, task);
-            self.after(Duration::from_millis(30), Event::CallerRetry { task: number });
+            self.callers.last_number += 1;
+            let number = self.callers.last_number;
+            self.callers.retries.insert(number, task);
+            self.schedule_after(Duration::from_millis(30), Event::TaskRetry { task: number });
         }
     }
 
     /// What a caller did not get before the final fault: the flooding tenant's, and the others'.
-    fn count_short(&mut self, task: &SimTask, outcome: Option<Outcome>) {
+    fn count_unserved(&mut self, task: &SimTask, outcome: Option<Outcome>) {
         if self.now < self.plan.final_fault && !matches!(outcome, Some(Outcome::Answered | Outcome::Accepted)) {
-            let flooder = task.service.starts_with(&format!("t{FLOODER}/"));
-            self.callers.short_of[usize::from(!flooder)] += 1;
+            let flooder = task.service.starts_with(&format!("t{FLOODING_TENANT}/"));
+            self.callers.unserved[usize::from(!flooder)] += 1;
         }
     }
 
@@ -226,7 +226,7 @@
         self.routers[n].frozen_until + Duration::from_secs(7) > self.now && !self.routers[n].frozen_until.is_zero()
     }
 
-    pub fn callers_lost(&mut self, n: usize) {
+    pub fn drop_callers_of(&mut self, n: usize) {
         let before = self.callers.open.len();
         self.callers.open.retain(|(router, _), _| *router != n);
         self.callers.lost += (before - self.callers.open.len()) as u64;
--- a/crates/sim/src/catch_up.rs
+++ b/crates/sim/src/catch_up_rules.rs
@@ -1,8 +1,8 @@
 //! Rules on members that come back: while nothing is disturbed, one that is up holds all that is committed
 //! within a bound; and whoever has a role in the newest view holds all that was acknowledged.
 
-use crate::faults::Mending;
-use crate::world::{Event, Place, World};
+use crate::faults::Repair;
+use crate::world::{Event, NodeRef, World};
 use chain::ChainReplica;
 use control::{CoreInput, read_number};
 use rand::RngExt;
@@ -14,29 +14,29 @@
 /// With how many registries a cluster is founded; the others join.
 const FOUNDERS: usize = 3;
 /// What is committed is known by all so much later: a frame takes up to 0.4 s here, and others wait behind it.
-const SPREAD: Duration = Duration::from_millis(1500);
+const COMMIT_SPREAD_TIME: Duration = Duration::from_millis(1500);
 
 /// How far the core was known to be committed a little while ago.
 #[derive(Default)]
-pub struct CatchUp {
-    sampled: Duration,
-    earlier: u64,
-    newest: u64,
+pub struct CatchUpState {
+    sampled_at: Duration,
+    committed_earlier: u64,
+    committed_newest: u64,
     /// The newest view that anyone ever took on, whoever of them is up now.
     newest_view: u64,
-    looked_at: Duration,
+    roles_checked_at: Duration,
     /// How often the rule on time was held against a core.
-    pub judged: u64,
-    pub longest: Duration,
+    pub judged_checks: u64,
+    pub longest_wait: Duration,
 }
 
 impl World {
     /// A disk that was full takes writes again; the process goes on.
     pub(crate) fn free_disk(&mut self, n: usize) {
-        if let Some(until) = self.frozen_until(Place::Registry(n)) {
-            return self.at(until, Event::Mend { what: Mending::FreeDisk(n) });
+        if let Some(until) = self.frozen_until(NodeRef::Registry(n)) {
+            return self.schedule_at(until, Event::Repair { repair: Repair::FreeDisk(n) });
         }
-        let landed = self.dice.random_ratio(1, 3);
+        let landed = self.rng.random_ratio(1, 3);
         let node = &mut self.registries[n];
         node.full = false;
         if !std::mem::take(&mut node.refused_write) || node.core.is_none() {
@@ -48,7 +48,7 @@
             node.disk.apply(&batch);
         }
         let stored = Box::new(node.disk.clone());
-        self.say(|| format!("the disk of registry {n} has room again"));
+        self.log(|| format!("the disk of registry {n} has room again"));
         self.feed_registry(n, CoreInput::DiskRecovered { stored });
     }
 
@@ -59,42 +59,42 @@
 
     pub fn check_caught_up(&mut self) {
         let now = self.now;
-        if now >= self.catch_up.sampled + SPREAD {
-            self.catch_up.sampled = now;
-            self.catch_up.earlier = self.catch_up.newest;
-            self.catch_up.newest =
+        if now >= self.catch_up.sampled_at + COMMIT_SPREAD_TIME {
+            self.catch_up.sampled_at = now;
+            self.catch_up.committed_earlier = self.catch_up.committed_newest;
+            self.catch_up.committed_newest =
                 self.members_up().map(|(_, member)| member.positions().committed).max().unwrap_or_default();
         }
-        let earlier = self.catch_up.earlier;
+        let earlier = self.catch_up.committed_earlier;
         let behind = |member: &ChainReplica| !member.is_in_chain() || member.positions().committed < earlier;
-        let up = self.members_up().count() == self.live_registries().len();
+        let all_running = self.members_up().count() == self.live_registries().len();
         let late = self.members_up().find(|(_, member)| behind(member)).map(|(n, member)| (n, member.positions()));
         // A planned stop disturbs nothing, but takes a member out of the chain.
-        let troubles = self.registries.iter().map(|node| node.last_trouble);
-        let disturbed = troubles.fold(self.stood.0, Duration::max);
+        let troubles = self.registries.iter().map(|node| node.last_disturbed);
+        let disturbed = troubles.fold(self.last_disturbance.0, Duration::max);
         let calm = now.saturating_sub(disturbed);
         let joiners = (self.registries.len() - FOUNDERS).max(1) as u32;
         let bound = JOIN_BOUND * joiners;
-        if !up || calm.is_zero() {
+        if !all_running || calm.is_zero() {
             return;
         }
         match late {
             Some((n, positions)) if calm > bound => {
-                let told = format!("registry {n} is not caught up {} ms after the last trouble", calm.as_millis());
-                self.rules.tell(now, format!("{told}: {positions:?}, {earlier} was committed"));
+                let message = format!("registry {n} is not caught up {} ms after the last trouble", calm.as_millis());
+                self.rules.report_violation(now, format!("{message}: {positions:?}, {earlier} was committed"));
             }
-            Some(_) => self.catch_up.longest = self.catch_up.longest.max(calm),
-            None => self.catch_up.judged += u64::from(calm > bound),
+            Some(_) => self.catch_up.longest_wait = self.catch_up.longest_wait.max(calm),
+            None => self.catch_up.judged_checks += u64::from(calm > bound),
         }
     }
 
     /// Head, tail and whoever else is a full member of the newest view that anyone has taken on.
     pub fn check_roles(&mut self) {
         let now = self.now;
-        if now < self.catch_up.looked_at + Duration::from_millis(20) {
+        if now < self.catch_up.roles_checked_at + Duration::from_millis(20) {
             return;
         }
-        self.catch_up.looked_at = now;
+        self.catch_up.roles_checked_at = now;
         let acknowledged = self.operators.acked.iter().map(|(revision, ..)| *revision).max().unwrap_or_default();
         let known = self.members_up().map(|(_, member)| member.view().number).max().unwrap_or_default();
         let newest = self.catch_up.newest_view.max(known);
@@ -113,8 +113,10 @@
             } else {
                 "member"
             };
-            self.rules
-                .tell(now, format!("registry {n} is {role} with {holds}, though {acknowledged} was acknowledged"));
+            self.rules.report_violation(
+                now,
+                format!("registry {n} is {role} with {holds}, though {acknowledged} was acknowledged"),
+            );
         }
     }
 }
--- a/crates/sim/src/declared.rs
+++ b/crates/sim/src/configuration.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use wire::ConfigurationItem;
 
-pub(crate) fn line(key: &str, value: Value) -> ConfigurationItem {
+pub(crate) fn item(key: &str, value: Value) -> ConfigurationItem {
     ConfigurationItem { key: key.into(), gone: 0, value: value.to_string().into_bytes().into() }
 }
 
@@ -20,16 +20,16 @@
                 if self.is_public(function) {
                     binding["public"] = true.into();
                 }
-                line(&format!("function-bindings/t{}/f{function}", function % 3), binding)
+                item(&format!("function-bindings/t{}/f{function}", function % 3), binding)
             })
             .collect();
-        items.push(mark_line(mark));
+        items.push(mark_item(mark));
         items
     }
 }
 
 /// A change is known by a number kept in a plan of a function that is never called.
-pub(crate) fn mark_line(mark: &str) -> ConfigurationItem {
+pub(crate) fn mark_item(mark: &str) -> ConfigurationItem {
     let number: u64 = mark[1..].parse().unwrap_or_default();
-    line("headcount-plans/t0/mark", json!({"fixed": number % 1000}))
+    item("headcount-plans/t0/mark", json!({"fixed": number % 1000}))
 }
--- a/crates/sim/src/consumer_callers.rs
+++ b/crates/sim/src/consumer_callers.rs
@@ -10,13 +10,13 @@
 use wire::RequestHead;
 
 /// A caller that goes no further, whatever it is answered.
-const NO_MORE_TRIES: u32 = 9;
+const MAX_TRIES: u32 = 9;
 /// How long after a good answer its key is sent again.
-const REPEATED_AFTER_MS: std::ops::Range<u64> = 30..25_000;
+const REPEAT_DELAY_MS: std::ops::Range<u64> = 30..25_000;
 
 impl World {
     /// A request leaves its caller.
-    pub(crate) fn note_sent(&mut self, task: &SimTask) {
+    pub(crate) fn record_sent_request(&mut self, task: &SimTask) {
         if !self.has_consumers() {
             return;
         }
@@ -31,7 +31,7 @@
     }
 
     /// Under what a consumer's task is kept once it is accepted.
-    pub(crate) fn note_scope(&mut self, task: &SimTask) {
+    pub(crate) fn record_task_scope(&mut self, task: &SimTask) {
         let (Some(consumer), Some(_)) = (task.caller.consumer, &task.caller.api_key) else { return };
         let scope = format!("consumer/{}/k-{}", consumer_name(consumer), task.caller.idempotency_key);
         self.callers.scopes.insert(task.key.clone(), scope);
@@ -46,33 +46,34 @@
             .map(|field| String::from_utf8_lossy(field.value.as_slice()).into_owned())
             .collect();
         let consumer = (!named.is_empty()).then(|| named.join(","));
-        let has_api_key = self.rules.api_key_of(label).is_some_and(|key| holds(head, key) || holds(body, key));
+        let has_api_key =
+            self.rules.api_key_of(label).is_some_and(|key| contains_bytes(head, key) || contains_bytes(body, key));
         SeenByInstance { consumer, has_api_key }
     }
 
     /// Some run-once keys of consumers are sent again after a good answer.
     pub(crate) fn maybe_repeat(&mut self, task: &SimTask) {
-        if !self.has_consumers() || task.class != "once" || !self.dice.random_ratio(1, 4) {
+        if !self.has_consumers() || task.class != "once" || !self.rng.random_ratio(1, 4) {
             return;
         }
         let mut again = task.clone();
-        let wait = Duration::from_millis(self.dice.random_range(REPEATED_AFTER_MS));
-        self.callers.next += 1;
-        let number = self.callers.next;
+        let wait = Duration::from_millis(self.rng.random_range(REPEAT_DELAY_MS));
+        self.callers.last_number += 1;
+        let number = self.callers.last_number;
         again.caller.api_key = self.key_for_repeat(&task.caller);
-        if self.dice.random_ratio(1, 3) && again.caller.consumer.is_some() {
+        if self.rng.random_ratio(1, 3) && again.caller.consumer.is_some() {
             let other = self.sibling_route(&task.service);
             again.service = other.unwrap_or(again.service);
             again.path = format!("/{}", again.service);
         }
         again.label = format!("{}#later{number}", task.key);
-        again.resends = NO_MORE_TRIES;
-        again.begun = self.now + wait;
-        self.callers.again.insert(number, again);
-        self.after(wait, Event::CallerRetry { task: number });
+        again.resends = MAX_TRIES;
+        again.started = self.now + wait;
+        self.callers.retries.insert(number, again);
+        self.schedule_after(wait, Event::TaskRetry { task: number });
     }
 }
 
-fn holds(bytes: &[u8], word: &str) -> bool {
+fn contains_bytes(bytes: &[u8], word: &str) -> bool {
     bytes.windows(word.len().max(1)).any(|window| window == word.as_bytes())
 }
--- a/crates/sim/src/consumer_rules.rs
+++ b/crates/sim/src/consumer_rules.rs
@@ -47,9 +47,9 @@
     pub(crate) consumer: String,
     acknowledged: Option<Duration>,
     /// Since when a change without it may be in force.
-    doubtful: Option<Duration>,
+    maybe_removed_since: Option<Duration>,
     /// When a version without it was acknowledged first.
-    removed: Option<Duration>,
+    removed_at: Option<Duration>,
 }
 
 #[derive(Debug, Default)]
@@ -62,7 +62,7 @@
 #[derive(Default)]
 pub struct ConsumerRecords {
     pub(crate) keys: BTreeMap<String, KeyRecord>,
-    pub(crate) founded: Option<Duration>,
+    pub(crate) first_acknowledged_at: Option<Duration>,
     pub(crate) sent: BTreeMap<String, SentRequest>,
     pub(crate) ran: BTreeSet<String>,
     pub(crate) asked: u64,
@@ -73,9 +73,9 @@
     /// When what ran of a limited consumer had been sent.
     pub(crate) admitted: BTreeMap<String, VecDeque<Duration>>,
     /// What each limited consumer may still ask for within its limit, and when that was.
-    pub(crate) unspent: BTreeMap<String, (f64, Duration)>,
+    pub(crate) remaining_budget: BTreeMap<String, (f64, Duration)>,
     /// Requests beyond their consumers' limits.
-    pub(crate) beyond: BTreeSet<String>,
+    pub(crate) over_limit: BTreeSet<String>,
     pub(crate) service: BTreeMap<String, ServiceRecord>,
 }
 
@@ -85,22 +85,22 @@
         let keys = &mut self.consumers.keys;
         for holder in held {
             let consumer = holder.consumer.clone();
-            let record = KeyRecord { consumer, acknowledged: None, doubtful: None, removed: None };
+            let record = KeyRecord { consumer, acknowledged: None, maybe_removed_since: None, removed_at: None };
             keys.entry(holder.api_key.clone()).or_insert(record);
         }
         for (_, record) in keys.iter_mut().filter(|(key, _)| !is_held(held, key)) {
-            record.doubtful.get_or_insert(now);
+            record.maybe_removed_since.get_or_insert(now);
         }
     }
 
     /// A change that was sent at `offered`, and declares these keys and no others, was acknowledged.
     pub fn keys_acknowledged(&mut self, now: Duration, offered: Duration, held: &[KeyHolder]) {
-        self.consumers.founded.get_or_insert(now);
+        self.consumers.first_acknowledged_at.get_or_insert(now);
         for (key, record) in &mut self.consumers.keys {
             if is_held(held, key) {
                 record.acknowledged.get_or_insert(now);
-            } else if record.doubtful.is_some_and(|at| at <= offered) {
-                record.removed.get_or_insert(now);
+            } else if record.maybe_removed_since.is_some_and(|at| at <= offered) {
+                record.removed_at.get_or_insert(now);
             }
         }
     }
@@ -108,21 +108,21 @@
     /// A request was sent, under a label of its own.
     pub fn sent_by_consumer(&mut self, label: &str, request: SentRequest) {
         self.consumers.asked += 1;
-        if let Some(consumer) = self.owed_to(&request, request.sent) {
-            if self.is_within_limit(&consumer, request.sent) {
+        if let Some(consumer) = self.entitled_consumer(&request, request.sent) {
+            if self.spend_from_limit(&consumer, request.sent) {
                 self.consumers.service.entry(consumer).or_default().asked += 1;
             } else {
-                self.consumers.beyond.insert(label.to_owned());
+                self.consumers.over_limit.insert(label.to_owned());
             }
         }
         self.consumers.sent.insert(label.to_owned(), request);
     }
 
     /// The consumer that holds a request's key in whichever configuration may be in force, if one surely does.
-    pub(crate) fn owed_to(&self, request: &SentRequest, until: Duration) -> Option<String> {
+    pub(crate) fn entitled_consumer(&self, request: &SentRequest, until: Duration) -> Option<String> {
         let record = request.api_key.as_ref().and_then(|key| self.consumers.keys.get(key))?;
         let is_in_force = record.acknowledged.is_some_and(|at| request.sent > at + APPLIED);
-        let is_doubtful = record.doubtful.is_some_and(|at| until >= at);
+        let is_doubtful = record.maybe_removed_since.is_some_and(|at| until >= at);
         (is_in_force && !is_doubtful).then(|| record.consumer.clone())
     }
 
@@ -135,30 +135,33 @@
     pub fn ran_for_consumer(&mut self, now: Duration, label: &str, seen: &SeenByInstance) {
         let Some(request) = self.consumers.sent.get(label).cloned() else { return };
         if seen.has_api_key {
-            self.tell(now, format!("{label}: an instance was shown the API key"));
+            self.report_violation(now, format!("{label}: an instance was shown the API key"));
         }
         let key = request.api_key.as_ref().and_then(|key| self.consumers.keys.get(key));
         let holder = key.map(|record| record.consumer.clone());
-        let removed = key.and_then(|record| record.removed);
-        let told = seen.consumer.clone();
+        let removed_at = key.and_then(|record| record.removed_at);
+        let told_consumer = seen.consumer.clone();
         let expected = holder.as_deref().map(short_name);
-        if told.is_some() && told.as_deref() != expected {
-            self.tell(now, format!("{label} of {holder:?} ran as {told:?}"));
+        if told_consumer.is_some() && told_consumer.as_deref() != expected {
+            self.report_violation(now, format!("{label} of {holder:?} ran as {told_consumer:?}"));
         }
-        let is_late = removed.is_some_and(|at| request.sent > at + APPLIED);
-        if told.is_some() && is_late {
-            self.tell(now, format!("{label} ran with a key taken away at {removed:?}, sent at {:?}", request.sent));
+        let is_late = removed_at.is_some_and(|at| request.sent > at + APPLIED);
+        if told_consumer.is_some() && is_late {
+            self.report_violation(
+                now,
+                format!("{label} ran with a key taken away at {removed_at:?}, sent at {:?}", request.sent),
+            );
         }
-        if told.is_none() && !request.is_public {
-            self.tell(now, format!("{label} ran as nobody's, its key is {holder:?}'s"));
+        if told_consumer.is_none() && !request.is_public {
+            self.report_violation(now, format!("{label} ran as nobody's, its key is {holder:?}'s"));
         }
-        if told.is_none() && self.owed_to(&request, now).is_some() {
-            self.tell(now, format!("{label} of {holder:?} ran as nobody's"));
+        if told_consumer.is_none() && self.entitled_consumer(&request, now).is_some() {
+            self.report_violation(now, format!("{label} of {holder:?} ran as nobody's"));
         }
-        let consumer = holder.filter(|_| told.is_some()).unwrap_or_default();
-        self.ran_as_operation(now, label, &consumer, &request);
+        let consumer = holder.filter(|_| told_consumer.is_some()).unwrap_or_default();
+        self.check_operation_run(now, label, &consumer, &request);
         if self.consumers.ran.insert(label.to_owned()) {
-            self.counted_against_limit(now, &consumer, request.sent);
+            self.check_rate_limit(now, &consumer, request.sent);
         }
     }
 
@@ -166,15 +169,15 @@
     pub fn denied(&mut self, now: Duration, label: &str, status: u16) {
         let Some(request) = self.consumers.sent.get(label).cloned() else { return };
         if self.consumers.ran.contains(label) {
-            self.tell(now, format!("{label} was answered {status} though it ran"));
+            self.report_violation(now, format!("{label} was answered {status} though it ran"));
         }
-        let is_founded = self.consumers.founded.is_some_and(|at| request.sent > at + APPLIED);
+        let is_founded = self.consumers.first_acknowledged_at.is_some_and(|at| request.sent > at + APPLIED);
         let is_open = request.is_public && is_founded;
-        if is_open || self.owed_to(&request, now).is_some() {
+        if is_open || self.entitled_consumer(&request, now).is_some() {
             self.consumers.denied += 1;
             let (denied, asked) = (self.consumers.denied, self.consumers.asked);
             if denied > MAX_DENIED + asked / DENIED_SHARE {
-                self.tell(
+                self.report_violation(
                     now,
                     format!("{denied} of {asked} requests denied though proper, the last {label}, {status}"),
                 );
--- a/crates/sim/src/consumer_service.rs
+++ b/crates/sim/src/consumer_service_rules.rs
@@ -12,41 +12,41 @@
 const QUOTA_OVERRUN: f64 = 0.1;
 const QUOTA_SLACK: f64 = 20.0;
 /// A consumer is judged to be starved by this many requests at least.
-const MIN_ASKED: u64 = 40;
+const MIN_JUDGED_REQUESTS: u64 = 40;
 /// It is starved where it is served less than one part in so many as often as all.
-const STARVED_PART: u64 = 4;
+const STARVED_FRACTION: u64 = 4;
 
 impl Rules {
     /// A consumer may make so many requests a second, and so many more at once.
-    pub fn limited(&mut self, consumer: &str, rate_per_s: f64, burst: f64) {
+    pub fn set_limit(&mut self, consumer: &str, rate_per_s: f64, burst: f64) {
         self.consumers.limits.insert(consumer.to_owned(), (rate_per_s, burst));
     }
 
     /// Whether one more request that is sent now is within its consumer's limit; it is counted.
-    pub(crate) fn is_within_limit(&mut self, consumer: &str, now: Duration) -> bool {
+    pub(crate) fn spend_from_limit(&mut self, consumer: &str, now: Duration) -> bool {
         let Some((rate_per_s, burst)) = self.consumers.limits.get(consumer).copied() else { return true };
         let most = burst.max(1.0);
-        let (unspent, at) = self.consumers.unspent.entry(consumer.to_owned()).or_insert((most, now));
-        *unspent = (*unspent + now.saturating_sub(*at).as_secs_f64() * rate_per_s).min(most);
+        let (remaining_budget, at) = self.consumers.remaining_budget.entry(consumer.to_owned()).or_insert((most, now));
+        *remaining_budget = (*remaining_budget + now.saturating_sub(*at).as_secs_f64() * rate_per_s).min(most);
         *at = now;
-        let is_within = *unspent >= 1.0;
-        *unspent -= f64::from(u8::from(is_within));
+        let is_within = *remaining_budget >= 1.0;
+        *remaining_budget -= f64::from(u8::from(is_within));
         is_within
     }
 
-    pub(crate) fn ran_as_operation(&mut self, now: Duration, label: &str, consumer: &str, request: &SentRequest) {
+    pub(crate) fn check_operation_run(&mut self, now: Duration, label: &str, consumer: &str, request: &SentRequest) {
         let Some(key) = request.operation.clone().filter(|_| !consumer.is_empty()) else { return };
         let runs = self.consumers.operations.entry((consumer.to_owned(), key.clone())).or_default();
         let in_window = |(sent, _): &&(Duration, String)| request.sent.abs_diff(*sent) < KEY_WINDOW;
         let earlier = runs.iter().find(in_window).map(|(_, label)| label.clone());
         runs.push((request.sent, label.to_owned()));
         if let Some(earlier) = earlier {
-            self.tell(now, format!("{label} ran, as {earlier} had under {consumer}'s key {key}"));
+            self.report_violation(now, format!("{label} ran, as {earlier} had under {consumer}'s key {key}"));
         }
     }
 
     /// What was both sent and run within a window is held against the consumer's rate.
-    pub(crate) fn counted_against_limit(&mut self, now: Duration, consumer: &str, sent: Duration) {
+    pub(crate) fn check_rate_limit(&mut self, now: Duration, consumer: &str, sent: Duration) {
         let Some((rate_per_s, burst)) = self.consumers.limits.get(consumer).copied() else { return };
         let admitted = self.consumers.admitted.entry(consumer.to_owned()).or_default();
         admitted.push_back(sent);
@@ -54,7 +54,7 @@
         let count = admitted.len();
         let most = (rate_per_s * QUOTA_WINDOW.as_secs_f64() + burst) * (1.0 + QUOTA_OVERRUN) + QUOTA_SLACK;
         if rate_per_s > 0.0 && count as f64 > most {
-            self.tell(now, format!("{count} requests of {consumer} ran within 5 s, {most:.0} allowed"));
+            self.report_violation(now, format!("{count} requests of {consumer} ran within 5 s, {most:.0} allowed"));
         }
     }
 
@@ -68,32 +68,35 @@
         let first = self.consumers.operations.get(&(consumer, key)).and_then(|runs| runs.first());
         let first = first.map(|(_, label)| label.clone()).unwrap_or_default();
         if first.as_bytes() != body {
-            let told = String::from_utf8_lossy(body).into_owned();
-            self.tell(now, format!("{label} was answered with {told}, the first run of its key was {first}"));
+            let message = String::from_utf8_lossy(body).into_owned();
+            self.report_violation(
+                now,
+                format!("{label} was answered with {message}, the first run of its key was {first}"),
+            );
         }
     }
 
     /// A request was served or taken on for good.
     pub fn served_consumer(&mut self, label: &str) {
-        let owed = self.consumers.sent.get(label).filter(|_| !self.consumers.beyond.contains(label));
-        let owed = owed.and_then(|request| self.owed_to(request, request.sent));
+        let owed = self.consumers.sent.get(label).filter(|_| !self.consumers.over_limit.contains(label));
+        let owed = owed.and_then(|request| self.entitled_consumer(request, request.sent));
         if let Some(record) = owed.and_then(|consumer| self.consumers.service.get_mut(&consumer)) {
             record.served += 1;
         }
     }
 
     /// No consumer is served less than a quarter as often as all.
-    pub fn all_served(&mut self, now: Duration) {
+    pub fn check_fair_service(&mut self, now: Duration) {
         let service = &self.consumers.service;
         let asked: u64 = service.values().map(|record| record.asked).sum();
         let served: u64 = service.values().map(|record| record.served).sum();
         let is_starved = |record: &ServiceRecord| {
-            record.asked >= MIN_ASKED && record.served * asked * STARVED_PART < served * record.asked
+            record.asked >= MIN_JUDGED_REQUESTS && record.served * asked * STARVED_FRACTION < served * record.asked
         };
         let starved = service.iter().find(|(_, record)| is_starved(record));
-        let told = starved.map(|(name, record)| {
+        let message = starved.map(|(name, record)| {
             format!("{name} was served {} times of {}, all {served} of {asked}", record.served, record.asked)
         });
-        told.into_iter().for_each(|told| self.tell(now, told));
+        message.into_iter().for_each(|message| self.report_violation(now, message));
     }
 }
--- a/crates/sim/src/consumers.rs
+++ b/crates/sim/src/consumers.rs
@@ -2,9 +2,9 @@
 //! version, and by which key a caller calls.
 
 use crate::callers::service_of;
-use crate::chances::Sort;
+use crate::configuration::item;
 use crate::consumer_rules::KeyHolder;
-use crate::declared::line;
+use crate::sorts::Sort;
 use crate::world::World;
 use rand::RngExt;
 use serde_json::json;
@@ -17,15 +17,15 @@
 /// The header in which an instance is told whose request it runs.
 pub const CONSUMER_HEADER: &str = "x-consumer";
 /// The consumer that makes every other request.
-const LARGEST: usize = 0;
+const LARGEST_CONSUMER: usize = 0;
 /// Functions from this one on, and before the next bound, have public bindings: an ordinary and a run-once one.
-const PUBLIC: std::ops::Range<usize> = 4..6;
+const PUBLIC_FUNCTIONS: std::ops::Range<usize> = 4..6;
 /// Requests a second that the largest consumer may make, and each other one; and besides, in any window.
 const LARGEST_RATE: f64 = 30.0;
 const OTHER_RATE: f64 = 8.0;
 const BURST: f64 = 5.0;
 /// For so long callers go on with a key that was taken away.
-const HABIT: Duration = Duration::from_secs(6);
+const REVOKED_KEY_USE: Duration = Duration::from_secs(6);
 
 /// Who calls, by which API key, and under which idempotency key.
 #[derive(Clone, Debug, Default)]
@@ -41,15 +41,15 @@
 /// The keys of each consumer. At generation `g` it holds the keys `g` and `g + 1`; a version of the next generation
 /// takes key `g` away.
 #[derive(Default)]
-pub struct KeyBook {
+pub struct ConsumerKeys {
     /// What operators declare from now on.
     declared: [u64; CONSUMERS],
     /// What the newest acknowledged version declares.
     acknowledged: [u64; CONSUMERS],
-    by_mark: BTreeMap<String, [u64; CONSUMERS]>,
+    generations_by_mark: BTreeMap<String, [u64; CONSUMERS]>,
     revoked_at: [Option<Duration>; CONSUMERS],
     /// Whose requests come many times as often, and until when.
-    pub hot: Option<(usize, Duration)>,
+    pub hot_consumer: Option<(usize, Duration)>,
 }
 
 fn api_key(consumer: usize, generation: u64) -> String {
@@ -59,7 +59,7 @@
 /// A consumer's rate and burst. The last one has no limit.
 fn limit_of(consumer: usize) -> (f64, f64) {
     match consumer {
-        LARGEST => (LARGEST_RATE, BURST),
+        LARGEST_CONSUMER => (LARGEST_RATE, BURST),
         _ if consumer == CONSUMERS - 1 => (0.0, 0.0),
         _ => (OTHER_RATE, BURST),
     }
@@ -86,7 +86,7 @@
 
     /// Whether a function's binding asks for no API key.
     pub fn is_public(&self, function: usize) -> bool {
-        self.has_consumers() && PUBLIC.contains(&function)
+        self.has_consumers() && PUBLIC_FUNCTIONS.contains(&function)
     }
 
     /// The consumers as operators declare them now.
@@ -99,27 +99,27 @@
             let rank = (consumer > 0).then_some(consumer % 3);
             let (rate_per_s, burst) = limit_of(consumer);
             let declared = json!({"keys": keys, "rate_per_s": rate_per_s, "burst": burst, "rank": rank});
-            line(&format!("consumers/{}", consumer_name(consumer)), declared)
+            item(&format!("consumers/{}", consumer_name(consumer)), declared)
         };
-        self.key_book.declared.iter().enumerate().map(item).collect()
+        self.consumer_keys.declared.iter().enumerate().map(item).collect()
     }
 
     /// A change was sent with the consumers as they are declared now.
     pub(crate) fn consumers_offered(&mut self, mark: &str) {
         if self.has_consumers() {
-            let declared = self.key_book.declared;
-            self.key_book.by_mark.insert(mark.to_owned(), declared);
+            let declared = self.consumer_keys.declared;
+            self.consumer_keys.generations_by_mark.insert(mark.to_owned(), declared);
             for consumer in 0..CONSUMERS - 1 {
                 let (rate_per_s, burst) = limit_of(consumer);
-                self.rules.limited(&consumer_name(consumer), rate_per_s, burst);
+                self.rules.set_limit(&consumer_name(consumer), rate_per_s, burst);
             }
             self.rules.keys_offered(self.now, &keys_of(&declared));
         }
     }
 
     pub(crate) fn consumers_acknowledged(&mut self, mark: &str, offered: Duration) {
-        let Some(generations) = self.key_book.by_mark.get(mark).copied() else { return };
-        for (known, now) in self.key_book.acknowledged.iter_mut().zip(generations) {
+        let Some(generations) = self.consumer_keys.generations_by_mark.get(mark).copied() else { return };
+        for (known, now) in self.consumer_keys.acknowledged.iter_mut().zip(generations) {
             *known = (*known).max(now);
         }
         self.rules.keys_acknowledged(self.now, offered, &keys_of(&generations));
@@ -127,10 +127,10 @@
 
     /// The versions from now on take a key of one consumer away.
     pub(crate) fn revoke_any_key(&mut self) {
-        let consumer = self.dice.random_range(0..CONSUMERS);
-        self.say(|| format!("a key of {} is taken away", consumer_name(consumer)));
-        self.key_book.declared[consumer] += 1;
-        self.key_book.revoked_at[consumer] = Some(self.now);
+        let consumer = self.rng.random_range(0..CONSUMERS);
+        self.log(|| format!("a key of {} is taken away", consumer_name(consumer)));
+        self.consumer_keys.declared[consumer] += 1;
+        self.consumer_keys.revoked_at[consumer] = Some(self.now);
     }
 
     /// Whoever calls for a function next, under an idempotency key of its own or one that another consumer used.
@@ -143,41 +143,41 @@
         let consumer = self.next_consumer();
         caller.consumer = Some(consumer);
         caller.api_key = self.next_api_key(consumer);
-        if is_keyed && self.dice.random_ratio(1, 10) {
-            caller.idempotency_key = self.key_of_another(consumer).unwrap_or(caller.idempotency_key);
+        if is_keyed && self.rng.random_ratio(1, 10) {
+            caller.idempotency_key = self.idempotency_key_of_another(consumer).unwrap_or(caller.idempotency_key);
         }
         caller
     }
 
     fn next_consumer(&mut self) -> usize {
-        let hot = self.key_book.hot.filter(|(_, until)| self.now < *until).map(|(consumer, _)| consumer);
-        let drawn = if self.dice.random_bool(0.5) { LARGEST } else { self.dice.random_range(0..CONSUMERS) };
-        hot.filter(|_| self.dice.random_ratio(19, 20)).unwrap_or(drawn)
+        let hot = self.consumer_keys.hot_consumer.filter(|(_, until)| self.now < *until).map(|(consumer, _)| consumer);
+        let drawn = if self.rng.random_bool(0.5) { LARGEST_CONSUMER } else { self.rng.random_range(0..CONSUMERS) };
+        hot.filter(|_| self.rng.random_ratio(19, 20)).unwrap_or(drawn)
     }
 
     /// A key that is held, mostly; else one that was taken away, is not there yet, was never there, or none.
     fn next_api_key(&mut self, consumer: usize) -> Option<String> {
-        let held = self.key_book.acknowledged[consumer];
-        let revoked = self.key_book.revoked_at[consumer];
-        let is_habit = revoked.is_some_and(|at| self.now < at + HABIT) && self.dice.random_bool(0.4);
-        if is_habit {
-            return Some(api_key(consumer, self.key_book.declared[consumer].saturating_sub(1)));
+        let held = self.consumer_keys.acknowledged[consumer];
+        let revoked = self.consumer_keys.revoked_at[consumer];
+        let uses_revoked_key = revoked.is_some_and(|at| self.now < at + REVOKED_KEY_USE) && self.rng.random_bool(0.4);
+        if uses_revoked_key {
+            return Some(api_key(consumer, self.consumer_keys.declared[consumer].saturating_sub(1)));
         }
-        match self.dice.random_range(0..100) {
+        match self.rng.random_range(0..100) {
             0..5 => Some(api_key(consumer, held.saturating_sub(1))),
             5..8 => Some(api_key(consumer, held + 2)),
             8..12 => Some(format!("nobodys-{held}")),
             12..15 => None,
-            _ => Some(api_key(consumer, held + u64::from(self.dice.random_bool(0.7)))),
+            _ => Some(api_key(consumer, held + u64::from(self.rng.random_bool(0.7)))),
         }
     }
 
     /// An idempotency key that a request of another consumer carries now.
-    fn key_of_another(&mut self, consumer: usize) -> Option<String> {
+    fn idempotency_key_of_another(&mut self, consumer: usize) -> Option<String> {
         let others = self.callers.open.values().map(|task| &task.caller);
         let others = others.filter(|other| other.consumer.is_some_and(|other| other != consumer));
         let keys: Vec<String> = others.map(|other| other.idempotency_key.clone()).collect();
-        let drawn = self.dice.random_range(0..keys.len().max(1));
+        let drawn = self.rng.random_range(0..keys.len().max(1));
         keys.get(drawn).cloned()
     }
 
@@ -187,8 +187,8 @@
             return caller.api_key.clone();
         };
         let is_own = caller.api_key.as_ref().is_some_and(|key| key.starts_with("key-"));
-        if is_own && self.dice.random_ratio(1, 3) {
-            return Some(api_key(consumer, self.key_book.acknowledged[consumer] + 1));
+        if is_own && self.rng.random_ratio(1, 3) {
+            return Some(api_key(consumer, self.consumer_keys.acknowledged[consumer] + 1));
         }
         caller.api_key.clone()
     }
--- a/crates/sim/src/control_faults.rs
+++ b/crates/sim/src/control_faults.rs
@@ -2,9 +2,9 @@
 //! replaced, struck at the moment of an acknowledgement, slowed, and restarts that go round all machines.
 //! A sort of its own for each of two fields, and one that draws from everything there is.
 
-use crate::chances::{Kind, Sort};
 use crate::cutoff::Cutoff;
-use crate::strikes::{Blow, Trigger};
+use crate::sorts::{FaultKind, Sort};
+use crate::triggered_faults::{Trigger, TriggeredFault};
 use crate::world::{Event, World};
 use rand::RngExt;
 use std::time::Duration;
@@ -27,7 +27,7 @@
     ReplaceUnplanned,
     ReplacePlanned,
     /// Several registries are replaced, one after another.
-    ReplaceInTurn,
+    ReplaceSeveral,
     KillAfterAck,
     KillAfterSend,
     LoseDisksAfterAck,
@@ -37,64 +37,64 @@
     /// The router that has just accepted a caller's work loses power.
     KillRouterAfterWork,
     /// Killed again and again as soon as it answers.
-    KillAgain,
+    KillRepeatedly,
     /// A change is sent to a registry as it returns.
     ChangeAtReturn,
     /// Two changes on one revision are sent to a registry as it returns.
     RaceAtReturn,
     SlowDisk,
-    StallDisksInTurn,
-    FillDisksInTurn,
+    StallDisksInSequence,
+    FillDisksInSequence,
     SlowMachines,
     /// The workers of a zone are drained soon after its registry is back.
     DrainZoneAtReturn,
     RollRouters,
-    RollRoutersByTwo,
+    RollRoutersTwoAtATime,
     PowerOffAll,
     /// Everything is killed, and as many disks are lost as may be.
     LoseDisksAndPowerOff,
     /// All registries, or all machines, are stopped or killed and come back at other addresses.
-    RestartElsewhere,
+    RestartAtNewAddresses,
 }
 
 use ControlFault::*;
 
-const CUTOFF: &[Kind] = &[
-    Kind::Control(CutOff),
-    Kind::Control(CutOff),
-    Kind::Control(CutOff),
-    Kind::Control(CutOffTwice),
-    Kind::Control(CutOffRestarted),
-    Kind::Control(CutOffAllRestarted),
-    Kind::Control(CutOffSeeds),
-    Kind::Control(ResetControlLinks),
-    Kind::Control(ChangeAtReturn),
+const CUTOFF: &[FaultKind] = &[
+    FaultKind::Control(CutOff),
+    FaultKind::Control(CutOff),
+    FaultKind::Control(CutOff),
+    FaultKind::Control(CutOffTwice),
+    FaultKind::Control(CutOffRestarted),
+    FaultKind::Control(CutOffAllRestarted),
+    FaultKind::Control(CutOffSeeds),
+    FaultKind::Control(ResetControlLinks),
+    FaultKind::Control(ChangeAtReturn),
 ];
 
-const REPLACEMENT: &[Kind] = &[
-    Kind::Control(ReplaceUnplanned),
-    Kind::Control(ReplaceUnplanned),
-    Kind::Control(ReplacePlanned),
-    Kind::Control(ReplacePlanned),
-    Kind::Control(ReplaceInTurn),
-    Kind::Control(LoseDisksAfterAck),
-    Kind::Control(LoseDisksAfterSend),
-    Kind::Control(KillAfterAck),
-    Kind::KillRegistry,
-    Kind::LoseDisk,
+const REPLACEMENT: &[FaultKind] = &[
+    FaultKind::Control(ReplaceUnplanned),
+    FaultKind::Control(ReplaceUnplanned),
+    FaultKind::Control(ReplacePlanned),
+    FaultKind::Control(ReplacePlanned),
+    FaultKind::Control(ReplaceSeveral),
+    FaultKind::Control(LoseDisksAfterAck),
+    FaultKind::Control(LoseDisksAfterSend),
+    FaultKind::Control(KillAfterAck),
+    FaultKind::KillRegistry,
+    FaultKind::LoseDisk,
 ];
 
-const RESTARTS: &[Kind] = &[
-    Kind::Control(RestartElsewhere),
-    Kind::Control(RestartElsewhere),
-    Kind::Control(RestartElsewhere),
-    Kind::KillCore,
-    Kind::KillAll,
-    Kind::StopRegistry,
-    Kind::LeaveRouter,
+const RESTARTS: &[FaultKind] = &[
+    FaultKind::Control(RestartAtNewAddresses),
+    FaultKind::Control(RestartAtNewAddresses),
+    FaultKind::Control(RestartAtNewAddresses),
+    FaultKind::KillCore,
+    FaultKind::KillAll,
+    FaultKind::StopRegistry,
+    FaultKind::LeaveRouter,
 ];
 
-const EVERY: [ControlFault; 27] = [
+const ALL_CONTROL_FAULTS: [ControlFault; 27] = [
     CutOff,
     CutOffTwice,
     CutOffRestarted,
@@ -103,36 +103,38 @@
     ResetControlLinks,
     ReplaceUnplanned,
     ReplacePlanned,
-    ReplaceInTurn,
+    ReplaceSeveral,
     KillAfterAck,
     KillAfterSend,
     LoseDisksAfterAck,
     LoseDisksAfterSend,
     PowerOffAfterWork,
     KillRouterAfterWork,
-    KillAgain,
+    KillRepeatedly,
     ChangeAtReturn,
     RaceAtReturn,
     SlowDisk,
-    StallDisksInTurn,
-    FillDisksInTurn,
+    StallDisksInSequence,
+    FillDisksInSequence,
     SlowMachines,
     DrainZoneAtReturn,
     RollRouters,
-    RollRoutersByTwo,
+    RollRoutersTwoAtATime,
     PowerOffAll,
     LoseDisksAndPowerOff,
 ];
 
 /// The kinds of the sorts that this module adds.
-pub fn kinds(sort: Sort) -> Vec<Kind> {
+pub fn kinds(sort: Sort) -> Vec<FaultKind> {
     match sort {
         Sort::Cutoff => CUTOFF.to_vec(),
         Sort::Replacement => REPLACEMENT.to_vec(),
         Sort::Restarts => RESTARTS.to_vec(),
         Sort::Anything => {
             let old = Sort::Mixed.kinds().iter().copied();
-            old.chain(EVERY.map(Kind::Control)).chain([Kind::Grow, Kind::Wake, Kind::Flood]).collect()
+            old.chain(ALL_CONTROL_FAULTS.map(FaultKind::Control))
+                .chain([FaultKind::GrowConfiguration, FaultKind::Wake, FaultKind::Flood])
+                .collect()
         }
         other => other.kinds().to_vec(),
     }
@@ -140,7 +142,7 @@
 
 impl World {
     /// Brings a failure about and says how long it lasts at the most.
-    pub(crate) fn control_fault(&mut self, fault: ControlFault, back: Duration) -> Duration {
+    pub(crate) fn control_fault(&mut self, fault: ControlFault, outage: Duration) -> Duration {
         match fault {
             CutOff => return self.cut_off(Cutoff::Once),
             CutOffTwice => return self.cut_off(Cutoff::Twice),
@@ -148,39 +150,41 @@
             CutOffAllRestarted => return self.cut_off(Cutoff::AllRestarted),
             CutOffSeeds => return self.cut_off(Cutoff::Seeds),
             ResetControlLinks => self.reset_control_links(),
-            ReplaceUnplanned => self.replace_unplanned(back),
+            ReplaceUnplanned => self.replace_unplanned(outage),
             ReplacePlanned => self.replace_planned(),
-            ReplaceInTurn => return self.replace_in_turn(),
-            KillAfterAck => self.arm_for_some(Trigger::ChangeAcknowledged, |count| Blow::Kill { count }),
-            KillAfterSend => self.arm_for_some(Trigger::ChangeSent, |count| Blow::Kill { count }),
-            LoseDisksAfterAck => self.arm_for_some(Trigger::ChangeAcknowledged, |count| Blow::LoseDisks { count }),
-            LoseDisksAfterSend => self.arm_for_some(Trigger::ChangeSent, |count| Blow::LoseDisks { count }),
-            PowerOffAfterWork => self.arm(Trigger::WorkAccepted, Blow::PowerOffCore),
-            KillRouterAfterWork => self.arm(Trigger::WorkAccepted, Blow::KillRouter),
-            KillAgain => return self.kill_again_and_again(),
-            ChangeAtReturn => self.change_at_return(1, back),
-            RaceAtReturn => self.change_at_return(2, back),
-            SlowDisk => self.slow_disks(back),
-            StallDisksInTurn => return self.disks_in_turn(false),
-            FillDisksInTurn => return self.disks_in_turn(true),
-            SlowMachines => self.slow_machines(back),
-            DrainZoneAtReturn => self.drain_zone_at_return(back),
+            ReplaceSeveral => return self.replace_several(),
+            KillAfterAck => self.arm_for_some(Trigger::ChangeAcknowledged, |count| TriggeredFault::Kill { count }),
+            KillAfterSend => self.arm_for_some(Trigger::ChangeSent, |count| TriggeredFault::Kill { count }),
+            LoseDisksAfterAck => {
+                self.arm_for_some(Trigger::ChangeAcknowledged, |count| TriggeredFault::LoseDisks { count })
+            }
+            LoseDisksAfterSend => self.arm_for_some(Trigger::ChangeSent, |count| TriggeredFault::LoseDisks { count }),
+            PowerOffAfterWork => self.arm(Trigger::WorkAccepted, TriggeredFault::PowerOffCore),
+            KillRouterAfterWork => self.arm(Trigger::WorkAccepted, TriggeredFault::KillRouter),
+            KillRepeatedly => return self.kill_repeatedly(),
+            ChangeAtReturn => self.change_at_return(1, outage),
+            RaceAtReturn => self.change_at_return(2, outage),
+            SlowDisk => self.slow_disks(outage),
+            StallDisksInSequence => return self.disk_faults_in_sequence(false),
+            FillDisksInSequence => return self.disk_faults_in_sequence(true),
+            SlowMachines => self.slow_machines(outage),
+            DrainZoneAtReturn => self.drain_zone_at_return(outage),
             RollRouters => return self.roll_routers(1),
-            RollRoutersByTwo => return self.roll_routers(2),
+            RollRoutersTwoAtATime => return self.roll_routers(2),
             PowerOffAll => self.power_off_all(),
-            RestartElsewhere => return self.restart_elsewhere(),
+            RestartAtNewAddresses => return self.restart_at_new_addresses(),
             LoseDisksAndPowerOff => {
                 let count = self.plan.losses;
                 let registry = self.any_registry();
-                self.strike(registry, Blow::LoseDisksOthersPowerOff { count });
+                self.apply_triggered_fault(registry, TriggeredFault::LoseDisksOthersPowerOff { count });
             }
         }
-        back.max(Duration::from_secs(5))
+        outage.max(Duration::from_secs(5))
     }
 
-    fn arm_for_some(&mut self, trigger: Trigger, blow: impl Fn(usize) -> Blow) {
-        let count = self.dice.random_range(1..=self.plan.losses);
-        self.arm(trigger, blow(count));
+    fn arm_for_some(&mut self, trigger: Trigger, fault: impl Fn(usize) -> TriggeredFault) {
+        let count = self.rng.random_range(1..=self.plan.losses);
+        self.arm(trigger, fault(count));
     }
 
     pub(crate) fn power_off_all(&mut self) {
@@ -193,15 +197,15 @@
     }
 
     /// The registry that acknowledges, the head, or any: those whose loss is felt most come most often.
-    pub(crate) fn chosen_registry(&mut self) -> usize {
+    pub(crate) fn pick_registry(&mut self) -> usize {
         let live = self.live_registries();
-        let on_duty = |world: &World, is: fn(&chain::ChainReplica) -> bool| {
+        let with_role = |world: &World, is: fn(&chain::ChainReplica) -> bool| {
             let core = |n: usize| world.registries[n].core.as_ref();
             live.iter().copied().find(|n| core(*n).is_some_and(|core| is(core.replica())))
         };
-        let drawn = match self.dice.random_range(0..4) {
-            0 => on_duty(self, chain::ChainReplica::is_current_tail),
-            1 => on_duty(self, chain::ChainReplica::is_head),
+        let drawn = match self.rng.random_range(0..4) {
+            0 => with_role(self, chain::ChainReplica::is_current_tail),
+            1 => with_role(self, chain::ChainReplica::is_head),
             2 => self.operators.last_acknowledger.filter(|n| live.contains(n)),
             _ => None,
         };
@@ -209,6 +213,6 @@
     }
 
     pub(crate) fn follow_up(&mut self, wait: Duration, step: crate::follow_ups::FollowUp) {
-        self.after(wait, Event::FollowUp(step));
+        self.schedule_after(wait, Event::FollowUp(step));
     }
 }
--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/end_checks.rs
@@ -1,11 +1,11 @@
 //! What is checked once a run has ended, and what is told of it.
 
-use crate::chances::Sort;
+use crate::sorts::Sort;
 use crate::world::World;
 use std::time::Duration;
 
-const HANDFUL: u64 = 5;
-const STILL: Duration = Duration::from_secs(15);
+const MAX_UNSERVED: u64 = 5;
+const MAX_STALL: Duration = Duration::from_secs(15);
 
 impl World {
     pub fn check_end(&mut self) {
@@ -13,18 +13,19 @@
         self.check_read_back();
         self.check_orders();
         self.check_deferred();
-        self.rules.all_served(now);
-        let [flooders, others] = self.callers.short_of;
-        let short = match self.plan.sort {
+        self.rules.check_fair_service(now);
+        let [flooders, others] = self.callers.unserved;
+        let unserved = match self.plan.sort {
             Sort::Planned | Sort::Wake | Sort::Calm => flooders + others,
             Sort::Flood => others,
             _ => 0,
         };
-        if short > HANDFUL {
-            self.rules.tell(now, format!("{short} tasks refused or unknown though nothing was to keep them"));
+        if unserved > MAX_UNSERVED {
+            self.rules
+                .report_violation(now, format!("{unserved} tasks refused or unknown though nothing was to keep them"));
         }
-        let from = self.plan.bouts[0].0.saturating_sub(Duration::from_secs(5));
-        self.judged = self.rules.recovered(from, self.plan.final_fault);
+        let from = self.plan.fault_phases[0].0.saturating_sub(Duration::from_secs(5));
+        self.judged_seconds = self.rules.check_recovery(from, self.plan.final_fault);
     }
 
     /// What was accepted and has not run yet waits in the store, and is still being worked off: after a
@@ -44,31 +45,31 @@
         };
         let lost: Vec<&String> =
             waiting.iter().filter(|(key, service)| !kept(key, service)).map(|(key, _)| key).collect();
-        let told = match (lost.first(), waiting.len()) {
+        let message = match (lost.first(), waiting.len()) {
             (Some(first), _) => format!("{} accepted tasks vanished, such as {first}", lost.len()),
-            (None, count) if count > 0 && now > self.rules.newly_run + STILL => {
+            (None, count) if count > 0 && now > self.rules.last_first_run + MAX_STALL => {
                 format!("{count} accepted tasks stand still")
             }
             _ => return,
         };
-        self.rules.tell(now, told);
+        self.rules.report_violation(now, message);
     }
 
     /// Where each node stands, for the story of a run that ended badly.
-    pub fn standings(&self) -> Vec<String> {
+    pub fn node_states(&self) -> Vec<String> {
         let registries = self.registries.iter().enumerate().map(|(n, node)| match &node.core {
             Some(core) => format!("registry {n}: {}", core.status()),
             None => format!("registry {n}: down"),
         });
-        let routers = self.routers.iter().enumerate().map(|(n, node)| match &node.machines {
-            Some(machines) => format!(
+        let routers = self.routers.iter().enumerate().map(|(n, node)| match &node.process {
+            Some(process) => format!(
                 "router {n}: step {} staged {} roster {} tail {:x?}, front {}, home {:?}",
-                machines.follower.active_epoch(),
-                machines.follower.staged_epoch(),
-                machines.follower.membership().number,
-                machines.follower.tail(),
-                machines.front.depth(),
-                machines.owner.depths(),
+                process.follower.active_epoch(),
+                process.follower.staged_epoch(),
+                process.follower.membership().number,
+                process.follower.tail(),
+                process.front.depth(),
+                process.owner.depths(),
             ),
             None => format!("router {n}: down"),
         });
@@ -88,12 +89,12 @@
             self.operators.acked.len(),
             self.operators.refused.len(),
             self.operators.unknown.len(),
-            self.yard.starts,
-            self.judged,
-            callers.short_of,
-            self.brought_back,
-            self.catch_up.judged,
-            self.catch_up.longest.as_millis(),
+            self.platform.starts,
+            self.judged_seconds,
+            callers.unserved,
+            self.catch_up_counts,
+            self.catch_up.judged_checks,
+            self.catch_up.longest_wait.as_millis(),
         )
     }
 }
--- a/crates/sim/src/faults.rs
+++ b/crates/sim/src/faults.rs
@@ -1,28 +1,28 @@
 //! The failures, drawn by the seed, each with its mending. Disks are never lost beyond what the
 //! deployment is to survive: one at a time, and the next only when the core is whole again.
 
-use crate::chances::{Kind, Sort};
-use crate::world::{Event, Place, World};
+use crate::sorts::{FaultKind, Sort};
+use crate::world::{Event, NodeRef, World};
 use rand::RngExt;
 use std::time::Duration;
 
 #[derive(Clone, Debug)]
-pub enum Mending {
+pub enum Repair {
     StartRegistry(usize),
     FreeDisk(usize),
     StartRouter(usize),
-    Heal(Vec<(Place, Place)>),
-    Quicken,
-    EndLosses,
-    Yard,
+    HealCuts(Vec<(NodeRef, NodeRef)>),
+    EndSlowLinks,
+    EndPacketLoss,
+    RestorePlatform,
 }
 
 /// How long a planned stop keeps a node away: its grace and the pause until it is started anew.
-const AWAY: Duration = Duration::from_secs(12);
+const PLANNED_STOP_TIME: Duration = Duration::from_secs(12);
 
 impl World {
-    pub(crate) fn ms(&mut self, from: u64, to: u64) -> Duration {
-        Duration::from_millis(self.dice.random_range(from..to))
+    pub(crate) fn random_ms(&mut self, from: u64, to: u64) -> Duration {
+        Duration::from_millis(self.rng.random_range(from..to))
     }
 
     pub fn fault(&mut self) {
@@ -30,138 +30,148 @@
             return self.final_fault();
         }
         let pause = match self.plan.sort {
-            Sort::Storm => self.ms(50, 1500),
-            Sort::Resets => self.ms(50, 700),
-            Sort::Anything => self.ms(100, 3000),
-            _ => self.ms(300, 5000),
+            Sort::Storm => self.random_ms(50, 1500),
+            Sort::Resets => self.random_ms(50, 700),
+            Sort::Anything => self.random_ms(100, 3000),
+            _ => self.random_ms(300, 5000),
         };
         let next = self.now + pause;
-        let bouts = self.plan.bouts;
-        let later = bouts.iter().map(|(from, _)| *from).chain([self.plan.final_fault]).find(|from| *from > self.now);
-        let next = if self.plan.in_bout(next) { next } else { later.unwrap_or(next) };
-        self.at(next, Event::Fault);
+        let fault_phases = self.plan.fault_phases;
+        let later =
+            fault_phases.iter().map(|(from, _)| *from).chain([self.plan.final_fault]).find(|from| *from > self.now);
+        let next = if self.plan.is_in_fault_phase(next) { next } else { later.unwrap_or(next) };
+        self.schedule_at(next, Event::Fault);
         let kinds = crate::control_faults::kinds(self.plan.sort);
-        if kinds.is_empty() || !self.plan.in_bout(self.now) {
+        if kinds.is_empty() || !self.plan.is_in_fault_phase(self.now) {
             return;
         }
-        let kind = kinds[self.dice.random_range(0..kinds.len())];
-        let back = self.ms(200, 7000);
-        self.say(|| format!("fault {kind:?}"));
-        let lasts = self.bring_about(kind, back);
-        self.rules.faulty(self.now, self.now + lasts);
+        let kind = kinds[self.rng.random_range(0..kinds.len())];
+        let outage = self.random_ms(200, 7000);
+        self.log(|| format!("fault {kind:?}"));
+        let lasts = self.start_fault(kind, outage);
+        self.rules.add_fault_span(self.now, self.now + lasts);
     }
 
     /// The day's end: power is lost at every registry, and at one router, just before the read-back.
     fn final_fault(&mut self) {
         if self.plan.sort.is_on_control() {
-            return self.final_blow();
+            return self.triggered_final_fault();
         }
-        self.say(|| "the final fault".into());
-        let router = self.dice.random_range(0..self.routers.len());
+        self.log(|| "the final fault".into());
+        let router = self.rng.random_range(0..self.routers.len());
         for n in self.live_registries() {
             self.kill_registry_for(n, 200, 2500);
         }
         self.kill_router_for(router, 200, 2500);
-        self.rules.faulty(self.now, self.now + Duration::from_millis(2500));
+        self.rules.add_fault_span(self.now, self.now + Duration::from_millis(2500));
     }
 
     pub(crate) fn kill_registry_for(&mut self, n: usize, from: u64, to: u64) {
         self.kill_registry(n);
-        let back = self.ms(from, to);
-        self.after(back, Event::Mend { what: Mending::StartRegistry(n) });
+        let outage = self.random_ms(from, to);
+        self.schedule_after(outage, Event::Repair { repair: Repair::StartRegistry(n) });
     }
 
     pub(crate) fn kill_router_for(&mut self, n: usize, from: u64, to: u64) {
         self.kill_router(n);
-        let back = self.ms(from, to);
-        self.after(back, Event::Mend { what: Mending::StartRouter(n) });
+        let outage = self.random_ms(from, to);
+        self.schedule_after(outage, Event::Repair { repair: Repair::StartRouter(n) });
     }
 
     /// Does it and says how long it lasts at the most.
-    fn bring_about(&mut self, kind: Kind, back: Duration) -> Duration {
+    fn start_fault(&mut self, kind: FaultKind, outage: Duration) -> Duration {
         let registry = self.any_registry();
-        let router = self.dice.random_range(0..self.routers.len());
-        let millis = back.as_millis() as u64;
+        let router = self.rng.random_range(0..self.routers.len());
+        let millis = outage.as_millis() as u64;
         match kind {
-            Kind::KillRegistry => self.kill_registry_for(registry, millis, millis + 1),
-            Kind::KillCore => self.live_registries().into_iter().for_each(|n| self.kill_registry_for(n, 200, 5000)),
-            Kind::FreezeRegistry => return self.freeze(Place::Registry(registry)),
-            Kind::StallDisk => self.registries[registry].stalled_until = self.now + back,
-            Kind::FillDisk => {
+            FaultKind::KillRegistry => self.kill_registry_for(registry, millis, millis + 1),
+            FaultKind::KillCore => {
+                self.live_registries().into_iter().for_each(|n| self.kill_registry_for(n, 200, 5000))
+            }
+            FaultKind::FreezeRegistry => return self.freeze(NodeRef::Registry(registry)),
+            FaultKind::StallDisk => self.registries[registry].stalled_until = self.now + outage,
+            FaultKind::FillDisk => {
                 self.registries[registry].full = true;
-                self.after(back, Event::Mend { what: Mending::StartRegistry(registry) });
+                self.schedule_after(outage, Event::Repair { repair: Repair::StartRegistry(registry) });
             }
-            Kind::FillDiskForAWhile => {
+            FaultKind::FillDiskForAWhile => {
                 self.registries[registry].full = true;
-                self.after(back, Event::Mend { what: Mending::FreeDisk(registry) });
+                self.schedule_after(outage, Event::Repair { repair: Repair::FreeDisk(registry) });
             }
-            Kind::LoseDisk => self.lose_disk(registry, back),
-            Kind::KillRouter => self.kill_router_for(router, millis, millis + 1),
-            Kind::KillZone => {
+            FaultKind::LoseDisk => self.lose_disk(registry, outage),
+            FaultKind::KillRouter => self.kill_router_for(router, millis, millis + 1),
+            FaultKind::KillZone => {
                 self.kill_registry_for(registry, 200, 4000);
-                let zone = self.zone_of(registry);
+                let zone = self.routers_in_zone_of(registry);
                 zone.into_iter().for_each(|n| self.kill_router_for(n, 200, 4000));
             }
-            Kind::KillRouters => (0..self.routers.len()).for_each(|n| self.kill_router_for(n, 200, 4000)),
-            Kind::KillAll => {
+            FaultKind::KillRouters => (0..self.routers.len()).for_each(|n| self.kill_router_for(n, 200, 4000)),
+            FaultKind::KillAll => {
                 self.live_registries().into_iter().for_each(|n| self.kill_registry_for(n, 200, 4000));
                 (0..self.routers.len()).for_each(|n| self.kill_router_for(n, 200, 4000));
             }
-            Kind::FreezeRouter => return self.freeze(Place::Router(router)),
-            Kind::FreezeHerd => return self.freeze_herd(),
-            Kind::CutOne | Kind::CutCore | Kind::CutSome | Kind::CutInside | Kind::CutPair | Kind::CutZone => {
+            FaultKind::FreezeRouter => return self.freeze(NodeRef::Router(router)),
+            FaultKind::FreezeHalf => return self.freeze_half(),
+            FaultKind::CutOne
+            | FaultKind::CutCore
+            | FaultKind::CutSome
+            | FaultKind::CutInside
+            | FaultKind::CutPair
+            | FaultKind::CutZone => {
                 return self.cut(kind);
             }
-            Kind::SlowLinks => self.slow_links(back),
-            Kind::LoseAnswers => {
-                self.yard.lose = 0.1;
-                self.yard.unanswered = 0.3;
-                self.after(back, Event::Mend { what: Mending::Yard });
+            FaultKind::SlowLinks => self.slow_links(outage),
+            FaultKind::LoseAnswers => {
+                self.platform.lost_answer_rate = 0.1;
+                self.platform.unanswered_rate = 0.3;
+                self.schedule_after(outage, Event::Repair { repair: Repair::RestorePlatform });
             }
-            Kind::Garble => {
-                self.yard.garble = if self.plan.sort == Sort::Resets { 0.4 } else { 0.1 };
-                self.after(back, Event::Mend { what: Mending::Yard });
+            FaultKind::GarbleAnswers => {
+                self.platform.garbled_answer_rate = if self.plan.sort == Sort::Resets { 0.4 } else { 0.1 };
+                self.schedule_after(outage, Event::Repair { repair: Repair::RestorePlatform });
             }
-            Kind::Worker => self.worker_fault(),
-            Kind::LeaveRouter => {
+            FaultKind::WorkerFault => self.worker_fault(),
+            FaultKind::LeaveRouter => {
                 self.leave_router(router);
-                return AWAY;
+                return PLANNED_STOP_TIME;
             }
-            Kind::StopRegistry => {
+            FaultKind::StopRegistry => {
                 self.stop_registry(registry);
                 return Duration::from_millis(3100);
             }
-            Kind::Crowd => self.callers.crowd = Some((self.dice.random_range(0..self.plan.functions), self.now + back)),
-            Kind::Overload => self.overload(back),
-            Kind::Eager => self.callers.eager_until = self.now + back,
-            Kind::Grow => self.operators.grows = true,
-            Kind::MoveSeeds => self.move_seeds(),
-            Kind::Wake => self.wake_all(),
-            Kind::ResetLinks => self.reset_links(),
-            Kind::Revoke => self.revoke_any_key(),
-            Kind::HotConsumer => self.heat_consumer(back),
-            Kind::Lossy => return self.lose_packets(back).max(Duration::from_secs(5)),
-            Kind::ResetConnections => self.reset_connections_of(router),
-            Kind::Control(fault) => return self.control_fault(fault, back),
-            Kind::Flood => self.callers.flood_until = self.now + back,
+            FaultKind::Crowd => {
+                self.callers.crowd = Some((self.rng.random_range(0..self.plan.functions), self.now + outage))
+            }
+            FaultKind::Overload => self.overload(outage),
+            FaultKind::EagerRetries => self.callers.eager_until = self.now + outage,
+            FaultKind::GrowConfiguration => self.operators.grow_next = true,
+            FaultKind::MoveSeeds => self.move_seeds(),
+            FaultKind::Wake => self.call_all_functions(),
+            FaultKind::ResetLinks => self.reset_links(),
+            FaultKind::RevokeApiKey => self.revoke_any_key(),
+            FaultKind::HotConsumer => self.raise_consumer_rate(outage),
+            FaultKind::LossyLinks => return self.lose_packets(outage).max(Duration::from_secs(5)),
+            FaultKind::ResetConnections => self.reset_connections_of(router),
+            FaultKind::Control(fault) => return self.control_fault(fault, outage),
+            FaultKind::Flood => self.callers.flood_until = self.now + outage,
         }
-        back.max(Duration::from_millis(5000))
+        outage.max(Duration::from_millis(5000))
     }
 
-    pub fn mend(&mut self, what: Mending) {
-        match what {
-            Mending::StartRegistry(n) => {
+    pub fn apply_repair(&mut self, repair: Repair) {
+        match repair {
+            Repair::StartRegistry(n) => {
                 if self.registries[n].full {
                     self.kill_registry(n);
                 }
                 self.start_registry(n);
             }
-            Mending::FreeDisk(n) => self.free_disk(n),
-            Mending::StartRouter(n) => self.start_router(n),
-            Mending::Heal(cuts) => self.heal(cuts),
-            Mending::Quicken => self.net.slow.clear(),
-            Mending::EndLosses => self.end_losses(),
-            Mending::Yard => self.yard.behave(),
+            Repair::FreeDisk(n) => self.free_disk(n),
+            Repair::StartRouter(n) => self.start_router(n),
+            Repair::HealCuts(cuts) => self.heal_cuts(cuts),
+            Repair::EndSlowLinks => self.net.slow_links.clear(),
+            Repair::EndPacketLoss => self.end_packet_loss(),
+            Repair::RestorePlatform => self.platform.clear_faults(),
         }
     }
 }
--- a/crates/sim/src/fingerprint.rs
+++ b/crates/sim/src/fingerprint.rs
@@ -2,7 +2,7 @@
 //! and over every step that was taken. Two versions of the code that behave alike give the same fingerprint for
 //! the same seed, whatever their types and fields are called.
 
-use crate::world::Place;
+use crate::world::NodeRef;
 use crc32fast::Hasher;
 use std::time::Duration;
 use wire::{Message, to_bytes};
@@ -27,7 +27,7 @@
     }
 
     /// Takes in a frame that was sent.
-    pub fn add_frame(&mut self, now: Duration, from: Place, to: Place, message: &Message) {
+    pub fn add_frame(&mut self, now: Duration, from: NodeRef, to: NodeRef, message: &Message) {
         let Some(hasher) = &mut self.hasher else { return };
         hasher.update(&now.as_nanos().to_le_bytes());
         hasher.update(&end(from));
@@ -41,10 +41,10 @@
     }
 }
 
-fn end(place: Place) -> [u8; 9] {
-    let (kind, index) = match place {
-        Place::Registry(index) => (0, index),
-        Place::Router(index) => (1, index),
+fn end(node_ref: NodeRef) -> [u8; 9] {
+    let (kind, index) = match node_ref {
+        NodeRef::Registry(index) => (0, index),
+        NodeRef::Router(index) => (1, index),
     };
     let mut bytes = [kind; 9];
     bytes[1..].copy_from_slice(&(index as u64).to_le_bytes());
--- a/crates/sim/src/follow_ups.rs
+++ b/crates/sim/src/follow_ups.rs
@@ -1,19 +1,19 @@
 //! What follows a failure some time later: each step says what is done, and the failure that sent for it
 //! knows when.
 
-use crate::strikes::Blow;
-use crate::world::{Place, World};
+use crate::triggered_faults::TriggeredFault;
+use crate::world::{NodeRef, World};
 use std::time::Duration;
 
 /// What follows a failure some time later.
 #[derive(Clone, Debug)]
 pub enum FollowUp {
-    Strike {
+    TriggeredFault {
         at: usize,
-        blow: Blow,
+        fault: TriggeredFault,
     },
     Cut {
-        cuts: Vec<(Place, Place)>,
+        cuts: Vec<(NodeRef, NodeRef)>,
         lasts: Duration,
     },
     RestartRegistry {
@@ -61,16 +61,16 @@
         left: usize,
         planned: bool,
     },
-    LastBlow,
+    FallbackFinalFault,
     ResetLossyLink {
-        link: (Place, Place),
+        link: (NodeRef, NodeRef),
     },
 }
 
 impl World {
     pub(crate) fn take_follow_up(&mut self, step: FollowUp) {
         match step {
-            FollowUp::Strike { at, blow } => self.strike(at, blow),
+            FollowUp::TriggeredFault { at, fault } => self.apply_triggered_fault(at, fault),
             FollowUp::Cut { cuts, lasts } => self.begin_cut(cuts, lasts),
             FollowUp::RestartRegistry { registry } => self.kill_registry_for(registry, 100, 1500),
             FollowUp::Change { registry, count } => self.send_changes(registry, count),
@@ -83,7 +83,7 @@
             FollowUp::Retiring { registry, until } => self.await_retirement(registry, until),
             FollowUp::Stopping { registry, until } => self.await_stop(registry, until),
             FollowUp::ReplaceNext { left, planned } => self.replace_next(left, planned),
-            FollowUp::LastBlow => self.last_blow_without_moment(),
+            FollowUp::FallbackFinalFault => self.fallback_final_fault(),
             FollowUp::ResetLossyLink { link } => self.reset_lossy_link(link),
         }
     }
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -1,10 +1,10 @@
 //! The instances in the simulator: they take tasks up to their limit, crash, turn away, or do the
 //! work and lose the answer.
 
-use crate::chances::Sort;
-use crate::router_node::Turn;
+use crate::platform::Work;
+use crate::router_node::RouterInput;
+use crate::sorts::Sort;
 use crate::world::{Event, World};
-use crate::yard::Work;
 use rand::RngExt;
 use std::time::Duration;
 use traffic::{DispatchOrder, DispatchOutcome, OwnerInput};
@@ -20,32 +20,35 @@
             .map(|line| String::from_utf8_lossy(line.value.as_slice()).into_owned())
             .unwrap_or_default();
         let seen = self.seen_by_instance(&label, &order.head, &order.body);
-        self.say(|| format!("task {label} goes from router {n} to {}", order.address));
-        let lost = self.dice.random_bool(self.yard.lose);
-        let garbled = self.dice.random_bool(self.yard.garble);
-        let rejections = self.dice.random_bool(self.yard.turn_away);
-        self.count_instance(&label, &order.address);
-        let limits = &self.yard.limits;
-        let longest = if self.plan.sort == Sort::Resets { 500 } else { 120 };
-        let mut took = Duration::from_millis(self.dice.random_range(20..longest));
-        let told = self.yard.told_gone.get(&(n, order.address.clone())).copied();
-        if told.is_some_and(|at| self.now > at + Duration::from_secs(3)) {
-            self.rules.tell(self.now, format!("{label} was sent to {} long after it was known leaving", order.address));
+        self.log(|| format!("task {label} goes from router {n} to {}", order.address));
+        let lost = self.rng.random_bool(self.platform.lost_answer_rate);
+        let garbled = self.rng.random_bool(self.platform.garbled_answer_rate);
+        let rejections = self.rng.random_bool(self.platform.rejection_rate);
+        self.record_instance(&label, &order.address);
+        let reduced_limits = &self.platform.reduced_limits;
+        let max_ms = if self.plan.sort == Sort::Resets { 500 } else { 120 };
+        let mut duration = Duration::from_millis(self.rng.random_range(20..max_ms));
+        let leaving_since = self.platform.leaving_seen.get(&(n, order.address.clone())).copied();
+        if leaving_since.is_some_and(|at| self.now > at + Duration::from_secs(3)) {
+            self.rules.report_violation(
+                self.now,
+                format!("{label} was sent to {} long after it was known leaving", order.address),
+            );
         }
         let now = self.now;
         let declared = self.plan.limit;
-        let limit = |service: &String| limits.get(service).copied().unwrap_or(declared);
-        let outcome = match self.yard.instances.get_mut(&order.address) {
+        let limit = |service: &String| reduced_limits.get(service).copied().unwrap_or(declared);
+        let outcome = match self.platform.instances.get_mut(&order.address) {
             None => DispatchOutcome::Unreachable,
             Some(instance) if instance.ready_at > now => DispatchOutcome::Unreachable,
             Some(instance) if instance.busy >= limit(&instance.service) || rejections => {
                 let service = instance.service.clone();
-                let (busy, over) = (instance.busy, instance.busy >= declared);
-                self.rules.turned_away(now, &service, over);
-                self.say(|| format!("task {label} of {service} rejected by {}, which has {busy}", order.address));
+                let (busy, is_over_limit) = (instance.busy, instance.busy >= declared);
+                self.rules.rejected(now, &service, is_over_limit);
+                self.log(|| format!("task {label} of {service} rejected by {}, which has {busy}", order.address));
                 DispatchOutcome::Complete {
                     status: 503,
-                    head: empty(),
+                    head: empty_head(),
                     body: b"at its limit".to_vec(),
                     turned_away: true,
                 }
@@ -56,12 +59,12 @@
                 self.rules.ran(now, &label, &service);
                 self.rules.ran_for_consumer(now, &label, &seen);
                 if lost || garbled {
-                    let told = if lost { "lost" } else { "bytes after the answer's declared end" };
-                    DispatchOutcome::InDoubt { detail: told.into(), timed_out: false }
+                    let detail = if lost { "lost" } else { "bytes after the answer's declared end" };
+                    DispatchOutcome::InDoubt { detail: detail.into(), timed_out: false }
                 } else {
                     DispatchOutcome::Complete {
                         status: 200,
-                        head: empty(),
+                        head: empty_head(),
                         body: label.clone().into_bytes(),
                         turned_away: false,
                     }
@@ -70,32 +73,32 @@
         };
         let ran = matches!(&outcome, DispatchOutcome::Complete { status: 200, .. } | DispatchOutcome::InDoubt { .. });
         if !ran {
-            took = Duration::from_millis(self.dice.random_range(1..15));
+            duration = Duration::from_millis(self.rng.random_range(1..15));
         }
-        self.yard.next += 1;
-        let number = self.yard.next;
+        self.platform.last_work_number += 1;
+        let number = self.platform.last_work_number;
         let instance = if ran { order.address } else { String::new() };
-        let work = Work { router: n, life: self.routers[n].life, order: order.number, instance, outcome };
-        self.yard.work.insert(number, work);
-        self.after(took, Event::InstanceDone { number });
+        let work = Work { router: n, run_id: self.routers[n].run_id, order: order.number, instance, outcome };
+        self.platform.work.insert(number, work);
+        self.schedule_after(duration, Event::InstanceDone { number });
     }
 
     /// Whoever is there gets what is sent to it, also where it turns it away.
-    fn count_instance(&mut self, label: &str, id: &str) {
-        let Some(instance) = self.yard.instances.get(id).filter(|instance| instance.ready_at <= self.now) else {
+    fn record_instance(&mut self, label: &str, id: &str) {
+        let Some(instance) = self.platform.instances.get(id).filter(|instance| instance.ready_at <= self.now) else {
             return;
         };
-        let most = self.most_instances(&instance.service);
-        self.rules.sent_to(self.now, label, id, most);
+        let most = self.max_instances_per_try(&instance.service);
+        self.rules.sent_to_instance(self.now, label, id, most);
     }
 
     pub fn instance_done(&mut self, number: u64) {
-        let router = self.yard.work.get(&number).map(|work| work.router);
-        if let Some(until) = router.and_then(|n| self.frozen_until(crate::world::Place::Router(n))) {
-            return self.at(until, Event::InstanceDone { number });
+        let router = self.platform.work.get(&number).map(|work| work.router);
+        if let Some(until) = router.and_then(|n| self.frozen_until(crate::world::NodeRef::Router(n))) {
+            return self.schedule_at(until, Event::InstanceDone { number });
         }
-        let Some(work) = self.yard.work.remove(&number) else { return };
-        let alive = match self.yard.instances.get_mut(&work.instance) {
+        let Some(work) = self.platform.work.remove(&number) else { return };
+        let alive = match self.platform.instances.get_mut(&work.instance) {
             Some(instance) => {
                 instance.busy = instance.busy.saturating_sub(1);
                 true
@@ -104,13 +107,16 @@
         };
         let outcome =
             if alive { work.outcome } else { DispatchOutcome::InDoubt { detail: "crashed".into(), timed_out: false } };
-        if self.routers[work.router].life != work.life {
+        if self.routers[work.router].run_id != work.run_id {
             return;
         }
-        self.turn(work.router, Turn::FunctionOwner(OwnerInput::Dispatched { number: work.order, outcome }));
+        self.feed_router(
+            work.router,
+            RouterInput::FunctionOwner(OwnerInput::Dispatched { number: work.order, outcome }),
+        );
     }
 }
 
-fn empty() -> Vec<u8> {
+fn empty_head() -> Vec<u8> {
     wire::to_bytes(&AnswerHead::default())
 }
--- a/crates/sim/src/link_faults.rs
+++ b/crates/sim/src/link_faults.rs
@@ -2,8 +2,8 @@
 //! delay until it is sent again, behind which all later frames wait, and a burst of losses as a reset.
 
 use crate::follow_ups::FollowUp;
-use crate::router_node::Turn;
-use crate::world::{Event, Place, World};
+use crate::router_node::RouterInput;
+use crate::world::{Event, NodeRef, World};
 use rand::RngExt;
 use std::time::Duration;
 use traffic::{DispatchOutcome, FrontInput};
@@ -13,57 +13,57 @@
 /// How many frames of a lossy link in a hundred wait for a packet to be sent again.
 const DELAYED_FRAMES: u32 = 8;
 /// How long a packet takes that is sent again once, or a few times.
-const SENT_AGAIN_MS: std::ops::Range<u64> = 200..1200;
+const RESEND_DELAY_MS: std::ops::Range<u64> = 200..1200;
 /// How often a lossy link is reset.
-const RESET_PAUSE_MS: std::ops::Range<u64> = 500..6000;
+const RESET_INTERVAL_MS: std::ops::Range<u64> = 500..6000;
 /// When a caller whose connection was reset asks again.
-const ASKED_AGAIN_MS: std::ops::Range<u64> = 10..400;
-const FURTHER_TRIES: u32 = 3;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 10..400;
+const MAX_TRIES_AFTER_RESET: u32 = 3;
 
 impl World {
     /// Some pairs of machines have a lossy link for a while. Says how long it lasts until what was delayed is there.
     pub(crate) fn lose_packets(&mut self, lasts: Duration) -> Duration {
-        let places = self.places();
+        let nodes = self.nodes();
         let until = self.now + lasts;
-        for (index, a) in places.iter().enumerate() {
-            for b in &places[index + 1..] {
-                if self.dice.random_ratio(1, LOSSY_LINKS) {
-                    self.say(|| format!("{a:?} and {b:?} have a lossy link"));
-                    self.net.lossy.extend([((*a, *b), until), ((*b, *a), until)]);
+        for (index, a) in nodes.iter().enumerate() {
+            for b in &nodes[index + 1..] {
+                if self.rng.random_ratio(1, LOSSY_LINKS) {
+                    self.log(|| format!("{a:?} and {b:?} have a lossy link"));
+                    self.net.lossy_links.extend([((*a, *b), until), ((*b, *a), until)]);
                     self.reset_lossy_link_later((*a, *b));
                 }
             }
         }
-        let all_there = lasts + Duration::from_millis(SENT_AGAIN_MS.end);
-        self.after(all_there, Event::Mend { what: crate::faults::Mending::EndLosses });
+        let all_there = lasts + Duration::from_millis(RESEND_DELAY_MS.end);
+        self.schedule_after(all_there, Event::Repair { repair: crate::faults::Repair::EndPacketLoss });
         all_there
     }
 
     /// Links whose last delayed frames have arrived are as they were.
-    pub(crate) fn end_losses(&mut self) {
+    pub(crate) fn end_packet_loss(&mut self) {
         let now = self.now;
-        self.net.lossy.retain(|_, until| *until + Duration::from_millis(SENT_AGAIN_MS.end) > now);
+        self.net.lossy_links.retain(|_, until| *until + Duration::from_millis(RESEND_DELAY_MS.end) > now);
     }
 
     /// What a frame waits for a packet of its link to be sent again.
-    pub(crate) fn delay_by_losses(&mut self, from: Place, to: Place) -> Duration {
+    pub(crate) fn delay_by_losses(&mut self, from: NodeRef, to: NodeRef) -> Duration {
         let is_lossy = self.is_lossy((from, to));
-        if is_lossy && self.dice.random_ratio(DELAYED_FRAMES, 100) {
-            return Duration::from_millis(self.dice.random_range(SENT_AGAIN_MS));
+        if is_lossy && self.rng.random_ratio(DELAYED_FRAMES, 100) {
+            return Duration::from_millis(self.rng.random_range(RESEND_DELAY_MS));
         }
         Duration::ZERO
     }
 
-    fn is_lossy(&self, link: (Place, Place)) -> bool {
-        self.net.lossy.get(&link).is_some_and(|until| *until > self.now)
+    fn is_lossy(&self, link: (NodeRef, NodeRef)) -> bool {
+        self.net.lossy_links.get(&link).is_some_and(|until| *until > self.now)
     }
 
-    fn reset_lossy_link_later(&mut self, link: (Place, Place)) {
-        let wait = self.ms(RESET_PAUSE_MS.start, RESET_PAUSE_MS.end);
+    fn reset_lossy_link_later(&mut self, link: (NodeRef, NodeRef)) {
+        let wait = self.random_ms(RESET_INTERVAL_MS.start, RESET_INTERVAL_MS.end);
         self.follow_up(wait, FollowUp::ResetLossyLink { link });
     }
 
-    pub(crate) fn reset_lossy_link(&mut self, (a, b): (Place, Place)) {
+    pub(crate) fn reset_lossy_link(&mut self, (a, b): (NodeRef, NodeRef)) {
         if self.is_lossy((a, b)) {
             self.break_connection(a, b);
             self.break_connection(b, a);
@@ -73,13 +73,13 @@
 
     /// All that a router holds is reset: the links to other machines, callers' connections, and those to instances.
     pub(crate) fn reset_connections_of(&mut self, router: usize) {
-        let me = Place::Router(router);
-        self.say(|| format!("all connections of router {router} are reset"));
-        for other in self.places().into_iter().filter(|other| *other != me) {
+        let me = NodeRef::Router(router);
+        self.log(|| format!("all connections of router {router} are reset"));
+        for other in self.nodes().into_iter().filter(|other| *other != me) {
             self.break_connection(me, other);
             self.break_connection(other, me);
         }
-        for work in self.yard.work.values_mut().filter(|work| work.router == router && !work.instance.is_empty()) {
+        for work in self.platform.work.values_mut().filter(|work| work.router == router && !work.instance.is_empty()) {
             work.outcome = DispatchOutcome::InDoubt { detail: "the connection was reset".into(), timed_out: false };
         }
         self.reset_callers_of(router);
@@ -90,25 +90,25 @@
         let open: Vec<_> = self.callers.open.extract_if(.., |(at, _), _| *at == router).collect();
         for ((_, request_id), mut task) in open {
             self.callers.lost += 1;
-            let wait = self.ms(ASKED_AGAIN_MS.start, ASKED_AGAIN_MS.end);
-            self.callers.next += 1;
-            let number = self.callers.next;
-            if task.resends < FURTHER_TRIES {
+            let wait = self.random_ms(RETRY_DELAY_MS.start, RETRY_DELAY_MS.end);
+            self.callers.last_number += 1;
+            let number = self.callers.last_number;
+            if task.resends < MAX_TRIES_AFTER_RESET {
                 task.resends += 1;
                 task.label = format!("{}#{}", task.key, task.resends);
-                task.begun = self.now + wait;
+                task.started = self.now + wait;
                 task.caller.api_key = self.key_for_repeat(&task.caller);
-                self.callers.again.insert(number, task);
-                self.after(wait, Event::CallerRetry { task: number });
+                self.callers.retries.insert(number, task);
+                self.schedule_after(wait, Event::TaskRetry { task: number });
             }
-            self.turn(router, Turn::Front(FrontInput::Gone { request_id }));
+            self.feed_router(router, RouterInput::Front(FrontInput::Gone { request_id }));
         }
     }
 
     /// One consumer sends many times its usual for a while.
-    pub(crate) fn heat_consumer(&mut self, lasts: Duration) {
-        let consumer = self.dice.random_range(0..crate::consumers::CONSUMERS);
-        self.say(|| format!("{} sends many times its usual", crate::consumers::consumer_name(consumer)));
-        self.key_book.hot = Some((consumer, self.now + lasts));
+    pub(crate) fn raise_consumer_rate(&mut self, lasts: Duration) {
+        let consumer = self.rng.random_range(0..crate::consumers::CONSUMERS);
+        self.log(|| format!("{} sends many times its usual", crate::consumers::consumer_name(consumer)));
+        self.consumer_keys.hot_consumer = Some((consumer, self.now + lasts));
     }
 }
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -14,18 +14,18 @@
 --sort: what fails [mixed]";
 
 fn main() -> ExitCode {
-    match work() {
+    match run_command() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(told) => {
-            eprintln!("sim: {told}");
+        Err(message) => {
+            eprintln!("sim: {message}");
             ExitCode::from(2)
         }
     }
 }
 
-fn work() -> Result<bool, String> {
-    let (mut what, mut seed, mut from, mut count, mut threads, mut sort) =
+fn run_command() -> Result<bool, String> {
+    let (mut command, mut seed, mut from, mut count, mut threads, mut sort) =
         (String::new(), 1u64, 1u64, 100u64, 8u64, Sort::Mixed);
     let mut line = lexopt::Parser::from_env();
     while let Some(arg) = line.next().map_err(|fault| fault.to_string())? {
@@ -34,8 +34,8 @@
                 println!("{HELP}\nSORT is one of {}.", Sort::words());
                 return Ok(true);
             }
-            Value(word) if what.is_empty() => {
-                what = word.to_string_lossy().into_owned();
+            Value(word) if command.is_empty() => {
+                command = word.to_string_lossy().into_owned();
                 continue;
             }
             Long(name) => name.to_owned(),
@@ -52,12 +52,12 @@
             _ => return Err(format!("no flag --{name}; see --help")),
         }
     }
-    match what.as_str() {
+    match command.as_str() {
         "run" => {
             let outcome = run(seed, sort, true);
             println!("seed {seed}: {}", outcome.summary);
-            outcome.broken.iter().for_each(|fault| println!("BROKEN {fault}"));
-            Ok(outcome.broken.is_empty())
+            outcome.violations.iter().for_each(|fault| println!("BROKEN {fault}"));
+            Ok(outcome.violations.is_empty())
         }
         "sweep" => Ok(sweep(from, count, threads, sort)),
         "fingerprint" => {
@@ -69,31 +69,31 @@
 }
 
 fn sweep(from: u64, count: u64, threads: u64, sort: Sort) -> bool {
-    let hands: Vec<_> = (0..threads)
-        .map(|hand| {
+    let workers: Vec<_> = (0..threads)
+        .map(|thread| {
             std::thread::spawn(move || {
-                let mut bad = 0;
+                let mut failed = 0;
                 let mut steps = 0;
-                for seed in (from..from + count).filter(|seed| seed % threads == hand) {
+                for seed in (from..from + count).filter(|seed| seed % threads == thread) {
                     let outcome = run(seed, sort, false);
                     steps += outcome.steps;
-                    for fault in outcome.broken.iter().take(1) {
+                    for fault in outcome.violations.iter().take(1) {
                         println!("seed {seed}: BROKEN {fault}");
-                        bad += 1;
+                        failed += 1;
                     }
                 }
-                (bad, steps)
+                (failed, steps)
             })
         })
         .collect();
-    let (mut bad, mut steps) = (0, 0);
-    for hand in hands {
-        let (b, s) = hand.join().unwrap_or((1, 0));
-        bad += b;
-        steps += s;
+    let (mut failed, mut steps) = (0, 0);
+    for thread in workers {
+        let (worker_failed, worker_steps) = thread.join().unwrap_or((1, 0));
+        failed += worker_failed;
+        steps += worker_steps;
     }
-    println!("{count} seeds from {from}, {sort:?}: {steps} steps, {bad} with a broken rule");
-    bad == 0
+    println!("{count} seeds from {from}, {sort:?}: {steps} steps, {failed} with a broken rule");
+    failed == 0
 }
 
 fn fingerprints(from: u64, count: u64, threads: u64, sort: Sort) {
--- a/crates/sim/src/standing.rs
+++ b/crates/sim/src/membership_rules.rs
@@ -1,7 +1,7 @@
 //! A rule on the core's duties: while two registries at least have stood undisturbed for a while, a
 //! router that has long been down is no member any longer, and its owners have moved.
 
-use crate::world::{Place, World};
+use crate::world::{NodeRef, World};
 use std::time::Duration;
 
 const STOOD: Duration = Duration::from_secs(5);
@@ -15,22 +15,22 @@
             let node = &self.registries[n];
             node.frozen_until > now || node.stalled_until > now || node.full
         };
-        let up = self.registries.iter().map(|node| node.life).collect::<Vec<u64>>();
+        let up = self.registries.iter().map(|node| node.run_id).collect::<Vec<u64>>();
         let disturbed = !net.cuts.is_empty()
-            || !net.slow.is_empty()
-            || !net.lossy.is_empty()
+            || !net.slow_links.is_empty()
+            || !net.lossy_links.is_empty()
             || self.live_registries().into_iter().any(held_up)
-            || up != self.stood.1;
+            || up != self.last_disturbance.1;
         if disturbed {
-            self.stood = (now, up);
+            self.last_disturbance = (now, up);
             return;
         }
         let tail = self.registries.iter().find_map(|node| node.core.as_ref().filter(|c| c.replica().is_current_tail()));
-        let (Some(tail), true) = (tail, now > self.stood.0 + STOOD) else { return };
-        let down = |n: &usize| !self.routers[*n].alive() && now > self.routers[*n].down_since + DOWN;
-        let late = (0..self.routers.len()).filter(down).find(|n| tail.has_member(self.identity(Place::Router(*n)).0));
+        let (Some(tail), true) = (tail, now > self.last_disturbance.0 + STOOD) else { return };
+        let down = |n: &usize| !self.routers[*n].is_running() && now > self.routers[*n].down_since + DOWN;
+        let late = (0..self.routers.len()).filter(down).find(|n| tail.has_member(self.identity(NodeRef::Router(*n)).0));
         if let Some(n) = late {
-            self.rules.tell(now, format!("router {n} is a member though it has been down for long"));
+            self.rules.report_violation(now, format!("router {n} is a member though it has been down for long"));
         }
     }
 }
--- a/crates/sim/src/plan.rs
+++ b/crates/sim/src/plan.rs
@@ -1,7 +1,7 @@
 //! What a run is made of besides its failures: how many nodes, how much is asked of them, and when each part of
 //! the run begins and ends.
 
-use crate::chances::Sort;
+use crate::sorts::Sort;
 use std::ops::Range;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     pub routers: usize,
     pub functions: usize,
     pub limit: u32,
-    pub bouts: [(Duration, Duration); 2],
+    pub fault_phases: [(Duration, Duration); 2],
     pub final_fault: Duration,
     pub callers_end: Duration,
     pub end: Duration,
@@ -47,7 +47,7 @@
                 _ => 8,
             },
             limit: if sort == Sort::Wake { 1 } else { 3 },
-            bouts: match sort {
+            fault_phases: match sort {
                 // Many requests at a time, for a shorter run.
                 Sort::Resets => [(seconds(12), seconds(22)), (seconds(24), seconds(26))],
                 _ if long => [(seconds(14), seconds(28)), (seconds(70), seconds(80))],
@@ -87,7 +87,7 @@
         }
     }
 
-    pub fn in_bout(&self, now: Duration) -> bool {
-        self.bouts.iter().any(|(from, to)| *from <= now && now < *to)
+    pub fn is_in_fault_phase(&self, now: Duration) -> bool {
+        self.fault_phases.iter().any(|(from, to)| *from <= now && now < *to)
     }
 }
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's side of starts, stops and lists in the simulator: workers in three zones, late
 //! lists, starts that go unanswered but take effect, and a limit on calls.
 
-use crate::router_node::Turn;
+use crate::router_node::RouterInput;
 use crate::world::{Event, World};
 use instance_provider::{
     InstanceLine, InstanceState, Listing, ProviderOrder, ProviderReport, StartOrder, StartReply, StopReply, WorkerLine,
@@ -11,11 +11,11 @@
 use std::time::{Duration, Instant};
 use traffic::{DispatchOutcome, OwnerInput};
 
-const ORDERS: usize = 80;
+const MAX_ORDERS_PER_S: usize = 80;
 const WORKERS: usize = 6;
 /// What a binding that says nothing takes.
 const MEMORY_MB: usize = 256;
-const LAG: Duration = Duration::from_millis(1200);
+const LIST_LAG: Duration = Duration::from_millis(1200);
 
 pub struct SimInstance {
     pub service: String,
@@ -27,34 +27,35 @@
 
 pub struct Work {
     pub router: usize,
-    pub life: u64,
+    pub run_id: u64,
     pub order: u64,
     pub instance: String,
     pub outcome: DispatchOutcome,
 }
 
 #[derive(Default)]
-pub struct SimYard {
+pub struct SimPlatform {
     pub instances: BTreeMap<String, SimInstance>,
-    pub nonces: BTreeMap<(String, String), String>,
+    pub instance_by_nonce: BTreeMap<(String, String), String>,
     pub lists: VecDeque<(Duration, Listing, Vec<usize>)>,
     pub work: BTreeMap<u64, Work>,
-    pub next: u64,
-    pub lose: f64,
-    pub turn_away: f64,
-    pub unanswered: f64,
-    pub garble: f64,
-    pub limits: BTreeMap<String, u32>,
+    pub last_work_number: u64,
+    pub lost_answer_rate: f64,
+    pub rejection_rate: f64,
+    pub unanswered_rate: f64,
+    pub garbled_answer_rate: f64,
+    pub reduced_limits: BTreeMap<String, u32>,
     pub order_times: VecDeque<Duration>,
-    pub limited: u64,
-    pub told_gone: BTreeMap<(usize, String), Duration>,
+    pub limited_orders: u64,
+    pub leaving_seen: BTreeMap<(usize, String), Duration>,
     pub starts: u64,
 }
 
-impl SimYard {
-    pub fn behave(&mut self) {
-        (self.lose, self.turn_away, self.unanswered, self.garble) = (0.0, 0.0, 0.0, 0.0);
-        self.limits.clear();
+impl SimPlatform {
+    pub fn clear_faults(&mut self) {
+        (self.lost_answer_rate, self.rejection_rate, self.unanswered_rate, self.garbled_answer_rate) =
+            (0.0, 0.0, 0.0, 0.0);
+        self.reduced_limits.clear();
     }
 
     /// The platform takes about eighty orders a second.
@@ -62,37 +63,37 @@
         while self.order_times.front().is_some_and(|at| now > *at + Duration::from_secs(1)) {
             self.order_times.pop_front();
         }
-        let takes = self.order_times.len() < ORDERS;
+        let takes = self.order_times.len() < MAX_ORDERS_PER_S;
         if takes {
             self.order_times.push_back(now);
         } else {
-            self.limited += 1;
+            self.limited_orders += 1;
         }
         takes
     }
 
     pub fn forget_router(&mut self, n: usize) {
-        self.told_gone.retain(|(router, _), _| *router != n);
+        self.leaving_seen.retain(|(router, _), _| *router != n);
     }
 }
 
 impl World {
     pub fn platform_order(&mut self, n: usize, order: ProviderOrder) {
-        let lost = self.yard.unanswered > 0.0 && self.dice.random_bool(self.yard.unanswered);
-        let wait = Duration::from_millis(self.dice.random_range(2..40));
-        let boot = Duration::from_millis(self.dice.random_range(800..1500));
-        let look = matches!(order, ProviderOrder::List | ProviderOrder::Workers);
-        let taken = look || self.yard.takes_order(self.now);
+        let lost = self.platform.unanswered_rate > 0.0 && self.rng.random_bool(self.platform.unanswered_rate);
+        let wait = Duration::from_millis(self.rng.random_range(2..40));
+        let boot = Duration::from_millis(self.rng.random_range(800..1500));
+        let is_query = matches!(order, ProviderOrder::List | ProviderOrder::Workers);
+        let is_accepted = is_query || self.platform.takes_order(self.now);
         let listed_at = self.router_now(n);
         let report = match order {
             ProviderOrder::Start(order) => {
                 let nonce = order.nonce.clone();
-                let receipt = if taken { self.begin(order, boot) } else { StartReply::Limited };
+                let receipt = if is_accepted { self.start_instance(order, boot) } else { StartReply::Limited };
                 let receipt = if lost { StartReply::Unanswered } else { receipt };
                 ProviderReport::Started { nonce, receipt }
             }
             ProviderOrder::Stop { id, .. } => {
-                let known = taken.then(|| self.yard.instances.remove(&id).is_some());
+                let known = is_accepted.then(|| self.platform.instances.remove(&id).is_some());
                 let receipt = match known {
                     _ if lost => StopReply::Unanswered,
                     Some(true) => StopReply::Taken,
@@ -103,92 +104,92 @@
             }
             ProviderOrder::List | ProviderOrder::Workers if lost => return,
             ProviderOrder::List => {
-                let shown = self.yard.lists.front().map(|(_, listing, _)| listing.clone()).unwrap_or_default();
-                ProviderReport::Listed { listing: shown, asked: Instant::now() }
+                let listing = self.platform.lists.front().map(|(_, listing, _)| listing.clone()).unwrap_or_default();
+                ProviderReport::Listed { listing, asked: Instant::now() }
             }
             ProviderOrder::Workers => {
-                let free = self.yard.lists.front().map(|(_, _, free)| free.clone()).unwrap_or_default();
+                let free = self.platform.lists.front().map(|(_, _, free)| free.clone()).unwrap_or_default();
                 ProviderReport::Workers {
                     lines: free.iter().enumerate().map(worker_line).collect(),
                     asked: Instant::now(),
                 }
             }
         };
-        let wait = if look { wait / 2 } else { wait };
+        let wait = if is_query { wait / 2 } else { wait };
         let wait = if lost { wait * 50 } else { wait };
-        let life = self.routers[n].life;
-        self.after(wait, Event::Platform { router: n, life, report, listed_at });
+        let run_id = self.routers[n].run_id;
+        self.schedule_after(wait, Event::Platform { router: n, run_id, report, listed_at });
     }
 
-    fn begin(&mut self, order: StartOrder, boot: Duration) -> StartReply {
+    fn start_instance(&mut self, order: StartOrder, boot: Duration) -> StartReply {
         let key = (order.service.clone(), order.nonce);
-        if let Some(id) = self.yard.nonces.get(&key) {
+        if let Some(id) = self.platform.instance_by_nonce.get(&key) {
             return StartReply::Accepted { id: id.clone(), address: id.clone() };
         }
-        let free = self.free_places();
+        let free = self.free_slots();
         let named = order.worker.map(|name| name.trim_start_matches('w').parse::<usize>().unwrap_or(WORKERS));
-        let roomiest = || (0..WORKERS).max_by_key(|worker| free[*worker]).unwrap_or_default();
-        let worker = named.unwrap_or_else(roomiest);
+        let worker_with_most_room = || (0..WORKERS).max_by_key(|worker| free[*worker]).unwrap_or_default();
+        let worker = named.unwrap_or_else(worker_with_most_room);
         if free.get(worker).is_none_or(|free| *free == 0) {
             return StartReply::NoRoom;
         }
-        self.yard.starts += 1;
-        let id = format!("i{}", self.yard.starts);
+        self.platform.starts += 1;
+        let id = format!("i{}", self.platform.starts);
         let ready_at = self.now + boot;
         let instance = SimInstance { service: order.service, worker, ready_at, busy: 0, leaving: false };
-        self.yard.instances.insert(id.clone(), instance);
-        self.yard.nonces.insert(key, id.clone());
+        self.platform.instances.insert(id.clone(), instance);
+        self.platform.instance_by_nonce.insert(key, id.clone());
         StartReply::Accepted { id: id.clone(), address: id }
     }
 
     /// How many more instances each worker has room for.
-    fn free_places(&self) -> Vec<usize> {
+    fn free_slots(&self) -> Vec<usize> {
         let all = self.plan.instances;
-        let on = |worker| self.yard.instances.values().filter(|instance| instance.worker == worker).count();
+        let on = |worker| self.platform.instances.values().filter(|instance| instance.worker == worker).count();
         let capacity = |worker| all / WORKERS + usize::from(worker < all % WORKERS);
         (0..WORKERS).map(|worker| capacity(worker).saturating_sub(on(worker))).collect()
     }
 
     /// A look whether an instance takes connections: it does from its start on, if it lives.
     pub fn probe(&mut self, n: usize, id: String, after: Duration, limit: Duration) {
-        let (life, wait) = (self.routers[n].life, Duration::from_millis(self.dice.random_range(2..40)));
-        let ready_at = self.yard.instances.get(&id).map(|instance| instance.ready_at);
+        let (run_id, wait) = (self.routers[n].run_id, Duration::from_millis(self.rng.random_range(2..40)));
+        let ready_at = self.platform.instances.get(&id).map(|instance| instance.ready_at);
         let (at, ready) = match ready_at.map(|at| at.max(self.now + after)) {
             Some(at) if at <= self.now + limit => (at, true),
             _ => (self.now + limit, false),
         };
-        self.at(at + wait, Event::Probed { router: n, life, id, ready });
+        self.schedule_at(at + wait, Event::Probed { router: n, run_id, id, ready });
     }
 
-    pub fn probed(&mut self, n: usize, life: u64, id: String, ready: bool) {
-        if self.routers[n].life != life {
+    pub fn deliver_probe_result(&mut self, n: usize, run_id: u64, id: String, ready: bool) {
+        if self.routers[n].run_id != run_id {
             return;
         }
-        if let Some(until) = self.frozen_until(crate::world::Place::Router(n)) {
-            return self.at(until, Event::Probed { router: n, life, id, ready });
+        if let Some(until) = self.frozen_until(crate::world::NodeRef::Router(n)) {
+            return self.schedule_at(until, Event::Probed { router: n, run_id, id, ready });
         }
-        let ready = ready && self.yard.instances.contains_key(&id);
-        self.turn(n, Turn::FunctionOwner(OwnerInput::Probed { id, ready }));
+        let ready = ready && self.platform.instances.contains_key(&id);
+        self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Probed { id, ready }));
     }
 
-    pub fn reported(&mut self, n: usize, life: u64, report: ProviderReport, listed_at: Duration) {
-        if self.routers[n].life != life {
+    pub fn deliver_platform_report(&mut self, n: usize, run_id: u64, report: ProviderReport, listed_at: Duration) {
+        if self.routers[n].run_id != run_id {
             return;
         }
-        if let Some(until) = self.frozen_until(crate::world::Place::Router(n)) {
-            return self.at(until, Event::Platform { router: n, life, report, listed_at });
+        if let Some(until) = self.frozen_until(crate::world::NodeRef::Router(n)) {
+            return self.schedule_at(until, Event::Platform { router: n, run_id, report, listed_at });
         }
         if let ProviderReport::Listed { listing, .. } = &report {
             for line in listing.instances.iter().filter(|line| line.state == InstanceState::Leaving) {
-                self.yard.told_gone.entry((n, line.id.clone())).or_insert(self.now);
+                self.platform.leaving_seen.entry((n, line.id.clone())).or_insert(self.now);
             }
         }
-        self.turn(n, Turn::FunctionOwner(OwnerInput::Platform { report, listed_at }));
+        self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Platform { report, listed_at }));
     }
 
     /// Twice a second the lists are noted, to be shown a while later.
-    pub fn listing(&mut self) {
-        let lines = self.yard.instances.iter().map(|(id, instance)| InstanceLine {
+    pub fn record_listing(&mut self) {
+        let lines = self.platform.instances.iter().map(|(id, instance)| InstanceLine {
             id: id.clone(),
             service: instance.service.clone(),
             address: id.clone(),
@@ -201,11 +202,11 @@
             },
         });
         let list = Listing { instances: lines.collect() };
-        self.yard.lists.push_back((self.now, list, self.free_places()));
-        while self.yard.lists.len() > 1 && self.yard.lists[1].0 + LAG <= self.now {
-            self.yard.lists.pop_front();
+        self.platform.lists.push_back((self.now, list, self.free_slots()));
+        while self.platform.lists.len() > 1 && self.platform.lists[1].0 + LIST_LAG <= self.now {
+            self.platform.lists.pop_front();
         }
-        self.after(Duration::from_millis(500), Event::Listing);
+        self.schedule_after(Duration::from_millis(500), Event::RecordListing);
     }
 }
 
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -1,7 +1,7 @@
 //! A registry in the simulator: the real core over a disk that keeps only what was synced.
 
 use crate::slowness::SLOW_DISK;
-use crate::world::{Event, Place, TICK, World};
+use crate::world::{Event, NodeRef, TICK, World};
 use bindings::RouteTable;
 use chain::{Batch, ChainReplica, StoredReplica, Timing};
 use control::{Core, CoreInput, CoreOutput, CoreTiming, Planner};
@@ -9,12 +9,12 @@
 use std::time::Duration;
 use wire::{Message, NodeAddress, NodeId, PlanMessage};
 
-const SOLVE: Duration = Duration::from_secs(60);
+const SOLVE_LIMIT: Duration = Duration::from_secs(60);
 
 pub struct RegistryNode {
     pub id: NodeId,
     pub address: String,
-    pub life: u64,
+    pub run_id: u64,
     pub core: Option<Core>,
     pub disk: StoredReplica,
     pub pending: Option<(u64, Batch)>,
@@ -22,7 +22,7 @@
     pub full: bool,
     /// A write was refused since the process started or came back.
     pub refused_write: bool,
-    pub base: Duration,
+    pub started_at: Duration,
     pub frozen_until: Duration,
     pub drift: f64,
     pub planner: Planner,
@@ -30,14 +30,14 @@
     /// Seeds of its own, where its settings were written after the others'.
     pub seeds: Vec<String>,
     /// Addresses that a seed told of while it was empty.
-    pub told: Vec<String>,
+    pub learned_addresses: Vec<String>,
     pub started_before: bool,
     /// Gone for good, after a planned stop.
     pub retired: bool,
     pub retired_at: Duration,
     /// Its disk was lost, and it has not been in the chain since.
-    pub disk_lost: bool,
-    pub last_trouble: Duration,
+    pub is_disk_lost: bool,
+    pub last_disturbed: Duration,
 }
 
 impl World {
@@ -51,25 +51,25 @@
         self.registries.push(RegistryNode {
             id: 0,
             address,
-            life: 0,
+            run_id: 0,
             core: None,
             disk: StoredReplica::default(),
             pending: None,
             stalled_until: Duration::ZERO,
             full: false,
             refused_write: false,
-            base: Duration::ZERO,
+            started_at: Duration::ZERO,
             frozen_until: Duration::ZERO,
             drift: 1.0,
             planner: Planner::default(),
             slow_disk_until: Duration::ZERO,
             seeds: Vec::new(),
-            told: Vec::new(),
+            learned_addresses: Vec::new(),
             started_before: false,
             retired: false,
             retired_at: Duration::ZERO,
-            disk_lost: false,
-            last_trouble: self.now,
+            is_disk_lost: false,
+            last_disturbed: self.now,
         });
     }
 
@@ -77,8 +77,8 @@
         if self.registries[n].core.is_some() || self.registries[n].retired {
             return;
         }
-        let new_id = self.dice.random::<u64>() | 1;
-        let life = self.dice.random::<u64>() >> 8;
+        let new_id = self.rng.random::<u64>() | 1;
+        let run_id = self.rng.random::<u64>() >> 8;
         let now = self.now;
         let drift = self.drift();
         let node = &mut self.registries[n];
@@ -87,15 +87,15 @@
         let address = NodeAddress { id, address: node.address.as_str().into() };
         node.disk.meta.node = address.clone();
         node.id = id;
-        node.life = life;
-        node.base = now;
+        node.run_id = run_id;
+        node.started_at = now;
         node.full = false;
         node.refused_write = false;
         node.frozen_until = Duration::ZERO;
         node.planner = Planner::default();
         node.planner.set_view(node.disk.meta.view.clone());
-        node.told.clear();
-        node.last_trouble = now;
+        node.learned_addresses.clear();
+        node.last_disturbed = now;
         let founds = !node.started_before && self.seeds.contains(&node.address);
         node.started_before = true;
         let mut member =
@@ -104,16 +104,16 @@
             member =
                 member.with_founders(if founds { self.seeds.len() } else { 0 }).with_tolerated_losses(self.plan.losses);
         }
-        node.core = Some(Core::new(member, CoreTiming::default().with_peer_hold(self.plan.peer_hold), life << 20));
-        self.net.names.insert(id, Place::Registry(n));
-        self.say(|| format!("registry {n} starts as {id:016x}"));
-        self.after(TICK, Event::Tick { at: Place::Registry(n), life });
+        node.core = Some(Core::new(member, CoreTiming::default().with_peer_hold(self.plan.peer_hold), run_id << 20));
+        self.net.node_by_id.insert(id, NodeRef::Registry(n));
+        self.log(|| format!("registry {n} starts as {id:016x}"));
+        self.schedule_after(TICK, Event::Tick { at: NodeRef::Registry(n), run_id });
         self.announce(id, true);
     }
 
     /// Power loss: a write not yet reported may or may not have reached the disk.
     pub fn kill_registry(&mut self, n: usize) {
-        let landed = self.dice.random_ratio(1, 3);
+        let landed = self.rng.random_ratio(1, 3);
         let node = &mut self.registries[n];
         if node.core.take().is_none() {
             return;
@@ -123,11 +123,11 @@
         {
             node.disk.apply(&batch);
         }
-        node.life = 0;
-        node.last_trouble = self.now;
+        node.run_id = 0;
+        node.last_disturbed = self.now;
         let id = node.id;
-        self.say(|| format!("registry {n} is killed"));
-        self.operators.lost_registry(self.now, n);
+        self.log(|| format!("registry {n} is killed"));
+        self.operators.registry_stopped(self.now, n);
         self.announce(id, false);
     }
 
@@ -142,14 +142,14 @@
 
     fn registry_now(&self, n: usize) -> Duration {
         let node = &self.registries[n];
-        self.now.saturating_sub(node.base).mul_f64(node.drift)
+        self.now.saturating_sub(node.started_at).mul_f64(node.drift)
     }
 
     pub fn tick_registry(&mut self, n: usize) {
         self.feed_registry(n, CoreInput::Tick);
     }
 
-    pub fn to_registry(&mut self, n: usize, from: NodeId, incarnation: u64, message: Message) {
+    pub fn deliver_to_registry(&mut self, n: usize, from: NodeId, incarnation: u64, message: Message) {
         match message {
             Message::Chain(message) => self.feed_registry(n, CoreInput::Chain { from, message }),
             Message::Lease(message) => self.feed_registry(n, CoreInput::Router { from, incarnation, message }),
@@ -161,19 +161,19 @@
     fn optimize(&mut self, n: usize, from: NodeId, message: PlanMessage) {
         let now = self.registry_now(n);
         let node = &mut self.registries[n];
-        for planned in node.planner.step(now, node.id, from, message, SOLVE) {
-            self.send(Place::Registry(n), planned.to, Message::Plan(planned.message));
+        for planned in node.planner.step(now, node.id, from, message, SOLVE_LIMIT) {
+            self.send(NodeRef::Registry(n), planned.to, Message::Plan(planned.message));
         }
     }
 
-    pub fn written(&mut self, n: usize, life: u64, ticket: u64) {
+    pub fn write_finished(&mut self, n: usize, run_id: u64, ticket: u64) {
         let node = &mut self.registries[n];
-        if node.life != life {
+        if node.run_id != run_id {
             return;
         }
         let until = node.stalled_until.max(node.frozen_until);
         if until > self.now {
-            return self.at(until, Event::Written { registry: n, life, ticket });
+            return self.schedule_at(until, Event::WriteFinished { registry: n, run_id, ticket });
         }
         if node.full {
             node.refused_write = true;
@@ -186,7 +186,7 @@
     }
 
     fn registry_output(&mut self, n: usize, output: CoreOutput) {
-        let from = Place::Registry(n);
+        let from = NodeRef::Registry(n);
         match output {
             CoreOutput::Registry { to, message } => self.send(from, to, Message::Chain(message)),
             CoreOutput::Router { to, message } => self.send(from, to, Message::Lease(message)),
@@ -194,34 +194,35 @@
                 let seeds = self.seeds_of(n);
                 for other in 0..self.registries.len() {
                     if seeds.contains(&self.registries[other].address) && other != n {
-                        self.send_place(from, Place::Registry(other), Message::Chain(message.clone()));
+                        self.send_place(from, NodeRef::Registry(other), Message::Chain(message.clone()));
                     }
                 }
             }
             CoreOutput::Write { ticket, batch } => {
                 let times = if self.registries[n].slow_disk_until > self.now { SLOW_DISK } else { 1 };
-                let wait = Duration::from_micros(self.dice.random_range(400..4000)) * times;
-                let life = self.registries[n].life;
+                let wait = Duration::from_micros(self.rng.random_range(400..4000)) * times;
+                let run_id = self.registries[n].run_id;
                 self.registries[n].pending = Some((ticket, batch));
-                self.after(wait, Event::Written { registry: n, life, ticket });
+                self.schedule_after(wait, Event::WriteFinished { registry: n, run_id, ticket });
             }
             CoreOutput::Reply { request_id, reply } => self.operator_answer(n, request_id, reply),
             CoreOutput::ViewLearned { view } => {
-                self.registries[n].told = view.voters.iter().map(|node| node.address.as_str().to_owned()).collect();
+                self.registries[n].learned_addresses =
+                    view.voters.iter().map(|node| node.address.as_str().to_owned()).collect();
             }
             CoreOutput::ViewAdopted { view } => {
-                self.say(|| {
+                self.log(|| {
                     let chain: Vec<String> = view.chain.iter().map(|id| format!("{:04x}", id >> 48)).collect();
                     format!("registry {n} adopts view {} chain {}", view.number, chain.join(" "))
                 });
                 self.registries[n].planner.set_view(view);
             }
             CoreOutput::CaughtUp { missed_entries: missed } => {
-                self.brought_back[usize::from(missed.is_none())] += 1;
-                self.say(|| format!("registry {n} is brought back, missed {missed:?}"));
+                self.catch_up_counts[usize::from(missed.is_none())] += 1;
+                self.log(|| format!("registry {n} is brought back, missed {missed:?}"));
             }
             CoreOutput::ActivationDelayed { step, wait, .. } => {
-                self.say(|| format!("registry {n}: step {step} waits for {}", wait.name()));
+                self.log(|| format!("registry {n}: step {step} waits for {}", wait.name()));
             }
             CoreOutput::ChangeInvalid { .. } => {}
             CoreOutput::Activated { step } => {
--- a/crates/sim/src/replacement.rs
+++ b/crates/sim/src/replacement.rs
@@ -9,27 +9,27 @@
 
 /// How long a registry that was asked to stop waits to be out of the chain, as the program does.
 pub(crate) const GRACE: Duration = Duration::from_secs(4);
-pub(crate) const LOOK: Duration = Duration::from_millis(20);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How many are replaced in one bout at the most.
-const IN_TURN: usize = 3;
+const MAX_REPLACEMENTS: usize = 3;
 
 impl World {
     /// The machine is gone with its disk; an empty one comes, mostly at an address of its own.
-    pub(crate) fn replace_with_empty(&mut self, n: usize, back: Duration) {
+    pub(crate) fn replace_with_empty(&mut self, n: usize, outage: Duration) {
         self.kill_registry(n);
         self.registries[n].disk = StoredReplica::default();
-        self.registries[n].disk_lost = true;
-        if self.dice.random_bool(0.7) {
+        self.registries[n].is_disk_lost = true;
+        if self.rng.random_bool(0.7) {
             self.registries[n].address = self.new_address();
         }
         self.registries[n].seeds = self.addresses_of_others(n);
-        self.say(|| format!("registry {n} is lost with its disk"));
-        self.after(back, crate::world::Event::Mend { what: crate::faults::Mending::StartRegistry(n) });
+        self.log(|| format!("registry {n} is lost with its disk"));
+        self.schedule_after(outage, crate::world::Event::Repair { repair: crate::faults::Repair::StartRegistry(n) });
     }
 
     pub(crate) fn new_address(&mut self) -> String {
-        self.next += 1;
-        format!("10.0.9.{}:1", self.next)
+        self.last_number += 1;
+        format!("10.0.9.{}:1", self.last_number)
     }
 
     /// What settings written now name as seeds: three other registries at the most.
@@ -45,45 +45,45 @@
         if self.seeds.iter().any(is_present) { self.seeds.clone() } else { self.addresses_of_others(usize::MAX) }
     }
 
-    pub(crate) fn replace_unplanned(&mut self, back: Duration) {
-        if self.disks_that_may_go() == 0 {
+    pub(crate) fn replace_unplanned(&mut self, outage: Duration) {
+        if self.remaining_disk_losses() == 0 {
             return;
         }
-        let target = self.chosen_registry();
-        self.replace_with_empty(target, back.min(Duration::from_secs(4)));
+        let target = self.pick_registry();
+        self.replace_with_empty(target, outage.min(Duration::from_secs(4)));
     }
 
     /// One that is calm gets a successor, and some time later is asked to stop.
     pub(crate) fn replace_planned(&mut self) {
-        if self.disks_that_may_go() == 0 || self.replacing.is_some() {
+        if self.remaining_disk_losses() == 0 || self.replacing.is_some() {
             return;
         }
-        let old = self.chosen_registry();
+        let old = self.pick_registry();
         let new = self.registries.len();
         let address = self.new_address();
         let seeds = self.addresses_of_others(new);
         self.push_registry(address);
         self.registries[new].seeds = seeds;
-        self.say(|| format!("registry {new} is to replace registry {old}"));
+        self.log(|| format!("registry {new} is to replace registry {old}"));
         self.start_registry(new);
         self.replacing = Some((old, new));
-        let wait = self.ms(300, 6000);
+        let wait = self.random_ms(300, 6000);
         self.follow_up(wait, FollowUp::Retire { registry: old });
     }
 
     pub(crate) fn retire(&mut self, registry: usize) {
         let pair = self.replacing;
         let in_pair = |n: &usize| pair.is_some_and(|(old, new)| *n == old || *n == new);
-        let others_lost = self.live_registries().iter().filter(|n| !in_pair(n) && !self.is_well(**n)).count();
+        let others_lost = self.live_registries().iter().filter(|n| !in_pair(n) && !self.is_healthy(**n)).count();
         if others_lost >= self.plan.losses || self.registries[registry].core.is_none() {
             return self.follow_up(Duration::from_millis(100), FollowUp::Retire { registry });
         }
-        self.say(|| format!("registry {registry} is asked to stop for good"));
+        self.log(|| format!("registry {registry} is asked to stop for good"));
         self.registries[registry].retired = true;
         self.registries[registry].retired_at = self.now;
         self.feed_registry(registry, control::CoreInput::Leave { within: GRACE });
         let until = self.now + GRACE;
-        self.follow_up(LOOK, FollowUp::Retiring { registry, until });
+        self.follow_up(POLL_INTERVAL, FollowUp::Retiring { registry, until });
     }
 
     /// What keeps a registry that was asked to stop from ending.
@@ -98,33 +98,37 @@
             return; // It was killed meanwhile.
         }
         if self.departure_wait(registry).is_some() && self.now < until {
-            return self.follow_up(LOOK, FollowUp::Stopping { registry, until });
+            return self.follow_up(POLL_INTERVAL, FollowUp::Stopping { registry, until });
         }
         self.kill_registry(registry);
-        let back = self.ms(500, 3000);
-        self.after(back, crate::world::Event::Mend { what: crate::faults::Mending::StartRegistry(registry) });
+        let outage = self.random_ms(500, 3000);
+        self.schedule_after(
+            outage,
+            crate::world::Event::Repair { repair: crate::faults::Repair::StartRegistry(registry) },
+        );
     }
 
     pub(crate) fn await_retirement(&mut self, registry: usize, until: Duration) {
         let wait = self.departure_wait(registry);
         if wait.is_some() && self.now < until {
-            return self.follow_up(LOOK, FollowUp::Retiring { registry, until });
+            return self.follow_up(POLL_INTERVAL, FollowUp::Retiring { registry, until });
         }
-        self.say(|| format!("registry {registry} goes for good, it waits for {wait:?}"));
+        self.log(|| format!("registry {registry} goes for good, it waits for {wait:?}"));
         let others = self.live_registries();
-        if wait.is_some() && others.iter().all(|n| self.is_well(*n)) {
+        if wait.is_some() && others.iter().all(|n| self.is_healthy(*n)) {
             let patience = GRACE.as_secs();
-            self.rules.tell(self.now, format!("registry {registry} could not leave within {patience} s of calm"));
+            self.rules
+                .report_violation(self.now, format!("registry {registry} could not leave within {patience} s of calm"));
         }
         self.kill_registry(registry);
         self.replacing = None;
     }
 
-    pub(crate) fn replace_in_turn(&mut self) -> Duration {
-        let planned = self.dice.random_bool(0.5);
-        let left = self.live_registries().len().min(IN_TURN);
+    pub(crate) fn replace_several(&mut self) -> Duration {
+        let planned = self.rng.random_bool(0.5);
+        let left = self.live_registries().len().min(MAX_REPLACEMENTS);
         self.replace_next(left, planned);
-        (self.catch_up() + Duration::from_secs(7)) * left as u32
+        (self.catch_up_time() + Duration::from_secs(7)) * left as u32
     }
 
     /// The next one only when the one before it has had its time.
@@ -132,15 +136,15 @@
         if left == 0 {
             return;
         }
-        if self.disks_that_may_go() == 0 || self.replacing.is_some() {
+        if self.remaining_disk_losses() == 0 || self.replacing.is_some() {
             return self.follow_up(Duration::from_millis(100), FollowUp::ReplaceNext { left, planned });
         }
-        self.rules.faulty(self.now, self.now + Duration::from_secs(7));
+        self.rules.add_fault_span(self.now, self.now + Duration::from_secs(7));
         if planned {
             self.replace_planned();
         } else {
-            let back = self.ms(200, 3000);
-            self.replace_unplanned(back);
+            let outage = self.random_ms(200, 3000);
+            self.replace_unplanned(outage);
         }
         let wait = Duration::from_millis(if planned { 7000 } else { 100 });
         self.follow_up(wait, FollowUp::ReplaceNext { left: left - 1, planned });
--- a/crates/sim/src/resending.rs
+++ b/crates/sim/src/resending_operators.rs
@@ -2,8 +2,8 @@
 //! and whatever has no clear answer after a second is sent again as it was, to any registry. Now and then an
 //! order that was acknowledged long ago is sent once more.
 
-use crate::declared::mark_line;
-use crate::operators::Asked;
+use crate::configuration::mark_item;
+use crate::operators::SentChange;
 use crate::world::{Event, World};
 use checker::{Response, anomalies};
 use control::{ApiCall, CoreInput};
@@ -11,10 +11,10 @@
 use std::time::Duration;
 use wire::ConfigurationItem;
 
-const AT_ONCE: usize = 8;
-const SILENCE: Duration = Duration::from_secs(1);
+const MAX_OPEN_ORDERS: usize = 8;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Marks are told apart by a number below this.
-const MOST_ORDERS: usize = 990;
+const MAX_ORDERS: usize = 990;
 
 /// An order as it is sent, each time the same.
 #[derive(Clone)]
@@ -26,30 +26,30 @@
 }
 
 impl World {
-    pub fn operators_turn(&mut self) {
-        let pause = Duration::from_millis(self.dice.random_range(20..260));
-        self.after(pause, Event::Operator);
+    pub fn resending_operator_turn(&mut self) {
+        let pause = Duration::from_millis(self.rng.random_range(20..260));
+        self.schedule_after(pause, Event::Operator);
         self.give_up_on_silence();
-        if self.operators.open.len() >= AT_ONCE {
+        if self.operators.open.len() >= MAX_OPEN_ORDERS {
             return;
         }
         let unclear: Vec<String> = self.unclear_orders();
         let acknowledged = self.operators.acked.len();
-        if !unclear.is_empty() && self.dice.random_bool(0.6) {
-            let mark = unclear[self.dice.random_range(0..unclear.len())].clone();
+        if !unclear.is_empty() && self.rng.random_bool(0.6) {
+            let mark = unclear[self.rng.random_range(0..unclear.len())].clone();
             self.send_order(&mark);
-        } else if acknowledged > 0 && self.dice.random_ratio(1, 8) {
-            let mark = self.operators.acked[self.dice.random_range(0..acknowledged)].1.clone();
+        } else if acknowledged > 0 && self.rng.random_ratio(1, 8) {
+            let mark = self.operators.acked[self.rng.random_range(0..acknowledged)].1.clone();
             self.send_order(&mark);
         } else {
-            let racers = if self.dice.random_ratio(1, 6) { AT_ONCE - self.operators.open.len() } else { 1 };
+            let racers = if self.rng.random_ratio(1, 6) { MAX_OPEN_ORDERS - self.operators.open.len() } else { 1 };
             (0..racers).for_each(|_| self.new_order());
         }
     }
 
     fn give_up_on_silence(&mut self) {
         let now = self.now;
-        let silent = self.operators.open.extract_if(.., |_, asked| now > asked.sent + SILENCE);
+        let silent = self.operators.open.extract_if(.., |_, asked| now > asked.sent + ANSWER_TIMEOUT);
         for (_, asked) in silent.collect::<Vec<_>>() {
             self.operators.record(now, &asked, Response::Unknown);
             self.operators.unknown.push(asked.mark);
@@ -67,12 +67,12 @@
 
     fn new_order(&mut self) {
         let number = self.operators.orders.len() + 1;
-        if number > MOST_ORDERS {
+        if number > MAX_ORDERS {
             return;
         }
         let mark = format!("m{number}");
-        let full = !self.operators.founded || self.dice.random_ratio(1, 4);
-        let items = if full { self.items(&mark) } else { vec![mark_line(&mark)] };
+        let full = !self.operators.founded || self.rng.random_ratio(1, 4);
+        let items = if full { self.items(&mark) } else { vec![mark_item(&mark)] };
         let order = Order { mark: mark.clone(), base: Some(self.operators.revision), full, items };
         self.operators.orders.insert(mark.clone(), order);
         self.send_order(&mark);
@@ -80,12 +80,12 @@
 
     /// Sends an order to any registry, also one that is cut off.
     fn send_order(&mut self, mark: &str) {
-        let n = self.dice.random_range(0..self.registries.len());
+        let n = self.rng.random_range(0..self.registries.len());
         let Some(order) = self.operators.orders.get(mark).cloned() else { return };
         let Order { mark, base, full, items } = order;
         self.operators.next += 1;
         let request_id = self.operators.next;
-        let asked = Asked { mark: mark.clone(), base, invalid: false, sent: self.now };
+        let asked = SentChange { mark: mark.clone(), base, invalid: false, sent: self.now };
         if self.registries[n].core.is_none() {
             self.operators.record(self.now, &asked, Response::Unknown);
             return self.operators.unknown.push(mark);
@@ -102,7 +102,7 @@
         let holders = self.registries.iter().filter(|node| node.disk.state.contains_key(&key)).count();
         let is_any_lost = self.registries.iter().any(|node| node.disk.last == 0);
         if holders < 2 && !is_any_lost {
-            self.rules.tell(self.now, format!("order {mark} was acknowledged with {holders} copies"));
+            self.rules.report_violation(self.now, format!("order {mark} was acknowledged with {holders} copies"));
         }
     }
 
@@ -112,7 +112,7 @@
     pub fn check_orders(&mut self) {
         let now = self.now;
         for anomaly in anomalies(&self.operators.history, &[]) {
-            self.rules.tell(now, format!("not linearizable: {anomaly:?}"));
+            self.rules.report_violation(now, format!("not linearizable: {anomaly:?}"));
         }
         let newest = self
             .registries
@@ -122,7 +122,7 @@
         let Some(core) = newest else { return };
         let taken = |mark: &&String| core.state().contains_key(&format!("o/{mark}"));
         if let Some(mark) = self.operators.refused.iter().find(taken) {
-            self.rules.tell(now, format!("order {mark} was taken and refused"));
+            self.rules.report_violation(now, format!("order {mark} was taken and refused"));
         }
     }
 }
--- a/crates/sim/src/rolling.rs
+++ b/crates/sim/src/rolling_restarts.rs
@@ -5,9 +5,9 @@
 use crate::world::World;
 use std::time::Duration;
 
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a stop waits for a request to be open.
-const IDLE: Duration = Duration::from_secs(2);
+const MAX_WAIT_FOR_REQUEST: Duration = Duration::from_secs(2);
 const WORKER_ZONES: usize = 3;
 
 impl World {
@@ -23,33 +23,33 @@
             return;
         }
         let leaving = self.routers.iter().filter(|node| node.leaving_since.is_some()).count();
-        let up = self.routers.iter().filter(|node| node.alive() && node.leaving_since.is_none()).count();
-        let machines = self.routers[next].machines.as_ref();
-        let busy = machines.is_some_and(|machines| machines.front.depth() > 0);
-        if leaving >= at_a_time || up < 2 || (!busy && waited < IDLE) {
-            let waited = waited + LOOK;
-            return self.follow_up(LOOK, FollowUp::Roll { next, at_a_time, waited });
+        let up = self.routers.iter().filter(|node| node.is_running() && node.leaving_since.is_none()).count();
+        let process = self.routers[next].process.as_ref();
+        let busy = process.is_some_and(|process| process.front.depth() > 0);
+        if leaving >= at_a_time || up < 2 || (!busy && waited < MAX_WAIT_FOR_REQUEST) {
+            let waited = waited + POLL_INTERVAL;
+            return self.follow_up(POLL_INTERVAL, FollowUp::Roll { next, at_a_time, waited });
         }
-        if machines.is_some() && self.routers[next].leaving_since.is_none() {
-            self.say(|| format!("router {next} is asked to leave, busy: {busy}"));
-            self.rules.faulty(self.now, self.now + Duration::from_secs(12));
+        if process.is_some() && self.routers[next].leaving_since.is_none() {
+            self.log(|| format!("router {next} is asked to leave, busy: {busy}"));
+            self.rules.add_fault_span(self.now, self.now + Duration::from_secs(12));
             self.routers[next].leaving_since = Some(self.now);
-            self.follow(next, leases::FollowerInput::Leave);
+            self.feed_follower(next, leases::FollowerInput::Leave);
         }
-        self.follow_up(LOOK, FollowUp::Roll { next: next + 1, at_a_time, waited: Duration::ZERO });
+        self.follow_up(POLL_INTERVAL, FollowUp::Roll { next: next + 1, at_a_time, waited: Duration::ZERO });
     }
 
-    pub(crate) fn drain_zone_at_return(&mut self, back: Duration) {
-        let registry = self.chosen_registry();
-        let millis = back.as_millis() as u64;
+    pub(crate) fn drain_zone_at_return(&mut self, outage: Duration) {
+        let registry = self.pick_registry();
+        let millis = outage.as_millis() as u64;
         self.kill_registry_for(registry, millis, millis + 1);
-        let wait = back + self.ms(5, 1000);
+        let wait = outage + self.random_ms(5, 1000);
         self.follow_up(wait, FollowUp::Drain { zone: registry % WORKER_ZONES });
     }
 
     pub(crate) fn drain_zone(&mut self, zone: usize) {
-        self.say(|| format!("the workers of zone {zone} are drained"));
-        let there = self.yard.instances.values_mut().filter(|instance| instance.worker % WORKER_ZONES == zone);
+        self.log(|| format!("the workers of zone {zone} are drained"));
+        let there = self.platform.instances.values_mut().filter(|instance| instance.worker % WORKER_ZONES == zone);
         there.for_each(|instance| instance.leaving = true);
     }
 }
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -1,8 +1,8 @@
 //! A router in the simulator: the real follower, front and owner, fed by hand.
 
-use crate::chances::Sort;
 use crate::router_limits::{capacity, front_limits};
-use crate::world::{Event, Place, TICK, World};
+use crate::sorts::Sort;
+use crate::world::{Event, NodeRef, TICK, World};
 use bindings::RouteTable;
 use leases::{Follower, FollowerInput, FollowerOutput, FollowerTiming, stable_hash};
 use rand::RngExt;
@@ -11,46 +11,46 @@
 use traffic::{Front, FrontInput, FunctionOwner, OwnerInput, OwnerTiming};
 use wire::{ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
-pub struct Machines {
+pub struct RouterProcess {
     pub follower: Follower,
     pub front: Front,
     pub owner: FunctionOwner,
-    pub heard: Option<Duration>,
-    pub seats: Vec<String>,
+    pub last_proof: Option<Duration>,
+    pub registry_addresses: Vec<String>,
 }
 
 pub struct RouterNode {
     pub id: NodeId,
     pub address: String,
     pub zone: &'static str,
-    pub life: u64,
-    pub base: Duration,
+    pub run_id: u64,
+    pub started_at: Duration,
     pub frozen_until: Duration,
     pub drift: f64,
     pub down_since: Duration,
     pub leaving_since: Option<Duration>,
-    pub machines: Option<Machines>,
+    pub process: Option<RouterProcess>,
 }
 
 impl RouterNode {
-    pub fn alive(&self) -> bool {
-        self.machines.is_some()
+    pub fn is_running(&self) -> bool {
+        self.process.is_some()
     }
 }
 
-const LAST_CALLS: Duration = Duration::from_millis(700);
+const MIN_LEAVE_TIME: Duration = Duration::from_millis(700);
 const GRACE: Duration = Duration::from_secs(8);
 
-pub enum Turn {
+pub enum RouterInput {
     Front(FrontInput),
     FunctionOwner(OwnerInput),
 }
 
-impl Turn {
-    pub fn forwarded(from: NodeId, message: ForwardMessage) -> Turn {
+impl RouterInput {
+    pub fn forwarded(from: NodeId, message: ForwardMessage) -> RouterInput {
         match message.is_for_owner() {
-            true => Turn::FunctionOwner(OwnerInput::Forward { from, message }),
-            false => Turn::Front(FrontInput::Forwarded { from, message }),
+            true => RouterInput::FunctionOwner(OwnerInput::Forward { from, message }),
+            false => RouterInput::Front(FrontInput::Forwarded { from, message }),
         }
     }
 }
@@ -62,181 +62,184 @@
             id: stable_hash(&[address.as_bytes()]) | 1,
             address,
             zone: ["a", "b", "c"][n % 3],
-            life: 0,
-            base: Duration::ZERO,
+            run_id: 0,
+            started_at: Duration::ZERO,
             frozen_until: Duration::ZERO,
             drift: 1.0,
             down_since: Duration::ZERO,
             leaving_since: None,
-            machines: None,
+            process: None,
         });
         self.start_router(n);
     }
 
     pub fn start_router(&mut self, n: usize) {
-        if self.routers[n].alive() {
+        if self.routers[n].is_running() {
             return;
         }
-        let life = self.dice.random::<u64>() >> 8;
+        let run_id = self.rng.random::<u64>() >> 8;
         let drift = self.drift();
         let seeds = self.seeds_for_routers();
         let peer_hold = self.plan.peer_hold;
         let node = &mut self.routers[n];
         node.drift = drift;
-        node.life = life;
-        node.base = self.now;
+        node.run_id = run_id;
+        node.started_at = self.now;
         node.frozen_until = Duration::ZERO;
         node.leaving_since = None;
         // On some seeds even a small fleet proves itself through relays.
         let relay_above = if self.seed & 4 != 0 { 2 } else { 12 };
         let timing = FollowerTiming { relay_above, peer_hold, ..FollowerTiming::default() };
-        node.machines = Some(Machines {
-            follower: Follower::new(node.id, life, &node.address, node.zone, "", timing).with_capacity(capacity(n)),
-            front: Front::new(node.id, life, front_limits()),
-            owner: FunctionOwner::new(node.id, life, OwnerTiming::default()),
-            heard: None,
-            seats: seeds,
+        node.process = Some(RouterProcess {
+            follower: Follower::new(node.id, run_id, &node.address, node.zone, "", timing).with_capacity(capacity(n)),
+            front: Front::new(node.id, run_id, front_limits()),
+            owner: FunctionOwner::new(node.id, run_id, OwnerTiming::default()),
+            last_proof: None,
+            registry_addresses: seeds,
         });
         let id = node.id;
-        self.net.names.insert(id, Place::Router(n));
-        self.say(|| format!("router {n} starts as {id:016x}"));
-        self.after(TICK, Event::Tick { at: Place::Router(n), life });
+        self.net.node_by_id.insert(id, NodeRef::Router(n));
+        self.log(|| format!("router {n} starts as {id:016x}"));
+        self.schedule_after(TICK, Event::Tick { at: NodeRef::Router(n), run_id });
         self.announce(id, true);
         for other in 0..self.routers.len() {
             let known = self.routers[other].id;
-            if other != n && self.routers[other].alive() {
-                self.after(Duration::from_millis(5), Event::Link { router: n, id: known, up: true });
+            if other != n && self.routers[other].is_running() {
+                self.schedule_after(Duration::from_millis(5), Event::Link { router: n, id: known, up: true });
             }
         }
     }
 
     pub fn kill_router(&mut self, n: usize) {
-        if self.routers[n].machines.take().is_none() {
+        if self.routers[n].process.take().is_none() {
             return;
         }
-        self.routers[n].life = 0;
+        self.routers[n].run_id = 0;
         self.routers[n].down_since = self.now;
         let id = self.routers[n].id;
-        self.say(|| format!("router {n} is killed"));
-        self.callers_lost(n);
-        self.yard.forget_router(n);
+        self.log(|| format!("router {n} is killed"));
+        self.drop_callers_of(n);
+        self.platform.forget_router(n);
         self.announce(id, false);
     }
 
     pub fn link(&mut self, n: usize, id: NodeId, up: bool) {
-        if let Some(until) = self.frozen_until(Place::Router(n)) {
-            return self.at(until, Event::Link { router: n, id, up });
+        if let Some(until) = self.frozen_until(NodeRef::Router(n)) {
+            return self.schedule_at(until, Event::Link { router: n, id, up });
         }
-        let reached = self.net.names.get(&id).copied();
-        let cut = reached.is_some_and(|place| {
-            self.net.cuts.contains(&(Place::Router(n), place)) || self.net.cuts.contains(&(place, Place::Router(n)))
+        let reached = self.net.node_by_id.get(&id).copied();
+        let cut = reached.is_some_and(|node_ref| {
+            self.net.cuts.contains(&(NodeRef::Router(n), node_ref))
+                || self.net.cuts.contains(&(node_ref, NodeRef::Router(n)))
         });
         if !(up && cut) {
-            self.turn(n, Turn::Front(FrontInput::Link { id, up }));
+            self.feed_router(n, RouterInput::Front(FrontInput::Link { id, up }));
         }
     }
 
     pub fn router_now(&self, n: usize) -> Duration {
         let node = &self.routers[n];
-        self.now.saturating_sub(node.base).mul_f64(node.drift)
+        self.now.saturating_sub(node.started_at).mul_f64(node.drift)
     }
 
     pub fn tick_router(&mut self, n: usize) {
-        self.follow(n, FollowerInput::Tick);
+        self.feed_follower(n, FollowerInput::Tick);
         let now = self.router_now(n);
-        let Some(machines) = &self.routers[n].machines else { return };
-        let near = machines.heard.is_some_and(|at| now < at + Duration::from_millis(2500));
+        let Some(process) = &self.routers[n].process else { return };
+        let near = process.last_proof.is_some_and(|at| now < at + Duration::from_millis(2500));
         self.end_leaving(n);
-        self.turn(n, Turn::FunctionOwner(OwnerInput::Core { near }));
-        self.turn(n, Turn::Front(FrontInput::Tick));
-        self.turn(n, Turn::FunctionOwner(OwnerInput::Tick));
+        self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Core { near }));
+        self.feed_router(n, RouterInput::Front(FrontInput::Tick));
+        self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Tick));
     }
 
     /// As the program does: gone once nothing is open after the last calls, or when grace ends.
     fn end_leaving(&mut self, n: usize) {
-        let (Some(since), Some(machines)) = (self.routers[n].leaving_since, &self.routers[n].machines) else { return };
+        let (Some(since), Some(process)) = (self.routers[n].leaving_since, &self.routers[n].process) else { return };
         let waited = self.now - since;
         let me = self.routers[n].id;
-        let handed = machines.follower.membership().member(me).is_none_or(|line| line.leaving != 0);
-        let idle = machines.front.depth() == 0 && machines.owner.is_idle();
-        if (waited > LAST_CALLS && handed && idle) || waited > GRACE {
-            let depths = (machines.front.depth(), machines.owner.depths());
-            self.say(|| format!("router {n} goes, open: {depths:?}"));
+        let handed_over = process.follower.membership().member(me).is_none_or(|line| line.leaving != 0);
+        let idle = process.front.depth() == 0 && process.owner.is_idle();
+        if (waited > MIN_LEAVE_TIME && handed_over && idle) || waited > GRACE {
+            let depths = (process.front.depth(), process.owner.depths());
+            self.log(|| format!("router {n} goes, open: {depths:?}"));
             if !idle && self.plan.sort == Sort::Planned && self.now < self.plan.final_fault {
-                self.rules.tell(self.now, format!("router {n} left with work open"));
+                self.rules.report_violation(self.now, format!("router {n} left with work open"));
             }
             self.kill_router(n);
-            let back = Duration::from_millis(self.dice.random_range(300..3000));
-            self.after(back, Event::Mend { what: crate::faults::Mending::StartRouter(n) });
+            let back = Duration::from_millis(self.rng.random_range(300..3000));
+            self.schedule_after(back, Event::Repair { repair: crate::faults::Repair::StartRouter(n) });
         }
     }
 
-    pub fn to_router(&mut self, n: usize, from: NodeId, _incarnation: u64, message: Message) {
+    pub fn deliver_to_router(&mut self, n: usize, from: NodeId, _incarnation: u64, message: Message) {
         let now = self.router_now(n);
         match message {
-            Message::Lease(message) if message.is_from_peer() => self.follow(n, FollowerInput::Peer { from, message }),
+            Message::Lease(message) if message.is_from_peer() => {
+                self.feed_follower(n, FollowerInput::Peer { from, message })
+            }
             Message::Lease(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
-                self.turn(n, Turn::FunctionOwner(OwnerInput::StoreOperation { message }))
+                self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::StoreOperation { message }))
             }
             Message::Lease(message) => {
-                if let (LeaseMessage::Proof { .. }, Some(machines)) = (&message, &mut self.routers[n].machines) {
-                    machines.heard = Some(now);
+                if let (LeaseMessage::Proof { .. }, Some(process)) = (&message, &mut self.routers[n].process) {
+                    process.last_proof = Some(now);
                 }
-                self.follow(n, FollowerInput::Registry { from, message });
+                self.feed_follower(n, FollowerInput::Registry { from, message });
             }
-            Message::Forward(message) => self.turn(n, Turn::forwarded(from, message)),
-            Message::Plan(message) => self.turn(n, Turn::FunctionOwner(OwnerInput::Plan { message })),
+            Message::Forward(message) => self.feed_router(n, RouterInput::forwarded(from, message)),
+            Message::Plan(message) => self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Plan { message })),
             _ => {}
         }
     }
 
     pub fn ask_registries(&mut self, n: usize, message: PlanMessage) {
         for registry in 0..self.registries.len() {
-            self.send_place(Place::Router(n), Place::Registry(registry), Message::Plan(message.clone()));
+            self.send_place(NodeRef::Router(n), NodeRef::Registry(registry), Message::Plan(message.clone()));
         }
     }
 
-    pub fn follow(&mut self, n: usize, input: FollowerInput) {
+    pub fn feed_follower(&mut self, n: usize, input: FollowerInput) {
         let now = self.router_now(n);
-        let Some(machines) = &mut self.routers[n].machines else { return };
-        for output in machines.follower.step(now, input) {
+        let Some(process) = &mut self.routers[n].process else { return };
+        for output in process.follower.step(now, input) {
             self.follower_output(n, output);
         }
     }
 
     fn follower_output(&mut self, n: usize, output: FollowerOutput) {
-        let place = Place::Router(n);
+        let node_ref = NodeRef::Router(n);
         match output {
-            FollowerOutput::ToRegistry { to: Some(to), message } => self.send(place, to, Message::Lease(message)),
+            FollowerOutput::ToRegistry { to: Some(to), message } => self.send(node_ref, to, Message::Lease(message)),
             FollowerOutput::ToRegistry { to: None, message } => {
-                let Some(machines) = &self.routers[n].machines else { return };
-                let seats = machines.seats.clone();
+                let Some(process) = &self.routers[n].process else { return };
+                let registry_addresses = process.registry_addresses.clone();
                 for other in 0..self.registries.len() {
-                    if seats.contains(&self.registries[other].address) {
-                        self.send_place(place, Place::Registry(other), Message::Lease(message.clone()));
+                    if registry_addresses.contains(&self.registries[other].address) {
+                        self.send_place(node_ref, NodeRef::Registry(other), Message::Lease(message.clone()));
                     }
                 }
             }
-            FollowerOutput::ToPeer { to, message } => self.send(place, to, Message::Lease(message)),
+            FollowerOutput::ToPeer { to, message } => self.send(node_ref, to, Message::Lease(message)),
             FollowerOutput::Activated { step, revision } => {
-                let Some(machines) = &self.routers[n].machines else { return };
-                let routes = Rc::new(RouteTable::build(step, revision, machines.follower.resources()));
-                self.turn(n, Turn::FunctionOwner(OwnerInput::RouteTable { routes: routes.clone() }));
-                self.turn(n, Turn::Front(FrontInput::RouteTable { routes }));
+                let Some(process) = &self.routers[n].process else { return };
+                let routes = Rc::new(RouteTable::build(step, revision, process.follower.resources()));
+                self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::RouteTable { routes: routes.clone() }));
+                self.feed_router(n, RouterInput::Front(FrontInput::RouteTable { routes }));
             }
             FollowerOutput::MembershipUpdated { .. } => self.membership_updated(n),
             FollowerOutput::RegistryAddresses { addresses } => {
-                if let Some(machines) = &mut self.routers[n].machines {
+                if let Some(process) = &mut self.routers[n].process {
                     let seeds = self.seeds.iter().cloned();
-                    machines.seats = addresses.into_iter().chain(seeds).collect();
+                    process.registry_addresses = addresses.into_iter().chain(seeds).collect();
                 }
             }
             FollowerOutput::RemovedFromMembers => {
-                self.turn(n, Turn::FunctionOwner(OwnerInput::Lapsed));
-                self.turn(n, Turn::Front(FrontInput::Lapsed));
+                self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Lapsed));
+                self.feed_router(n, RouterInput::Front(FrontInput::Lapsed));
             }
             FollowerOutput::ServingStatus { serving_status } => {
-                self.say(|| format!("router {n} stands {serving_status:?}"))
+                self.log(|| format!("router {n} stands {serving_status:?}"))
             }
         }
     }
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_steps.rs
@@ -1,49 +1,49 @@
 //! Turns of a simulated router's front and owner until neither has anything more to do, with the
 //! rule on revisions checked at each forward and each dispatch.
 
-use crate::router_node::Turn;
-use crate::world::{Place, World};
+use crate::router_node::RouterInput;
+use crate::world::{NodeRef, World};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use traffic::{FrontInput, FrontOutput, OwnerInput, OwnerOutput};
 use wire::{ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 impl World {
-    pub fn turn(&mut self, n: usize, first: Turn) {
-        let mut turns = VecDeque::from([first]);
-        while let Some(turn) = turns.pop_front() {
+    pub fn feed_router(&mut self, n: usize, first: RouterInput) {
+        let mut inputs = VecDeque::from([first]);
+        while let Some(next_input) = inputs.pop_front() {
             let now = self.router_now(n);
             let me = self.routers[n].id;
-            let Some(machines) = &mut self.routers[n].machines else { return };
-            let may_serve = now < machines.follower.serves_until();
-            let revision = machines.follower.revision();
-            match turn {
-                Turn::Front(input) => {
-                    for output in machines.front.step(now, may_serve, input) {
+            let Some(process) = &mut self.routers[n].process else { return };
+            let may_serve = now < process.follower.serves_until();
+            let revision = process.follower.revision();
+            match next_input {
+                RouterInput::Front(input) => {
+                    for output in process.front.step(now, may_serve, input) {
                         match output {
                             FrontOutput::Reply { request_id, reply } => self.caller_reply(n, request_id, reply),
                             FrontOutput::Forward { to, message } => {
                                 if is_serving(&message) {
-                                    self.rules.served(self.now, revision);
+                                    self.rules.served_by_revision(self.now, revision);
                                 }
                                 if to == me {
-                                    turns.push_back(Turn::forwarded(to, message));
+                                    inputs.push_back(RouterInput::forwarded(to, message));
                                 } else {
-                                    self.send(Place::Router(n), to, Message::Forward(message));
+                                    self.send(NodeRef::Router(n), to, Message::Forward(message));
                                 }
                             }
                         }
                     }
                 }
-                Turn::FunctionOwner(input) => {
-                    let tail = machines.follower.tail();
-                    for output in machines.owner.step(now, may_serve, input) {
+                RouterInput::FunctionOwner(input) => {
+                    let tail = process.follower.tail();
+                    for output in process.owner.step(now, may_serve, input) {
                         match output {
                             OwnerOutput::Forward { to, message } if to == me => {
-                                turns.push_back(Turn::forwarded(to, message))
+                                inputs.push_back(RouterInput::forwarded(to, message))
                             }
                             OwnerOutput::Forward { to, message } => {
-                                self.send(Place::Router(n), to, Message::Forward(message));
+                                self.send(NodeRef::Router(n), to, Message::Forward(message));
                             }
                             OwnerOutput::Propose { request_id, body } => {
                                 let message = LeaseMessage::Propose { request_id, body: body.into() };
@@ -54,7 +54,7 @@
                                 self.ask_tail(n, tail, message);
                             }
                             OwnerOutput::Dispatch(order) => {
-                                self.rules.served(self.now, revision);
+                                self.rules.served_by_revision(self.now, revision);
                                 self.dispatch(n, order);
                             }
                             OwnerOutput::Supply(order) => self.platform_order(n, order),
@@ -75,19 +75,19 @@
     }
 
     pub fn membership_updated(&mut self, n: usize) {
-        let Some(machines) = &self.routers[n].machines else { return };
-        let membership = Rc::new(machines.follower.membership().clone());
-        self.say(|| {
+        let Some(process) = &self.routers[n].process else { return };
+        let membership = Rc::new(process.follower.membership().clone());
+        self.log(|| {
             let ids: Vec<String> = membership.members.iter().map(|line| format!("{:016x}", line.id)).collect();
             format!("router {n} has membership {} of {}", membership.number, ids.join(" "))
         });
-        self.turn(n, Turn::FunctionOwner(OwnerInput::Membership { membership: membership.clone() }));
-        self.turn(n, Turn::Front(FrontInput::Membership { membership }));
+        self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Membership { membership: membership.clone() }));
+        self.feed_router(n, RouterInput::Front(FrontInput::Membership { membership }));
     }
 
     fn ask_tail(&mut self, n: usize, tail: Option<NodeId>, message: LeaseMessage) {
         if let Some(tail) = tail {
-            self.send(Place::Router(n), tail, Message::Lease(message));
+            self.send(NodeRef::Router(n), tail, Message::Lease(message));
         }
     }
 }
--- a/crates/sim/src/slowness.rs
+++ b/crates/sim/src/slowness.rs
@@ -1,7 +1,7 @@
 //! Disks that are slow, stalled or full, one machine after another, and machines that run slowly.
 
 use crate::follow_ups::FollowUp;
-use crate::world::{Place, World};
+use crate::world::{NodeRef, World};
 use rand::RngExt;
 use std::time::Duration;
 
@@ -13,32 +13,32 @@
 pub const SLOW_FRAME: Duration = Duration::from_millis(4);
 
 impl World {
-    pub(crate) fn slow_disks(&mut self, back: Duration) {
-        let until = self.now + back;
-        let count = self.dice.random_range(1..=self.plan.losses);
+    pub(crate) fn slow_disks(&mut self, outage: Duration) {
+        let until = self.now + outage;
+        let count = self.rng.random_range(1..=self.plan.losses);
         for _ in 0..count {
-            let registry = self.chosen_registry();
-            self.say(|| format!("registry {registry} has a slow disk"));
+            let registry = self.pick_registry();
+            self.log(|| format!("registry {registry} has a slow disk"));
             self.registries[registry].slow_disk_until = until;
         }
     }
 
     /// Several disks, each while or soon after the one before it is in trouble.
-    pub(crate) fn disks_in_turn(&mut self, full: bool) -> Duration {
+    pub(crate) fn disk_faults_in_sequence(&mut self, full: bool) -> Duration {
         let mut wait = Duration::ZERO;
         let mut end = wait;
         for registry in self.live_registries() {
-            if self.dice.random_bool(0.3) {
+            if self.rng.random_bool(0.3) {
                 continue;
             }
-            let lasts = self.ms(500, 6000);
+            let lasts = self.random_ms(500, 6000);
             let step = match full {
                 true => FollowUp::FillDisk { registry, lasts },
                 false => FollowUp::StallDisk { registry, lasts },
             };
             self.follow_up(wait, step);
             end = end.max(wait + lasts);
-            wait += self.ms(500, 5000);
+            wait += self.random_ms(500, 5000);
         }
         end
     }
@@ -49,21 +49,21 @@
             return;
         }
         self.registries[registry].full = true;
-        let what = crate::faults::Mending::StartRegistry(registry);
-        self.after(lasts, crate::world::Event::Mend { what });
+        let repair = crate::faults::Repair::StartRegistry(registry);
+        self.schedule_after(lasts, crate::world::Event::Repair { repair });
     }
 
-    pub(crate) fn slow_machines(&mut self, back: Duration) {
-        let until = self.now + back;
-        for place in self.places() {
-            if self.dice.random_ratio(1, 6) {
-                self.say(|| format!("{place:?} is slow"));
-                self.net.slow_machines.insert(place, until);
+    pub(crate) fn slow_machines(&mut self, outage: Duration) {
+        let until = self.now + outage;
+        for node_ref in self.nodes() {
+            if self.rng.random_ratio(1, 6) {
+                self.log(|| format!("{node_ref:?} is slow"));
+                self.net.slow_machines.insert(node_ref, until);
             }
         }
     }
 
-    pub(crate) fn is_slow(&self, place: Place) -> bool {
-        self.net.slow_machines.get(&place).is_some_and(|until| *until > self.now)
+    pub(crate) fn is_slow(&self, node_ref: NodeRef) -> bool {
+        self.net.slow_machines.get(&node_ref).is_some_and(|until| *until > self.now)
     }
 }
--- a/crates/sim/src/chances.rs
+++ b/crates/sim/src/sorts.rs
@@ -54,7 +54,7 @@
 
 /// One failure and its drawing by weight: a sort names what may happen in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     KillRegistry,
     KillCore,
     FreezeRegistry,
@@ -68,7 +68,7 @@
     KillRouters,
     KillAll,
     FreezeRouter,
-    FreezeHerd,
+    FreezeHalf,
     CutOne,
     CutCore,
     CutSome,
@@ -77,24 +77,24 @@
     CutZone,
     SlowLinks,
     LoseAnswers,
-    Garble,
-    Worker,
+    GarbleAnswers,
+    WorkerFault,
     LeaveRouter,
     StopRegistry,
     Crowd,
     Overload,
-    Eager,
-    Grow,
+    EagerRetries,
+    GrowConfiguration,
     MoveSeeds,
     Wake,
     Flood,
     ResetLinks,
     /// A consumer's API key is taken away by a new version while callers go on using it.
-    Revoke,
+    RevokeApiKey,
     /// One consumer sends many times its usual.
     HotConsumer,
     /// Links between processes lose packets.
-    Lossy,
+    LossyLinks,
     /// All connections of a router are reset.
     ResetConnections,
     Control(crate::control_faults::ControlFault),
@@ -114,8 +114,8 @@
         matches!(self, Sort::Cutoff | Sort::Replacement | Sort::Anything)
     }
 
-    pub fn kinds(self) -> &'static [Kind] {
-        use Kind::*;
+    pub fn kinds(self) -> &'static [FaultKind] {
+        use FaultKind::*;
         match self {
             Sort::Calm | Sort::Cutoff | Sort::Replacement | Sort::Anything | Sort::Restarts => &[],
             Sort::Core => &[
@@ -129,17 +129,17 @@
                 CutInside,
                 CutPair,
             ],
-            Sort::Routers => &[KillRouter, KillRouter, KillZone, FreezeRouter, LoseAnswers, Garble, Worker],
+            Sort::Routers => &[KillRouter, KillRouter, KillZone, FreezeRouter, LoseAnswers, GarbleAnswers, WorkerFault],
             Sort::Network => &[CutOne, CutCore, CutSome, CutInside, CutPair, CutZone, SlowLinks],
             Sort::Planned => &[LeaveRouter, StopRegistry],
             Sort::Consumers => &[
-                Revoke,
-                Revoke,
-                Revoke,
+                RevokeApiKey,
+                RevokeApiKey,
+                RevokeApiKey,
                 HotConsumer,
                 HotConsumer,
-                Lossy,
-                Lossy,
+                LossyLinks,
+                LossyLinks,
                 ResetConnections,
                 ResetConnections,
                 KillRegistry,
@@ -155,16 +155,16 @@
                 CutPair,
                 SlowLinks,
                 LoseAnswers,
-                Worker,
+                WorkerFault,
                 LeaveRouter,
                 Crowd,
             ],
             Sort::Crowd => &[Crowd],
             Sort::Overload => &[Overload, Overload, Crowd, KillRouter, FreezeRouter, LeaveRouter],
-            Sort::Herd => &[KillAll, KillRouters, KillCore, FreezeHerd, KillZone, Eager],
+            Sort::Herd => &[KillAll, KillRouters, KillCore, FreezeHalf, KillZone, EagerRetries],
             Sort::Wake => &[Wake],
             Sort::Flood => &[Flood],
-            Sort::Grown => &[Grow, KillRegistry, KillRouter, FreezeRouter, CutOne, LoseDisk],
+            Sort::Grown => &[GrowConfiguration, KillRegistry, KillRouter, FreezeRouter, CutOne, LoseDisk],
             Sort::Resets => &[
                 ResetLinks,
                 ResetLinks,
@@ -172,13 +172,13 @@
                 ResetLinks,
                 ResetLinks,
                 ResetLinks,
-                Garble,
-                Garble,
+                GarbleAnswers,
+                GarbleAnswers,
                 LoseAnswers,
                 KillRouter,
                 FreezeRouter,
                 LeaveRouter,
-                Worker,
+                WorkerFault,
                 Crowd,
             ],
             Sort::Operators => &[
@@ -205,7 +205,7 @@
                 LoseDisk,
                 KillRouter,
                 CutOne,
-                Grow,
+                GrowConfiguration,
             ],
             Sort::Mixed | Sort::Storm => &[
                 KillRegistry,
@@ -221,7 +221,7 @@
                 KillAll,
                 FreezeRouter,
                 FreezeRouter,
-                FreezeHerd,
+                FreezeHalf,
                 CutOne,
                 CutCore,
                 CutSome,
@@ -230,13 +230,13 @@
                 CutZone,
                 SlowLinks,
                 LoseAnswers,
-                Garble,
-                Worker,
+                GarbleAnswers,
+                WorkerFault,
                 LeaveRouter,
                 StopRegistry,
                 Crowd,
                 Overload,
-                Eager,
+                EagerRetries,
                 MoveSeeds,
             ],
         }
--- a/crates/sim/src/strikes.rs
+++ b/crates/sim/src/triggered_faults.rs
@@ -2,7 +2,7 @@
 //! accepted, as a machine returns.
 
 use crate::follow_ups::FollowUp;
-use crate::operators::Asked;
+use crate::operators::SentChange;
 use crate::world::World;
 use control::{ApiCall, CoreInput};
 use rand::RngExt;
@@ -20,7 +20,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Blow {
+pub enum TriggeredFault {
     /// The registry concerned, and others up to this count, lose power.
     Kill {
         count: usize,
@@ -41,78 +41,78 @@
 
 /// A blow that waits for its moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Armed {
+pub struct ArmedFault {
     trigger: Trigger,
-    blow: Blow,
+    fault: TriggeredFault,
 }
 
 impl World {
-    pub(crate) fn arm(&mut self, trigger: Trigger, blow: Blow) {
-        self.armed.push(Armed { trigger, blow });
+    pub(crate) fn arm(&mut self, trigger: Trigger, fault: TriggeredFault) {
+        self.armed_faults.push(ArmedFault { trigger, fault });
     }
 
     /// A moment has come that blows may wait for, at this registry or router.
-    pub(crate) fn moment(&mut self, trigger: Trigger, at: usize) {
+    pub(crate) fn fire_trigger(&mut self, trigger: Trigger, at: usize) {
         if trigger == Trigger::ChangeAcknowledged {
             self.operators.last_acknowledger = Some(at);
         }
-        let Some(place) = self.armed.iter().position(|armed| armed.trigger == trigger) else { return };
-        let blow = self.armed.remove(place).blow;
+        let Some(index) = self.armed_faults.iter().position(|armed| armed.trigger == trigger) else { return };
+        let fault = self.armed_faults.remove(index).fault;
         let micros = match trigger {
-            Trigger::ChangeSent => self.dice.random_range(5_000..400_000),
-            Trigger::ChangeAcknowledged | Trigger::WorkAccepted => self.dice.random_range(0..4_000),
+            Trigger::ChangeSent => self.rng.random_range(5_000..400_000),
+            Trigger::ChangeAcknowledged | Trigger::WorkAccepted => self.rng.random_range(0..4_000),
         };
-        self.follow_up(Duration::from_micros(micros), FollowUp::Strike { at, blow });
+        self.follow_up(Duration::from_micros(micros), FollowUp::TriggeredFault { at, fault });
     }
 
-    pub(crate) fn strike(&mut self, at: usize, blow: Blow) {
-        self.say(|| format!("struck at {at}: {blow:?}"));
-        self.rules.faulty(self.now, self.now + Duration::from_secs(5));
-        match blow {
-            Blow::Kill { count } => {
-                let targets = self.with_others(at, count);
+    pub(crate) fn apply_triggered_fault(&mut self, at: usize, fault: TriggeredFault) {
+        self.log(|| format!("struck at {at}: {fault:?}"));
+        self.rules.add_fault_span(self.now, self.now + Duration::from_secs(5));
+        match fault {
+            TriggeredFault::Kill { count } => {
+                let targets = self.registry_and_random_others(at, count);
                 targets.into_iter().for_each(|n| self.kill_registry_for(n, 200, 5000));
             }
-            Blow::LoseDisks { count } => {
-                let count = count.min(self.disks_that_may_go());
-                for n in self.with_others(at, count) {
-                    let back = self.ms(200, 5000);
-                    self.replace_with_empty(n, back);
+            TriggeredFault::LoseDisks { count } => {
+                let count = count.min(self.remaining_disk_losses());
+                for n in self.registry_and_random_others(at, count) {
+                    let outage = self.random_ms(200, 5000);
+                    self.replace_with_empty(n, outage);
                 }
             }
-            Blow::LoseDisksOthersPowerOff { count } => {
-                let count = count.min(self.disks_that_may_go());
-                let losers = self.with_others(at, count);
+            TriggeredFault::LoseDisksOthersPowerOff { count } => {
+                let count = count.min(self.remaining_disk_losses());
+                let losers = self.registry_and_random_others(at, count);
                 for n in self.live_registries() {
                     if losers.contains(&n) {
-                        let back = self.ms(200, 2500);
-                        self.replace_with_empty(n, back);
+                        let outage = self.random_ms(200, 2500);
+                        self.replace_with_empty(n, outage);
                     } else {
                         self.kill_registry_for(n, 200, 2500);
                     }
                 }
             }
-            Blow::PowerOffCore => self.power_off_core(),
-            Blow::KillEverything => self.power_off_all(),
-            Blow::KillRouter => self.kill_router_for(at % self.routers.len(), 200, 4000),
+            TriggeredFault::PowerOffCore => self.power_off_core(),
+            TriggeredFault::KillEverything => self.power_off_all(),
+            TriggeredFault::KillRouter => self.kill_router_for(at % self.routers.len(), 200, 4000),
         }
     }
 
     /// A registry and others drawn by lot, so many in all.
-    fn with_others(&mut self, first: usize, count: usize) -> Vec<usize> {
+    fn registry_and_random_others(&mut self, first: usize, count: usize) -> Vec<usize> {
         let mut others: Vec<usize> = self.live_registries();
         others.retain(|n| *n != first);
-        others.shuffle(&mut self.dice);
+        others.shuffle(&mut self.rng);
         let first = Some(first).filter(|n| !self.registries.get(*n).is_none_or(|node| node.retired));
         first.into_iter().chain(others).take(count).collect()
     }
 
-    pub(crate) fn change_at_return(&mut self, count: usize, back: Duration) {
-        let registry = self.chosen_registry();
-        let millis = back.as_millis() as u64;
+    pub(crate) fn change_at_return(&mut self, count: usize, outage: Duration) {
+        let registry = self.pick_registry();
+        let millis = outage.as_millis() as u64;
         self.kill_registry_for(registry, millis, millis + 1);
         for _ in 0..3 {
-            let wait = back + self.ms(1, 1200);
+            let wait = outage + self.random_ms(1, 1200);
             self.follow_up(wait, FollowUp::Change { registry, count });
         }
     }
@@ -131,7 +131,7 @@
             self.operators.next += 1;
             let request_id = self.operators.next;
             let mark = format!("m{request_id}");
-            let items = vec![crate::declared::mark_line(&mark)];
+            let items = vec![crate::configuration::mark_item(&mark)];
             let call = ApiCall::Change {
                 op: mark.clone(),
                 base,
@@ -141,15 +141,17 @@
                 items,
                 dry: false,
             };
-            self.operators.open.insert((registry, request_id), Asked { mark, base, invalid: false, sent: self.now });
+            self.operators
+                .open
+                .insert((registry, request_id), SentChange { mark, base, invalid: false, sent: self.now });
             self.feed_registry(registry, CoreInput::Call { request_id, call });
-            self.moment(Trigger::ChangeSent, registry);
+            self.fire_trigger(Trigger::ChangeSent, registry);
         }
     }
 
-    pub(crate) fn kill_again_and_again(&mut self) -> Duration {
-        let registry = self.chosen_registry();
-        let times = self.dice.random_range(3..7);
+    pub(crate) fn kill_repeatedly(&mut self) -> Duration {
+        let registry = self.pick_registry();
+        let times = self.rng.random_range(3..7);
         self.kill_again(registry, times);
         Duration::from_secs(12)
     }
@@ -159,10 +161,10 @@
         if times == 0 {
             return;
         }
-        let back = self.ms(100, 800);
-        let millis = back.as_millis() as u64;
+        let outage = self.random_ms(100, 800);
+        let millis = outage.as_millis() as u64;
         self.kill_registry_for(registry, millis, millis + 1);
-        let answers = back + self.ms(20, 1500);
+        let answers = outage + self.random_ms(20, 1500);
         self.follow_up(answers, FollowUp::KillAgain { registry, times: times - 1 });
     }
 }
--- a/crates/sim/tests/consumer_rules.rs
+++ b/crates/sim/tests/consumer_rules.rs
@@ -159,7 +159,7 @@
 
 /// Ten a second and five at once: (50 + 5) * 1.1 + 20 = 80.5 in five seconds.
 fn beyond_the_rate(rules: &mut Rules, planted: bool) {
-    rules.limited(ADA, 10.0, 5.0);
+    rules.set_limit(ADA, 10.0, 5.0);
     for n in 0..if planted { 81 } else { 80 } {
         let label = format!("{n}#1");
         send(rules, 10_000, &label, "a1");
@@ -184,7 +184,7 @@
             }
         }
     }
-    rules.all_served(ms(60_000));
+    rules.check_fair_service(ms(60_000));
 }
 
 #[test_case(anothers_name; "an instance is told another consumer")]
@@ -207,6 +207,6 @@
     for planted in [false, true] {
         let mut rules = founded();
         plant(&mut rules, planted);
-        assert_eq!(!rules.broken.is_empty(), planted, "{:?}", rules.broken);
+        assert_eq!(!rules.violations.is_empty(), planted, "{:?}", rules.violations);
     }
 }
--- a/crates/sim/tests/rules.rs
+++ b/crates/sim/tests/rules.rs
@@ -9,7 +9,7 @@
 }
 
 fn run_once_twice(rules: &mut Rules, planted: bool) {
-    rules.asked(ms(0), "7#1", "t1/f1");
+    rules.request_sent(ms(0), "7#1", "t1/f1");
     rules.ran(ms(1), "7#1", "t1/f1");
     if planted {
         rules.ran(ms(2), "7#2", "t1/f1");
@@ -32,18 +32,18 @@
 }
 
 fn older_than_acknowledged(rules: &mut Rules, planted: bool) {
-    rules.acknowledged(ms(0), 5);
-    rules.served(ms(if planted { 3001 } else { 2999 }), 4);
+    rules.revision_acknowledged(ms(0), 5);
+    rules.served_by_revision(ms(if planted { 3001 } else { 2999 }), 4);
 }
 
 fn slipped_back(rules: &mut Rules, planted: bool) {
-    rules.served(ms(0), 5);
-    rules.served(ms(if planted { 251 } else { 249 }), 4);
+    rules.served_by_revision(ms(0), 5);
+    rules.served_by_revision(ms(if planted { 251 } else { 249 }), 4);
 }
 
 fn twelve_rejections(rules: &mut Rules, planted: bool) {
     let count = if planted { 12 } else { 11 };
-    (0..count).for_each(|n| rules.turned_away(ms(n * 400), "t0/f0", true));
+    (0..count).for_each(|n| rules.rejected(ms(n * 400), "t0/f0", true));
 }
 
 fn second_tries(rules: &mut Rules, planted: bool) {
@@ -53,64 +53,67 @@
 
 fn sent_to_three_instances(rules: &mut Rules, planted: bool) {
     let instances = ["i1", "i2", "i2", if planted { "i3" } else { "i1" }];
-    instances.iter().for_each(|instance| rules.sent_to(ms(1), "5#1", instance, 2));
-    rules.sent_to(ms(2), "5#2", "i4", 2);
+    instances.iter().for_each(|instance| rules.sent_to_instance(ms(1), "5#1", instance, 2));
+    rules.sent_to_instance(ms(2), "5#2", "i4", 2);
 }
 
 fn single_run_twice(rules: &mut Rules, planted: bool) {
-    rules.asked_once_per_try("6#1");
+    rules.single_run_try_sent("6#1");
     rules.ran(ms(1), "6#1", "t0/f3");
     rules.ran(ms(2), if planted { "6#1" } else { "6#2" }, "t0/f3");
 }
 
 /// Ten tasks a second, a fault from 8 to 10 s, and service again from 23 s on, or too late.
 fn stays_low_after_the_return(rules: &mut Rules, planted: bool) {
-    rules.faulty(ms(8_000), ms(10_000));
+    rules.add_fault_span(ms(8_000), ms(10_000));
     let back = if planted { 24_000 } else { 22_000 };
-    (0..600u64).map(|n| n * 100).filter(|at| *at < 8_000 || *at >= back).for_each(|at| rules.served_well(ms(at)));
-    assert_eq!(rules.recovered(ms(2_000), ms(60_000)), 38, "seconds from 22 to 59 are judged");
+    (0..600u64).map(|n| n * 100).filter(|at| *at < 8_000 || *at >= back).for_each(|at| rules.request_succeeded(ms(at)));
+    assert_eq!(rules.check_recovery(ms(2_000), ms(60_000)), 38, "seconds from 22 to 59 are judged");
 }
 
 /// The same silence is let pass while something else fails, and for 12 s after.
 fn low_while_another_fault_lasts(rules: &mut Rules, planted: bool) {
-    rules.faulty(ms(8_000), ms(10_000));
-    rules.faulty(ms(20_000), ms(if planted { 20_500 } else { 30_000 }));
-    (0..600u64).map(|n| n * 100).filter(|at| *at < 8_000 || *at >= 40_000).for_each(|at| rules.served_well(ms(at)));
-    rules.recovered(ms(2_000), ms(60_000));
+    rules.add_fault_span(ms(8_000), ms(10_000));
+    rules.add_fault_span(ms(20_000), ms(if planted { 20_500 } else { 30_000 }));
+    (0..600u64)
+        .map(|n| n * 100)
+        .filter(|at| *at < 8_000 || *at >= 40_000)
+        .for_each(|at| rules.request_succeeded(ms(at)));
+    rules.check_recovery(ms(2_000), ms(60_000));
 }
 
 fn too_few_copies(rules: &mut Rules, planted: bool) {
     let synced = if planted { 2 } else { 3 };
-    rules.copies(ms(1), CoreCopies { entry: 7, synced, losses: 2, lost: 0 });
+    rules.check_synced_copies(ms(1), CoreCopies { entry: 7, synced, losses: 2, lost: 0 });
 }
 
 /// While two disks are lost one copy is enough, and there is never to be none.
 fn no_copy_after_losses(rules: &mut Rules, planted: bool) {
     let synced = if planted { 0 } else { 1 };
-    rules.copies(ms(1), CoreCopies { entry: 7, synced, losses: 2, lost: 2 });
+    rules.check_synced_copies(ms(1), CoreCopies { entry: 7, synced, losses: 2, lost: 2 });
 }
 
 fn no_majority_after_losses(rules: &mut Rules, planted: bool) {
     let running = if planted { 3 } else { 4 };
-    rules.bears_losses(ms(1), 4, running, 4, 1);
+    rules.check_loss_tolerance(ms(1), 4, running, 4, 1);
 }
 
 fn no_copy_left_after_losses(rules: &mut Rules, planted: bool) {
-    rules.bears_losses(ms(1), 3, 3, if planted { 1 } else { 2 }, 1);
+    rules.check_loss_tolerance(ms(1), 3, 3, if planted { 1 } else { 2 }, 1);
 }
 
 fn disks_of_voters_gone(rules: &mut Rules, planted: bool) {
-    rules.keeps_majority(ms(1), 8, if planted { 6 } else { 7 }, 2);
+    rules.check_disk_majority(ms(1), 8, if planted { 6 } else { 7 }, 2);
 }
 
 fn not_back_in_the_chain(rules: &mut Rules, planted: bool) {
-    rules.all_back(ms(if planted { 25_001 } else { 25_000 }), ms(5_000), 1);
-    rules.all_back(ms(60_000), ms(5_000), 0);
+    rules.check_all_in_chain(ms(if planted { 25_001 } else { 25_000 }), ms(5_000), 1);
+    rules.check_all_in_chain(ms(60_000), ms(5_000), 0);
 }
 
 fn acknowledged_alone(rules: &mut Rules, planted: bool) {
-    rules.acknowledged_by_one_alone(ms(3_000), Some(ms(if planted { 1_499 } else { 1_500 })));
-    rules.acknowledged_by_one_alone(ms(60_000), None);
+    rules.check_isolated_acknowledgement(ms(3_000), Some(ms(if planted { 1_499 } else { 1_500 })));
+    rules.check_isolated_acknowledgement(ms(60_000), None);
 }
 
 #[test_case(too_few_copies; "an entry committed with a copy too few")]
@@ -136,6 +139,6 @@
     for planted in [false, true] {
         let mut rules = Rules::default();
         plant(&mut rules, planted);
-        assert_eq!(!rules.broken.is_empty(), planted, "{:?}", rules.broken);
+        assert_eq!(!rules.violations.is_empty(), planted, "{:?}", rules.violations);
     }
 }
--- a/crates/sim/tests/seeds.rs
+++ b/crates/sim/tests/seeds.rs
@@ -59,7 +59,7 @@
     for seed in seeds {
         let outcome = run(*seed, sort, false);
         println!("seed {seed} {sort:?}: {}", outcome.summary);
-        assert!(outcome.broken.is_empty(), "seed {seed} {sort:?}: {:?}", outcome.broken);
+        assert!(outcome.violations.is_empty(), "seed {seed} {sort:?}: {:?}", outcome.violations);
     }
 }
 
