--- a/crates/sim/src/callers.rs
+++ b/crates/sim/src/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: an open loop of tasks at random routers, some repeating a run-once key elsewhere at
-//! once, some trying again eagerly when they are refused.
+//! Callers: an open loop of tasks sent to random routers. Some tasks are sent to two routers at once under the same
+//! idempotency key, and some are retried when they fail.
 
 use crate::consumers::Caller;
 use crate::router_node::RouterInput;
@@ -36,7 +36,7 @@
     pub flood_until: Duration,
     pub eager_until: Duration,
     pub unserved: [u64; 2],
-    /// Under what a consumer's deferred task is stored, by its key.
+    /// By task key: the scope under which a consumer's deferred task is stored.
     pub scopes: BTreeMap<String, String>,
 }
 
@@ -52,17 +52,19 @@
     matches!(class, "once" | "deferred")
 }
 
-/// The most instances that a try is sent to where its binding does not say.
+/// Maximum number of instances that a try is sent to if its binding sets none.
 const DEFAULT_MAX_INSTANCES: usize = 2;
 
 impl World {
-    /// Where links are reset, and for consumers, some requests may run on one instance only, and once.
+    /// Returns a function's class. Where links are reset, and for consumers, some functions are of the class whose
+    /// tries may run only once and on one instance only.
     pub fn class_of(&self, function: usize) -> &'static str {
         let has_single = matches!(self.plan.sort, Sort::Resets | Sort::Consumers);
         if has_single && function % 4 == 3 { "single" } else { CLASSES[function % 4] }
     }
 
-    /// The most instances that a try of the service is sent to; the store counts those of deferred tasks.
+    /// Returns the maximum number of instances that a try of the service is sent to. Deferred tasks have no maximum
+    /// here, since the store counts their instances.
     pub fn max_instances_per_try(&self, service: &str) -> usize {
         let function = service.rsplit('f').next().and_then(|number| number.parse().ok()).unwrap_or_default();
         if self.class_of(function) == "deferred" { usize::MAX } else { DEFAULT_MAX_INSTANCES }
@@ -110,7 +112,7 @@
         self.send_task(task);
     }
 
-    /// Every function is called for in the same moment.
+    /// Sends a task for every function at the same time.
     pub fn call_all_functions(&mut self) {
         (0..self.plan.functions).for_each(|function| self.send_task_for(function));
     }
@@ -145,7 +147,7 @@
             api_key: task.caller.api_key.clone(),
             respond_async: task.class == "deferred" && self.rng.random_bool(0.5),
         };
-        self.log(|| format!("task {} ({}) asked at router {n}", task.label, task.class));
+        self.log(|| format!("task {} ({}) sent to router {n}", task.label, task.class));
         self.rules.request_sent(self.now, &task.label, &task.service);
         if task.class == "single" {
             self.rules.single_run_try_sent(&task.label);
@@ -185,7 +187,7 @@
                 self.callers.refused += 1;
                 self.rules.not_run(now, &task.label);
                 if reply.status == 503 && reply.retry_after.is_zero() {
-                    self.rules.report_violation(now, format!("{} was refused without a time to come back", task.label));
+                    self.rules.report_violation(now, format!("{} was refused without a time for a retry", task.label));
                 }
             }
             Some(Outcome::Unknown) => self.callers.unknown += 1,
@@ -214,7 +216,7 @@
         }
     }
 
-    /// What a caller did not get before the final fault: the flooding tenant's, and the others'.
+    /// Counts tasks that failed before the final fault, those of the flooding tenant apart from the others.
     fn count_unserved(&mut self, task: &SimTask, outcome: Option<Outcome>) {
         if self.now < self.plan.final_fault && !matches!(outcome, Some(Outcome::Answered | Outcome::Accepted)) {
             let flooder = task.service.starts_with(&format!("t{FLOODING_TENANT}/"));
--- a/crates/sim/src/catch_up_rules.rs
+++ b/crates/sim/src/catch_up_rules.rs
@@ -1,5 +1,5 @@
-//! Rules on members that come back: while nothing is disturbed, one that is up holds all that is committed
-//! within a bound; and whoever has a role in the newest view holds all that was acknowledged.
+//! Rules on returning chain members: without disturbances a running member catches up with all committed entries
+//! within a bound, and every full member of the newest view holds all acknowledged changes.
 
 use crate::faults::Repair;
 use crate::world::{Event, NodeRef, World};
@@ -8,30 +8,30 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// From the moment when nothing is disturbed any longer until one more is a member that holds everything: of
-/// several that are to join, each waits for the one before it.
+/// Time from the end of the last disturbance until one more registry is a caught-up member. Several joining
+/// registries are added one after another.
 const JOIN_BOUND: Duration = Duration::from_secs(4);
-/// With how many registries a cluster is founded; the others join.
+/// Number of registries that found a cluster; the others join.
 const FOUNDERS: usize = 3;
-/// What is committed is known by all so much later: a frame takes up to 0.4 s here, and others wait behind it.
+/// Time until all members know that an entry is committed: a frame takes up to 0.4 s here, and others queue behind it.
 const COMMIT_SPREAD_TIME: Duration = Duration::from_millis(1500);
 
-/// How far the core was known to be committed a little while ago.
+/// The committed position as known a short time ago, and statistics of the catch-up check.
 #[derive(Default)]
 pub struct CatchUpState {
     sampled_at: Duration,
     committed_earlier: u64,
     committed_newest: u64,
-    /// The newest view that anyone ever took on, whoever of them is up now.
+    /// Number of the newest view ever adopted by a registry, whether or not it is running now.
     newest_view: u64,
     roles_checked_at: Duration,
-    /// How often the rule on time was held against a core.
+    /// Number of checks made after the time bound had passed.
     pub judged_checks: u64,
     pub longest_wait: Duration,
 }
 
 impl World {
-    /// A disk that was full takes writes again; the process goes on.
+    /// Frees a full disk while the process keeps running.
     pub(crate) fn free_disk(&mut self, n: usize) {
         if let Some(until) = self.frozen_until(NodeRef::Registry(n)) {
             return self.schedule_at(until, Event::Repair { repair: Repair::FreeDisk(n) });
@@ -57,6 +57,7 @@
         cores.filter_map(|(n, node)| node.core.as_ref().map(|core| (n, core.replica())))
     }
 
+    /// Checks that running members catch up in time after the last disturbance.
     pub fn check_caught_up(&mut self) {
         let now = self.now;
         if now >= self.catch_up.sampled_at + COMMIT_SPREAD_TIME {
@@ -69,7 +70,7 @@
         let behind = |member: &ChainReplica| !member.is_in_chain() || member.positions().committed < earlier;
         let all_running = self.members_up().count() == self.live_registries().len();
         let late = self.members_up().find(|(_, member)| behind(member)).map(|(n, member)| (n, member.positions()));
-        // A planned stop disturbs nothing, but takes a member out of the chain.
+        // A planned stop isn't a disturbance, but takes a member out of the chain.
         let troubles = self.registries.iter().map(|node| node.last_disturbed);
         let disturbed = troubles.fold(self.last_disturbance.0, Duration::max);
         let calm = now.saturating_sub(disturbed);
@@ -80,7 +81,8 @@
         }
         match late {
             Some((n, positions)) if calm > bound => {
-                let message = format!("registry {n} is not caught up {} ms after the last trouble", calm.as_millis());
+                let message =
+                    format!("registry {n} is not caught up {} ms after the last disturbance", calm.as_millis());
                 self.rules.report_violation(now, format!("{message}: {positions:?}, {earlier} was committed"));
             }
             Some(_) => self.catch_up.longest_wait = self.catch_up.longest_wait.max(calm),
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Head, tail and whoever else is a full member of the newest view that anyone has taken on.
+    /// Checks that the head, the tail and all other full members of the newest view hold every acknowledged change.
     pub fn check_roles(&mut self) {
         let now = self.now;
         if now < self.catch_up.roles_checked_at + Duration::from_millis(20) {
@@ -115,7 +117,7 @@
             };
             self.rules.report_violation(
                 now,
-                format!("registry {n} is {role} with {holds}, though {acknowledged} was acknowledged"),
+                format!("registry {n} is {role} at revision {holds}, though {acknowledged} was acknowledged"),
             );
         }
     }
--- a/crates/sim/src/configuration.rs
+++ b/crates/sim/src/configuration.rs
@@ -1,5 +1,5 @@
-//! What operators declare in a simulated deployment: its bindings, and a mark that tells one configuration from
-//! another.
+//! Configuration that operators declare in a simulated deployment: the bindings, and a mark that identifies the
+//! change.
 
 use crate::world::World;
 use serde_json::{Value, json};
@@ -10,7 +10,7 @@
 }
 
 impl World {
-    /// The bindings all runs share, under a mark that tells one configuration from another.
+    /// Returns the bindings that all runs share, and the item with the mark.
     pub(crate) fn items(&self, mark: &str) -> Vec<ConfigurationItem> {
         let mut items: Vec<ConfigurationItem> = (0..self.plan.functions)
             .map(|function| {
@@ -28,7 +28,7 @@
     }
 }
 
-/// A change is known by a number kept in a plan of a function that is never called.
+/// Returns the item that identifies a change: its number, in the plan of a function that is never called.
 pub(crate) fn mark_item(mark: &str) -> ConfigurationItem {
     let number: u64 = mark[1..].parse().unwrap_or_default();
     item("headcount-plans/t0/mark", json!({"fixed": number % 1000}))
--- a/crates/sim/src/consumer_callers.rs
+++ b/crates/sim/src/consumer_callers.rs
@@ -1,5 +1,5 @@
-//! What the simulator notes of consumers' requests on their way, and the requests that repeat an idempotency key
-//! after a good answer: seconds later, at another router, or on another route.
+//! Records consumers' requests for the rules, and repeats idempotency keys after a successful answer: seconds later,
+//! at another router, or on another route.
 
 use crate::callers::SimTask;
 use crate::consumer_rules::{SeenByInstance, SentRequest};
@@ -9,13 +9,13 @@
 use std::time::Duration;
 use wire::RequestHead;
 
-/// A caller that goes no further, whatever it is answered.
+/// Number of tries of a caller that doesn't retry, whatever the answer.
 const MAX_TRIES: u32 = 9;
-/// How long after a good answer its key is sent again.
+/// Delay between a successful answer and the repeat of its key.
 const REPEAT_DELAY_MS: std::ops::Range<u64> = 30..25_000;
 
 impl World {
-    /// A request leaves its caller.
+    /// Records a request as its caller sends it.
     pub(crate) fn record_sent_request(&mut self, task: &SimTask) {
         if !self.has_consumers() {
             return;
@@ -30,14 +30,14 @@
         self.rules.sent_by_consumer(&task.label, request);
     }
 
-    /// Under what a consumer's task is kept once it is accepted.
+    /// Records the scope under which a consumer's accepted task is stored.
     pub(crate) fn record_task_scope(&mut self, task: &SimTask) {
         let (Some(consumer), Some(_)) = (task.caller.consumer, &task.caller.api_key) else { return };
         let scope = format!("consumer/{}/k-{}", consumer_name(consumer), task.caller.idempotency_key);
         self.callers.scopes.insert(task.key.clone(), scope);
     }
 
-    /// What the instance can read of whose request it is.
+    /// Returns what the instance can read about the consumer of a request.
     pub(crate) fn seen_by_instance(&self, label: &str, head: &[u8], body: &[u8]) -> SeenByInstance {
         let fields = wire::from_bytes::<RequestHead>(head).map(|head| head.headers.into_vec()).unwrap_or_default();
         let named: Vec<String> = fields
@@ -51,7 +51,7 @@
         SeenByInstance { consumer, has_api_key }
     }
 
-    /// Some run-once keys of consumers are sent again after a good answer.
+    /// Repeats some of the consumers' run-once keys after a successful answer.
     pub(crate) fn maybe_repeat(&mut self, task: &SimTask) {
         if !self.has_consumers() || task.class != "once" || !self.rng.random_ratio(1, 4) {
             return;
--- a/crates/sim/src/consumer_rules.rs
+++ b/crates/sim/src/consumer_rules.rs
@@ -1,22 +1,23 @@
-//! The rules on consumers: whose name an instance is told, with which keys requests run, who is denied, what a
-//! repeat of a consumer's idempotency key may do, how much runs of a consumer, and whether each is served.
+//! Rules on consumers: which consumer an instance is told, with which API keys requests run and which are denied,
+//! what a repeated idempotency key may do, how many requests of a consumer run, and whether each consumer is served.
 
 use crate::rules::Rules;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// After an acknowledgement a version is in force everywhere within this time.
+/// Time after its acknowledgement within which a configuration version is in force everywhere.
 pub const APPLIED: Duration = Duration::from_secs(3);
-/// Proper requests that may be denied: so many, and one in so many of all.
+/// Number of entitled requests that may be denied, besides a share of all requests.
 const MAX_DENIED: u64 = 5;
+/// One request in this many may be denied though it is entitled.
 const DENIED_SHARE: u64 = 500;
 
 /// An API key and the consumer that holds it, as `tenant/name`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyHolder {
-    /// The key.
+    /// API key.
     pub api_key: String,
-    /// Who holds it.
+    /// Consumer that holds the key.
     pub consumer: String,
 }
 
@@ -27,16 +28,16 @@
     pub sent: Duration,
     /// Its API key, if it has one.
     pub api_key: Option<String>,
-    /// Its idempotency key where it is to run once.
+    /// Its idempotency key if it must run only once.
     pub operation: Option<String>,
-    /// Whether its binding asks for no key.
+    /// Whether its binding requires no API key.
     pub is_public: bool,
 }
 
 /// What an instance sees of a request that it runs.
 #[derive(Clone, Debug, Default)]
 pub struct SeenByInstance {
-    /// The consumer it is told, without the tenant.
+    /// Name of the consumer that the instance is told, without the tenant.
     pub consumer: Option<String>,
     /// Whether the caller's API key stands anywhere in it.
     pub has_api_key: bool,
@@ -46,9 +47,9 @@
 pub(crate) struct KeyRecord {
     pub(crate) consumer: String,
     acknowledged: Option<Duration>,
-    /// Since when a change without it may be in force.
+    /// Since when a configuration without the key may be in force.
     maybe_removed_since: Option<Duration>,
-    /// When a version without it was acknowledged first.
+    /// When a configuration without the key was first acknowledged.
     removed_at: Option<Duration>,
 }
 
@@ -58,7 +59,7 @@
     pub(crate) served: u64,
 }
 
-/// What the rules on consumers remember between steps.
+/// State that the rules on consumers keep between steps.
 #[derive(Default)]
 pub struct ConsumerRecords {
     pub(crate) keys: BTreeMap<String, KeyRecord>,
@@ -67,20 +68,20 @@
     pub(crate) ran: BTreeSet<String>,
     pub(crate) asked: u64,
     pub(crate) denied: u64,
-    /// The labels that ran under an operation, with the times at which they were sent.
+    /// By consumer and idempotency key: the tries that ran, with the times at which they were sent.
     pub(crate) operations: BTreeMap<(String, String), Vec<(Duration, String)>>,
     pub(crate) limits: BTreeMap<String, (f64, f64)>,
-    /// When what ran of a limited consumer had been sent.
+    /// By limited consumer: the send times of the requests that ran.
     pub(crate) admitted: BTreeMap<String, VecDeque<Duration>>,
-    /// What each limited consumer may still ask for within its limit, and when that was.
+    /// By limited consumer: the number of requests left within its limit, and when that was computed.
     pub(crate) remaining_budget: BTreeMap<String, (f64, Duration)>,
-    /// Requests beyond their consumers' limits.
+    /// Requests that exceeded their consumers' limits.
     pub(crate) over_limit: BTreeSet<String>,
     pub(crate) service: BTreeMap<String, ServiceRecord>,
 }
 
 impl Rules {
-    /// A change was sent that declares these keys and no others. No key is declared again once it was left out.
+    /// Records that a change was sent that declares exactly these keys. A removed key is never declared again.
     pub fn keys_offered(&mut self, now: Duration, held: &[KeyHolder]) {
         let keys = &mut self.consumers.keys;
         for holder in held {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// A change that was sent at `offered`, and declares these keys and no others, was acknowledged.
+    /// Records the acknowledgement of a change that was sent at `offered` and declares exactly these keys.
     pub fn keys_acknowledged(&mut self, now: Duration, offered: Duration, held: &[KeyHolder]) {
         self.consumers.first_acknowledged_at.get_or_insert(now);
         for (key, record) in &mut self.consumers.keys {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// A request was sent, under a label of its own.
+    /// Records that a request was sent under a unique label.
     pub fn sent_by_consumer(&mut self, label: &str, request: SentRequest) {
         self.consumers.asked += 1;
         if let Some(consumer) = self.entitled_consumer(&request, request.sent) {
@@ -118,7 +119,7 @@
         self.consumers.sent.insert(label.to_owned(), request);
     }
 
-    /// The consumer that holds a request's key in whichever configuration may be in force, if one surely does.
+    /// Returns the consumer that holds the request's key in every configuration that may be in force, if there is one.
     pub(crate) fn entitled_consumer(&self, request: &SentRequest, until: Duration) -> Option<String> {
         let record = request.api_key.as_ref().and_then(|key| self.consumers.keys.get(key))?;
         let is_in_force = record.acknowledged.is_some_and(|at| request.sent > at + APPLIED);
@@ -126,12 +127,12 @@
         (is_in_force && !is_doubtful).then(|| record.consumer.clone())
     }
 
-    /// The API key that a request was sent with.
+    /// Returns the API key that a request was sent with.
     pub(crate) fn api_key_of(&self, label: &str) -> Option<&str> {
         self.consumers.sent.get(label).and_then(|request| request.api_key.as_deref())
     }
 
-    /// An instance runs a request.
+    /// Checks what an instance that runs a request was told of its consumer.
     pub fn ran_for_consumer(&mut self, now: Duration, label: &str, seen: &SeenByInstance) {
         let Some(request) = self.consumers.sent.get(label).cloned() else { return };
         if seen.has_api_key {
@@ -149,11 +150,11 @@
         if told_consumer.is_some() && is_late {
             self.report_violation(
                 now,
-                format!("{label} ran with a key taken away at {removed_at:?}, sent at {:?}", request.sent),
+                format!("{label} ran with a key removed at {removed_at:?}, sent at {:?}", request.sent),
             );
         }
         if told_consumer.is_none() && !request.is_public {
-            self.report_violation(now, format!("{label} ran as nobody's, its key is {holder:?}'s"));
+            self.report_violation(now, format!("{label} ran without a consumer, its key belongs to {holder:?}'s"));
         }
         if told_consumer.is_none() && self.entitled_consumer(&request, now).is_some() {
             self.report_violation(now, format!("{label} of {holder:?} ran as nobody's"));
@@ -165,7 +166,7 @@
         }
     }
 
-    /// A caller was told that it may not, or that there is no such route.
+    /// Records that a request was denied, or answered that the route doesn't exist.
     pub fn denied(&mut self, now: Duration, label: &str, status: u16) {
         let Some(request) = self.consumers.sent.get(label).cloned() else { return };
         if self.consumers.ran.contains(label) {
@@ -179,7 +180,7 @@
             if denied > MAX_DENIED + asked / DENIED_SHARE {
                 self.report_violation(
                     now,
-                    format!("{denied} of {asked} requests denied though proper, the last {label}, {status}"),
+                    format!("{denied} of {asked} requests denied though entitled, the last {label}, {status}"),
                 );
             }
         }
--- a/crates/sim/src/consumer_service_rules.rs
+++ b/crates/sim/src/consumer_service_rules.rs
@@ -1,28 +1,28 @@
-//! The rules on what consumers get: a repeat of an idempotency key runs nothing and is answered as the first was,
-//! no more runs than the rate allows, and none is starved.
+//! Rules on the service consumers get: a repeated idempotency key runs nothing and gets the first answer, no more
+//! requests run than the rate allows, and no consumer is starved.
 
 use crate::consumer_rules::{SentRequest, ServiceRecord};
 use crate::rules::Rules;
 use std::time::Duration;
 
-/// For so long a consumer's idempotency key is one operation.
+/// Time within which requests with the same idempotency key of a consumer are one operation.
 pub const KEY_WINDOW: Duration = Duration::from_secs(60);
-/// The window over which a consumer's rate is judged.
+/// Window over which a consumer's rate is checked.
 pub const QUOTA_WINDOW: Duration = Duration::from_secs(5);
 const QUOTA_OVERRUN: f64 = 0.1;
 const QUOTA_SLACK: f64 = 20.0;
-/// A consumer is judged to be starved by this many requests at least.
+/// Minimum number of requests of a consumer for the check of starvation.
 const MIN_JUDGED_REQUESTS: u64 = 40;
-/// It is starved where it is served less than one part in so many as often as all.
+/// A consumer is starved if its served share is below the share of all consumers divided by this number.
 const STARVED_FRACTION: u64 = 4;
 
 impl Rules {
-    /// A consumer may make so many requests a second, and so many more at once.
+    /// Sets a consumer's limit: requests per second, and a burst on top.
     pub fn set_limit(&mut self, consumer: &str, rate_per_s: f64, burst: f64) {
         self.consumers.limits.insert(consumer.to_owned(), (rate_per_s, burst));
     }
 
-    /// Whether one more request that is sent now is within its consumer's limit; it is counted.
+    /// Counts a request against its consumer's limit and returns whether it is within the limit.
     pub(crate) fn spend_from_limit(&mut self, consumer: &str, now: Duration) -> bool {
         let Some((rate_per_s, burst)) = self.consumers.limits.get(consumer).copied() else { return true };
         let most = burst.max(1.0);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What was both sent and run within a window is held against the consumer's rate.
+    /// Checks the requests that were both sent and run within the window against the consumer's rate.
     pub(crate) fn check_rate_limit(&mut self, now: Duration, consumer: &str, sent: Duration) {
         let Some((rate_per_s, burst)) = self.consumers.limits.get(consumer).copied() else { return };
         let admitted = self.consumers.admitted.entry(consumer.to_owned()).or_default();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A caller was answered with success: a repeat gets what the first run of its operation answered.
+    /// Checks a successful answer: a repeat gets the answer of the first run of its operation.
     pub fn answered_consumer(&mut self, now: Duration, label: &str, body: &[u8]) {
         let Some(request) = self.consumers.sent.get(label).cloned() else { return };
         self.served_consumer(label);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A request was served or taken on for good.
+    /// Records that a request was answered or durably accepted.
     pub fn served_consumer(&mut self, label: &str) {
         let owed = self.consumers.sent.get(label).filter(|_| !self.consumers.over_limit.contains(label));
         let owed = owed.and_then(|request| self.entitled_consumer(request, request.sent));
@@ -85,7 +85,7 @@
         }
     }
 
-    /// No consumer is served less than a quarter as often as all.
+    /// Checks that the served share of no consumer is below a quarter of that of all consumers.
     pub fn check_fair_service(&mut self, now: Duration) {
         let service = &self.consumers.service;
         let asked: u64 = service.values().map(|record| record.asked).sum();
@@ -95,7 +95,10 @@
         };
         let starved = service.iter().find(|(_, record)| is_starved(record));
         let message = starved.map(|(name, record)| {
-            format!("{name} was served {} times of {}, all {served} of {asked}", record.served, record.asked)
+            format!(
+                "{name} was served {} of {} requests, all consumers {served} of {asked}",
+                record.served, record.asked
+            )
         });
         message.into_iter().for_each(|message| self.report_violation(now, message));
     }
--- a/crates/sim/src/consumers.rs
+++ b/crates/sim/src/consumers.rs
@@ -1,5 +1,5 @@
-//! Consumers in a simulated deployment: what each declares, how its API keys are taken away from version to
-//! version, and by which key a caller calls.
+//! Consumers in a simulated deployment: their declarations, the removal of API keys by newer configurations, and
+//! the key that a caller uses.
 
 use crate::callers::service_of;
 use crate::configuration::item;
@@ -12,43 +12,45 @@
 use std::time::Duration;
 use wire::ConfigurationItem;
 
-/// How many consumers a configuration declares.
+/// Number of consumers that a configuration declares.
 pub const CONSUMERS: usize = 5;
-/// The header in which an instance is told whose request it runs.
+/// Header that tells an instance the consumer of a request.
 pub const CONSUMER_HEADER: &str = "x-consumer";
-/// The consumer that makes every other request.
+/// Consumer that sends more than half of all requests.
 const LARGEST_CONSUMER: usize = 0;
-/// Functions from this one on, and before the next bound, have public bindings: an ordinary and a run-once one.
+/// Functions with public bindings: an ordinary and a run-once one.
 const PUBLIC_FUNCTIONS: std::ops::Range<usize> = 4..6;
-/// Requests a second that the largest consumer may make, and each other one; and besides, in any window.
+/// Requests per second that the largest consumer may send.
 const LARGEST_RATE: f64 = 30.0;
+/// Requests per second that each other limited consumer may send.
 const OTHER_RATE: f64 = 8.0;
+/// Requests that a consumer may send on top of its rate.
 const BURST: f64 = 5.0;
-/// For so long callers go on with a key that was taken away.
+/// How long callers keep using a key that was removed.
 const REVOKED_KEY_USE: Duration = Duration::from_secs(6);
 
-/// Who calls, by which API key, and under which idempotency key.
+/// Caller of a task, with its API key and idempotency key.
 #[derive(Clone, Debug, Default)]
 pub struct Caller {
     /// The consumer that the caller belongs to.
     pub consumer: Option<usize>,
-    /// What it sends as its API key.
+    /// API key that it sends.
     pub api_key: Option<String>,
-    /// What it sends as its idempotency key.
+    /// Idempotency key that it sends.
     pub idempotency_key: String,
 }
 
-/// The keys of each consumer. At generation `g` it holds the keys `g` and `g + 1`; a version of the next generation
-/// takes key `g` away.
+/// API keys of the consumers. At generation `g` a consumer holds the keys `g` and `g + 1`; a configuration with the
+/// next generation removes key `g`.
 #[derive(Default)]
 pub struct ConsumerKeys {
-    /// What operators declare from now on.
+    /// Generations that operators declare from now on.
     declared: [u64; CONSUMERS],
-    /// What the newest acknowledged version declares.
+    /// Generations that the newest acknowledged configuration declares.
     acknowledged: [u64; CONSUMERS],
     generations_by_mark: BTreeMap<String, [u64; CONSUMERS]>,
     revoked_at: [Option<Duration>; CONSUMERS],
-    /// Whose requests come many times as often, and until when.
+    /// Consumer that sends far more requests than usual, and until when.
     pub hot_consumer: Option<(usize, Duration)>,
 }
 
@@ -56,7 +58,7 @@
     format!("key-{consumer}-{generation}")
 }
 
-/// A consumer's rate and burst. The last one has no limit.
+/// Returns a consumer's rate and burst. The last consumer has no limit.
 fn limit_of(consumer: usize) -> (f64, f64) {
     match consumer {
         LARGEST_CONSUMER => (LARGEST_RATE, BURST),
@@ -65,7 +67,7 @@
     }
 }
 
-/// A consumer's name, as `tenant/name`.
+/// Returns a consumer's name as `tenant/name`.
 pub fn consumer_name(consumer: usize) -> String {
     format!("t{}/c{consumer}", consumer % 3)
 }
@@ -84,12 +86,12 @@
         self.plan.sort == Sort::Consumers
     }
 
-    /// Whether a function's binding asks for no API key.
+    /// Whether a function's binding requires no API key.
     pub fn is_public(&self, function: usize) -> bool {
         self.has_consumers() && PUBLIC_FUNCTIONS.contains(&function)
     }
 
-    /// The consumers as operators declare them now.
+    /// Returns the declarations of consumers as operators send them now.
     pub(crate) fn consumer_items(&self) -> Vec<ConfigurationItem> {
         if !self.has_consumers() {
             return Vec::new();
@@ -104,7 +106,7 @@
         self.consumer_keys.declared.iter().enumerate().map(item).collect()
     }
 
-    /// A change was sent with the consumers as they are declared now.
+    /// Records that a change was sent with the current declarations of consumers.
     pub(crate) fn consumers_offered(&mut self, mark: &str) {
         if self.has_consumers() {
             let declared = self.consumer_keys.declared;
@@ -125,15 +127,15 @@
         self.rules.keys_acknowledged(self.now, offered, &keys_of(&generations));
     }
 
-    /// The versions from now on take a key of one consumer away.
+    /// Removes a key of one consumer from all configurations sent from now on.
     pub(crate) fn revoke_any_key(&mut self) {
         let consumer = self.rng.random_range(0..CONSUMERS);
-        self.log(|| format!("a key of {} is taken away", consumer_name(consumer)));
+        self.log(|| format!("a key of {} is removed", consumer_name(consumer)));
         self.consumer_keys.declared[consumer] += 1;
         self.consumer_keys.revoked_at[consumer] = Some(self.now);
     }
 
-    /// Whoever calls for a function next, under an idempotency key of its own or one that another consumer used.
+    /// Draws the next caller of a function, with a new idempotency key or one that another consumer is using.
     pub(crate) fn next_caller(&mut self, function: usize, number: u64) -> Caller {
         let mut caller = Caller { idempotency_key: number.to_string(), ..Caller::default() };
         let is_keyed = matches!(self.class_of(function), "once" | "deferred");
@@ -155,7 +157,7 @@
         hot.filter(|_| self.rng.random_ratio(19, 20)).unwrap_or(drawn)
     }
 
-    /// A key that is held, mostly; else one that was taken away, is not there yet, was never there, or none.
+    /// Draws an API key: mostly one that the consumer holds; else a removed, future or unknown one, or none.
     fn next_api_key(&mut self, consumer: usize) -> Option<String> {
         let held = self.consumer_keys.acknowledged[consumer];
         let revoked = self.consumer_keys.revoked_at[consumer];
@@ -172,7 +174,7 @@
         }
     }
 
-    /// An idempotency key that a request of another consumer carries now.
+    /// Draws an idempotency key from the open requests of other consumers.
     fn idempotency_key_of_another(&mut self, consumer: usize) -> Option<String> {
         let others = self.callers.open.values().map(|task| &task.caller);
         let others = others.filter(|other| other.consumer.is_some_and(|other| other != consumer));
@@ -181,7 +183,7 @@
         keys.get(drawn).cloned()
     }
 
-    /// The key by which a caller tries again: the same, or another that its consumer holds.
+    /// Draws the API key for a retry: the same one, or another that the consumer holds.
     pub(crate) fn key_for_repeat(&mut self, caller: &Caller) -> Option<String> {
         let Some(consumer) = caller.consumer.filter(|_| caller.api_key.is_some()) else {
             return caller.api_key.clone();
@@ -193,7 +195,7 @@
         caller.api_key.clone()
     }
 
-    /// Another route of the same class that asks for a key.
+    /// Returns another service of the same class that requires a key.
     pub(crate) fn sibling_route(&self, service: &str) -> Option<String> {
         let class = |function: usize| self.class_of(function);
         let is_this = |function: &usize| service_of(*function) == service;
--- a/crates/sim/src/control_faults.rs
+++ b/crates/sim/src/control_faults.rs
@@ -1,6 +1,6 @@
-//! Failures of the control plane and its machines beyond those of `faults`: registries cut off for long,
-//! replaced, struck at the moment of an acknowledgement, slowed, and restarts that go round all machines.
-//! A sort of its own for each of two fields, and one that draws from everything there is.
+//! Faults of the control plane and its machines beyond those of `faults`: registries that are cut off for long,
+//! replaced, killed right at an acknowledgement or slowed down, and rolling restarts of all machines. There are
+//! separate sorts for cuts, replacements and restarts, and one that draws from all faults.
 
 use crate::cutoff::Cutoff;
 use crate::sorts::{FaultKind, Sort};
@@ -9,20 +9,20 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// One failure of the control plane, drawn by weight as often as a sort lists it.
+/// One kind of control plane fault. A sort lists a kind several times to give it more weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlFault {
     /// A registry is cut off for 15 to 22 s.
     CutOff,
-    /// The same, and once more as it returns.
+    /// Cut off for the same time, and once more as it returns.
     CutOffTwice,
     /// Cut off, and restarted meanwhile.
     CutOffRestarted,
     /// Cut off; restarted meanwhile, and then the others too, one by one.
     CutOffAllRestarted,
-    /// Cut off, while routers start with seeds that name it first or alone.
+    /// Cut off, while routers start with seeds that name it first or as the only one.
     CutOffSeeds,
-    /// Held connections from registries to registries and routers are reset.
+    /// Open connections of registries to other registries and routers are reset.
     ResetControlLinks,
     ReplaceUnplanned,
     ReplacePlanned,
@@ -36,7 +36,7 @@
     PowerOffAfterWork,
     /// The router that has just accepted a caller's work loses power.
     KillRouterAfterWork,
-    /// Killed again and again as soon as it answers.
+    /// A registry is killed repeatedly, each time as soon as it answers.
     KillRepeatedly,
     /// A change is sent to a registry as it returns.
     ChangeAtReturn,
@@ -51,9 +51,9 @@
     RollRouters,
     RollRoutersTwoAtATime,
     PowerOffAll,
-    /// Everything is killed, and as many disks are lost as may be.
+    /// All registries lose power, and the tolerated number of them their disks.
     LoseDisksAndPowerOff,
-    /// All registries, or all machines, are stopped or killed and come back at other addresses.
+    /// All registries, or all machines, are stopped or killed and come back at new addresses.
     RestartAtNewAddresses,
 }
 
@@ -124,7 +124,7 @@
     LoseDisksAndPowerOff,
 ];
 
-/// The kinds of the sorts that this module adds.
+/// Returns the kinds of fault that a sort draws from, including the control plane's sorts.
 pub fn kinds(sort: Sort) -> Vec<FaultKind> {
     match sort {
         Sort::Cutoff => CUTOFF.to_vec(),
@@ -141,7 +141,7 @@
 }
 
 impl World {
-    /// Brings a failure about and says how long it lasts at the most.
+    /// Starts a fault and returns its maximum duration.
     pub(crate) fn control_fault(&mut self, fault: ControlFault, outage: Duration) -> Duration {
         match fault {
             CutOff => return self.cut_off(Cutoff::Once),
@@ -196,7 +196,8 @@
         self.live_registries().into_iter().for_each(|n| self.kill_registry_for(n, 200, 2500));
     }
 
-    /// The registry that acknowledges, the head, or any: those whose loss is felt most come most often.
+    /// Draws a registry: the tail, the head, the last one that acknowledged, or any. Those whose loss has the most
+    /// effect are drawn most often.
     pub(crate) fn pick_registry(&mut self) -> usize {
         let live = self.live_registries();
         let with_role = |world: &World, is: fn(&chain::ChainReplica) -> bool| {
--- a/crates/sim/src/cutoff.rs
+++ b/crates/sim/src/cutoff.rs
@@ -1,6 +1,6 @@
-//! A registry cut off for long: from everyone, from the other registries or from the routers, both ways or
-//! one, in silence, with connections refused, or with those reset that were held. Changes are sent to it
-//! throughout, and as it returns.
+//! A registry that is cut off for long: from all nodes, from the other registries or from the routers, in both
+//! directions or one, with frames dropped silently, connections refused, or open connections reset. Changes are
+//! sent to it during the cut and as it returns.
 
 use crate::follow_ups::FollowUp;
 use crate::world::{Event, NodeRef, World};
@@ -17,14 +17,14 @@
     Seeds,
 }
 
-/// What a node at the other side of a cut notices of it.
+/// How a cut shows itself to a node on the other side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutManner {
-    /// Frames are dropped and nothing is told.
+    /// Frames are dropped without notice.
     Silent,
     /// Connections break, and new ones are refused at once.
     Refused,
-    /// Frames on the way are lost with their connections, and then all is silent.
+    /// Frames in flight are lost with their connections, and later frames are dropped without notice.
     Reset,
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Settings written now name the registry that is cut off, alone or first, and some routers start by them.
+    /// Makes the isolated registry the first or only seed, and restarts some routers with these seeds.
     fn start_routers_with_seeds_of(&mut self, target: usize) {
         let live = self.live_registries();
         let others = live.into_iter().filter(|n| *n != target);
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The ways that a cut of this registry closes: to whom, and in which direction, is drawn.
+    /// Draws the links that a cut of this registry closes: to which nodes, and in which direction.
     fn cuts_around(&mut self, target: usize) -> Vec<(NodeRef, NodeRef)> {
         let me = NodeRef::Registry(target);
         let registries = self.live_registries().into_iter().map(NodeRef::Registry);
@@ -120,7 +120,7 @@
         self.rules.add_fault_span(self.now, until);
     }
 
-    /// Half of the connections held by registries are reset: what was on the way is lost, and both ends know.
+    /// Resets half of the registries' open connections: frames in flight are lost, and both ends notice.
     pub(crate) fn reset_control_links(&mut self) {
         let nodes = self.nodes();
         for (index, a) in nodes.iter().enumerate() {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// What was sent one way and has not arrived is lost; a router at either end is told, and dials anew.
+    /// Drops the frames in flight in one direction; a router at either end notices and reconnects.
     pub(crate) fn break_connection(&mut self, from: NodeRef, to: NodeRef) {
         self.drop_in_flight(from, to);
         for (near, far) in [(from, to), (to, from)] {
--- a/crates/sim/src/end_checks.rs
+++ b/crates/sim/src/end_checks.rs
@@ -1,4 +1,4 @@
-//! What is checked once a run has ended, and what is told of it.
+//! Checks at the end of a run, and its summary.
 
 use crate::sorts::Sort;
 use crate::world::World;
@@ -8,6 +8,7 @@
 const MAX_STALL: Duration = Duration::from_secs(15);
 
 impl World {
+    /// Runs the checks of a finished run.
     pub fn check_end(&mut self) {
         let now = self.now;
         self.check_read_back();
@@ -21,15 +22,17 @@
             _ => 0,
         };
         if unserved > MAX_UNSERVED {
-            self.rules
-                .report_violation(now, format!("{unserved} tasks refused or unknown though nothing was to keep them"));
+            self.rules.report_violation(
+                now,
+                format!("{unserved} tasks refused or with unknown outcome though no fault should have affected them"),
+            );
         }
         let from = self.plan.fault_phases[0].0.saturating_sub(Duration::from_secs(5));
         self.judged_seconds = self.rules.check_recovery(from, self.plan.final_fault);
     }
 
-    /// What was accepted and has not run yet waits in the store, and is still being worked off: after a
-    /// loss of all that was known of it, no faster than retries may be sent.
+    /// Checks that accepted tasks that haven't run are still in the store and that tasks keep being run. After the
+    /// loss of all in-memory state of the backlog it is worked off no faster than the limit on retries allows.
     fn check_deferred(&mut self) {
         let now = self.now;
         let waiting = self.rules.accepted_but_never_run();
@@ -46,16 +49,16 @@
         let lost: Vec<&String> =
             waiting.iter().filter(|(key, service)| !kept(key, service)).map(|(key, _)| key).collect();
         let message = match (lost.first(), waiting.len()) {
-            (Some(first), _) => format!("{} accepted tasks vanished, such as {first}", lost.len()),
+            (Some(first), _) => format!("{} accepted tasks are missing from the store, such as {first}", lost.len()),
             (None, count) if count > 0 && now > self.rules.last_first_run + MAX_STALL => {
-                format!("{count} accepted tasks stand still")
+                format!("{count} accepted tasks make no progress")
             }
             _ => return,
         };
         self.rules.report_violation(now, message);
     }
 
-    /// Where each node stands, for the story of a run that ended badly.
+    /// Returns a line on the state of each node, for the log of a run.
     pub fn node_states(&self) -> Vec<String> {
         let registries = self.registries.iter().enumerate().map(|(n, node)| match &node.core {
             Some(core) => format!("registry {n}: {}", core.status()),
@@ -63,7 +66,7 @@
         });
         let routers = self.routers.iter().enumerate().map(|(n, node)| match &node.process {
             Some(process) => format!(
-                "router {n}: step {} staged {} roster {} tail {:x?}, front {}, home {:?}",
+                "router {n}: step {} staged {} membership {} tail {:x?}, front {}, owner {:?}",
                 process.follower.active_epoch(),
                 process.follower.staged_epoch(),
                 process.follower.membership().number,
@@ -76,6 +79,7 @@
         registries.chain(routers).collect()
     }
 
+    /// Returns the counts of a run.
     pub fn summary(&self) -> String {
         let callers = &self.callers;
         format!(
--- a/crates/sim/src/fault_actions.rs
+++ b/crates/sim/src/fault_actions.rs
@@ -1,5 +1,5 @@
-//! How the larger failures are brought about: planned stops, freezes, lost disks, cuts, slow links,
-//! workers lost or drained, instances that take less than was declared, seeds that move.
+//! Implementation of the larger faults: planned stops, freezes, lost disks, cuts, slow links, crashed or draining
+//! instances, instances that accept less than their declared limit, and changed seeds.
 
 use crate::faults::Repair;
 use crate::follow_ups::FollowUp;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 impl World {
-    /// A planned stop with its grace period: the router leaves, finishes what it has, then goes.
+    /// Starts a planned stop with a grace period: the router leaves, finishes its open work, then stops.
     pub(crate) fn leave_router(&mut self, n: usize) {
         let leaving = self.routers.iter().any(|node| node.leaving_since.is_some());
         if leaving || !self.routers[n].is_running() || self.routers.iter().filter(|node| node.is_running()).count() < 2
@@ -23,7 +23,7 @@
         self.feed_follower(n, leases::FollowerInput::Leave);
     }
 
-    /// A planned stop of a registry, one at a time, which is started again a little later.
+    /// Starts a planned stop of a registry, one at a time; the registry is restarted a little later.
     pub(crate) fn stop_registry(&mut self, n: usize) {
         let live = self.live_registries();
         let calm = |n: &usize| {
@@ -51,7 +51,7 @@
         lasts
     }
 
-    /// Half of all machines freeze together and wake one by one.
+    /// Freezes half of all machines together; each resumes at its own time.
     pub(crate) fn freeze_half(&mut self) -> Duration {
         let mut most = Duration::ZERO;
         for node_ref in self.nodes() {
@@ -70,13 +70,13 @@
             .collect()
     }
 
-    /// Routers in the zone of a registry.
+    /// Returns the routers in the zone of a registry.
     pub(crate) fn routers_in_zone_of(&self, registry: usize) -> Vec<usize> {
         (0..self.routers.len()).filter(|n| n % 3 == registry % 3).collect()
     }
 
-    /// One disk is lost, only while the other two are whole in the chain with it; the machine comes
-    /// back empty, sometimes at a new address.
+    /// Loses one disk, but only while all registries are full members of the chain. The machine comes back with an
+    /// empty disk, sometimes at a new address.
     pub(crate) fn lose_disk(&mut self, n: usize, outage: Duration) {
         let live = self.live_registries();
         let full = |n: &usize| {
@@ -99,8 +99,7 @@
         self.schedule_after(outage, Event::Repair { repair: Repair::StartRegistry(n) });
     }
 
-    /// The seeds on every machine become the registries' present addresses, and a router is started
-    /// anew by them.
+    /// Sets the seeds on every machine to the registries' current addresses, and restarts a router with them.
     pub(crate) fn move_seeds(&mut self) {
         let live = self.live_registries().into_iter().take(3);
         self.seeds = live.map(|n| self.registries[n].address.clone()).collect();
@@ -161,8 +160,8 @@
         self.log(|| format!("cut healed, {} ways", cuts.len()));
     }
 
-    /// Half of the links between routers are reset: half of what is on its way is lost, and both ends
-    /// hear of it a little later.
+    /// Resets half of the links between routers: half of the frames in flight are lost, and both ends notice a
+    /// little later.
     pub(crate) fn reset_links(&mut self) {
         for a in 0..self.routers.len() {
             for b in 0..a {
@@ -186,7 +185,7 @@
         self.schedule_after(unheard, Event::Repair { repair: Repair::HealCuts(ways) });
     }
 
-    /// Links that are slow but not lost: every frame of some pairs takes up to 600 ms.
+    /// Slows down some links: every frame on them takes up to 600 ms.
     pub(crate) fn slow_links(&mut self, outage: Duration) {
         let all = self.nodes();
         for a in &all {
@@ -214,8 +213,8 @@
         }
     }
 
-    /// Instances take less than their binding says: one function's or all, some of it or nothing,
-    /// often while a crowd comes.
+    /// Makes the instances of one function or of all accept less than their binding's limit, or nothing, often
+    /// during a rush of requests for one function.
     pub(crate) fn overload(&mut self, outage: Duration) {
         let all = self.rng.random_bool(0.5);
         let one = self.rng.random_range(0..self.plan.functions);
--- a/crates/sim/src/faults.rs
+++ b/crates/sim/src/faults.rs
@@ -1,11 +1,12 @@
-//! The failures, drawn by the seed, each with its mending. Disks are never lost beyond what the
-//! deployment is to survive: one at a time, and the next only when the core is whole again.
+//! The faults, drawn from the seed, each with its repair. No more disks are lost than the deployment must survive:
+//! one at a time, and the next only when the core is complete again.
 
 use crate::sorts::{FaultKind, Sort};
 use crate::world::{Event, NodeRef, World};
 use rand::RngExt;
 use std::time::Duration;
 
+/// Action that ends a fault.
 #[derive(Clone, Debug)]
 pub enum Repair {
     StartRegistry(usize),
@@ -17,7 +18,7 @@
     RestorePlatform,
 }
 
-/// How long a planned stop keeps a node away: its grace and the pause until it is started anew.
+/// Time that a planned stop takes: the grace period and the pause until the restart.
 const PLANNED_STOP_TIME: Duration = Duration::from_secs(12);
 
 impl World {
@@ -25,6 +26,7 @@
         Duration::from_millis(self.rng.random_range(from..to))
     }
 
+    /// Schedules the next fault, and starts one now if the run is in a fault phase.
     pub fn fault(&mut self) {
         if self.now >= self.plan.final_fault {
             return self.final_fault();
@@ -52,7 +54,7 @@
         self.rules.add_fault_span(self.now, self.now + lasts);
     }
 
-    /// The day's end: power is lost at every registry, and at one router, just before the read-back.
+    /// Ends a run with a power loss of every registry and one router, just before the configuration is read back.
     fn final_fault(&mut self) {
         if self.plan.sort.is_on_control() {
             return self.triggered_final_fault();
@@ -78,7 +80,7 @@
         self.schedule_after(outage, Event::Repair { repair: Repair::StartRouter(n) });
     }
 
-    /// Does it and says how long it lasts at the most.
+    /// Starts a fault and returns its maximum duration.
     fn start_fault(&mut self, kind: FaultKind, outage: Duration) -> Duration {
         let registry = self.any_registry();
         let router = self.rng.random_range(0..self.routers.len());
@@ -158,6 +160,7 @@
         outage.max(Duration::from_millis(5000))
     }
 
+    /// Ends a fault.
     pub fn apply_repair(&mut self, repair: Repair) {
         match repair {
             Repair::StartRegistry(n) => {
--- a/crates/sim/src/final_fault.rs
+++ b/crates/sim/src/final_fault.rs
@@ -1,5 +1,5 @@
-//! The end of a run on the control plane's failures: one more change, and as it is acknowledged, or soon after
-//! it was sent, power is lost or everything is killed, mostly with as many disks lost as may be.
+//! The end of a run on control plane faults: one last change, and a fault as it is acknowledged or soon after it was
+//! sent. The fault is a power loss or a kill of all processes, mostly with the tolerated number of lost disks.
 
 use crate::follow_ups::FollowUp;
 use crate::triggered_faults::{Trigger, TriggeredFault};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl World {
-    /// The end of the day: one more change, and as it is acknowledged, or soon after it was sent, the last blow.
+    /// Sends the last change and arms the fault that it triggers.
     pub(crate) fn triggered_final_fault(&mut self) {
         self.log(|| format!("the final fault of {:?}", self.plan.sort));
         let count = self.plan.losses;
@@ -26,7 +26,7 @@
         self.follow_up(Duration::from_secs(2), FollowUp::FallbackFinalFault);
     }
 
-    /// Nothing was acknowledged in time: all registries lose power nevertheless.
+    /// Powers off all registries if the armed fault wasn't triggered in time.
     pub(crate) fn fallback_final_fault(&mut self) {
         if self.armed_faults.pop().is_some() {
             self.apply_triggered_fault(0, TriggeredFault::PowerOffCore);
--- a/crates/sim/src/follow_ups.rs
+++ b/crates/sim/src/follow_ups.rs
@@ -1,11 +1,10 @@
-//! What follows a failure some time later: each step says what is done, and the failure that sent for it
-//! knows when.
+//! Later steps of a fault: each fault schedules the steps that follow it.
 
 use crate::triggered_faults::TriggeredFault;
 use crate::world::{NodeRef, World};
 use std::time::Duration;
 
-/// What follows a failure some time later.
+/// Later step of a fault.
 #[derive(Clone, Debug)]
 pub enum FollowUp {
     TriggeredFault {
@@ -19,7 +18,7 @@
     RestartRegistry {
         registry: usize,
     },
-    /// So many changes on one revision are sent to this registry.
+    /// Sends this many changes on one revision to the registry.
     Change {
         registry: usize,
         count: usize,
@@ -44,15 +43,16 @@
         at_a_time: usize,
         waited: Duration,
     },
-    /// A planned stop of a registry begins, and it goes once it is out of the chain or has waited long enough.
+    /// Starts the planned stop of a registry that is being replaced.
     Retire {
         registry: usize,
     },
+    /// Waits until the registry is out of the chain or its grace period is over, then stops it.
     Retiring {
         registry: usize,
         until: Duration,
     },
-    /// The same for one that is started again.
+    /// Waits in the same way for a registry that is restarted afterwards.
     Stopping {
         registry: usize,
         until: Duration,
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -1,5 +1,4 @@
-//! The instances in the simulator: they take tasks up to their limit, crash, turn away, or do the
-//! work and lose the answer.
+//! Simulated instances: they accept tasks up to their limit, crash, reject tasks, or run a task and lose the answer.
 
 use crate::platform::Work;
 use crate::router_node::RouterInput;
@@ -12,7 +11,7 @@
 
 impl World {
     pub fn dispatch(&mut self, n: usize, order: DispatchOrder) {
-        let head: RequestHead = wire::from_bytes(&order.head).expect("a head the front wrote");
+        let head: RequestHead = wire::from_bytes(&order.head).expect("the front wrote a valid request head");
         let label = head
             .headers
             .iter()
@@ -32,7 +31,7 @@
         if leaving_since.is_some_and(|at| self.now > at + Duration::from_secs(3)) {
             self.rules.report_violation(
                 self.now,
-                format!("{label} was sent to {} long after it was known leaving", order.address),
+                format!("{label} was sent to {} long after it was listed as leaving", order.address),
             );
         }
         let now = self.now;
@@ -83,7 +82,7 @@
         self.schedule_after(duration, Event::InstanceDone { number });
     }
 
-    /// Whoever is there gets what is sent to it, also where it turns it away.
+    /// Records that a try reached a running instance, also if the instance rejects it.
     fn record_instance(&mut self, label: &str, id: &str) {
         let Some(instance) = self.platform.instances.get(id).filter(|instance| instance.ready_at <= self.now) else {
             return;
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,6 +1,6 @@
-//! The simulator: the real state machines of registries and routers on a seeded network, seeded
-//! disks and a clock that moves from event to event, with the brief's failures brought about and
-//! the rules checked after every step. The same seed replays the same run to the last event.
+//! Simulator: runs the product's state machines of registries and routers on a simulated network, disks and
+//! platform, with a clock that jumps from event to event. Faults are drawn from a seed, and the rules are
+//! checked after every step. The same seed replays the same run to the last event.
 
 mod callers;
 mod catch_up_rules;
@@ -25,6 +25,7 @@
 mod operators;
 mod plan;
 mod platform;
+mod registry_health;
 mod registry_node;
 mod replacement;
 mod resending_operators;
@@ -34,6 +35,7 @@
 mod router_node;
 mod router_steps;
 mod rules;
+mod run;
 mod slowness;
 mod sorts;
 mod triggered_faults;
@@ -43,5 +45,6 @@
 pub use core_rules::CoreCopies;
 pub use plan::Plan;
 pub use rules::Rules;
+pub use run::{Outcome, fingerprint, run};
 pub use sorts::Sort;
-pub use world::{Outcome, World, fingerprint, run};
+pub use world::World;
--- a/crates/sim/src/link_faults.rs
+++ b/crates/sim/src/link_faults.rs
@@ -1,5 +1,5 @@
-//! Links that lose packets, and routers whose connections are all reset. A kept connection shows a lost packet as a
-//! delay until it is sent again, behind which all later frames wait, and a burst of losses as a reset.
+//! Links that lose packets, and routers whose connections are all reset. On a persistent connection a lost packet is
+//! a delay until its retransmission, which holds up all later frames, and a burst of losses is a reset.
 
 use crate::follow_ups::FollowUp;
 use crate::router_node::RouterInput;
@@ -8,20 +8,20 @@
 use std::time::Duration;
 use traffic::{DispatchOutcome, FrontInput};
 
-/// One link in so many loses packets.
+/// One link in this many loses packets.
 const LOSSY_LINKS: u32 = 4;
-/// How many frames of a lossy link in a hundred wait for a packet to be sent again.
+/// Percentage of frames on a lossy link that wait for a retransmission.
 const DELAYED_FRAMES: u32 = 8;
-/// How long a packet takes that is sent again once, or a few times.
+/// Delay of a packet that is retransmitted once or a few times.
 const RESEND_DELAY_MS: std::ops::Range<u64> = 200..1200;
-/// How often a lossy link is reset.
+/// Interval between resets of a lossy link.
 const RESET_INTERVAL_MS: std::ops::Range<u64> = 500..6000;
-/// When a caller whose connection was reset asks again.
+/// Delay until a caller whose connection was reset retries.
 const RETRY_DELAY_MS: std::ops::Range<u64> = 10..400;
 const MAX_TRIES_AFTER_RESET: u32 = 3;
 
 impl World {
-    /// Some pairs of machines have a lossy link for a while. Says how long it lasts until what was delayed is there.
+    /// Makes some links lossy for a while. Returns the time until all delayed frames have arrived.
     pub(crate) fn lose_packets(&mut self, lasts: Duration) -> Duration {
         let nodes = self.nodes();
         let until = self.now + lasts;
@@ -39,13 +39,13 @@
         all_there
     }
 
-    /// Links whose last delayed frames have arrived are as they were.
+    /// Ends the packet loss on links whose last delayed frames have arrived.
     pub(crate) fn end_packet_loss(&mut self) {
         let now = self.now;
         self.net.lossy_links.retain(|_, until| *until + Duration::from_millis(RESEND_DELAY_MS.end) > now);
     }
 
-    /// What a frame waits for a packet of its link to be sent again.
+    /// Draws the delay of a frame by a retransmission on its link.
     pub(crate) fn delay_by_losses(&mut self, from: NodeRef, to: NodeRef) -> Duration {
         let is_lossy = self.is_lossy((from, to));
         if is_lossy && self.rng.random_ratio(DELAYED_FRAMES, 100) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// All that a router holds is reset: the links to other machines, callers' connections, and those to instances.
+    /// Resets all connections of a router: to other machines, callers and instances.
     pub(crate) fn reset_connections_of(&mut self, router: usize) {
         let me = NodeRef::Router(router);
         self.log(|| format!("all connections of router {router} are reset"));
@@ -85,7 +85,7 @@
         self.reset_callers_of(router);
     }
 
-    /// Callers learn no outcome, and ask again under the same idempotency key.
+    /// Resets callers' connections: they learn no outcome and retry under the same idempotency key.
     fn reset_callers_of(&mut self, router: usize) {
         let open: Vec<_> = self.callers.open.extract_if(.., |(at, _), _| *at == router).collect();
         for ((_, request_id), mut task) in open {
@@ -105,10 +105,10 @@
         }
     }
 
-    /// One consumer sends many times its usual for a while.
+    /// Makes one consumer send far more requests than usual for a while.
     pub(crate) fn raise_consumer_rate(&mut self, lasts: Duration) {
         let consumer = self.rng.random_range(0..crate::consumers::CONSUMERS);
-        self.log(|| format!("{} sends many times its usual", crate::consumers::consumer_name(consumer)));
+        self.log(|| format!("{} sends far more requests than usual", crate::consumers::consumer_name(consumer)));
         self.consumer_keys.hot_consumer = Some((consumer, self.now + lasts));
     }
 }
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,4 +1,4 @@
-//! `sim`: runs one seed with its story told, or sweeps many and names those that break a rule.
+//! `sim`: runs one seed with a log of its events, or many seeds and lists those that violate a rule.
 
 use lexopt::prelude::*;
 use sim::{Sort, fingerprint, run};
@@ -9,9 +9,9 @@
 Usage: sim run --seed N [--sort SORT]
        sim sweep [--from N] [--count N] [--sort SORT] [--threads N]
        sim fingerprint [--from N] [--count N] [--sort SORT] [--threads N]
-                       a line a seed; equal for two versions of the code that behave alike
+                       one line per seed; equal for two versions of the code that behave alike
 
---sort: what fails [mixed]";
+--sort: which faults occur [mixed]";
 
 fn main() -> ExitCode {
     match run_command() {
@@ -42,14 +42,14 @@
             other => return Err(other.unexpected().to_string()),
         };
         let value = line.value().and_then(|v| v.string()).map_err(|fault| fault.to_string())?;
-        let number = || value.parse::<u64>().map_err(|_| format!("--{name} {value}: allowed is a number"));
+        let number = || value.parse::<u64>().map_err(|_| format!("--{name} {value}: must be a number"));
         match name.as_str() {
             "seed" => seed = number()?,
             "from" => from = number()?,
             "count" => count = number()?,
             "threads" => threads = number()?.clamp(1, 64),
             "sort" => sort = Sort::from_word(&value).ok_or(format!("--sort {value}: see --help"))?,
-            _ => return Err(format!("no flag --{name}; see --help")),
+            _ => return Err(format!("unknown flag --{name}; see --help")),
         }
     }
     match command.as_str() {
@@ -64,7 +64,7 @@
             fingerprints(from, count, threads, sort);
             Ok(true)
         }
-        _ => Err("say run, sweep or fingerprint; see --help".into()),
+        _ => Err("expected the command run, sweep or fingerprint; see --help".into()),
     }
 }
 
--- a/crates/sim/src/membership_rules.rs
+++ b/crates/sim/src/membership_rules.rs
@@ -1,10 +1,12 @@
-//! A rule on the core's duties: while two registries at least have stood undisturbed for a while, a
-//! router that has long been down is no member any longer, and its owners have moved.
+//! Rule on the members list: once the registries have been undisturbed for a while, a router that has long been
+//! down is no longer a member, so its functions have moved to other owners.
 
 use crate::world::{NodeRef, World};
 use std::time::Duration;
 
+/// Time without disturbance before the rule applies.
 const STOOD: Duration = Duration::from_secs(5);
+/// Time after which a router that is down must no longer be a member.
 const DOWN: Duration = Duration::from_secs(6);
 
 impl World {
@@ -30,7 +32,7 @@
         let down = |n: &usize| !self.routers[*n].is_running() && now > self.routers[*n].down_since + DOWN;
         let late = (0..self.routers.len()).filter(down).find(|n| tail.has_member(self.identity(NodeRef::Router(*n)).0));
         if let Some(n) = late {
-            self.rules.report_violation(now, format!("router {n} is a member though it has been down for long"));
+            self.rules.report_violation(now, format!("router {n} is a member though it has long been down"));
         }
     }
 }
--- a/crates/sim/src/net.rs
+++ b/crates/sim/src/net.rs
@@ -1,6 +1,6 @@
-//! The network: frames between two nodes keep their order, as on a held connection; now and then
-//! one is slow or comes twice; cuts, one-way or both, drop what is sent across them, and a cut
-//! that ends resets the connections it touched.
+//! Simulated network. Frames between two nodes keep their order, as on one connection; now and then a frame is slow
+//! or arrives twice. Cuts in one or both directions drop the frames sent across them, and the end of a cut resets
+//! the connections that it affected.
 
 use crate::slowness::SLOW_FRAME;
 use crate::world::{Event, NodeRef, World};
@@ -16,7 +16,7 @@
     pub node_by_id: BTreeMap<NodeId, NodeRef>,
     pub sent_frames: u64,
     pub slow_links: BTreeMap<(NodeRef, NodeRef), Duration>,
-    /// Links that lose packets, and until when; they stand here until the last frame that was delayed is there.
+    /// Links that lose packets, and until when. A link is kept here until its last delayed frame has arrived.
     pub lossy_links: BTreeMap<(NodeRef, NodeRef), Duration>,
     pub slow_machines: BTreeMap<NodeRef, Duration>,
 }
@@ -38,7 +38,7 @@
             NodeRef::Registry(n) => self.registries[n].run_id,
             NodeRef::Router(n) => self.routers[n].run_id,
         };
-        // Frames go through the codec now and then, so that what is simulated is what is spoken.
+        // Every 64th frame is encoded and decoded, to check that the simulated messages survive the real codec.
         let message = if self.net.sent_frames.is_multiple_of(64) { encode_and_decode(message) } else { message };
         let micros = self.rng.random_range(150..1500);
         let slow = if self.rng.random_ratio(1, 400) { self.rng.random_range(1..400_000) } else { 0 };
@@ -56,7 +56,7 @@
         self.schedule_at(time, Event::Frame { to, run_id, from: id, incarnation, message });
     }
 
-    /// Loses what was sent from one to the other and has not arrived, as when a connection is reset.
+    /// Drops the frames in flight from one node to another, as when a connection is reset.
     pub fn drop_in_flight(&mut self, from: NodeRef, to: NodeRef) {
         let (id, incarnation) = self.identity(from);
         let lost = |event: &mut Event| {
@@ -89,5 +89,5 @@
     let frame = wire::Frame { format: wire::FORMAT, cluster: "sim".into(), sender: 1, incarnation: 1, message };
     let bytes = wire::encode(&frame);
     let checksum = u32::from_le_bytes([bytes[4], bytes[5], bytes[6], bytes[7]]);
-    wire::decode("sim", checksum, &bytes[8..]).expect("a frame comes back as it went").message
+    wire::decode("sim", checksum, &bytes[8..]).expect("an encoded frame can be decoded").message
 }
--- a/crates/sim/src/operators.rs
+++ b/crates/sim/src/operators.rs
@@ -1,5 +1,5 @@
-//! Operators: whole configurations and patches, single, in races and in bursts, with what was
-//! acknowledged, refused and left unknown kept for the rules and the read-back at the end.
+//! Operators: they send whole configurations and patches, singly, in races and in bursts. What was acknowledged,
+//! refused or left unknown is kept for the rules and for the read-back at the end.
 
 use crate::configuration::{item, mark_item};
 use crate::resending_operators::Order;
@@ -32,9 +32,9 @@
     pub read: Option<Value>,
     pub last_ack: Duration,
     pub grow_next: bool,
-    /// All that was sent and answered, for the check of linearizability.
+    /// All changes and their answers, for the check of linearizability.
     pub history: Vec<Invocation>,
-    /// Orders by their marks, kept where they are sent again.
+    /// Orders by mark, kept for the operators that resend them.
     pub orders: BTreeMap<String, Order>,
     pub last_acknowledger: Option<usize>,
 }
@@ -89,7 +89,7 @@
             if self.operators.founded && std::mem::take(&mut self.operators.grow_next) {
                 extra_items = 3000;
             }
-            // A key that was taken away may not come back by a change that knows no revision.
+            // With consumers every change names its base revision, else it could bring a removed key back.
             let without_base = self.rng.random_ratio(1, 5) && !self.has_consumers();
             let mut items = if full { self.items(&mark) } else { vec![mark_item(&mark)] };
             items.extend(self.consumer_items());
@@ -196,7 +196,8 @@
         self.schedule_after(Duration::from_millis(700), Event::Operator);
     }
 
-    /// The read-back at the end: as new as the newest acknowledged, and never a refused one.
+    /// Checks the configuration read back at the end: at least as new as the newest acknowledged one, and never a
+    /// refused one.
     pub fn check_read_back(&mut self) {
         let now = self.now;
         let Some(read) = self.operators.read.clone() else {
@@ -207,14 +208,20 @@
         let newest = self.operators.acked.iter().max_by_key(|(revision, ..)| *revision).cloned();
         if let Some((acked, acked_mark, _)) = newest {
             if revision < acked {
-                self.rules.report_violation(now, format!("read back {revision}, though {acked} was acknowledged"));
+                self.rules
+                    .report_violation(now, format!("read back revision {revision}, though {acked} was acknowledged"));
             }
             if revision == acked && mark != acked_mark {
-                self.rules
-                    .report_violation(now, format!("read back {mark} at {revision}, acknowledged was {acked_mark}"));
+                self.rules.report_violation(
+                    now,
+                    format!("read back {mark} at {revision}, but {acked_mark} was acknowledged"),
+                );
             }
             if revision > acked && !self.operators.unknown.contains(&mark) {
-                self.rules.report_violation(now, format!("read back {mark} at {revision}, which nobody knows"));
+                self.rules.report_violation(
+                    now,
+                    format!("read back {mark} at {revision}, which no change with an unknown outcome has"),
+                );
             }
         }
         if self.operators.refused.contains(&mark) {
--- a/crates/sim/src/plan.rs
+++ b/crates/sim/src/plan.rs
@@ -1,15 +1,15 @@
-//! What a run is made of besides its failures: how many nodes, how much is asked of them, and when each part of
-//! the run begins and ends.
+//! Dimensions of a run: the number of nodes, the load, and when each phase begins and ends.
 
 use crate::sorts::Sort;
 use std::ops::Range;
 use std::time::Duration;
 
+/// Dimensions and timetable of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub sort: Sort,
     pub registries: usize,
-    /// How many registries may be lost with their disks at once.
+    /// Number of registries that may be lost with their disks at the same time.
     pub losses: usize,
     pub routers: usize,
     pub functions: usize,
@@ -20,9 +20,9 @@
     pub end: Duration,
     pub rate: f64,
     pub instances: usize,
-    /// How long routers go by each other's word without the core.
+    /// How long routers keep serving on confirmations from their peers while they can't reach the core.
     pub peer_hold: Duration,
-    /// Between two changes of the configuration, in milliseconds.
+    /// Pause between two changes of the configuration, in milliseconds.
     pub change_pause_ms: Range<u64>,
 }
 
@@ -48,7 +48,7 @@
             },
             limit: if sort == Sort::Wake { 1 } else { 3 },
             fault_phases: match sort {
-                // Many requests at a time, for a shorter run.
+                // Shorter phases, since the request rate is higher.
                 Sort::Resets => [(seconds(12), seconds(22)), (seconds(24), seconds(26))],
                 _ if long => [(seconds(14), seconds(28)), (seconds(70), seconds(80))],
                 _ => [(seconds(12), seconds(22)), (seconds(46), seconds(54))],
@@ -81,7 +81,7 @@
                 Sort::Flood => 16,
                 _ => usize::MAX,
             },
-            // Within a run a change comes into force though all routers of its quorum are gone.
+            // Short enough that within a run a change comes into force though all routers of its quorum are gone.
             peer_hold: if sort == Sort::Restarts { seconds(10) } else { leases::DEFAULT_PEER_HOLD },
             change_pause_ms: if sort == Sort::Changes { 60..240 } else { 300..3000 },
         }
--- a/crates/sim/src/platform.rs
+++ b/crates/sim/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's side of starts, stops and lists in the simulator: workers in three zones, late
-//! lists, starts that go unanswered but take effect, and a limit on calls.
+//! Simulated platform: workers in three zones, starts, stops and lists of instances. Lists are outdated, some
+//! orders take effect without an answer, and the rate of orders is limited.
 
 use crate::router_node::RouterInput;
 use crate::world::{Event, World};
@@ -13,8 +13,9 @@
 
 const MAX_ORDERS_PER_S: usize = 80;
 const WORKERS: usize = 6;
-/// What a binding that says nothing takes.
+/// Default memory of an instance, for bindings that set none.
 const MEMORY_MB: usize = 256;
+/// How old the lists are that the platform returns.
 const LIST_LAG: Duration = Duration::from_millis(1200);
 
 pub struct SimInstance {
@@ -58,7 +59,7 @@
         self.reduced_limits.clear();
     }
 
-    /// The platform takes about eighty orders a second.
+    /// Counts an order and returns whether it is within the platform's rate limit.
     fn takes_order(&mut self, now: Duration) -> bool {
         while self.order_times.front().is_some_and(|at| now > *at + Duration::from_secs(1)) {
             self.order_times.pop_front();
@@ -142,7 +143,7 @@
         StartReply::Accepted { id: id.clone(), address: id }
     }
 
-    /// How many more instances each worker has room for.
+    /// Returns the number of further instances that each worker has room for.
     fn free_slots(&self) -> Vec<usize> {
         let all = self.plan.instances;
         let on = |worker| self.platform.instances.values().filter(|instance| instance.worker == worker).count();
@@ -150,7 +151,7 @@
         (0..WORKERS).map(|worker| capacity(worker).saturating_sub(on(worker))).collect()
     }
 
-    /// A look whether an instance takes connections: it does from its start on, if it lives.
+    /// Schedules the result of a probe: an instance accepts connections once it is ready, until it is gone.
     pub fn probe(&mut self, n: usize, id: String, after: Duration, limit: Duration) {
         let (run_id, wait) = (self.routers[n].run_id, Duration::from_millis(self.rng.random_range(2..40)));
         let ready_at = self.platform.instances.get(&id).map(|instance| instance.ready_at);
@@ -187,7 +188,7 @@
         self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Platform { report, listed_at }));
     }
 
-    /// Twice a second the lists are noted, to be shown a while later.
+    /// Records the current lists, twice a second; queries return them after a delay.
     pub fn record_listing(&mut self) {
         let lines = self.platform.instances.iter().map(|(id, instance)| InstanceLine {
             id: id.clone(),
--- a/crates/sim/src/registry_node.rs
+++ b/crates/sim/src/registry_node.rs
@@ -1,4 +1,4 @@
-//! A registry in the simulator: the real core over a disk that keeps only what was synced.
+//! Simulated registry: the product's core on a disk that keeps only what was synced.
 
 use crate::slowness::SLOW_DISK;
 use crate::world::{Event, NodeRef, TICK, World};
@@ -20,22 +20,22 @@
     pub pending: Option<(u64, Batch)>,
     pub stalled_until: Duration,
     pub full: bool,
-    /// A write was refused since the process started or came back.
+    /// A write was refused since the process started or recovered its disk.
     pub refused_write: bool,
     pub started_at: Duration,
     pub frozen_until: Duration,
     pub drift: f64,
     pub planner: Planner,
     pub slow_disk_until: Duration,
-    /// Seeds of its own, where its settings were written after the others'.
+    /// Seeds of its own, if its settings were written later than those of the others.
     pub seeds: Vec<String>,
-    /// Addresses that a seed told of while it was empty.
+    /// Addresses learned from a seed while the registry had an empty disk.
     pub learned_addresses: Vec<String>,
     pub started_before: bool,
-    /// Gone for good, after a planned stop.
+    /// Stopped permanently by a planned stop.
     pub retired: bool,
     pub retired_at: Duration,
-    /// Its disk was lost, and it has not been in the chain since.
+    /// Its disk was lost, and it hasn't been back in the chain since.
     pub is_disk_lost: bool,
     pub last_disturbed: Duration,
 }
@@ -46,7 +46,7 @@
         self.start_registry(n);
     }
 
-    /// One more registry that has not started yet.
+    /// Adds a registry without starting it.
     pub fn push_registry(&mut self, address: String) {
         self.registries.push(RegistryNode {
             id: 0,
@@ -111,7 +111,7 @@
         self.announce(id, true);
     }
 
-    /// Power loss: a write not yet reported may or may not have reached the disk.
+    /// Stops a registry as by a power loss: a write not yet reported may or may not have reached the disk.
     pub fn kill_registry(&mut self, n: usize) {
         let landed = self.rng.random_ratio(1, 3);
         let node = &mut self.registries[n];
@@ -219,7 +219,7 @@
             }
             CoreOutput::CaughtUp { missed_entries: missed } => {
                 self.catch_up_counts[usize::from(missed.is_none())] += 1;
-                self.log(|| format!("registry {n} is brought back, missed {missed:?}"));
+                self.log(|| format!("registry {n} has caught up, missed {missed:?}"));
             }
             CoreOutput::ActivationDelayed { step, wait, .. } => {
                 self.log(|| format!("registry {n}: step {step} waits for {}", wait.name()));
--- a/crates/sim/src/replacement.rs
+++ b/crates/sim/src/replacement.rs
@@ -1,5 +1,5 @@
-//! Replacement of registries: unplanned, where an empty machine comes at another address for one that is
-//! lost with its disk; and planned, where the new one comes first and the old is then asked to stop.
+//! Replacement of registries: unplanned, where an empty machine takes the place of one that is lost with its disk;
+//! and planned, where the new registry is started first and the old one is then asked to stop.
 
 use crate::follow_ups::FollowUp;
 use crate::world::World;
@@ -7,14 +7,14 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// How long a registry that was asked to stop waits to be out of the chain, as the program does.
+/// Grace period in which a stopping registry waits to be out of the chain, the same as in the real program.
 pub(crate) const GRACE: Duration = Duration::from_secs(4);
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How many are replaced in one bout at the most.
+/// Maximum number of registries that one fault replaces one after another.
 const MAX_REPLACEMENTS: usize = 3;
 
 impl World {
-    /// The machine is gone with its disk; an empty one comes, mostly at an address of its own.
+    /// Loses a machine with its disk and starts an empty one later, mostly at a new address.
     pub(crate) fn replace_with_empty(&mut self, n: usize, outage: Duration) {
         self.kill_registry(n);
         self.registries[n].disk = StoredReplica::default();
@@ -32,14 +32,14 @@
         format!("10.0.9.{}:1", self.last_number)
     }
 
-    /// What settings written now name as seeds: three other registries at the most.
+    /// Returns the seeds that settings written now would list: up to three other registries.
     pub(crate) fn addresses_of_others(&self, n: usize) -> Vec<String> {
         let others = self.live_registries().into_iter().filter(|other| *other != n);
         others.take(3).map(|other| self.registries[other].address.clone()).collect()
     }
 
-    /// The seeds that a router's settings name when it starts. Where all that they named have been replaced, the
-    /// settings have been written anew, since the operator's list is only seconds behind.
+    /// Returns the seeds in a router's settings when it starts. If all seeds have been replaced, these are current
+    /// addresses: the operator updates the settings within seconds.
     pub(crate) fn seeds_for_routers(&self) -> Vec<String> {
         let is_present = |seed: &String| self.live_registries().iter().any(|n| self.registries[*n].address == *seed);
         if self.seeds.iter().any(is_present) { self.seeds.clone() } else { self.addresses_of_others(usize::MAX) }
@@ -53,7 +53,7 @@
         self.replace_with_empty(target, outage.min(Duration::from_secs(4)));
     }
 
-    /// One that is calm gets a successor, and some time later is asked to stop.
+    /// Starts a successor for a registry, which is asked to stop some time later.
     pub(crate) fn replace_planned(&mut self) {
         if self.remaining_disk_losses() == 0 || self.replacing.is_some() {
             return;
@@ -78,7 +78,7 @@
         if others_lost >= self.plan.losses || self.registries[registry].core.is_none() {
             return self.follow_up(Duration::from_millis(100), FollowUp::Retire { registry });
         }
-        self.log(|| format!("registry {registry} is asked to stop for good"));
+        self.log(|| format!("registry {registry} is asked to stop permanently"));
         self.registries[registry].retired = true;
         self.registries[registry].retired_at = self.now;
         self.feed_registry(registry, control::CoreInput::Leave { within: GRACE });
@@ -86,16 +86,16 @@
         self.follow_up(POLL_INTERVAL, FollowUp::Retiring { registry, until });
     }
 
-    /// What keeps a registry that was asked to stop from ending.
+    /// Returns what a stopping registry still waits for.
     fn departure_wait(&self, registry: usize) -> Option<chain::DepartureWait> {
         self.registries[registry].core.as_ref().and_then(|core| core.replica().departure_wait())
     }
 
-    /// One that is to be started again ends.
+    /// Stops a leaving registry once it may stop, and schedules its restart.
     pub(crate) fn await_stop(&mut self, registry: usize, until: Duration) {
         let core = self.registries[registry].core.as_ref();
         if core.is_none_or(|core| core.replica().departure_deadline().is_none()) {
-            return; // It was killed meanwhile.
+            return; // It has been killed in the meantime.
         }
         if self.departure_wait(registry).is_some() && self.now < until {
             return self.follow_up(POLL_INTERVAL, FollowUp::Stopping { registry, until });
@@ -113,12 +113,14 @@
         if wait.is_some() && self.now < until {
             return self.follow_up(POLL_INTERVAL, FollowUp::Retiring { registry, until });
         }
-        self.log(|| format!("registry {registry} goes for good, it waits for {wait:?}"));
+        self.log(|| format!("registry {registry} stops permanently, pending: {wait:?}"));
         let others = self.live_registries();
         if wait.is_some() && others.iter().all(|n| self.is_healthy(*n)) {
             let patience = GRACE.as_secs();
-            self.rules
-                .report_violation(self.now, format!("registry {registry} could not leave within {patience} s of calm"));
+            self.rules.report_violation(
+                self.now,
+                format!("registry {registry} could not leave within {patience} s without disturbance"),
+            );
         }
         self.kill_registry(registry);
         self.replacing = None;
@@ -131,7 +133,7 @@
         (self.catch_up_time() + Duration::from_secs(7)) * left as u32
     }
 
-    /// The next one only when the one before it has had its time.
+    /// Replaces the next registry as soon as another disk may be lost and no planned replacement is under way.
     pub(crate) fn replace_next(&mut self, left: usize, planned: bool) {
         if left == 0 {
             return;
--- a/crates/sim/src/resending_operators.rs
+++ b/crates/sim/src/resending_operators.rs
@@ -1,6 +1,6 @@
-//! Operators who lose answers: up to eight orders are under way at once, several of them on one revision,
-//! and whatever has no clear answer after a second is sent again as it was, to any registry. Now and then an
-//! order that was acknowledged long ago is sent once more.
+//! Operators that lose answers: up to eight orders are open at once, several of them on one revision. An order
+//! without a clear answer after a second is sent again unchanged, to any registry. Now and then an order that was
+//! acknowledged long ago is sent once more.
 
 use crate::configuration::mark_item;
 use crate::operators::SentChange;
@@ -13,7 +13,7 @@
 
 const MAX_OPEN_ORDERS: usize = 8;
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Marks are told apart by a number below this.
+/// Maximum number of orders, since the number in a mark is only kept modulo 1000.
 const MAX_ORDERS: usize = 990;
 
 /// An order as it is sent, each time the same.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Orders that have been answered, but never clearly.
+    /// Returns the orders that have only had unclear answers.
     fn unclear_orders(&self) -> Vec<String> {
         let operators = &self.operators;
         let clear = |mark: &String| {
@@ -96,7 +96,8 @@
         self.feed_registry(n, CoreInput::Call { request_id, call });
     }
 
-    /// Whoever acknowledges an order may be alone by now, but never has the only disk that holds it.
+    /// Checks the copies of an acknowledged order: the acknowledging registry may be isolated by now, but must not
+    /// have the only disk that holds the order.
     pub fn check_order_copies(&mut self, mark: &str) {
         let key = format!("o/{mark}");
         let holders = self.registries.iter().filter(|node| node.disk.state.contains_key(&key)).count();
@@ -106,9 +107,9 @@
         }
     }
 
-    /// The whole history is linearizable, and no order that was refused is among those the registries
-    /// remember as taken: each builds on a revision that was known when it was first sent, so a refusal is
-    /// for good.
+    /// Checks that the whole history is linearizable, and that no refused order is among those that the registries
+    /// remember as taken. A refusal is final, since each order builds on a revision that was known when it was
+    /// first sent.
     pub fn check_orders(&mut self) {
         let now = self.now;
         for anomaly in anomalies(&self.operators.history, &[]) {
@@ -122,7 +123,7 @@
         let Some(core) = newest else { return };
         let taken = |mark: &&String| core.state().contains_key(&format!("o/{mark}"));
         if let Some(mark) = self.operators.refused.iter().find(taken) {
-            self.rules.report_violation(now, format!("order {mark} was taken and refused"));
+            self.rules.report_violation(now, format!("order {mark} was both taken and refused"));
         }
     }
 }
--- a/crates/sim/src/restarts.rs
+++ b/crates/sim/src/restarts.rs
@@ -1,14 +1,15 @@
-//! Restarts of all registries, or of all machines, at other addresses: some are told to stop and have more or less
-//! time for it, others are killed, with changes under way.
+//! Restarts of all registries, or of all machines, at new addresses, with changes under way: some registries are
+//! asked to stop and have more or less time for it, others are killed.
 
 use crate::world::World;
 use leases::stable_hash;
 use rand::RngExt;
 use std::time::Duration;
 
-/// All are away for a moment, and back after this at the latest.
+/// Maximum time until all machines are running again.
 const MAX_DOWN_TIME: Duration = Duration::from_secs(4);
-/// A change may wait for the routers that are gone for ten seconds and a fifteenth, and for the restarts before.
+/// Time for recovery after the restarts. A change may wait for stopped routers for ten seconds and a fifteenth, and
+/// for the preceding restarts.
 const RECOVERY: Duration = Duration::from_secs(8);
 
 impl World {
@@ -39,7 +40,7 @@
                 self.routers[n].address = address;
             }
         }
-        self.log(|| format!("all registries restart elsewhere, the routers too: {routers_move}"));
+        self.log(|| format!("all registries restart at new addresses, the routers too: {routers_move}"));
         MAX_DOWN_TIME + RECOVERY
     }
 }
--- a/crates/sim/src/rolling_restarts.rs
+++ b/crates/sim/src/rolling_restarts.rs
@@ -1,17 +1,17 @@
-//! Planned restarts that go round all routers, each stopped while it has a request open, and zones whose
-//! workers are drained soon after a machine of theirs is back.
+//! Rolling restarts of all routers, each stopped while it has a request open, and zones whose workers are drained
+//! soon after a registry in the zone is back.
 
 use crate::follow_ups::FollowUp;
 use crate::world::World;
 use std::time::Duration;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a stop waits for a request to be open.
+/// How long the stop of a router waits for an open request.
 const MAX_WAIT_FOR_REQUEST: Duration = Duration::from_secs(2);
 const WORKER_ZONES: usize = 3;
 
 impl World {
-    /// All routers in turn; says how long that takes at the most.
+    /// Restarts all routers one after another. Returns the maximum duration.
     pub(crate) fn roll_routers(&mut self, at_a_time: usize) -> Duration {
         self.roll_next(0, at_a_time, Duration::ZERO);
         let rounds = self.routers.len().div_ceil(at_a_time) as u32;
--- a/crates/sim/src/router_limits.rs
+++ b/crates/sim/src/router_limits.rs
@@ -1,10 +1,10 @@
-//! What a simulated router can do, and how it tells instances whose request they run.
+//! Capacity of a simulated router, and the header in which it tells instances the consumer of a request.
 
 use crate::consumers::CONSUMER_HEADER;
 use traffic::{ConsumerHeader, FrontLimits};
 use wire::Capacity;
 
-/// Machines of three strengths, and some too weak to own anything.
+/// Returns a router's capacity: machines have three speeds, and some are too slow to own functions.
 pub(crate) fn capacity(n: usize) -> Capacity {
     let processor_milli = if n % 5 == 4 { 100 } else { 1000 / (1 + n as u32 % 3) };
     Capacity { processor_milli, link_kbit: 1_000_000 }
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -1,4 +1,4 @@
-//! A router in the simulator: the real follower, front and owner, fed by hand.
+//! Simulated router: the product's follower, front and owner, with inputs from the simulator.
 
 use crate::router_limits::{capacity, front_limits};
 use crate::sorts::Sort;
@@ -87,7 +87,7 @@
         node.started_at = self.now;
         node.frozen_until = Duration::ZERO;
         node.leaving_since = None;
-        // On some seeds even a small fleet proves itself through relays.
+        // On some seeds even a small fleet sends its proofs through relays.
         let relay_above = if self.seed & 4 != 0 { 2 } else { 12 };
         let timing = FollowerTiming { relay_above, peer_hold, ..FollowerTiming::default() };
         node.process = Some(RouterProcess {
@@ -153,7 +153,8 @@
         self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Tick));
     }
 
-    /// As the program does: gone once nothing is open after the last calls, or when grace ends.
+    /// Stops a leaving router as the real program does: once the time for last calls has passed and nothing is open,
+    /// or when the grace period ends.
     fn end_leaving(&mut self, n: usize) {
         let (Some(since), Some(process)) = (self.routers[n].leaving_since, &self.routers[n].process) else { return };
         let waited = self.now - since;
@@ -162,7 +163,7 @@
         let idle = process.front.depth() == 0 && process.owner.is_idle();
         if (waited > MIN_LEAVE_TIME && handed_over && idle) || waited > GRACE {
             let depths = (process.front.depth(), process.owner.depths());
-            self.log(|| format!("router {n} goes, open: {depths:?}"));
+            self.log(|| format!("router {n} stops, open: {depths:?}"));
             if !idle && self.plan.sort == Sort::Planned && self.now < self.plan.final_fault {
                 self.rules.report_violation(self.now, format!("router {n} left with work open"));
             }
@@ -239,7 +240,7 @@
                 self.feed_router(n, RouterInput::Front(FrontInput::Lapsed));
             }
             FollowerOutput::ServingStatus { serving_status } => {
-                self.log(|| format!("router {n} stands {serving_status:?}"))
+                self.log(|| format!("router {n} has serving status {serving_status:?}"))
             }
         }
     }
--- a/crates/sim/src/router_steps.rs
+++ b/crates/sim/src/router_steps.rs
@@ -1,5 +1,5 @@
-//! Turns of a simulated router's front and owner until neither has anything more to do, with the
-//! rule on revisions checked at each forward and each dispatch.
+//! Feeds a simulated router's front and owner until neither has further inputs, and checks the rule on revisions at
+//! each forward and each dispatch.
 
 use crate::router_node::RouterInput;
 use crate::world::{NodeRef, World};
@@ -92,7 +92,7 @@
     }
 }
 
-/// Whether the message puts a configuration to use, as the forward of a request does.
+/// Whether the message uses a configuration, as the forward of a request does.
 fn is_serving(message: &ForwardMessage) -> bool {
     use ForwardMessage::{AttemptGrant, QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaRequest};
     !matches!(
--- a/crates/sim/src/rules.rs
+++ b/crates/sim/src/rules.rs
@@ -1,14 +1,18 @@
-//! The rules, checked after every step; the first broken one ends the run with its seed.
+//! Rules checked during a run. The first violation ends the run.
 
 use crate::consumer_rules::ConsumerRecords;
 use crate::world::World;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
+/// Time after a revision was first used in which another router may still serve by an older one.
 const OLDER_REVISION_GRACE: Duration = Duration::from_millis(250);
+/// Time after the acknowledgement of a revision in which an older one may still be used.
 const ACKNOWLEDGED_REVISION_GRACE: Duration = Duration::from_secs(3);
+/// Maximum number of rejections of one service in five seconds.
 const MAX_REJECTIONS: usize = 11;
 
+/// The observations that the rules need, and the violations found so far.
 #[derive(Default)]
 pub struct Rules {
     pub violations: Vec<String>,
@@ -38,6 +42,7 @@
         self.violations.push(format!("at {:.3} s: {fault}", now.as_secs_f64()));
     }
 
+    /// Records that a caller sent a try of a request.
     pub fn request_sent(&mut self, _now: Duration, label: &str, service: &str) {
         let function: usize = service.rsplit('f').next().and_then(|n| n.parse().ok()).unwrap_or_default();
         if crate::callers::CLASSES[function % 4] == "once" {
@@ -45,12 +50,12 @@
         }
     }
 
-    /// A try that may run on one instance only, and once.
+    /// Records that a try was sent that may run only once and on one instance only.
     pub fn single_run_try_sent(&mut self, label: &str) {
         self.single_run_tries.insert(label.to_owned());
     }
 
-    /// An instance was sent a try, whose route allows `most` of them.
+    /// Records that a try was sent to an instance; its route allows at most `most` different ones.
     pub fn sent_to_instance(&mut self, now: Duration, label: &str, instance: &str, most: usize) {
         let instances = self.instances_by_label.entry(label.to_owned()).or_default();
         instances.insert(instance.to_owned());
@@ -60,6 +65,7 @@
         }
     }
 
+    /// Records that an instance runs a try.
     pub fn ran(&mut self, now: Duration, label: &str, service: &str) {
         self.run_count += 1;
         let count = self.runs.entry(label.to_owned()).or_default();
@@ -75,10 +81,10 @@
             self.report_violation(now, format!("run-once task {key} ran twice"));
         }
         if is_second_try && self.single_run_tries.contains(label) {
-            self.report_violation(now, format!("{label} ran twice, and may run once a try"));
+            self.report_violation(now, format!("{label} ran twice, though each try may run only once"));
         }
         if self.told_not_run.contains(label) {
-            self.report_violation(now, format!("{label} ran after its caller heard it never would"));
+            self.report_violation(now, format!("{label} ran after its caller was told that it would not run"));
         }
         self.check_second_tries(now, service, is_second_try);
     }
@@ -95,6 +101,7 @@
         }
     }
 
+    /// Records that an instance rejected a try, either over its limit or by its own choice.
     pub fn rejected(&mut self, now: Duration, service: &str, is_over_limit: bool) {
         let list = self.recent_rejections.entry(service.to_owned()).or_default();
         list.push_back(now);
@@ -103,10 +110,11 @@
         }
         if list.len() > MAX_REJECTIONS {
             let (count, why) = (list.len(), if is_over_limit { "over their limit" } else { "by their own choice" });
-            self.report_violation(now, format!("{service} turned away {count} in 5 s, {why}"));
+            self.report_violation(now, format!("{service} rejected {count} tries in 5 s, {why}"));
         }
     }
 
+    /// Checks that the answer to a try names a run of the same task.
     pub fn answered(&mut self, now: Duration, label: &str, key: &str, body: &[u8]) {
         let message = String::from_utf8_lossy(body).into_owned();
         if message.split('#').next() != Some(key) || !self.runs.contains_key(&message) {
@@ -114,53 +122,59 @@
         }
     }
 
+    /// Records that a deferred task was accepted.
     pub fn accepted(&mut self, key: &str, service: &str) {
         self.accepted_tasks.insert(key.to_owned(), service.to_owned());
     }
 
+    /// Returns key and service of each accepted task that hasn't run.
     pub fn accepted_but_never_run(&self) -> Vec<(String, String)> {
         let never = self.accepted_tasks.iter().filter(|(key, _)| !self.runs_by_key.contains_key(*key));
         never.map(|(key, service)| (key.clone(), service.clone())).collect()
     }
 
+    /// Records that a caller was told that its try did not and will not run.
     pub fn not_run(&mut self, now: Duration, label: &str) {
         if self.runs.contains_key(label) {
-            self.report_violation(now, format!("{label} heard not-run though it ran"));
+            self.report_violation(now, format!("{label} was reported as not run though it ran"));
         }
         self.told_not_run.insert(label.to_owned());
     }
 
-    /// What is known to be committed at this place of the chain.
+    /// Returns origin and number of the operation known to be committed as this entry.
     pub fn committed_op(&self, entry: u64) -> Option<(u64, u64)> {
         self.ops_by_entry.get(&entry).copied()
     }
 
-    /// Something is failing from one moment to the other, at the most.
+    /// Records that a fault lasts at most from one time to the other.
     pub fn add_fault_span(&mut self, from: Duration, to: Duration) {
         self.fault_spans.push((from, to));
     }
 
+    /// Records a successful answer or acceptance, for the check of recovery.
     pub fn request_succeeded(&mut self, now: Duration) {
         self.successes.push(now);
     }
 
-    /// Service must be above a quarter of its earlier level in every second that lies more than 12 s
-    /// after all machines returned and before anything fails anew. Says what was judged.
+    /// Checks that throughput is above a quarter of its earlier level in every second that lies more than 12 s
+    /// after the end of a fault and before the next fault. Returns the number of seconds checked.
     pub fn check_recovery(&mut self, from: Duration, until: Duration) -> usize {
         let recovery = checker::recovery(&self.successes, &self.fault_spans, from, until);
         for low in &recovery.low {
             let (served, second, level) = (low.served, low.second, low.level);
-            let message = format!("{served} tasks served in second {second}, {level} a second before anything failed");
+            let message =
+                format!("{served} tasks served in second {second}, {level} per second before the first fault");
             self.report_violation(until, message);
         }
         recovery.judged
     }
 
+    /// Records that a configuration change was acknowledged with this revision.
     pub fn revision_acknowledged(&mut self, now: Duration, revision: u64) {
         self.acknowledged_revisions.push((now, revision));
     }
 
-    /// A task was forwarded or dispatched by this revision just now.
+    /// Checks the revision by which a task was forwarded or dispatched now.
     pub fn served_by_revision(&mut self, now: Duration, revision: u64) {
         if revision > self.newest_served {
             self.newest_served = revision;
@@ -188,7 +202,7 @@
 }
 
 impl World {
-    /// Members of the chain agree on what each place in it holds, as far as they have committed.
+    /// Checks that the members of the chain agree on every committed entry.
     pub fn check_chain(&mut self) {
         let mut faults = Vec::new();
         for (n, node) in self.registries.iter().enumerate() {
@@ -206,7 +220,7 @@
                 let op = (entry.op.origin, entry.op.number);
                 let known = *self.rules.ops_by_entry.entry(entry.seq).or_insert(op);
                 if known != op {
-                    faults.push(format!("entry {} is {op:?} at registry {n}, {known:?} elsewhere", entry.seq));
+                    faults.push(format!("entry {} is {op:?} at registry {n}, {known:?} at another", entry.seq));
                 }
             }
         }
--- a/crates/sim/src/slowness.rs
+++ b/crates/sim/src/slowness.rs
@@ -1,15 +1,15 @@
-//! Disks that are slow, stalled or full, one machine after another, and machines that run slowly.
+//! Disks that are slow, stalled or full, on one machine after another, and machines that run slowly.
 
 use crate::follow_ups::FollowUp;
 use crate::world::{NodeRef, World};
 use rand::RngExt;
 use std::time::Duration;
 
-/// How many times as long a slow disk takes.
+/// Factor by which a write to a slow disk takes longer.
 pub const SLOW_DISK: u32 = 30;
-/// How many times slower a slow machine runs.
+/// Factor by which a slow machine ticks less often.
 pub const SLOW_MACHINE: u32 = 5;
-/// What a slow machine adds to each frame it sends or takes.
+/// Delay that a slow machine adds to each frame that it sends or receives.
 pub const SLOW_FRAME: Duration = Duration::from_millis(4);
 
 impl World {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Several disks, each while or soon after the one before it is in trouble.
+    /// Stalls or fills several disks, each during or soon after the fault of the previous one.
     pub(crate) fn disk_faults_in_sequence(&mut self, full: bool) -> Duration {
         let mut wait = Duration::ZERO;
         let mut end = wait;
@@ -43,7 +43,7 @@
         end
     }
 
-    /// A full disk is mended by more room and a new start of the process.
+    /// Fills a disk; it is repaired by freeing space and restarting the process.
     pub(crate) fn fill_disk(&mut self, registry: usize, lasts: Duration) {
         if self.registries[registry].retired {
             return;
--- a/crates/sim/src/sorts.rs
+++ b/crates/sim/src/sorts.rs
@@ -1,7 +1,8 @@
-//! What a run is made of: how long, how many nodes, which sorts of failure, and when. Failures come
-//! in two bouts with a calm after each, so that what service came back to can be judged second by
-//! second; every run ends with all registries losing power at once.
+//! The sorts of runs and the weighted mix of faults that each draws from. Faults come in two phases with a quiet
+//! time after each, so that the recovered throughput can be checked second by second; every run ends with a
+//! power loss of all registries at once, or on the control plane's sorts with a final triggered fault.
 
+/// Named mix of faults, chosen with `--sort`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sort {
     Calm,
@@ -52,7 +53,7 @@
     ("consumers", Sort::Consumers),
 ];
 
-/// One failure and its drawing by weight: a sort names what may happen in it.
+/// One kind of fault. A sort lists a kind several times to give it more weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     KillRegistry,
@@ -60,7 +61,7 @@
     FreezeRegistry,
     StallDisk,
     FillDisk,
-    /// Full for a while, and free again under the same process.
+    /// A disk is full for a while and has room again without a restart of the process.
     FillDiskForAWhile,
     LoseDisk,
     KillRouter,
@@ -89,9 +90,9 @@
     Wake,
     Flood,
     ResetLinks,
-    /// A consumer's API key is taken away by a new version while callers go on using it.
+    /// A new configuration removes a consumer's API key while callers keep using it.
     RevokeApiKey,
-    /// One consumer sends many times its usual.
+    /// One consumer sends far more requests than usual.
     HotConsumer,
     /// Links between processes lose packets.
     LossyLinks,
@@ -101,19 +102,22 @@
 }
 
 impl Sort {
+    /// Returns the sort with this name.
     pub fn from_word(word: &str) -> Option<Sort> {
         WORDS.iter().find(|(known, _)| *known == word).map(|(_, sort)| *sort)
     }
 
+    /// Returns the names of all sorts, separated by commas.
     pub fn words() -> String {
         WORDS.map(|(word, _)| word).join(", ")
     }
 
-    /// The sorts on the control plane's failures, with longer bouts and more registries.
+    /// Whether the sort tests faults of the control plane, with longer fault phases and more registries.
     pub fn is_on_control(self) -> bool {
         matches!(self, Sort::Cutoff | Sort::Replacement | Sort::Anything)
     }
 
+    /// Returns the kinds of fault that the sort draws from, except those of the control plane's sorts.
     pub fn kinds(self) -> &'static [FaultKind] {
         use FaultKind::*;
         match self {
--- a/crates/sim/src/triggered_faults.rs
+++ b/crates/sim/src/triggered_faults.rs
@@ -1,5 +1,5 @@
-//! Failures struck at a moment that others bring: as a change is sent or acknowledged, as a caller's work is
-//! accepted, as a machine returns.
+//! Faults triggered by an event: a change that is sent or acknowledged, a caller's task that is accepted, or a
+//! machine that returns.
 
 use crate::follow_ups::FollowUp;
 use crate::operators::SentChange;
@@ -9,6 +9,7 @@
 use rand::seq::SliceRandom;
 use std::time::Duration;
 
+/// Event that triggers an armed fault, and the delay until the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trigger {
     /// 5 to 400 ms after a change was sent, whether it is acknowledged or not.
@@ -19,17 +20,18 @@
     WorkAccepted,
 }
 
+/// Fault that an event can trigger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TriggeredFault {
-    /// The registry concerned, and others up to this count, lose power.
+    /// The registry of the event, and others up to this count, lose power.
     Kill {
         count: usize,
     },
-    /// They lose their disks with it.
+    /// The same registries lose power and their disks.
     LoseDisks {
         count: usize,
     },
-    /// They lose their disks, and all other registries lose power.
+    /// The same registries lose their disks, and all others lose power.
     LoseDisksOthersPowerOff {
         count: usize,
     },
@@ -39,7 +41,7 @@
     KillRouter,
 }
 
-/// A blow that waits for its moment.
+/// Fault that waits for its trigger.
 #[derive(Clone, Copy, Debug)]
 pub struct ArmedFault {
     trigger: Trigger,
@@ -51,7 +53,7 @@
         self.armed_faults.push(ArmedFault { trigger, fault });
     }
 
-    /// A moment has come that blows may wait for, at this registry or router.
+    /// Handles an event at this registry or router, which triggers the first armed fault that waits for it.
     pub(crate) fn fire_trigger(&mut self, trigger: Trigger, at: usize) {
         if trigger == Trigger::ChangeAcknowledged {
             self.operators.last_acknowledger = Some(at);
@@ -66,7 +68,7 @@
     }
 
     pub(crate) fn apply_triggered_fault(&mut self, at: usize, fault: TriggeredFault) {
-        self.log(|| format!("struck at {at}: {fault:?}"));
+        self.log(|| format!("triggered at {at}: {fault:?}"));
         self.rules.add_fault_span(self.now, self.now + Duration::from_secs(5));
         match fault {
             TriggeredFault::Kill { count } => {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// A registry and others drawn by lot, so many in all.
+    /// Returns a registry and randomly drawn others, `count` in all.
     fn registry_and_random_others(&mut self, first: usize, count: usize) -> Vec<usize> {
         let mut others: Vec<usize> = self.live_registries();
         others.retain(|n| *n != first);
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Changes by mark, all on the newest revision known, to one registry.
+    /// Sends changes to one registry, all on the newest known revision.
     pub(crate) fn send_changes(&mut self, registry: usize, count: usize) {
         let quiet = self.now + Duration::from_secs(1) > self.plan.final_fault && self.operators.read.is_some();
         if quiet || !self.operators.founded {
@@ -156,7 +158,7 @@
         Duration::from_secs(12)
     }
 
-    /// Back soon, killed as soon as it answers, and so on.
+    /// Kills a registry, restarts it soon, and kills it again as soon as it answers, this many times.
     pub(crate) fn kill_again(&mut self, registry: usize, times: u32) {
         if times == 0 {
             return;
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,4 +1,4 @@
-//! The world: nodes, a queue of timed events, and the loop that takes them one by one.
+//! The simulated world: nodes, a queue of timed events, and the loop that handles them one by one.
 
 use crate::callers::Callers;
 use crate::catch_up_rules::CatchUpState;
@@ -12,7 +12,6 @@
 use crate::router_node::RouterNode;
 use crate::rules::Rules;
 use crate::slowness::SLOW_MACHINE;
-use crate::sorts::Sort;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -20,15 +19,19 @@
 use std::time::Duration;
 use wire::{Message, NodeId};
 
+/// How long a run may go on after its end so that accepted tasks can still run.
 const DRAIN_TIME: Duration = Duration::from_secs(60);
+/// Interval between ticks of a node.
 pub const TICK: Duration = Duration::from_millis(20);
 
+/// A node by its kind and index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NodeRef {
     Registry(usize),
     Router(usize),
 }
 
+/// Something that happens at a set time. Events for a node carry the id of the process run that they are meant for.
 pub enum Event {
     Tick { at: NodeRef, run_id: u64 },
     Frame { to: NodeRef, run_id: u64, from: NodeId, incarnation: u64, message: Message },
@@ -46,6 +49,7 @@
     FollowUp(crate::follow_ups::FollowUp),
 }
 
+/// A simulated deployment with its clock, random numbers and rules.
 pub struct World {
     pub seed: u64,
     pub plan: Plan,
@@ -67,7 +71,7 @@
     pub judged_seconds: usize,
     pub last_disturbance: (Duration, Vec<u64>),
     pub catch_up_counts: [u64; 2],
-    /// The registry that is to stop for good, and its successor.
+    /// The registry that is being replaced by a planned stop, and its successor.
     pub replacing: Option<(usize, usize)>,
     pub armed_faults: Vec<crate::triggered_faults::ArmedFault>,
     pub core_rule_state: crate::core_rules::CoreRuleState,
@@ -76,14 +80,6 @@
     pub fingerprint: Fingerprint,
 }
 
-#[derive(Debug)]
-pub struct Outcome {
-    pub seed: u64,
-    pub steps: u64,
-    pub violations: Vec<String>,
-    pub summary: String,
-}
-
 impl World {
     pub fn new(seed: u64, plan: Plan) -> World {
         let mut world = World {
@@ -137,7 +133,7 @@
         self.schedule_at(self.now + wait, event);
     }
 
-    /// No two machines' clocks run alike: a few parts in a thousand, drawn at each start.
+    /// Draws the rate of a machine's clock, which is off by up to five parts in a thousand.
     pub fn drift(&mut self) -> f64 {
         self.rng.random_range(0.995..1.005)
     }
@@ -148,7 +144,7 @@
         }
     }
 
-    /// One event; false when the run is over or a rule is broken.
+    /// Handles one event. Returns false when the run is over or a rule is violated.
     pub fn step(&mut self) -> bool {
         let Some(Reverse((time, number))) = self.queue.pop() else { return false };
         if !self.rules.violations.is_empty() || (time > self.plan.end && self.is_over(time)) {
@@ -188,7 +184,7 @@
         true
     }
 
-    /// What may wait is waited for a while longer: it must be run in the end.
+    /// Whether the run may end: accepted tasks that haven't run get some more time.
     fn is_over(&self, time: Duration) -> bool {
         time > self.plan.end + DRAIN_TIME || self.rules.accepted_but_never_run().is_empty()
     }
@@ -229,25 +225,3 @@
         }
     }
 }
-
-pub fn run(seed: u64, sort: Sort, trace: bool) -> Outcome {
-    let mut world = World::new(seed, Plan::new(seed, sort));
-    world.trace = trace;
-    while world.step() {}
-    if world.rules.violations.is_empty() {
-        world.check_end();
-    }
-    if trace {
-        world.node_states().into_iter().for_each(|line| eprintln!("{line}"));
-    }
-    let summary = world.summary();
-    Outcome { seed, steps: world.steps, violations: world.rules.violations, summary }
-}
-
-/// Runs a seed and returns the fingerprint of the run beside its number of steps.
-pub fn fingerprint(seed: u64, sort: Sort) -> (u32, u64) {
-    let mut world = World::new(seed, Plan::new(seed, sort));
-    world.fingerprint.switch_on();
-    while world.step() {}
-    (world.fingerprint.value(), world.steps)
-}
