--- a/crates/sim/src/callers.rs
+++ b/crates/sim/src/callers.rs
@@ -40,7 +40,9 @@
     pub scopes: BTreeMap<String, String>,
 }
 
+/// Classes of the functions, in turn by function number.
 pub const CLASSES: [&str; 4] = ["ordinary", "once", "deferred", "ordinary"];
+/// Tenant whose functions are called in a flood of requests.
 const FLOODING_TENANT: usize = 0;
 const TENANTS: usize = 3;
 
--- a/crates/sim/src/consumer_rules.rs
+++ b/crates/sim/src/consumer_rules.rs
@@ -39,7 +39,7 @@
 pub struct SeenByInstance {
     /// Name of the consumer that the instance is told, without the tenant.
     pub consumer: Option<String>,
-    /// Whether the caller's API key stands anywhere in it.
+    /// Whether the request as the instance sees it contains the API key.
     pub has_api_key: bool,
 }
 
--- a/crates/sim/src/instances.rs
+++ b/crates/sim/src/instances.rs
@@ -19,7 +19,7 @@
             .map(|line| String::from_utf8_lossy(line.value.as_slice()).into_owned())
             .unwrap_or_default();
         let seen = self.seen_by_instance(&label, &order.head, &order.body);
-        self.log(|| format!("task {label} goes from router {n} to {}", order.address));
+        self.log(|| format!("task {label} is dispatched by router {n} to {}", order.address));
         let lost = self.rng.random_bool(self.platform.lost_answer_rate);
         let garbled = self.rng.random_bool(self.platform.garbled_answer_rate);
         let rejections = self.rng.random_bool(self.platform.rejection_rate);
--- a/crates/sim/src/registry_health.rs
+++ b/crates/sim/src/registry_health.rs
@@ -59,12 +59,12 @@
             self.registries[n].last_disturbed = self.now;
         }
         let now = self.now;
-        let hears = |n: usize| {
+        let can_receive = |n: usize| {
             let from = |other: &usize| *other != n && self.registries[*other].core.is_some();
             let way = |other: usize| (NodeRef::Registry(other), NodeRef::Registry(n));
             live.iter().filter(|other| from(other)).any(|other| !self.net.cuts.contains(&way(*other)))
         };
-        let isolated: Vec<bool> = (0..self.registries.len()).map(|n| !hears(n)).collect();
+        let isolated: Vec<bool> = (0..self.registries.len()).map(|n| !can_receive(n)).collect();
         let since = &mut self.core_rule_state.isolated_since;
         since.resize(isolated.len(), None);
         for (since, isolated) in since.iter_mut().zip(isolated) {
