--- a/crates/control/src/apply_change.rs
+++ b/crates/control/src/apply_change.rs
@@ -78,7 +78,7 @@
     let mut reply = match validate(&draft, change) {
         Ok(changed) => {
             let keys = |gone: u8| {
-                let selected = changed.iter().filter(move |item| (item.gone != 0) == (gone != 0));
+                let selected = changed.iter().filter(move |item| (item.is_removed != 0) == (gone != 0));
                 selected.map(|item| item.key.as_str().to_owned()).collect::<Vec<String>>()
             };
             ApiReply::new(200, json!({"outcome": "would-change", "set": keys(0), "remove": keys(1)}))
@@ -96,7 +96,7 @@
     let revision = if declared != 0 { declared } else { draft.number(keys::LATEST_REVISION).saturating_add(1) };
     for item in &items {
         let key = format!("{}{}", keys::LATEST_PAIRS, item.key.as_str());
-        if item.gone != 0 {
+        if item.is_removed != 0 {
             draft.remove(key);
         } else {
             draft.put(key, item.value.as_slice().to_vec());
@@ -106,7 +106,7 @@
     let latest = draft.number(keys::LATEST);
     let quorum = keys::quorum(draft.state, latest);
     let step = add_epoch(draft, revision, quorum, items);
-    CommandReply::Changed { step, revision }
+    CommandReply::Changed { epoch: step, revision }
 }
 
 fn add_epoch(draft: &mut Draft, revision: u64, quorum: Vec<NodeId>, items: Vec<ConfigurationItem>) -> u64 {
@@ -124,20 +124,20 @@
         let revision = draft.number(keys::LATEST_REVISION);
         add_epoch(draft, revision, members, Vec::new());
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 /// Activates the epochs up to and including `to`.
 pub fn activate(draft: &mut Draft, to: u64) -> CommandReply {
     let active = draft.number(keys::ACTIVE);
     if to <= active || to > draft.number(keys::LATEST) {
-        return CommandReply::Plain;
+        return CommandReply::Empty;
     }
     for number in active + 1..=to {
         let Some(epoch) = keys::epoch(draft.state, number) else { continue };
         for item in epoch.items.iter() {
             let key = format!("{}{}", keys::ACTIVE_PAIRS, item.key.as_str());
-            if item.gone != 0 {
+            if item.is_removed != 0 {
                 draft.remove(key);
             } else {
                 draft.put(key, item.value.as_slice().to_vec());
@@ -147,7 +147,7 @@
     }
     draft.put_number(keys::ACTIVE, to);
     remove_old_epochs(draft, to);
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 /// Removes activated epochs beyond the retention limits: each may be as large as a whole configuration, and a
--- a/crates/control/src/apply_member.rs
+++ b/crates/control/src/apply_member.rs
@@ -22,7 +22,7 @@
         draft.put(key, raw);
         increment_membership(draft);
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 fn member_of_incarnation(draft: &Draft, id: NodeId, incarnation: u64) -> Option<Member> {
@@ -36,7 +36,7 @@
         draft.remove(keys::member_key(id));
         increment_membership(draft);
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 /// Marks a member as leaving, if its incarnation matches.
@@ -48,14 +48,14 @@
         draft.put(keys::member_key(id), member.encode());
         increment_membership(draft);
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 /// Advances the chain's clock by one and removes the records that expire with this tick.
 pub fn advance_clock(draft: &mut Draft, number: u64) -> CommandReply {
     let ticks = draft.number(keys::TICKS);
     if number != ticks + 1 {
-        return CommandReply::Plain;
+        return CommandReply::Empty;
     }
     draft.put_number(keys::TICKS, number);
     let end = format!("x/{number:012}/~");
@@ -78,7 +78,7 @@
         draft.put_number(keys::CLAIM_COUNT, draft.number(keys::CLAIM_COUNT).saturating_sub(claims));
         draft.put_number(keys::DEFERRED_COUNT, draft.number(keys::DEFERRED_COUNT).saturating_sub(deferred));
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 /// Whether a record has expired. A run-once key that was released and claimed again outlives the expiry mark of
@@ -86,7 +86,7 @@
 fn has_expired(draft: &Draft, key: &str, number: u64) -> bool {
     match draft.state.get(key) {
         Some(raw) if key.starts_with("k/") => {
-            wire::from_bytes::<ClaimRecord>(raw).is_none_or(|record| record.due <= number)
+            wire::from_bytes::<ClaimRecord>(raw).is_none_or(|record| record.expiry_tick <= number)
         }
         other => other.is_some(),
     }
--- a/crates/control/src/apply_request.rs
+++ b/crates/control/src/apply_request.rs
@@ -41,8 +41,15 @@
         let (member, incarnation, request_id) = claimant;
         let ticks = u64::from(ticks.clamp(1, MAX_KEY_TICKS));
         let due = draft.number(keys::TICKS) + ticks;
-        let record =
-            ClaimRecord { digest, member, incarnation, request_id, due, is_answered: 0, answer: Blob::default() };
+        let record = ClaimRecord {
+            digest,
+            member,
+            incarnation,
+            request_id,
+            expiry_tick: due,
+            is_answered: 0,
+            answer: Blob::default(),
+        };
         draft.put(key.clone(), wire::to_bytes(&record));
         draft.put_number(keys::CLAIM_COUNT, count + 1);
         draft.schedule_removal(&key, ticks);
@@ -75,7 +82,7 @@
         record.answer = answer;
         draft.put(key, wire::to_bytes(&record));
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 /// Releases a key that its holder did not use.
@@ -89,7 +96,7 @@
         let count = draft.number(keys::CLAIM_COUNT);
         draft.put_number(keys::CLAIM_COUNT, count.saturating_sub(1));
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
 
 /// Stores a deferred request.
@@ -98,7 +105,7 @@
     if let Some(record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw)) {
         let state = match () {
             () if record.digest != digest => ClaimState::OtherBody,
-            () if record.done != 0 => ClaimState::Answered,
+            () if record.is_answered != 0 => ClaimState::Answered,
             () => ClaimState::Running,
         };
         return CommandReply::Stored { state, answer: record.answer };
@@ -108,7 +115,7 @@
         return CommandReply::Stored { state: ClaimState::Full, answer: Blob::default() };
     }
     draft.put(format!("p/{}/{id}", function.as_str()), task.into_vec());
-    let record = DeferredRecord { function, digest, done: 0, answer: Blob::default() };
+    let record = DeferredRecord { function, digest, is_answered: 0, answer: Blob::default() };
     draft.put(key, wire::to_bytes(&record));
     draft.put_number(keys::DEFERRED_COUNT, count + 1);
     CommandReply::Stored { state: ClaimState::Granted, answer: Blob::default() }
@@ -118,13 +125,13 @@
 pub fn finish_deferred(draft: &mut Draft, id: &str, function: &str, answer: Blob) -> CommandReply {
     let key = format!("d/{id}");
     if let Some(mut record) = draft.state.get(&key).and_then(|raw| wire::from_bytes::<DeferredRecord>(raw))
-        && record.done == 0
+        && record.is_answered == 0
     {
-        record.done = 1;
+        record.is_answered = 1;
         record.answer = answer;
         draft.remove(format!("p/{function}/{id}"));
         draft.put(key.clone(), wire::to_bytes(&record));
         draft.schedule_removal(&key, FINISHED_TICKS);
     }
-    CommandReply::Plain
+    CommandReply::Empty
 }
--- a/crates/control/src/packed_epochs.rs
+++ b/crates/control/src/packed_epochs.rs
@@ -6,7 +6,7 @@
 use crate::keys;
 use chain::State;
 use std::collections::BTreeMap;
-use wire::{ConfigurationEpoch, LeaseMessage, NodeId, Packed};
+use wire::{Compressed, ConfigurationEpoch, LeaseMessage, NodeId};
 
 /// Maximum size of a part. A slow link of 2 Mbit/s takes 64 ms to send one, and can delay a lease proof by as much.
 const MAX_PART_BYTES: usize = 16 * 1024;
@@ -16,24 +16,24 @@
 /// Cache of compressed epochs, and of the active configuration as one epoch.
 #[derive(Default)]
 pub struct PackedEpochs {
-    epochs: BTreeMap<u64, Packed>,
-    full: Option<(u64, Packed)>,
+    epochs: BTreeMap<u64, Compressed>,
+    full: Option<(u64, Compressed)>,
 }
 
 impl PackedEpochs {
-    fn epoch(&mut self, state: &State, number: u64) -> Option<&Packed> {
+    fn epoch(&mut self, state: &State, number: u64) -> Option<&Compressed> {
         if !self.epochs.contains_key(&number) {
             let raw = state.get(&keys::epoch_key(number))?;
             if self.epochs.len() >= MAX_PACKED_EPOCHS {
                 self.epochs.pop_first();
             }
-            self.epochs.insert(number, wire::pack(raw));
+            self.epochs.insert(number, wire::compress(raw));
         }
         self.epochs.get(&number)
     }
 
     /// Returns the active configuration as one epoch that sets all resources.
-    fn full(&mut self, state: &State) -> (u64, &Packed) {
+    fn full(&mut self, state: &State) -> (u64, &Compressed) {
         let number = keys::read_number(state, keys::ACTIVE);
         if self.full.as_ref().is_none_or(|(packed, _)| *packed != number) {
             let epoch = ConfigurationEpoch {
@@ -44,7 +44,7 @@
             };
             self.full = None;
             self.epochs.retain(|epoch, _| *epoch + MAX_PACKED_EPOCHS as u64 > number);
-            let packed = wire::pack(&wire::to_bytes(&epoch));
+            let packed = wire::compress(&wire::to_bytes(&epoch));
             return (number, &self.full.insert((number, packed)).1);
         }
         let (number, packed) = self.full.as_ref().expect("the active configuration is packed");
@@ -66,10 +66,10 @@
         };
         // The transfer began with an epoch that is no longer active: restart with the active one.
         let offset = if full && number != found { 0 } else { offset };
-        let bytes = packed.bytes.part(offset as usize, MAX_PART_BYTES);
+        let bytes = packed.bytes.slice(offset as usize, MAX_PART_BYTES);
         let (size, total) = (packed.size, packed.bytes.len() as u32);
         let full = full as u8;
-        Some(LeaseMessage::Part { request_id, full, number: found, size, packed: total, offset, bytes })
+        Some(LeaseMessage::Part { request_id, full, number: found, size, compressed_size: total, offset, bytes })
     }
 }
 
--- a/crates/control/src/tail_duties.rs
+++ b/crates/control/src/tail_duties.rs
@@ -39,7 +39,7 @@
             self.propose_duty(Duty::Tick, &Command::Tick { number });
         }
         for (id, incarnation) in self.sessions.expired_members(self.now, self.timing.proof_expiry) {
-            self.propose_duty(Duty::Lapse { id, incarnation }, &Command::Lapse { id, incarnation });
+            self.propose_duty(Duty::Lapse { id, incarnation }, &Command::ExpireLease { id, incarnation });
         }
         self.maybe_activate();
         if self.earlier_leases_expired() {
@@ -61,7 +61,7 @@
         let is_minor_change = kept * 4 >= members.len().max(quorum.len()) * 3 && members.len() > SMALL_FLEET;
         let stability = if is_minor_change { self.timing.quorum_stability * 5 } else { self.timing.quorum_stability };
         if self.now >= since + stability {
-            self.propose_duty(Duty::Quorum, &Command::Quorum { after: latest, members: members.into() });
+            self.propose_duty(Duty::Quorum, &Command::SetQuorum { after: latest, members: members.into() });
         }
     }
 }
--- a/crates/leases/src/membership.rs
+++ b/crates/leases/src/membership.rs
@@ -130,7 +130,7 @@
 
     /// Encodes the record for programs of a wire format.
     pub fn encode(self, format: u16) -> Vec<u8> {
-        if format >= wire::CAPACITY {
+        if format >= wire::CAPACITY_FORMAT {
             return wire::to_bytes(&self);
         }
         let members: Vec<MemberV1> = self.members.into_vec().into_iter().map(MemberV1::from).collect();
--- a/crates/sim/src/platform.rs
+++ b/crates/sim/src/platform.rs
@@ -185,7 +185,7 @@
                 self.platform.leaving_seen.entry((n, line.id.clone())).or_insert(self.now);
             }
         }
-        self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Platform { report, listed_at }));
+        self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::ProviderReport { report, listed_at }));
     }
 
     /// Records the current lists, twice a second; queries return them after a delay.
--- a/crates/sim/src/router_node.rs
+++ b/crates/sim/src/router_node.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use std::rc::Rc;
 use std::time::Duration;
-use traffic::{Front, FrontInput, FunctionOwner, OwnerInput, OwnerTiming};
+use traffic::{Front, FrontInput, FunctionOwner, OwnerInput, OwnerSettings};
 use wire::{ForwardMessage, LeaseMessage, Message, NodeId, PlanMessage};
 
 pub struct RouterProcess {
@@ -93,7 +93,7 @@
         node.process = Some(RouterProcess {
             follower: Follower::new(node.id, run_id, &node.address, node.zone, "", timing).with_capacity(capacity(n)),
             front: Front::new(node.id, run_id, front_limits()),
-            owner: FunctionOwner::new(node.id, run_id, OwnerTiming::default()),
+            owner: FunctionOwner::new(node.id, run_id, OwnerSettings::default()),
             last_proof: None,
             registry_addresses: seeds,
         });
@@ -146,9 +146,9 @@
         self.feed_follower(n, FollowerInput::Tick);
         let now = self.router_now(n);
         let Some(process) = &self.routers[n].process else { return };
-        let near = process.last_proof.is_some_and(|at| now < at + Duration::from_millis(2500));
+        let reachable = process.last_proof.is_some_and(|at| now < at + Duration::from_millis(2500));
         self.end_leaving(n);
-        self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Core { near }));
+        self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::RegistriesReachable { reachable }));
         self.feed_router(n, RouterInput::Front(FrontInput::Tick));
         self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Tick));
     }
@@ -180,7 +180,7 @@
                 self.feed_follower(n, FollowerInput::Peer { from, message })
             }
             Message::Lease(message @ (LeaseMessage::ProposalAck { .. } | LeaseMessage::ReadReply { .. })) => {
-                self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::StoreOperation { message }))
+                self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::StoreReply { message }))
             }
             Message::Lease(message) => {
                 if let (LeaseMessage::Proof { .. }, Some(process)) = (&message, &mut self.routers[n].process) {
@@ -236,7 +236,7 @@
                 }
             }
             FollowerOutput::RemovedFromMembers => {
-                self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::Lapsed));
+                self.feed_router(n, RouterInput::FunctionOwner(OwnerInput::MembershipLost));
                 self.feed_router(n, RouterInput::Front(FrontInput::Lapsed));
             }
             FollowerOutput::ServingStatus { serving_status } => {
--- a/crates/sim/src/router_steps.rs
+++ b/crates/sim/src/router_steps.rs
@@ -57,15 +57,15 @@
                                 self.rules.served_by_revision(self.now, revision);
                                 self.dispatch(n, order);
                             }
-                            OwnerOutput::Supply(order) => self.platform_order(n, order),
+                            OwnerOutput::ProviderOrder(order) => self.platform_order(n, order),
                             OwnerOutput::Probe { id, after, limit, .. } => self.probe(n, id, after, limit),
-                            OwnerOutput::Forget { .. } => {}
+                            OwnerOutput::ForgetInstance { .. } => {}
                             OwnerOutput::PlanRequest { message } => self.ask_registries(n, message),
-                            OwnerOutput::Measures { lines } => {
-                                self.ask_registries(n, PlanMessage::Measures { lines: lines.into() });
+                            OwnerOutput::Measurements { lines } => {
+                                self.ask_registries(n, PlanMessage::Measurements { measurements: lines.into() });
                             }
                             OwnerOutput::Samples { lines } => {
-                                self.ask_registries(n, PlanMessage::Samples { lines: lines.into() });
+                                self.ask_registries(n, PlanMessage::Samples { samples: lines.into() });
                             }
                         }
                     }
--- a/crates/traffic/src/ledger.rs
+++ b/crates/traffic/src/store_requests.rs
@@ -1,32 +1,34 @@
-//! The owner's talk with the chain: what it was asked and what it replied, and storing deferred tasks before they are
-//! promised. Each ask may be sent again; the chain gives the same reply.
+//! The owner's requests to the registries and their replies, and storing deferred requests before they are accepted.
+//! Each request may be sent again; the registries give the same reply.
 
-use crate::claims::LASTING;
+use crate::claims::STORE_TIMEOUT;
 use crate::function_owner::FunctionOwner;
-use crate::owner_types::{OwnerOutput, Place, StoreOperation, StoreRequest};
+use crate::owner_types::{OwnerOutput, RequestState, StoreOperation, StoreRequest};
 use crate::refusals::RefusalReason;
 use std::time::Duration;
 use wire::{ClaimState, Command, CommandReply, LeaseMessage, Outcome, StoredAnswer, StoredRequest};
 
-/// What a registry says of a proposal: it was surely not appended, or it is committed.
+/// State of a proposal in a registry's reply: it was certainly not appended, or it is committed.
 const NOT_APPENDED: u8 = 0;
 const COMMITTED: u8 = 1;
-/// When what was not appended is proposed again.
-const REPROPOSE: Duration = Duration::from_millis(50);
+/// Delay before a proposal that was not appended is sent again.
+const REPROPOSE_DELAY: Duration = Duration::from_millis(50);
 
-/// The name a deferred task is stored under, by its binding and key: a repeat finds the same one.
+/// Returns the name under which a deferred request is stored. It is derived from binding and key, so a repeat finds the
+/// same one.
 pub fn stored_id(scope: &str) -> String {
     let halves = [leases::stable_hash(&[scope.as_bytes(), b"1"]), leases::stable_hash(&[b"2", scope.as_bytes()])];
     halves.iter().flat_map(|half| half.to_le_bytes()).map(|byte| format!("{byte:02x}")).collect()
 }
 
 impl FunctionOwner {
+    /// Proposes to store a deferred request.
     pub(crate) fn store(&mut self, number: u64) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        task.place = Place::Storing;
+        task.state = RequestState::Storing;
         let id = stored_id(&task.scope);
-        task.stored = Some(id.clone());
-        let kept = StoredRequest {
+        task.stored_id = Some(id.clone());
+        let stored_request = StoredRequest {
             binding: task.binding.as_str().into(),
             head: task.head.clone().into(),
             body: task.body.clone().into(),
@@ -35,68 +37,70 @@
             id: id.into(),
             function: task.function.as_str().into(),
             digest: task.digest.clone().into(),
-            task: wire::to_bytes(&kept).into(),
+            task: wire::to_bytes(&stored_request).into(),
         };
-        let (function, left) = (task.function.clone(), task.due.saturating_sub(self.now));
+        let (function, left) = (task.function.clone(), task.deadline.saturating_sub(self.now));
         self.request_store(StoreOperation::Store, number, &function, wire::to_bytes(&command), left);
     }
 
+    /// Proposes to mark a stored request as finished, with its answer.
     pub(crate) fn finish(&mut self, number: u64, answer: &StoredAnswer) {
         let Some(task) = self.tasks.get(&number) else { return };
-        let Some(id) = task.stored.clone() else { return };
+        let Some(id) = task.stored_id.clone() else { return };
         let function = task.function.clone();
         let command = Command::Finish {
             id: id.into(),
             function: function.as_str().into(),
             answer: wire::to_bytes(answer).into(),
         };
-        self.request_store(StoreOperation::Finish, number, &function, wire::to_bytes(&command), LASTING);
+        self.request_store(StoreOperation::Finish, number, &function, wire::to_bytes(&command), STORE_TIMEOUT);
     }
 
-    /// Stored tasks that were answered, of which the store may not have heard yet.
-    pub(crate) fn being_finished(&self, function: &str) -> impl Iterator<Item = wire::Text> {
-        let store_requests = self
+    /// Returns stored requests that were answered, but which the store may not have marked as finished yet.
+    pub(crate) fn unconfirmed_finishes(&self, function: &str) -> impl Iterator<Item = wire::Text> {
+        let finishes = self
             .store_requests
             .values()
-            .filter(move |request_id| request_id.kind == StoreOperation::Finish && request_id.function == function);
-        store_requests.filter_map(|request_id| match wire::from_bytes(&request_id.body) {
+            .filter(move |request| request.kind == StoreOperation::Finish && request.function == function);
+        finishes.filter_map(|request| match wire::from_bytes(&request.body) {
             Some(Command::Finish { id, .. }) => Some(id),
             _ => None,
         })
     }
 
+    /// Handles a registry's reply to a proposal or a read.
     pub(crate) fn handle_store_reply(&mut self, message: LeaseMessage) {
         let (request_id, state, body) = match message {
             LeaseMessage::ProposalAck { request_id, state, body } => (request_id, state, body),
             LeaseMessage::ReadReply { request_id, items, .. } => {
-                return self.take_deferred(request_id, items.into_vec());
+                return self.handle_deferred_list(request_id, items.into_vec());
             }
             _ => return,
         };
         if state == NOT_APPENDED
             && let Some(record) = self.store_requests.get_mut(&request_id)
         {
-            record.sent = (self.now + REPROPOSE).saturating_sub(self.timing.resend);
+            record.sent = (self.now + REPROPOSE_DELAY).saturating_sub(self.settings.resend_interval);
         }
         if state != COMMITTED {
             return;
         }
         let Some(record) = self.store_requests.remove(&request_id) else { return };
-        let Some(receipt) = wire::from_bytes::<CommandReply>(body.as_slice()) else { return };
-        match (record.kind, receipt) {
+        let Some(reply) = wire::from_bytes::<CommandReply>(body.as_slice()) else { return };
+        match (record.kind, reply) {
             (StoreOperation::Claim, CommandReply::Claim { state: ClaimState::Granted, .. })
                 if !self.tasks.contains_key(&record.task) =>
             {
-                self.release_late(&record.body, &record.function);
+                self.release_unused_claim(&record.body, &record.function);
             }
             (StoreOperation::Claim, CommandReply::Claim { state, answer }) => {
-                self.claimed(record.task, state, answer.as_slice())
+                self.handle_claim_reply(record.task, state, answer.as_slice())
             }
             (StoreOperation::Store, CommandReply::Stored { state, answer }) => {
-                self.stored(record.task, state, answer.as_slice())
+                self.handle_stored_reply(record.task, state, answer.as_slice())
             }
             (StoreOperation::Release, _) => {
-                let releasing = self.tasks.get(&record.task).is_some_and(|task| task.place == Place::Releasing);
+                let releasing = self.tasks.get(&record.task).is_some_and(|task| task.state == RequestState::Releasing);
                 if releasing {
                     self.return_to_front(record.task);
                 }
@@ -106,7 +110,8 @@
         }
     }
 
-    /// The store knows that the task is finished: the next owner will not find it pending.
+    /// Removes a request from the sent ones once the store has marked it as finished: the next owner will not find it
+    /// pending.
     fn finish_recorded(&mut self, function: &str, command: &[u8]) {
         if let (Some(Command::Finish { id, .. }), Some(scheduler)) =
             (wire::from_bytes(command), self.schedulers.get_mut(function))
@@ -115,16 +120,16 @@
         }
     }
 
-    fn stored(&mut self, number: u64, state: ClaimState, answer: &[u8]) {
+    fn handle_stored_reply(&mut self, number: u64, state: ClaimState, answer: &[u8]) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
-        if task.place != Place::Storing {
+        if task.state != RequestState::Storing {
             return;
         }
         match state {
             ClaimState::Granted => {
-                let at_once = task.respond_async;
+                let respond_async = task.respond_async;
                 self.enqueue(number);
-                if at_once {
+                if respond_async {
                     self.accept(number);
                 }
             }
@@ -134,34 +139,34 @@
             }
             ClaimState::Answered => self.answer_stored(number, answer),
             ClaimState::OtherBody => {
-                task.stored = None;
+                task.stored_id = None;
                 self.answer_without_body(number, Outcome::NotRun, 422, Duration::ZERO);
             }
             ClaimState::Full | ClaimState::Unknown => {
-                task.stored = None;
+                task.stored_id = None;
                 self.refuse(number, RefusalReason::StoreFull);
             }
         }
     }
 
-    /// 202 with the address under which the task's state can be asked.
+    /// Answers 202 with the path at which the status of the stored request can be read.
     pub(crate) fn accept(&mut self, number: u64) {
-        let Some(id) = self.tasks.get(&number).and_then(|task| task.stored.clone()) else { return };
+        let Some(id) = self.tasks.get(&number).and_then(|task| task.stored_id.clone()) else { return };
         let body = format!("{{\"task\":\"{id}\",\"status\":\"/.heron/tasks/{id}\"}}");
         self.answer(number, Outcome::Accepted, 202, Duration::ZERO, Vec::new(), body.into_bytes());
     }
 
-    /// Proposes something, again and again while it lasts, until the chain has replied.
+    /// Proposes a command, and repeats it until the registries have replied or `timeout` has passed.
     pub(crate) fn request_store(
         &mut self,
         kind: StoreOperation,
         task: u64,
         function: &str,
         body: Vec<u8>,
-        lasts: Duration,
+        timeout: Duration,
     ) -> u64 {
-        let request_id = self.number();
-        let due = self.now + lasts;
+        let request_id = self.next_number();
+        let due = self.now + timeout;
         let record =
             StoreRequest { kind, task, function: function.to_owned(), body: body.clone(), sent: self.now, due };
         self.store_requests.insert(request_id, record);
@@ -169,7 +174,7 @@
         request_id
     }
 
-    /// Sends again what was not answered, and lets go of what is past its time.
+    /// Sends unanswered proposals again, and drops requests that have timed out.
     pub(crate) fn store_pass(&mut self) {
         let now = self.now;
         let mut again = Vec::new();
@@ -177,9 +182,9 @@
             if now >= record.due {
                 return false;
             }
-            if now >= record.sent + self.timing.resend {
+            if now >= record.sent + self.settings.resend_interval {
                 record.sent = now;
-                if record.kind != StoreOperation::Deferred {
+                if record.kind != StoreOperation::ReadDeferred {
                     again.push((*request_id, record.body.clone()));
                 }
             }
