--- a/crates/sim/src/declared.rs
+++ b/crates/sim/src/configuration.rs
@@ -1,16 +1,16 @@
-//! What operators declare in a simulated deployment: its bindings, and a mark that tells one configuration from
-//! another.
+//! Configuration that operators declare in a simulated deployment: the bindings, and a mark that identifies the
+//! change.
 
 use crate::world::World;
 use serde_json::{Value, json};
 use wire::ConfigurationItem;
 
-pub(crate) fn line(key: &str, value: Value) -> ConfigurationItem {
+pub(crate) fn item(key: &str, value: Value) -> ConfigurationItem {
     ConfigurationItem { key: key.into(), is_removed: 0, value: value.to_string().into_bytes().into() }
 }
 
 impl World {
-    /// The bindings all runs share, under a mark that tells one configuration from another.
+    /// Returns the bindings that all runs share, and the item with the mark.
     pub(crate) fn items(&self, mark: &str) -> Vec<ConfigurationItem> {
         let mut items: Vec<ConfigurationItem> = (0..self.plan.functions)
             .map(|function| {
@@ -20,16 +20,16 @@
                 if self.is_public(function) {
                     binding["public"] = true.into();
                 }
-                line(&format!("function-bindings/t{}/f{function}", function % 3), binding)
+                item(&format!("function-bindings/t{}/f{function}", function % 3), binding)
             })
             .collect();
-        items.push(mark_line(mark));
+        items.push(mark_item(mark));
         items
     }
 }
 
-/// A change is known by a number kept in a plan of a function that is never called.
-pub(crate) fn mark_line(mark: &str) -> ConfigurationItem {
+/// Returns the item that identifies a change: its number, in the plan of a function that is never called.
+pub(crate) fn mark_item(mark: &str) -> ConfigurationItem {
     let number: u64 = mark[1..].parse().unwrap_or_default();
-    line("headcount-plans/t0/mark", json!({"fixed": number % 1000}))
+    item("headcount-plans/t0/mark", json!({"fixed": number % 1000}))
 }
--- a/crates/sim/src/ending.rs
+++ b/crates/sim/src/end_checks.rs
@@ -1,34 +1,38 @@
-//! What is checked once a run has ended, and what is told of it.
+//! Checks at the end of a run, and its summary.
 
-use crate::chances::Sort;
+use crate::sorts::Sort;
 use crate::world::World;
 use std::time::Duration;
 
-const HANDFUL: u64 = 5;
-const STILL: Duration = Duration::from_secs(15);
+const MAX_UNSERVED: u64 = 5;
+const MAX_STALL: Duration = Duration::from_secs(15);
 
 impl World {
+    /// Runs the checks of a finished run.
     pub fn check_end(&mut self) {
         let now = self.now;
         self.check_read_back();
         self.check_orders();
         self.check_deferred();
-        self.rules.all_served(now);
-        let [flooders, others] = self.callers.short_of;
-        let short = match self.plan.sort {
+        self.rules.check_fair_service(now);
+        let [flooders, others] = self.callers.unserved;
+        let unserved = match self.plan.sort {
             Sort::Planned | Sort::Wake | Sort::Calm => flooders + others,
             Sort::Flood => others,
             _ => 0,
         };
-        if short > HANDFUL {
-            self.rules.tell(now, format!("{short} tasks refused or unknown though nothing was to keep them"));
+        if unserved > MAX_UNSERVED {
+            self.rules.report_violation(
+                now,
+                format!("{unserved} tasks refused or with unknown outcome though no fault should have affected them"),
+            );
         }
-        let from = self.plan.bouts[0].0.saturating_sub(Duration::from_secs(5));
-        self.judged = self.rules.recovered(from, self.plan.final_fault);
+        let from = self.plan.fault_phases[0].0.saturating_sub(Duration::from_secs(5));
+        self.judged_seconds = self.rules.check_recovery(from, self.plan.final_fault);
     }
 
-    /// What was accepted and has not run yet waits in the store, and is still being worked off: after a
-    /// loss of all that was known of it, no faster than retries may be sent.
+    /// Checks that accepted tasks that haven't run are still in the store and that tasks keep being run. After the
+    /// loss of all in-memory state of the backlog it is worked off no faster than the limit on retries allows.
     fn check_deferred(&mut self) {
         let now = self.now;
         let waiting = self.rules.accepted_but_never_run();
@@ -44,37 +48,38 @@
         };
         let lost: Vec<&String> =
             waiting.iter().filter(|(key, service)| !kept(key, service)).map(|(key, _)| key).collect();
-        let told = match (lost.first(), waiting.len()) {
-            (Some(first), _) => format!("{} accepted tasks vanished, such as {first}", lost.len()),
-            (None, count) if count > 0 && now > self.rules.newly_run + STILL => {
-                format!("{count} accepted tasks stand still")
+        let message = match (lost.first(), waiting.len()) {
+            (Some(first), _) => format!("{} accepted tasks are missing from the store, such as {first}", lost.len()),
+            (None, count) if count > 0 && now > self.rules.last_first_run + MAX_STALL => {
+                format!("{count} accepted tasks make no progress")
             }
             _ => return,
         };
-        self.rules.tell(now, told);
+        self.rules.report_violation(now, message);
     }
 
-    /// Where each node stands, for the story of a run that ended badly.
-    pub fn standings(&self) -> Vec<String> {
+    /// Returns a line on the state of each node, for the log of a run.
+    pub fn node_states(&self) -> Vec<String> {
         let registries = self.registries.iter().enumerate().map(|(n, node)| match &node.core {
             Some(core) => format!("registry {n}: {}", core.status()),
             None => format!("registry {n}: down"),
         });
-        let routers = self.routers.iter().enumerate().map(|(n, node)| match &node.machines {
-            Some(machines) => format!(
-                "router {n}: step {} staged {} roster {} tail {:x?}, front {}, home {:?}",
-                machines.follower.active_epoch(),
-                machines.follower.staged_epoch(),
-                machines.follower.membership().number,
-                machines.follower.tail(),
-                machines.front.request_count(),
-                machines.owner.depths(),
+        let routers = self.routers.iter().enumerate().map(|(n, node)| match &node.process {
+            Some(process) => format!(
+                "router {n}: step {} staged {} membership {} tail {:x?}, front {}, owner {:?}",
+                process.follower.active_epoch(),
+                process.follower.staged_epoch(),
+                process.follower.membership().number,
+                process.follower.tail(),
+                process.front.request_count(),
+                process.owner.depths(),
             ),
             None => format!("router {n}: down"),
         });
         registries.chain(routers).collect()
     }
 
+    /// Returns the counts of a run.
     pub fn summary(&self) -> String {
         let callers = &self.callers;
         format!(
@@ -88,12 +93,12 @@
             self.operators.acked.len(),
             self.operators.refused.len(),
             self.operators.unknown.len(),
-            self.yard.starts,
-            self.judged,
-            callers.short_of,
-            self.brought_back,
-            self.catch_up.judged,
-            self.catch_up.longest.as_millis(),
+            self.platform.starts,
+            self.judged_seconds,
+            callers.unserved,
+            self.catch_up_counts,
+            self.catch_up.judged_checks,
+            self.catch_up.longest_wait.as_millis(),
         )
     }
 }
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,47 +1,50 @@
-//! The simulator: the real state machines of registries and routers on a seeded network, seeded
-//! disks and a clock that moves from event to event, with the brief's failures brought about and
-//! the rules checked after every step. The same seed replays the same run to the last event.
+//! Simulator: runs the product's state machines of registries and routers on a simulated network, disks and
+//! platform, with a clock that jumps from event to event. Faults are drawn from a seed, and the rules are
+//! checked after every step. The same seed replays the same run to the last event.
 
 mod callers;
-mod catch_up;
-mod chances;
+mod catch_up_rules;
+mod configuration;
 mod consumer_callers;
 mod consumer_rules;
-mod consumer_service;
+mod consumer_service_rules;
 mod consumers;
 mod control_faults;
 mod core_rules;
 mod cutoff;
-mod declared;
-mod ending;
-mod failing;
+mod end_checks;
+mod fault_actions;
 mod faults;
-mod final_blow;
+mod final_fault;
 mod fingerprint;
 mod follow_ups;
 mod instances;
 mod link_faults;
+mod membership_rules;
 mod net;
 mod operators;
 mod plan;
+mod platform;
+mod registry_health;
 mod registry_node;
 mod replacement;
-mod resending;
+mod resending_operators;
 mod restarts;
-mod rolling;
+mod rolling_restarts;
 mod router_limits;
 mod router_node;
-mod router_turns;
+mod router_steps;
 mod rules;
+mod run;
 mod slowness;
-mod standing;
-mod strikes;
+mod sorts;
+mod triggered_faults;
 mod world;
-mod yard;
 
-pub use chances::Sort;
 pub use consumer_rules::{KeyHolder, SeenByInstance, SentRequest};
 pub use core_rules::CoreCopies;
 pub use plan::Plan;
 pub use rules::Rules;
-pub use world::{Outcome, World, fingerprint, run};
+pub use run::{Outcome, fingerprint, run};
+pub use sorts::Sort;
+pub use world::World;
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,4 +1,4 @@
-//! `sim`: runs one seed with its story told, or sweeps many and names those that break a rule.
+//! `sim`: runs one seed with a log of its events, or many seeds and lists those that violate a rule.
 
 use lexopt::prelude::*;
 use sim::{Sort, fingerprint, run};
@@ -9,23 +9,23 @@
 Usage: sim run --seed N [--sort SORT]
        sim sweep [--from N] [--count N] [--sort SORT] [--threads N]
        sim fingerprint [--from N] [--count N] [--sort SORT] [--threads N]
-                       a line a seed; equal for two versions of the code that behave alike
+                       one line per seed; equal for two versions of the code that behave alike
 
---sort: what fails [mixed]";
+--sort: which faults occur [mixed]";
 
 fn main() -> ExitCode {
-    match work() {
+    match run_command() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(told) => {
-            eprintln!("sim: {told}");
+        Err(message) => {
+            eprintln!("sim: {message}");
             ExitCode::from(2)
         }
     }
 }
 
-fn work() -> Result<bool, String> {
-    let (mut what, mut seed, mut from, mut count, mut threads, mut sort) =
+fn run_command() -> Result<bool, String> {
+    let (mut command, mut seed, mut from, mut count, mut threads, mut sort) =
         (String::new(), 1u64, 1u64, 100u64, 8u64, Sort::Mixed);
     let mut line = lexopt::Parser::from_env();
     while let Some(arg) = line.next().map_err(|fault| fault.to_string())? {
@@ -34,66 +34,66 @@
                 println!("{HELP}\nSORT is one of {}.", Sort::words());
                 return Ok(true);
             }
-            Value(word) if what.is_empty() => {
-                what = word.to_string_lossy().into_owned();
+            Value(word) if command.is_empty() => {
+                command = word.to_string_lossy().into_owned();
                 continue;
             }
             Long(name) => name.to_owned(),
             other => return Err(other.unexpected().to_string()),
         };
         let value = line.value().and_then(|v| v.string()).map_err(|fault| fault.to_string())?;
-        let number = || value.parse::<u64>().map_err(|_| format!("--{name} {value}: allowed is a number"));
+        let number = || value.parse::<u64>().map_err(|_| format!("--{name} {value}: must be a number"));
         match name.as_str() {
             "seed" => seed = number()?,
             "from" => from = number()?,
             "count" => count = number()?,
             "threads" => threads = number()?.clamp(1, 64),
             "sort" => sort = Sort::from_word(&value).ok_or(format!("--sort {value}: see --help"))?,
-            _ => return Err(format!("no flag --{name}; see --help")),
+            _ => return Err(format!("unknown flag --{name}; see --help")),
         }
     }
-    match what.as_str() {
+    match command.as_str() {
         "run" => {
             let outcome = run(seed, sort, true);
             println!("seed {seed}: {}", outcome.summary);
-            outcome.broken.iter().for_each(|fault| println!("BROKEN {fault}"));
-            Ok(outcome.broken.is_empty())
+            outcome.violations.iter().for_each(|fault| println!("BROKEN {fault}"));
+            Ok(outcome.violations.is_empty())
         }
         "sweep" => Ok(sweep(from, count, threads, sort)),
         "fingerprint" => {
             fingerprints(from, count, threads, sort);
             Ok(true)
         }
-        _ => Err("say run, sweep or fingerprint; see --help".into()),
+        _ => Err("expected the command run, sweep or fingerprint; see --help".into()),
     }
 }
 
 fn sweep(from: u64, count: u64, threads: u64, sort: Sort) -> bool {
-    let hands: Vec<_> = (0..threads)
-        .map(|hand| {
+    let workers: Vec<_> = (0..threads)
+        .map(|thread| {
             std::thread::spawn(move || {
-                let mut bad = 0;
+                let mut failed = 0;
                 let mut steps = 0;
-                for seed in (from..from + count).filter(|seed| seed % threads == hand) {
+                for seed in (from..from + count).filter(|seed| seed % threads == thread) {
                     let outcome = run(seed, sort, false);
                     steps += outcome.steps;
-                    for fault in outcome.broken.iter().take(1) {
+                    for fault in outcome.violations.iter().take(1) {
                         println!("seed {seed}: BROKEN {fault}");
-                        bad += 1;
+                        failed += 1;
                     }
                 }
-                (bad, steps)
+                (failed, steps)
             })
         })
         .collect();
-    let (mut bad, mut steps) = (0, 0);
-    for hand in hands {
-        let (b, s) = hand.join().unwrap_or((1, 0));
-        bad += b;
-        steps += s;
+    let (mut failed, mut steps) = (0, 0);
+    for thread in workers {
+        let (worker_failed, worker_steps) = thread.join().unwrap_or((1, 0));
+        failed += worker_failed;
+        steps += worker_steps;
     }
-    println!("{count} seeds from {from}, {sort:?}: {steps} steps, {bad} with a broken rule");
-    bad == 0
+    println!("{count} seeds from {from}, {sort:?}: {steps} steps, {failed} with a broken rule");
+    failed == 0
 }
 
 fn fingerprints(from: u64, count: u64, threads: u64, sort: Sort) {
