--- a/crates/control/src/control_loop.rs
+++ b/crates/control/src/control_loop.rs
@@ -144,7 +144,7 @@
 
     fn dial(&self, view: &View) {
         let addresses = addresses(view).into_iter().chain(self.reported_registries.iter().cloned());
-        self.send_order(LinkOrder::Dial { addresses: self.seeds.iter().cloned().chain(addresses).collect() });
+        self.send_order(LinkOrder::KeepConnected { addresses: self.seeds.iter().cloned().chain(addresses).collect() });
     }
 
     fn execute(&mut self, outputs: Vec<CoreOutput>) {
--- a/crates/control/src/optimizer.rs
+++ b/crates/control/src/optimizer.rs
@@ -98,7 +98,7 @@
         tuned.iter().map(|parameters| format!("weight-sheets/{}", parameters.function.as_str())).collect();
     let is_affected = |(key, raw): &(&String, &Value)| previous.get(*key) != Some(*raw) || tuned_keys.contains(*key);
     let changed = pairs.iter().filter(is_affected).map(|(key, raw)| (key.as_str(), &raw[..]));
-    let items = http_server::kinds(changed, fence, tuned);
+    let items = http_server::view_items(changed, fence, tuned);
     index.send_if_modified(|index| {
         let has_put = items.iter().fold(false, |any, (key, value)| index.put(key, *revision, value) || any);
         index.keep_only(*revision, |key| pairs.contains_key(key) || items.contains_key(key)) || has_put
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -123,7 +123,7 @@
     local(async move {
         if let Some(reread) = reread {
             let (control, read) = (control.clone(), move || reread().map(|settings| settings.seeds));
-            tokio::task::spawn_local(kernel::follow(settings.seeds, read, async move |seeds| {
+            tokio::task::spawn_local(kernel::watch_settings(settings.seeds, read, async move |seeds| {
                 control.send_waiting(ControlMessage::Seeds(seeds)).await;
             }));
         }
@@ -159,7 +159,7 @@
     stopping: &watch::Receiver<bool>,
 ) -> Result<Vec<JoinHandle<()>>, RunError> {
     let tokens = Tokens::read(&settings.tokens, &settings.tokens_file)?;
-    let resource_views = http_server::views(Views { index, tokens: tokens.clone() });
+    let resource_views = http_server::view_routes(Views { index, tokens: tokens.clone() });
     let builtin_pages = api::router(Api { handle: handle.clone(), tokens }, settings.body).merge(resource_views);
     let mut servers = vec![serve("api", listener, builtin_pages, SERVER_LIMITS, stopping.clone())?];
     if let Some((make, listener)) = dialect {
--- a/crates/control/src/settings.rs
+++ b/crates/control/src/settings.rs
@@ -1,7 +1,7 @@
 //! The registry's settings.
 
 use config::{address, address_or_none, any, in_range, non_empty, seeds, word};
-use http_server::well_formed;
+use http_server::check_tokens;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
         losses: usize = 1, in_range(1, 4), "how many registries may lose their disks at once without losing anything acknowledged; the same on every registry";
         found: bool = true, any, "whether this registry may found a cluster together with the other seeds while all their disks are empty; if false, it only joins an existing one";
         data: PathBuf = PathBuf::new(), |path: &PathBuf| folder(path), "folder for the data file";
-        tokens: Vec<String> = Vec::new(), well_formed, "bearer tokens, tenant=SECRET or *=SECRET, separated by commas";
+        tokens: Vec<String> = Vec::new(), check_tokens, "bearer tokens, tenant=SECRET or *=SECRET, separated by commas";
         hold: Duration = Duration::from_millis(1500), in_range(Duration::from_millis(500), Duration::from_secs(10)), "how long a lease proof is valid; the same on every machine";
         peer_hold: Duration = leases::DEFAULT_PEER_HOLD, in_range(Duration::from_secs(1), Duration::from_secs(86_400)), "how long routers accept each other's proofs after the core's last one; a change waits at most this long for routers of its quorum that are gone; the same on every machine";
         grace: Duration = Duration::from_secs(4), in_range(Duration::from_secs(1), Duration::from_secs(120)), "maximum time that a planned stop waits until the other registries no longer need this one";
--- a/crates/dispatch/src/connection.rs
+++ b/crates/dispatch/src/connection.rs
@@ -69,7 +69,7 @@
     pub async fn open(address: &str, open_count: OpenCount) -> io::Result<Connection> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        kernel::give_up_after(&stream, ACKNOWLEDGEMENT_TIMEOUT)?;
+        kernel::set_silence_timeout(&stream, ACKNOWLEDGEMENT_TIMEOUT)?;
         Ok(Connection { stream, open_count, last_used: Instant::now() })
     }
 
--- a/crates/http_server/src/lib.rs
+++ b/crates/http_server/src/lib.rs
@@ -3,14 +3,14 @@
 
 #![warn(missing_docs)]
 
-mod kinds;
 mod resource_index;
 mod serve;
 mod tokens;
+mod view_items;
 mod views;
 
-pub use kinds::kinds;
 pub use resource_index::{Filter, ResourceIndex, in_scope};
-pub use serve::{ServerLimits, serve, serve_within};
-pub use tokens::{Tokens, TokensError, well_formed};
-pub use views::{Views, views};
+pub use serve::{ServerLimits, serve, serve_with_dynamic_limits};
+pub use tokens::{Tokens, TokensError, check_tokens};
+pub use view_items::view_items;
+pub use views::{Views, view_routes};
--- a/crates/http_server/src/serve.rs
+++ b/crates/http_server/src/serve.rs
@@ -34,11 +34,11 @@
 
 /// Serves a router's connections until `stop` holds true, then lets open ones finish.
 pub async fn serve(listener: TcpListener, router: Router, limits: ServerLimits, stop: watch::Receiver<bool>) {
-    serve_within(listener, router, move || limits, stop).await;
+    serve_with_dynamic_limits(listener, router, move || limits, stop).await;
 }
 
 /// The same with limits that may change: each connection has those in force when it came.
-pub async fn serve_within(
+pub async fn serve_with_dynamic_limits(
     listener: TcpListener,
     router: Router,
     limits_now: impl Fn() -> ServerLimits,
--- a/crates/http_server/src/tokens.rs
+++ b/crates/http_server/src/tokens.rs
@@ -35,7 +35,7 @@
 
 /// Checks a list of `tenant=SECRET` entries; the error says what is allowed and no secret.
 #[allow(clippy::ptr_arg)]
-pub fn well_formed(list: &Vec<String>) -> Result<(), String> {
+pub fn check_tokens(list: &Vec<String>) -> Result<(), String> {
     let good = |entry: &String| match entry.split_once('=') {
         Some((tenant, secret)) => (tenant == "*" || bindings::check_name(tenant)) && secret.len() >= 8,
         None => false,
@@ -68,7 +68,7 @@
                 std::fs::read_to_string(file).map_err(|error| TokensError::Unread { path: file.to_owned(), error })?;
             let lines = text.lines().map(str::trim).filter(|line| !line.is_empty() && !line.starts_with('#'));
             all.extend(lines.map(str::to_owned));
-            well_formed(&all).map_err(|allowed| TokensError::Malformed { path: file.to_owned(), allowed })?;
+            check_tokens(&all).map_err(|allowed| TokensError::Malformed { path: file.to_owned(), allowed })?;
         }
         Ok(Tokens::new(&all))
     }
--- a/crates/http_server/src/kinds.rs
+++ b/crates/http_server/src/view_items.rs
@@ -6,7 +6,7 @@
 use wire::TunedParameters;
 
 /// The declared pairs, by kind/tenant/name, and the sheets that are tuned, declared or not.
-pub fn kinds<'a>(
+pub fn view_items<'a>(
     pairs: impl Iterator<Item = (&'a str, &'a [u8])>,
     fence: u64,
     tuned: &[TunedParameters],
--- a/crates/http_server/src/views.rs
+++ b/crates/http_server/src/views.rs
@@ -32,7 +32,7 @@
 }
 
 /// The routes `/v1/view/...` and `/v1/watch/...`.
-pub fn views(views: Views) -> Router {
+pub fn view_routes(views: Views) -> Router {
     Router::new()
         .route("/v1/view/{kind}", get(list))
         .route("/v1/view/{kind}/{tenant}/{name}", get(one))
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -12,5 +12,5 @@
 pub use directory::Directory;
 pub use inbox::{Inbox, InboxSender, SendError, inbox};
 pub use program::{StartError, adopt, find, join_until, listen, listen_address, local, thread, wait_for_signal};
-pub use settings_watch::follow;
-pub use silence::give_up_after;
+pub use settings_watch::watch_settings;
+pub use silence::set_silence_timeout;
--- a/crates/kernel/src/settings_watch.rs
+++ b/crates/kernel/src/settings_watch.rs
@@ -7,7 +7,7 @@
 const EVERY: Duration = Duration::from_secs(2);
 
 /// Reads on for as long as the program runs; a fault is told once, and again after a good reading.
-pub async fn follow<T: PartialEq + Clone>(
+pub async fn watch_settings<T: PartialEq + Clone>(
     first: T,
     read: impl Fn() -> Result<T, String>,
     tell: impl AsyncFn(Result<T, String>),
--- a/crates/kernel/src/silence.rs
+++ b/crates/kernel/src/silence.rs
@@ -11,7 +11,7 @@
 const PROBES: Duration = Duration::from_secs(1);
 
 /// Ends the connection once something sent was not received for `patience`, and probes a quiet one.
-pub fn give_up_after(stream: &TcpStream, patience: Duration) -> io::Result<()> {
+pub fn set_silence_timeout(stream: &TcpStream, patience: Duration) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(patience))?;
     let probes = TcpKeepalive::new().with_time(FIRST_PROBE).with_interval(PROBES).with_retries(2);
--- a/crates/links/src/order.rs
+++ b/crates/links/src/order.rs
@@ -1,5 +1,5 @@
-//! What the link service is asked to do, and what it tells. Addresses in `Dial` are held always; a
-//! peer named in `Know` is dialled when something is sent to it, and let go when both sides are quiet.
+//! What the link service is asked to do, and what it tells. Addresses in `KeepConnected` are held always; a
+//! peer named in `SetKnownPeers` is dialled when something is sent to it, and let go when both sides are quiet.
 
 use wire::{Message, NodeId};
 
@@ -36,12 +36,12 @@
         message: Message,
     },
     /// The addresses held always, in place of those given before.
-    Dial {
+    KeepConnected {
         /// `IP:port` of each.
         addresses: Vec<String>,
     },
     /// Where peers are met when there is something for them, in place of those given before.
-    Know {
+    SetKnownPeers {
         /// Identity and `IP:port` of each.
         members: Vec<(NodeId, String)>,
     },
--- a/crates/links/src/service.rs
+++ b/crates/links/src/service.rs
@@ -142,8 +142,8 @@
                     inner.send(id, message);
                 }
             }
-            LinkOrder::Know { members } => inner.demand.borrow_mut().know(members),
-            LinkOrder::Dial { addresses } => {
+            LinkOrder::SetKnownPeers { members } => inner.demand.borrow_mut().know(members),
+            LinkOrder::KeepConnected { addresses } => {
                 let wanted: BTreeSet<String> = addresses.into_iter().filter(|a| *a != inner.me.address).collect();
                 *inner.wanted.borrow_mut() = wanted.clone();
                 for address in wanted {
--- a/crates/links/src/stream.rs
+++ b/crates/links/src/stream.rs
@@ -54,7 +54,7 @@
 
 pub async fn run(inner: Rc<Inner>, stream: TcpStream, dialled: Option<String>) -> Result<(), FrameError> {
     stream.set_nodelay(true)?;
-    kernel::give_up_after(&stream, PATIENCE)?;
+    kernel::set_silence_timeout(&stream, PATIENCE)?;
     let me = inner.me.clone();
     let (read, write) = stream.into_split();
     let mut read = BufReader::with_capacity(BUFFER, read);
--- a/crates/links/tests/demand.rs
+++ b/crates/links/tests/demand.rs
@@ -48,7 +48,7 @@
 fn what_is_sent_to_a_known_peer_dials_it_and_arrives_in_order() {
     local(async {
         let (mut one, mut two) = (peer(1).await, peer(2).await);
-        one.orders.send(LinkOrder::Know { members: vec![(2, two.address.clone())] }).unwrap();
+        one.orders.send(LinkOrder::SetKnownPeers { members: vec![(2, two.address.clone())] }).unwrap();
         for number in 0..100 {
             one.orders.send(LinkOrder::Send { to: 2, message: staged(number) }).unwrap();
         }
@@ -65,7 +65,7 @@
     local(async {
         let mut one = peer(1).await;
         let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap().to_string();
-        one.orders.send(LinkOrder::Know { members: vec![(2, nobody)] }).unwrap();
+        one.orders.send(LinkOrder::SetKnownPeers { members: vec![(2, nobody)] }).unwrap();
         for _ in 0..2 {
             one.orders.send(LinkOrder::Send { to: 3, message: staged(1) }).unwrap();
             one.orders.send(LinkOrder::Send { to: 2, message: staged(1) }).unwrap();
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -231,7 +231,7 @@
         let addresses = self.seeds.iter().chain(&self.seats).cloned().collect();
         let members = self.follower.membership().members.iter();
         let members = members.map(|line| (line.id, line.address.as_str().to_owned())).collect();
-        for order in [LinkOrder::Dial { addresses }, LinkOrder::Know { members }] {
+        for order in [LinkOrder::KeepConnected { addresses }, LinkOrder::SetKnownPeers { members }] {
             if self.links.send(order).is_err() {
                 event!(inbox_full, "links");
             }
--- a/crates/traffic/src/declared_views.rs
+++ b/crates/traffic/src/declared_views.rs
@@ -38,7 +38,7 @@
         let last_sent = (*fence, sum, lines.len());
         if self.has_changes || last_sent != self.last_sent {
             (self.has_changes, self.last_sent) = (false, last_sent);
-            self.items = http_server::kinds(routes.declared(), *fence, lines);
+            self.items = http_server::view_items(routes.declared(), *fence, lines);
             self.plans.clear();
         }
         let mut changed: Vec<(String, Value)> = Vec::new();
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -126,11 +126,11 @@
             spawn_local(links::start(myself, adopt(peers), links_inbox, deliver(link_names)));
             spawn_local(dispatch::run(words, dispatch_inbox, report));
             spawn_local(plane.run(traffic_inbox));
-            http_server::serve_within(adopt(callers), callers_pages, limits, servers_stop).await;
+            http_server::serve_with_dynamic_limits(adopt(callers), callers_pages, limits, servers_stop).await;
         });
     })?;
     let ops_limits = ServerLimits { connections: 64, life: Duration::from_secs(86_400), ..server_limits };
-    let kinds = http_server::views(http_server::Views { index: shelved, tokens });
+    let kinds = http_server::view_routes(http_server::Views { index: shelved, tokens });
     let (views, ops_stop) = (Views { traffic: shown, control: control_shown }, stopping);
     thread("operations", move || {
         local(async move {
@@ -169,7 +169,7 @@
     local(async move {
         if let Some(reread) = dialect.reread {
             let (post, read) = (post.clone(), move || reread().map(|settings| settings.seeds));
-            spawn_local(kernel::follow(settings.seeds, read, async move |seeds| {
+            spawn_local(kernel::watch_settings(settings.seeds, read, async move |seeds| {
                 post.send_waiting(ControlMessage::Seeds(seeds)).await;
             }));
         }
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::allowances::Allowances;
 use crate::owner_settings::OwnerSettings;
 use config::{address, address_or_none, any, in_range, seeds, word};
-use http_server::well_formed;
+use http_server::check_tokens;
 use quota::QuotaBounds;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -29,7 +29,7 @@
         body_time: Duration = Duration::from_secs(4), in_range(Duration::from_millis(100), Duration::from_secs(60)), "how long a request's body may take";
         life: Duration = Duration::from_secs(600), in_range(Duration::from_secs(1), Duration::from_secs(86_400)), "how long a connection may be kept open";
         grace: Duration = Duration::from_secs(8), in_range(Duration::from_secs(1), Duration::from_secs(120)), "how long a planned stop may take to finish what it has begun";
-        tokens: Vec<String> = Vec::new(), well_formed, "bearer tokens for the views of kinds, tenant=SECRET or *=SECRET, parted by commas";
+        tokens: Vec<String> = Vec::new(), check_tokens, "bearer tokens for the views of kinds, tenant=SECRET or *=SECRET, parted by commas";
         tokens_file: PathBuf = PathBuf::new(), any, "file of more bearer tokens, one to a line, so that none need stand on a command line";
         processor_share: f64 = 1.0, in_range(0.001, 4096.0), "processor this router may use, in cores; weaker machines are home to fewer functions";
         link_mbps: f64 = 1000.0, in_range(0.01, 1_000_000.0), "what this machine's link carries, in Mbit/s; likewise";
