--- a/crates/links/src/lib.rs
+++ b/crates/links/src/lib.rs
@@ -1,13 +1,13 @@
-//! Held TCP connections between heronlink's own processes. A service on a thread of its own dials
-//! the addresses it is given and the peers something is sent to, takes in those who dial it, and finds a
-//! peer's connection by its identity. What comes in is handed to the owner named by a function of the message.
+//! Long-lived TCP connections between heronlink's own processes. A service on its own thread dials the
+//! addresses it is given and the peers that messages are sent to, accepts incoming connections, and looks
+//! connections up by peer id. A callback given at the start passes each event to the owner of its message.
 
 #![warn(missing_docs)]
 
-mod demand;
-mod order;
+mod dial_on_demand;
+mod interface;
 mod service;
 mod stream;
 
-pub use order::{LinkEvent, LinkOrder, LocalNode};
+pub use interface::{LinkEvent, LinkOrder, LocalNode};
 pub use service::{Deliver, start};
--- a/crates/links/src/service.rs
+++ b/crates/links/src/service.rs
@@ -1,9 +1,9 @@
-//! The service's table of connections and its loops: taking in, dialling with a growing pause,
-//! and carrying out orders. An order for a peer that is neither linked nor known is dropped; owners
-//! know who is linked from the events and time out what went unanswered.
+//! The service's table of connections and its loops: accepting, dialling with a growing backoff, and
+//! executing orders. An order for a peer that is neither connected nor known is dropped; owners learn
+//! from the events which peers are connected, and time out unanswered messages themselves.
 
-use crate::demand::{self, Demand};
-use crate::order::{LinkEvent, LinkOrder, LocalNode};
+use crate::dial_on_demand::{self, OnDemandDials};
+use crate::interface::{LinkEvent, LinkOrder, LocalNode};
 use crate::stream;
 use events::event;
 use kernel::Inbox;
@@ -19,37 +19,39 @@
 use tokio::task::spawn_local;
 use wire::{FrameError, Message, NodeId};
 
-/// The most connections taken in at a time; more are closed at once.
-const CONNECTIONS: usize = 1024;
-/// The longest pause between two dials of one address.
-const PAUSE_MAX_MS: u64 = 800;
-/// How long a dial may take.
-const CONNECT: Duration = Duration::from_millis(900);
+/// Maximum number of accepted connections open at a time; further ones are closed immediately.
+const MAX_ACCEPTED_CONNECTIONS: usize = 1024;
+/// Longest pause, in milliseconds, between two dials of one address.
+const MAX_DIAL_PAUSE_MS: u64 = 800;
+/// Maximum time for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Hands an event to its owner; awaiting it slows the connection's reader down.
+/// Passes an event to its owner; awaiting it applies backpressure to the connection's reader.
 pub type Deliver = Rc<dyn Fn(LinkEvent) -> Pin<Box<dyn Future<Output = ()>>>>;
 
 struct Connection {
-    number: u64,
+    connection_id: u64,
     incarnation: u64,
     sender: mpsc::Sender<Message>,
     dialled: Option<String>,
 }
 
-pub struct Inner {
-    pub me: LocalNode,
+/// State shared by the service's tasks.
+pub struct LinkService {
+    pub local_node: LocalNode,
     deliver: Deliver,
     connections: RefCell<BTreeMap<NodeId, Vec<Connection>>>,
     by_address: RefCell<BTreeMap<String, NodeId>>,
-    dialled: RefCell<BTreeSet<String>>,
-    wanted: RefCell<BTreeSet<String>>,
-    pub demand: RefCell<Demand>,
-    next: Cell<u64>,
-    open: Cell<usize>,
+    dialling: RefCell<BTreeSet<String>>,
+    kept_open: RefCell<BTreeSet<String>>,
+    pub on_demand: RefCell<OnDemandDials>,
+    last_connection_id: Cell<u64>,
+    accepted_count: Cell<usize>,
 }
 
-impl Inner {
-    pub fn add(
+impl LinkService {
+    /// Adds a connection, drops those of the peer's other incarnations, and returns its id.
+    pub fn add_connection(
         &self,
         id: NodeId,
         incarnation: u64,
@@ -57,34 +59,35 @@
         dialled: Option<String>,
         address: String,
     ) -> u64 {
-        let number = self.next.get() + 1;
-        self.next.set(number);
+        let connection_id = self.last_connection_id.get() + 1;
+        self.last_connection_id.set(connection_id);
         let mut connections = self.connections.borrow_mut();
         let list = connections.entry(id).or_default();
         list.retain(|old| old.incarnation == incarnation);
-        let news = list.is_empty();
+        let is_first = list.is_empty();
         if let Some(address) = &dialled {
             self.by_address.borrow_mut().insert(address.clone(), id);
         }
-        self.demand.borrow_mut().release(id, &sender);
-        list.push(Connection { number, incarnation, sender, dialled });
-        if news {
+        self.on_demand.borrow_mut().release_queue(id, &sender);
+        list.push(Connection { connection_id, incarnation, sender, dialled });
+        if is_first {
             event!(link_up, "{id:016x} at {address}");
-            let told = (self.deliver)(LinkEvent::Up { id, incarnation, address });
-            spawn_local(told);
+            let delivery = (self.deliver)(LinkEvent::Up { id, incarnation, address });
+            spawn_local(delivery);
         }
-        number
+        connection_id
     }
 
-    pub async fn remove(&self, id: NodeId, number: u64) {
-        let gone = {
+    /// Removes a connection and reports the peer as down if it was the last one.
+    pub async fn remove_connection(&self, id: NodeId, connection_id: u64) {
+        let was_last = {
             let mut connections = self.connections.borrow_mut();
             let Some(list) = connections.get_mut(&id) else { return };
-            let before = list.len();
-            list.retain(|connection| connection.number != number);
-            before > list.len() && list.is_empty()
+            let count_before = list.len();
+            list.retain(|connection| connection.connection_id != connection_id);
+            count_before > list.len() && list.is_empty()
         };
-        if gone {
+        if was_last {
             self.connections.borrow_mut().remove(&id);
             event!(link_down, "{id:016x}");
             self.deliver(LinkEvent::Down { id }).await;
@@ -99,14 +102,14 @@
         self.connections.borrow().contains_key(&id)
     }
 
-    /// Whether a connection is held though nothing goes over it.
-    pub fn is_held(&self, dialled: Option<&String>) -> bool {
-        dialled.is_none_or(|address| self.wanted.borrow().contains(address))
+    /// Returns whether this side keeps a connection open while it is idle.
+    pub fn is_kept_open(&self, dialled: Option<&String>) -> bool {
+        dialled.is_none_or(|address| self.kept_open.borrow().contains(address))
     }
 
     fn send(self: &Rc<Self>, to: NodeId, message: Message) {
         let Some(sender) = self.connections.borrow().get(&to).and_then(|list| Some(list.last()?.sender.clone())) else {
-            return demand::send(self, to, message);
+            return dial_on_demand::send_on_demand(self, to, message);
         };
         if sender.try_send(message).is_err() {
             event!(inbox_full, "outbound frames for {to:016x}");
@@ -115,41 +118,42 @@
 
     fn is_dialled(&self, address: &str) -> bool {
         let linked = self.connections.borrow().values().flatten().any(|c| c.dialled.as_deref() == Some(address));
-        linked || self.dialled.borrow().contains(address)
+        linked || self.dialling.borrow().contains(address)
     }
 }
 
 /// Runs the service on the current thread until its inbox of orders is closed.
-pub async fn start(me: LocalNode, listener: TcpListener, mut orders: Inbox<LinkOrder>, deliver: Deliver) {
-    let inner = Rc::new(Inner {
-        me,
+pub async fn start(local_node: LocalNode, listener: TcpListener, mut orders: Inbox<LinkOrder>, deliver: Deliver) {
+    let service = Rc::new(LinkService {
+        local_node,
         deliver,
         connections: RefCell::default(),
         by_address: RefCell::default(),
-        dialled: RefCell::default(),
-        wanted: RefCell::default(),
-        demand: RefCell::default(),
-        next: Cell::new(0),
-        open: Cell::new(0),
+        dialling: RefCell::default(),
+        kept_open: RefCell::default(),
+        on_demand: RefCell::default(),
+        last_connection_id: Cell::new(0),
+        accepted_count: Cell::new(0),
     });
-    spawn_local(take_in(inner.clone(), listener));
+    spawn_local(accept_connections(service.clone(), listener));
     while let Some(order) = orders.next().await {
         match order {
-            LinkOrder::Send { to, message } => inner.send(to, message),
+            LinkOrder::Send { to, message } => service.send(to, message),
             LinkOrder::SendAddress { address, message } => {
-                let known = inner.by_address.borrow().get(&address).copied();
-                if let Some(id) = known {
-                    inner.send(id, message);
+                let peer = service.by_address.borrow().get(&address).copied();
+                if let Some(id) = peer {
+                    service.send(id, message);
                 }
             }
-            LinkOrder::SetKnownPeers { members } => inner.demand.borrow_mut().know(members),
+            LinkOrder::SetKnownPeers { members } => service.on_demand.borrow_mut().set_known_peers(members),
             LinkOrder::KeepConnected { addresses } => {
-                let wanted: BTreeSet<String> = addresses.into_iter().filter(|a| *a != inner.me.address).collect();
-                *inner.wanted.borrow_mut() = wanted.clone();
+                let wanted: BTreeSet<String> =
+                    addresses.into_iter().filter(|a| *a != service.local_node.address).collect();
+                *service.kept_open.borrow_mut() = wanted.clone();
                 for address in wanted {
-                    if !inner.is_dialled(&address) {
-                        inner.dialled.borrow_mut().insert(address.clone());
-                        spawn_local(dial(inner.clone(), address));
+                    if !service.is_dialled(&address) {
+                        service.dialling.borrow_mut().insert(address.clone());
+                        spawn_local(keep_connected(service.clone(), address));
                     }
                 }
             }
@@ -157,41 +161,42 @@
     }
 }
 
-async fn dial(inner: Rc<Inner>, address: String) {
-    let mut pause = 20;
-    while inner.wanted.borrow().contains(&address) {
-        let connected = tokio::time::timeout(CONNECT, TcpStream::connect(&address)).await;
+async fn keep_connected(service: Rc<LinkService>, address: String) {
+    let mut max_pause_ms = 20;
+    while service.kept_open.borrow().contains(&address) {
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(&address)).await;
         if let Ok(Ok(stream)) = connected {
-            pause = 20;
-            report(stream::run(inner.clone(), stream, Some(address.clone())).await, &address);
+            max_pause_ms = 20;
+            report_frame_error(stream::run_connection(service.clone(), stream, Some(address.clone())).await, &address);
         }
-        let wait = rand::rng().random_range(pause / 2..=pause);
-        tokio::time::sleep(Duration::from_millis(wait)).await;
-        pause = (pause * 2).min(PAUSE_MAX_MS);
+        let pause_ms = rand::rng().random_range(max_pause_ms / 2..=max_pause_ms);
+        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+        max_pause_ms = (max_pause_ms * 2).min(MAX_DIAL_PAUSE_MS);
     }
-    inner.dialled.borrow_mut().remove(&address);
+    service.dialling.borrow_mut().remove(&address);
 }
 
-async fn take_in(inner: Rc<Inner>, listener: TcpListener) {
+async fn accept_connections(service: Rc<LinkService>, listener: TcpListener) {
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        if inner.open.get() >= CONNECTIONS {
+        if service.accepted_count.get() >= MAX_ACCEPTED_CONNECTIONS {
             continue;
         }
-        let inner = inner.clone();
-        inner.open.set(inner.open.get() + 1);
+        let service = service.clone();
+        service.accepted_count.set(service.accepted_count.get() + 1);
         spawn_local(async move {
-            report(stream::run(inner.clone(), stream, None).await, &from.to_string());
-            inner.open.set(inner.open.get() - 1);
+            report_frame_error(stream::run_connection(service.clone(), stream, None).await, &from.to_string());
+            service.accepted_count.set(service.accepted_count.get() - 1);
         });
     }
 }
 
-pub fn report(ended: Result<(), FrameError>, address: &str) {
-    match ended {
+/// Logs why a connection ended if the peer sent a frame that was rejected.
+pub fn report_frame_error(result: Result<(), FrameError>, address: &str) {
+    match result {
         Err(FrameError::Connection(_)) | Ok(()) => {}
         Err(error) => event!(frame_rejected, "{address}: {error}"),
     }
--- a/crates/links/src/stream.rs
+++ b/crates/links/src/stream.rs
@@ -1,10 +1,10 @@
-//! One connection: greetings first, then a reader and a writer side by side. Any frame that
-//! cannot be read ends it. A quiet connection is greeted now and then and cut when it stays silent; one
-//! that was dialled on demand is closed by who dialled it once both sides are quiet. Either side first
-//! finishes what the other may have sent meanwhile.
+//! One connection: an exchange of `Hello` frames, then a reader and a writer that run concurrently. An
+//! unreadable frame ends the connection. An idle connection is sent a `Hello` from time to time and ended if
+//! nothing is received for too long; one that was dialled on demand is closed by the side that dialled it once
+//! both sides are idle. Before closing, each side handles what the other one may have sent in the meantime.
 
-use crate::order::{LinkEvent, LocalNode};
-use crate::service::Inner;
+use crate::interface::{LinkEvent, LocalNode};
+use crate::service::LinkService;
 use std::cell::Cell;
 use std::io::ErrorKind;
 use std::pin::pin;
@@ -17,123 +17,132 @@
 use tokio::time::timeout;
 use wire::{Frame, FrameError, Message, downgrade};
 
-/// How long the first frame may take.
-const GREETING: Duration = Duration::from_secs(3);
-/// Heartbeats and proofs go over a link in use several times in this time.
-const PATIENCE: Duration = Duration::from_millis(1500);
-/// A link over which nothing goes for so long is greeted, or closed if it was dialled on demand.
-const QUIET: Duration = Duration::from_secs(4);
-/// A link over which nothing comes for so long is ended.
-const SILENT: Duration = Duration::from_secs(13);
-/// How long a write may take.
-const WRITE: Duration = Duration::from_secs(5);
-/// How long what the other side had sent is waited for when a link is closed.
-const LAST: Duration = Duration::from_secs(2);
-/// The most messages queued to one peer.
-const QUEUE: usize = 8192;
-/// Bytes buffered each way.
-const BUFFER: usize = 16 * 1024;
+/// Maximum time until the peer's first frame has arrived.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after which a connection with unacknowledged data is ended; on a link in use, heartbeats and proofs
+/// are sent several times within it.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time without outgoing messages after which a `Hello` is sent, or a link dialled on demand is closed.
+const IDLE_INTERVAL: Duration = Duration::from_secs(4);
+/// Time without incoming frames after which a link is ended.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(13);
+/// Maximum time for one write.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time to wait, when a link is closed, for what the other side had already sent.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of outgoing messages queued on one connection.
+const QUEUE_CAPACITY: usize = 8192;
+/// Buffer size in bytes, per direction.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-fn late() -> FrameError {
+fn timed_out() -> FrameError {
     FrameError::Connection(ErrorKind::TimedOut.into())
 }
 
-fn frame(me: &LocalNode, message: Message) -> Frame {
+fn make_frame(local_node: &LocalNode, message: Message) -> Frame {
     Frame {
-        format: me.format,
-        cluster: me.cluster.as_str().into(),
-        sender: me.id,
-        incarnation: me.incarnation,
+        format: local_node.format,
+        cluster: local_node.cluster.as_str().into(),
+        sender: local_node.id,
+        incarnation: local_node.incarnation,
         message,
     }
 }
 
-fn hello(me: &LocalNode) -> Frame {
-    frame(me, Message::Hello { address: me.address.as_str().into() })
+fn hello_frame(local_node: &LocalNode) -> Frame {
+    make_frame(local_node, Message::Hello { address: local_node.address.as_str().into() })
 }
 
-pub async fn run(inner: Rc<Inner>, stream: TcpStream, dialled: Option<String>) -> Result<(), FrameError> {
+/// Serves a connection until it ends; `dialled` is the address if this side dialled it.
+pub async fn run_connection(
+    service: Rc<LinkService>,
+    stream: TcpStream,
+    dialled: Option<String>,
+) -> Result<(), FrameError> {
     stream.set_nodelay(true)?;
-    kernel::set_silence_timeout(&stream, PATIENCE)?;
-    let me = inner.me.clone();
+    kernel::set_silence_timeout(&stream, UNACKNOWLEDGED_TIMEOUT)?;
+    let local_node = service.local_node.clone();
     let (read, write) = stream.into_split();
-    let mut read = BufReader::with_capacity(BUFFER, read);
-    let mut write = BufWriter::with_capacity(BUFFER, write);
-    wire::write_frame(&mut write, &hello(&me)).await?;
+    let mut read = BufReader::with_capacity(BUFFER_BYTES, read);
+    let mut write = BufWriter::with_capacity(BUFFER_BYTES, write);
+    wire::write_frame(&mut write, &hello_frame(&local_node)).await?;
     write.flush().await?;
-    let first = timeout(GREETING, wire::read_frame(&me.cluster, &mut read)).await.map_err(|_| late())??;
-    let Message::Hello { address } = &first.message else { return Err(FrameError::Malformed) };
-    let (id, incarnation, address) = (first.sender, first.incarnation, address.as_str().to_owned());
-    if id == me.id {
+    let first_frame =
+        timeout(HELLO_TIMEOUT, wire::read_frame(&local_node.cluster, &mut read)).await.map_err(|_| timed_out())??;
+    let Message::Hello { address } = &first_frame.message else { return Err(FrameError::Malformed) };
+    let (id, incarnation, address) = (first_frame.sender, first_frame.incarnation, address.as_str().to_owned());
+    if id == local_node.id {
         return Ok(());
     }
-    let (sender, queue) = mpsc::channel::<Message>(QUEUE);
-    let number = inner.add(id, incarnation, sender, dialled.clone(), address);
-    let heard = Cell::new(Instant::now());
+    let (sender, queue) = mpsc::channel::<Message>(QUEUE_CAPACITY);
+    let connection_id = service.add_connection(id, incarnation, sender, dialled.clone(), address);
+    let last_received = Cell::new(Instant::now());
     let reader = async {
         loop {
-            let got = timeout(SILENT, wire::read_frame(&me.cluster, &mut read)).await.map_err(|_| late())??;
-            if got.sender != id || got.incarnation != incarnation {
+            let received = timeout(SILENCE_TIMEOUT, wire::read_frame(&local_node.cluster, &mut read))
+                .await
+                .map_err(|_| timed_out())??;
+            if received.sender != id || received.incarnation != incarnation {
                 return Err(FrameError::Malformed);
             }
-            if !matches!(got.message, Message::Hello { .. }) {
-                heard.set(Instant::now());
-                inner.deliver(LinkEvent::Frame { from: id, incarnation, message: got.message }).await;
+            if !matches!(received.message, Message::Hello { .. }) {
+                last_received.set(Instant::now());
+                service.deliver(LinkEvent::Frame { from: id, incarnation, message: received.message }).await;
             }
         }
     };
-    let idle = || !inner.is_held(dialled.as_ref()) && heard.get().elapsed() >= QUIET;
-    let mut writer = pin!(write_out(&me, &mut write, queue, idle));
+    let idle = || !service.is_kept_open(dialled.as_ref()) && last_received.get().elapsed() >= IDLE_INTERVAL;
+    let mut writer = pin!(write_queue(&local_node, &mut write, queue, idle));
     let mut reader = pin!(reader);
-    let ended = tokio::select! {
+    let result = tokio::select! {
         end = &mut writer => match end {
-            // Closed as idle: the other side may have sent something before it heard of that.
+            // Closed as idle: the other side may have sent something before it learned of the close.
             Ok(()) => {
-                inner.remove(id, number).await;
-                timeout(LAST, reader).await.unwrap_or(Ok(()))
+                service.remove_connection(id, connection_id).await;
+                timeout(DRAIN_TIMEOUT, reader).await.unwrap_or(Ok(()))
             }
             error => error,
         },
         end = &mut reader => match end {
             Err(FrameError::Connection(error)) if error.kind() == ErrorKind::UnexpectedEof => {
-                inner.remove(id, number).await;
-                timeout(LAST, writer).await.unwrap_or(Ok(()))
+                service.remove_connection(id, connection_id).await;
+                timeout(DRAIN_TIMEOUT, writer).await.unwrap_or(Ok(()))
             }
             end => end,
         },
     };
-    inner.remove(id, number).await;
-    ended
+    service.remove_connection(id, connection_id).await;
+    result
 }
 
-/// Ends well when the link is idle, or its queue is closed and written out.
-async fn write_out(
-    me: &LocalNode,
+/// Writes queued messages; returns `Ok` once the link is idle, or its queue is closed and fully written.
+async fn write_queue(
+    local_node: &LocalNode,
     write: &mut BufWriter<OwnedWriteHalf>,
     mut queue: mpsc::Receiver<Message>,
     idle: impl Fn() -> bool,
 ) -> Result<(), FrameError> {
     loop {
-        let message = match timeout(QUIET, queue.recv()).await {
-            Ok(Some(message)) => downgrade(message, me.format).map(|message| frame(me, message)),
+        let message = match timeout(IDLE_INTERVAL, queue.recv()).await {
+            Ok(Some(message)) => downgrade(message, local_node.format).map(|message| make_frame(local_node, message)),
             Ok(None) => break,
             Err(_) if idle() => break,
-            Err(_) => Some(hello(me)),
+            Err(_) => Some(hello_frame(local_node)),
         };
         let send = async {
             if let Some(message) = message {
                 wire::write_frame(write, &message).await?;
             }
             while let Ok(message) = queue.try_recv() {
-                if let Some(message) = downgrade(message, me.format) {
-                    wire::write_frame(write, &frame(me, message)).await?;
+                if let Some(message) = downgrade(message, local_node.format) {
+                    wire::write_frame(write, &make_frame(local_node, message)).await?;
                 }
             }
             write.flush().await?;
             Ok::<(), FrameError>(())
         };
-        timeout(WRITE, send).await.map_err(|_| late())??;
+        timeout(WRITE_TIMEOUT, send).await.map_err(|_| timed_out())??;
     }
-    timeout(WRITE, write.shutdown()).await.map_err(|_| late())??;
+    timeout(WRITE_TIMEOUT, write.shutdown()).await.map_err(|_| timed_out())??;
     Ok(())
 }
