--- a/crates/http_server/src/lib.rs
+++ b/crates/http_server/src/lib.rs
@@ -1,5 +1,5 @@
-//! The doors: HTTP/1.1 connections taken in within bounds, the bearer tokens that scope what is seen,
-//! and the pages every node has alike: its view of the declared kinds, and a live watch of it.
+//! HTTP server parts shared by all programs: serving HTTP/1.1 connections within limits, bearer tokens that
+//! limit what a reader sees, and each node's view of the declared kinds, with a live watch of it.
 
 #![warn(missing_docs)]
 
--- a/crates/http_server/src/resource_index.rs
+++ b/crates/http_server/src/resource_index.rs
@@ -1,12 +1,12 @@
-//! What one node holds of the declared kinds, resource by resource, each with the revision it last
-//! changed in here and a place in the order of changes. The index is handed on as a whole and cheaply;
-//! a watcher that is slow sees fewer changes, never older ones, and nothing queues up for it.
+//! The resources of the declared kinds that one node holds, each with the revision of its last change on
+//! this node and a position in the order of changes. Snapshots of the index are cheap to clone; a slow
+//! watcher sees fewer changes, never older ones, and nothing is queued for it.
 
 use im::OrdMap;
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-/// How many removals are remembered; a watcher that missed more begins anew.
+/// Maximum number of removals remembered; a watcher that missed more has to restart from the full list.
 const GONE_KEPT: usize = 2048;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -16,7 +16,7 @@
     value: Arc<str>,
 }
 
-/// A snapshot of one node's resources with the order of their changes.
+/// A snapshot of one node's resources and the order of their changes.
 #[derive(Clone, Debug)]
 pub struct ResourceIndex {
     epoch: u64,
@@ -27,17 +27,17 @@
     forgotten: u64,
 }
 
-/// Whose resources a reader may see: all of them, or one tenant's.
+/// Tenant whose resources a reader may see; empty for all tenants.
 pub type Scope = String;
 
 impl ResourceIndex {
-    /// An epoch is this process's own; places of another mean nothing here.
+    /// Creates an empty index; the epoch identifies this process, and marks of another epoch are not accepted.
     pub fn new(epoch: u64) -> ResourceIndex {
         let (items, by_place, gone) = (OrdMap::new(), OrdMap::new(), OrdMap::new());
         ResourceIndex { epoch, place: 0, items, by_place, gone, forgotten: 0 }
     }
 
-    /// Puts a resource, by kind/tenant/name; says whether anything changed.
+    /// Inserts or updates a resource, by `kind/tenant/name`; returns whether anything changed.
     pub fn put(&mut self, key: &str, revision: u64, value: &Value) -> bool {
         let text = value.to_string();
         let known = self.items.get(key);
@@ -54,7 +54,7 @@
         true
     }
 
-    /// Drops what is not named any longer.
+    /// Removes the resources whose key `kept` rejects; returns whether any was removed.
     pub fn keep_only(&mut self, revision: u64, kept: impl Fn(&str) -> bool) -> bool {
         let gone: Vec<String> = self.items.keys().filter(|key| !kept(key)).cloned().collect();
         for key in &gone {
@@ -73,14 +73,14 @@
         !gone.is_empty()
     }
 
-    /// One resource with its version, by kind/tenant/name.
+    /// Returns one resource with its revision, by `kind/tenant/name`.
     pub fn get(&self, key: &str) -> Option<Value> {
         let item = self.items.get(key)?;
         let value: Value = serde_json::from_str(&item.value).unwrap_or_default();
         Some(json!({"revision": item.revision, "value": value}))
     }
 
-    /// Every resource of a kind in scope, by tenant/name.
+    /// Returns every resource of a kind that is in scope, by `tenant/name`.
     pub fn list(&self, kind: &str, scope: &str) -> Value {
         let prefix = format!("{kind}/");
         let named = |key: &String| key.strip_prefix(&prefix).filter(|name| in_scope(name, scope)).map(str::to_owned);
@@ -88,19 +88,20 @@
         json!({"at": self.mark(self.place), "items": list.collect::<serde_json::Map<_, _>>()})
     }
 
+    /// Returns the mark from which a reader at this position continues.
     fn mark(&self, place: u64) -> String {
         format!("{:x}-{place}", self.epoch)
     }
 
-    /// The place a reader's mark stands for, if what it missed is still known.
+    /// Returns the position of a reader's mark, if all changes after it are still known.
     fn since(&self, mark: Option<&str>) -> Option<u64> {
         let (epoch, place) = mark?.split_once('-')?;
         let place = place.parse().ok().filter(|place| (self.forgotten..=self.place).contains(place))?;
         (u64::from_str_radix(epoch, 16).ok()? == self.epoch).then_some(place)
     }
 
-    /// One line for each resource changed since a mark, in the order of change, and the mark to go on
-    /// from. Without a mark that is known here, everything, after a line that says so.
+    /// Returns one line for each resource changed since a mark, in the order of change, and the mark to
+    /// continue from. Without a known mark, a reset line comes first, then every resource.
     pub fn changes(&self, filter: &Filter, mark: Option<&str>) -> (String, String) {
         let since = self.since(mark);
         let mut lines = String::new();
@@ -127,18 +128,19 @@
     }
 }
 
-/// What a watch is for: one kind, in a scope, perhaps one resource of it.
+/// Selects what a watch reports: the resources of one kind within a scope, or one of them.
 #[derive(Clone, Debug)]
 pub struct Filter {
-    /// The kind's word, such as `weight-sheets`.
+    /// Name of the kind, such as `weight-sheets`.
     pub kind: String,
-    /// Whose resources the reader may see.
+    /// Tenant whose resources the reader may see; empty for all tenants.
     pub scope: Scope,
-    /// One resource, as `tenant/name`; none for all of the kind.
+    /// Name of one resource, as `tenant/name`; `None` for all of the kind.
     pub name: Option<String>,
 }
 
 impl Filter {
+    /// Returns the `tenant/name` in a key if the filter selects it.
     fn named<'a>(&self, key: &'a str) -> Option<&'a str> {
         let name = key.strip_prefix(self.kind.as_str())?.strip_prefix('/')?;
         let wanted = self.name.as_ref().is_none_or(|wanted| wanted == name);
@@ -146,7 +148,7 @@
     }
 }
 
-/// Whether a resource, by `tenant/name`, may be seen in a scope.
+/// Returns whether a resource, given as `tenant/name`, is visible in a scope.
 pub fn in_scope(name: &str, scope: &str) -> bool {
     scope.is_empty() || name.split('/').next() == Some(scope)
 }
@@ -170,8 +172,8 @@
         let (lines, mark) = index.changes(&filter(""), None);
         assert_eq!((count(&lines), lines.contains("reset")), (6, true));
         assert_eq!(index.changes(&filter(""), Some(&mark)).0, "", "nothing new");
-        assert_eq!(count(&index.changes(&filter("t1"), None).0), 3, "one tenant's, and the reset");
-        assert!(!index.put("weight-sheets/t0/f0", 2, &json!({"n": 0})), "the same is no change");
+        assert_eq!(count(&index.changes(&filter("t1"), None).0), 3, "the items of one tenant, and the reset line");
+        assert!(!index.put("weight-sheets/t0/f0", 2, &json!({"n": 0})), "an equal value is no change");
         assert!(index.put("weight-sheets/t0/f0", 2, &json!({"n": 9})));
         assert!(index.keep_only(3, |key| key != "weight-sheets/t1/f1"));
         let (lines, next) = index.changes(&filter(""), Some(&mark));
@@ -196,7 +198,7 @@
             index.put("weight-sheets/t/passing", n, &json!({"n": n}));
             index.keep_only(n, |key| key != "weight-sheets/t/passing");
         }
-        assert!(index.changes(&filter(""), Some(&mark)).0.contains("reset"), "what went was forgotten");
+        assert!(index.changes(&filter(""), Some(&mark)).0.contains("reset"), "older removals are forgotten");
         assert!(index.gone.len() <= GONE_KEPT);
     }
 }
--- a/crates/http_server/src/serve.rs
+++ b/crates/http_server/src/serve.rs
@@ -1,6 +1,6 @@
-//! Taking in HTTP/1.1 connections with a bound on how many, how large a head may be,
-//! how long one may take to arrive and how long a connection may live. On a planned stop every
-//! connection finishes what it has begun, with `Connection: close`, and is then shut.
+//! Accepts HTTP/1.1 connections with limits on their number, the size and arrival time of a request head,
+//! and the lifetime of a connection. On a planned stop every connection finishes the request in progress,
+//! with `Connection: close`, and is then closed.
 
 use axum::Router;
 use hyper::server::conn::http1;
@@ -12,32 +12,32 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::task::JoinSet;
 
-/// The server's buffer is never smaller.
+/// Smallest buffer size that hyper accepts, in bytes.
 const HEAD_LEAST: usize = 8192;
 
-/// The bounds within which connections are served.
+/// Limits on served connections and their requests.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// The most connections at a time; more wait to be accepted.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub connections: usize,
-    /// The largest head of a request; never under 8 KiB.
+    /// Maximum size of a request head in bytes; at least 8 KiB.
     pub head_bytes: usize,
-    /// The most headers of a request.
+    /// Maximum number of headers in a request.
     pub headers: usize,
-    /// How long a request's head may take to arrive.
+    /// Maximum time for a request head to arrive.
     pub head_time: Duration,
-    /// How long a connection may live before it is asked to close.
+    /// Time after which a connection is shut down gracefully.
     pub life: Duration,
-    /// How long a closing connection may take to finish its request.
+    /// Maximum time for a closing connection to finish its request.
     pub grace: Duration,
 }
 
-/// Serves a router's connections until `stop` holds true, then lets open ones finish.
+/// Serves connections until `stop` is true, then lets open ones finish.
 pub async fn serve(listener: TcpListener, router: Router, limits: ServerLimits, stop: watch::Receiver<bool>) {
     serve_with_dynamic_limits(listener, router, move || limits, stop).await;
 }
 
-/// The same with limits that may change: each connection has those in force when it came.
+/// Same as [`serve`], with limits that may change: a connection keeps those in force when it was accepted.
 pub async fn serve_with_dynamic_limits(
     listener: TcpListener,
     router: Router,
@@ -86,6 +86,7 @@
     while open.join_next().await.is_some() {}
 }
 
+/// Permit for one connection, given back when dropped.
 struct Permit {
     room: Rc<Semaphore>,
 }
--- a/crates/http_server/src/tokens.rs
+++ b/crates/http_server/src/tokens.rs
@@ -1,4 +1,4 @@
-//! Bearer tokens, each scoped to one tenant or, with `*`, to all. Compared in constant time.
+//! Bearer tokens, each scoped to one tenant or, with `*`, to all tenants. Tokens are compared in constant time.
 
 use derive_more::{Display, Error};
 use sha2::{Digest, Sha256};
@@ -6,34 +6,34 @@
 use std::path::{Path, PathBuf};
 use subtle::ConstantTimeEq;
 
-/// Why the tokens file cannot be used.
+/// Reason why the tokens file cannot be used.
 #[derive(Debug, Display, Error)]
 pub enum TokensError {
     /// The file cannot be read.
     #[display("tokens file {}: {error}", path.display())]
     Unread {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system answered.
+        /// Error returned by the operating system.
         error: io::Error,
     },
-    /// A line is no `tenant=SECRET`.
+    /// A line is not of the form `tenant=SECRET`.
     #[display("tokens file {}: {allowed}", path.display())]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is allowed.
+        /// Description of the allowed format.
         allowed: String,
     },
 }
 
-/// The known tokens as digests, each with the tenant it is scoped to.
+/// The accepted tokens as SHA-256 digests, each with the tenant it is scoped to.
 #[derive(Clone)]
 pub struct Tokens {
     list: Vec<([u8; 32], String)>,
 }
 
-/// Checks a list of `tenant=SECRET` entries; the error says what is allowed and no secret.
+/// Checks a list of `tenant=SECRET` entries; the error describes the allowed format and contains no secret.
 #[allow(clippy::ptr_arg)]
 pub fn check_tokens(list: &Vec<String>) -> Result<(), String> {
     let good = |entry: &String| match entry.split_once('=') {
@@ -48,19 +48,19 @@
 }
 
 impl Tokens {
-    /// The tokens of a well-formed list.
+    /// Creates the tokens from a list that [`check_tokens`] accepts.
     pub fn new(list: &[String]) -> Tokens {
         let split = list.iter().filter_map(|entry| entry.split_once('='));
         Tokens { list: split.map(|(tenant, secret)| (Sha256::digest(secret).into(), tenant.to_owned())).collect() }
     }
 
-    /// Without any, nobody can read a view.
+    /// Returns whether there are no tokens, in which case nobody can read a view.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// The tokens given as a setting and those of a file, one to a line; blank lines and those that
-    /// begin with `#` are passed over. A fault never tells a secret.
+    /// Reads the tokens from a setting and from a file with one token per line; blank lines and those that
+    /// begin with `#` are ignored. An error never contains a secret.
     pub fn read(given: &[String], file: &Path) -> Result<Tokens, TokensError> {
         let mut all = given.to_vec();
         if !file.as_os_str().is_empty() {
@@ -73,7 +73,7 @@
         Ok(Tokens::new(&all))
     }
 
-    /// The scope a bearer has: a tenant's name, or the empty string for all of them.
+    /// Returns the scope of an `Authorization` header: a tenant's name, or the empty string for all tenants.
     pub fn scope(&self, header: Option<&str>) -> Option<String> {
         let secret = header?.strip_prefix("Bearer ")?;
         let digest: [u8; 32] = Sha256::digest(secret).into();
--- a/crates/http_server/src/view_items.rs
+++ b/crates/http_server/src/view_items.rs
@@ -1,11 +1,12 @@
-//! What the kinds look like in a view: the resource as declared, and beside it what controllers
-//! made of it.
+//! The items of a view: each resource as declared, together with the values that controllers computed
+//! for it.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use wire::TunedParameters;
 
-/// The declared pairs, by kind/tenant/name, and the sheets that are tuned, declared or not.
+/// Builds view items by `kind/tenant/name` from the declared pairs and from the tuned parameters; a tuned
+/// function gets an item even if nothing is declared for it.
 pub fn view_items<'a>(
     pairs: impl Iterator<Item = (&'a str, &'a [u8])>,
     fence: u64,
--- a/crates/http_server/src/views.rs
+++ b/crates/http_server/src/views.rs
@@ -1,5 +1,5 @@
-//! Any node's view of the kinds, and a live watch of it: the same pages on registries and
-//! routers, each reader within the scope of its token.
+//! A node's view of the declared kinds, and a live watch of it. Registries and routers serve the same routes;
+//! each reader sees what the scope of its token allows.
 
 use crate::resource_index::{Filter, ResourceIndex, in_scope};
 use crate::tokens::Tokens;
@@ -19,19 +19,19 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Changes closer together than this come as one look.
+/// Minimum interval between two batches of a watch; changes made within it are sent together.
 const PACE: Duration = Duration::from_millis(50);
 
-/// What the pages are made from.
+/// The data that the routes serve.
 #[derive(Clone)]
 pub struct Views {
     /// The newest snapshot of the node's resources.
     pub index: watch::Receiver<ResourceIndex>,
-    /// Who may read, and whose resources.
+    /// The tokens that give access, each with the tenant whose resources it can read.
     pub tokens: Tokens,
 }
 
-/// The routes `/v1/view/...` and `/v1/watch/...`.
+/// Creates the routes `/v1/view/...` and `/v1/watch/...`.
 pub fn view_routes(views: Views) -> Router {
     Router::new()
         .route("/v1/view/{kind}", get(list))
@@ -51,7 +51,7 @@
 }
 
 impl Views {
-    /// The reader's scope, if its token, the kind and the resource allow it to look.
+    /// Checks the token, the kind and the resource of a request; returns the filter for what it may read.
     fn may(&self, headers: &HeaderMap, kind: &str, name: Option<&str>) -> Result<Filter, Box<Response>> {
         let bearer = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
         let Some(scope) = self.tokens.scope(bearer) else {
@@ -66,6 +66,7 @@
         Ok(Filter { kind: kind.to_owned(), scope, name: name.map(str::to_owned) })
     }
 
+    /// Streams the changes since a mark, one line each.
     fn watch(&self, filter: Filter, mark: Option<String>) -> Response {
         let mut index = self.index.clone();
         index.mark_changed();
--- a/crates/kernel/src/directory.rs
+++ b/crates/kernel/src/directory.rs
@@ -1,5 +1,5 @@
-//! The names under which services are found. It is filled while a program is put together and
-//! cloned into each thread after that; a name announced twice is a broken invariant.
+//! Directory of services by name. It is filled while a program is set up and then cloned into each thread;
+//! announcing a name twice is a programming error and panics.
 
 use crate::inbox::{Inbox, InboxSender, inbox};
 use std::any::Any;
@@ -13,7 +13,7 @@
 }
 
 impl Directory {
-    /// Creates the inbox of a service, holding at most `bound` messages. Panics if the name is taken.
+    /// Creates the inbox of a service, with space for `bound` messages. Panics if the name is already announced.
     pub fn announce<M: Send + 'static>(&mut self, name: &'static str, bound: usize) -> Inbox<M> {
         let (post, taken) = inbox::<M>(bound);
         let before = self.posts.insert(name, Arc::new(post));
@@ -21,12 +21,12 @@
         taken
     }
 
-    /// The sending end of a service's inbox, or none if the name is unknown or its messages are of another type.
+    /// Returns the sending end of a service's inbox, or `None` if the name is unknown or the message type differs.
     pub fn find<M: Send + 'static>(&self, name: &str) -> Option<InboxSender<M>> {
         self.posts.get(name)?.downcast_ref::<InboxSender<M>>().cloned()
     }
 
-    /// The names of all announced services, in order.
+    /// Returns the names of all announced services, sorted.
     pub fn names(&self) -> Vec<&'static str> {
         self.posts.keys().copied().collect()
     }
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,5 +1,5 @@
-//! The micro-kernel: services announce an inbox under a name, others find it by that name.
-//! Every inbox is bounded; a full one refuses at once and counts the refusal.
+//! Parts that every program is built from: services announce an inbox under a name, and others find it by that
+//! name. Every inbox is bounded; a full one rejects a message immediately and counts the rejection.
 
 #![warn(missing_docs)]
 
--- a/crates/kernel/src/program.rs
+++ b/crates/kernel/src/program.rs
@@ -1,5 +1,5 @@
-//! What every program is put together from: named threads with a runtime of their own, listeners
-//! bound before anything runs, services looked up by name, and the signal for a planned stop.
+//! Helpers for starting and stopping a program: named threads, each with its own runtime, listeners that are
+//! bound before anything runs, lookup of services by name, and the signal for a planned stop.
 
 use crate::directory::Directory;
 use crate::inbox::InboxSender;
@@ -12,9 +12,10 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
 
+/// Interval at which [`join_until`] checks whether the thread has ended.
 const JOIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a program could not be put together.
+/// Reason why a program could not be started.
 #[derive(Debug, Display, Error)]
 pub enum StartError {
     /// A thread could not be started.
@@ -22,7 +23,7 @@
     Thread {
         /// The thread's name.
         name: String,
-        /// What the system answered.
+        /// Error returned by the operating system.
         error: io::Error,
     },
     /// An address could not be bound to.
@@ -30,12 +31,12 @@
     Listen {
         /// The address to bind to.
         address: String,
-        /// What the system answered.
+        /// Error returned by the operating system.
         error: io::Error,
     },
 }
 
-/// Runs work to its end on this thread, on a runtime of its own.
+/// Runs a future to completion on this thread, on a new single-threaded runtime.
 pub fn local<F: Future<Output = ()> + 'static>(work: F) {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime can be built");
     LocalSet::new().block_on(&runtime, work);
@@ -47,14 +48,14 @@
     started.map_err(|error| StartError::Thread { name: name.to_owned(), error })
 }
 
-/// Waits until a thread has ended, but no longer than to this moment.
+/// Waits until a thread has ended or the deadline has passed.
 pub fn join_until(thread: JoinHandle<()>, deadline: Option<Instant>) {
     while !thread.is_finished() && deadline.is_none_or(|deadline| Instant::now() < deadline) {
         std::thread::sleep(JOIN_POLL_INTERVAL);
     }
 }
 
-/// Binds a TCP listener, ready to be taken into a runtime with [`adopt`].
+/// Binds a non-blocking TCP listener, to be registered with a runtime by [`adopt`].
 pub fn listen(address: &str) -> Result<std::net::TcpListener, StartError> {
     let bound = std::net::TcpListener::bind(address).and_then(|listener| {
         listener.set_nonblocking(true)?;
@@ -63,17 +64,17 @@
     bound.map_err(|error| StartError::Listen { address: address.to_owned(), error })
 }
 
-/// The address to listen at: the one bound to if there is one, else the one others are told.
+/// Returns the address to listen on: `bind` if it is set, else the advertised `address`.
 pub fn listen_address<'a>(bind: &'a str, address: &'a str) -> &'a str {
     if bind.is_empty() { address } else { bind }
 }
 
-/// Takes a bound listener into the running thread's runtime.
+/// Registers a bound listener with the runtime of the current thread.
 pub fn adopt(listener: std::net::TcpListener) -> TcpListener {
     TcpListener::from_std(listener).expect("a bound listener can be registered")
 }
 
-/// The sending end of a service's inbox. Panics if the service was not announced.
+/// Returns the sending end of a service's inbox. Panics if the service was not announced.
 pub fn find<M: Send + 'static>(directory: &Directory, name: &str) -> InboxSender<M> {
     directory.find(name).expect("every service is announced before any is started")
 }
--- a/crates/kernel/src/program_tests.rs
+++ b/crates/kernel/src/program_tests.rs
@@ -1,4 +1,4 @@
-//! Waiting for threads at the end of a program.
+//! Tests of waiting for threads at the end of a program.
 
 use super::*;
 use std::sync::mpsc::channel;
@@ -8,7 +8,7 @@
     let (release, blocked) = channel::<()>();
     let busy = std::thread::spawn(move || _ = blocked.recv());
     join_until(busy, Some(Instant::now()));
-    // It still waits for this.
+    // The send succeeds only while the thread still waits to receive.
     assert!(release.send(()).is_ok());
 }
 
--- a/crates/kernel/src/settings_watch.rs
+++ b/crates/kernel/src/settings_watch.rs
@@ -1,12 +1,14 @@
-//! Following settings that may change while a program runs, told by a hangup or not at all: they are
-//! read again then and every few seconds, and what differs from the last reading is told once.
+//! Watches settings that may change while a program runs, with or without a SIGHUP: they are read again at
+//! each SIGHUP and every few seconds, and a result that differs from the last one is reported once.
 
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
+/// Interval between two readings without a SIGHUP.
 const EVERY: Duration = Duration::from_secs(2);
 
-/// Reads on for as long as the program runs; a fault is told once, and again after a good reading.
+/// Reads the settings again until the program ends and reports each change. An error is reported once, and
+/// again only if a different result came in between.
 pub async fn watch_settings<T: PartialEq + Clone>(
     first: T,
     read: impl Fn() -> Result<T, String>,
--- a/crates/kernel/src/silence.rs
+++ b/crates/kernel/src/silence.rs
@@ -1,16 +1,19 @@
-//! Connections that are given up soon after the other end has fallen silent: behind a cut nothing comes
-//! back, and what was sent is sent again by the system at ever longer pauses, so that a connection which
-//! outlives a cut stays dead for as long again. It is made anew instead.
+//! Ends TCP connections soon after the other end has become silent. During a network partition the kernel
+//! retransmits at ever longer intervals, so a connection that survives the partition stays unusable for about
+//! as long again after it. Opening a new connection is faster.
 
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
+/// Idle time before the first keepalive probe.
 const FIRST_PROBE: Duration = Duration::from_secs(1);
+/// Interval between keepalive probes.
 const PROBES: Duration = Duration::from_secs(1);
 
-/// Ends the connection once something sent was not received for `patience`, and probes a quiet one.
+/// Ends the connection once sent data has been unacknowledged for `timeout`, and sends keepalive probes while it
+/// is idle.
 pub fn set_silence_timeout(stream: &TcpStream, patience: Duration) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(patience))?;
--- a/crates/kernel/tests/silence.rs
+++ b/crates/kernel/tests/silence.rs
@@ -1,4 +1,4 @@
-//! What a connection is told about silence is what the system keeps.
+//! The silence timeout is set as a socket option of the connection.
 
 use kernel::set_silence_timeout;
 use socket2::SockRef;
