--- a/crates/http_server/src/serve.rs
+++ b/crates/http_server/src/serve.rs
@@ -13,7 +13,7 @@
 use tokio::task::JoinSet;
 
 /// Smallest buffer size that hyper accepts, in bytes.
-const HEAD_LEAST: usize = 8192;
+const MIN_BUFFER_BYTES: usize = 8192;
 
 /// Limits on served connections and their requests.
 #[derive(Clone, Copy, Debug)]
@@ -44,11 +44,11 @@
     limits_now: impl Fn() -> ServerLimits,
     mut stop: watch::Receiver<bool>,
 ) {
-    let room = Rc::new(Semaphore::new(limits_now().connections));
+    let permits = Rc::new(Semaphore::new(limits_now().connections));
     let mut open = JoinSet::new();
     loop {
         let permit = tokio::select! {
-            permit = room.clone().acquire_many_owned_rc() => permit,
+            permit = permits.clone().acquire_owned_permit() => permit,
             _ = stop.wait_for(|stopping| *stopping) => break,
         };
         let accepted = tokio::select! {
@@ -69,7 +69,7 @@
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .header_read_timeout(limits.head_time)
-                .max_buf_size(limits.head_bytes.max(HEAD_LEAST))
+                .max_buf_size(limits.head_bytes.max(MIN_BUFFER_BYTES))
                 .max_headers(limits.headers)
                 .serve_connection(TokioIo::new(stream), service);
             tokio::pin!(connection);
@@ -87,25 +87,25 @@
 }
 
 /// Permit for one connection, given back when dropped.
-struct Permit {
-    room: Rc<Semaphore>,
+struct ConnectionPermit {
+    permits: Rc<Semaphore>,
 }
 
-impl Drop for Permit {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.room.add_permits(1);
+        self.permits.add_permits(1);
     }
 }
 
-trait AcquireRc {
-    async fn acquire_many_owned_rc(self) -> Permit;
+trait AcquireOwned {
+    async fn acquire_owned_permit(self) -> ConnectionPermit;
 }
 
-impl AcquireRc for Rc<Semaphore> {
-    async fn acquire_many_owned_rc(self) -> Permit {
-        if let Ok(taken) = self.acquire().await {
-            taken.forget();
+impl AcquireOwned for Rc<Semaphore> {
+    async fn acquire_owned_permit(self) -> ConnectionPermit {
+        if let Ok(permit) = self.acquire().await {
+            permit.forget();
         }
-        Permit { room: self }
+        ConnectionPermit { permits: self }
     }
 }
--- a/crates/http_server/src/view_items.rs
+++ b/crates/http_server/src/view_items.rs
@@ -14,15 +14,15 @@
 ) -> BTreeMap<String, Value> {
     let declared = |raw: &[u8]| json!({"declared": serde_json::from_slice::<Value>(raw).unwrap_or_default()});
     let mut items: BTreeMap<String, Value> = pairs.map(|(key, raw)| (key.to_owned(), declared(raw))).collect();
-    for line in tuned {
-        let item = items.entry(format!("weight-sheets/{}", line.function.as_str()));
+    for parameters in tuned {
+        let item = items.entry(format!("weight-sheets/{}", parameters.function.as_str()));
         let item = item.or_insert_with(|| json!({"declared": null}));
         item["tuned"] = json!({
-            "startup_delay_steps": line.startup_delay_steps,
-            "target_usage": line.usage_micro as f64 / 1e6,
-            "sla_hard": line.hard_milli as f64 / 1e3,
+            "startup_delay_steps": parameters.startup_delay_steps,
+            "target_usage": parameters.usage_micro as f64 / 1e6,
+            "sla_hard": parameters.hard_milli as f64 / 1e3,
         });
-        item["why"] = line.why.as_str().into();
+        item["why"] = parameters.why.as_str().into();
         item["fence"] = fence.into();
     }
     items
--- a/crates/http_server/src/views.rs
+++ b/crates/http_server/src/views.rs
@@ -20,7 +20,7 @@
 use tokio::time::sleep;
 
 /// Minimum interval between two batches of a watch; changes made within it are sent together.
-const PACE: Duration = Duration::from_millis(50);
+const BATCH_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The data that the routes serve.
 #[derive(Clone)]
@@ -34,34 +34,34 @@
 /// Creates the routes `/v1/view/...` and `/v1/watch/...`.
 pub fn view_routes(views: Views) -> Router {
     Router::new()
-        .route("/v1/view/{kind}", get(list))
-        .route("/v1/view/{kind}/{tenant}/{name}", get(one))
+        .route("/v1/view/{kind}", get(list_resources))
+        .route("/v1/view/{kind}/{tenant}/{name}", get(get_resource))
         .route("/v1/watch/{kind}", get(watch_kind))
-        .route("/v1/watch/{kind}/{tenant}/{name}", get(watch_one))
+        .route("/v1/watch/{kind}/{tenant}/{name}", get(watch_resource))
         .with_state(views)
 }
 
-fn refuse(status: StatusCode, told: &str) -> Response {
-    let body = json!({"outcome": "refused", "fault": told}).to_string();
+fn refusal_response(status: StatusCode, message: &str) -> Response {
+    let body = json!({"outcome": "refused", "fault": message}).to_string();
     (status, [(header::CONTENT_TYPE, "application/json")], body).into_response()
 }
 
-fn page(value: &serde_json::Value) -> Response {
+fn json_response(value: &serde_json::Value) -> Response {
     ([(header::CONTENT_TYPE, "application/json")], value.to_string()).into_response()
 }
 
 impl Views {
     /// Checks the token, the kind and the resource of a request; returns the filter for what it may read.
-    fn may(&self, headers: &HeaderMap, kind: &str, name: Option<&str>) -> Result<Filter, Box<Response>> {
+    fn authorize(&self, headers: &HeaderMap, kind: &str, name: Option<&str>) -> Result<Filter, Box<Response>> {
         let bearer = headers.get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
         let Some(scope) = self.tokens.scope(bearer) else {
-            return Err(Box::new(refuse(StatusCode::UNAUTHORIZED, "a bearer token is needed")));
+            return Err(Box::new(refusal_response(StatusCode::UNAUTHORIZED, "a bearer token is needed")));
         };
         if Kind::from_word(kind).is_none() {
-            return Err(Box::new(refuse(StatusCode::NOT_FOUND, "no such kind")));
+            return Err(Box::new(refusal_response(StatusCode::NOT_FOUND, "no such kind")));
         }
         if name.is_some_and(|name| !in_scope(name, &scope)) {
-            return Err(Box::new(refuse(StatusCode::FORBIDDEN, "another tenant's resource")));
+            return Err(Box::new(refusal_response(StatusCode::FORBIDDEN, "another tenant's resource")));
         }
         Ok(Filter { kind: kind.to_owned(), scope, name: name.map(str::to_owned) })
     }
@@ -76,7 +76,7 @@
                 let (lines, next) = index.borrow_and_update().changes(&filter, mark.as_deref());
                 if !lines.is_empty() {
                     let frame = Frame::data(Bytes::from(lines));
-                    sleep(PACE).await;
+                    sleep(BATCH_INTERVAL).await;
                     return Some((Ok::<_, Infallible>(frame), (index, filter, Some(next))));
                 }
             }
@@ -86,47 +86,51 @@
     }
 }
 
-async fn list(State(views): State<Views>, Path(kind): Path<String>, headers: HeaderMap) -> Response {
-    match views.may(&headers, &kind, None) {
-        Ok(filter) => page(&views.index.borrow().list(&kind, &filter.scope)),
+async fn list_resources(State(views): State<Views>, Path(kind): Path<String>, headers: HeaderMap) -> Response {
+    match views.authorize(&headers, &kind, None) {
+        Ok(filter) => json_response(&views.index.borrow().list(&kind, &filter.scope)),
         Err(refusal) => *refusal,
     }
 }
 
-type Named = Path<(String, String, String)>;
+type ResourcePath = Path<(String, String, String)>;
 
-async fn one(State(views): State<Views>, Path((kind, tenant, name)): Named, headers: HeaderMap) -> Response {
+async fn get_resource(
+    State(views): State<Views>,
+    Path((kind, tenant, name)): ResourcePath,
+    headers: HeaderMap,
+) -> Response {
     let name = format!("{tenant}/{name}");
-    if let Err(refusal) = views.may(&headers, &kind, Some(&name)) {
+    if let Err(refusal) = views.authorize(&headers, &kind, Some(&name)) {
         return *refusal;
     }
     match views.index.borrow().get(&format!("{kind}/{name}")) {
-        Some(value) => page(&value),
-        None => refuse(StatusCode::NOT_FOUND, "no such resource"),
+        Some(value) => json_response(&value),
+        None => refusal_response(StatusCode::NOT_FOUND, "no such resource"),
     }
 }
 
-type From = Query<BTreeMap<String, String>>;
+type WatchQuery = Query<BTreeMap<String, String>>;
 
 async fn watch_kind(
     State(views): State<Views>,
     Path(kind): Path<String>,
-    Query(mut query): From,
+    Query(mut query): WatchQuery,
     headers: HeaderMap,
 ) -> Response {
-    match views.may(&headers, &kind, None) {
+    match views.authorize(&headers, &kind, None) {
         Ok(filter) => views.watch(filter, query.remove("from")),
         Err(refusal) => *refusal,
     }
 }
 
-async fn watch_one(
+async fn watch_resource(
     State(views): State<Views>,
-    Path((kind, tenant, name)): Named,
-    Query(mut query): From,
+    Path((kind, tenant, name)): ResourcePath,
+    Query(mut query): WatchQuery,
     headers: HeaderMap,
 ) -> Response {
-    match views.may(&headers, &kind, Some(&format!("{tenant}/{name}"))) {
+    match views.authorize(&headers, &kind, Some(&format!("{tenant}/{name}"))) {
         Ok(filter) => views.watch(filter, query.remove("from")),
         Err(refusal) => *refusal,
     }
--- a/crates/kernel/src/directory.rs
+++ b/crates/kernel/src/directory.rs
@@ -9,26 +9,26 @@
 /// Maps service names to the sending ends of their inboxes. Cheap to clone.
 #[derive(Clone, Default)]
 pub struct Directory {
-    posts: BTreeMap<&'static str, Arc<dyn Any + Send + Sync>>,
+    senders: BTreeMap<&'static str, Arc<dyn Any + Send + Sync>>,
 }
 
 impl Directory {
     /// Creates the inbox of a service, with space for `bound` messages. Panics if the name is already announced.
     pub fn announce<M: Send + 'static>(&mut self, name: &'static str, bound: usize) -> Inbox<M> {
-        let (post, taken) = inbox::<M>(bound);
-        let before = self.posts.insert(name, Arc::new(post));
-        assert!(before.is_none(), "service {name} is announced twice");
-        taken
+        let (sender, receiver) = inbox::<M>(bound);
+        let previous = self.senders.insert(name, Arc::new(sender));
+        assert!(previous.is_none(), "service {name} is announced twice");
+        receiver
     }
 
     /// Returns the sending end of a service's inbox, or `None` if the name is unknown or the message type differs.
     pub fn find<M: Send + 'static>(&self, name: &str) -> Option<InboxSender<M>> {
-        self.posts.get(name)?.downcast_ref::<InboxSender<M>>().cloned()
+        self.senders.get(name)?.downcast_ref::<InboxSender<M>>().cloned()
     }
 
     /// Returns the names of all announced services, sorted.
     pub fn names(&self) -> Vec<&'static str> {
-        self.posts.keys().copied().collect()
+        self.senders.keys().copied().collect()
     }
 }
 
@@ -38,13 +38,13 @@
     use crate::SendError;
 
     #[test]
-    fn a_service_is_found_by_name_and_type_and_its_inbox_refuses_past_its_bound() {
+    fn a_service_is_found_by_name_and_type_and_its_full_inbox_rejects_messages() {
         let mut directory = Directory::default();
         let mut inbox = directory.announce::<u32>("counter", 1);
         assert!(directory.find::<String>("counter").is_none());
-        let post = directory.find::<u32>("counter").unwrap();
-        assert_eq!(post.send(7), Ok(()));
-        assert_eq!(post.send(8), Err(SendError::Full(8)));
-        assert_eq!((post.refused(), post.depth(), inbox.ready()), (1, 1, Some(7)));
+        let sender = directory.find::<u32>("counter").unwrap();
+        assert_eq!(sender.send(7), Ok(()));
+        assert_eq!(sender.send(8), Err(SendError::Full(8)));
+        assert_eq!((sender.refused(), sender.depth(), inbox.ready()), (1, 1, Some(7)));
     }
 }
--- a/crates/kernel/src/program_tests.rs
+++ b/crates/kernel/src/program_tests.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::channel;
 
 #[test]
-fn a_thread_whose_callers_do_not_end_is_not_waited_for_beyond_the_grace() {
+fn joining_a_blocked_thread_returns_at_the_deadline() {
     let (release, blocked) = channel::<()>();
     let busy = std::thread::spawn(move || _ = blocked.recv());
     join_until(busy, Some(Instant::now()));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_thread_that_ends_is_waited_for() {
+fn joining_without_a_deadline_waits_until_the_thread_ends() {
     let (sender, receiver) = channel::<()>();
     let ending = std::thread::spawn(move || drop(sender));
     join_until(ending, None);
