--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -10,9 +10,9 @@
 mod tool;
 
 pub use lexopt;
-pub use line::{Reread, program, program_given};
+pub use line::{Reread, run_program, run_program_with_defaults};
 pub use parse::{FromWords, Source};
-pub use rules::{address, address_or_none, addresses, any, in_range, non_empty, seeds, word};
+pub use rules::{address, address_or_none, addresses, any_value, identifier, in_range, non_empty, seed_addresses};
 pub use tool::{ToolArgument, ToolLine};
 
 use derive_more::{Display, Error};
@@ -30,7 +30,7 @@
 }
 
 /// A value as it may be told: a secret never is.
-pub fn told(name: &str, value: String) -> String {
+pub fn display_value(name: &str, value: String) -> String {
     if name == "tokens" { "(not shown)".into() } else { value }
 }
 
@@ -68,7 +68,7 @@
                     let check = $check;
                     check(&value).map_err(|allowed| $crate::SettingError {
                         name: stringify!($field).into(),
-                        value: $crate::told(stringify!($field), $crate::FromWords::to_words(&value)),
+                        value: $crate::display_value(stringify!($field), $crate::FromWords::to_words(&value)),
                         allowed,
                     })?;
                     value
@@ -91,7 +91,7 @@
 
     settings! {
         pub struct Sample {
-            zone: String = "a".into(), word, "the zone";
+            zone: String = "a".into(), identifier, "the zone";
             tokens: Vec<String> = Vec::new(), |list: &Vec<String>| list.iter().all(|t| t.len() > 9).then_some(()).ok_or("longer ones".into()), "secrets";
             hold: Duration = Duration::from_millis(1500), in_range(Duration::from_millis(500), Duration::from_secs(10)), "the hold";
         }
--- a/crates/config/src/line.rs
+++ b/crates/config/src/line.rs
@@ -16,19 +16,19 @@
 
 /// A daemon's whole main: reads its settings, says what is to be said, else works until it ends.
 /// The work's fault comes with its exit code.
-pub fn program<S: Settings + 'static>(
+pub fn run_program<S: Settings + 'static>(
     name: &'static str,
     about: &'static str,
     version: &'static str,
     work: impl FnOnce(S, Reread<S>) -> Result<(), (u8, String)>,
 ) -> ExitCode {
     let line: Vec<OsString> = std::env::args_os().skip(1).collect();
-    program_given(name, about, version, || Ok(Vec::new()), line, work)
+    run_program_with_defaults(name, about, version, || Ok(Vec::new()), line, work)
 }
 
 /// The same with some settings given beforehand, as by whoever starts the program in words of its own;
 /// the settings file and the flags go before them.
-pub fn program_given<S: Settings + 'static>(
+pub fn run_program_with_defaults<S: Settings + 'static>(
     name: &'static str,
     about: &'static str,
     version: &'static str,
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -19,12 +19,12 @@
 }
 
 /// Allows every value.
-pub fn any<T>(_: &T) -> Result<(), String> {
+pub fn any_value<T>(_: &T) -> Result<(), String> {
     Ok(())
 }
 
 /// Allows 1 to 64 letters, digits, `-`, `_` or `.`.
-pub fn word(value: &String) -> Result<(), String> {
+pub fn identifier(value: &String) -> Result<(), String> {
     let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     if (1..=64).contains(&value.len()) && value.chars().all(plain) {
         return Ok(());
@@ -56,7 +56,7 @@
 }
 
 /// Allows 1 to 16 different IP numbers with ports.
-pub fn seeds(value: &Vec<String>) -> Result<(), String> {
+pub fn seed_addresses(value: &Vec<String>) -> Result<(), String> {
     addresses(value)?;
     let distinct: std::collections::BTreeSet<&String> = value.iter().collect();
     let good = (1..=SEEDS).contains(&value.len()) && distinct.len() == value.len();
--- a/crates/control/src/api.rs
+++ b/crates/control/src/api.rs
@@ -92,7 +92,7 @@
             },
         };
         let op = header_text("operation-id").unwrap_or_else(|| format!("{:032x}", rand::random::<u128>()));
-        if config::word(&op).is_err() {
+        if config::identifier(&op).is_err() {
             return refuse(400, "Operation-Id is 1 to 64 letters, digits, '-', '_' or '.'");
         }
         let revision = match header_text("revision").map(|number| number.trim().parse::<u64>()) {
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -13,7 +13,10 @@
 
 fn main() -> ExitCode {
     let about = "stands in for the platform and its instances";
-    config::program("platform-emulator", about, env!("CARGO_PKG_VERSION"), |settings: state::EmulatorSettings, _| {
-        api::run(settings).map_err(|error| (1, error))
-    })
+    config::run_program(
+        "platform-emulator",
+        about,
+        env!("CARGO_PKG_VERSION"),
+        |settings: state::EmulatorSettings, _| api::run(settings).map_err(|error| (1, error)),
+    )
 }
--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -1,7 +1,7 @@
 //! The emulator's state, owned by one thread: workers, instances, the call limit, and the late list.
 
 use crate::services::Services;
-use config::{address, any, in_range};
+use config::{address, any_value, in_range};
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,14 +14,14 @@
 config::settings! {
     pub struct EmulatorSettings {
         address: String = String::new(), address, "where the platform's API listens";
-        services: PathBuf = PathBuf::new(), any, "JSON file of services";
-        record: PathBuf = PathBuf::from("runs.jsonl"), any, "file for the instances' record";
+        services: PathBuf = PathBuf::new(), any_value, "JSON file of services";
+        record: PathBuf = PathBuf::from("runs.jsonl"), any_value, "file for the instances' record";
         workers: u32 = 12, in_range(1, 1000), "number of workers";
-        zones: Vec<String> = vec!["a".into(), "b".into(), "c".into()], any, "zones that the workers stand in, by turns";
+        zones: Vec<String> = vec!["a".into(), "b".into(), "c".into()], any_value, "zones that the workers stand in, by turns";
         memory_mb: u32 = 5427, in_range(64, 1_000_000), "memory of each worker";
         calls: u32 = 80, in_range(1, 10_000), "starts and stops taken in a second";
         lag: Duration = Duration::from_millis(1200), in_range(Duration::ZERO, Duration::from_secs(30)), "how late the list is";
-        seed: u64 = 1, any, "seed of the random source";
+        seed: u64 = 1, any_value, "seed of the random source";
     }
 }
 
--- a/crates/instance_provider/src/caller.rs
+++ b/crates/instance_provider/src/caller.rs
@@ -15,18 +15,18 @@
 
 /// An HTTP client towards one address. Clones share its kept connections.
 #[derive(Clone)]
-pub struct Caller {
+pub struct HttpCaller {
     base: String,
     http: HttpClient<HttpConnector, Full<Bytes>>,
 }
 
-impl Caller {
+impl HttpCaller {
     /// A client towards `IP:port`; nothing is dialled yet.
-    pub fn new(address: &str) -> Caller {
+    pub fn new(address: &str) -> HttpCaller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         let http = HttpClient::builder(TokioExecutor::new()).pool_max_idle_per_host(KEPT).build(connector);
-        Caller { base: format!("http://{address}"), http }
+        HttpCaller { base: format!("http://{address}"), http }
     }
 
     /// Sends a request and reads the answer whole. None if no whole answer came: whether the request took effect is
--- a/crates/instance_provider/src/lib.rs
+++ b/crates/instance_provider/src/lib.rs
@@ -8,9 +8,10 @@
 mod port;
 mod service;
 
-pub use caller::Caller;
+pub use caller::HttpCaller;
 pub use own::OwnInstanceProvider;
 pub use port::{
-    Call, InstanceLine, InstanceProvider, InstanceState, Listing, Start, StartOrder, StartReply, StopReply, WorkerLine,
+    Call, InstanceLine, InstanceProvider, InstanceState, Listing, ProviderFactory, StartOrder, StartReply, StopReply,
+    WorkerLine,
 };
-pub use service::{ProviderOrder, ProviderReport, Report, run};
+pub use service::{ProviderOrder, ProviderReport, ReportCallback, run};
--- a/crates/instance_provider/src/own.rs
+++ b/crates/instance_provider/src/own.rs
@@ -1,6 +1,6 @@
 //! The provider of the product's own dialect.
 
-use crate::caller::Caller;
+use crate::caller::HttpCaller;
 use crate::port::{Call, InstanceProvider, Listing, StartOrder, StartReply, StopReply, WorkerLine};
 use hyper::{Method, StatusCode};
 use serde::Deserialize;
@@ -8,7 +8,7 @@
 
 /// Talks to a platform in heronlink's own dialect: JSON under `/v1/instances` and `/v1/workers`.
 pub struct OwnInstanceProvider {
-    caller: Caller,
+    caller: HttpCaller,
 }
 
 #[derive(Deserialize)]
@@ -25,7 +25,7 @@
 impl OwnInstanceProvider {
     /// A client of the platform at `IP:port`.
     pub fn new(address: &str) -> OwnInstanceProvider {
-        OwnInstanceProvider { caller: Caller::new(address) }
+        OwnInstanceProvider { caller: HttpCaller::new(address) }
     }
 }
 
@@ -40,8 +40,8 @@
                     Ok(started) => StartReply::Accepted { id: started.id, address: started.address },
                     Err(_) => StartReply::Unanswered,
                 },
-                Some((StatusCode::INSUFFICIENT_STORAGE, _)) => StartReply::NoRoom,
-                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StartReply::Limited,
+                Some((StatusCode::INSUFFICIENT_STORAGE, _)) => StartReply::InsufficientMemory,
+                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StartReply::RateLimited,
                 Some((StatusCode::BAD_REQUEST, _)) => StartReply::Refused,
                 _ => StartReply::Unanswered,
             }
@@ -51,9 +51,9 @@
     fn stop(&self, id: String, _fence: u64) -> Call<'_, StopReply> {
         Box::pin(async move {
             match self.caller.call(Method::DELETE, &format!("/v1/instances/{id}"), &[], Vec::new()).await {
-                Some((StatusCode::ACCEPTED, _)) => StopReply::Taken,
+                Some((StatusCode::ACCEPTED, _)) => StopReply::Accepted,
                 Some((StatusCode::NOT_FOUND, _)) => StopReply::Unknown,
-                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StopReply::Limited,
+                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StopReply::RateLimited,
                 _ => StopReply::Unanswered,
             }
         })
--- a/crates/instance_provider/src/port.rs
+++ b/crates/instance_provider/src/port.rs
@@ -85,9 +85,9 @@
         address: String,
     },
     /// No worker has the memory for it.
-    NoRoom,
+    InsufficientMemory,
     /// Too many orders in a short time; it may be tried again.
-    Limited,
+    RateLimited,
     /// The order is wrong and will be refused again.
     Refused,
     /// No answer in time: the order may have taken effect.
@@ -98,11 +98,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReply {
     /// The instance is leaving.
-    Taken,
+    Accepted,
     /// There is no such instance.
     Unknown,
     /// Too many orders in a short time; it may be tried again.
-    Limited,
+    RateLimited,
     /// No answer in time: the order may have taken effect.
     Unanswered,
 }
@@ -123,4 +123,4 @@
 }
 
 /// Makes the provider on the thread that uses it.
-pub type Start = Box<dyn FnOnce() -> Rc<dyn InstanceProvider> + Send>;
+pub type ProviderFactory = Box<dyn FnOnce() -> Rc<dyn InstanceProvider> + Send>;
--- a/crates/instance_provider/src/service.rs
+++ b/crates/instance_provider/src/service.rs
@@ -39,28 +39,28 @@
         /// The wish it was ordered under.
         nonce: String,
         /// The platform's reply.
-        receipt: StartReply,
+        reply: StartReply,
     },
     /// Of a stop.
     Stopped {
         /// The instance.
         id: String,
         /// The platform's reply.
-        receipt: StopReply,
+        reply: StopReply,
     },
     /// The list of instances.
     Listed {
         /// As the platform told it.
         listing: Listing,
         /// When it was asked for: it is not newer than this.
-        asked: Instant,
+        requested_at: Instant,
     },
     /// The list of workers.
     Workers {
         /// As the platform told it.
         lines: Vec<WorkerLine>,
         /// When it was asked for: it is not newer than this.
-        asked: Instant,
+        requested_at: Instant,
     },
     /// The list of instances could not be read.
     ListError,
@@ -69,10 +69,10 @@
 }
 
 /// Takes what came of an order.
-pub type Report = Rc<dyn Fn(ProviderReport)>;
+pub type ReportCallback = Rc<dyn Fn(ProviderReport)>;
 
 /// Runs the service on the current thread until its inbox of orders is closed.
-pub async fn run(provider: Rc<dyn InstanceProvider>, mut orders: Inbox<ProviderOrder>, report: Report) {
+pub async fn run(provider: Rc<dyn InstanceProvider>, mut orders: Inbox<ProviderOrder>, report: ReportCallback) {
     let room = Rc::new(Semaphore::new(CALLS));
     while let Some(order) = orders.next().await {
         let (provider, report, room) = (provider.clone(), report.clone(), room.clone());
@@ -81,22 +81,32 @@
             match order {
                 ProviderOrder::Start(order) => {
                     let nonce = order.nonce.clone();
-                    let receipt = timeout(LIMIT, provider.start(order)).await.unwrap_or(StartReply::Unanswered);
-                    report(ProviderReport::Started { nonce, receipt });
+                    let reply = timeout(LIMIT, provider.start(order)).await.unwrap_or(StartReply::Unanswered);
+                    report(ProviderReport::Started { nonce, reply });
                 }
                 ProviderOrder::Stop { id, fence } => {
                     let told = timeout(LIMIT, provider.stop(id.clone(), fence)).await;
-                    report(ProviderReport::Stopped { id, receipt: told.unwrap_or(StopReply::Unanswered) });
+                    report(ProviderReport::Stopped { id, reply: told.unwrap_or(StopReply::Unanswered) });
                 }
                 ProviderOrder::List => {
-                    let asked = Instant::now();
+                    let requested_at = Instant::now();
                     let told = timeout(LIMIT, provider.list()).await.ok().flatten();
-                    report(told.map_or(ProviderReport::ListError, |listing| ProviderReport::Listed { listing, asked }));
+                    report(
+                        told.map_or(ProviderReport::ListError, |listing| ProviderReport::Listed {
+                            listing,
+                            requested_at,
+                        }),
+                    );
                 }
                 ProviderOrder::Workers => {
-                    let asked = Instant::now();
+                    let requested_at = Instant::now();
                     let told = timeout(LIMIT, provider.workers()).await.ok().flatten();
-                    report(told.map_or(ProviderReport::WorkersError, |lines| ProviderReport::Workers { lines, asked }));
+                    report(
+                        told.map_or(ProviderReport::WorkersError, |lines| ProviderReport::Workers {
+                            lines,
+                            requested_at,
+                        }),
+                    );
                 }
             }
         });
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -6,7 +6,7 @@
 const ABOUT: &str = "keeps heronlink's shared state: configuration, holds, the run-once ledger, stored tasks";
 
 fn main() -> ExitCode {
-    config::program("registry", ABOUT, env!("CARGO_PKG_VERSION"), |settings: RegistrySettings, reread| {
+    config::run_program("registry", ABOUT, env!("CARGO_PKG_VERSION"), |settings: RegistrySettings, reread| {
         events::setup(&settings.log_level, &settings.log_file)
             .map_err(|error| (2, format!("setting log_file = {}: {error}", settings.log_file)))?;
         control::run(settings, ControlDialect { reread: Some(reread), ..ControlDialect::default() })
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -6,7 +6,7 @@
 const ABOUT: &str = "meets callers, carries tasks to their homes and runs instances to match the plan";
 
 fn main() -> ExitCode {
-    config::program("router", ABOUT, env!("CARGO_PKG_VERSION"), |settings: RouterSettings, reread| {
+    config::run_program("router", ABOUT, env!("CARGO_PKG_VERSION"), |settings: RouterSettings, reread| {
         events::setup(&settings.log_level, &settings.log_file)
             .map_err(|error| (2, format!("setting log_file = {}: {error}", settings.log_file)))?;
         traffic::run(settings, Dialect { reread: Some(reread), ..Dialect::default() })
--- a/crates/sim/src/yard.rs
+++ b/crates/sim/src/yard.rs
@@ -87,30 +87,30 @@
         let report = match order {
             ProviderOrder::Start(order) => {
                 let nonce = order.nonce.clone();
-                let receipt = if taken { self.begin(order, boot) } else { StartReply::Limited };
-                let receipt = if lost { StartReply::Unanswered } else { receipt };
-                ProviderReport::Started { nonce, receipt }
+                let reply = if taken { self.begin(order, boot) } else { StartReply::RateLimited };
+                let reply = if lost { StartReply::Unanswered } else { reply };
+                ProviderReport::Started { nonce, reply }
             }
             ProviderOrder::Stop { id, .. } => {
                 let known = taken.then(|| self.yard.instances.remove(&id).is_some());
-                let receipt = match known {
+                let reply = match known {
                     _ if lost => StopReply::Unanswered,
-                    Some(true) => StopReply::Taken,
+                    Some(true) => StopReply::Accepted,
                     Some(false) => StopReply::Unknown,
-                    None => StopReply::Limited,
+                    None => StopReply::RateLimited,
                 };
-                ProviderReport::Stopped { id, receipt }
+                ProviderReport::Stopped { id, reply }
             }
             ProviderOrder::List | ProviderOrder::Workers if lost => return,
             ProviderOrder::List => {
                 let shown = self.yard.lists.front().map(|(_, listing, _)| listing.clone()).unwrap_or_default();
-                ProviderReport::Listed { listing: shown, asked: Instant::now() }
+                ProviderReport::Listed { listing: shown, requested_at: Instant::now() }
             }
             ProviderOrder::Workers => {
                 let free = self.yard.lists.front().map(|(_, _, free)| free.clone()).unwrap_or_default();
                 ProviderReport::Workers {
                     lines: free.iter().enumerate().map(worker_line).collect(),
-                    asked: Instant::now(),
+                    requested_at: Instant::now(),
                 }
             }
         };
@@ -130,7 +130,7 @@
         let roomiest = || (0..WORKERS).max_by_key(|worker| free[*worker]).unwrap_or_default();
         let worker = named.unwrap_or_else(roomiest);
         if free.get(worker).is_none_or(|free| *free == 0) {
-            return StartReply::NoRoom;
+            return StartReply::InsufficientMemory;
         }
         self.yard.starts += 1;
         let id = format!("i{}", self.yard.starts);
--- a/crates/traffic/src/data_plane.rs
+++ b/crates/traffic/src/data_plane.rs
@@ -173,8 +173,8 @@
             }
             TrafficMessage::Platform(report) => {
                 let listed_at = match &report {
-                    ProviderReport::Listed { asked, .. } | ProviderReport::Workers { asked, .. } => {
-                        asked.saturating_duration_since(self.started_at)
+                    ProviderReport::Listed { requested_at, .. } | ProviderReport::Workers { requested_at, .. } => {
+                        requested_at.saturating_duration_since(self.started_at)
                     }
                     _ => Duration::ZERO,
                 };
--- a/crates/traffic/src/dialect.rs
+++ b/crates/traffic/src/dialect.rs
@@ -4,7 +4,7 @@
 use crate::settings::RouterSettings;
 use axum::Router;
 use dispatch::HttpDialect;
-use instance_provider::Start;
+use instance_provider::ProviderFactory;
 
 pub type MakePages = Box<dyn FnOnce(Views) -> Router + Send>;
 
@@ -13,7 +13,7 @@
 pub struct Dialect {
     pub words: HttpDialect,
     /// Makes whoever runs the instances; by default that of the settings, in the product's own dialect.
-    pub provider: Option<Start>,
+    pub provider: Option<ProviderFactory>,
     /// Further pages, and the address they are served at.
     pub pages: Option<MakePages>,
     pub pages_address: Option<String>,
--- a/crates/traffic/src/provider_reports.rs
+++ b/crates/traffic/src/provider_reports.rs
@@ -29,8 +29,8 @@
     /// Handles a reply of the provider; `listed_at` is when a list was requested.
     pub(crate) fn handle_provider_report(&mut self, report: ProviderReport, listed_at: Duration) {
         match report {
-            ProviderReport::Started { nonce, receipt } => self.handle_start_reply(&nonce, receipt),
-            ProviderReport::Stopped { id, receipt } => self.stop_reported(&id, receipt),
+            ProviderReport::Started { nonce, reply } => self.handle_start_reply(&nonce, reply),
+            ProviderReport::Stopped { id, reply } => self.stop_reported(&id, reply),
             ProviderReport::Listed { listing, .. } => self.handle_listing(listing, listed_at),
             ProviderReport::Workers { lines, .. } => self.handle_worker_list(lines, listed_at),
             ProviderReport::ListError => event!(platform_call_failed, "list"),
@@ -72,14 +72,14 @@
         self.outs.push(OwnerOutput::Probe { id, address, after: REFUSED_PROBE_DELAY, limit: REFUSED_PROBE_TIMEOUT });
     }
 
-    fn stop_reported(&mut self, id: &str, receipt: StopReply) {
+    fn stop_reported(&mut self, id: &str, reply: StopReply) {
         let now = self.now;
         for scheduler in self.schedulers.values_mut() {
             let Some(instance) = scheduler.instances.get_mut(id) else { continue };
-            match receipt {
-                StopReply::Taken | StopReply::Unknown if instance.busy == 0 => drop(scheduler.instances.remove(id)),
-                StopReply::Taken | StopReply::Unknown => {}
-                StopReply::Limited => instance.retry_stop_at = now + RATE_LIMITED_PAUSE,
+            match reply {
+                StopReply::Accepted | StopReply::Unknown if instance.busy == 0 => drop(scheduler.instances.remove(id)),
+                StopReply::Accepted | StopReply::Unknown => {}
+                StopReply::RateLimited => instance.retry_stop_at = now + RATE_LIMITED_PAUSE,
                 StopReply::Unanswered => instance.retry_stop_at = now + UNANSWERED_PAUSE,
             }
         }
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::allowances::Allowances;
 use crate::owner_settings::OwnerSettings;
-use config::{address, address_or_none, any, in_range, seeds, word};
+use config::{address, address_or_none, any_value, identifier, in_range, seed_addresses};
 use http_server::check_tokens;
 use quota::QuotaBounds;
 use std::path::PathBuf;
@@ -11,13 +11,13 @@
 
 config::settings! {
     pub struct RouterSettings {
-        cluster: String = "heronlink".into(), word, "name of the cluster; frames of another are refused";
-        zone: String = "a".into(), word, "zone this machine stands in";
+        cluster: String = "heronlink".into(), identifier, "name of the cluster; frames of another are refused";
+        zone: String = "a".into(), identifier, "zone this machine stands in";
         address: String = String::new(), address, "IP number and port for heronlink's own processes";
         listen: String = String::new(), address, "IP number and port for callers (HTTP/1.1)";
         ops: String = String::new(), address, "IP number and port for health, metrics and this node's view";
         bind: String = String::new(), address_or_none, "where to listen for them, if not at that address itself";
-        seeds: Vec<String> = Vec::new(), seeds, "addresses of three registries";
+        seeds: Vec<String> = Vec::new(), seed_addresses, "addresses of three registries";
         platform: String = String::new(), address, "IP number and port of the platform's API";
         hold: Duration = Duration::from_millis(1500), in_range(Duration::from_millis(500), Duration::from_secs(10)), "how long a proof of revision lasts; the same on every machine";
         peer_hold: Duration = leases::DEFAULT_PEER_HOLD, in_range(Duration::from_secs(1), Duration::from_secs(86_400)), "how long this router goes by its peers' word after the core's last; the same on every machine";
@@ -30,7 +30,7 @@
         life: Duration = Duration::from_secs(600), in_range(Duration::from_secs(1), Duration::from_secs(86_400)), "how long a connection may be kept open";
         grace: Duration = Duration::from_secs(8), in_range(Duration::from_secs(1), Duration::from_secs(120)), "how long a planned stop may take to finish what it has begun";
         tokens: Vec<String> = Vec::new(), check_tokens, "bearer tokens for the views of kinds, tenant=SECRET or *=SECRET, parted by commas";
-        tokens_file: PathBuf = PathBuf::new(), any, "file of more bearer tokens, one to a line, so that none need stand on a command line";
+        tokens_file: PathBuf = PathBuf::new(), any_value, "file of more bearer tokens, one to a line, so that none need stand on a command line";
         processor_share: f64 = 1.0, in_range(0.001, 4096.0), "processor this router may use, in cores; weaker machines are home to fewer functions";
         link_mbps: f64 = 1000.0, in_range(0.01, 1_000_000.0), "what this machine's link carries, in Mbit/s; likewise";
         list_every: Duration = Duration::from_millis(1000), in_range(Duration::from_millis(100), Duration::from_secs(30)), "how often the platform's list is read";
@@ -48,8 +48,8 @@
         quota_slack: f64 = 20.0, in_range(0.0, 1_000_000.0), "requests by which they may be beyond it besides";
         step: Duration = Duration::from_secs(15), in_range(Duration::from_millis(250), Duration::from_secs(600)), "one step of samples and plans; the same on every machine";
         format: u16 = wire::FORMAT, in_range(wire::OLDEST, wire::FORMAT), "format in which frames are written; the one before while a fleet rolls from a version that knows no newer";
-        log_level: String = "info".into(), word, "error, warn, info, debug or trace";
-        log_file: String = String::new(), any, "log file, rolled over by size; empty for standard error";
+        log_level: String = "info".into(), identifier, "error, warn, info, debug or trace";
+        log_file: String = String::new(), any_value, "log file, rolled over by size; empty for standard error";
     }
 }
 
--- a/crates/traffic/src/starting.rs
+++ b/crates/traffic/src/starting.rs
@@ -121,7 +121,7 @@
     }
 
     /// Handles the provider's reply to the order of a start.
-    pub(crate) fn handle_start_reply(&mut self, nonce: &str, receipt: StartReply) {
+    pub(crate) fn handle_start_reply(&mut self, nonce: &str, reply: StartReply) {
         let now = self.now;
         let owning = self.schedulers.iter().find(|(_, scheduler)| scheduler.instances.contains_key(nonce));
         let Some(name) = owning.map(|(name, _)| name.clone()) else { return };
@@ -130,7 +130,7 @@
         let is_wanted = instance.phase() == Phase::Starting;
         let Some(pending) = &mut instance.pending else { return };
         pending.requested = false;
-        match receipt {
+        match reply {
             StartReply::Accepted { id, address } => self.handle_accepted_start(&name, nonce, id, address),
             _ if !is_wanted => drop(scheduler.instances.remove(nonce)),
             StartReply::Unanswered => {
@@ -141,7 +141,7 @@
                     scheduler.instances.remove(nonce);
                 }
             }
-            StartReply::Limited => {
+            StartReply::RateLimited => {
                 event!(platform_call_failed, "start {nonce}: too many calls");
                 pending.retry_at = now + LIMITED_PAUSE;
             }
@@ -150,7 +150,7 @@
                 scheduler.instances.remove(nonce);
                 scheduler.no_starts_until = now + REFUSED_PAUSE;
             }
-            StartReply::NoRoom => {
+            StartReply::InsufficientMemory => {
                 event!(platform_call_failed, "start {nonce}: no room on {}", instance.worker);
                 pending.workers_tried += 1;
                 let workers_tried = pending.workers_tried;
--- a/crates/traffic/tests/common/provider.rs
+++ b/crates/traffic/tests/common/provider.rs
@@ -95,15 +95,15 @@
     }
 
     pub fn workers(&mut self, lines: Vec<WorkerLine>) {
-        self.report(ProviderReport::Workers { lines, asked: Instant::now() });
+        self.report(ProviderReport::Workers { lines, requested_at: Instant::now() });
     }
 
     pub fn list(&mut self, instances: Vec<InstanceLine>) {
-        self.report(ProviderReport::Listed { listing: Listing { instances }, asked: Instant::now() });
+        self.report(ProviderReport::Listed { listing: Listing { instances }, requested_at: Instant::now() });
     }
 
-    pub fn started(&mut self, nonce: &str, receipt: StartReply) {
-        self.report(ProviderReport::Started { nonce: nonce.into(), receipt });
+    pub fn started(&mut self, nonce: &str, reply: StartReply) {
+        self.report(ProviderReport::Started { nonce: nonce.into(), reply });
     }
 
     pub fn accepted(&mut self, nonce: &str, id: &str) {
@@ -111,8 +111,8 @@
         self.started(nonce, StartReply::Accepted { id: id.into(), address });
     }
 
-    pub fn stopped(&mut self, id: &str, receipt: StopReply) {
-        self.report(ProviderReport::Stopped { id: id.into(), receipt });
+    pub fn stopped(&mut self, id: &str, reply: StopReply) {
+        self.report(ProviderReport::Stopped { id: id.into(), reply });
     }
 
     pub fn probed(&mut self, id: &str, ready: bool) {
--- a/crates/traffic/tests/front.rs
+++ b/crates/traffic/tests/front.rs
@@ -93,8 +93,8 @@
         }
         let report = |report| OwnerInput::ProviderReport { report, listed_at: ms(at) };
         if let Some(nonce) = instance.take() {
-            let receipt = StartReply::Accepted { id: "i1".into(), address: "10.9.9.9:1".into() };
-            inputs.push(report(ProviderReport::Started { nonce, receipt }));
+            let start_reply = StartReply::Accepted { id: "i1".into(), address: "10.9.9.9:1".into() };
+            inputs.push(report(ProviderReport::Started { nonce, reply: start_reply }));
             inputs.push(OwnerInput::Probed { id: "i1".into(), ready: true });
         }
         let done = running.iter().position(|(_, due)| at >= *due).map(|place| running.remove(place));
--- a/crates/traffic/tests/inventory.rs
+++ b/crates/traffic/tests/inventory.rs
@@ -44,11 +44,11 @@
                 OwnerOutput::ProviderOrder(ProviderOrder::List) => {
                     *self.reads.entry(id).or_default() += 1;
                     let listing = Listing { instances: self.list.clone() };
-                    self.report(id, ProviderReport::Listed { listing, asked: Instant::now() });
+                    self.report(id, ProviderReport::Listed { listing, requested_at: Instant::now() });
                 }
                 OwnerOutput::ProviderOrder(ProviderOrder::Workers) => {
                     let lines = vec![worker("w0", "a", 4096, true)];
-                    self.report(id, ProviderReport::Workers { lines, asked: Instant::now() });
+                    self.report(id, ProviderReport::Workers { lines, requested_at: Instant::now() });
                 }
                 OwnerOutput::Forward { to, message }
                     if self.disconnected != Some(to) && self.disconnected != Some(id) =>
--- a/crates/traffic/tests/placement.rs
+++ b/crates/traffic/tests/placement.rs
@@ -74,12 +74,12 @@
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
     for _ in 0..3 {
-        owner.started(&nonce, StartReply::NoRoom);
+        owner.started(&nonce, StartReply::InsufficientMemory);
     }
     let ordered_workers = ordered_workers(&owner);
     assert_eq!(ordered_workers.iter().collect::<BTreeSet<_>>().len(), 4, "{ordered_workers:?}");
     assert!(owner.starts.iter().all(|order| order.nonce == nonce));
-    owner.started(&nonce, StartReply::NoRoom);
+    owner.started(&nonce, StartReply::InsufficientMemory);
     assert_eq!((owner.starts.len(), owner.count("starting")), (4, 0), "after four workers the start is given up");
     owner.pass(1200);
     assert_ne!(owner.starts[4].nonce, nonce, "a new start is ordered after the pause");
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -77,7 +77,7 @@
     let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
-    owner.started(&nonce, StartReply::Limited);
+    owner.started(&nonce, StartReply::RateLimited);
     owner.pass(200);
     assert_eq!(owner.starts.len(), 1);
     owner.pass(200);
@@ -155,9 +155,9 @@
     owner.probed("i1", true);
     owner.list(vec![line("i1", "w0", InstanceState::Leaving)]);
     owner.pass(100);
-    for (times, receipt) in [(1, StopReply::Limited), (2, StopReply::Unanswered), (3, StopReply::Unknown)] {
+    for (times, reply) in [(1, StopReply::RateLimited), (2, StopReply::Unanswered), (3, StopReply::Unknown)] {
         assert_eq!(owner.stops.len(), times);
-        owner.stopped("i1", receipt);
+        owner.stopped("i1", reply);
         owner.pass(1000);
     }
     owner.pass(6000);
