--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
-//! Settings from a file and from flags. `settings!` declares each with its type, default, check
-//! and help line; everything is checked before anything is opened, and a wrong one is reported by
-//! name, with its value and what is allowed.
+//! Settings from a file and from flags. `settings!` declares each setting with its type, default, check and
+//! help line. All settings are checked before files or sockets are opened; an invalid one is reported with its
+//! name, its value and what is allowed.
 
 #![warn(missing_docs)]
 
@@ -17,35 +17,35 @@
 
 use derive_more::{Display, Error};
 
-/// A setting that cannot be used.
+/// An unknown or invalid setting.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("setting {name} = {value}: {allowed}")]
 pub struct SettingError {
-    /// The setting's name.
+    /// Name of the setting.
     pub name: String,
-    /// What it was given as; never a secret.
+    /// Value as given, without secrets.
     pub value: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
-/// A value as it may be told: a secret never is.
+/// Returns a value as it may be printed, with secrets replaced.
 pub fn display_value(name: &str, value: String) -> String {
     if name == "tokens" { "(not shown)".into() } else { value }
 }
 
 /// A program's settings, as declared with [`settings!`].
 pub trait Settings: Sized {
-    /// Reads and checks every setting; the first wrong one is the error.
+    /// Reads and checks every setting; returns an error for the first invalid one.
     fn read(source: &Source) -> Result<Self, SettingError>;
-    /// Name, default and help line of each.
+    /// Returns the name, default and help line of each setting.
     fn help() -> Vec<(&'static str, String, &'static str)>;
-    /// Name and value of each, as given.
+    /// Returns the name and value of each setting, in the form that can be given.
     fn shown(&self) -> Vec<(&'static str, String)>;
 }
 
-/// Declares a struct of settings: `name: type = default, check, "help line";` for each. The help line is the
-/// field's doc comment.
+/// Declares a struct of settings: `name: type = default, check, "help line";` for each. The help line is
+/// also the field's doc comment.
 #[macro_export]
 macro_rules! settings {
     ($(#[$meta:meta])* pub struct $name:ident {
--- a/crates/config/src/line.rs
+++ b/crates/config/src/line.rs
@@ -1,21 +1,22 @@
-//! The command line every daemon shares: `--env FILE`, `--check`, `--help`, `--version`, and a
-//! flag for each setting. What it comes to is a value; the thin programs turn it into an exit code.
+//! The command line that all daemons share: `--env FILE`, `--check`, `--help`, `--version`, and a flag for each
+//! setting. Parsing returns what to run or print; only `run_program` prints and returns an exit code.
 
 use crate::{SettingError, Settings, Source};
 use lexopt::prelude::*;
 use std::ffi::OsString;
 use std::process::ExitCode;
 
+/// Result of parsing the command line.
 enum Opening<S> {
     Run(S),
     Say { words: String, code: u8 },
 }
 
-/// Reads the settings anew, as whoever started the program would give them now.
+/// Reads the settings again from the same sources, with their current values.
 pub type Reread<S> = Box<dyn Fn() -> Result<S, String>>;
 
-/// A daemon's whole main: reads its settings, says what is to be said, else works until it ends.
-/// The work's fault comes with its exit code.
+/// Implements the `main` function of a daemon: reads its settings, then prints what a flag such as `--help`
+/// asks for, or calls `work` and waits for it. An error of `work` carries the exit code.
 pub fn run_program<S: Settings + 'static>(
     name: &'static str,
     about: &'static str,
@@ -26,8 +27,8 @@
     run_program_with_defaults(name, about, version, || Ok(Vec::new()), line, work)
 }
 
-/// The same with some settings given beforehand, as by whoever starts the program in words of its own;
-/// the settings file and the flags go before them.
+/// Same as [`run_program`], with defaults from another source, such as a configuration of another format; the
+/// settings file and the flags take precedence over them.
 pub fn run_program_with_defaults<S: Settings + 'static>(
     name: &'static str,
     about: &'static str,
@@ -114,9 +115,9 @@
 fn help<S: Settings>(program: &str, about: &str) -> String {
     let mut words = format!(
         "{program}: {about}\n\nUsage: {program} [--env FILE] [--check] [--SETTING VALUE ...]\n\n\
-         -e, --env FILE   read settings from a TOML file; flags go before it\n\
-         --check          check the settings, open nothing\n\
-         -h, --help       this page\n-V, --version    the version\n\nSettings (as flags, '_' written '-'):\n"
+         -e, --env FILE   read settings from a TOML file; flags take precedence\n\
+         --check          check the settings and exit\n\
+         -h, --help       print this help\n-V, --version    print the version\n\nSettings (in flag names, '_' becomes '-'):\n"
     );
     for (name, default, about) in S::help() {
         let default = if default.is_empty() { String::new() } else { format!(" [{default}]") };
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,16 +1,16 @@
-//! Words into values: numbers, durations such as `1500ms` or `4s`, byte sizes such as `256KiB`,
-//! lists parted by commas. The file's values and the flags' values go through the same reading.
+//! Parses setting values from text: numbers, durations such as `1500ms` or `4s`, and comma-separated lists.
+//! Values from the file and from flags are parsed in the same way.
 
 use crate::SettingError;
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A type that a setting may have: read from a word or words, and told as such.
+/// A type of setting that can be parsed from text and formatted as text.
 pub trait FromWords: Sized {
-    /// Reads a value; the error says what is allowed.
+    /// Parses a value; the error describes what is allowed.
     fn from_words(words: &str) -> Result<Self, String>;
-    /// The value as it would be given.
+    /// Formats the value in the form that [`FromWords::from_words`] accepts.
     fn to_words(&self) -> String;
 }
 
@@ -93,14 +93,14 @@
     }
 }
 
-/// Settings as given, by name, not yet read.
+/// Unparsed setting values by name.
 #[derive(Debug, Default)]
 pub struct Source {
     words: BTreeMap<String, String>,
 }
 
 impl Source {
-    /// Takes a TOML file's text and the flags, which go before it.
+    /// Merges the text of a TOML file and the flags; flags take precedence.
     pub fn new(file: &str, flags: Vec<(String, String)>) -> Result<Source, SettingError> {
         let table: toml::Table = file.parse().map_err(|error: toml::de::Error| SettingError {
             name: "file".into(),
@@ -124,7 +124,7 @@
         Ok(Source { words })
     }
 
-    /// Adds what is not said already.
+    /// Adds the settings that are not set yet.
     pub fn below(mut self, given: Vec<(String, String)>) -> Source {
         for (name, value) in given {
             self.words.entry(name).or_insert(value);
@@ -132,12 +132,12 @@
         self
     }
 
-    /// What a setting was given as.
+    /// Returns the unparsed value of a setting.
     pub fn find(&self, name: &str) -> Option<String> {
         self.words.get(name).cloned()
     }
 
-    /// Refuses settings that are not among the known ones.
+    /// Returns an error if a setting is not among the known ones.
     pub fn only(&self, known: &[&str]) -> Result<(), SettingError> {
         match self.words.iter().find(|(name, _)| !known.contains(&name.as_str())) {
             None => Ok(()),
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -1,14 +1,14 @@
-//! Checks for settings, each saying what is allowed.
+//! Checks for settings; the error of each describes what is allowed.
 
 #![allow(clippy::ptr_arg)]
 
 use crate::FromWords;
 use std::net::SocketAddr;
 
-/// The most seeds that may be given.
+/// Maximum number of seed addresses.
 const SEEDS: usize = 16;
 
-/// A check that a value is from `low` to `high`, both included.
+/// Returns a check that allows values from `low` to `high`, inclusive.
 pub fn in_range<T: PartialOrd + FromWords + Copy + 'static>(low: T, high: T) -> impl Fn(&T) -> Result<(), String> {
     move |value| {
         if *value >= low && *value <= high {
@@ -32,12 +32,12 @@
     Err("allowed are 1 to 64 letters, digits, '-', '_' or '.'".into())
 }
 
-/// Allows everything but nothing.
+/// Allows every value except the empty one.
 pub fn non_empty(value: &String) -> Result<(), String> {
     if value.is_empty() { Err("it must be given".into()) } else { Ok(()) }
 }
 
-/// Allows an IP number with a port.
+/// Allows an IP address with a port.
 pub fn address(value: &String) -> Result<(), String> {
     value
         .parse::<SocketAddr>()
@@ -45,17 +45,17 @@
         .map_err(|_| "allowed is an IP number with a port, such as 127.0.0.1:7001".into())
 }
 
-/// Allows an IP number with a port, or nothing.
+/// Allows an IP address with a port, or an empty value.
 pub fn address_or_none(value: &String) -> Result<(), String> {
     if value.is_empty() { Ok(()) } else { address(value) }
 }
 
-/// Allows a list of IP numbers with ports.
+/// Allows a list of IP addresses with ports.
 pub fn addresses(value: &Vec<String>) -> Result<(), String> {
     value.iter().try_for_each(address)
 }
 
-/// Allows 1 to 16 different IP numbers with ports.
+/// Allows 1 to 16 different IP addresses with ports.
 pub fn seed_addresses(value: &Vec<String>) -> Result<(), String> {
     addresses(value)?;
     let distinct: std::collections::BTreeSet<&String> = value.iter().collect();
--- a/crates/config/src/tool.rs
+++ b/crates/config/src/tool.rs
@@ -1,15 +1,15 @@
-//! Reading the command line of a tool: one command, switches and options with a value, in any order.
+//! Parses the command line of a tool: one command, switches and options with a value, in any order.
 
 use lexopt::prelude::*;
 
-/// One part of a tool's command line.
+/// One argument of a tool's command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ToolArgument {
     /// `-h` or `--help`.
     Help,
     /// `-V` or `--version`.
     Version,
-    /// The command; there is one at most.
+    /// The command; at most one is accepted.
     Command(String),
     /// An option without a value, by its name.
     Switch(&'static str),
@@ -17,12 +17,12 @@
     Option {
         /// The option's name, without the dashes.
         name: String,
-        /// What follows it.
+        /// The option's value.
         value: String,
     },
 }
 
-/// A tool's command line, read part by part.
+/// Parser of a tool's command line, one argument at a time.
 pub struct ToolLine {
     line: lexopt::Parser,
     switches: &'static [&'static str],
@@ -30,12 +30,12 @@
 }
 
 impl ToolLine {
-    /// Reads a line in which only `switches` are options without a value.
+    /// Creates a parser that accepts only `switches` as options without a value.
     pub fn new(line: lexopt::Parser, switches: &'static [&'static str]) -> ToolLine {
         ToolLine { line, switches, has_command: false }
     }
 
-    /// The next part, none at the end. The error is what to tell whoever wrote the line.
+    /// Returns the next argument, or `None` at the end. The error is a message for the user of the tool.
     pub fn next_argument(&mut self) -> Result<Option<ToolArgument>, String> {
         let Some(argument) = self.line.next().map_err(|error| error.to_string())? else { return Ok(None) };
         let name = match argument {
--- a/crates/config/tests/tool.rs
+++ b/crates/config/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The command line of a tool, part by part.
+//! Tests of parsing a tool's command line.
 
 use config::{ToolArgument, ToolLine};
 
--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -1,5 +1,5 @@
-//! Numbered events: every log line a daemon writes is one of these, and `docs/events.md` lists
-//! the same numbers with what an operator should make of them.
+//! Numbered log events: every log line of a daemon is one of these. `docs/events.md` lists the same numbers
+//! with their meaning for an operator.
 
 #![warn(missing_docs)]
 
@@ -9,12 +9,12 @@
 pub use list::{EVENTS, Event};
 pub use setup::{SetupError, setup};
 
-/// Writes an event's line; use [`event!`].
+/// Writes the log line of an event; call it through [`event!`].
 pub fn emit(event: &Event, detail: std::fmt::Arguments<'_>) {
     log::log!(target: "heronlink", event.level, "E{:04} {}: {detail}", event.number, event.title);
 }
 
-/// Writes a numbered event, with a detail as in `format!` if one is given.
+/// Logs a numbered event, with an optional detail formatted as in `format!`.
 #[macro_export]
 macro_rules! event {
     ($event:ident) => { $crate::emit(&$crate::EVENTS.$event, format_args!("-")) };
--- a/crates/events/src/list.rs
+++ b/crates/events/src/list.rs
@@ -1,14 +1,14 @@
-//! The catalogue in code. A number is never used again for another meaning.
+//! The catalogue of events. A number is never reused for another meaning.
 
 use log::Level;
 
-/// What a log line is about.
+/// A kind of log event.
 pub struct Event {
-    /// Stands in each line as `E` and four digits; operators' alarms go by it.
+    /// Number written in each log line as `E` and four digits; operators' alerts match on it.
     pub number: u16,
-    /// The level it is logged at.
+    /// Level at which the event is logged.
     pub level: Level,
-    /// What happened; may be reworded while the number stays.
+    /// Title of the event; may be reworded as long as the number stays.
     pub title: &'static str,
 }
 
@@ -21,7 +21,7 @@
             $( $name: Event { number: $number, level: Level::$level, title: $title }, )*
         };
         impl Catalogue {
-            /// All events in the order of the list.
+            /// Returns all events in the order of declaration.
             pub fn all(&self) -> Vec<&Event> { vec![$( &self.$name, )*] }
         }
     };
--- a/crates/events/src/setup.rs
+++ b/crates/events/src/setup.rs
@@ -1,4 +1,4 @@
-//! Where log lines go: standard error, or a file that rolls over at a size and keeps a few.
+//! Logging setup: to standard error, or to a file that is rotated by size, keeping a few old files.
 
 use log::LevelFilter;
 use log4rs::append::Append;
@@ -10,15 +10,16 @@
 use log4rs::config::{Appender, Config, Root};
 use log4rs::encode::pattern::PatternEncoder;
 
-/// Why logging could not be set up.
+/// Reason why logging could not be set up.
 pub type SetupError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The size at which a log file is rolled over.
+/// Size in bytes at which a log file is rotated.
 const FILE_BYTES: u64 = 16 * 1024 * 1024;
-/// How many rolled files are kept.
+/// Number of rotated files that are kept.
 const FILES: u32 = 4;
 
-/// Sends log lines of a level and above to standard error, or to a file if one is named. Once in a process.
+/// Sends log lines of a level and above to standard error, or to a file if one is named. Can be called only once in
+/// a process.
 pub fn setup(level: &str, file: &str) -> Result<(), SetupError> {
     let level: LevelFilter = level.parse()?;
     let encoder = Box::new(PatternEncoder::new("{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l} {m}{n}"));
--- a/crates/events/tests/catalogue.rs
+++ b/crates/events/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue in the docs and the one in code.
+//! The catalogue of events in the documentation matches the one in code, and event numbers are unique.
 
 use events::EVENTS;
 
--- a/crates/instance_provider/src/caller.rs
+++ b/crates/instance_provider/src/caller.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 calls with JSON bodies over kept connections, with a bound on the answer's size. How long
-//! one may take is for whoever calls to say.
+//! HTTP/1.1 client for JSON bodies that reuses connections and limits the size of a response. Timeouts are up
+//! to the caller.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -8,12 +8,12 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
 
-/// The largest answer read.
+/// Maximum size of a response body in bytes.
 const ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// The most idle connections kept.
+/// Maximum number of idle connections kept open.
 const KEPT: usize = 4;
 
-/// An HTTP client towards one address. Clones share its kept connections.
+/// HTTP client for one address. Clones share its connection pool.
 #[derive(Clone)]
 pub struct HttpCaller {
     base: String,
@@ -21,7 +21,7 @@
 }
 
 impl HttpCaller {
-    /// A client towards `IP:port`; nothing is dialled yet.
+    /// Creates a client for `IP:port` without connecting yet.
     pub fn new(address: &str) -> HttpCaller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -29,8 +29,8 @@
         HttpCaller { base: format!("http://{address}"), http }
     }
 
-    /// Sends a request and reads the answer whole. None if no whole answer came: whether the request took effect is
-    /// then not known.
+    /// Sends a request and reads the whole response. Returns `None` if no complete response arrived; whether the
+    /// request took effect is then unknown.
     pub async fn call(
         &self,
         method: Method,
@@ -51,7 +51,7 @@
         Some((status, body))
     }
 
-    /// A page read whole, if it came with a 200 and is what it should be.
+    /// Gets a JSON document; returns `None` unless the status is 200 and the body has the expected form.
     pub async fn page<T: serde::de::DeserializeOwned>(&self, path: &str) -> Option<T> {
         let (status, body) = self.call(Method::GET, path, &[], Vec::new()).await?;
         (status == StatusCode::OK).then(|| serde_json::from_slice(&body).ok())?
--- a/crates/instance_provider/src/lib.rs
+++ b/crates/instance_provider/src/lib.rs
@@ -1,5 +1,5 @@
-//! Supply of instances: the port through which the product starts, stops and lists them at whoever
-//! runs them, the service that carries orders to it, and the provider of the product's own dialect.
+//! Port to the platform that runs instances: the trait for starting, stopping and listing them, the service that
+//! executes orders through it, and an implementation for heronlink's own HTTP API.
 
 #![warn(missing_docs)]
 
--- a/crates/instance_provider/src/own.rs
+++ b/crates/instance_provider/src/own.rs
@@ -1,4 +1,4 @@
-//! The provider of the product's own dialect.
+//! Instance provider that uses heronlink's own HTTP API.
 
 use crate::caller::HttpCaller;
 use crate::port::{Call, InstanceProvider, Listing, StartOrder, StartReply, StopReply, WorkerLine};
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// Talks to a platform in heronlink's own dialect: JSON under `/v1/instances` and `/v1/workers`.
+/// Client of a platform that implements heronlink's own API: JSON under `/v1/instances` and `/v1/workers`.
 pub struct OwnInstanceProvider {
     caller: HttpCaller,
 }
@@ -23,7 +23,7 @@
 }
 
 impl OwnInstanceProvider {
-    /// A client of the platform at `IP:port`.
+    /// Creates a client of the platform at `IP:port`.
     pub fn new(address: &str) -> OwnInstanceProvider {
         OwnInstanceProvider { caller: HttpCaller::new(address) }
     }
--- a/crates/instance_provider/src/port.rs
+++ b/crates/instance_provider/src/port.rs
@@ -1,94 +1,94 @@
-//! The port: what the product asks of a provider of instances, and what it is told. A provider holds
-//! conversations and decides nothing; a call may be dropped at any moment, and its effect is then open.
+//! The provider trait, its requests and its replies. A provider only talks to the platform and decides nothing.
+//! A call may be dropped at any time; whether it took effect is then unknown.
 
 use serde::{Deserialize, Serialize};
 use std::future::Future;
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// Where an instance is in its life, as the platform tells it.
+/// Lifecycle state of an instance, as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum InstanceState {
-    /// Ordered, and not yet ready to take requests.
+    /// Ordered, and not yet ready for requests.
     Starting,
-    /// Ready to take requests.
+    /// Ready for requests.
     Running,
-    /// Told to stop; it must get nothing more.
+    /// Stopping; it must not receive further requests.
     Leaving,
 }
 
-/// One instance, as the platform lists it.
+/// One instance in the platform's list.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct InstanceLine {
-    /// The platform's id of it, never used again.
+    /// Id assigned by the platform, never reused.
     pub id: String,
-    /// The function it runs, as `tenant/name`.
+    /// Name of the function that it runs, as `tenant/name`.
     pub service: String,
-    /// Where it takes requests, as `IP:port`.
+    /// Address for requests, as `IP:port`.
     pub address: String,
-    /// The zone it runs in; empty if the platform does not tell.
+    /// Zone of the instance; empty if the platform does not report it.
     #[serde(default)]
     pub zone: String,
-    /// The worker it runs on; empty if the platform does not tell.
+    /// Worker that runs the instance; empty if the platform does not report it.
     #[serde(default)]
     pub worker: String,
-    /// Where it is in its life.
+    /// Lifecycle state.
     pub state: InstanceState,
 }
 
-/// The platform's whole list of instances at one moment.
+/// The platform's complete list of instances at one point in time.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Listing {
     /// Every instance that is starting, running or leaving.
     pub instances: Vec<InstanceLine>,
 }
 
-/// A worker that is up; only one that is ready takes starts.
+/// A worker that is up; instances can be started on it only while it is ready.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq, Eq)]
 pub struct WorkerLine {
-    /// The worker's name.
+    /// Name of the worker.
     pub name: String,
-    /// The zone it is in.
+    /// Zone of the worker.
     pub zone: String,
-    /// All of its memory.
+    /// Total memory in MB.
     pub memory_mb: u32,
-    /// What is free of it.
+    /// Free memory in MB.
     pub free_mb: u32,
-    /// Whether it takes starts.
+    /// Whether instances can be started on the worker.
     pub ready: bool,
 }
 
-/// One wish for one instance: however often it is ordered under its nonce, one instance comes of it.
+/// Order for one instance: repeating it with the same nonce never starts a second instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartOrder {
-    /// Names the wish; repeated orders carry the same one.
+    /// Identifies the order; repetitions carry the same nonce.
     pub nonce: String,
-    /// The function to run, as `tenant/name`.
+    /// Name of the function to run, as `tenant/name`.
     pub service: String,
-    /// Where to run it; none leaves the choice to the platform.
+    /// Worker to run it on; `None` leaves the choice to the platform.
     pub worker: Option<String>,
-    /// The memory it needs.
+    /// Memory that the instance needs, in MB.
     pub memory_mb: u32,
-    /// The number of the membership under which it was ordered; the platform may refuse lower ones.
+    /// Number of the membership under which it was ordered; the platform may refuse orders with a lower number.
     pub fence: u64,
 }
 
 /// The platform's reply to a start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartReply {
-    /// The instance is coming up.
+    /// The instance is starting.
     Accepted {
-        /// The platform's id of it.
+        /// Id assigned by the platform.
         id: String,
-        /// Where it will take requests.
+        /// Address at which it will accept requests.
         address: String,
     },
-    /// No worker has the memory for it.
+    /// No worker has enough free memory.
     InsufficientMemory,
-    /// Too many orders in a short time; it may be tried again.
+    /// Too many orders in a short time; the order may be repeated.
     RateLimited,
-    /// The order is wrong and will be refused again.
+    /// The order is invalid; a repetition would be refused too.
     Refused,
     /// No answer in time: the order may have taken effect.
     Unanswered,
@@ -97,30 +97,30 @@
 /// The platform's reply to a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReply {
-    /// The instance is leaving.
+    /// The instance is stopping.
     Accepted,
     /// There is no such instance.
     Unknown,
-    /// Too many orders in a short time; it may be tried again.
+    /// Too many orders in a short time; the order may be repeated.
     RateLimited,
     /// No answer in time: the order may have taken effect.
     Unanswered,
 }
 
-/// A call under way; dropping it leaves its effect open.
+/// A call in progress; if it is dropped, it is unknown whether it takes effect.
 pub type Call<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// Whoever starts, stops and lists instances.
+/// Starts, stops and lists instances on a platform.
 pub trait InstanceProvider {
-    /// Orders one instance.
+    /// Orders the start of one instance.
     fn start(&self, order: StartOrder) -> Call<'_, StartReply>;
-    /// Orders an instance stopped, under the number of the membership.
+    /// Orders the stop of an instance; `fence` is the number of the membership.
     fn stop(&self, id: String, fence: u64) -> Call<'_, StopReply>;
-    /// Reads the list of instances; none if it could not be read.
+    /// Reads the list of instances; returns `None` if it could not be read.
     fn list(&self) -> Call<'_, Option<Listing>>;
-    /// Reads the list of workers; none if it could not be read.
+    /// Reads the list of workers; returns `None` if it could not be read.
     fn workers(&self) -> Call<'_, Option<Vec<WorkerLine>>>;
 }
 
-/// Makes the provider on the thread that uses it.
+/// Creates the provider on the thread that uses it.
 pub type ProviderFactory = Box<dyn FnOnce() -> Rc<dyn InstanceProvider> + Send>;
--- a/crates/instance_provider/src/service.rs
+++ b/crates/instance_provider/src/service.rs
@@ -1,4 +1,4 @@
-//! The service around a provider: orders side by side within a bound, each within a time limit.
+//! Service that executes orders through a provider: concurrently up to a limit, each with a timeout.
 
 use crate::port::{InstanceProvider, Listing, StartOrder, StartReply, StopReply, WorkerLine};
 use kernel::Inbox;
@@ -8,21 +8,21 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// The most calls under way at a time.
+/// Maximum number of concurrent calls.
 const CALLS: usize = 16;
-/// How long a call may take.
+/// Maximum time for one call.
 const LIMIT: Duration = Duration::from_secs(1);
 
-/// What the service can be asked for.
+/// An order to the service.
 #[derive(Clone, Debug)]
 pub enum ProviderOrder {
     /// Start one instance.
     Start(StartOrder),
     /// Stop an instance.
     Stop {
-        /// The platform's id of it.
+        /// Id assigned by the platform.
         id: String,
-        /// The number of the membership under which it is ordered.
+        /// Number of the membership under which it is ordered.
         fence: u64,
     },
     /// Read the list of instances.
@@ -31,35 +31,35 @@
     Workers,
 }
 
-/// What came of an order.
+/// The result of an order.
 #[derive(Clone, Debug)]
 pub enum ProviderReport {
-    /// Of a start.
+    /// Result of a start order.
     Started {
-        /// The wish it was ordered under.
+        /// Nonce of the order.
         nonce: String,
         /// The platform's reply.
         reply: StartReply,
     },
-    /// Of a stop.
+    /// Result of a stop order.
     Stopped {
-        /// The instance.
+        /// Id of the instance.
         id: String,
         /// The platform's reply.
         reply: StopReply,
     },
     /// The list of instances.
     Listed {
-        /// As the platform told it.
+        /// The list as reported by the platform.
         listing: Listing,
-        /// When it was asked for: it is not newer than this.
+        /// Time at which the list was requested; the list must not be taken as newer than this.
         requested_at: Instant,
     },
     /// The list of workers.
     Workers {
-        /// As the platform told it.
+        /// The workers as reported by the platform.
         lines: Vec<WorkerLine>,
-        /// When it was asked for: it is not newer than this.
+        /// Time at which the list was requested; the list must not be taken as newer than this.
         requested_at: Instant,
     },
     /// The list of instances could not be read.
@@ -68,7 +68,7 @@
     WorkersError,
 }
 
-/// Takes what came of an order.
+/// Callback that receives the result of an order.
 pub type ReportCallback = Rc<dyn Fn(ProviderReport)>;
 
 /// Runs the service on the current thread until its inbox of orders is closed.
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,9 +1,9 @@
-//! `registry`: the control plane's program, one on each machine with a disk.
+//! `registry`: the program of the control plane; runs once on each machine with a disk.
 
 use control::{ControlDialect, RegistrySettings};
 use std::process::ExitCode;
 
-const ABOUT: &str = "keeps heronlink's shared state: configuration, holds, the run-once ledger, stored tasks";
+const ABOUT: &str = "stores heronlink's shared state: configuration, leases, the run-once ledger, stored tasks";
 
 fn main() -> ExitCode {
     config::run_program("registry", ABOUT, env!("CARGO_PKG_VERSION"), |settings: RegistrySettings, reread| {
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,9 +1,9 @@
-//! `router`: the data plane's program, one on every machine.
+//! `router`: the program of the data plane; runs once on every machine.
 
 use std::process::ExitCode;
 use traffic::{Dialect, RouterSettings};
 
-const ABOUT: &str = "meets callers, carries tasks to their homes and runs instances to match the plan";
+const ABOUT: &str = "accepts requests, forwards tasks to the owners of their functions and runs instances according to the plan";
 
 fn main() -> ExitCode {
     config::run_program("router", ABOUT, env!("CARGO_PKG_VERSION"), |settings: RouterSettings, reread| {
