--- a/crates/config/src/line.rs
+++ b/crates/config/src/command_line.rs
@@ -7,9 +7,9 @@
 use std::process::ExitCode;
 
 /// Result of parsing the command line.
-enum Opening<S> {
+enum ParsedLine<S> {
     Run(S),
-    Say { words: String, code: u8 },
+    Print { text: String, exit_code: u8 },
 }
 
 /// Reads the settings again from the same sources, with their current values.
@@ -23,8 +23,8 @@
     version: &'static str,
     work: impl FnOnce(S, Reread<S>) -> Result<(), (u8, String)>,
 ) -> ExitCode {
-    let line: Vec<OsString> = std::env::args_os().skip(1).collect();
-    run_program_with_defaults(name, about, version, || Ok(Vec::new()), line, work)
+    let arguments: Vec<OsString> = std::env::args_os().skip(1).collect();
+    run_program_with_defaults(name, about, version, || Ok(Vec::new()), arguments, work)
 }
 
 /// Same as [`run_program`], with defaults from another source, such as a configuration of another format; the
@@ -33,18 +33,18 @@
     name: &'static str,
     about: &'static str,
     version: &'static str,
-    given: impl Fn() -> Result<Vec<(String, String)>, String> + 'static,
-    line: Vec<OsString>,
+    defaults: impl Fn() -> Result<Vec<(String, String)>, String> + 'static,
+    arguments: Vec<OsString>,
     work: impl FnOnce(S, Reread<S>) -> Result<(), (u8, String)>,
 ) -> ExitCode {
-    let read = move || parse::<S>(name, about, version, given()?, lexopt::Parser::from_args(line.clone()));
+    let read = move || parse::<S>(name, about, version, defaults()?, lexopt::Parser::from_args(arguments.clone()));
     match read() {
-        Ok(Opening::Run(settings)) => {
-            let again = move || match read()? {
-                Opening::Run(settings) => Ok(settings),
-                Opening::Say { words, .. } => Err(words),
+        Ok(ParsedLine::Run(settings)) => {
+            let reread = move || match read()? {
+                ParsedLine::Run(settings) => Ok(settings),
+                ParsedLine::Print { text, .. } => Err(text),
             };
-            match work(settings, Box::new(again)) {
+            match work(settings, Box::new(reread)) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err((code, error)) => {
                     eprintln!("{name}: {error}");
@@ -52,13 +52,13 @@
                 }
             }
         }
-        Ok(Opening::Say { words, code: 0 }) => {
-            println!("{words}");
+        Ok(ParsedLine::Print { text, exit_code: 0 }) => {
+            println!("{text}");
             ExitCode::SUCCESS
         }
-        Ok(Opening::Say { words, code }) => {
-            eprintln!("{words}");
-            ExitCode::from(code)
+        Ok(ParsedLine::Print { text, exit_code }) => {
+            eprintln!("{text}");
+            ExitCode::from(exit_code)
         }
         Err(error) => {
             eprintln!("{name}: {error}");
@@ -71,22 +71,24 @@
     program: &str,
     about: &str,
     version: &str,
-    given: Vec<(String, String)>,
-    mut line: lexopt::Parser,
-) -> Result<Opening<S>, String> {
+    defaults: Vec<(String, String)>,
+    mut arguments: lexopt::Parser,
+) -> Result<ParsedLine<S>, String> {
     let names: Vec<&str> = S::help().iter().map(|(name, ..)| *name).collect();
     let mut file = String::new();
     let mut flags = Vec::new();
-    let mut check = false;
-    while let Some(arg) = line.next().map_err(|error| error.to_string())? {
+    let mut check_only = false;
+    while let Some(arg) = arguments.next().map_err(|error| error.to_string())? {
         match arg {
-            Short('h') | Long("help") => return Ok(Opening::Say { words: help::<S>(program, about), code: 0 }),
+            Short('h') | Long("help") => {
+                return Ok(ParsedLine::Print { text: help_text::<S>(program, about), exit_code: 0 });
+            }
             Short('V') | Long("version") => {
-                return Ok(Opening::Say { words: format!("{program} {version}"), code: 0 });
+                return Ok(ParsedLine::Print { text: format!("{program} {version}"), exit_code: 0 });
             }
-            Long("check") => check = true,
+            Long("check") => check_only = true,
             Short('e') | Long("env") => {
-                let path = line.value().map_err(|error| error.to_string())?;
+                let path = arguments.value().map_err(|error| error.to_string())?;
                 file = std::fs::read_to_string(&path)
                     .map_err(|error| format!("settings file {}: {error}", path.display()))?;
             }
@@ -95,25 +97,25 @@
                 if !names.contains(&name.as_str()) {
                     return Err(format!("no flag --{flag}; see --help"));
                 }
-                let value = line.value().and_then(|v| v.string()).map_err(|error| error.to_string())?;
+                let value = arguments.value().and_then(|v| v.string()).map_err(|error| error.to_string())?;
                 flags.push((name, value));
             }
             other => return Err(other.unexpected().to_string()),
         }
     }
     let settings = Source::new(&file, flags)
-        .map(|source| source.below(given))
+        .map(|source| source.with_defaults(defaults))
         .and_then(|source| S::read(&source))
-        .map_err(|f: SettingError| f.to_string())?;
-    if check {
-        let lines: Vec<String> = settings.shown().iter().map(|(name, value)| shown(name, value)).collect();
-        return Ok(Opening::Say { words: format!("settings are in order\n{}", lines.join("\n")), code: 0 });
+        .map_err(|error: SettingError| error.to_string())?;
+    if check_only {
+        let lines: Vec<String> = settings.values().iter().map(|(name, value)| format_setting(name, value)).collect();
+        return Ok(ParsedLine::Print { text: format!("settings are in order\n{}", lines.join("\n")), exit_code: 0 });
     }
-    Ok(Opening::Run(settings))
+    Ok(ParsedLine::Run(settings))
 }
 
-fn help<S: Settings>(program: &str, about: &str) -> String {
-    let mut words = format!(
+fn help_text<S: Settings>(program: &str, about: &str) -> String {
+    let mut text = format!(
         "{program}: {about}\n\nUsage: {program} [--env FILE] [--check] [--SETTING VALUE ...]\n\n\
          -e, --env FILE   read settings from a TOML file; flags take precedence\n\
          --check          check the settings and exit\n\
@@ -121,12 +123,12 @@
     );
     for (name, default, about) in S::help() {
         let default = if default.is_empty() { String::new() } else { format!(" [{default}]") };
-        words.push_str(&format!("  --{}{default}\n        {about}\n", name.replace('_', "-")));
+        text.push_str(&format!("  --{}{default}\n        {about}\n", name.replace('_', "-")));
     }
-    words
+    text
 }
 
-fn shown(name: &str, value: &str) -> String {
+fn format_setting(name: &str, value: &str) -> String {
     match name {
         "tokens" => format!("{name} = ({} given, not shown)", value.split(',').filter(|w| !w.is_empty()).count()),
         _ => format!("{name} = {value}"),
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,14 +4,14 @@
 
 #![warn(missing_docs)]
 
-mod line;
+mod command_line;
 mod parse;
 mod rules;
 mod tool;
 
+pub use command_line::{Reread, run_program, run_program_with_defaults};
 pub use lexopt;
-pub use line::{Reread, run_program, run_program_with_defaults};
-pub use parse::{FromWords, Source};
+pub use parse::{SettingValue, Source};
 pub use rules::{address, address_or_none, addresses, any_value, identifier, in_range, non_empty, seed_addresses};
 pub use tool::{ToolArgument, ToolLine};
 
@@ -41,7 +41,7 @@
     /// Returns the name, default and help line of each setting.
     fn help() -> Vec<(&'static str, String, &'static str)>;
     /// Returns the name and value of each setting, in the form that can be given.
-    fn shown(&self) -> Vec<(&'static str, String)>;
+    fn values(&self) -> Vec<(&'static str, String)>;
 }
 
 /// Declares a struct of settings: `name: type = default, check, "help line";` for each. The help line is
@@ -57,28 +57,28 @@
 
         impl $crate::Settings for $name {
             fn read(source: &$crate::Source) -> Result<Self, $crate::SettingError> {
-                source.only(&[$( stringify!($field), )*])?;
+                source.reject_unknown(&[$( stringify!($field), )*])?;
                 Ok($name { $( $field: {
                     let value: $type = match source.find(stringify!($field)) {
-                        Some(words) => <$type as $crate::FromWords>::from_words(&words).map_err(|allowed| {
-                            $crate::SettingError { name: stringify!($field).into(), value: words.clone(), allowed }
+                        Some(text) => <$type as $crate::SettingValue>::parse_value(&text).map_err(|allowed| {
+                            $crate::SettingError { name: stringify!($field).into(), value: text.clone(), allowed }
                         })?,
                         None => $default,
                     };
                     let check = $check;
                     check(&value).map_err(|allowed| $crate::SettingError {
                         name: stringify!($field).into(),
-                        value: $crate::display_value(stringify!($field), $crate::FromWords::to_words(&value)),
+                        value: $crate::display_value(stringify!($field), $crate::SettingValue::format_value(&value)),
                         allowed,
                     })?;
                     value
                 }, )* })
             }
             fn help() -> Vec<(&'static str, String, &'static str)> {
-                vec![$( (stringify!($field), <$type as $crate::FromWords>::to_words(&$default), $help), )*]
+                vec![$( (stringify!($field), <$type as $crate::SettingValue>::format_value(&$default), $help), )*]
             }
-            fn shown(&self) -> Vec<(&'static str, String)> {
-                vec![$( (stringify!($field), $crate::FromWords::to_words(&self.$field)), )*]
+            fn values(&self) -> Vec<(&'static str, String)> {
+                vec![$( (stringify!($field), $crate::SettingValue::format_value(&self.$field)), )*]
             }
         }
     };
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn flags_go_before_the_file_and_a_wrong_value_is_named_with_what_is_allowed() {
+    fn flags_override_the_file_and_an_invalid_value_is_reported_with_what_is_allowed() {
         let source = Source::new("zone = \"b\"\nhold = \"2s\"", vec![("zone".into(), "c".into())]).unwrap();
         let sample = Sample::read(&source).unwrap();
         assert_eq!((sample.zone.as_str(), sample.hold), ("c", Duration::from_secs(2)));
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -7,66 +7,66 @@
 use std::time::Duration;
 
 /// A type of setting that can be parsed from text and formatted as text.
-pub trait FromWords: Sized {
+pub trait SettingValue: Sized {
     /// Parses a value; the error describes what is allowed.
-    fn from_words(words: &str) -> Result<Self, String>;
-    /// Formats the value in the form that [`FromWords::from_words`] accepts.
-    fn to_words(&self) -> String;
+    fn parse_value(text: &str) -> Result<Self, String>;
+    /// Formats the value in the form that [`SettingValue::parse_value`] accepts.
+    fn format_value(&self) -> String;
 }
 
 macro_rules! whole_numbers {
-    ($($type:ty),*) => { $( impl FromWords for $type {
-        fn from_words(words: &str) -> Result<Self, String> {
-            words.trim().parse().map_err(|_| format!("allowed is a whole number from 0 to {}", <$type>::MAX))
+    ($($type:ty),*) => { $( impl SettingValue for $type {
+        fn parse_value(text: &str) -> Result<Self, String> {
+            text.trim().parse().map_err(|_| format!("allowed is a whole number from 0 to {}", <$type>::MAX))
         }
-        fn to_words(&self) -> String { self.to_string() }
+        fn format_value(&self) -> String { self.to_string() }
     } )* };
 }
 whole_numbers!(u16, u32, u64, usize);
 
-impl FromWords for f64 {
-    fn from_words(words: &str) -> Result<Self, String> {
-        words.trim().parse().ok().filter(|n: &f64| n.is_finite()).ok_or("allowed is a finite number".into())
+impl SettingValue for f64 {
+    fn parse_value(text: &str) -> Result<Self, String> {
+        text.trim().parse().ok().filter(|n: &f64| n.is_finite()).ok_or("allowed is a finite number".into())
     }
-    fn to_words(&self) -> String {
+    fn format_value(&self) -> String {
         self.to_string()
     }
 }
 
-impl FromWords for bool {
-    fn from_words(words: &str) -> Result<Self, String> {
-        words.trim().parse().map_err(|_| "allowed is true or false".into())
+impl SettingValue for bool {
+    fn parse_value(text: &str) -> Result<Self, String> {
+        text.trim().parse().map_err(|_| "allowed is true or false".into())
     }
-    fn to_words(&self) -> String {
+    fn format_value(&self) -> String {
         self.to_string()
     }
 }
 
-impl FromWords for String {
-    fn from_words(words: &str) -> Result<Self, String> {
-        Ok(words.to_owned())
+impl SettingValue for String {
+    fn parse_value(text: &str) -> Result<Self, String> {
+        Ok(text.to_owned())
     }
-    fn to_words(&self) -> String {
+    fn format_value(&self) -> String {
         self.clone()
     }
 }
 
-impl FromWords for PathBuf {
-    fn from_words(words: &str) -> Result<Self, String> {
-        Ok(words.into())
+impl SettingValue for PathBuf {
+    fn parse_value(text: &str) -> Result<Self, String> {
+        Ok(text.into())
     }
-    fn to_words(&self) -> String {
+    fn format_value(&self) -> String {
         self.display().to_string()
     }
 }
 
-impl FromWords for Duration {
-    fn from_words(words: &str) -> Result<Self, String> {
+impl SettingValue for Duration {
+    fn parse_value(text: &str) -> Result<Self, String> {
         let allowed = || "allowed is a number with ms, s or m, such as 1500ms".to_owned();
-        let trimmed = words.trim();
-        let cut = trimmed.find(|c: char| c.is_alphabetic()).ok_or_else(allowed)?;
-        let number: u64 = trimmed[..cut].trim().parse().map_err(|_| allowed())?;
-        let millis = match &trimmed[cut..] {
+        let trimmed = text.trim();
+        let unit_start = trimmed.find(|c: char| c.is_alphabetic()).ok_or_else(allowed)?;
+        let number: u64 = trimmed[..unit_start].trim().parse().map_err(|_| allowed())?;
+        let millis = match &trimmed[unit_start..] {
             "ms" => Some(number),
             "s" => number.checked_mul(1000),
             "m" => number.checked_mul(60_000),
@@ -74,7 +74,7 @@
         };
         millis.map(Duration::from_millis).ok_or_else(allowed)
     }
-    fn to_words(&self) -> String {
+    fn format_value(&self) -> String {
         let millis = self.as_millis();
         if millis >= 1000 && millis.is_multiple_of(1000) {
             format!("{}s", millis / 1000)
@@ -84,11 +84,11 @@
     }
 }
 
-impl FromWords for Vec<String> {
-    fn from_words(words: &str) -> Result<Self, String> {
-        Ok(words.split(',').map(|w| w.trim().to_owned()).filter(|w| !w.is_empty()).collect())
+impl SettingValue for Vec<String> {
+    fn parse_value(text: &str) -> Result<Self, String> {
+        Ok(text.split(',').map(|w| w.trim().to_owned()).filter(|w| !w.is_empty()).collect())
     }
-    fn to_words(&self) -> String {
+    fn format_value(&self) -> String {
         self.join(",")
     }
 }
@@ -96,7 +96,7 @@
 /// Unparsed setting values by name.
 #[derive(Debug, Default)]
 pub struct Source {
-    words: BTreeMap<String, String>,
+    values: BTreeMap<String, String>,
 }
 
 impl Source {
@@ -107,7 +107,7 @@
             value: "the settings file".into(),
             allowed: format!("it cannot be read: {}", error.message()),
         })?;
-        let mut words = BTreeMap::new();
+        let mut values = BTreeMap::new();
         for (name, value) in table {
             let text = match value {
                 toml::Value::String(text) => text,
@@ -118,28 +118,28 @@
                 }
                 other => other.to_string(),
             };
-            words.insert(name, text);
+            values.insert(name, text);
         }
-        words.extend(flags);
-        Ok(Source { words })
+        values.extend(flags);
+        Ok(Source { values })
     }
 
     /// Adds the settings that are not set yet.
-    pub fn below(mut self, given: Vec<(String, String)>) -> Source {
-        for (name, value) in given {
-            self.words.entry(name).or_insert(value);
+    pub fn with_defaults(mut self, defaults: Vec<(String, String)>) -> Source {
+        for (name, value) in defaults {
+            self.values.entry(name).or_insert(value);
         }
         self
     }
 
     /// Returns the unparsed value of a setting.
     pub fn find(&self, name: &str) -> Option<String> {
-        self.words.get(name).cloned()
+        self.values.get(name).cloned()
     }
 
     /// Returns an error if a setting is not among the known ones.
-    pub fn only(&self, known: &[&str]) -> Result<(), SettingError> {
-        match self.words.iter().find(|(name, _)| !known.contains(&name.as_str())) {
+    pub fn reject_unknown(&self, known: &[&str]) -> Result<(), SettingError> {
+        match self.values.iter().find(|(name, _)| !known.contains(&name.as_str())) {
             None => Ok(()),
             Some((name, value)) => Err(SettingError {
                 name: name.clone(),
--- a/crates/config/src/rules.rs
+++ b/crates/config/src/rules.rs
@@ -2,19 +2,19 @@
 
 #![allow(clippy::ptr_arg)]
 
-use crate::FromWords;
+use crate::SettingValue;
 use std::net::SocketAddr;
 
 /// Maximum number of seed addresses.
-const SEEDS: usize = 16;
+const MAX_SEEDS: usize = 16;
 
 /// Returns a check that allows values from `low` to `high`, inclusive.
-pub fn in_range<T: PartialOrd + FromWords + Copy + 'static>(low: T, high: T) -> impl Fn(&T) -> Result<(), String> {
+pub fn in_range<T: PartialOrd + SettingValue + Copy + 'static>(low: T, high: T) -> impl Fn(&T) -> Result<(), String> {
     move |value| {
         if *value >= low && *value <= high {
             return Ok(());
         }
-        Err(format!("allowed is {} to {}", low.to_words(), high.to_words()))
+        Err(format!("allowed is {} to {}", low.format_value(), high.format_value()))
     }
 }
 
@@ -25,8 +25,8 @@
 
 /// Allows 1 to 64 letters, digits, `-`, `_` or `.`.
 pub fn identifier(value: &String) -> Result<(), String> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    if (1..=64).contains(&value.len()) && value.chars().all(plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if (1..=64).contains(&value.len()) && value.chars().all(is_allowed) {
         return Ok(());
     }
     Err("allowed are 1 to 64 letters, digits, '-', '_' or '.'".into())
@@ -59,6 +59,6 @@
 pub fn seed_addresses(value: &Vec<String>) -> Result<(), String> {
     addresses(value)?;
     let distinct: std::collections::BTreeSet<&String> = value.iter().collect();
-    let good = (1..=SEEDS).contains(&value.len()) && distinct.len() == value.len();
-    if good { Ok(()) } else { Err(format!("allowed are 1 to {SEEDS} different addresses")) }
+    let is_valid = (1..=MAX_SEEDS).contains(&value.len()) && distinct.len() == value.len();
+    if is_valid { Ok(()) } else { Err(format!("allowed are 1 to {MAX_SEEDS} different addresses")) }
 }
--- a/crates/config/src/tool.rs
+++ b/crates/config/src/tool.rs
@@ -24,26 +24,26 @@
 
 /// Parser of a tool's command line, one argument at a time.
 pub struct ToolLine {
-    line: lexopt::Parser,
+    parser: lexopt::Parser,
     switches: &'static [&'static str],
     has_command: bool,
 }
 
 impl ToolLine {
     /// Creates a parser that accepts only `switches` as options without a value.
-    pub fn new(line: lexopt::Parser, switches: &'static [&'static str]) -> ToolLine {
-        ToolLine { line, switches, has_command: false }
+    pub fn new(parser: lexopt::Parser, switches: &'static [&'static str]) -> ToolLine {
+        ToolLine { parser, switches, has_command: false }
     }
 
     /// Returns the next argument, or `None` at the end. The error is a message for the user of the tool.
     pub fn next_argument(&mut self) -> Result<Option<ToolArgument>, String> {
-        let Some(argument) = self.line.next().map_err(|error| error.to_string())? else { return Ok(None) };
+        let Some(argument) = self.parser.next().map_err(|error| error.to_string())? else { return Ok(None) };
         let name = match argument {
             Short('h') | Long("help") => return Ok(Some(ToolArgument::Help)),
             Short('V') | Long("version") => return Ok(Some(ToolArgument::Version)),
-            Value(word) if !self.has_command => {
+            Value(argument) if !self.has_command => {
                 self.has_command = true;
-                return Ok(Some(ToolArgument::Command(word.to_string_lossy().into_owned())));
+                return Ok(Some(ToolArgument::Command(argument.to_string_lossy().into_owned())));
             }
             Long(name) => name.to_owned(),
             other => return Err(format!("{}; see --help", other.unexpected())),
@@ -51,7 +51,7 @@
         if let Some(switch) = self.switches.iter().find(|switch| **switch == name) {
             return Ok(Some(ToolArgument::Switch(switch)));
         }
-        let value = self.line.value().and_then(|value| value.string()).map_err(|error| error.to_string())?;
+        let value = self.parser.value().and_then(|value| value.string()).map_err(|error| error.to_string())?;
         Ok(Some(ToolArgument::Option { name, value }))
     }
 }
--- a/crates/config/tests/tool.rs
+++ b/crates/config/tests/tool.rs
@@ -2,10 +2,10 @@
 
 use config::{ToolArgument, ToolLine};
 
-fn read(words: &str) -> Result<Vec<ToolArgument>, String> {
-    let mut line = ToolLine::new(config::lexopt::Parser::from_args(words.split_whitespace()), &["quick"]);
+fn parse(arguments: &str) -> Result<Vec<ToolArgument>, String> {
+    let mut tool_line = ToolLine::new(config::lexopt::Parser::from_args(arguments.split_whitespace()), &["quick"]);
     let mut read = Vec::new();
-    while let Some(argument) = line.next_argument()? {
+    while let Some(argument) = tool_line.next_argument()? {
         read.push(argument);
     }
     Ok(read)
@@ -18,14 +18,14 @@
 #[test]
 fn a_command_switches_and_options_are_read_in_any_order() {
     let expected = vec![option("seed", "7"), ToolArgument::Command("load".into()), ToolArgument::Switch("quick")];
-    assert_eq!(read("--seed 7 load --quick"), Ok(expected));
-    assert_eq!(read("--seed=-1"), Ok(vec![option("seed", "-1")]));
-    assert_eq!(read("-h --version"), Ok(vec![ToolArgument::Help, ToolArgument::Version]));
+    assert_eq!(parse("--seed 7 load --quick"), Ok(expected));
+    assert_eq!(parse("--seed=-1"), Ok(vec![option("seed", "-1")]));
+    assert_eq!(parse("-h --version"), Ok(vec![ToolArgument::Help, ToolArgument::Version]));
 }
 
 #[test]
 fn a_second_command_and_an_option_without_its_value_are_refused() {
-    assert!(read("load again").unwrap_err().ends_with("see --help"));
-    assert!(read("load -x").unwrap_err().ends_with("see --help"));
-    assert!(read("load --seed").unwrap_err().contains("--seed"));
+    assert!(parse("load again").unwrap_err().ends_with("see --help"));
+    assert!(parse("load -x").unwrap_err().ends_with("see --help"));
+    assert!(parse("load --seed").unwrap_err().contains("--seed"));
 }
--- a/crates/events/src/setup.rs
+++ b/crates/events/src/setup.rs
@@ -14,9 +14,9 @@
 pub type SetupError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Size in bytes at which a log file is rotated.
-const FILE_BYTES: u64 = 16 * 1024 * 1024;
+const MAX_FILE_BYTES: u64 = 16 * 1024 * 1024;
 /// Number of rotated files that are kept.
-const FILES: u32 = 4;
+const ROTATED_FILES: u32 = 4;
 
 /// Sends log lines of a level and above to standard error, or to a file if one is named. Can be called only once in
 /// a process.
@@ -26,8 +26,8 @@
     let appender: Box<dyn Append> = if file.is_empty() {
         Box::new(ConsoleAppender::builder().target(Target::Stderr).encoder(encoder).build())
     } else {
-        let roller = FixedWindowRoller::builder().build(&format!("{file}.{{}}"), FILES)?;
-        let policy = CompoundPolicy::new(Box::new(SizeTrigger::new(FILE_BYTES)), Box::new(roller));
+        let roller = FixedWindowRoller::builder().build(&format!("{file}.{{}}"), ROTATED_FILES)?;
+        let policy = CompoundPolicy::new(Box::new(SizeTrigger::new(MAX_FILE_BYTES)), Box::new(roller));
         Box::new(RollingFileAppender::builder().encoder(encoder).build(file, Box::new(policy))?)
     };
     let config = Config::builder()
--- a/crates/instance_provider/src/caller.rs
+++ b/crates/instance_provider/src/http_caller.rs
@@ -9,15 +9,15 @@
 use hyper_util::rt::TokioExecutor;
 
 /// Maximum size of a response body in bytes.
-const ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 /// Maximum number of idle connections kept open.
-const KEPT: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// HTTP client for one address. Clones share its connection pool.
 #[derive(Clone)]
 pub struct HttpCaller {
-    base: String,
-    http: HttpClient<HttpConnector, Full<Bytes>>,
+    base_url: String,
+    client: HttpClient<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpCaller {
@@ -25,8 +25,9 @@
     pub fn new(address: &str) -> HttpCaller {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        let http = HttpClient::builder(TokioExecutor::new()).pool_max_idle_per_host(KEPT).build(connector);
-        HttpCaller { base: format!("http://{address}"), http }
+        let client =
+            HttpClient::builder(TokioExecutor::new()).pool_max_idle_per_host(MAX_IDLE_CONNECTIONS).build(connector);
+        HttpCaller { base_url: format!("http://{address}"), client }
     }
 
     /// Sends a request and reads the whole response. Returns `None` if no complete response arrived; whether the
@@ -38,21 +39,21 @@
         headers: &[(&str, String)],
         body: Vec<u8>,
     ) -> Option<(StatusCode, Bytes)> {
-        let mut request = Request::builder().method(method).uri(format!("{}{path}", self.base));
+        let mut request = Request::builder().method(method).uri(format!("{}{path}", self.base_url));
         if !body.is_empty() {
             request = request.header("content-type", "application/json");
         }
         for (name, value) in headers {
             request = request.header(*name, value);
         }
-        let answer = self.http.request(request.body(Full::new(Bytes::from(body))).ok()?).await.ok()?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), ANSWER_BYTES).collect().await.ok()?.to_bytes();
+        let response = self.client.request(request.body(Full::new(Bytes::from(body))).ok()?).await.ok()?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await.ok()?.to_bytes();
         Some((status, body))
     }
 
     /// Gets a JSON document; returns `None` unless the status is 200 and the body has the expected form.
-    pub async fn page<T: serde::de::DeserializeOwned>(&self, path: &str) -> Option<T> {
+    pub async fn get_json<T: serde::de::DeserializeOwned>(&self, path: &str) -> Option<T> {
         let (status, body) = self.call(Method::GET, path, &[], Vec::new()).await?;
         (status == StatusCode::OK).then(|| serde_json::from_slice(&body).ok())?
     }
--- a/crates/instance_provider/src/lib.rs
+++ b/crates/instance_provider/src/lib.rs
@@ -3,13 +3,13 @@
 
 #![warn(missing_docs)]
 
-mod caller;
-mod own;
+mod http_caller;
+mod own_provider;
 mod port;
 mod service;
 
-pub use caller::HttpCaller;
-pub use own::OwnInstanceProvider;
+pub use http_caller::HttpCaller;
+pub use own_provider::OwnInstanceProvider;
 pub use port::{
     Call, InstanceLine, InstanceProvider, InstanceState, Listing, ProviderFactory, StartOrder, StartReply, StopReply,
     WorkerLine,
--- a/crates/instance_provider/src/own.rs
+++ b/crates/instance_provider/src/own_provider.rs
@@ -1,6 +1,6 @@
 //! Instance provider that uses heronlink's own HTTP API.
 
-use crate::caller::HttpCaller;
+use crate::http_caller::HttpCaller;
 use crate::port::{Call, InstanceProvider, Listing, StartOrder, StartReply, StopReply, WorkerLine};
 use hyper::{Method, StatusCode};
 use serde::Deserialize;
@@ -60,10 +60,10 @@
     }
 
     fn list(&self) -> Call<'_, Option<Listing>> {
-        Box::pin(self.caller.page("/v1/instances"))
+        Box::pin(self.caller.get_json("/v1/instances"))
     }
 
     fn workers(&self) -> Call<'_, Option<Vec<WorkerLine>>> {
-        Box::pin(async { self.caller.page::<Workers>("/v1/workers").await.map(|told| told.workers) })
+        Box::pin(async { self.caller.get_json::<Workers>("/v1/workers").await.map(|list| list.workers) })
     }
 }
--- a/crates/instance_provider/src/service.rs
+++ b/crates/instance_provider/src/service.rs
@@ -9,9 +9,9 @@
 use tokio::time::timeout;
 
 /// Maximum number of concurrent calls.
-const CALLS: usize = 16;
+const MAX_CONCURRENT_CALLS: usize = 16;
 /// Maximum time for one call.
-const LIMIT: Duration = Duration::from_secs(1);
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An order to the service.
 #[derive(Clone, Debug)]
@@ -73,26 +73,26 @@
 
 /// Runs the service on the current thread until its inbox of orders is closed.
 pub async fn run(provider: Rc<dyn InstanceProvider>, mut orders: Inbox<ProviderOrder>, report: ReportCallback) {
-    let room = Rc::new(Semaphore::new(CALLS));
+    let permits = Rc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
     while let Some(order) = orders.next().await {
-        let (provider, report, room) = (provider.clone(), report.clone(), room.clone());
+        let (provider, report, permits) = (provider.clone(), report.clone(), permits.clone());
         spawn_local(async move {
-            let Ok(_permit) = room.acquire().await else { return };
+            let Ok(_permit) = permits.acquire().await else { return };
             match order {
                 ProviderOrder::Start(order) => {
                     let nonce = order.nonce.clone();
-                    let reply = timeout(LIMIT, provider.start(order)).await.unwrap_or(StartReply::Unanswered);
+                    let reply = timeout(CALL_TIMEOUT, provider.start(order)).await.unwrap_or(StartReply::Unanswered);
                     report(ProviderReport::Started { nonce, reply });
                 }
                 ProviderOrder::Stop { id, fence } => {
-                    let told = timeout(LIMIT, provider.stop(id.clone(), fence)).await;
-                    report(ProviderReport::Stopped { id, reply: told.unwrap_or(StopReply::Unanswered) });
+                    let result = timeout(CALL_TIMEOUT, provider.stop(id.clone(), fence)).await;
+                    report(ProviderReport::Stopped { id, reply: result.unwrap_or(StopReply::Unanswered) });
                 }
                 ProviderOrder::List => {
                     let requested_at = Instant::now();
-                    let told = timeout(LIMIT, provider.list()).await.ok().flatten();
+                    let result = timeout(CALL_TIMEOUT, provider.list()).await.ok().flatten();
                     report(
-                        told.map_or(ProviderReport::ListError, |listing| ProviderReport::Listed {
+                        result.map_or(ProviderReport::ListError, |listing| ProviderReport::Listed {
                             listing,
                             requested_at,
                         }),
@@ -100,9 +100,9 @@
                 }
                 ProviderOrder::Workers => {
                     let requested_at = Instant::now();
-                    let told = timeout(LIMIT, provider.workers()).await.ok().flatten();
+                    let result = timeout(CALL_TIMEOUT, provider.workers()).await.ok().flatten();
                     report(
-                        told.map_or(ProviderReport::WorkersError, |lines| ProviderReport::Workers {
+                        result.map_or(ProviderReport::WorkersError, |lines| ProviderReport::Workers {
                             lines,
                             requested_at,
                         }),
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -3,7 +3,8 @@
 use std::process::ExitCode;
 use traffic::{Dialect, RouterSettings};
 
-const ABOUT: &str = "accepts requests, forwards tasks to the owners of their functions and runs instances according to the plan";
+const ABOUT: &str =
+    "accepts requests, forwards tasks to the owners of their functions and runs instances according to the plan";
 
 fn main() -> ExitCode {
     config::run_program("router", ABOUT, env!("CARGO_PKG_VERSION"), |settings: RouterSettings, reread| {
