--- a/crates/control/src/router_pushes.rs
+++ b/crates/control/src/router_pushes.rs
@@ -44,7 +44,7 @@
         for (id, session) in self.sessions.by_router.iter_mut().filter(|(_, session)| !session.has_departed) {
             if let Some(next) = next_epoch(now, session, active, latest) {
                 let message = match self.format {
-                    ..PARTS_FORMAT => keys::epoch(&state, next).map(|step| LeaseMessage::Stage { step }),
+                    ..PARTS_FORMAT => keys::epoch(&state, next).map(|step| LeaseMessage::Stage { epoch: step }),
                     _ => self.pushes.packed_epochs.part_message(&state, 0, false, next, 0),
                 };
                 session.epoch_sent = next;
--- a/crates/http_server/src/view_items.rs
+++ b/crates/http_server/src/view_items.rs
@@ -19,10 +19,10 @@
         let item = item.or_insert_with(|| json!({"declared": null}));
         item["tuned"] = json!({
             "startup_delay_steps": parameters.startup_delay_steps,
-            "target_usage": parameters.usage_micro as f64 / 1e6,
-            "sla_hard": parameters.hard_milli as f64 / 1e3,
+            "target_usage": parameters.target_usage_micro as f64 / 1e6,
+            "sla_hard": parameters.sla_hard_milli as f64 / 1e3,
         });
-        item["why"] = parameters.why.as_str().into();
+        item["why"] = parameters.reason.as_str().into();
         item["fence"] = fence.into();
     }
     items
--- a/crates/leases/src/part_transfer.rs
+++ b/crates/leases/src/part_transfer.rs
@@ -69,7 +69,7 @@
         if transfer.bytes.len() < packed as usize {
             return Received::Incomplete;
         }
-        let raw = wire::unpack(&transfer.bytes, size);
+        let raw = wire::decompress(&transfer.bytes, size);
         *slot = None;
         Received::Complete(
             raw.and_then(|raw| wire::from_bytes::<ConfigurationEpoch>(&raw)).filter(|epoch| epoch.number == number),
--- a/crates/leases/tests/membership.rs
+++ b/crates/leases/tests/membership.rs
@@ -99,7 +99,7 @@
 fn records_are_decoded_in_both_formats_and_encoded_by_wire_format() {
     let full = membership((1..=3).map(|id| member(id, 260, 2000)).collect());
     assert_eq!(Membership::read(&full.clone().encode(wire::FORMAT)), Some(full.clone()));
-    let older = Membership::read(&full.clone().encode(wire::CAPACITY - 1)).unwrap();
+    let older = Membership::read(&full.clone().encode(wire::CAPACITY_FORMAT - 1)).unwrap();
     let plain = |member: &Member| Member { hashing: 1, capacity: Capacity::default(), ..member.clone() };
     assert_eq!(older.members.iter().cloned().collect::<Vec<_>>(), full.members.iter().map(plain).collect::<Vec<_>>());
 }
--- a/crates/quota/src/agreement.rs
+++ b/crates/quota/src/agreement.rs
@@ -119,7 +119,7 @@
         QuotaGrantersReply {
             round: query.round,
             granters: self.current.fingerprint(),
-            granted_by_it_ms: u32::try_from(current_for.as_millis()).unwrap_or(u32::MAX),
+            membership_in_use_ms: u32::try_from(current_for.as_millis()).unwrap_or(u32::MAX),
         }
     }
 
@@ -129,7 +129,7 @@
             return false;
         }
         self.confirmed_nodes.insert(from);
-        let since = now.saturating_sub(Duration::from_millis(reply.granted_by_it_ms.into()));
+        let since = now.saturating_sub(Duration::from_millis(reply.membership_in_use_ms.into()));
         self.all_granting_by_current_since = self.all_granting_by_current_since.max(since);
         self.try_settle()
     }
--- a/crates/sim/src/router_turns.rs
+++ b/crates/sim/src/router_turns.rs
@@ -62,10 +62,10 @@
                             OwnerOutput::ForgetInstance { .. } => {}
                             OwnerOutput::PlanRequest { message } => self.ask_registries(n, message),
                             OwnerOutput::Measurements { lines } => {
-                                self.ask_registries(n, PlanMessage::Measures { lines: lines.into() });
+                                self.ask_registries(n, PlanMessage::Measurements { measurements: lines.into() });
                             }
                             OwnerOutput::Samples { lines } => {
-                                self.ask_registries(n, PlanMessage::Samples { lines: lines.into() });
+                                self.ask_registries(n, PlanMessage::Samples { samples: lines.into() });
                             }
                         }
                     }
--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -163,7 +163,8 @@
                     } else {
                         self.booked = Some(revision);
                         let routes = RouteTable::build(step, revision, self.follower.resources());
-                        let routes = if self.viewed { routes.showing(self.follower.resources()) } else { routes };
+                        let routes =
+                            if self.viewed { routes.with_declarations(self.follower.resources()) } else { routes };
                         self.tell(TrafficMessage::RouteTable(Box::new(routes)));
                     }
                     self.show();
--- a/crates/traffic/src/function_scheduler.rs
+++ b/crates/traffic/src/function_scheduler.rs
@@ -130,7 +130,7 @@
 
     /// Returns the average start time of an instance.
     pub fn boot_time(&self) -> Duration {
-        self.function.boot
+        self.function.boot_time
     }
 
     /// Resets what is known of other owners' retries, rejections and sent requests, after others may have been the
--- a/crates/traffic/src/inventory_records.rs
+++ b/crates/traffic/src/inventory_records.rs
@@ -63,5 +63,9 @@
     after: &BTreeMap<String, InstanceLine>,
 ) -> InventoryChange {
     let instances: Vec<InstanceRecord> = changed(before, after).map(instance_record).collect();
-    InventoryChange { instances: instances.into(), gone: removed(before, after).into(), ..InventoryChange::default() }
+    InventoryChange {
+        instances: instances.into(),
+        removed_instances: removed(before, after).into(),
+        ..InventoryChange::default()
+    }
 }
--- a/crates/traffic/tests/attempts.rs
+++ b/crates/traffic/tests/attempts.rs
@@ -45,7 +45,7 @@
     let slots = vec![slot(1), slot(2), slot(3), slot(4)].into();
     let table =
         OwnershipTable { function: "t/f".into(), membership: 2, slots, requests: 100, ..OwnershipTable::default() };
-    owner.step(ms(1), true, OwnerInput::Forward { from: 9, message: ForwardMessage::Table { table } });
+    owner.step(ms(1), true, OwnerInput::Forward { from: 9, message: ForwardMessage::OwnershipTable { table } });
     owner
 }
 
@@ -236,7 +236,7 @@
         task: 7,
         function: "t/f".into(),
         binding: "t/f".into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         respond_async: 0,
         key: "a".into(),
--- a/crates/traffic/tests/earlier_owners.rs
+++ b/crates/traffic/tests/earlier_owners.rs
@@ -21,7 +21,7 @@
         busy: 0,
     };
     let slots: Vec<InstanceSlots> = (0..20).map(slot).collect();
-    ForwardMessage::Table {
+    ForwardMessage::OwnershipTable {
         table: OwnershipTable { is_standby_copy: 1, slots: slots.into(), ..table(membership_number) },
     }
 }
--- a/crates/traffic/tests/standby.rs
+++ b/crates/traffic/tests/standby.rs
@@ -11,7 +11,7 @@
 fn table(membership: u64, is_standby_copy: u8, instance: &str) -> ForwardMessage {
     let slot = InstanceSlots { instance: instance.into(), address: "127.0.0.1:9".into(), ready: 1, busy: 0 };
     let slots = vec![slot].into();
-    ForwardMessage::Table {
+    ForwardMessage::OwnershipTable {
         table: OwnershipTable {
             function: FUNCTION.into(),
             membership,
@@ -28,7 +28,7 @@
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         respond_async: 0,
         key: "a".into(),
@@ -94,7 +94,7 @@
     returned.members = members.into();
     let outputs = standby.step(ms(500), true, OwnerInput::Membership { membership: returned.into() });
     let handed = outputs.iter().any(|output| {
-        matches!(output, OwnerOutput::Forward { to: OTHER, message: ForwardMessage::Table { table } }
+        matches!(output, OwnerOutput::Forward { to: OTHER, message: ForwardMessage::OwnershipTable { table } }
             if table.is_standby_copy == 0 && table.membership == 2 && table.slots.as_slice().len() == 1)
     });
     assert!(handed, "{outputs:?}");
@@ -166,9 +166,9 @@
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
     owner.step(ms(3000), false, OwnerInput::MembershipLost);
     assert!(!dispatched(&owner.step(ms(3001), true, OwnerInput::Forward { from: OTHER, message: forward_message(7) })));
-    let ForwardMessage::Table { table: mut table_in_between } = table(2, 0, "i2") else { panic!("a table") };
+    let ForwardMessage::OwnershipTable { table: mut table_in_between } = table(2, 0, "i2") else { panic!("a table") };
     table_in_between.rejections = 9;
-    let handed = ForwardMessage::Table { table: table_in_between.clone() };
+    let handed = ForwardMessage::OwnershipTable { table: table_in_between.clone() };
     assert!(
         !dispatched(&owner.step(ms(3002), true, OwnerInput::Forward { from: OTHER, message: handed })),
         "nine requests were rejected"
@@ -187,14 +187,14 @@
 #[test]
 fn rejections_that_a_later_table_adds_to_the_standby_copy_are_counted() {
     let mut owner = after_the_crash(Some(table(1, 1, "i1")));
-    let ForwardMessage::Table { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
+    let ForwardMessage::OwnershipTable { table: mut whole } = table(2, 0, "i1") else { panic!("a table") };
     let rejections = |owner: &mut FunctionOwner| owner.status()["functions"][FUNCTION]["turned_away_5s"].as_u64();
     for (at, reported, wanted) in [(2100, 5, 5), (2300, 7, 7), (2500, 7, 7)] {
         whole.rejections = reported;
         owner.step(
             ms(at),
             true,
-            OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table: whole.clone() } },
+            OwnerInput::Forward { from: OTHER, message: ForwardMessage::OwnershipTable { table: whole.clone() } },
         );
         assert_eq!(rejections(&mut owner), Some(wanted), "at {at} ms");
     }
--- a/crates/wire/tests/samples/forward.rs
+++ b/crates/wire/tests/samples/forward.rs
@@ -1,22 +1,22 @@
-//! Samples of what routers say to each other, and of samples and plans.
+//! Samples of messages between routers, and of messages about plans.
 
-use super::frame;
+use super::encode_frame;
 use wire::{
     DemandSample, ForwardMessage, ForwardRequest, InstanceRecord, InstanceSlots, InventoryChange, Measurement, Message,
     Outcome, OwnershipTable, PlanMessage, QuotaCount, QuotaGrant, QuotaGrantersQuery, QuotaGrantersReply, QuotaReport,
     QuotaRequest, QuotaTotal, QuotaTotals, TunedParameters, WorkerRecord,
 };
 
-fn slot() -> InstanceSlots {
+fn instance_slots() -> InstanceSlots {
     InstanceSlots { instance: "i".into(), address: "a:1".into(), ready: 1, busy: 201 }
 }
 
-fn table() -> OwnershipTable {
+fn ownership_table() -> OwnershipTable {
     OwnershipTable {
         function: "t/f".into(),
         membership: 202,
         is_standby_copy: 1,
-        slots: vec![slot()].into(),
+        slots: vec![instance_slots()].into(),
         requests: 203,
         retries: 204,
         rejections: 205,
@@ -25,7 +25,7 @@
     }
 }
 
-fn inventory() -> InventoryChange {
+fn inventory_change() -> InventoryChange {
     let instance = InstanceRecord {
         id: "i".into(),
         function: "t/f".into(),
@@ -40,20 +40,20 @@
         since: 209,
         age_ms: 210,
         instances: vec![instance].into(),
-        gone: vec!["j".into()].into(),
+        removed_instances: vec!["j".into()].into(),
         workers_read: 1,
         workers_age_ms: 211,
         workers: vec![worker].into(),
-        workers_gone: vec!["v".into()].into(),
+        removed_workers: vec!["v".into()].into(),
     }
 }
 
-fn request() -> ForwardRequest {
+fn forward_request() -> ForwardRequest {
     ForwardRequest {
         task: 212,
         function: "t/f".into(),
         binding: "t/b".into(),
-        left_ms: 213,
+        remaining_ms: 213,
         resends: 3,
         attempts: 214,
         respond_async: 1,
@@ -63,12 +63,12 @@
     }
 }
 
-fn uncounted() -> ForwardMessage {
+fn uncounted_forward() -> ForwardMessage {
     ForwardMessage::ForwardUncounted {
         task: 217,
         function: "t/f".into(),
         binding: "t/b".into(),
-        left_ms: 218,
+        remaining_ms: 218,
         resends: 4,
         respond_async: 1,
         key: "k".into(),
@@ -95,13 +95,13 @@
     ForwardMessage::QuotaTotals { totals: QuotaTotals { number: 312, totals: vec![total].into() } }
 }
 
-fn credits() -> [ForwardMessage; 4] {
+fn credit_messages() -> [ForwardMessage; 4] {
     [
         ForwardMessage::QuotaRequest { request: QuotaRequest { number: 313, consumer: 314, wanted: 315 } },
         ForwardMessage::QuotaGrant { grant: QuotaGrant { number: 316, granted: 317, retry_after_ms: 318 } },
         ForwardMessage::QuotaGrantersQuery { query: QuotaGrantersQuery { round: 319 } },
         ForwardMessage::QuotaGrantersReply {
-            reply: QuotaGrantersReply { round: 320, granters: 321, granted_by_it_ms: 322 },
+            reply: QuotaGrantersReply { round: 320, granters: 321, membership_in_use_ms: 322 },
         },
     ]
 }
@@ -114,28 +114,34 @@
     let (head, body) = (vec![226].into(), vec![227].into());
     let answer = Answer { task: 228, outcome: Outcome::Accepted, status: 229, retry_after_ms: 230, head, body };
     [
-        uncounted(),
+        uncounted_forward(),
         in_seconds,
         NotOwner { task: 231 },
-        Handover { function: "t/f".into(), membership: 232, slots: vec![slot()].into(), requests: 233, retries: 234 },
+        Handover {
+            function: "t/f".into(),
+            membership: 232,
+            slots: vec![instance_slots()].into(),
+            requests: 233,
+            retries: 234,
+        },
         Preempt { function: "t/f".into(), memory_mb: 235 },
         Heartbeat,
-        Table { table: table() },
+        OwnershipTable { table: ownership_table() },
         answer,
         HeartbeatRequest,
-        Inventory { inventory: inventory() },
+        Inventory { inventory: inventory_change() },
         InventoryRequest,
-        Forward { request: Box::new(request()) },
+        Forward { request: Box::new(forward_request()) },
         AttemptRequest { task: 236, attempts: 237 },
         AttemptGrant { task: 238, attempts: 239 },
         Returned { task: 240, attempts: 241 },
-        ForwardForConsumer { request: Box::new(request()), consumer: "t/c".into() },
+        ForwardForConsumer { request: Box::new(forward_request()), consumer: "t/c".into() },
         quota_report(),
         quota_totals(),
     ]
     .into_iter()
-    .chain(credits())
-    .map(|message| frame(Message::Forward(message)))
+    .chain(credit_messages())
+    .map(|message| encode_frame(Message::Forward(message)))
     .collect()
 }
 
@@ -147,7 +153,7 @@
         waiting_milli: 253,
         queued_milli: 254,
     };
-    let measure = Measurement {
+    let measurement = Measurement {
         function: "t/f".into(),
         boot_micro: 255,
         boots: 256,
@@ -159,18 +165,18 @@
     let tuned = TunedParameters {
         function: "t/f".into(),
         startup_delay_steps: 261,
-        usage_micro: 262,
-        hard_milli: 263,
-        why: "why".into(),
+        target_usage_micro: 262,
+        sla_hard_milli: 263,
+        reason: "why".into(),
     };
     [
-        PlanMessage::Samples { lines: vec![sample].into() },
+        PlanMessage::Samples { samples: vec![sample].into() },
         PlanMessage::Request { request_id: 264, function: "t/f".into(), current: 265, queued: 266, waiting: 267 },
         PlanMessage::Reply { request_id: 268, fence: 269, state: 1, step_ms: 270, desired: vec![271].into() },
-        PlanMessage::Measures { lines: vec![measure].into() },
-        PlanMessage::Tuned { fence: 272, lines: vec![tuned].into() },
+        PlanMessage::Measurements { measurements: vec![measurement].into() },
+        PlanMessage::Tuned { fence: 272, parameters: vec![tuned].into() },
     ]
     .into_iter()
-    .map(|message| frame(Message::Plan(message)))
+    .map(|message| encode_frame(Message::Plan(message)))
     .collect()
 }
--- a/crates/wire/tests/samples/lease.rs
+++ b/crates/wire/tests/samples/lease.rs
@@ -1,13 +1,13 @@
-//! Samples of what registries and routers say to each other.
+//! Samples of messages between routers and registries.
 
-use super::frame;
+use super::encode_frame;
 use wire::{Capacity, ConfigurationEpoch, ConfigurationItem, LeaseMessage, Message, ProofAge};
 
 fn item() -> ConfigurationItem {
-    ConfigurationItem { key: "functions/a/f".into(), gone: 1, value: b"{}".to_vec().into() }
+    ConfigurationItem { key: "functions/a/f".into(), is_removed: 1, value: b"{}".to_vec().into() }
 }
 
-fn step() -> ConfigurationEpoch {
+fn epoch() -> ConfigurationEpoch {
     ConfigurationEpoch { number: 101, revision: 102, quorum: vec![103, 104].into(), items: vec![item()].into() }
 }
 
@@ -20,16 +20,16 @@
     let mut samples: Vec<Vec<u8>> = [
         Join { address: "a:1".into(), zone: "z".into(), ops: "o:2".into() },
         Renew { request_id: 111, staged: 112, active: 113, membership: 114 },
-        Proof { request_id: 115, active: 116, latest: 117, member: 1 },
+        Proof { request_id: 115, active: 116, latest: 117, is_member: 1 },
         NotTail { tail: 118, view: 119, addresses: vec!["s:3".into()].into() },
-        Stage { step: step() },
+        Stage { epoch: epoch() },
         Staged { number: 120 },
         Activate { number: 121 },
         Membership { number: 122, body: vec![123].into() },
         ConfigurationRequest { request_id: 124, from: "f".into() },
         ConfigurationPage {
             request_id: 125,
-            step: 126,
+            epoch: 126,
             revision: 127,
             quorum: vec![128].into(),
             items: vec![item()].into(),
@@ -46,16 +46,24 @@
         Leaving,
     ]
     .into_iter()
-    .map(|message| frame(Message::Lease(message)))
+    .map(|message| encode_frame(Message::Lease(message)))
     .collect();
-    samples.extend(later_messages().into_iter().map(|message| frame(Message::Lease(message))));
+    samples.extend(messages_added_since_format_4().into_iter().map(|message| encode_frame(Message::Lease(message))));
     samples
 }
 
-fn later_messages() -> Vec<LeaseMessage> {
+fn messages_added_since_format_4() -> Vec<LeaseMessage> {
     use LeaseMessage::*;
     vec![
-        Part { request_id: 141, full: 1, number: 142, size: 143, packed: 144, offset: 145, bytes: vec![146].into() },
+        Part {
+            request_id: 141,
+            full: 1,
+            number: 142,
+            size: 143,
+            compressed_size: 144,
+            offset: 145,
+            bytes: vec![146].into(),
+        },
         PartRequest { request_id: 147, full: 1, number: 148, offset: 149 },
         MajorityEpochRequest { request_id: 150, active: 151 },
         MajorityEpochReply { request_id: 152, active: 153 },
