--- a/crates/config/src/command_line.rs
+++ b/crates/config/src/command_line.rs
@@ -1,5 +1,5 @@
 //! The command line that all daemons share: `--env FILE`, `--check`, `--help`, `--version`, and a flag for each
-//! setting. Parsing returns what to run or print; only `run_program` prints and returns an exit code.
+//! setting. Parsing only returns what to run or print; the `run_program` functions print it and return an exit code.
 
 use crate::{SettingError, Settings, Source};
 use lexopt::prelude::*;
