--- a/crates/emulator/src/state.rs
+++ b/crates/emulator/src/state.rs
@@ -1,7 +1,7 @@
 //! The emulator's state, owned by one task: workers, instances, the rate limit of calls, and the lagging lists.
 
 use crate::services::Services;
-use config::{address, any, in_range};
+use config::{address, any_value, in_range};
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,14 +14,14 @@
 config::settings! {
     pub struct EmulatorSettings {
         address: String = String::new(), address, "address of the platform's API";
-        services: PathBuf = PathBuf::new(), any, "JSON file of services";
-        record: PathBuf = PathBuf::from("runs.jsonl"), any, "file of the instances' record";
+        services: PathBuf = PathBuf::new(), any_value, "JSON file of services";
+        record: PathBuf = PathBuf::from("runs.jsonl"), any_value, "file of the instances' record";
         workers: u32 = 12, in_range(1, 1000), "number of workers";
-        zones: Vec<String> = vec!["a".into(), "b".into(), "c".into()], any, "zones, assigned to the workers in rotation";
+        zones: Vec<String> = vec!["a".into(), "b".into(), "c".into()], any_value, "zones, assigned to the workers in rotation";
         memory_mb: u32 = 5427, in_range(64, 1_000_000), "memory of each worker";
         calls: u32 = 80, in_range(1, 10_000), "maximum starts and stops per second";
         lag: Duration = Duration::from_millis(1200), in_range(Duration::ZERO, Duration::from_secs(30)), "lag of the lists";
-        seed: u64 = 1, any, "seed of the random source";
+        seed: u64 = 1, any_value, "seed of the random source";
     }
 }
 
--- a/crates/sim/src/platform.rs
+++ b/crates/sim/src/platform.rs
@@ -89,30 +89,30 @@
         let report = match order {
             ProviderOrder::Start(order) => {
                 let nonce = order.nonce.clone();
-                let receipt = if is_accepted { self.start_instance(order, boot) } else { StartReply::Limited };
-                let receipt = if lost { StartReply::Unanswered } else { receipt };
-                ProviderReport::Started { nonce, receipt }
+                let reply = if is_accepted { self.start_instance(order, boot) } else { StartReply::RateLimited };
+                let reply = if lost { StartReply::Unanswered } else { reply };
+                ProviderReport::Started { nonce, reply }
             }
             ProviderOrder::Stop { id, .. } => {
                 let known = is_accepted.then(|| self.platform.instances.remove(&id).is_some());
-                let receipt = match known {
+                let reply = match known {
                     _ if lost => StopReply::Unanswered,
-                    Some(true) => StopReply::Taken,
+                    Some(true) => StopReply::Accepted,
                     Some(false) => StopReply::Unknown,
-                    None => StopReply::Limited,
+                    None => StopReply::RateLimited,
                 };
-                ProviderReport::Stopped { id, receipt }
+                ProviderReport::Stopped { id, reply }
             }
             ProviderOrder::List | ProviderOrder::Workers if lost => return,
             ProviderOrder::List => {
                 let listing = self.platform.lists.front().map(|(_, listing, _)| listing.clone()).unwrap_or_default();
-                ProviderReport::Listed { listing, asked: Instant::now() }
+                ProviderReport::Listed { listing, requested_at: Instant::now() }
             }
             ProviderOrder::Workers => {
                 let free = self.platform.lists.front().map(|(_, _, free)| free.clone()).unwrap_or_default();
                 ProviderReport::Workers {
                     lines: free.iter().enumerate().map(worker_line).collect(),
-                    asked: Instant::now(),
+                    requested_at: Instant::now(),
                 }
             }
         };
@@ -132,7 +132,7 @@
         let worker_with_most_room = || (0..WORKERS).max_by_key(|worker| free[*worker]).unwrap_or_default();
         let worker = named.unwrap_or_else(worker_with_most_room);
         if free.get(worker).is_none_or(|free| *free == 0) {
-            return StartReply::NoRoom;
+            return StartReply::InsufficientMemory;
         }
         self.platform.starts += 1;
         let id = format!("i{}", self.platform.starts);
--- a/crates/traffic/src/dialect.rs
+++ b/crates/traffic/src/dialect.rs
@@ -4,7 +4,7 @@
 use crate::settings::RouterSettings;
 use axum::Router;
 use dispatch::HttpDialect;
-use instance_provider::Start;
+use instance_provider::ProviderFactory;
 
 /// Builds the routes of the additional pages.
 pub type MakePages = Box<dyn FnOnce(Views) -> Router + Send>;
@@ -15,7 +15,7 @@
     /// Names of the HTTP headers.
     pub http: HttpDialect,
     /// Builds the instance provider; by default, heronlink's own at the address in the settings.
-    pub provider: Option<Start>,
+    pub provider: Option<ProviderFactory>,
     /// Additional pages.
     pub pages: Option<MakePages>,
     /// Address at which the additional pages are served.
--- a/crates/traffic/src/service.rs
+++ b/crates/traffic/src/service.rs
@@ -135,11 +135,11 @@
             ));
             spawn_local(dispatch::run(http_dialect, dispatch_inbox, report));
             spawn_local(plane.run(traffic_inbox));
-            http_server::serve_within(adopt(caller_listener), caller_routes, limits, server_stop).await;
+            http_server::serve_with_dynamic_limits(adopt(caller_listener), caller_routes, limits, server_stop).await;
         });
     })?;
     let ops_limits = ServerLimits { connections: 64, life: Duration::from_secs(86_400), ..server_limits };
-    let resource_pages = http_server::views(http_server::Views { index: index_updates, tokens });
+    let resource_pages = http_server::view_routes(http_server::Views { index: index_updates, tokens });
     let (views, ops_stop) = (Views { traffic: view_updates, control: control_updates }, stop_signal);
     thread("operations", move || {
         local(async move {
@@ -179,7 +179,7 @@
     local(async move {
         if let Some(reread) = dialect.reread {
             let (control_sender, read) = (control_sender.clone(), move || reread().map(|settings| settings.seeds));
-            spawn_local(kernel::follow(settings.seeds, read, async move |seeds| {
+            spawn_local(kernel::watch_settings(settings.seeds, read, async move |seeds| {
                 control_sender.send_waiting(ControlMessage::Seeds(seeds)).await;
             }));
         }
--- a/crates/traffic/src/settings.rs
+++ b/crates/traffic/src/settings.rs
@@ -2,8 +2,8 @@
 
 use crate::allowances::Allowances;
 use crate::owner_settings::OwnerSettings;
-use config::{address, address_or_none, any, in_range, seeds, word};
-use http_server::well_formed;
+use config::{address, address_or_none, any_value, identifier, in_range, seed_addresses};
+use http_server::check_tokens;
 use quota::QuotaBounds;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 
 config::settings! {
     pub struct RouterSettings {
-        cluster: String = "heronlink".into(), word, "name of the cluster; frames of another are refused";
-        zone: String = "a".into(), word, "zone of this machine";
+        cluster: String = "heronlink".into(), identifier, "name of the cluster; frames of another are refused";
+        zone: String = "a".into(), identifier, "zone of this machine";
         address: String = String::new(), address, "IP address and port for links from other heronlink processes";
         listen: String = String::new(), address, "IP address and port for callers (HTTP/1.1)";
         ops: String = String::new(), address, "IP address and port for health, metrics and the status page";
         bind: String = String::new(), address_or_none, "IP address and port to listen at for other heronlink processes, if not `address` itself";
-        seeds: Vec<String> = Vec::new(), seeds, "addresses of three registries";
+        seeds: Vec<String> = Vec::new(), seed_addresses, "addresses of three registries";
         platform: String = String::new(), address, "IP address and port of the platform's API";
         hold: Duration = Duration::from_millis(1500), in_range(Duration::from_millis(500), Duration::from_secs(10)), "how long a proof of revision lasts; must be the same on every machine";
         peer_hold: Duration = leases::DEFAULT_PEER_HOLD, in_range(Duration::from_secs(1), Duration::from_secs(86_400)), "how long this router may serve on proofs from peers after the last proof from the registries; must be the same on every machine";
@@ -29,8 +29,8 @@
         body_time: Duration = Duration::from_secs(4), in_range(Duration::from_millis(100), Duration::from_secs(60)), "time limit for a request body";
         life: Duration = Duration::from_secs(600), in_range(Duration::from_secs(1), Duration::from_secs(86_400)), "maximum lifetime of a connection";
         grace: Duration = Duration::from_secs(8), in_range(Duration::from_secs(1), Duration::from_secs(120)), "time limit for a planned stop, in which requests in progress are finished";
-        tokens: Vec<String> = Vec::new(), well_formed, "bearer tokens for the views of kinds, tenant=SECRET or *=SECRET, separated by commas";
-        tokens_file: PathBuf = PathBuf::new(), any, "file with more bearer tokens, one per line, so that none need be given on a command line";
+        tokens: Vec<String> = Vec::new(), check_tokens, "bearer tokens for the views of kinds, tenant=SECRET or *=SECRET, separated by commas";
+        tokens_file: PathBuf = PathBuf::new(), any_value, "file with more bearer tokens, one per line, so that none need be given on a command line";
         processor_share: f64 = 1.0, in_range(0.001, 4096.0), "processor cores that this router may use; routers with fewer cores own fewer functions";
         link_mbps: f64 = 1000.0, in_range(0.01, 1_000_000.0), "network bandwidth of this machine in Mbit/s; routers with less bandwidth own fewer functions";
         list_every: Duration = Duration::from_millis(1000), in_range(Duration::from_millis(100), Duration::from_secs(30)), "interval at which the platform's list of instances is read";
@@ -48,8 +48,8 @@
         quota_slack: f64 = 20.0, in_range(0.0, 1_000_000.0), "additional number of requests by which they may exceed it";
         step: Duration = Duration::from_secs(15), in_range(Duration::from_millis(250), Duration::from_secs(600)), "length of one step of samples and plans; must be the same on every machine";
         format: u16 = wire::FORMAT, in_range(wire::OLDEST_FORMAT, wire::FORMAT), "format version of sent frames; use the previous one during a rolling update from a version that does not know this one";
-        log_level: String = "info".into(), word, "error, warn, info, debug or trace";
-        log_file: String = String::new(), any, "log file, rotated by size; empty for standard error";
+        log_level: String = "info".into(), identifier, "error, warn, info, debug or trace";
+        log_file: String = String::new(), any_value, "log file, rotated by size; empty for standard error";
     }
 }
 
