--- a/crates/traffic/src/control_loop.rs
+++ b/crates/traffic/src/control_loop.rs
@@ -224,17 +224,13 @@
     }
 
     fn publish_reachability(&mut self) {
-        let is_reachable = self.last_proof_at.is_some_and(|at| at.elapsed() < REACHABLE_FOR);
-        let reachability = (is_reachable, self.follower.tail());
+        let reachable = self.last_proof_at.is_some_and(|at| at.elapsed() < REACHABLE_FOR);
+        let reachability = (reachable, self.follower.tail());
         if reachability != self.published_reachability || self.published_at.elapsed() > REACHABLE_FOR / 5 {
             self.published_reachability = reachability;
             self.published_at = Instant::now();
             let registries = self.registries.iter().copied().collect();
-            self.send_to_traffic(TrafficMessage::Registries {
-                tail: self.follower.tail(),
-                reachable: is_reachable,
-                registries,
-            });
+            self.send_to_traffic(TrafficMessage::Registries { tail: self.follower.tail(), reachable, registries });
             self.publish_view();
         }
     }
