--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,51 +1,51 @@
-//! Settings from a file and from flags. `settings!` declares each with its type, default, check
-//! and help line; everything is checked before anything is opened, and a wrong one is reported by
-//! name, with its value and what is allowed.
+//! Settings from a file and from flags. `settings!` declares each setting with its type, default, check and
+//! help line. All settings are checked before files or sockets are opened; an invalid one is reported with its
+//! name, its value and what is allowed.
 
 #![warn(missing_docs)]
 
-mod line;
+mod command_line;
 mod parse;
 mod rules;
 mod tool;
 
+pub use command_line::{Reread, run_program, run_program_with_defaults};
 pub use lexopt;
-pub use line::{Reread, program, program_given};
-pub use parse::{FromWords, Source};
-pub use rules::{address, address_or_none, addresses, any, in_range, non_empty, seeds, word};
+pub use parse::{SettingValue, Source};
+pub use rules::{address, address_or_none, addresses, any_value, identifier, in_range, non_empty, seed_addresses};
 pub use tool::{ToolArgument, ToolLine};
 
 use derive_more::{Display, Error};
 
-/// A setting that cannot be used.
+/// An unknown or invalid setting.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 #[display("setting {name} = {value}: {allowed}")]
 pub struct SettingError {
-    /// The setting's name.
+    /// Name of the setting.
     pub name: String,
-    /// What it was given as; never a secret.
+    /// Value as given, without secrets.
     pub value: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
-/// A value as it may be told: a secret never is.
-pub fn told(name: &str, value: String) -> String {
+/// Returns a value as it may be printed, with secrets replaced.
+pub fn display_value(name: &str, value: String) -> String {
     if name == "tokens" { "(not shown)".into() } else { value }
 }
 
 /// A program's settings, as declared with [`settings!`].
 pub trait Settings: Sized {
-    /// Reads and checks every setting; the first wrong one is the error.
+    /// Reads and checks every setting; returns an error for the first invalid one.
     fn read(source: &Source) -> Result<Self, SettingError>;
-    /// Name, default and help line of each.
+    /// Returns the name, default and help line of each setting.
     fn help() -> Vec<(&'static str, String, &'static str)>;
-    /// Name and value of each, as given.
-    fn shown(&self) -> Vec<(&'static str, String)>;
+    /// Returns the name and value of each setting, in the form that can be given.
+    fn values(&self) -> Vec<(&'static str, String)>;
 }
 
-/// Declares a struct of settings: `name: type = default, check, "help line";` for each. The help line is the
-/// field's doc comment.
+/// Declares a struct of settings: `name: type = default, check, "help line";` for each. The help line is
+/// also the field's doc comment.
 #[macro_export]
 macro_rules! settings {
     ($(#[$meta:meta])* pub struct $name:ident {
@@ -57,28 +57,28 @@
 
         impl $crate::Settings for $name {
             fn read(source: &$crate::Source) -> Result<Self, $crate::SettingError> {
-                source.only(&[$( stringify!($field), )*])?;
+                source.reject_unknown(&[$( stringify!($field), )*])?;
                 Ok($name { $( $field: {
                     let value: $type = match source.find(stringify!($field)) {
-                        Some(words) => <$type as $crate::FromWords>::from_words(&words).map_err(|allowed| {
-                            $crate::SettingError { name: stringify!($field).into(), value: words.clone(), allowed }
+                        Some(text) => <$type as $crate::SettingValue>::parse_value(&text).map_err(|allowed| {
+                            $crate::SettingError { name: stringify!($field).into(), value: text.clone(), allowed }
                         })?,
                         None => $default,
                     };
                     let check = $check;
                     check(&value).map_err(|allowed| $crate::SettingError {
                         name: stringify!($field).into(),
-                        value: $crate::told(stringify!($field), $crate::FromWords::to_words(&value)),
+                        value: $crate::display_value(stringify!($field), $crate::SettingValue::format_value(&value)),
                         allowed,
                     })?;
                     value
                 }, )* })
             }
             fn help() -> Vec<(&'static str, String, &'static str)> {
-                vec![$( (stringify!($field), <$type as $crate::FromWords>::to_words(&$default), $help), )*]
+                vec![$( (stringify!($field), <$type as $crate::SettingValue>::format_value(&$default), $help), )*]
             }
-            fn shown(&self) -> Vec<(&'static str, String)> {
-                vec![$( (stringify!($field), $crate::FromWords::to_words(&self.$field)), )*]
+            fn values(&self) -> Vec<(&'static str, String)> {
+                vec![$( (stringify!($field), $crate::SettingValue::format_value(&self.$field)), )*]
             }
         }
     };
@@ -91,14 +91,14 @@
 
     settings! {
         pub struct Sample {
-            zone: String = "a".into(), word, "the zone";
+            zone: String = "a".into(), identifier, "the zone";
             tokens: Vec<String> = Vec::new(), |list: &Vec<String>| list.iter().all(|t| t.len() > 9).then_some(()).ok_or("longer ones".into()), "secrets";
             hold: Duration = Duration::from_millis(1500), in_range(Duration::from_millis(500), Duration::from_secs(10)), "the hold";
         }
     }
 
     #[test]
-    fn flags_go_before_the_file_and_a_wrong_value_is_named_with_what_is_allowed() {
+    fn flags_override_the_file_and_an_invalid_value_is_reported_with_what_is_allowed() {
         let source = Source::new("zone = \"b\"\nhold = \"2s\"", vec![("zone".into(), "c".into())]).unwrap();
         let sample = Sample::read(&source).unwrap();
         assert_eq!((sample.zone.as_str(), sample.hold), ("c", Duration::from_secs(2)));
--- a/crates/control/src/planner.rs
+++ b/crates/control/src/planner.rs
@@ -74,7 +74,7 @@
         limit: Duration,
     ) -> Vec<PlannerOutput> {
         match message {
-            PlanMessage::Samples { lines } => {
+            PlanMessage::Samples { samples: lines } => {
                 for line in lines.iter().filter(|line| self.functions.contains_key(line.function.as_str())) {
                     let sample = Sample {
                         rate: line.rate_milli as f64 / 1000.0,
@@ -100,10 +100,10 @@
                 let fault = planned.error.map(|fault| format!("{}: {fault}", function.name));
                 vec![PlannerOutput { to: from, message, fault }]
             }
-            PlanMessage::Measures { lines } if self.view.optimizer == me => {
+            PlanMessage::Measurements { measurements: lines } if self.view.optimizer == me => {
                 self.handle_measurements(now, me, from, lines.as_slice())
             }
-            PlanMessage::Tuned { fence, lines } => {
+            PlanMessage::Tuned { fence, parameters: lines } => {
                 self.adopt(fence, lines.into_vec());
                 Vec::new()
             }
@@ -138,7 +138,7 @@
             .filter(|to| self.tuned_sent_at.get(to).is_none_or(|at| now >= *at + ANNOUNCE_INTERVAL))
             .collect();
         self.tuned_sent_at.retain(|_, at| now < *at + ANNOUNCE_INTERVAL * 20);
-        let message = PlanMessage::Tuned { fence: self.fence, lines: self.tuned.clone().into() };
+        let message = PlanMessage::Tuned { fence: self.fence, parameters: self.tuned.clone().into() };
         due.into_iter()
             .map(|to| {
                 self.tuned_sent_at.insert(to, now);
@@ -166,17 +166,17 @@
     TunedParameters {
         function: name.into(),
         startup_delay_steps: tuned.startup_delay_steps,
-        usage_micro: (tuned.target_usage * 1e6).round() as u64,
-        hard_milli: (tuned.sla_hard * 1e3).round() as u64,
-        why: tuned.reason.as_str().into(),
+        target_usage_micro: (tuned.target_usage * 1e6).round() as u64,
+        sla_hard_milli: (tuned.sla_hard * 1e3).round() as u64,
+        reason: tuned.reason.as_str().into(),
     }
 }
 
 fn decode_tuned(parameters: &TunedParameters) -> TunedWeights {
     TunedWeights {
         startup_delay_steps: parameters.startup_delay_steps,
-        target_usage: parameters.usage_micro as f64 / 1e6,
-        sla_hard: parameters.hard_milli as f64 / 1e3,
-        reason: parameters.why.as_str().to_owned(),
+        target_usage: parameters.target_usage_micro as f64 / 1e6,
+        sla_hard: parameters.sla_hard_milli as f64 / 1e3,
+        reason: parameters.reason.as_str().to_owned(),
     }
 }
--- a/crates/control/tests/fuzz.rs
+++ b/crates/control/tests/fuzz.rs
@@ -29,18 +29,18 @@
         0..=2 => {
             let key = format!("function-bindings/t{tenant}/b{}", rng.random_range(0..6));
             let gone = rng.random_ratio(1, 5) as u8;
-            let item = ConfigurationItem { key: key.into(), gone, value: binding(rng).into() };
+            let item = ConfigurationItem { key: key.into(), is_removed: gone, value: binding(rng).into() };
             let full = rng.random_ratio(1, 10) as u8;
             Command::Change {
                 op: format!("op{round}").into(),
                 base: rng.random_range(0..40),
-                any: rng.random_ratio(3, 4) as u8,
-                full,
+                is_any_base: rng.random_ratio(3, 4) as u8,
+                replaces_scope: full,
                 scope: if rng.random_bool(0.5) { format!("t{tenant}").into() } else { "".into() },
                 items: vec![item].into(),
             }
         }
-        3 => Command::Activate { step: rng.random_range(0..60) },
+        3 => Command::Activate { epoch: rng.random_range(0..60) },
         4 => Command::Claim {
             scope: format!("k{}", rng.random_range(0..20)).into(),
             digest: vec![rng.random_range(0..2)].into(),
--- a/crates/explore/src/choice.rs
+++ b/crates/explore/src/choice.rs
@@ -1,52 +1,43 @@
-//! What may happen next in a state, and making it happen.
+//! The choices available in a state, and their execution.
 
-use crate::passing::Silence;
+use crate::clock::Isolation;
 use crate::world::World;
 use std::fmt::{Display, Formatter};
 use wire::{ChainMessage, NodeId};
 
-/// One step of a run. Machines are named by their index.
+/// One step of a run. Machines are identified by their index.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// One message arrives, in whatever order.
-    Deliver {
-        from: NodeId,
-        to: NodeId,
-        place: usize,
-    },
+    /// One message arrives, in any order. `position` is its index among the messages in flight on the link.
+    Deliver { from: NodeId, to: NodeId, position: usize },
     /// One message is lost.
-    Drop {
-        from: NodeId,
-        to: NodeId,
-        place: usize,
-    },
-    /// A machine's oldest write is synced.
-    Land(usize),
-    /// All messages arrive and all writes land, in the order sent, until nothing is under way.
+    Drop { from: NodeId, to: NodeId, position: usize },
+    /// The oldest write of a machine is synced.
+    CompleteWrite(usize),
+    /// All messages are delivered and all writes completed, in the order sent, until none is left.
     Settle,
-    /// Three half suspicion times pass; messages stay under way.
-    Pass(Silence),
-    /// Three half suspicion times pass with all messages and writes finished in between.
-    Calm(Silence),
+    /// The clocks advance by three half suspicion timeouts; messages stay in flight.
+    AdvanceClocks(Isolation),
+    /// The clocks advance by three half suspicion timeouts; all messages and writes complete in between.
+    AdvanceAndDeliver(Isolation),
+    /// A change is proposed at a machine.
     Propose(usize),
+    /// A tail is asked to confirm its reads.
     Confirm(usize),
-    /// The process dies; its unsynced write is lost, or lands unreported.
-    Crash {
-        machine: usize,
-        write_lands: bool,
-    },
+    /// The process crashes; its oldest unsynced write is lost, or synced without a report.
+    Crash { machine: usize, write_synced: bool },
+    /// The process starts again from its disk.
     Restart(usize),
-    /// The process dies and its disk is lost; the machine starts empty under a new identity.
+    /// The process crashes and its disk is lost; the machine starts empty with a new node id.
     Wipe(usize),
+    /// A machine is told to leave the chain.
     Leave(usize),
-    /// A machine that was told to leave ends.
+    /// The process of a machine that was told to leave stops.
     EndLeaving(usize),
-    /// A new machine starts, the successor of one that is to leave.
-    Join {
-        replaces: usize,
-    },
-    /// A view forged by a planted fault is spread.
-    Forge,
+    /// A new machine starts as the successor of one that will leave.
+    Join { replaces: usize },
+    /// A view forged by a planted fault is sent to the voters.
+    ForgeView,
 }
 
 impl Display for Choice {
@@ -56,14 +47,14 @@
 }
 
 impl World {
-    /// Everything that may happen next within the budget and the declared losses.
+    /// Returns every choice allowed by the budget and the declared number of losses.
     pub fn choices(&self) -> Vec<Choice> {
         let mut choices = Vec::new();
         self.progress_choices(&mut choices);
         self.fault_choices(&mut choices);
         self.membership_choices(&mut choices);
-        if self.may_forge_view() {
-            choices.push(Choice::Forge);
+        if self.can_forge_view() {
+            choices.push(Choice::ForgeView);
         }
         choices
     }
@@ -76,7 +67,7 @@
         }
         for (index, machine) in self.machines.iter().enumerate() {
             if !machine.pending.is_empty() {
-                choices.push(Choice::Land(index));
+                choices.push(Choice::CompleteWrite(index));
             }
             if machine.member.is_some() && self.budget.entries > 0 {
                 choices.push(Choice::Propose(index));
@@ -86,32 +77,33 @@
             }
         }
         for ((from, to), messages) in &self.frames {
-            for place in 0..messages.len() {
-                choices.push(Choice::Deliver { from: *from, to: *to, place });
+            for position in 0..messages.len() {
+                choices.push(Choice::Deliver { from: *from, to: *to, position });
             }
         }
         if self.budget.passes > 0 {
-            choices.push(Choice::Calm(Silence::None));
-            choices.extend(self.may_stall().then_some(Choice::Pass(Silence::None)));
+            choices.push(Choice::AdvanceAndDeliver(Isolation::None));
+            choices.extend(self.may_stall_writes().then_some(Choice::AdvanceClocks(Isolation::None)));
         }
     }
 
-    /// Whose writes are under way: while time passes their disks hang, which counts as a loss.
+    /// Returns the machines with pending writes. If the clocks advance meanwhile, their disks are stalled, which
+    /// counts as a loss.
     pub(crate) fn stalled(&self) -> impl Iterator<Item = usize> {
         (0..self.machines.len()).filter(|index| !self.machines[*index].pending.is_empty())
     }
 
-    fn may_stall(&self) -> bool {
-        let counted = self.stalled().filter(|index| !self.is_missed_already(*index)).count();
-        self.lost_count() + counted <= self.losses
+    fn may_stall_writes(&self) -> bool {
+        let newly_stalled = self.stalled().filter(|index| !self.is_already_unavailable(*index)).count();
+        self.lost_count() + newly_stalled <= self.losses
     }
 
     fn fault_choices(&self, choices: &mut Vec<Choice>) {
         if self.budget.drops > 0 {
             for ((from, to), messages) in &self.frames {
-                let droppable = |message: &ChainMessage| !matches!(message, ChainMessage::Done { .. });
-                let places = (0..messages.len()).filter(|place| droppable(&messages[*place]));
-                choices.extend(places.map(|place| Choice::Drop { from: *from, to: *to, place }));
+                let droppable = |message: &ChainMessage| !matches!(message, ChainMessage::ProposalReply { .. });
+                let positions = (0..messages.len()).filter(|position| droppable(&messages[*position]));
+                choices.extend(positions.map(|position| Choice::Drop { from: *from, to: *to, position }));
             }
         }
         for (index, machine) in self.machines.iter().enumerate() {
@@ -125,9 +117,9 @@
                 continue;
             }
             if self.budget.crashes > 0 {
-                choices.push(Choice::Crash { machine: index, write_lands: false });
+                choices.push(Choice::Crash { machine: index, write_synced: false });
                 if !machine.pending.is_empty() {
-                    choices.push(Choice::Crash { machine: index, write_lands: true });
+                    choices.push(Choice::Crash { machine: index, write_synced: true });
                 }
             }
             if self.budget.wipes > 0 {
@@ -135,10 +127,10 @@
             }
             if self.budget.silences > 0 && self.budget.passes > 0 {
                 if self.stalled().all(|stalled| stalled == index) {
-                    choices.push(Choice::Pass(Silence::Frozen(index)));
-                    choices.push(Choice::Pass(Silence::Cut(index)));
+                    choices.push(Choice::AdvanceClocks(Isolation::Frozen(index)));
+                    choices.push(Choice::AdvanceClocks(Isolation::Cut(index)));
                 }
-                choices.push(Choice::Calm(Silence::Cut(index)));
+                choices.push(Choice::AdvanceAndDeliver(Isolation::Cut(index)));
             }
         }
     }
@@ -148,13 +140,13 @@
             if machine.member.is_none() {
                 continue;
             }
-            let succeeded = machine.successor.is_some_and(|successor| !self.machines[successor].troubled);
-            let may_go = succeeded || self.may_lose(index);
-            let may_end = (succeeded && self.may_stop(index)) || self.may_lose(index);
+            let has_intact_successor = machine.successor.is_some_and(|successor| !self.machines[successor].is_faulty);
+            let may_leave = has_intact_successor || self.may_lose(index);
+            let may_end = (has_intact_successor && self.may_stop(index)) || self.may_lose(index);
             if machine.leaving && may_end {
                 choices.push(Choice::EndLeaving(index));
             }
-            if !machine.leaving && may_go && self.budget.leaves > 0 {
+            if !machine.leaving && may_leave && self.budget.leaves > 0 {
                 choices.push(Choice::Leave(index));
             }
             if self.budget.joins > 0 && machine.successor.is_none() && self.machines.len() < 10 {
@@ -163,20 +155,21 @@
         }
     }
 
-    pub fn take(&mut self, choice: &Choice) {
+    /// Executes a choice and checks the invariants of the resulting state.
+    pub fn apply_choice(&mut self, choice: &Choice) {
         match *choice {
-            Choice::Deliver { from, to, place } => {
-                let message = self.unsend(from, to, place);
+            Choice::Deliver { from, to, position } => {
+                let message = self.take_message(from, to, position);
                 self.deliver(from, to, message);
             }
-            Choice::Drop { from, to, place } => {
-                self.unsend(from, to, place);
+            Choice::Drop { from, to, position } => {
+                self.take_message(from, to, position);
                 self.budget.drops -= 1;
             }
-            Choice::Land(index) => self.land(index),
-            Choice::Settle => self.settle(Silence::None),
-            Choice::Pass(silence) => self.pass(silence, false),
-            Choice::Calm(silence) => self.pass(silence, true),
+            Choice::CompleteWrite(index) => self.complete_write(index),
+            Choice::Settle => self.settle(Isolation::None),
+            Choice::AdvanceClocks(isolation) => self.advance_steps(isolation, false),
+            Choice::AdvanceAndDeliver(isolation) => self.advance_steps(isolation, true),
             Choice::Propose(index) => {
                 self.budget.entries -= 1;
                 self.propose(index);
@@ -185,7 +178,7 @@
                 self.budget.confirms -= 1;
                 self.confirm(index);
             }
-            Choice::Crash { machine, write_lands } => self.crash(machine, write_lands),
+            Choice::Crash { machine, write_synced } => self.crash(machine, write_synced),
             Choice::Restart(index) => self.start(index),
             Choice::Wipe(index) => {
                 self.budget.wipes -= 1;
@@ -194,12 +187,12 @@
             Choice::Leave(index) => {
                 self.budget.leaves -= 1;
                 self.machines[index].leaving = true;
-                self.machines[index].troubled |= self.machines[index].successor.is_none();
-                self.feed(index, chain::Input::Leave { within: crate::passing::GRACE });
+                self.machines[index].is_faulty |= self.machines[index].successor.is_none();
+                self.handle_input(index, chain::Input::Leave { within: crate::clock::GRACE });
             }
             Choice::EndLeaving(index) => {
                 self.machines[index].removed = self.machines[index].successor.is_some();
-                self.machines[index].left_in_order = self.may_stop(index) && self.has_left(index);
+                self.machines[index].left_cleanly = self.may_stop(index) && self.has_left(index);
                 self.stop(index);
             }
             Choice::Join { replaces } => {
@@ -207,31 +200,35 @@
                 let index = self.add_machine(false);
                 self.machines[replaces].successor = Some(index);
             }
-            Choice::Forge => self.forge_view(),
+            Choice::ForgeView => self.forge_view(),
         }
         self.check();
     }
 
-    fn unsend(&mut self, from: NodeId, to: NodeId, place: usize) -> ChainMessage {
-        let Some(messages) = self.frames.get_mut(&(from, to)) else { panic!("no message from {from} to {to}") };
-        messages.remove(place)
+    /// Removes a message in flight from its link.
+    fn take_message(&mut self, from: NodeId, to: NodeId, position: usize) -> ChainMessage {
+        let Some(messages) = self.frames.get_mut(&(from, to)) else {
+            panic!("no message in flight from {from} to {to}")
+        };
+        messages.remove(position)
     }
 
-    fn crash(&mut self, index: usize, write_lands: bool) {
+    fn crash(&mut self, index: usize, write_synced: bool) {
         self.budget.crashes -= 1;
-        if write_lands && !self.machines[index].pending.is_empty() {
+        if write_synced && !self.machines[index].pending.is_empty() {
             let (_, batch) = self.machines[index].pending.remove(0);
             self.machines[index].disk.apply(&batch);
         }
         self.stop(index);
     }
 
+    /// Stops a machine, clears its disk and starts it with a new node id.
     pub(crate) fn wipe(&mut self, index: usize) {
         self.stop(index);
         let machine = &mut self.machines[index];
         machine.disk = chain::StoredReplica::default();
         machine.wipes += 1;
-        machine.may_found = false;
+        machine.is_founder = false;
         self.start(index);
     }
 }
--- a/crates/http_server/src/lib.rs
+++ b/crates/http_server/src/lib.rs
@@ -1,16 +1,16 @@
-//! The doors: HTTP/1.1 connections taken in within bounds, the bearer tokens that scope what is seen,
-//! and the pages every node has alike: its view of the declared kinds, and a live watch of it.
+//! HTTP server parts shared by all programs: serving HTTP/1.1 connections within limits, bearer tokens that
+//! limit what a reader sees, and each node's view of the declared kinds, with a live watch of it.
 
 #![warn(missing_docs)]
 
-mod kinds;
 mod resource_index;
 mod serve;
 mod tokens;
+mod view_items;
 mod views;
 
-pub use kinds::kinds;
 pub use resource_index::{Filter, ResourceIndex, in_scope};
-pub use serve::{ServerLimits, serve, serve_within};
-pub use tokens::{Tokens, TokensError, well_formed};
-pub use views::{Views, views};
+pub use serve::{ServerLimits, serve, serve_with_dynamic_limits};
+pub use tokens::{Tokens, TokensError, check_tokens};
+pub use view_items::view_items;
+pub use views::{Views, view_routes};
--- a/crates/instance_provider/src/lib.rs
+++ b/crates/instance_provider/src/lib.rs
@@ -1,16 +1,17 @@
-//! Supply of instances: the port through which the product starts, stops and lists them at whoever
-//! runs them, the service that carries orders to it, and the provider of the product's own dialect.
+//! Port to the platform that runs instances: the trait for starting, stopping and listing them, the service that
+//! executes orders through it, and an implementation for heronlink's own HTTP API.
 
 #![warn(missing_docs)]
 
-mod caller;
-mod own;
+mod http_caller;
+mod own_provider;
 mod port;
 mod service;
 
-pub use caller::Caller;
-pub use own::OwnInstanceProvider;
+pub use http_caller::HttpCaller;
+pub use own_provider::OwnInstanceProvider;
 pub use port::{
-    Call, InstanceLine, InstanceProvider, InstanceState, Listing, Start, StartOrder, StartReply, StopReply, WorkerLine,
+    Call, InstanceLine, InstanceProvider, InstanceState, Listing, ProviderFactory, StartOrder, StartReply, StopReply,
+    WorkerLine,
 };
-pub use service::{ProviderOrder, ProviderReport, Report, run};
+pub use service::{ProviderOrder, ProviderReport, ReportCallback, run};
--- a/crates/instance_provider/src/own.rs
+++ b/crates/instance_provider/src/own_provider.rs
@@ -1,14 +1,14 @@
-//! The provider of the product's own dialect.
+//! Instance provider that uses heronlink's own HTTP API.
 
-use crate::caller::Caller;
+use crate::http_caller::HttpCaller;
 use crate::port::{Call, InstanceProvider, Listing, StartOrder, StartReply, StopReply, WorkerLine};
 use hyper::{Method, StatusCode};
 use serde::Deserialize;
 use serde_json::json;
 
-/// Talks to a platform in heronlink's own dialect: JSON under `/v1/instances` and `/v1/workers`.
+/// Client of a platform that implements heronlink's own API: JSON under `/v1/instances` and `/v1/workers`.
 pub struct OwnInstanceProvider {
-    caller: Caller,
+    caller: HttpCaller,
 }
 
 #[derive(Deserialize)]
@@ -23,9 +23,9 @@
 }
 
 impl OwnInstanceProvider {
-    /// A client of the platform at `IP:port`.
+    /// Creates a client of the platform at `IP:port`.
     pub fn new(address: &str) -> OwnInstanceProvider {
-        OwnInstanceProvider { caller: Caller::new(address) }
+        OwnInstanceProvider { caller: HttpCaller::new(address) }
     }
 }
 
@@ -40,8 +40,8 @@
                     Ok(started) => StartReply::Accepted { id: started.id, address: started.address },
                     Err(_) => StartReply::Unanswered,
                 },
-                Some((StatusCode::INSUFFICIENT_STORAGE, _)) => StartReply::NoRoom,
-                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StartReply::Limited,
+                Some((StatusCode::INSUFFICIENT_STORAGE, _)) => StartReply::InsufficientMemory,
+                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StartReply::RateLimited,
                 Some((StatusCode::BAD_REQUEST, _)) => StartReply::Refused,
                 _ => StartReply::Unanswered,
             }
@@ -51,19 +51,19 @@
     fn stop(&self, id: String, _fence: u64) -> Call<'_, StopReply> {
         Box::pin(async move {
             match self.caller.call(Method::DELETE, &format!("/v1/instances/{id}"), &[], Vec::new()).await {
-                Some((StatusCode::ACCEPTED, _)) => StopReply::Taken,
+                Some((StatusCode::ACCEPTED, _)) => StopReply::Accepted,
                 Some((StatusCode::NOT_FOUND, _)) => StopReply::Unknown,
-                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StopReply::Limited,
+                Some((StatusCode::TOO_MANY_REQUESTS, _)) => StopReply::RateLimited,
                 _ => StopReply::Unanswered,
             }
         })
     }
 
     fn list(&self) -> Call<'_, Option<Listing>> {
-        Box::pin(self.caller.page("/v1/instances"))
+        Box::pin(self.caller.get_json("/v1/instances"))
     }
 
     fn workers(&self) -> Call<'_, Option<Vec<WorkerLine>>> {
-        Box::pin(async { self.caller.page::<Workers>("/v1/workers").await.map(|told| told.workers) })
+        Box::pin(async { self.caller.get_json::<Workers>("/v1/workers").await.map(|list| list.workers) })
     }
 }
--- a/crates/instance_provider/src/service.rs
+++ b/crates/instance_provider/src/service.rs
@@ -1,4 +1,4 @@
-//! The service around a provider: orders side by side within a bound, each within a time limit.
+//! Service that executes orders through a provider: concurrently up to a limit, each with a timeout.
 
 use crate::port::{InstanceProvider, Listing, StartOrder, StartReply, StopReply, WorkerLine};
 use kernel::Inbox;
@@ -8,21 +8,21 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// The most calls under way at a time.
-const CALLS: usize = 16;
-/// How long a call may take.
-const LIMIT: Duration = Duration::from_secs(1);
+/// Maximum number of concurrent calls.
+const MAX_CONCURRENT_CALLS: usize = 16;
+/// Maximum time for one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the service can be asked for.
+/// An order to the service.
 #[derive(Clone, Debug)]
 pub enum ProviderOrder {
     /// Start one instance.
     Start(StartOrder),
     /// Stop an instance.
     Stop {
-        /// The platform's id of it.
+        /// Id assigned by the platform.
         id: String,
-        /// The number of the membership under which it is ordered.
+        /// Number of the membership under which it is ordered.
         fence: u64,
     },
     /// Read the list of instances.
@@ -31,36 +31,36 @@
     Workers,
 }
 
-/// What came of an order.
+/// The result of an order.
 #[derive(Clone, Debug)]
 pub enum ProviderReport {
-    /// Of a start.
+    /// Result of a start order.
     Started {
-        /// The wish it was ordered under.
+        /// Nonce of the order.
         nonce: String,
         /// The platform's reply.
-        receipt: StartReply,
+        reply: StartReply,
     },
-    /// Of a stop.
+    /// Result of a stop order.
     Stopped {
-        /// The instance.
+        /// Id of the instance.
         id: String,
         /// The platform's reply.
-        receipt: StopReply,
+        reply: StopReply,
     },
     /// The list of instances.
     Listed {
-        /// As the platform told it.
+        /// The list as reported by the platform.
         listing: Listing,
-        /// When it was asked for: it is not newer than this.
-        asked: Instant,
+        /// Time at which the list was requested; the list must not be taken as newer than this.
+        requested_at: Instant,
     },
     /// The list of workers.
     Workers {
-        /// As the platform told it.
+        /// The workers as reported by the platform.
         lines: Vec<WorkerLine>,
-        /// When it was asked for: it is not newer than this.
-        asked: Instant,
+        /// Time at which the list was requested; the list must not be taken as newer than this.
+        requested_at: Instant,
     },
     /// The list of instances could not be read.
     ListError,
@@ -68,35 +68,45 @@
     WorkersError,
 }
 
-/// Takes what came of an order.
-pub type Report = Rc<dyn Fn(ProviderReport)>;
+/// Callback that receives the result of an order.
+pub type ReportCallback = Rc<dyn Fn(ProviderReport)>;
 
 /// Runs the service on the current thread until its inbox of orders is closed.
-pub async fn run(provider: Rc<dyn InstanceProvider>, mut orders: Inbox<ProviderOrder>, report: Report) {
-    let room = Rc::new(Semaphore::new(CALLS));
+pub async fn run(provider: Rc<dyn InstanceProvider>, mut orders: Inbox<ProviderOrder>, report: ReportCallback) {
+    let permits = Rc::new(Semaphore::new(MAX_CONCURRENT_CALLS));
     while let Some(order) = orders.next().await {
-        let (provider, report, room) = (provider.clone(), report.clone(), room.clone());
+        let (provider, report, permits) = (provider.clone(), report.clone(), permits.clone());
         spawn_local(async move {
-            let Ok(_permit) = room.acquire().await else { return };
+            let Ok(_permit) = permits.acquire().await else { return };
             match order {
                 ProviderOrder::Start(order) => {
                     let nonce = order.nonce.clone();
-                    let receipt = timeout(LIMIT, provider.start(order)).await.unwrap_or(StartReply::Unanswered);
-                    report(ProviderReport::Started { nonce, receipt });
+                    let reply = timeout(CALL_TIMEOUT, provider.start(order)).await.unwrap_or(StartReply::Unanswered);
+                    report(ProviderReport::Started { nonce, reply });
                 }
                 ProviderOrder::Stop { id, fence } => {
-                    let told = timeout(LIMIT, provider.stop(id.clone(), fence)).await;
-                    report(ProviderReport::Stopped { id, receipt: told.unwrap_or(StopReply::Unanswered) });
+                    let result = timeout(CALL_TIMEOUT, provider.stop(id.clone(), fence)).await;
+                    report(ProviderReport::Stopped { id, reply: result.unwrap_or(StopReply::Unanswered) });
                 }
                 ProviderOrder::List => {
-                    let asked = Instant::now();
-                    let told = timeout(LIMIT, provider.list()).await.ok().flatten();
-                    report(told.map_or(ProviderReport::ListError, |listing| ProviderReport::Listed { listing, asked }));
+                    let requested_at = Instant::now();
+                    let result = timeout(CALL_TIMEOUT, provider.list()).await.ok().flatten();
+                    report(
+                        result.map_or(ProviderReport::ListError, |listing| ProviderReport::Listed {
+                            listing,
+                            requested_at,
+                        }),
+                    );
                 }
                 ProviderOrder::Workers => {
-                    let asked = Instant::now();
-                    let told = timeout(LIMIT, provider.workers()).await.ok().flatten();
-                    report(told.map_or(ProviderReport::WorkersError, |lines| ProviderReport::Workers { lines, asked }));
+                    let requested_at = Instant::now();
+                    let result = timeout(CALL_TIMEOUT, provider.workers()).await.ok().flatten();
+                    report(
+                        result.map_or(ProviderReport::WorkersError, |lines| ProviderReport::Workers {
+                            lines,
+                            requested_at,
+                        }),
+                    );
                 }
             }
         });
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,5 +1,5 @@
-//! The micro-kernel: services announce an inbox under a name, others find it by that name.
-//! Every inbox is bounded; a full one refuses at once and counts the refusal.
+//! Parts that every program is built from: services announce an inbox under a name, and others find it by that
+//! name. Every inbox is bounded; a full one rejects a message immediately and counts the rejection.
 
 #![warn(missing_docs)]
 
@@ -12,5 +12,5 @@
 pub use directory::Directory;
 pub use inbox::{Inbox, InboxSender, SendError, inbox};
 pub use program::{StartError, adopt, find, join_until, listen, listen_address, local, thread, wait_for_signal};
-pub use settings_watch::follow;
-pub use silence::give_up_after;
+pub use settings_watch::watch_settings;
+pub use silence::set_silence_timeout;
--- a/crates/leases/src/registry_messages.rs
+++ b/crates/leases/src/registry_messages.rs
@@ -10,7 +10,7 @@
 impl Follower {
     pub(crate) fn handle_registry_message(&mut self, from: NodeId, message: LeaseMessage) {
         match message {
-            LeaseMessage::Proof { request_id, active, latest, member } => {
+            LeaseMessage::Proof { request_id, active, latest, is_member: member } => {
                 self.handle_lease_confirmation(from, request_id, active, latest, member != 0)
             }
             LeaseMessage::NotTail { addresses, .. } | LeaseMessage::RegistryAddresses { addresses } => {
@@ -20,7 +20,7 @@
                     self.outputs.push(FollowerOutput::RegistryAddresses { addresses });
                 }
             }
-            LeaseMessage::Stage { step } => self.stage_epoch(from, step),
+            LeaseMessage::Stage { epoch: step } => self.stage_epoch(from, step),
             LeaseMessage::Activate { number } => self.activate_to(number),
             LeaseMessage::Membership { number, body } => {
                 if number > self.membership.number
@@ -33,7 +33,7 @@
             LeaseMessage::MembershipChange { since, number, size, body } => {
                 self.handle_membership_change(since, number, size, &body)
             }
-            LeaseMessage::Part { request_id, full, number, size, packed, offset, bytes } => {
+            LeaseMessage::Part { request_id, full, number, size, compressed_size: packed, offset, bytes } => {
                 let part = Part { number, size, packed, offset, bytes };
                 if full != 0 {
                     self.handle_configuration_part(from, request_id, part)
@@ -41,7 +41,7 @@
                     self.handle_epoch_part(from, part)
                 }
             }
-            LeaseMessage::ConfigurationPage { request_id, step, revision, quorum, items, next } => self
+            LeaseMessage::ConfigurationPage { request_id, epoch: step, revision, quorum, items, next } => self
                 .handle_configuration_page(from, request_id, step, revision, quorum.into_vec(), items.into_vec(), next),
             _ => {}
         }
@@ -61,7 +61,7 @@
         if number <= self.membership.number || (since != 0 && since != self.membership.number) {
             return;
         }
-        let raw = wire::unpack(body.as_slice(), size);
+        let raw = wire::decompress(body.as_slice(), size);
         let Some(change) = raw.and_then(|raw| wire::from_bytes::<MembershipChange>(&raw)) else { return };
         let membership = if since == 0 {
             Membership::default().with_change(number, change)
--- a/crates/loadgen/src/attempt.rs
+++ b/crates/loadgen/src/attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt at a task: a request with a label of its own, and the record of what came of it.
+//! One attempt at a task: a request with a unique label, and the record of its outcome.
 
-#![expect(clippy::disallowed_types, reason = "two records are held against each other by it")]
+#![expect(clippy::disallowed_types, reason = "the records of two processes are compared by wall-clock time")]
 
 use crate::tally::Attempt;
 use bytes::Bytes;
@@ -12,10 +12,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(6);
+/// Maximum time to wait for the whole response.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(6);
 
-pub type Http = Client<HttpConnector, Full<Bytes>>;
+/// HTTP client shared by all attempts.
+pub type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
+/// Request of an attempt, and the properties of its task that are recorded.
 pub struct AttemptSpec<'a> {
     pub method: &'a str,
     pub path: &'a str,
@@ -28,14 +31,16 @@
     pub target: &'a str,
 }
 
-pub fn client() -> Http {
+/// Returns a client with a connection pool.
+pub fn build_client() -> HttpClient {
     Client::builder(TokioExecutor::new())
         .pool_max_idle_per_host(64)
         .pool_idle_timeout(Duration::from_secs(30))
         .build_http()
 }
 
-pub async fn attempt(http: &Http, spec: AttemptSpec<'_>) -> Attempt {
+/// Sends a request and returns the record of its outcome.
+pub async fn send_attempt(http: &HttpClient, spec: AttemptSpec<'_>) -> Attempt {
     let label = format!("{}#{}", spec.task, spec.number);
     let mut attempt = Attempt {
         task: spec.task.to_owned(),
@@ -53,25 +58,26 @@
         request = request.header(name, value);
     }
     let Ok(request) = request.body(Full::new(Bytes::from(spec.body))) else { return attempt };
-    let begun = Instant::now();
+    let started = Instant::now();
     let work = async {
-        let answer = http.request(request).await.map_err(|error| format!("{error:?}"))?;
-        let status = answer.status().as_u16();
-        let text = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
+        let response = http.request(request).await.map_err(|error| format!("{error:?}"))?;
+        let status = response.status().as_u16();
+        let text =
+            |name: &str| response.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned();
         let (outcome, retry_after) = (text("heronlink-outcome"), !text("retry-after").is_empty());
-        let body = Limited::new(answer.into_body(), 1 << 20).collect().await.map_err(|error| error.to_string())?;
+        let body = Limited::new(response.into_body(), 1 << 20).collect().await.map_err(|error| error.to_string())?;
         Ok::<_, String>((status, outcome, retry_after, body.to_bytes()))
     };
-    match timeout(PATIENCE, work).await {
+    match timeout(ATTEMPT_TIMEOUT, work).await {
         Ok(Ok((status, outcome, retry_after, body))) => {
             attempt.status = status;
             attempt.outcome = outcome;
             attempt.retry_after = retry_after;
             attempt.body = String::from_utf8_lossy(&body).into_owned();
         }
-        Ok(Err(told)) => attempt.body = told,
+        Ok(Err(error)) => attempt.body = error,
         Err(_) => attempt.body = "no answer in time".into(),
     }
-    attempt.took = begun.elapsed().as_millis() as u64;
+    attempt.took = started.elapsed().as_millis() as u64;
     attempt
 }
--- a/crates/operator_client/src/lib.rs
+++ b/crates/operator_client/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' client as a library: one call to a registry's or router's HTTP API.
+//! Library of the operators' client: calls to the HTTP API of a registry or router, and declarations in files.
 
 #![warn(missing_docs)]
 
 mod client;
-mod folder;
+mod declarations;
 
 pub use client::{Answer, Call, CallError, send_call, watch};
-pub use folder::{Declared, FolderError, differences, document, read, resources};
+pub use declarations::{DeclarationError, Declarations, differences, from_document, read_declarations, to_document};
--- a/crates/sim/src/chances.rs
+++ b/crates/sim/src/sorts.rs
@@ -1,7 +1,8 @@
-//! What a run is made of: how long, how many nodes, which sorts of failure, and when. Failures come
-//! in two bouts with a calm after each, so that what service came back to can be judged second by
-//! second; every run ends with all registries losing power at once.
+//! The sorts of runs and the weighted mix of faults that each draws from. Faults come in two phases with a quiet
+//! time after each, so that the recovered throughput can be checked second by second; every run ends with a
+//! power loss of all registries at once, or on the control plane's sorts with a final triggered fault.
 
+/// Named mix of faults, chosen with `--sort`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sort {
     Calm,
@@ -52,15 +53,15 @@
     ("consumers", Sort::Consumers),
 ];
 
-/// One failure and its drawing by weight: a sort names what may happen in it.
+/// One kind of fault. A sort lists a kind several times to give it more weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     KillRegistry,
     KillCore,
     FreezeRegistry,
     StallDisk,
     FillDisk,
-    /// Full for a while, and free again under the same process.
+    /// A disk is full for a while and has room again without a restart of the process.
     FillDiskForAWhile,
     LoseDisk,
     KillRouter,
@@ -68,7 +69,7 @@
     KillRouters,
     KillAll,
     FreezeRouter,
-    FreezeHerd,
+    FreezeHalf,
     CutOne,
     CutCore,
     CutSome,
@@ -77,45 +78,48 @@
     CutZone,
     SlowLinks,
     LoseAnswers,
-    Garble,
-    Worker,
+    GarbleAnswers,
+    WorkerFault,
     LeaveRouter,
     StopRegistry,
     Crowd,
     Overload,
-    Eager,
-    Grow,
+    EagerRetries,
+    GrowConfiguration,
     MoveSeeds,
     Wake,
     Flood,
     ResetLinks,
-    /// A consumer's API key is taken away by a new version while callers go on using it.
-    Revoke,
-    /// One consumer sends many times its usual.
+    /// A new configuration removes a consumer's API key while callers keep using it.
+    RevokeApiKey,
+    /// One consumer sends far more requests than usual.
     HotConsumer,
     /// Links between processes lose packets.
-    Lossy,
+    LossyLinks,
     /// All connections of a router are reset.
     ResetConnections,
     Control(crate::control_faults::ControlFault),
 }
 
 impl Sort {
+    /// Returns the sort with this name.
     pub fn from_word(word: &str) -> Option<Sort> {
         WORDS.iter().find(|(known, _)| *known == word).map(|(_, sort)| *sort)
     }
 
+    /// Returns the names of all sorts, separated by commas.
     pub fn words() -> String {
         WORDS.map(|(word, _)| word).join(", ")
     }
 
-    /// The sorts on the control plane's failures, with longer bouts and more registries.
+    /// Whether the sort tests faults of the control plane, with longer fault phases and more registries.
     pub fn is_on_control(self) -> bool {
         matches!(self, Sort::Cutoff | Sort::Replacement | Sort::Anything)
     }
 
-    pub fn kinds(self) -> &'static [Kind] {
-        use Kind::*;
+    /// Returns the kinds of fault that the sort draws from, except those of the control plane's sorts.
+    pub fn kinds(self) -> &'static [FaultKind] {
+        use FaultKind::*;
         match self {
             Sort::Calm | Sort::Cutoff | Sort::Replacement | Sort::Anything | Sort::Restarts => &[],
             Sort::Core => &[
@@ -129,17 +133,17 @@
                 CutInside,
                 CutPair,
             ],
-            Sort::Routers => &[KillRouter, KillRouter, KillZone, FreezeRouter, LoseAnswers, Garble, Worker],
+            Sort::Routers => &[KillRouter, KillRouter, KillZone, FreezeRouter, LoseAnswers, GarbleAnswers, WorkerFault],
             Sort::Network => &[CutOne, CutCore, CutSome, CutInside, CutPair, CutZone, SlowLinks],
             Sort::Planned => &[LeaveRouter, StopRegistry],
             Sort::Consumers => &[
-                Revoke,
-                Revoke,
-                Revoke,
+                RevokeApiKey,
+                RevokeApiKey,
+                RevokeApiKey,
                 HotConsumer,
                 HotConsumer,
-                Lossy,
-                Lossy,
+                LossyLinks,
+                LossyLinks,
                 ResetConnections,
                 ResetConnections,
                 KillRegistry,
@@ -155,16 +159,16 @@
                 CutPair,
                 SlowLinks,
                 LoseAnswers,
-                Worker,
+                WorkerFault,
                 LeaveRouter,
                 Crowd,
             ],
             Sort::Crowd => &[Crowd],
             Sort::Overload => &[Overload, Overload, Crowd, KillRouter, FreezeRouter, LeaveRouter],
-            Sort::Herd => &[KillAll, KillRouters, KillCore, FreezeHerd, KillZone, Eager],
+            Sort::Herd => &[KillAll, KillRouters, KillCore, FreezeHalf, KillZone, EagerRetries],
             Sort::Wake => &[Wake],
             Sort::Flood => &[Flood],
-            Sort::Grown => &[Grow, KillRegistry, KillRouter, FreezeRouter, CutOne, LoseDisk],
+            Sort::Grown => &[GrowConfiguration, KillRegistry, KillRouter, FreezeRouter, CutOne, LoseDisk],
             Sort::Resets => &[
                 ResetLinks,
                 ResetLinks,
@@ -172,13 +176,13 @@
                 ResetLinks,
                 ResetLinks,
                 ResetLinks,
-                Garble,
-                Garble,
+                GarbleAnswers,
+                GarbleAnswers,
                 LoseAnswers,
                 KillRouter,
                 FreezeRouter,
                 LeaveRouter,
-                Worker,
+                WorkerFault,
                 Crowd,
             ],
             Sort::Operators => &[
@@ -205,7 +209,7 @@
                 LoseDisk,
                 KillRouter,
                 CutOne,
-                Grow,
+                GrowConfiguration,
             ],
             Sort::Mixed | Sort::Storm => &[
                 KillRegistry,
@@ -221,7 +225,7 @@
                 KillAll,
                 FreezeRouter,
                 FreezeRouter,
-                FreezeHerd,
+                FreezeHalf,
                 CutOne,
                 CutCore,
                 CutSome,
@@ -230,13 +234,13 @@
                 CutZone,
                 SlowLinks,
                 LoseAnswers,
-                Garble,
-                Worker,
+                GarbleAnswers,
+                WorkerFault,
                 LeaveRouter,
                 StopRegistry,
                 Crowd,
                 Overload,
-                Eager,
+                EagerRetries,
                 MoveSeeds,
             ],
         }
--- a/crates/traffic/src/deferred_requests.rs
+++ b/crates/traffic/src/deferred_requests.rs
@@ -35,7 +35,7 @@
             .filter(|(_, scheduler)| {
                 scheduler.deferred_read_at.is_none_or(|at| now >= at + self.settings.deferred_read_interval)
             })
-            .filter(|(name, _)| routes.takes_deferred(name))
+            .filter(|(name, _)| routes.has_deferred_binding(name))
             .map(|(name, _)| name.clone())
             .take(READS_AT_ONCE.saturating_sub(reading))
             .collect();
@@ -82,7 +82,7 @@
         let finishing = self.unconfirmed_finishes(name).map(|id| id.as_str().to_owned());
         let live: BTreeSet<String> = sent.chain(finishing).collect();
         if let Some(scheduler) = self.schedulers.get_mut(name) {
-            scheduler.sent_tasks.learn(pending, live);
+            scheduler.sent_tasks.reconcile(pending, live);
         }
     }
 
--- a/crates/traffic/src/function_owner.rs
+++ b/crates/traffic/src/function_owner.rs
@@ -124,7 +124,7 @@
                     | ForwardMessage::Forward { .. }
                     | ForwardMessage::ForwardForConsumer { .. }),
             } => {
-                if let Some((request, consumer)) = message.into_forwarded() {
+                if let Some((request, consumer)) = message.into_forward_request() {
                     self.admit(from, request, consumer.as_str());
                 }
             }
@@ -153,7 +153,9 @@
             OwnerInput::Forward { from, message: ForwardMessage::InventoryRequest } => {
                 self.handle_inventory_request(from)
             }
-            OwnerInput::Forward { from, message: ForwardMessage::Table { table } } => self.handle_table(from, table),
+            OwnerInput::Forward { from, message: ForwardMessage::OwnershipTable { table } } => {
+                self.handle_table(from, table)
+            }
             OwnerInput::Forward { .. } => {}
             OwnerInput::Dispatched { number, outcome } => self.handle_dispatch_outcome(number, outcome),
             OwnerInput::StoreReply { message } => self.handle_store_reply(message),
--- a/crates/traffic/src/ops.rs
+++ b/crates/traffic/src/ops.rs
@@ -1,4 +1,4 @@
-//! The operations port: health, readiness, metrics, this node's view and a live watch of it.
+//! HTTP server for operations: health, readiness, metrics, the status page and a live watch of it.
 
 use crate::router_metrics::RouterMetrics;
 use axum::Router;
@@ -17,30 +17,34 @@
 
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
+/// Latest status of the traffic thread and of the control thread, as JSON.
 #[derive(Clone)]
 pub struct Views {
+    /// Status of the traffic thread.
     pub traffic: watch::Receiver<String>,
+    /// Status of the control thread.
     pub control: watch::Receiver<String>,
 }
 
+/// Returns the HTTP routes for operations.
 pub fn ops_router(views: Views) -> Router {
     Router::new()
         .route("/health", get(|| async { "ok\n" }))
         .route("/ready", get(ready))
         .route("/metrics", get(metrics))
-        .route("/v1/status", get(|State(views): State<Views>| async move { views.page().to_string() }))
+        .route("/v1/status", get(|State(views): State<Views>| async move { views.status_page().to_string() }))
         .route("/v1/watch", get(watch_view))
         .with_state(views)
 }
 
 impl Views {
-    /// Whether this router may serve: it has a proof of its revision.
+    /// Returns whether this router may serve, that is, has a valid serving lease.
     pub fn is_ready(&self) -> bool {
         let view: Value = serde_json::from_str(&self.control.borrow()).unwrap_or_default();
         matches!(view["standing"].as_str(), Some("ByCore" | "ByPeers"))
     }
 
-    fn page(&self) -> Value {
+    fn status_page(&self) -> Value {
         let mut page: Value = serde_json::from_str(&self.control.borrow()).unwrap_or_default();
         page["traffic"] = serde_json::from_str(&self.traffic.borrow()).unwrap_or_default();
         page
@@ -55,7 +59,7 @@
 }
 
 async fn metrics(State(views): State<Views>) -> Response {
-    let mut response = Response::new(Body::from(RouterMetrics::of(&views.page()).encode()));
+    let mut response = Response::new(Body::from(RouterMetrics::from_status(&views.status_page()).encode()));
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(OPEN_METRICS));
     response
 }
@@ -66,7 +70,7 @@
     let lines = futures_lite::stream::unfold((views, control), |(views, mut control)| async move {
         control.changed().await.ok()?;
         control.borrow_and_update();
-        let line = Bytes::from(format!("{}\n", views.page()));
+        let line = Bytes::from(format!("{}\n", views.status_page()));
         Some((Ok::<_, Infallible>(Frame::data(line)), (views, control)))
     });
     Response::new(Body::new(StreamBody::new(lines)))
--- a/crates/traffic/tests/single.rs
+++ b/crates/traffic/tests/single.rs
@@ -29,13 +29,13 @@
         |id: &str| InstanceSlots { instance: id.into(), address: format!("127.0.0.1:{id}").into(), ready: 1, busy: 0 };
     let slots = vec![slot("1"), slot("2")].into();
     let table = OwnershipTable { function: "t/f".into(), membership: 2, slots, ..OwnershipTable::default() };
-    owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table } });
+    owner.step(ms(1), true, OwnerInput::Forward { from: OTHER, message: ForwardMessage::OwnershipTable { table } });
     let head = RequestHead { method: "POST".into(), target: "/t/f".into(), headers: Vec::new().into() };
     let message = ForwardMessage::ForwardUncounted {
         task: 7,
         function: "t/f".into(),
         binding: "t/f".into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         respond_async: 0,
         key: "a".into(),
@@ -132,14 +132,14 @@
     let outputs = front.step(ms(20), true, lost);
     assert_eq!(reply(&outputs).map(|reply| (reply.outcome, reply.status)), Some((Some(Outcome::Unknown), 504)));
     let late = ForwardMessage::NotOwner { task };
-    assert!(front.step(ms(30), true, FrontInput::Forwarded { from: OTHER, message: late }).is_empty());
+    assert!(front.step(ms(30), true, FrontInput::Message { from: OTHER, message: late }).is_empty());
 }
 
 #[test]
 fn returned_request_is_forwarded_again() {
     let mut front = front();
     let (task, _) = forward(&common::send_request(&mut front, 5, true, "/t/f"));
-    front.step(ms(20), true, FrontInput::Forwarded { from: OTHER, message: ForwardMessage::NotOwner { task } });
+    front.step(ms(20), true, FrontInput::Message { from: OTHER, message: ForwardMessage::NotOwner { task } });
     let outputs = front.step(ms(60), true, FrontInput::Tick);
     assert!(matches!(outputs[..], [FrontOutput::Forward { .. }]), "{outputs:?}");
 }
--- a/crates/traffic/tests/starting.rs
+++ b/crates/traffic/tests/starting.rs
@@ -77,7 +77,7 @@
     let mut owner = OwnerWithProvider::new(1, six_workers());
     owner.pass(100);
     let nonce = owner.starts[0].nonce.clone();
-    owner.started(&nonce, StartReply::Limited);
+    owner.started(&nonce, StartReply::RateLimited);
     owner.pass(200);
     assert_eq!(owner.starts.len(), 1);
     owner.pass(200);
@@ -101,7 +101,7 @@
         task: number,
         function: FUNCTION.into(),
         binding: FUNCTION.into(),
-        left_ms: 4000,
+        remaining_ms: 4000,
         resends: 0,
         respond_async: 0,
         key: "".into(),
@@ -155,9 +155,9 @@
     owner.probed("i1", true);
     owner.list(vec![line("i1", "w0", InstanceState::Leaving)]);
     owner.pass(100);
-    for (times, receipt) in [(1, StopReply::Limited), (2, StopReply::Unanswered), (3, StopReply::Unknown)] {
+    for (times, reply) in [(1, StopReply::RateLimited), (2, StopReply::Unanswered), (3, StopReply::Unknown)] {
         assert_eq!(owner.stops.len(), times);
-        owner.stopped("i1", receipt);
+        owner.stopped("i1", reply);
         owner.pass(1000);
     }
     owner.pass(6000);
@@ -171,14 +171,19 @@
     let nonce = owner.starts[0].nonce.clone();
     owner.feed(OwnerInput::Membership { membership: membership(8, &[OTHER]) });
     let table = owner.others.iter().find_map(|output| match output {
-        OwnerOutput::Forward { message: ForwardMessage::Table { table }, .. } if table.is_standby_copy == 0 => {
+        OwnerOutput::Forward { message: ForwardMessage::OwnershipTable { table }, .. }
+            if table.is_standby_copy == 0 =>
+        {
             Some(table.clone())
         }
         _ => None,
     });
     let mut next = OwnerWithProvider::with_member(OTHER, 1, six_workers());
     next.feed(OwnerInput::Membership { membership: membership(8, &[ME]) });
-    next.feed(OwnerInput::Forward { from: OTHER, message: ForwardMessage::Table { table: table.expect("a table") } });
+    next.feed(OwnerInput::Forward {
+        from: OTHER,
+        message: ForwardMessage::OwnershipTable { table: table.expect("a table") },
+    });
     next.pass(300);
     let nonces: Vec<&str> = next.starts.iter().map(|order| order.nonce.as_str()).collect();
     assert_eq!(nonces, [nonce.as_str()]);
